--- a/gradegap/capture/commands.py
+++ b/gradegap/capture/commands.py
@@ -133,7 +133,7 @@
     _lines(
         file,
         lambda s: (
-            (not kind or type(s.event).__name__ in kind)
+            (not kind or records.stored_name(s.event) in kind)
             and (not server or any(server in records.names(x) for x in (s.event, *s.actions)))
             and (req < 0 or any(req in records.names(x) for x in (s.event, *s.actions)))
         ),
--- a/gradegap/capture/explain.py
+++ b/gradegap/capture/explain.py
@@ -137,4 +137,4 @@
 
     fields = zip(value._fields, value, strict=True)
     said = [f"{name}={shown(v)}" for name, v in fields if v not in (None, "", False)]
-    return f"{type(value).__name__} {' '.join(said)}"[:400]
+    return f"{records.stored_name(value)} {' '.join(said)}"[:400]
--- a/gradegap/capture/records.py
+++ b/gradegap/capture/records.py
@@ -1,31 +1,134 @@
 """Events, actions and settings as plain values that a file can hold, and back. No I/O.
 
-An event or an action is `[name, [field, ...]]`, its fields in the order of `gradegap.interface`. A reader of
-this version takes what an older one wrote as long as fields were only added at the end, with a default.
+An event or an action is stored as `[name, [field, ...]]`, its fields in the order of its class; settings are
+stored as a map by field name. The stored names are declared in the tables of this file and stay as they are
+for ever, whatever the classes and their attributes are called: files are read by later versions, and the
+digest of a replay is made of the stored names. Enums are stored by value.
+
+A reader of this version takes what an older one wrote as long as fields were only added at the end, with a
+default.
 """
 
 from __future__ import annotations
 
-import dataclasses
 from collections.abc import Mapping, Sequence
-from typing import Any, get_args
+from dataclasses import dataclass
+from typing import Any
 
 import msgspec
 
 from gradegap import interface as api
 
-EVENTS: dict[str, type] = {t.__name__: t for t in get_args(api.Event)}
-ACTIONS: dict[str, type] = {t.__name__: t for t in get_args(api.Action)}
-_MAPPINGS = {"classes": api.ClassSettings, "tenants": api.TenantSettings}
+# Stored name -> class. The left column is the file format and never changes.
+EVENTS: dict[str, type] = {
+    "ServerList": api.ServerList,
+    "Request": api.Request,
+    "Inherited": api.Inherited,
+    "Established": api.Established,
+    "Note": api.Note,
+    "Outcome": api.Outcome,
+    "ClientGone": api.ClientGone,
+    "Timer": api.Timer,
+    "ProbeResult": api.ProbeResult,
+    "Leaving": api.Leaving,
+    "Returned": api.Returned,
+}
+ACTIONS: dict[str, type] = {
+    "Send": api.Send,
+    "Refuse": api.Refuse,
+    "Fail": api.Fail,
+    "Move": api.Move,
+    "SetTimer": api.SetTimer,
+    "Probe": api.Probe,
+    "WatchList": api.WatchList,
+    "Log": api.Log,
+}
+_STORED_NAMES: dict[type, str] = {kind: name for name, kind in (*EVENTS.items(), *ACTIONS.items())}
 
 
 class BadRecordError(ValueError):
     """What a file holds is no record."""
 
 
+@dataclass(slots=True, frozen=True)
+class StoredFields:
+    """How a class of settings is stored: its stored field names, and the attributes that they stand for."""
+
+    cls: type
+    attributes: Mapping[str, str]  # stored name -> attribute; the left column never changes
+
+    def to_plain(self, value: Any) -> dict[str, Any]:
+        """The stored form of one object."""
+        return {stored: msgspec.to_builtins(getattr(value, name)) for stored, name in self.attributes.items()}
+
+    def to_attributes(self, raw: Any) -> Any:
+        """The stored form, keyed by attribute; what is no map is left for the conversion to refuse."""
+        if not isinstance(raw, Mapping):
+            return raw
+        return {self.attributes[stored]: value for stored, value in raw.items() if stored in self.attributes}
+
+    def from_plain(self, raw: Any) -> Any:
+        """The object; `msgspec.ValidationError` or `ValueError` for what can't be one."""
+        return msgspec.convert(self.to_attributes(raw), self.cls)
+
+
+CLASS_SETTINGS = StoredFields(
+    api.ClassSettings,
+    {
+        "name": "name",
+        "aim": "aim",
+        "limit": "limit",
+        "worth": "worth",
+        "repeat": "repeat",
+        "group": "group",
+        "repeat_window": "repeat_window",
+        "message_aim": "message_aim",
+    },
+)
+TENANT_SETTINGS = StoredFields(api.TenantSettings, {"name": "name", "quota": "quota", "share": "share"})
+SETTINGS = StoredFields(
+    api.Settings,
+    {
+        "classes": "classes",
+        "balancers": "balancers",
+        "zone": "zone",
+        "ask_for_list": "ask_for_list",
+        "ask_within": "ask_within",
+        "drain_grace": "drain_grace",
+        "answer_slack": "answer_slack",
+        "connect_timeout": "connect_timeout",
+        "max_attempts": "max_attempts",
+        "max_retry_after": "max_retry_after",
+        "probes": "probes",
+        "reports": "reports",
+        "report_fields": "report_fields",
+        "weights": "weights",
+        "groups": "groups",
+        "passes": "passes",
+        "cold_share": "cold_share",
+        "cold_time": "cold_time",
+        "fall_multiple": "fall_multiple",
+        "fall_time": "fall_time",
+        "cross_zone_price": "cross_zone_price",
+        "move_price": "move_price",
+        "probe_price": "probe_price",
+        "cpu_per_request": "cpu_per_request",
+        "tenants": "tenants",
+        "over_share_worth": "over_share_worth",
+    },
+)
+# Stored fields of `SETTINGS` that hold a map of further settings by name.
+_NESTED = {"classes": CLASS_SETTINGS, "tenants": TENANT_SETTINGS}
+
+
+def stored_name(value: Any) -> str:
+    """The name that an event or action is stored by."""
+    return _STORED_NAMES[type(value)]
+
+
 def plain(value: Any) -> tuple[str, Any]:
     """An event or an action; its encoder writes a named tuple as its fields."""
-    return type(value).__name__, value
+    return _STORED_NAMES[type(value)], value
 
 
 def event(raw: Sequence[Any]) -> Any:
@@ -48,31 +151,42 @@
         raise BadRecordError(f"a {raw[0]} that can't be read: {str(error)[:120]}") from None
 
 
-def names(value: Any) -> set[Any]:
-    """The servers and reqs that an event or action is about."""
-    found: set[Any] = set()
-    for name in ("id", "server"):
-        if (held := getattr(value, name, None)) is not None:
-            found.add(held)
-    if (entries := getattr(value, "entries", None)) is not None:
-        found |= {e.server for e in entries}
-    if (request := getattr(value, "request", None)) is not None:
-        found.add(request.id)
-    return found
+def names(value: api.Event | api.Action) -> set[Any]:
+    """The servers and requests that an event or action is about."""
+    match value:
+        case api.ServerList():
+            return {entry.server for entry in value.entries}
+        case api.Inherited():
+            return {value.request.id, value.server}
+        case api.Established() | api.Note() | api.Outcome() | api.Send():
+            return {value.id, value.server}
+        case api.Request() | api.ClientGone() | api.Refuse() | api.Fail() | api.Move():
+            return {value.id}
+        case api.ProbeResult() | api.Probe():
+            return {value.server}
+        case _:
+            return set()
 
 
 def plain_settings(settings: api.Settings) -> dict[str, Any]:
-    """Settings as plain values."""
-    found: dict[str, Any] = msgspec.to_builtins(settings)
+    """Settings as plain values, by their stored names."""
+    found = SETTINGS.to_plain(settings)
+    for stored, form in _NESTED.items():
+        held = getattr(settings, SETTINGS.attributes[stored])
+        found[stored] = {name: form.to_plain(each) for name, each in held.items()}
     return found
 
 
 def settings(raw: Mapping[str, Any]) -> api.Settings:
     """`BadRecordError` for what can't be settings of this version."""
-    fields = {f.name for f in dataclasses.fields(api.Settings)}
-    if extra := sorted(raw.keys() - fields):
+    if extra := sorted(raw.keys() - SETTINGS.attributes.keys()):
         raise BadRecordError(f"settings of a later version: {', '.join(extra)[:80]}")
+    held = dict(raw)
+    for stored, form in _NESTED.items():
+        if isinstance(each := held.get(stored), Mapping):
+            held[stored] = {name: form.to_attributes(value) for name, value in each.items()}
     try:
-        return msgspec.convert(dict(raw), api.Settings)
+        made: api.Settings = SETTINGS.from_plain(held)
     except (msgspec.ValidationError, ValueError) as error:
         raise BadRecordError(f"settings that can't be read: {str(error)[:120]}") from None
+    return made
--- /dev/null
+++ b/tests/test_capture_records.py
@@ -0,0 +1,130 @@
+"""Stored names of events, actions and settings: declared, complete, and the same for ever."""
+
+from __future__ import annotations
+
+import dataclasses
+from typing import Any, NamedTuple, get_args
+
+import msgspec
+import pytest
+
+from gradegap import interface as api
+from gradegap.capture import records
+from tests.helpers import settings
+
+# As files of version 1 have them. These lists are the format: they only grow.
+EVENT_NAMES = {
+    "ServerList", "Request", "Inherited", "Established", "Note", "Outcome", "ClientGone", "Timer",
+    "ProbeResult", "Leaving", "Returned",
+}  # fmt: skip
+ACTION_NAMES = {"Send", "Refuse", "Fail", "Move", "SetTimer", "Probe", "WatchList", "Log"}
+SETTINGS_FIELDS = [
+    "classes", "balancers", "zone", "ask_for_list", "ask_within", "drain_grace", "answer_slack",
+    "connect_timeout", "max_attempts", "max_retry_after", "probes", "reports", "report_fields", "weights",
+    "groups", "passes", "cold_share", "cold_time", "fall_multiple", "fall_time", "cross_zone_price",
+    "move_price", "probe_price", "cpu_per_request", "tenants", "over_share_worth",
+]  # fmt: skip
+CLASS_FIELDS = ["name", "aim", "limit", "worth", "repeat", "group", "repeat_window", "message_aim"]
+TENANT_FIELDS = ["name", "quota", "share"]
+
+
+def test_stored_names_are_those_of_files_already_written() -> None:
+    assert set(records.EVENTS) == EVENT_NAMES
+    assert set(records.ACTIONS) == ACTION_NAMES
+    assert list(records.SETTINGS.attributes) == SETTINGS_FIELDS
+    assert list(records.CLASS_SETTINGS.attributes) == CLASS_FIELDS
+    assert list(records.TENANT_SETTINGS.attributes) == TENANT_FIELDS
+
+
+def test_every_event_and_action_has_one_stored_name() -> None:
+    for kinds, union in ((records.EVENTS, api.Event), (records.ACTIONS, api.Action)):
+        assert sorted(kinds.values(), key=str) == sorted(get_args(union), key=str)
+
+
+@pytest.mark.parametrize("form", [records.SETTINGS, records.CLASS_SETTINGS, records.TENANT_SETTINGS])
+def test_every_field_of_settings_has_one_stored_name(form: records.StoredFields) -> None:
+    assert sorted(form.attributes.values()) == sorted(f.name for f in dataclasses.fields(form.cls))
+
+
+class Renamed(NamedTuple):
+    """An action as a later version may call it."""
+
+    request_id: int
+    endpoint: str
+
+
+def test_a_renamed_class_is_stored_by_its_old_name(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setitem(records.ACTIONS, "Send", Renamed)
+    monkeypatch.setitem(records._STORED_NAMES, Renamed, "Send")
+    raw = msgspec.msgpack.encode(records.plain(Renamed(7, "s1")))
+    assert raw == msgspec.msgpack.encode(("Send", (7, "s1")))
+    assert records.action(msgspec.msgpack.decode(raw)) == Renamed(7, "s1")
+    assert records.stored_name(Renamed(7, "s1")) == "Send"
+
+
+def test_a_renamed_setting_is_stored_by_its_old_name() -> None:
+    @dataclasses.dataclass(frozen=True)
+    class LaterTenant:
+        name: str
+        connection_quota: float = 0.0
+
+    form = records.StoredFields(LaterTenant, {"name": "name", "quota": "connection_quota"})
+    assert form.to_plain(LaterTenant("t", 3.0)) == {"name": "t", "quota": 3.0}
+    assert form.from_plain({"name": "t", "quota": 3.0}) == LaterTenant("t", 3.0)
+
+
+def test_settings_come_back_with_their_classes_and_tenants() -> None:
+    whole = settings(
+        tenants={"t": api.TenantSettings("t", 5.0, 0.5)},
+        classes={
+            "live": api.ClassSettings("live", 0.3, 2.0, 0.9, api.Repeat.KEYED, api.RepeatGroup.CELL, 4.0)
+        },
+    )
+    raw = records.plain_settings(whole)
+    assert list(raw) == SETTINGS_FIELDS
+    assert list(raw["classes"]["live"]) == CLASS_FIELDS and list(raw["tenants"]["t"]) == TENANT_FIELDS
+    assert records.settings(msgspec.msgpack.decode(msgspec.msgpack.encode(raw))) == whole
+
+
+@pytest.mark.parametrize(
+    "raw",
+    [
+        {"classes": 3},
+        {"classes": {"live": 3}},
+        {"classes": {"live": {"name": "live"}}, "tenants": {"t": []}},
+        {"classes": {"live": {"name": "live"}}, "no_such_setting": 1},
+        {"classes": {}},
+    ],
+)
+def test_what_is_no_settings_is_refused(raw: dict[str, Any]) -> None:
+    with pytest.raises(records.BadRecordError, match="settings"):
+        records.settings(raw)
+
+
+def test_the_servers_and_requests_that_a_record_is_about() -> None:
+    request = api.Request(1, "live", 2.0)
+    entries = (api.ServerEntry("a"), api.ServerEntry("b"))
+    about: list[tuple[Any, set[Any]]] = [
+        (api.ServerList(api.ListKind.FULL, entries), {"a", "b"}),
+        (request, {1}),
+        (api.Inherited(request, "a"), {1, "a"}),
+        (api.Established(1, 0, "a", 0.1), {1, "a"}),
+        (api.Note(1, "a"), {1, "a"}),
+        (api.Outcome(1, 0, "a", api.Result.OK, 0.1, True), {1, "a"}),
+        (api.ClientGone(1), {1}),
+        (api.Timer("look"), set()),
+        (api.ProbeResult("a", api.Result.OK, 0.1), {"a"}),
+        (api.Leaving(1.0), set()),
+        (api.Returned(), set()),
+        (api.Send(1, "a", 0.5), {1, "a"}),
+        (api.Refuse(1), {1}),
+        (api.Fail(1), {1}),
+        (api.Move(1), {1}),
+        (api.SetTimer(0.1, "look"), set()),
+        (api.Probe("a"), {"a"}),
+        (api.WatchList(), set()),
+        (api.Log("text"), set()),
+    ]
+    assert {type(value) for value, _ in about} == {*records.EVENTS.values(), *records.ACTIONS.values()}
+    for value, expected in about:
+        assert records.names(value) == expected, value
