--- a/gradegap/check/bugs.py
+++ b/gradegap/check/bugs.py
@@ -21,17 +21,17 @@
 from gradegap.raft.reads import Reads
 from gradegap.raft.replication import Replication
 from gradegap.raft.types import (
-    Append,
-    Appended,
+    AppendEntries,
+    AppendEntriesResponse,
     Entry,
     HardState,
     Kind,
     Member,
     Output,
+    RequestVote,
+    RequestVoteResponse,
     SnapMeta,
     Tuning,
-    Vote,
-    Voted,
 )
 
 
@@ -58,10 +58,10 @@
     """A second candidate of the same term gets a vote too."""
 
     class _Election(Election):
-        def on_vote(self, now: float, sender: str, request: Vote) -> None:
-            if not request.pre and request.term == self.raft.term:
+        def on_request_vote(self, now: float, sender: str, request: RequestVote) -> None:
+            if not request.pre_vote and request.term == self.raft.term:
                 self.raft.vote = ""
-            super().on_vote(now, sender, request)
+            super().on_request_vote(now, sender, request)
 
     election_type = _Election
 
@@ -70,9 +70,11 @@
     """The candidate's log is not looked at."""
 
     class _Election(Election):
-        def on_vote(self, now: float, sender: str, request: Vote) -> None:
-            newest = Vote(request.term, 1 << 60, 1 << 60, request.pre, request.forced)
-            super().on_vote(now, sender, newest)
+        def on_request_vote(self, now: float, sender: str, request: RequestVote) -> None:
+            newest = RequestVote(
+                request.term, 1 << 60, 1 << 60, request.pre_vote, request.leadership_transfer
+            )
+            super().on_request_vote(now, sender, newest)
 
     election_type = _Election
 
@@ -103,15 +105,20 @@
     """A follower takes new entries, but leaves those in place that they contradict."""
 
     class _Follower(Follower):
-        def on_append(self, now: float, sender: str, request: Append) -> None:
+        def on_append_entries(self, now: float, sender: str, request: AppendEntries) -> None:
             raft, log = self.raft, self.raft.log
             kept = tuple(e for e in request.entries if (log.term(e.index) or e.term) == e.term)
             if len(kept) == len(request.entries):
-                super().on_append(now, sender, request)
+                super().on_append_entries(now, sender, request)
                 return
-            match = request.prev_index + len(request.entries)
-            raft.commit = max(raft.commit, min(request.commit, match, log.last_index))
-            raft.send(sender, Appended(raft.term, True, match, request.prev_index, request.round))
+            match = request.prev_log_index + len(request.entries)
+            raft.commit = max(raft.commit, min(request.leader_commit, match, log.last_index))
+            raft.send(
+                sender,
+                AppendEntriesResponse(
+                    raft.term, True, match, request.prev_log_index, request.heartbeat_round
+                ),
+            )
 
     follower_type = _Follower
 
@@ -120,12 +127,12 @@
     """A follower doesn't look whether the entry before fits."""
 
     class _Follower(Follower):
-        def on_append(self, now: float, sender: str, request: Append) -> None:
+        def on_append_entries(self, now: float, sender: str, request: AppendEntries) -> None:
             log = self.raft.log
-            term = log.term(request.prev_index)
-            if term is not None and request.prev_index >= log.base.index:
-                request = msgspec.structs.replace(request, prev_term=term)
-            super().on_append(now, sender, request)
+            term = log.term(request.prev_log_index)
+            if term is not None and request.prev_log_index >= log.base.index:
+                request = msgspec.structs.replace(request, prev_log_term=term)
+            super().on_append_entries(now, sender, request)
 
     follower_type = _Follower
 
@@ -134,10 +141,10 @@
     """The leader's commit index is taken as it is, whatever stands at those indexes here."""
 
     class _Follower(Follower):
-        def on_append(self, now: float, sender: str, request: Append) -> None:
-            super().on_append(now, sender, request)
+        def on_append_entries(self, now: float, sender: str, request: AppendEntries) -> None:
+            super().on_append_entries(now, sender, request)
             raft = self.raft
-            raft.commit = max(raft.commit, min(request.commit, raft.log.last_index))
+            raft.commit = max(raft.commit, min(request.leader_commit, raft.log.last_index))
 
     follower_type = _Follower
 
@@ -245,9 +252,11 @@
     """An answer from an earlier term is counted for this one."""
 
     class _Election(Election):
-        def on_voted(self, now: float, sender: str, answer: Voted) -> None:
-            term = self.raft.term + answer.pre
-            super().on_voted(now, sender, Voted(term, answer.granted, answer.pre))
+        def on_request_vote_response(self, now: float, sender: str, response: RequestVoteResponse) -> None:
+            term = self.raft.term + response.pre_vote
+            super().on_request_vote_response(
+                now, sender, RequestVoteResponse(term, response.granted, response.pre_vote)
+            )
 
     election_type = _Election
 
@@ -285,10 +294,14 @@
     """A refusal is taken for an answer: the leader believes what it has sent to be there."""
 
     class _Replication(Replication):
-        def on_appended(self, now: float, sender: str, progress: Progress, answer: Appended) -> None:
-            match = max(answer.match, progress.next - 1)
-            taken = Appended(answer.term, True, match, answer.prev_index, answer.round)
-            super().on_appended(now, sender, progress, taken)
+        def on_append_entries_response(
+            self, now: float, sender: str, progress: Progress, response: AppendEntriesResponse
+        ) -> None:
+            match = max(response.match_index, progress.next - 1)
+            taken = AppendEntriesResponse(
+                response.term, True, match, response.prev_log_index, response.heartbeat_round
+            )
+            super().on_append_entries_response(now, sender, progress, taken)
 
     replication_type = _Replication
 
--- a/gradegap/check/explore.py
+++ b/gradegap/check/explore.py
@@ -18,7 +18,7 @@
 from gradegap.check.rules import Rules, chain
 from gradegap.check.sim import EMPTY, Disk
 from gradegap.raft.core import Raft, RefusedError, first_base
-from gradegap.raft.types import Append, Appended, Member, Message, Tuning
+from gradegap.raft.types import AppendEntries, AppendEntriesResponse, Member, Message, Tuning
 
 Action = tuple[str, object]
 
@@ -167,8 +167,8 @@
 
 def without_round(message: Message) -> Message:
     """The message without the number of its round, which tells no two states apart."""
-    if isinstance(message, Append | Appended):
-        return msgspec.structs.replace(message, round=0)
+    if isinstance(message, AppendEntries | AppendEntriesResponse):
+        return msgspec.structs.replace(message, heartbeat_round=0)
     return message
 
 
--- a/gradegap/raft/core.py
+++ b/gradegap/raft/core.py
@@ -28,23 +28,23 @@
 from gradegap.raft.replication import Replication
 from gradegap.raft.snapshots import SnapshotReceiver, SnapshotSender
 from gradegap.raft.types import (
-    Append,
-    Appended,
+    AppendEntries,
+    AppendEntriesResponse,
     Config,
     Entry,
     HardState,
+    InstallSnapshot,
+    InstallSnapshotResponse,
     Kind,
     Member,
     Message,
     Output,
+    RequestVote,
+    RequestVoteResponse,
     Role,
-    Snap,
     SnapMeta,
-    Snapped,
     TimeoutNow,
     Tuning,
-    Vote,
-    Voted,
 )
 
 __all__ = ["NEVER", "Progress", "Raft", "Refused", "RefusedError", "first_base"]
@@ -221,35 +221,37 @@
     def step(self, now: float, sender: str, message: Message) -> None:
         """A message from another member, told apart by who its link belongs to."""
         match message:
-            case Append() | Snap():
+            case AppendEntries() | InstallSnapshot():
                 self._on_leader_message(now, sender, message)
-            case Appended() | Snapped():
-                self._on_follower_answer(now, sender, message)
-            case Vote():
-                self.election.on_vote(now, sender, message)
-            case Voted():
-                self.election.on_voted(now, sender, message)
+            case AppendEntriesResponse() | InstallSnapshotResponse():
+                self._on_follower_response(now, sender, message)
+            case RequestVote():
+                self.election.on_request_vote(now, sender, message)
+            case RequestVoteResponse():
+                self.election.on_request_vote_response(now, sender, message)
             case TimeoutNow():
                 self.handover.on_timeout_now(now, message)
 
-    def _on_leader_message(self, now: float, sender: str, message: Append | Snap) -> None:
+    def _on_leader_message(self, now: float, sender: str, message: AppendEntries | InstallSnapshot) -> None:
         if message.term < self.term:
-            self._answer_stale_leader(sender, message)
+            self._reject_stale_leader(sender, message)
             return
         if message.term > self.term or self.role is not Role.FOLLOWER or self.leader != sender:
             self.become_follower(now, message.term, sender)
         self.election.hear_leader(now)
-        if isinstance(message, Append):
-            self.follower.on_append(now, sender, message)
+        if isinstance(message, AppendEntries):
+            self.follower.on_append_entries(now, sender, message)
         else:
-            self.snapshot_receiver.on_snap(now, sender, message)
+            self.snapshot_receiver.on_install_snapshot(now, sender, message)
 
-    def _answer_stale_leader(self, sender: str, message: Append | Snap) -> None:
+    def _reject_stale_leader(self, sender: str, message: AppendEntries | InstallSnapshot) -> None:
         """It learns of the newer term, and that it leads no more."""
-        previous = message.prev_index if isinstance(message, Append) else message.meta.index
-        self.send(sender, Appended(self.term, False, self.log.last_index, previous, 0))
+        previous = message.prev_log_index if isinstance(message, AppendEntries) else message.metadata.index
+        self.send(sender, AppendEntriesResponse(self.term, False, self.log.last_index, previous, 0))
 
-    def _on_follower_answer(self, now: float, sender: str, message: Appended | Snapped) -> None:
+    def _on_follower_response(
+        self, now: float, sender: str, message: AppendEntriesResponse | InstallSnapshotResponse
+    ) -> None:
         if message.term > self.term:
             self.become_follower(now, message.term, "")
             return
@@ -257,11 +259,11 @@
         if not self.leads or message.term != self.term or progress is None:
             return
         progress.heard_at = now
-        progress.round = max(progress.round, message.round)
-        if isinstance(message, Appended):
-            self.replication.on_appended(now, sender, progress, message)
+        progress.round = max(progress.round, message.heartbeat_round)
+        if isinstance(message, AppendEntriesResponse):
+            self.replication.on_append_entries_response(now, sender, progress, message)
         else:
-            self.snapshot_sender.on_snapped(now, sender, progress, message)
+            self.snapshot_sender.on_install_snapshot_response(now, sender, progress, message)
         if self.leads:
             self.reads.confirm()
 
--- a/gradegap/raft/election.py
+++ b/gradegap/raft/election.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from gradegap.raft.types import Role, Vote, Voted
+from gradegap.raft.types import RequestVote, RequestVoteResponse, Role
 
 if TYPE_CHECKING:
     from gradegap.raft.core import Raft
@@ -38,7 +38,7 @@
             return
         self.reset_timeout(now)
         if self.may_campaign():
-            self.campaign(now, pre=True)
+            self.campaign(now, pre_vote=True)
 
     def may_campaign(self) -> bool:
         """Whether this member is a voter, or is one until its own removal is committed (thesis, 4.2.2).
@@ -51,20 +51,22 @@
             return True
         return log.config_index > raft.commit and raft.me in log.config_at(log.config_index - 1).voters
 
-    def campaign(self, now: float, pre: bool, forced: bool = False) -> None:
-        """Ask all voters for their votes; with `pre`, only whether they would give them."""
+    def campaign(self, now: float, pre_vote: bool, leadership_transfer: bool = False) -> None:
+        """Ask all voters for their votes; with `pre_vote`, only whether they would give them."""
         raft, log = self.raft, self.raft.log
         self.reset_timeout(now)
         self.votes = {raft.me: True}
         raft.leader = ""
-        if pre:
+        if pre_vote:
             raft.role = Role.PRE_CANDIDATE
         else:
             raft.role = Role.CANDIDATE
             raft.term += 1
             raft.vote = raft.me
             raft.keep_hard_state()
-        request = Vote(raft.term + pre, log.last_index, log.last_term, pre, forced)
+        request = RequestVote(
+            raft.term + pre_vote, log.last_index, log.last_term, pre_vote, leadership_transfer
+        )
         for voter in raft.config.voters:
             if voter != raft.me:
                 raft.send(voter, request)
@@ -78,7 +80,7 @@
         refused = sum(not self.votes.get(voter, True) for voter in voters)
         if granted > len(voters) // 2:
             if raft.role is Role.PRE_CANDIDATE:
-                self.campaign(now, pre=False)
+                self.campaign(now, pre_vote=False)
             else:
                 raft.become_leader(now)
         elif refused > len(voters) // 2:
@@ -90,14 +92,14 @@
         heard_at = raft.heartbeats.followed_since(now) if raft.leads else self.leader_heard_at
         return now - heard_at < raft.tuning.election
 
-    def on_vote(self, now: float, sender: str, request: Vote) -> None:
+    def on_request_vote(self, now: float, sender: str, request: RequestVote) -> None:
         """A candidate asks for this member's vote."""
         raft = self.raft
-        if not request.forced and self.has_live_leader(now):
+        if not request.leadership_transfer and self.has_live_leader(now):
             return  # guards against a removed or cut-off member that keeps calling elections
-        if request.pre:
+        if request.pre_vote:
             granted = request.term > raft.term and self._log_suffices(request)
-            raft.send(sender, Voted(request.term if granted else raft.term, granted, True))
+            raft.send(sender, RequestVoteResponse(request.term if granted else raft.term, granted, True))
             return
         if request.term > raft.term:
             raft.become_follower(now, request.term, "")
@@ -106,12 +108,12 @@
             raft.vote = sender
             raft.keep_hard_state()
             self.reset_timeout(now)
-        raft.send(sender, Voted(raft.term, granted))
+        raft.send(sender, RequestVoteResponse(raft.term, granted))
 
-    def _log_suffices(self, request: Vote) -> bool:
-        return self.raft.log.up_to_date(request.last_index, request.last_term)
+    def _log_suffices(self, request: RequestVote) -> bool:
+        return self.raft.log.up_to_date(request.last_log_index, request.last_log_term)
 
-    def _may_vote_for(self, candidate: str, request: Vote) -> bool:
+    def _may_vote_for(self, candidate: str, request: RequestVote) -> bool:
         raft = self.raft
         return (
             request.term == raft.term
@@ -120,14 +122,14 @@
             and self._log_suffices(request)
         )
 
-    def on_voted(self, now: float, sender: str, answer: Voted) -> None:
+    def on_request_vote_response(self, now: float, sender: str, response: RequestVoteResponse) -> None:
         """A voter answers this member's campaign."""
         raft = self.raft
-        if not answer.granted and answer.term > raft.term:
-            raft.become_follower(now, answer.term, "")
+        if not response.granted and response.term > raft.term:
+            raft.become_follower(now, response.term, "")
             return
-        asked_in = raft.term + 1 if answer.pre else raft.term
-        asking = raft.role is (Role.PRE_CANDIDATE if answer.pre else Role.CANDIDATE)
-        if asking and (not answer.granted or answer.term == asked_in):
-            self.votes[sender] = answer.granted
+        asked_in = raft.term + 1 if response.pre_vote else raft.term
+        asking = raft.role is (Role.PRE_CANDIDATE if response.pre_vote else Role.CANDIDATE)
+        if asking and (not response.granted or response.term == asked_in):
+            self.votes[sender] = response.granted
             self.count_votes(now)
--- a/gradegap/raft/follower.py
+++ b/gradegap/raft/follower.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from gradegap.raft.types import Append, Appended, Entry
+from gradegap.raft.types import AppendEntries, AppendEntriesResponse, Entry
 
 if TYPE_CHECKING:
     from gradegap.raft.core import Raft
@@ -17,27 +17,35 @@
         self.raft = raft
         self.leader_commit = 0  # the most that a leader has said to be committed, held here or not
 
-    def on_append(self, now: float, sender: str, request: Append) -> None:
+    def on_append_entries(self, now: float, sender: str, request: AppendEntries) -> None:
         """The leader sends entries, or a heartbeat without any."""
         raft, log = self.raft, self.raft.log
-        previous, entries = request.prev_index, request.entries
+        previous, entries = request.prev_log_index, request.entries
         if previous < log.base.index:
             # What is compacted here is committed, and so the same there.
             entries = tuple(entry for entry in entries if entry.index > log.base.index)
             previous = log.base.index
-        elif log.term(previous) != request.prev_term:
-            self._answer_mismatch(sender, request)
+        elif log.term(previous) != request.prev_log_term:
+            self._reject_mismatch(sender, request)
             return
         self._take(entries)
-        self.leader_commit = max(self.leader_commit, request.commit)
+        self.leader_commit = max(self.leader_commit, request.leader_commit)
         match = previous + len(entries)
-        raft.commit = max(raft.commit, min(request.commit, match))
-        raft.send(sender, Appended(raft.term, True, match, request.prev_index, request.round))
+        raft.commit = max(raft.commit, min(request.leader_commit, match))
+        raft.send(
+            sender,
+            AppendEntriesResponse(raft.term, True, match, request.prev_log_index, request.heartbeat_round),
+        )
 
-    def _answer_mismatch(self, sender: str, request: Append) -> None:
+    def _reject_mismatch(self, sender: str, request: AppendEntries) -> None:
         raft = self.raft
-        index, term = raft.log.conflict(request.prev_index)
-        raft.send(sender, Appended(raft.term, False, index, request.prev_index, request.round, term))
+        index, term = raft.log.conflict(request.prev_log_index)
+        raft.send(
+            sender,
+            AppendEntriesResponse(
+                raft.term, False, index, request.prev_log_index, request.heartbeat_round, term
+            ),
+        )
 
     def _take(self, entries: tuple[Entry, ...]) -> None:
         """Append what is not there yet; an entry of another term gives way, with all that follow it."""
--- a/gradegap/raft/handover.py
+++ b/gradegap/raft/handover.py
@@ -66,4 +66,4 @@
         """The leader wants this member to lead."""
         raft = self.raft
         if request.term == raft.term and raft.me in raft.config.voters and not raft.leads:
-            raft.election.campaign(now, pre=False, forced=True)
+            raft.election.campaign(now, pre_vote=False, leadership_transfer=True)
--- a/gradegap/raft/replication.py
+++ b/gradegap/raft/replication.py
@@ -11,7 +11,7 @@
 from gradegap.raft.errors import RefusedError
 from gradegap.raft.log import EVERYTHING
 from gradegap.raft.progress import Progress, reached_by_majority
-from gradegap.raft.types import Append, Appended, Entry, Kind
+from gradegap.raft.types import AppendEntries, AppendEntriesResponse, Entry, Kind
 
 if TYPE_CHECKING:
     from gradegap.raft.core import Raft
@@ -113,7 +113,7 @@
         previous = progress.next - 1
         term = raft.log.term(previous)
         assert term is not None
-        message = Append(raft.term, previous, term, raft.commit, raft.heartbeats.round, tuple(entries))
+        message = AppendEntries(raft.term, previous, term, raft.commit, raft.heartbeats.round, tuple(entries))
         raft.out.early.append((peer, message))
         if entries and progress.streaming:
             last = entries[-1].index
@@ -122,31 +122,35 @@
 
     # Answers
 
-    def on_appended(self, now: float, sender: str, progress: Progress, answer: Appended) -> None:
+    def on_append_entries_response(
+        self, now: float, sender: str, progress: Progress, response: AppendEntriesResponse
+    ) -> None:
         """A member answers: its log fits up to an index, or differs."""
         progress.awaiting_answer = False
-        if answer.ok:
-            self._on_match(now, sender, progress, answer)
+        if response.success:
+            self._on_match(now, sender, progress, response)
         else:
-            self._on_mismatch(sender, progress, answer)
+            self._on_mismatch(sender, progress, response)
 
-    def _on_mismatch(self, sender: str, progress: Progress, answer: Appended) -> None:
+    def _on_mismatch(self, sender: str, progress: Progress, response: AppendEntriesResponse) -> None:
         # Guards against a late refusal of something that was since sent again and taken.
-        if answer.prev_index <= progress.match or (progress.streaming and answer.prev_index >= progress.next):
+        if response.prev_log_index <= progress.match or (
+            progress.streaming and response.prev_log_index >= progress.next
+        ):
             return
         progress.stop_streaming()
-        hint = min(answer.match, answer.prev_index - 1)
-        progress.next = max(progress.match, self.raft.log.last_of_term(hint, answer.hint_term)) + 1
+        hint = min(response.match_index, response.prev_log_index - 1)
+        progress.next = max(progress.match, self.raft.log.last_of_term(hint, response.hint_term)) + 1
         self.send_to(sender, progress)
 
-    def _on_match(self, now: float, sender: str, progress: Progress, answer: Appended) -> None:
-        while progress.in_flight and progress.in_flight[0] <= answer.match:
+    def _on_match(self, now: float, sender: str, progress: Progress, response: AppendEntriesResponse) -> None:
+        while progress.in_flight and progress.in_flight[0] <= response.match_index:
             progress.in_flight.popleft()
         if progress.snapshot:
             progress.end_snapshot()
-        if answer.match >= progress.match:
+        if response.match_index >= progress.match:
             sent_up_to = progress.next if progress.streaming else 0
-            progress.stream_after(answer.match)
+            progress.stream_after(response.match_index)
             progress.next = max(sent_up_to, progress.next)
         self.advance_commit(now)
         if self.raft.leads:
--- a/gradegap/raft/snapshots.py
+++ b/gradegap/raft/snapshots.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from gradegap.raft.progress import Progress
-from gradegap.raft.types import Snap, SnapMeta, Snapped
+from gradegap.raft.types import InstallSnapshot, InstallSnapshotResponse, SnapMeta
 
 if TYPE_CHECKING:
     from gradegap.raft.core import Raft
@@ -65,26 +65,30 @@
         progress.awaiting_answer = True
         raft.out.early.append((peer, self._chunk(snapshot, progress.offset)))
 
-    def _chunk(self, snapshot: OutgoingSnapshot, offset: int) -> Snap:
+    def _chunk(self, snapshot: OutgoingSnapshot, offset: int) -> InstallSnapshot:
         raft = self.raft
         data = snapshot.data[offset : offset + raft.tuning.chunk]
         done = offset + len(data) >= len(snapshot.data)
-        return Snap(raft.term, snapshot.meta, offset, data, done, snapshot.checksum, raft.heartbeats.round)
+        return InstallSnapshot(
+            raft.term, snapshot.meta, offset, data, done, snapshot.checksum, raft.heartbeats.round
+        )
 
-    def on_snapped(self, now: float, sender: str, progress: Progress, answer: Snapped) -> None:
+    def on_install_snapshot_response(
+        self, now: float, sender: str, progress: Progress, response: InstallSnapshotResponse
+    ) -> None:
         """A member answers a chunk: where the next begins, or that it has the whole."""
         raft = self.raft
-        if not progress.snapshot or answer.index != progress.snapshot:
+        if not progress.snapshot or response.snapshot_index != progress.snapshot:
             return
         progress.awaiting_answer = False
-        if answer.done:
+        if response.done:
             progress.end_snapshot()
-            progress.stream_after(max(progress.match, answer.index))
+            progress.stream_after(max(progress.match, response.snapshot_index))
             if not any(other.snapshot for other in raft.replication.peers.values()):
                 self.outgoing = None
             raft.replication.advance_commit(now)
         else:
-            progress.offset = answer.offset
+            progress.offset = response.offset
         if raft.leads:
             raft.replication.send_to(sender, progress)
 
@@ -96,31 +100,31 @@
         self.raft = raft
         self.incoming: IncomingSnapshot | None = None
 
-    def on_snap(self, now: float, sender: str, chunk: Snap) -> None:
+    def on_install_snapshot(self, now: float, sender: str, chunk: InstallSnapshot) -> None:
         """The leader sends a chunk of a snapshot."""
-        if chunk.meta.index <= self.raft.commit:
+        if chunk.metadata.index <= self.raft.commit:
             self.incoming = None
-            self._answer(sender, chunk, 0, done=True)
+            self._respond(sender, chunk, 0, done=True)
             return
-        if self.incoming is None or self.incoming.meta != chunk.meta:
-            self.incoming = IncomingSnapshot(chunk.meta)
+        if self.incoming is None or self.incoming.meta != chunk.metadata:
+            self.incoming = IncomingSnapshot(chunk.metadata)
         held = self.incoming.data
         if chunk.offset != len(held):
-            self._answer(sender, chunk, len(held))  # guards against chunks that come twice or out of order
+            self._respond(sender, chunk, len(held))  # guards against chunks that come twice or out of order
             return
         held += chunk.data
         if chunk.done:
             self._finish(sender, chunk, bytes(held))
         else:
-            self._answer(sender, chunk, len(held))
+            self._respond(sender, chunk, len(held))
 
-    def _finish(self, sender: str, chunk: Snap, data: bytes) -> None:
+    def _finish(self, sender: str, chunk: InstallSnapshot, data: bytes) -> None:
         self.incoming = None
         if zlib.crc32(data) != chunk.checksum:
-            self._answer(sender, chunk, 0)
+            self._respond(sender, chunk, 0)
             return
-        self._install(chunk.meta, data)
-        self._answer(sender, chunk, len(data), done=True)
+        self._install(chunk.metadata, data)
+        self._respond(sender, chunk, len(data), done=True)
 
     def _install(self, meta: SnapMeta, data: bytes) -> None:
         raft = self.raft
@@ -130,6 +134,9 @@
         raft.out.install = (meta, data)
         raft.out.apply = []
 
-    def _answer(self, sender: str, chunk: Snap, offset: int, done: bool = False) -> None:
+    def _respond(self, sender: str, chunk: InstallSnapshot, offset: int, done: bool = False) -> None:
         raft = self.raft
-        raft.send(sender, Snapped(raft.term, chunk.meta.index, offset, chunk.round, done))
+        raft.send(
+            sender,
+            InstallSnapshotResponse(raft.term, chunk.metadata.index, offset, chunk.heartbeat_round, done),
+        )
--- a/gradegap/raft/types.py
+++ b/gradegap/raft/types.py
@@ -83,78 +83,89 @@
     config: Config
 
 
-# Messages
+# Messages: the tags and the names of their fields on the wire are those of every release.
 
 
-class Vote(msgspec.Struct, frozen=True, tag="vote"):
-    """Asks for a vote; with `pre`, whether one would be given, which changes nothing (thesis, 9.6)."""
+class RequestVote(msgspec.Struct, frozen=True, tag="vote"):
+    """A candidate requests a vote; a pre-vote only asks whether it would be granted (thesis, 9.6)."""
 
     term: int
-    last_index: int
-    last_term: int
-    pre: bool = False
-    forced: bool = False  # by the leader's own wish, so that a promise to it is no reason to refuse
+    last_log_index: int = msgspec.field(name="last_index")
+    last_log_term: int = msgspec.field(name="last_term")
+    pre_vote: bool = msgspec.field(default=False, name="pre")
+    # The leader itself wants to be followed by this candidate: a live leader is no reason to reject it.
+    leadership_transfer: bool = msgspec.field(default=False, name="forced")
 
 
-class Voted(msgspec.Struct, frozen=True, tag="voted"):
-    """Answers a `Vote`."""
+class RequestVoteResponse(msgspec.Struct, frozen=True, tag="voted"):
+    """Responds to a `RequestVote`."""
 
     term: int
     granted: bool
-    pre: bool = False
+    pre_vote: bool = msgspec.field(default=False, name="pre")
 
 
-class Append(msgspec.Struct, frozen=True, tag="append"):
-    """Entries that follow the one at `prev_index`; without any, a heartbeat."""
+class AppendEntries(msgspec.Struct, frozen=True, tag="append"):
+    """Entries that follow the one at `prev_log_index`; without any, a heartbeat."""
 
     term: int
-    prev_index: int
-    prev_term: int
-    commit: int
-    round: int  # echoed in the answer, so that the leader knows since when it has been followed
+    prev_log_index: int = msgspec.field(name="prev_index")
+    prev_log_term: int = msgspec.field(name="prev_term")
+    leader_commit: int = msgspec.field(name="commit")
+    # Echoed in the response, so that the leader knows since when it has been followed.
+    heartbeat_round: int = msgspec.field(name="round")
     entries: tuple[Entry, ...] = ()
 
 
-class Appended(msgspec.Struct, frozen=True, tag="appended"):
-    """Answers an `Append`."""
+class AppendEntriesResponse(msgspec.Struct, frozen=True, tag="appended"):
+    """Responds to an `AppendEntries`."""
 
     term: int
-    ok: bool
-    match: int  # ok: the log is the leader's up to here; else where the leader should try
-    prev_index: int
-    round: int
-    hint_term: int = 0  # not ok: the term of the entry at `match`
+    success: bool = msgspec.field(name="ok")
+    # On success the log is the leader's up to here; else this is where the leader should try next.
+    match_index: int = msgspec.field(name="match")
+    prev_log_index: int = msgspec.field(name="prev_index")
+    heartbeat_round: int = msgspec.field(name="round")
+    hint_term: int = 0  # without success: the term of the entry at `match_index`
 
 
-class Snap(msgspec.Struct, frozen=True, tag="snap"):
-    """A piece of a snapshot; the last one has `done`, and the checksum of all of it."""
+class InstallSnapshot(msgspec.Struct, frozen=True, tag="snap"):
+    """A chunk of a snapshot; the last one has `done`, and each the checksum of the whole."""
 
     term: int
-    meta: SnapMeta
-    offset: int
+    metadata: SnapMeta = msgspec.field(name="meta")
+    offset: int  # in bytes
     data: bytes
     done: bool
-    checksum: int
-    round: int
+    checksum: int  # CRC-32
+    heartbeat_round: int = msgspec.field(name="round")
 
 
-class Snapped(msgspec.Struct, frozen=True, tag="snapped"):
-    """Answers a `Snap`."""
+class InstallSnapshotResponse(msgspec.Struct, frozen=True, tag="snapped"):
+    """Responds to an `InstallSnapshot`."""
 
     term: int
-    index: int
-    offset: int  # the piece that is wanted next
-    round: int
+    snapshot_index: int = msgspec.field(name="index")
+    offset: int  # of the chunk that is wanted next
+    heartbeat_round: int = msgspec.field(name="round")
     done: bool = False
 
 
 class TimeoutNow(msgspec.Struct, frozen=True, tag="now"):
-    """Be the leader: the present one wants to hand over (thesis, 3.10)."""
+    """Call an election at once: the leader transfers its leadership (thesis, 3.10)."""
 
     term: int
 
 
-Message = Vote | Voted | Append | Appended | Snap | Snapped | TimeoutNow
+Message = (
+    RequestVote
+    | RequestVoteResponse
+    | AppendEntries
+    | AppendEntriesResponse
+    | InstallSnapshot
+    | InstallSnapshotResponse
+    | TimeoutNow
+)
 
 
 class Role(enum.Enum):
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -13,7 +13,7 @@
 from gradegap.check.sim import Faults, Sim
 from gradegap.raft.core import Raft, Refused, first_base
 from gradegap.raft.log import Log, config_data
-from gradegap.raft.types import Append, Config, Entry, Kind, Member, SnapMeta, TimeoutNow, Tuning
+from gradegap.raft.types import AppendEntries, Config, Entry, Kind, Member, SnapMeta, TimeoutNow, Tuning
 
 RUNS = 40  # seeds of the simulator in one run of the tests
 SECONDS = 15.0
@@ -188,7 +188,7 @@
 def test_a_late_wish_to_lead_is_void_in_a_later_term() -> None:
     members = tuple(Member(n, n, n) for n in "abc")
     raft = Raft("a", 0.0, 1, first_base(members))
-    raft.step(1.0, "b", Append(5, 0, 0, 0, 1))
+    raft.step(1.0, "b", AppendEntries(5, 0, 0, 0, 1))
     raft.step(1.0, "b", TimeoutNow(4))
     assert raft.term == 5 and not raft.leads and raft.leader == "b"
 
@@ -214,7 +214,7 @@
 
     def told(previous: int, commit: int, *entries: Entry) -> bool:
         term = 1 if previous else 0
-        raft.step(0.1, "a", Append(1, previous, term, commit, 1, entries))
+        raft.step(0.1, "a", AppendEntries(1, previous, term, commit, 1, entries))
         raft.persisted(0.1, raft.log.last_index, 1)
         raft.take()
         return raft.was_removed()
