--- a/gradegap/check/bugs.py
+++ b/gradegap/check/bugs.py
@@ -24,13 +24,13 @@
     AppendEntries,
     AppendEntriesResponse,
     Entry,
+    EntryKind,
     HardState,
-    Kind,
     Member,
     Output,
     RequestVote,
     RequestVoteResponse,
-    SnapMeta,
+    SnapshotMetadata,
     Tuning,
 )
 
@@ -93,7 +93,7 @@
     """The leader counts its own entry before it is on its disk."""
 
     class _Replication(Replication):
-        def append(self, kind: Kind, data: bytes) -> int:
+        def append(self, kind: EntryKind, data: bytes) -> int:
             index = super().append(kind, data)
             self.raft.stable = index
             return index
@@ -167,7 +167,7 @@
     class _Heartbeats(Heartbeats):
         def followed_since(self, now: float) -> float:
             peers = self.raft.peers
-            voters = [peers[v].heard_at for v in self.raft.config.voters if v in peers]
+            voters = [peers[v].heard_at for v in self.raft.configuration.voters if v in peers]
             heard = sorted([*voters, now])
             return heard[(len(heard) - 1) // 2]
 
@@ -227,10 +227,10 @@
                 raise RefusedError("not_leader")
 
         def add(self, now: float, member: Member) -> int:
-            config = self.raft.config
-            if config.get(member.id) is None:
+            configuration = self.raft.configuration
+            if configuration.get(member.id) is None:
                 return super().add(now, member)
-            return self.change(now, config.plus(member))
+            return self.change(now, configuration.with_member(member))
 
     membership_type = _Membership
 
@@ -240,7 +240,7 @@
 
     class _Election(Election):
         def count_votes(self, now: float) -> None:
-            voters = self.raft.config.voters
+            voters = self.raft.configuration.voters
             if sum(self.votes.get(v, False) for v in voters) * 2 == len(voters):
                 self.votes |= dict.fromkeys(voters, True)
             super().count_votes(now)
@@ -280,7 +280,7 @@
         me: str,
         now: float,
         seed: int,
-        base: SnapMeta,
+        base: SnapshotMetadata,
         entries: list[Entry] | None = None,
         *more: object,
     ) -> None:
--- a/gradegap/check/explore.py
+++ b/gradegap/check/explore.py
@@ -17,7 +17,7 @@
 
 from gradegap.check.rules import Rules, chain
 from gradegap.check.sim import EMPTY, Disk
-from gradegap.raft.core import Raft, RefusedError, first_base
+from gradegap.raft.core import Raft, RefusedError, initial_snapshot
 from gradegap.raft.types import AppendEntries, AppendEntriesResponse, Member, Message, Tuning
 
 Action = tuple[str, object]
@@ -56,7 +56,7 @@
         self.tuning = Tuning(batch=1, window=2)
         self.now = 0.0
         names = [f"m{k}" for k in range(bounds.members)]
-        base = first_base(tuple(Member(n, n, n) for n in names))
+        base = initial_snapshot(tuple(Member(n, n, n) for n in names))
         self.disks = {n: Disk(base) for n in names}
         self.states = dict.fromkeys(names, EMPTY)
         self.flying: list[tuple[str, str, Message]] = []
--- a/gradegap/check/rules.py
+++ b/gradegap/check/rules.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 
 from gradegap.raft.core import Raft
-from gradegap.raft.types import Entry, Kind
+from gradegap.raft.types import Entry, EntryKind
 
 
 class BreachError(AssertionError):
@@ -133,4 +133,4 @@
     def commands(self) -> list[bytes]:
         """The commands that are committed, in their order."""
         ordered = (self.committed[i] for i in sorted(self.committed))
-        return [e.data for e in ordered if e.kind is Kind.COMMAND]
+        return [e.data for e in ordered if e.kind is EntryKind.COMMAND]
--- a/gradegap/check/sim.py
+++ b/gradegap/check/sim.py
@@ -15,15 +15,15 @@
 
 from gradegap.check.rules import Rules, chain
 from gradegap.check.schedule import Schedule
-from gradegap.raft.core import Raft, RefusedError, first_base
+from gradegap.raft.core import Raft, RefusedError, initial_snapshot
 from gradegap.raft.types import (
     Entry,
+    EntryKind,
     HardState,
-    Kind,
     Member,
     Message,
     Output,
-    SnapMeta,
+    SnapshotMetadata,
     Tuning,
 )
 
@@ -35,7 +35,7 @@
 class Disk:
     """What survives a crash."""
 
-    base: SnapMeta
+    base: SnapshotMetadata
     state: bytes = EMPTY  # after `base`
     hard: HardState = field(default_factory=HardState)
     entries: list[Entry] = field(default_factory=list)
@@ -157,7 +157,7 @@
         if out.want_snapshot and raft.applied in self.states:
             term = raft.log.term(raft.applied)
             assert term is not None
-            meta = SnapMeta(raft.applied, term, raft.log.config_at(raft.applied))
+            meta = SnapshotMetadata(raft.applied, term, raft.log.configuration_at(raft.applied))
             raft.offer_snapshot(self.now, meta, self.state)
             self.settle()
         if out.durable or out.messages:
@@ -227,7 +227,7 @@
         self.nodes: dict[str, Node] = {}
         self.fresh = 0
         first = [self._name() for _ in range(members)]
-        base = first_base(tuple(Member(n, n, n) for n in first))
+        base = initial_snapshot(tuple(Member(n, n, n) for n in first))
         for name in first:
             self._make(name, base)
         for action in (self._load, self._trouble, self._leases):
@@ -237,7 +237,7 @@
         self.fresh += 1
         return f"m{self.fresh}"
 
-    def _make(self, name: str, base: SnapMeta) -> Node:
+    def _make(self, name: str, base: SnapshotMetadata) -> Node:
         # Clocks at the edge of the bound: one runs as much faster than another as is allowed.
         rate = self.rng.choice([1.0, 1.0 / (1.0 - self.tuning.drift)]) if self.faults.drift else 1.0
         node = self.nodes[name] = Node(self, name, Disk(base), self.rng.uniform(0, 1e6), rate)
@@ -361,7 +361,7 @@
         if node is None or node.raft is None:
             return
         raft, rng = node.raft, self.rng
-        members = raft.config.members
+        members = raft.configuration.members
         try:
             learners = [m for m in members if not m.voter]
             if learners:
@@ -370,7 +370,7 @@
             elif len(members) < 5 and rng.random() < 0.6:
                 name = self._name()
                 raft.add(node.now, Member(name, name, name, voter=False))
-                self._make(name, first_base(()))
+                self._make(name, initial_snapshot(()))
             elif len(members) > 1:
                 raft.remove(node.now, rng.choice(members).id)
             self.counts["changes"] += 1
@@ -381,7 +381,7 @@
     def _transfer(self) -> None:
         node = self.leader()
         if node is not None and node.raft is not None:
-            others = [v for v in node.raft.config.voters if v != node.name]
+            others = [v for v in node.raft.configuration.voters if v != node.name]
             if others:
                 try:
                     node.raft.transfer(node.now, self.rng.choice(others))
@@ -410,14 +410,14 @@
         leader = self.leader()
         assert leader is not None and leader.raft is not None, "no leader once all faults have ended"
         self.run(1.0)
-        members = [self.nodes[m.id] for m in leader.raft.config.members]
+        members = [self.nodes[m.id] for m in leader.raft.configuration.members]
         least = min(n.raft.applied for n in members if n.raft is not None)
         assert least >= self.rules.last_committed - 40, "a member does not catch up"
         assert self.counts["reads"] > 0
 
     def acknowledged(self) -> list[bytes]:
         """The proposals whose entries were committed."""
-        done = {(e.index, e.term) for e in self.rules.committed.values() if e.kind is Kind.COMMAND}
+        done = {(e.index, e.term) for e in self.rules.committed.values() if e.kind is EntryKind.COMMAND}
         return [data for data, at in self.proposed.items() if at in done]
 
     def digest(self) -> str:
--- a/gradegap/raft/core.py
+++ b/gradegap/raft/core.py
@@ -30,24 +30,24 @@
 from gradegap.raft.types import (
     AppendEntries,
     AppendEntriesResponse,
-    Config,
+    ClusterConfiguration,
     Entry,
+    EntryKind,
     HardState,
     InstallSnapshot,
     InstallSnapshotResponse,
-    Kind,
     Member,
     Message,
     Output,
     RequestVote,
     RequestVoteResponse,
     Role,
-    SnapMeta,
+    SnapshotMetadata,
     TimeoutNow,
     Tuning,
 )
 
-__all__ = ["NEVER", "Progress", "Raft", "Refused", "RefusedError", "first_base"]
+__all__ = ["NEVER", "Progress", "Raft", "Refused", "RefusedError", "initial_snapshot"]
 
 
 class Raft:
@@ -67,7 +67,7 @@
         me: str,
         now: float,
         seed: int,
-        base: SnapMeta,
+        base: SnapshotMetadata,
         entries: list[Entry] | None = None,
         hard: HardState | None = None,
         applied: int = 0,
@@ -118,9 +118,9 @@
         return self.heartbeats.next_at() if self.leads else self.election.timeout_at
 
     @property
-    def config(self) -> Config:
+    def configuration(self) -> ClusterConfiguration:
         """The members in force, committed or not."""
-        return self.log.config
+        return self.log.configuration
 
     @property
     def leads(self) -> bool:
@@ -185,13 +185,13 @@
         """The driver keeps the state up to here on its disk."""
         self.log.compact(min(index, self.applied))
 
-    def offer_snapshot(self, now: float, meta: SnapMeta, data: bytes) -> None:
+    def offer_snapshot(self, now: float, meta: SnapshotMetadata, data: bytes) -> None:
         """The state at `meta`, for members that are behind the log."""
         self.snapshot_sender.offer(meta, data)
 
     # What clients and operators ask, through the driver
 
-    def propose(self, now: float, data: bytes, kind: Kind = Kind.COMMAND) -> int:
+    def propose(self, now: float, data: bytes, kind: EntryKind = EntryKind.COMMAND) -> int:
         """The index at which `data` is committed, if the entry there is still of this term then."""
         return self.replication.propose(data, kind)
 
@@ -303,11 +303,11 @@
         self.handover.reset()
         self.heartbeats.start(now)
         self.replication.start(now)
-        self.replication.append(Kind.EMPTY, b"")
+        self.replication.append(EntryKind.NO_OP, b"")
         self.heartbeats.send(now)
         self.replication.advance_commit(now)
 
 
-def first_base(members: tuple[Member, ...]) -> SnapMeta:
+def initial_snapshot(members: tuple[Member, ...]) -> SnapshotMetadata:
     """What a new cluster begins with: no entry, and its first members."""
-    return SnapMeta(0, 0, Config(members))
+    return SnapshotMetadata(0, 0, ClusterConfiguration(members))
--- a/gradegap/raft/election.py
+++ b/gradegap/raft/election.py
@@ -47,9 +47,12 @@
         elected with.
         """
         raft, log = self.raft, self.raft.log
-        if raft.me in log.config.voters:
+        if raft.me in log.configuration.voters:
             return True
-        return log.config_index > raft.commit and raft.me in log.config_at(log.config_index - 1).voters
+        return (
+            log.configuration_index > raft.commit
+            and raft.me in log.configuration_at(log.configuration_index - 1).voters
+        )
 
     def campaign(self, now: float, pre_vote: bool, leadership_transfer: bool = False) -> None:
         """Ask all voters for their votes; with `pre_vote`, only whether they would give them."""
@@ -67,7 +70,7 @@
         request = RequestVote(
             raft.term + pre_vote, log.last_index, log.last_term, pre_vote, leadership_transfer
         )
-        for voter in raft.config.voters:
+        for voter in raft.configuration.voters:
             if voter != raft.me:
                 raft.send(voter, request)
         self.count_votes(now)
@@ -75,7 +78,7 @@
     def count_votes(self, now: float) -> None:
         """Go on with a majority of votes; step back when a majority has refused."""
         raft = self.raft
-        voters = raft.config.voters
+        voters = raft.configuration.voters
         granted = sum(self.votes.get(voter, False) for voter in voters)
         refused = sum(not self.votes.get(voter, True) for voter in voters)
         if granted > len(voters) // 2:
--- a/gradegap/raft/handover.py
+++ b/gradegap/raft/handover.py
@@ -34,7 +34,7 @@
             raise RefusedError("not_leader")
         if to == raft.me:
             raise RefusedError("member: it leads already")
-        if to not in raft.config.voters or to not in peers:
+        if to not in raft.configuration.voters or to not in peers:
             raise RefusedError("no such member")
         if self.target:
             raise RefusedError("transferring leadership")
@@ -65,5 +65,5 @@
     def on_timeout_now(self, now: float, request: TimeoutNow) -> None:
         """The leader wants this member to lead."""
         raft = self.raft
-        if request.term == raft.term and raft.me in raft.config.voters and not raft.leads:
+        if request.term == raft.term and raft.me in raft.configuration.voters and not raft.leads:
             raft.election.campaign(now, pre_vote=False, leadership_transfer=True)
--- a/gradegap/raft/heartbeats.py
+++ b/gradegap/raft/heartbeats.py
@@ -47,12 +47,12 @@
         me, peers = self.raft.me, self.raft.replication.peers
         return reached_by_majority(
             self.round if voter == me else peers[voter].round if voter in peers else 0
-            for voter in self.raft.config.voters
+            for voter in self.raft.configuration.voters
         )
 
     def followed_since(self, now: float) -> float:
         """The latest time since when a quorum, this member in it, has certainly followed."""
-        voters = self.raft.config.voters
+        voters = self.raft.configuration.voters
         if not voters:
             return NEVER
         answered = self.answered_round()
--- a/gradegap/raft/log.py
+++ b/gradegap/raft/log.py
@@ -4,31 +4,31 @@
 
 import msgspec
 
-from gradegap.raft.types import Config, Entry, Kind, SnapMeta
+from gradegap.raft.types import ClusterConfiguration, Entry, EntryKind, SnapshotMetadata
 
 EVERYTHING = 1 << 40  # bytes: no bound on a slice of the log
 
-_config: msgspec.msgpack.Decoder[Config] = msgspec.msgpack.Decoder(Config)
+_decoder: msgspec.msgpack.Decoder[ClusterConfiguration] = msgspec.msgpack.Decoder(ClusterConfiguration)
 
 
-def config_data(config: Config) -> bytes:
+def encode_configuration(configuration: ClusterConfiguration) -> bytes:
     """A configuration as the data of its entry."""
-    return msgspec.msgpack.encode(config)
+    return msgspec.msgpack.encode(configuration)
 
 
-def read_config(entry: Entry) -> Config:
+def decode_configuration(entry: Entry) -> ClusterConfiguration:
     """The configuration that an entry carries."""
-    return _config.decode(entry.data)
+    return _decoder.decode(entry.data)
 
 
 class Log:
     """Entries after `base`, the last index that was compacted away or came in a snapshot."""
 
-    def __init__(self, base: SnapMeta, entries: list[Entry]) -> None:
+    def __init__(self, base: SnapshotMetadata, entries: list[Entry]) -> None:
         self.base = base
         self.entries: list[Entry] = []
         self.size = 0  # bytes of entries
-        self.configs: list[tuple[int, Config]] = [(base.index, base.config)]
+        self.configurations: list[tuple[int, ClusterConfiguration]] = [(base.index, base.configuration)]
         for entry in entries:
             self.append(entry)
 
@@ -43,14 +43,14 @@
         return self.entries[-1].term if self.entries else self.base.term
 
     @property
-    def config(self) -> Config:
+    def configuration(self) -> ClusterConfiguration:
         """The latest in the log, committed or not: it is in force at once (thesis, 4.1)."""
-        return self.configs[-1][1]
+        return self.configurations[-1][1]
 
     @property
-    def config_index(self) -> int:
+    def configuration_index(self) -> int:
         """The index of the entry, or base, that the latest configuration came with."""
-        return self.configs[-1][0]
+        return self.configurations[-1][0]
 
     def term(self, index: int) -> int | None:
         """None for what is compacted away or not there."""
@@ -65,16 +65,16 @@
             raise ValueError(f"entry {entry.index} after {self.last_index}")
         self.entries.append(entry)
         self.size += entry.size
-        if entry.kind is Kind.CONFIG:
-            self.configs.append((entry.index, read_config(entry)))
+        if entry.kind is EntryKind.CONFIGURATION:
+            self.configurations.append((entry.index, decode_configuration(entry)))
 
     def truncate(self, index: int) -> None:
         """Drop what stands from `index` on."""
         at = max(0, index - self.base.index - 1)
         self.size -= sum(e.size for e in self.entries[at:])
         del self.entries[at:]
-        while len(self.configs) > 1 and self.configs[-1][0] >= index:
-            self.configs.pop()
+        while len(self.configurations) > 1 and self.configurations[-1][0] >= index:
+            self.configurations.pop()
 
     def slice(self, first: int, most: int, last: int | None = None) -> list[Entry]:
         """Entries from `first`, about `most` bytes of them and one at the least."""
@@ -86,26 +86,26 @@
             at += 1
         return self.entries[start:at]
 
-    def config_at(self, index: int) -> Config:
+    def configuration_at(self, index: int) -> ClusterConfiguration:
         """The configuration in force after the entry at `index`."""
-        return next(c for i, c in reversed(self.configs) if i <= index)
+        return next(c for i, c in reversed(self.configurations) if i <= index)
 
     def compact(self, index: int) -> None:
         """Forget what stands up to `index`, which is applied everywhere that matters here."""
         term = self.term(index)
         if index <= self.base.index or term is None:
             return
-        config = self.config_at(index)
+        configuration = self.configuration_at(index)
         gone = index - self.base.index
         self.size -= sum(e.size for e in self.entries[:gone])
         del self.entries[:gone]
-        self.base = SnapMeta(index, term, config)
-        self.configs = [(index, config), *[c for c in self.configs if c[0] > index]]
+        self.base = SnapshotMetadata(index, term, configuration)
+        self.configurations = [(index, configuration), *[c for c in self.configurations if c[0] > index]]
 
-    def reset(self, base: SnapMeta) -> None:
+    def reset(self, base: SnapshotMetadata) -> None:
         """A snapshot took the place of all of it."""
         self.base, self.entries, self.size = base, [], 0
-        self.configs = [(base.index, base.config)]
+        self.configurations = [(base.index, base.configuration)]
 
     def up_to_date(self, last_index: int, last_term: int) -> bool:
         """Whether a log that ends so has all that this one may have committed (Raft paper, 5.4.1)."""
--- a/gradegap/raft/membership.py
+++ b/gradegap/raft/membership.py
@@ -9,8 +9,8 @@
 from typing import TYPE_CHECKING
 
 from gradegap.raft.errors import RefusedError
-from gradegap.raft.log import config_data
-from gradegap.raft.types import Config, Kind, Member
+from gradegap.raft.log import encode_configuration
+from gradegap.raft.types import ClusterConfiguration, EntryKind, Member
 
 if TYPE_CHECKING:
     from gradegap.raft.core import Raft
@@ -24,7 +24,7 @@
 
     def settled(self) -> bool:
         """Whether the latest configuration is committed: no change is under way."""
-        return self.raft.log.config_index <= self.raft.commit
+        return self.raft.log.configuration_index <= self.raft.commit
 
     def was_removed(self) -> bool:
         """Whether the latest committed configuration leaves this member out.
@@ -34,7 +34,7 @@
         """
         raft = self.raft
         caught_up = raft.leads or raft.follower.leader_commit <= raft.commit
-        return raft.config.get(raft.me) is None and self.settled() and caught_up
+        return raft.configuration.get(raft.me) is None and self.settled() and caught_up
 
     def check_may_change(self) -> None:
         """Refuse a change that would not be safe now."""
@@ -48,11 +48,11 @@
         if not self.settled():
             raise RefusedError("change_pending: another change of members is not committed yet")
 
-    def change(self, now: float, config: Config) -> int:
+    def change(self, now: float, configuration: ClusterConfiguration) -> int:
         """Put a new configuration into the log; the index of the change."""
         self.check_may_change()
         replication = self.raft.replication
-        index = replication.append(Kind.CONFIG, config_data(config))
+        index = replication.append(EntryKind.CONFIGURATION, encode_configuration(configuration))
         replication.track_members(now)
         self.raft.flush(now)
         return index
@@ -60,15 +60,15 @@
     def add(self, now: float, member: Member) -> int:
         """Add a learner, or make a learner that has caught up a voter; the index of the change."""
         self.check_may_change()
-        config = self.raft.config
-        known = config.get(member.id)
+        configuration = self.raft.configuration
+        known = configuration.get(member.id)
         if known is not None and known.voter:
             raise RefusedError("member: it is a voter already")
         if member.voter and (known is None or not self._caught_up(member.id)):
             raise RefusedError("behind: it has not caught up with the log yet")
         if not member.voter and known is not None:
             raise RefusedError("member: it is a learner already")
-        return self.change(now, config.plus(member))
+        return self.change(now, configuration.with_member(member))
 
     def _caught_up(self, member: str) -> bool:
         progress = self.raft.replication.peers.get(member)
@@ -77,9 +77,9 @@
     def remove(self, now: float, member: str) -> int:
         """Remove a member, this one too; the index of the change."""
         self.check_may_change()
-        config = self.raft.config
-        if config.get(member) is None:
+        configuration = self.raft.configuration
+        if configuration.get(member) is None:
             raise RefusedError("no such member")
-        if config.voters == (member,):
+        if configuration.voters == (member,):
             raise RefusedError("last: it is the only voter")
-        return self.change(now, config.without(member))
+        return self.change(now, configuration.without_member(member))
--- a/gradegap/raft/replication.py
+++ b/gradegap/raft/replication.py
@@ -11,7 +11,7 @@
 from gradegap.raft.errors import RefusedError
 from gradegap.raft.log import EVERYTHING
 from gradegap.raft.progress import Progress, reached_by_majority
-from gradegap.raft.types import AppendEntries, AppendEntriesResponse, Entry, Kind
+from gradegap.raft.types import AppendEntries, AppendEntriesResponse, Entry, EntryKind
 
 if TYPE_CHECKING:
     from gradegap.raft.core import Raft
@@ -36,7 +36,7 @@
 
     def track_members(self, now: float) -> None:
         """Follow the configuration: new members are probed, removed ones are sent nothing."""
-        members = self.raft.config.members
+        members = self.raft.configuration.members
         ids = {member.id for member in members}
         for removed in [peer for peer in self.peers if peer not in ids]:
             del self.peers[removed]
@@ -46,7 +46,7 @@
 
     # Proposals
 
-    def propose(self, data: bytes, kind: Kind) -> int:
+    def propose(self, data: bytes, kind: EntryKind) -> int:
         """Append an entry for a client; its index."""
         raft = self.raft
         if not raft.leads:
@@ -57,7 +57,7 @@
             raise RefusedError("busy: too much is not committed yet")
         return self.append(kind, data)
 
-    def append(self, kind: Kind, data: bytes) -> int:
+    def append(self, kind: EntryKind, data: bytes) -> int:
         """Append an entry of this term to the leader's own log; its index."""
         raft = self.raft
         entry = Entry(raft.log.last_index + 1, raft.term, kind, data)
@@ -168,7 +168,7 @@
         raft, peers = self.raft, self.peers
         return reached_by_majority(
             raft.stable if voter == raft.me else peers[voter].match if voter in peers else 0
-            for voter in raft.config.voters
+            for voter in raft.configuration.voters
         )
 
     def advance_commit(self, now: float) -> None:
@@ -183,5 +183,5 @@
         for peer, progress in self.peers.items():
             if progress.streaming and progress.next > raft.log.last_index:
                 self._send_entries(peer, progress, [])  # so that they apply it before the next heartbeat
-        if raft.log.config_index <= raft.commit and raft.me not in raft.config.voters:
+        if raft.log.configuration_index <= raft.commit and raft.me not in raft.configuration.voters:
             raft.become_follower(now, raft.term, "")  # it has led its own removal to the end (thesis, 4.2.2)
--- a/gradegap/raft/snapshots.py
+++ b/gradegap/raft/snapshots.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from gradegap.raft.progress import Progress
-from gradegap.raft.types import InstallSnapshot, InstallSnapshotResponse, SnapMeta
+from gradegap.raft.types import InstallSnapshot, InstallSnapshotResponse, SnapshotMetadata
 
 if TYPE_CHECKING:
     from gradegap.raft.core import Raft
@@ -17,7 +17,7 @@
 class OutgoingSnapshot:
     """The state that a leader sends, and its checksum."""
 
-    meta: SnapMeta
+    meta: SnapshotMetadata
     data: bytes
     checksum: int
 
@@ -26,7 +26,7 @@
 class IncomingSnapshot:
     """The chunks of a snapshot that have arrived so far."""
 
-    meta: SnapMeta
+    meta: SnapshotMetadata
     data: bytearray = field(default_factory=bytearray)
 
 
@@ -37,7 +37,7 @@
         self.raft = raft
         self.outgoing: OutgoingSnapshot | None = None
 
-    def offer(self, meta: SnapMeta, data: bytes) -> None:
+    def offer(self, meta: SnapshotMetadata, data: bytes) -> None:
         """The driver hands over the state at `meta`, for members that are behind the log."""
         raft = self.raft
         if not raft.leads:
@@ -126,7 +126,7 @@
         self._install(chunk.metadata, data)
         self._respond(sender, chunk, len(data), done=True)
 
-    def _install(self, meta: SnapMeta, data: bytes) -> None:
+    def _install(self, meta: SnapshotMetadata, data: bytes) -> None:
         raft = self.raft
         raft.log.reset(meta)
         raft.commit = raft.applied = raft.stable = meta.index
--- a/gradegap/raft/types.py
+++ b/gradegap/raft/types.py
@@ -10,12 +10,12 @@
 ENTRY_OVERHEAD = 16  # bytes of an entry beside its data
 
 
-class Kind(enum.IntEnum):
+class EntryKind(enum.IntEnum):
     """What an entry of the log is for."""
 
-    EMPTY = 0  # a leader's first entry: what came before it in the log is committed with it
+    NO_OP = 0  # a leader's first entry: what came before it in the log is committed with it
     COMMAND = 1  # for the state machine
-    CONFIG = 2  # the members from this entry on
+    CONFIGURATION = 2  # the members from this entry on
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
@@ -27,7 +27,7 @@
     voter: bool = True
 
 
-class Config(msgspec.Struct, frozen=True, array_like=True):
+class ClusterConfiguration(msgspec.Struct, frozen=True, array_like=True):
     """Who belongs to the cluster. A learner is sent the log, and counts for nothing."""
 
     members: tuple[Member, ...] = ()
@@ -41,17 +41,17 @@
         """The member of this identity."""
         return next((m for m in self.members if m.id == member), None)
 
-    def named(self, name: str) -> Member | None:
+    def find_by_name(self, name: str) -> Member | None:
         """The member of this name."""
         return next((m for m in self.members if m.name == name), None)
 
-    def without(self, member: str) -> Config:
+    def without_member(self, member: str) -> ClusterConfiguration:
         """This configuration without the member of this identity."""
-        return Config(tuple(m for m in self.members if m.id != member))
+        return ClusterConfiguration(tuple(m for m in self.members if m.id != member))
 
-    def plus(self, member: Member) -> Config:
+    def with_member(self, member: Member) -> ClusterConfiguration:
         """This configuration with a member that is new, or takes the place of itself."""
-        return Config((*self.without(member.id).members, member))
+        return ClusterConfiguration((*self.without_member(member.id).members, member))
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
@@ -59,7 +59,7 @@
 
     index: int
     term: int
-    kind: Kind
+    kind: EntryKind
     data: bytes = b""
 
     @property
@@ -75,12 +75,12 @@
     vote: str = ""
 
 
-class SnapMeta(msgspec.Struct, frozen=True, array_like=True):
+class SnapshotMetadata(msgspec.Struct, frozen=True, array_like=True):
     """Where a snapshot of the state stands in the log, and who were the members there."""
 
     index: int
     term: int
-    config: Config
+    configuration: ClusterConfiguration
 
 
 # Messages: the tags and the names of their fields on the wire are those of every release.
@@ -133,7 +133,7 @@
     """A chunk of a snapshot; the last one has `done`, and each the checksum of the whole."""
 
     term: int
-    metadata: SnapMeta = msgspec.field(name="meta")
+    metadata: SnapshotMetadata = msgspec.field(name="meta")
     offset: int  # in bytes
     data: bytes
     done: bool
@@ -203,7 +203,7 @@
     """
 
     hard: HardState | None = None
-    install: tuple[SnapMeta, bytes] | None = None
+    install: tuple[SnapshotMetadata, bytes] | None = None
     entries: list[Entry] = field(default_factory=list)
     early: list[tuple[str, Message]] = field(default_factory=list)
     messages: list[tuple[str, Message]] = field(default_factory=list)
--- a/gradegap/store/daemon.py
+++ b/gradegap/store/daemon.py
@@ -18,7 +18,17 @@
 
 from gradegap.operator_file import StoreSettings
 from gradegap.raft.core import NEVER, Raft, Refused
-from gradegap.raft.types import Config, Entry, Kind, Member, Message, Output, Role, SnapMeta, Tuning
+from gradegap.raft.types import (
+    ClusterConfiguration,
+    Entry,
+    EntryKind,
+    Member,
+    Message,
+    Output,
+    Role,
+    SnapshotMetadata,
+    Tuning,
+)
 from gradegap.stats import Stats
 from gradegap.store import wire
 from gradegap.store.disk import BadFolder, Batch, Disk, Found, Identity
@@ -148,12 +158,12 @@
         )
         self._want_links()
 
-    def _form(self, cluster: str, config: Config) -> None:
+    def _form(self, cluster: str, config: ClusterConfiguration) -> None:
         """Belong to a cluster from now on. Written before anybody hears of it."""
         if self.identity.cluster:
             return
         identity = Identity(self.identity.id, cluster)
-        base = SnapMeta(0, 0, config)
+        base = SnapshotMetadata(0, 0, config)
         try:
             self.disk.write(Batch(identity=identity, base=base))
         except BadFolder as error:
@@ -227,7 +237,7 @@
 
     def _promote(self, now: float, raft: Raft) -> None:
         """Make a learner that has caught up a voter, while there are fewer voters than wanted."""
-        for member in promotable(raft.config, self.settings):
+        for member in promotable(raft.configuration, self.settings):
             try:
                 raft.add(now, Member(member.id, member.name, member.address))
             except Refused:
@@ -288,7 +298,7 @@
         self._look_at_role(raft)
 
     def _apply(self, entry: Entry) -> None:
-        if entry.kind is Kind.COMMAND:
+        if entry.kind is EntryKind.COMMAND:
             result = self.machine.apply(entry.index, entry.data)
             if result.error:
                 self.stats.count(f"store_refused_{result.error.split(':')[0]}")
@@ -296,7 +306,7 @@
             self.machine.skip(entry.index)
             result = Result(self.machine.revision)
         self.service.applied(entry, result)
-        if entry.kind is Kind.CONFIG:
+        if entry.kind is EntryKind.CONFIGURATION:
             self._config_applied()
 
     def _applied(self) -> None:
@@ -330,19 +340,22 @@
     def _config_applied(self) -> None:
         raft = self.raft
         assert raft is not None
-        old = {m.address for m in raft.config.members}
-        log.info("members", names=[f"{m.name}{'' if m.voter else ' (learner)'}" for m in raft.config.members])
+        old = {m.address for m in raft.configuration.members}
+        log.info(
+            "members",
+            names=[f"{m.name}{'' if m.voter else ' (learner)'}" for m in raft.configuration.members],
+        )
         for link in self.net.all:
             theirs = link.channel.theirs
             if raft.leads and link.dial is not None and theirs is not None and link.channel.proven:
-                gone = raft.config.get(theirs.id) is None
+                gone = raft.configuration.get(theirs.id) is None
                 if gone and theirs.cluster and link.dial.address not in old:
                     link.send(wire.Turned("removed"))
         self._want_links()
 
     def _stop_as_removed(self) -> None:
         raft = self.raft
-        if self.removed or raft is None or self.machine.index < raft.log.config_index:
+        if self.removed or raft is None or self.machine.index < raft.log.configuration_index:
             return
         if raft.was_removed():
             self._now_removed()
@@ -382,12 +395,12 @@
         if term is None:
             self.packing = False
             return
-        meta = SnapMeta(index, term, raft.log.config_at(index))
+        meta = SnapshotMetadata(index, term, raft.log.configuration_at(index))
         state = self.machine.state()
         self.stats.count("store_snapshots_made")
         self.in_thread(self.thread.submit(pack, state), lambda data: self._packed(meta, data))
 
-    def _packed(self, meta: SnapMeta, data: bytes) -> None:
+    def _packed(self, meta: SnapshotMetadata, data: bytes) -> None:
         self.packing = False
         raft = self.raft
         if raft is not None and raft.leads and meta.index >= raft.log.base.index:
@@ -458,7 +471,7 @@
         index = min(self.machine.index, raft.stable) - keep
         term = raft.log.term(index)
         if index > raft.log.base.index and term is not None and batch.base is None and not self.compacting:
-            batch.base = SnapMeta(index, term, raft.log.config_at(index))
+            batch.base = SnapshotMetadata(index, term, raft.log.configuration_at(index))
             self.compacting = index
             self.stats.count("store_compactions")
 
@@ -489,7 +502,7 @@
 
     def _send(self, to: str, message: Message) -> None:
         raft = self.raft
-        member = raft.config.get(to) if raft is not None else None
+        member = raft.configuration.get(to) if raft is not None else None
         if member is None:
             # Somebody who is not a member, or not yet: answered on whichever link we have to it.
             for dial in self.net.dials.values():
@@ -502,9 +515,9 @@
         addresses = {p.address for p in self.settings.peers if p.name != self.settings.name}
         if self.raft is not None:
             # A configuration that is in force goes over the file of the first start.
-            known = {m.name for m in self.raft.config.members}
+            known = {m.name for m in self.raft.configuration.members}
             peers = [p for p in self.settings.peers if p.name in known]
-            addresses = {m.address for m in self.raft.config.members} or {p.address for p in peers}
+            addresses = {m.address for m in self.raft.configuration.members} or {p.address for p in peers}
         self.net.want(addresses - {self.settings.listen, self.settings.advertise})
 
     def _linked(self, dial: Dial, link: Link) -> None:
@@ -515,8 +528,8 @@
             formed = self.forming.form()
             if formed is not None:
                 self._form(*formed)
-        elif not theirs.cluster and self.raft is not None and self.raft.config.get(theirs.id):
-            link.send(wire.Form(self.identity.cluster, self.raft.config))
+        elif not theirs.cluster and self.raft is not None and self.raft.configuration.get(theirs.id):
+            link.send(wire.Form(self.identity.cluster, self.raft.configuration))
         link.closing.append(lambda: self.service.link_lost(theirs.id))
         self.service.leader_changed()
         self.met(link)
@@ -599,7 +612,7 @@
 
     def to_leader(self, word: wire.Word) -> bool:
         raft = self.raft
-        leader = raft.config.get(raft.leader) if raft is not None and raft.leader else None
+        leader = raft.configuration.get(raft.leader) if raft is not None and raft.leader else None
         return leader is not None and self.net.send(leader.id, leader.address, word)
 
     def to_member(self, member: Member, ask: wire.Ask) -> bool:
--- a/gradegap/store/disk.py
+++ b/gradegap/store/disk.py
@@ -20,7 +20,7 @@
 import lmdb
 import msgspec
 
-from gradegap.raft.types import Config, Entry, HardState, SnapMeta
+from gradegap.raft.types import ClusterConfiguration, Entry, HardState, SnapshotMetadata
 from gradegap.store.machine import Dirty, Event, Item, Session, State
 
 T = TypeVar("T")
@@ -48,7 +48,7 @@
 
     hard: HardState | None = None
     identity: Identity | None = None
-    base: SnapMeta | None = None  # entries up to here can go
+    base: SnapshotMetadata | None = None  # entries up to here can go
     whole: State | None = None  # in place of all state and log
     entries: list[Entry] = field(default_factory=list)
     dirty: Dirty | None = None
@@ -61,7 +61,7 @@
 
     identity: Identity
     hard: HardState
-    base: SnapMeta
+    base: SnapshotMetadata
     entries: list[Entry]
     state: State
 
@@ -152,7 +152,9 @@
         if found is not None:
             return found
         # Written before anybody hears of it: a member is who its folder says.
-        batch = Batch(HardState(), Identity(secrets.token_hex(8)), SnapMeta(0, 0, Config()))
+        batch = Batch(
+            HardState(), Identity(secrets.token_hex(8)), SnapshotMetadata(0, 0, ClusterConfiguration())
+        )
         batch.applied = (0, 0, 0)
         self._create(batch)
         return self.start()
@@ -173,7 +175,7 @@
             decoder = msgspec.msgpack.Decoder(kind)
             return [decoder.decode(unseal(bytes(key), bytes(raw))) for key, raw in txn.cursor(db)]
 
-        base = one(b"base", SnapMeta)
+        base = one(b"base", SnapshotMetadata)
         index, revision, clock = one(b"applied", tuple[int, int, int])
         entries = every(self.log, Entry)
         for k, entry in enumerate(entries, base.index + 1):
--- a/gradegap/store/forming.py
+++ b/gradegap/store/forming.py
@@ -11,11 +11,11 @@
 import secrets
 
 from gradegap.operator_file import StoreSettings
-from gradegap.raft.types import Config, Member
+from gradegap.raft.types import ClusterConfiguration, Member
 from gradegap.store.wire import Hello
 
 
-def promotable(config: Config, settings: StoreSettings) -> list[Member]:
+def promotable(config: ClusterConfiguration, settings: StoreSettings) -> list[Member]:
     """The learners that may become voters: none where there are enough, and none whose region would then
     hold a majority of as many voters as are wanted."""
     if len(config.voters) >= settings.voters:
@@ -23,7 +23,7 @@
     return [m for m in config.members if not m.voter and not _outweighs(m, config, settings)]
 
 
-def _outweighs(member: Member, config: Config, settings: StoreSettings) -> bool:
+def _outweighs(member: Member, config: ClusterConfiguration, settings: StoreSettings) -> bool:
     regions = settings.regions
     region = regions.get(member.name, "")
     if not region or len({r for r in regions.values() if r}) < 2:
@@ -41,9 +41,9 @@
         self.voters = set(settings.first_voters)
         self.seen: dict[str, Hello] = {}
 
-    def alone(self) -> tuple[str, Config] | None:
+    def alone(self) -> tuple[str, ClusterConfiguration] | None:
         """A cluster of one, where no peers are listed."""
-        return None if self.peers else (secrets.token_hex(8), Config((self.me,)))
+        return None if self.peers else (secrets.token_hex(8), ClusterConfiguration((self.me,)))
 
     def met(self, hello: Hello) -> None:
         if hello.name in self.peers:
@@ -53,7 +53,7 @@
         """Whether a peer was without a cluster when it was last asked, and is not to be told of one here."""
         return hello is not None and not hello.cluster and self.form() is None
 
-    def form(self) -> tuple[str, Config] | None:
+    def form(self) -> tuple[str, ClusterConfiguration] | None:
         """The new cluster, where it is this member that begins it."""
         if not self.peers or self.seen.keys() != self.peers.keys():
             return None
@@ -62,4 +62,4 @@
         others = [
             Member(h.id, name, self.peers[name], name in self.voters) for name, h in sorted(self.seen.items())
         ]
-        return secrets.token_hex(8), Config((self.me, *others))
+        return secrets.token_hex(8), ClusterConfiguration((self.me, *others))
--- a/gradegap/store/serve.py
+++ b/gradegap/store/serve.py
@@ -13,7 +13,7 @@
 
 from gradegap.operator_file import BadOperatorFile, OperatorSettings, StoreSettings, read_secret
 from gradegap.raft.core import Refused
-from gradegap.raft.types import Config, HardState, Member, SnapMeta
+from gradegap.raft.types import ClusterConfiguration, HardState, Member, SnapshotMetadata
 from gradegap.stats import Stats
 from gradegap.store.daemon import Daemon
 from gradegap.store.disk import BadFolder, Batch, Disk, Identity
@@ -40,7 +40,7 @@
     raft = daemon.raft
     if raft is None or not raft.leads:
         return False
-    voters = [v for v in raft.config.voters if v != raft.me and v in raft.peers]
+    voters = [v for v in raft.configuration.voters if v != raft.me and v in raft.peers]
     if not voters:
         return False
     try:
@@ -96,7 +96,7 @@
     uvloop.run(main())
 
 
-def restore(data: bytes, settings: StoreSettings) -> SnapMeta:
+def restore(data: bytes, settings: StoreSettings) -> SnapshotMetadata:
     """Make a new folder from a backup: a cluster of this member alone, which the other peers may join.
     `ValueError` where it is no backup, `BadFolder` where the folder is not empty."""
     state = unpack(data)
@@ -107,7 +107,7 @@
     try:
         found = disk.start()
         me = Member(found.identity.id, settings.name, settings.advertise or settings.listen)
-        base = SnapMeta(state.index, 1, Config((me,)))
+        base = SnapshotMetadata(state.index, 1, ClusterConfiguration((me,)))
         invited = [
             Item(INVITED + p.name, {"address": p.address}, state.revision, state.revision, author="restore")
             for p in settings.peers
--- a/gradegap/store/service.py
+++ b/gradegap/store/service.py
@@ -20,7 +20,7 @@
 
 from gradegap.operator_file import StoreSettings
 from gradegap.raft.core import Raft, Refused
-from gradegap.raft.types import Entry, Kind, Member
+from gradegap.raft.types import Entry, EntryKind, Member
 from gradegap.stats import Stats
 from gradegap.store import leases, schema, wire
 from gradegap.store.disk import Identity
@@ -231,7 +231,7 @@
     def members(self) -> list[Member]:
         """All members, this one among them."""
         raft = self.member.raft
-        return list(raft.config.members) if raft is not None else []
+        return list(raft.configuration.members) if raft is not None else []
 
     def local_report(self, revision: int) -> MachineReport:
         """What this member knows of the nodes that subscribe here."""
@@ -274,7 +274,7 @@
                     p.wish = self._checked(wire.Write((op,), author="operator"))
                     self._lead(p)
                 case wire.RemoveMember():
-                    found = raft.config.named(w.name)
+                    found = raft.configuration.find_by_name(w.name)
                     if found is None:
                         raise Refused(f"no_such_member: {w.name}")
                     self._wait_for(p, raft.remove(now, found.id))
@@ -283,7 +283,7 @@
                     self._take_in(p, w.member)
                     m.flush()
                 case wire.Transfer():
-                    found = raft.config.named(w.name)
+                    found = raft.configuration.find_by_name(w.name)
                     if found is None:
                         raise Refused(f"no_such_member: {w.name}")
                     if found.id == raft.me:
@@ -340,7 +340,7 @@
                 now = time.monotonic()
                 m.granter.when_seen(now, entry.index, lambda: self._answer(p, answer))
                 return
-        if entry.kind is Kind.CONFIG and isinstance(p.wish, wire.TakeIn):
+        if entry.kind is EntryKind.CONFIGURATION and isinstance(p.wish, wire.TakeIn):
             answer = wire.Answer(0, text="taken in", revision=result.revision)
         self._answer(p, answer)
 
@@ -480,9 +480,9 @@
         def done(answer: wire.Answer) -> None:
             raft = self.member.raft
             if answer.outcome == "ok" and raft is not None:
-                config = raft.config
+                config = raft.configuration
                 if config.get(member.id) is None:
-                    config = config.plus(msgspec.structs.replace(member, voter=False))
+                    config = config.with_member(msgspec.structs.replace(member, voter=False))
                 link.send(wire.Form(self.member.identity.cluster, config))
             elif answer.outcome == "no":
                 log.info("member not taken in", member=member.name, reason=answer.text)
@@ -495,10 +495,10 @@
         """An earlier life of a member is removed first; then the new one is added, and asks once more."""
         m, raft, now = self.member, self.member.raft, time.monotonic()
         assert raft is not None
-        if raft.config.get(member.id) is not None:
+        if raft.configuration.get(member.id) is not None:
             self._answer(p, wire.Answer(0, text="taken in"))
             return
-        old = raft.config.named(member.name)
+        old = raft.configuration.find_by_name(member.name)
         if old is not None:
             progress = raft.peers.get(old.id)
             if old.id == m.identity.id or (progress is not None and now - progress.heard_at < ALIVE):
@@ -603,7 +603,7 @@
         if raft is None:
             return known | {"role": "stopped" if m.removed else "forming", "members": []}
         members = []
-        for each in raft.config.members:
+        for each in raft.configuration.members:
             p = raft.peers.get(each.id)
             row: dict[str, Any] = {
                 "name": each.name,
@@ -615,7 +615,7 @@
             if p is not None:
                 row |= {"match": p.match, "silent_ms": max(0, round((now - p.heard_at) * 1000))}
             members.append(row)
-        leader = raft.config.get(raft.leader)
+        leader = raft.configuration.get(raft.leader)
         state = raft.status(now) | {"leader": leader.name if leader is not None else ""}
         if m.granter is not None:
             state["leases"] = len(m.granter.grants)
--- a/gradegap/store/wire.py
+++ b/gradegap/store/wire.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from gradegap.raft.types import Config, Member, Message
+from gradegap.raft.types import ClusterConfiguration, Member, Message
 from gradegap.store.leases import LENGTH
 from gradegap.store.machine import Compare, Event, Item, Op
 
@@ -73,7 +73,7 @@
     """To a member without a cluster: this is the one you belong to."""
 
     cluster: str
-    config: Config
+    config: ClusterConfiguration
 
 
 class Join(msgspec.Struct, frozen=True, tag="join"):
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -11,9 +11,18 @@
 from gradegap.check.explore import ELECTIONS, Bounds, Case, explore, find_by_walks, walk
 from gradegap.check.rules import Breach
 from gradegap.check.sim import Faults, Sim
-from gradegap.raft.core import Raft, Refused, first_base
-from gradegap.raft.log import Log, config_data
-from gradegap.raft.types import AppendEntries, Config, Entry, Kind, Member, SnapMeta, TimeoutNow, Tuning
+from gradegap.raft.core import Raft, Refused, initial_snapshot
+from gradegap.raft.log import Log, encode_configuration
+from gradegap.raft.types import (
+    AppendEntries,
+    ClusterConfiguration,
+    Entry,
+    EntryKind,
+    Member,
+    SnapshotMetadata,
+    TimeoutNow,
+    Tuning,
+)
 
 RUNS = 40  # seeds of the simulator in one run of the tests
 SECONDS = 15.0
@@ -145,7 +154,7 @@
 
 
 def lone(**tuning: float) -> Raft:
-    raft = Raft("a", 0.0, 1, first_base((Member("a", "a", "x"),)), tuning=Tuning(**tuning))  # type: ignore[arg-type]
+    raft = Raft("a", 0.0, 1, initial_snapshot((Member("a", "a", "x"),)), tuning=Tuning(**tuning))  # type: ignore[arg-type]
     raft.tick(10.0)
     return raft
 
@@ -155,7 +164,7 @@
     out = raft.take()
     assert raft.leads and out.hard is not None and not out.apply
     raft.persisted(10.0, out.entries[-1].index, out.entries[-1].term)
-    assert [e.kind for e in raft.take().apply] == [Kind.EMPTY]
+    assert [e.kind for e in raft.take().apply] == [EntryKind.NO_OP]
 
 
 def test_proposals_are_refused_when_too_much_is_not_committed() -> None:
@@ -187,15 +196,15 @@
 
 def test_a_late_wish_to_lead_is_void_in_a_later_term() -> None:
     members = tuple(Member(n, n, n) for n in "abc")
-    raft = Raft("a", 0.0, 1, first_base(members))
+    raft = Raft("a", 0.0, 1, initial_snapshot(members))
     raft.step(1.0, "b", AppendEntries(5, 0, 0, 0, 1))
     raft.step(1.0, "b", TimeoutNow(4))
     assert raft.term == 5 and not raft.leads and raft.leader == "b"
 
 
 def test_a_log_hints_past_a_whole_term() -> None:
-    base = first_base(())
-    log = Log(base, [Entry(i, t, Kind.COMMAND) for i, t in enumerate([1, 1, 4, 4, 4], 1)])
+    base = initial_snapshot(())
+    log = Log(base, [Entry(i, t, EntryKind.COMMAND) for i, t in enumerate([1, 1, 4, 4, 4], 1)])
     assert log.conflict(9) == (5, 4)
     assert log.conflict(4) == (2, 1)
     assert log.last_of_term(5, 3) == 2
@@ -206,11 +215,11 @@
 def test_a_member_that_replays_configurations_from_before_it_was_added_was_not_removed() -> None:
     """It is told the configuration that has it, then the log from the beginning."""
     a, b, new = (Member(name, name, f"{name}:1") for name in ("a", "b", "new"))
-    joined = Config((a, b, replace(new, voter=False)))
-    raft = Raft("new", 0.0, 1, SnapMeta(0, 0, joined))
-    founded = Entry(1, 1, Kind.CONFIG, config_data(Config((a,))))
-    grown = Entry(2, 1, Kind.CONFIG, config_data(Config((a, b))))
-    added = Entry(3, 1, Kind.CONFIG, config_data(joined))
+    joined = ClusterConfiguration((a, b, replace(new, voter=False)))
+    raft = Raft("new", 0.0, 1, SnapshotMetadata(0, 0, joined))
+    founded = Entry(1, 1, EntryKind.CONFIGURATION, encode_configuration(ClusterConfiguration((a,))))
+    grown = Entry(2, 1, EntryKind.CONFIGURATION, encode_configuration(ClusterConfiguration((a, b))))
+    added = Entry(3, 1, EntryKind.CONFIGURATION, encode_configuration(joined))
 
     def told(previous: int, commit: int, *entries: Entry) -> bool:
         term = 1 if previous else 0
@@ -222,6 +231,6 @@
     assert not told(0, 3, founded), "the leader has committed more than this"
     assert not told(1, 3, grown)
     assert not told(2, 3, added)
-    gone = Entry(4, 1, Kind.CONFIG, config_data(Config((a, b))))
+    gone = Entry(4, 1, EntryKind.CONFIGURATION, encode_configuration(ClusterConfiguration((a, b))))
     assert not told(3, 3, gone), "it is not committed"
     assert told(4, 4)
--- a/tests/test_store_parts.py
+++ b/tests/test_store_parts.py
@@ -14,7 +14,7 @@
 
 from gradegap.check.linear import FOREVER, Did, explain
 from gradegap.operator_file import BadOperatorFile, Peer, StoreSettings, load_operator
-from gradegap.raft.types import Config, Entry, HardState, Kind, Member, SnapMeta
+from gradegap.raft.types import ClusterConfiguration, Entry, EntryKind, HardState, Member, SnapshotMetadata
 from gradegap.store import schema, wire
 from gradegap.store.disk import BadFolder, Batch, Disk
 from gradegap.store.forming import Forming
@@ -419,7 +419,7 @@
     log = Log()
     log.write(Op("a", 1))
     log.write(Op("b", [1, None, "x"]))
-    entries = [Entry(k, 1, Kind.COMMAND, d) for k, d in enumerate(log.entries, 1)]
+    entries = [Entry(k, 1, EntryKind.COMMAND, d) for k, d in enumerate(log.entries, 1)]
     m = log.machine
     applied = (m.index, m.revision, m.clock)
     disk.write(Batch(HardState(1, "x"), entries=entries, dirty=m.drain(), applied=applied))
@@ -429,14 +429,16 @@
     disk = Disk(tmp_path / "d")
     first = disk.start()
     write_some(disk)
-    disk.write(Batch(entries=[Entry(2, 3, Kind.EMPTY), Entry(3, 3, Kind.EMPTY)], hard=HardState(3, "")))
+    disk.write(
+        Batch(entries=[Entry(2, 3, EntryKind.NO_OP), Entry(3, 3, EntryKind.NO_OP)], hard=HardState(3, ""))
+    )
     disk.close()
     disk = Disk(tmp_path / "d")
     found = disk.start()
     assert found.identity == first.identity and found.hard == HardState(3, "")
     assert [(e.index, e.term) for e in found.entries] == [(1, 1), (2, 3), (3, 3)]
     assert {i.key: i.value for i in found.state.items} == {"a": 1, "b": [1, None, "x"]}
-    disk.write(Batch(base=SnapMeta(2, 3, Config())))
+    disk.write(Batch(base=SnapshotMetadata(2, 3, ClusterConfiguration())))
     disk.close()
     disk = Disk(tmp_path / "d")
     assert [e.index for e in disk.start().entries] == [3]
@@ -499,7 +501,7 @@
     disk = Disk(tmp_path, map_size=256 * 1024)
     disk.start()
     write_some(disk)
-    big = [Entry(3 + k, 1, Kind.COMMAND, b"x" * 50_000) for k in range(20)]
+    big = [Entry(3 + k, 1, EntryKind.COMMAND, b"x" * 50_000) for k in range(20)]
     with pytest.raises(BadFolder, match="is full"):
         disk.write(Batch(HardState(9, "z"), entries=big))
     disk.close()
--- a/tests/test_store_service.py
+++ b/tests/test_store_service.py
@@ -32,7 +32,7 @@
         flush=lambda: None,
     )
     raft.read = lambda now, serial: None
-    raft.config = SimpleNamespace(named=lambda name: SimpleNamespace(id=name))
+    raft.configuration = SimpleNamespace(find_by_name=lambda name: SimpleNamespace(id=name))
     raft.remove = lambda now, member: 7
     return Service(cast(Any, member)), member
 
--- a/tests/test_store_voters.py
+++ b/tests/test_store_voters.py
@@ -9,7 +9,7 @@
 import pytest
 
 from gradegap.operator_file import BadOperatorFile, Peer, StoreSettings, load_operator
-from gradegap.raft.types import Config, Member
+from gradegap.raft.types import ClusterConfiguration, Member
 from gradegap.store import wire
 from gradegap.store.forming import Forming, promotable
 from gradegap.store.remote import StoreError
@@ -82,16 +82,18 @@
 
 def test_a_learner_is_promoted_while_voters_are_missing_and_not_beyond() -> None:
     names = [f"n{k}" for k in range(1, 7)]
-    five = Config(tuple(member(n, n != "n6") for n in names))
+    five = ClusterConfiguration(tuple(member(n, n != "n6") for n in names))
     settings = store_of(names)
     assert promotable(five, settings) == []
-    assert [m.name for m in promotable(five.without("id-n2"), settings)] == ["n6"]
+    assert [m.name for m in promotable(five.without_member("id-n2"), settings)] == ["n6"]
 
 
 def test_a_learner_is_not_promoted_where_its_region_would_hold_a_majority() -> None:
     names = [f"n{k}" for k in range(1, 8)]
     settings = store_of(names, regions="abcabac")
-    config = Config(tuple(member(n, n not in ("n6", "n7")) for n in names)).without("id-n2")
+    config = ClusterConfiguration(tuple(member(n, n not in ("n6", "n7")) for n in names)).without_member(
+        "id-n2"
+    )
     assert [m.name for m in promotable(config, settings)] == ["n7"]  # n6 would be the third of region a
 
 
