--- a/bench/capture.py
+++ b/bench/capture.py
@@ -18,15 +18,15 @@
 from pathlib import Path
 from typing import Any
 
-import gradegap.choice
+import gradegap.balancing.balancer
 from bench.resume import resident
 from bench.store import cpu
-from gradegap import interface as api
+from gradegap.balancing.balancer import Balancer
+from gradegap.balancing.events import ConnectionInherited, RequestArrived
 from gradegap.capture import records, replay, snapshot, state
 from gradegap.capture.recorder import Recorder, Tap
-from gradegap.choice import Balancer
-from gradegap.operator_file import CaptureSettings
-from gradegap.stats import Stats
+from gradegap.metrics import Metrics
+from gradegap.node.operator_file import CaptureSettings
 from tests.test_capture import Day
 from tests.world import Backend, Client, World, wait_for
 
@@ -48,9 +48,9 @@
     return time.process_time() - began
 
 
-async def under_recorder(told: list[tuple[float, Any]], folder: Path) -> tuple[float, Stats]:
+async def under_recorder(told: list[tuple[float, Any]], folder: Path) -> tuple[float, Metrics]:
     """CPU of loop and thread together."""
-    settings, stats = Day(1, 40).settings, Stats()
+    settings, stats = Day(1, 40).settings, Metrics()
     balancer = Balancer(settings, 1)
     loop = asyncio.get_running_loop()
     set_up = CaptureSettings(str(folder), state_s=3600.0)
@@ -83,7 +83,7 @@
         size = len(data)
         items = list(replay.items(data))
         began = time.process_time()
-        found = replay.replay(items, gradegap.choice)
+        found = replay.replay(items, gradegap.balancing.balancer)
         again.append(time.process_time() - began)
         assert found.difference is None and not found.gaps
         steps = found.steps
@@ -105,8 +105,8 @@
     for held in (100, 1000, 4000, 20_000):
         day = Day(2, 40)
         for ident in range(1, held + 1):  # each named by its server, as after a handover
-            request = api.Request(ident, "live", day.now + 2.0, "", f"k{ident}", f"g{ident % 500}")
-            day.feed(api.Inherited(request, f"s{ident % 40}"))
+            request = RequestArrived(ident, "live", day.now + 2.0, "", f"k{ident}", f"g{ident % 500}")
+            day.feed(ConnectionInherited(request, f"s{ident % 40}"))
         times: list[tuple[float, float, float]] = []
         for _ in range(5):
             began = time.perf_counter()
--- a/bench/quic.py
+++ b/bench/quic.py
@@ -25,10 +25,10 @@
 
 from bench.resume import resident
 from bench.store import cpu
+from gradegap.metrics import Metrics
 from gradegap.quic.keys import Holder, Keys, QuicRing
 from gradegap.quic.relay import Inlet, Relay, pair
 from gradegap.quic.routing import Router
-from gradegap.stats import Stats
 from tests.test_quic import QuicClient, make_certificate, quic_world
 from tests.test_quic_fuzz import SERVER, Pair
 from tests.world import Backend, Client
@@ -62,7 +62,7 @@
 
     async def relayed() -> float:
         reads, writes = pair()
-        stats, count = Stats(), 0
+        stats, count = Metrics(), 0
         done = asyncio.Event()
 
         def came(data: bytes, addr: Any) -> None:
--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -33,14 +33,15 @@
     SessionParts,
     steady,
 )
-from gradegap import interface as api
-from gradegap import settings as reader
-from gradegap.core import Core
-from gradegap.live import LiveConfig
-from gradegap.net.backend import Backends
-from gradegap.net.descriptors import Descriptors
-from gradegap.net.director import Director
-from gradegap.stats import Stats
+from gradegap.balancing import settings_reader as reader
+from gradegap.balancing.actions import CheckHealth
+from gradegap.balancing.settings import Settings
+from gradegap.discovery.http_discovery import HttpDiscovery
+from gradegap.metrics import Metrics
+from gradegap.proxy.proxy import Proxy
+from gradegap.store.dynamic_configuration import DynamicConfiguration
+from gradegap.transport.descriptors import Descriptors
+from gradegap.upstream.connections import Backends
 from tests.world import SETTINGS
 
 log = structlog.get_logger()
@@ -123,9 +124,9 @@
         self.backends = Backends(loop, settings.connect_timeout, descriptors)
         self.backends.dialer.task.cancel()
         self.backends.dialer = CountedDialer(loop, descriptors, traffic)
-        self.core = Core(settings, process.rng.getrandbits(32), self.backends, self.stats, loop)
-        self.director = Director(self.core, self.backends.dialer, process.spec.discovery, self.stats)
-        self.live = LiveConfig(self.stats)
+        self.core = Proxy(settings, process.rng.getrandbits(32), self.backends, self.stats, loop)
+        self.director = HttpDiscovery(self.core, self.backends.dialer, process.spec.discovery, self.stats)
+        self.live = DynamicConfiguration(self.stats)
         self.live.key(CHANGED_KEY, "", lambda value: None)
         self.session: Session = process.session(self)
         self.probe_timer: asyncio.TimerHandle | None = None
@@ -169,7 +170,7 @@
         """Probe some server, as a node with clients there would now and then."""
         known = [name for name, b in self.core.backends.items() if b.address]
         if known and not self.ended:
-            self.core.act[api.Probe](api.Probe(self.process.rng.choice(known)))
+            self.core.act[CheckHealth](CheckHealth(self.process.rng.choice(known)))
         self._probe_later()
 
     def stop(self) -> None:
@@ -199,9 +200,9 @@
     def __init__(self, spec: HollowSpec, loop: asyncio.AbstractEventLoop) -> None:
         self.spec, self.loop = spec, loop
         self.rng = random.Random(spec.seed)
-        self.stats = Stats()
+        self.stats = Metrics()
         fields = reader.flatten({**SETTINGS, "ReplicasOfMe": spec.of_all})
-        self.settings = api.Settings(**reader.read(fields))
+        self.settings = Settings(**reader.read(fields))
         self.records = [NodeRecord(n.name, n.region) for n in spec.nodes]
         self.traffic = [Traffic() for _ in spec.nodes]
         self.nodes: dict[int, HollowNode] = {}
--- a/bench/scale/limits_met.py
+++ b/bench/scale/limits_met.py
@@ -8,8 +8,8 @@
 from bench.scale.cold_bound import RED_AT, RED_FACTOR, TEST, cold_bound
 from bench.scale.slope_book import SlopeBook, figure
 from bench.scale.worked import PROBE_BYTES, US, probes_per_s, returning
-from gradegap.choice import LOOK_SLOW
-from gradegap.node import MOST_OUT
+from gradegap.balancing.balancer import LOOK_SLOW
+from gradegap.node.node import MOST_OUT
 from gradegap.observer.limits import Limits
 from gradegap.store.leases import MOST_HOLDERS
 from gradegap.store.links import MOST_LINKS
@@ -100,7 +100,7 @@
     zone = t.RETURN_S / (returning(t.NODES_PER_ZONE) * opened.value * US)
     region = t.RETURN_S / (returning(t.NODES_PER_REGION) * opened.value * US)
     probes = probes_per_s(t.SERVERS, t.ARRIVALS_PER_NODE, LOOK_SLOW) * PROBE_BYTES
-    choice, core = "choice.py", "core.py, choice.py"
+    choice, core = "balancing/balancer.py", "proxy/proxy.py, balancing/balancer.py"
     return [
         _cold_servers(),
         Met(
@@ -144,13 +144,13 @@
             "a list in which all are new within 220 ms",
             f"{figure(listed)} servers",
             f"{book.at('stop_list', t.SERVERS).how}; {t.SERVERS} servers assumed",
-            f"net/director.py, {choice}",
+            f"discovery/http_discovery.py, {choice}",
         ),
         Met(
             lines / t.LINES_PER_NODE,
             "lines that one core passes",
             f"{figure(lines)} lines/s a node",
             book.at("share_by_lines", t.LINES_PER_NODE).how,
-            "net/backend.py",
+            "upstream/connections.py",
         ),
     ]
--- a/bench/scale/measure.py
+++ b/bench/scale/measure.py
@@ -14,9 +14,9 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from gradegap.net.backend import Dialer, Prober
-from gradegap.net.descriptors import Descriptors
 from gradegap.store import wire
+from gradegap.transport.descriptors import Descriptors
+from gradegap.upstream.connections import Dialer, Prober
 
 LONGEST_US = 3_600_000_000
 DIGITS = 3
--- a/bench/scale/sessions.py
+++ b/bench/scale/sessions.py
@@ -11,11 +11,11 @@
 import msgspec
 
 from bench.scale.measure import CountedChannel, Traffic
-from gradegap.core import Core
-from gradegap.live import LiveConfig
-from gradegap.operator_file import Peer, StoreSettings
-from gradegap.stats import Stats
+from gradegap.metrics import Metrics
+from gradegap.node.operator_file import Peer, StoreSettings
+from gradegap.proxy.proxy import Proxy
 from gradegap.store.attached import Attached
+from gradegap.store.dynamic_configuration import DynamicConfiguration
 from gradegap.store.machine import Event
 from gradegap.store.wire import Channel
 
@@ -45,9 +45,9 @@
 class SessionParts(msgspec.Struct):
     """What a session works on: the node's own parts, and where what is measured goes."""
 
-    core: Core
-    live: LiveConfig
-    stats: Stats
+    core: Proxy
+    live: DynamicConfiguration
+    stats: Metrics
     loop: asyncio.AbstractEventLoop
     traffic: Traffic
     told: Callable[[], bool]
--- a/bench/scale/slopes_module.py
+++ b/bench/scale/slopes_module.py
@@ -12,14 +12,25 @@
 
 from bench.scale.fit import Point, point
 from bench.scale.results_file import Measurement, measured
-from gradegap import interface as api
-from gradegap.choice import Balancer
-from gradegap.core import Attempt, Backend, Core, FetchPort, ProbeDone
-from gradegap.net.backend import Dialer
-from gradegap.net.director import Call, Director
-from gradegap.stats import Stats
+from gradegap.balancing.actions import Action, CheckHealth, Forward
+from gradegap.balancing.balancer import Balancer
+from gradegap.balancing.events import (
+    AttemptEnded,
+    AttemptResult,
+    ConnectionEstablished,
+    EndpointEntry,
+    EndpointList,
+    EndpointListKind,
+    Event,
+    HealthCheckEnded,
+    RequestArrived,
+)
+from gradegap.discovery.http_discovery import Call, HttpDiscovery
+from gradegap.metrics import Metrics
+from gradegap.proxy.proxy import Attempt, ConnectPort, Endpoint, HealthCheckDone, Proxy
 from gradegap.store.gossip import Learner
 from gradegap.store.wire import Channel, Gossip
+from gradegap.upstream.connections import Dialer
 from tests.helpers import settings
 
 SERVERS = (60, 600, 6_000)
@@ -40,9 +51,9 @@
     return f"save-{number:05d}"
 
 
-def entries(count: int) -> tuple[api.ServerEntry, ...]:
+def entries(count: int) -> tuple[EndpointEntry, ...]:
     """Ready servers of 16 zones."""
-    return tuple(api.ServerEntry(server_name(k), f"zone-{k % 16:02d}", weight=1.0) for k in range(count))
+    return tuple(EndpointEntry(server_name(k), f"zone-{k % 16:02d}", weight=1.0) for k in range(count))
 
 
 class Standing:
@@ -58,36 +69,36 @@
         self.now = 100.0
         self.next_id = 0
         self.ids: list[tuple[int, str]] = []
-        self.handle(api.ServerList(api.ListKind.CACHED, entries(servers)))
+        self.handle(EndpointList(EndpointListKind.CACHED, entries(servers)))
         for entry in entries(servers):
             self.handle(self.report(entry.server))
 
-    def handle(self, event: api.Event) -> list[api.Action]:
+    def handle(self, event: Event) -> list[Action]:
         """One event to the module."""
         return self.balancer.handle(self.now, event)
 
-    def report(self, server: str) -> api.ProbeResult:
+    def report(self, server: str) -> HealthCheckEnded:
         """A probe's answer from a server with room."""
         report = {"x0": self.rng.uniform(0.05, 0.1), "inflight": self.rng.uniform(*self.held)}
-        return api.ProbeResult(server, api.Result.OK, 0.001, report)
+        return HealthCheckEnded(server, AttemptResult.OK, 0.001, report)
 
     def request(self) -> None:
         """One request from its arrival to its connection's standing, probes included."""
         self.next_id += 1
         team = f"group-{self.rng.randrange(self.groups)}" if self.groups else ""
-        todo = self.handle(api.Request(self.next_id, "live", self.now + 2.0, team=team))
+        todo = self.handle(RequestArrived(self.next_id, "live", self.now + 2.0, team=team))
         while todo:
             action = todo.pop(0)
-            if isinstance(action, api.Probe):
+            if isinstance(action, CheckHealth):
                 todo += self.handle(self.report(action.server))
-            elif isinstance(action, api.Send):
-                self.handle(api.Established(action.id, 0, action.server, 0.01))
+            elif isinstance(action, Forward):
+                self.handle(ConnectionEstablished(action.id, 0, action.server, 0.01))
                 self.ids.append((action.id, action.server))
 
     def end(self) -> None:
         """The oldest session ends."""
         ident, server = self.ids.pop(0)
-        self.handle(api.Outcome(ident, 0, server, api.Result.OK, 1.0, True))
+        self.handle(AttemptEnded(ident, 0, server, AttemptResult.OK, 1.0, True))
 
     def hold(self, count: int) -> None:
         """So many sessions stand."""
@@ -168,14 +179,14 @@
 class NoBackends:
     """A backend port that reaches nobody."""
 
-    def fetch(self, session: Any, backend: Backend, wait: float, attempt: Attempt) -> FetchPort:
+    def fetch(self, session: Any, backend: Endpoint, wait: float, attempt: Attempt) -> ConnectPort:
         """Nothing is fetched without requests."""
         raise AssertionError("nothing is fetched here")
 
-    def probe(self, backend: Backend, wait: float, done: ProbeDone) -> None:
+    def probe(self, backend: Endpoint, wait: float, done: HealthCheckDone) -> None:
         """Left unanswered."""
 
-    def forget(self, backend: Backend) -> None:
+    def forget(self, backend: Endpoint) -> None:
         """There is nothing to forget."""
 
 
@@ -200,9 +211,9 @@
     """A real core with a real reader of lists, and no sockets."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, seed: int) -> None:
-        stats = Stats()
-        self.core = Core(settings(balancers=1600), seed, NoBackends(), stats, loop)
-        self.director = Director(self.core, cast(Dialer, None), "127.0.0.1:1", stats)
+        stats = Metrics()
+        self.core = Proxy(settings(balancers=1600), seed, NoBackends(), stats, loop)
+        self.director = HttpDiscovery(self.core, cast(Dialer, None), "127.0.0.1:1", stats)
 
     def take(self, body: bytes, whole: bool) -> float:
         """Milliseconds of processor time from an answer's bytes to the module's knowing it."""
@@ -286,8 +297,8 @@
         for backend in reader.core.backends.values():
             backend.report = {"x0": rng.uniform(0.05, 0.9), "inflight": float(rng.randrange(60))}
             backend.report_at = reader.core.now()
-        tells = Learner("node-0001", reader.core, Stats(), lambda: True)
-        hears = Learner("node-0002", other.core, Stats(), lambda: True)
+        tells = Learner("node-0001", reader.core, Metrics(), lambda: True)
+        hears = Learner("node-0002", other.core, Metrics(), lambda: True)
         dialer, acceptor = proven_pair()
         out, taken, frames = [], [], []
         for _ in range(REPEATS):
--- a/bench/scale/slopes_probes.py
+++ b/bench/scale/slopes_probes.py
@@ -16,11 +16,12 @@
 from bench.scale.results_file import Measurement, measured
 from bench.scale.slopes_data import SaveServer
 from bench.scale.slopes_module import server_name
-from gradegap import interface as api
-from gradegap.core import Core
-from gradegap.net.backend import Backends
-from gradegap.net.descriptors import Descriptors
-from gradegap.stats import Stats
+from gradegap.balancing.actions import CheckHealth
+from gradegap.balancing.events import EndpointEntry, EndpointListKind
+from gradegap.metrics import Metrics
+from gradegap.proxy.proxy import Proxy
+from gradegap.transport.descriptors import Descriptors
+from gradegap.upstream.connections import Backends
 from tests.helpers import settings
 
 SERVERS = (60, 200, 600)
@@ -54,11 +55,11 @@
         self.server.listener.close()
 
 
-async def ask(core: Core, names: list[str]) -> None:
+async def ask(core: Proxy, names: list[str]) -> None:
     """One probe of each, all answered."""
     before = {name: core.backends[name].report for name in names}
     for name in names:
-        core.act[api.Probe](api.Probe(name))
+        core.act[CheckHealth](CheckHealth(name))
     until = time.monotonic() + ANSWER_S
     while any(core.backends[name].report is before[name] for name in names):
         if time.monotonic() > until:
@@ -66,7 +67,7 @@
         await asyncio.sleep(STEP)
 
 
-async def rounds(core: Core, names: list[str]) -> float:
+async def rounds(core: Proxy, names: list[str]) -> float:
     """Microseconds of this thread's processor time for one probe."""
     began = time.thread_time()
     for _ in range(ROUNDS):
@@ -77,11 +78,11 @@
 
 async def probed(address: str, servers: int, seed: int) -> list[float]:
     """Each repeat's price of a probe with so many servers."""
-    stats, loop = Stats(), asyncio.get_running_loop()
+    stats, loop = Metrics(), asyncio.get_running_loop()
     backends = Backends(loop, 1.0, Descriptors(DESCRIPTORS, stats))
-    core = Core(settings(), seed, backends, stats, loop)
+    core = Proxy(settings(), seed, backends, stats, loop)
     names = [server_name(k) for k in range(servers)]
-    core.listing(api.ListKind.FULL, [(api.ServerEntry(name), address) for name in names])
+    core.listing(EndpointListKind.FULL, [(EndpointEntry(name), address) for name in names])
     await rounds(core, names)  # connects
     found = [await rounds(core, names) for _ in range(REPEATS)]
     for name in names:
--- a/bench/scale/storeclient.py
+++ b/bench/scale/storeclient.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from bench.scale.sessions import steady
-from gradegap.net.backend import split_address
 from gradegap.store import wire
 from gradegap.store.machine import Op
+from gradegap.upstream.connections import split_address
 
 CONNECT_S = 1.0
 TRY_S = 5.0  # that a machine may take over one try
--- a/bench/scale/subscription.py
+++ b/bench/scale/subscription.py
@@ -4,11 +4,11 @@
 
 from bench.scale.measure import Traffic
 from bench.scale.sessions import MachineSpec, NodeSpec, SessionParts
+from gradegap.node.operator_file import ObserverMachine, ObserverSettings
 from gradegap.observer import client as observer_client
 from gradegap.observer.attached import ObservedStore
 from gradegap.observer.messages import Change
 from gradegap.observer.subscriber import Phase
-from gradegap.operator_file import ObserverMachine, ObserverSettings
 
 
 class ForwardedTraffic(observer_client.Traffic):
--- a/bench/scale/verdicts.py
+++ b/bench/scale/verdicts.py
@@ -9,7 +9,7 @@
 from bench.scale.full_size import ControlResult, clock, most_core, node_memory, ordinary_day
 from bench.scale.slope_book import SlopeBook, figure, in_bytes, share
 from bench.scale.worked import PROBE_BYTES, US, probes_per_s, renewals_per_s, returning
-from gradegap.choice import LOOK_FAST, LOOK_SLOW, RING_WALK
+from gradegap.balancing.balancer import LOOK_FAST, LOOK_SLOW, RING_WALK
 from gradegap.observer.limits import Limits
 from gradegap.store.leases import MOST_HOLDERS
 
@@ -118,8 +118,8 @@
         Verdict(
             "7 regions with 16 zones",
             BY_SLOPE,
-            "a node knows its region (observer/selection.py) and its zone (choice.py); no cost grows with "
-            "their number. Zones as discovery names them are not held against machines",
+            "a node knows its region (observer/selection.py) and its zone (balancing/balancer.py); no cost "
+            "grows with their number. Zones as discovery names them are not held against machines",
         ),
     ]
 
--- a/bench/scale/watched_node.py
+++ b/bench/scale/watched_node.py
@@ -18,8 +18,8 @@
 
 import uvloop
 
-from gradegap.app import configure_log, hold_signals, load_both
-from gradegap.node import Node
+from gradegap.node.node import Node
+from gradegap.node.process import configure_log, hold_signals, load_both
 
 EVERY = 0.002  # s between two looks at the loop
 
--- a/bench/scale/worked.py
+++ b/bench/scale/worked.py
@@ -7,8 +7,8 @@
 
 from bench.scale import target as t
 from bench.scale.slope_book import SlopeBook, figure, in_bytes, share
-from gradegap.choice import LOOK_FAST, LOOK_SLOW, PROBES_PER_REQUEST, RING_WALK
-from gradegap.net.listclock import ASKED_WAIT
+from gradegap.balancing.balancer import LOOK_FAST, LOOK_SLOW, PROBES_PER_REQUEST, RING_WALK
+from gradegap.discovery.watch_schedule import ASKED_WAIT
 from gradegap.observer.limits import Limits
 from gradegap.store.machine import MOST_KEYS
 
@@ -71,7 +71,7 @@
     late = book.at("line_late_by_lines", t.LINES_PER_NODE)
     by_size = book.get("line_by_bytes").fit
     larger = by_size.at(t.LINE_BYTES_2) / by_size.at(t.LINE_BYTES)
-    passing = "net/client_session.py, net/backend.py"
+    passing = "downstream/session.py, upstream/connections.py"
     per_s = t.LINES_PER_NODE * t.LINE_BYTES
     fullest = book.at("connection_memory", t.SKEW * t.CONNECTIONS_PER_NODE)
     ordinary = [
@@ -105,7 +105,7 @@
             "processor, sessions at rest",
             f"{share(idle.value / 100)} of a core",
             f"{idle.how}; a tick of the clock is 0.33% in the 3 s that were measured",
-            "core.py",
+            "proxy/proxy.py",
         ),
         Row(
             "ordinary hour",
@@ -113,7 +113,7 @@
             f"{share(opened.value * US * t.ARRIVALS_PER_NODE)} of a core",
             f"{opened.how}; {figure(t.ARRIVALS_PER_NODE)}/s by a mean life of an hour, assumed; "
             f"{share(opened.value * US * t.ARRIVALS_PER_NODE_2)} at ten minutes",
-            "core.py, choice.py",
+            "proxy/proxy.py, balancing/balancer.py",
         ),
         Row(
             "ordinary hour",
@@ -121,7 +121,7 @@
             f"{figure(arrivals.value)} µs a request, {figure(grouped.value)} µs one of a group",
             f"{arrivals.how}; {grouped.how}; with {t.SERVERS_2:,} servers {figure(grouped_2.value)} µs, "
             f"and {figure(empty_2.value)} µs where they hold hardly any connections",
-            "choice.py",
+            "balancing/balancer.py",
         ),
         Row(
             "ordinary hour",
@@ -135,14 +135,14 @@
             f"loop stands, {t.SERVERS} servers",
             f"{figure(listed.value)} ms",
             listed.how,
-            "net/director.py, choice.py",
+            "discovery/http_discovery.py, balancing/balancer.py",
         ),
         Row(
             "worst: a list in which all are new",
             f"loop stands, {t.SERVERS_2} servers",
             f"{figure(listed_2.value)} ms",
             listed_2.how,
-            "net/director.py, choice.py",
+            "discovery/http_discovery.py, balancing/balancer.py",
         ),
         Row(
             "skew: the fullest node, twice the mean assumed",
@@ -169,7 +169,7 @@
             f"{figure(opened.value)} µs; "
             f"within {figure(t.RETURN_S)} s, "
             f"{figure(returning(nodes) * opened.value * US / t.RETURN_S)} cores",
-            "core.py, choice.py, client.py",
+            "proxy/proxy.py, balancing/balancer.py, client.py",
         )
         for what, nodes in GONE
     ]
@@ -227,7 +227,7 @@
             f"{figure(fixed.value)} bytes a call each {figure(wait)} s, and "
             f"{t.LIST_CHANGES_PER_DAY:,} servers told anew a day, assumed; "
             f"{in_bytes(fixed.value / wait + told_2)}/s at {t.LIST_CHANGES_PER_DAY_2:,}",
-            "net/director.py, net/listclock.py",
+            "discovery/http_discovery.py, net/listclock.py",
         ),
         Row(
             "ordinary hour",
@@ -236,14 +236,14 @@
             f"{PROBE_BYTES} bytes a probe; each of {t.SERVERS} servers each {LOOK_SLOW:g} s, at most "
             f"{PROBES_PER_REQUEST:g} a request; {figure(probes_2)}/s, "
             f"{in_bytes(probes_2 * PROBE_BYTES)}/s, with a life of ten minutes and full servers",
-            "choice.py, net/backend.py",
+            "balancing/balancer.py, upstream/connections.py",
         ),
         Row(
             "ordinary hour",
             "processor, probes",
             f"{share(probes * probe.value * US)} of a core",
             f"{probe.how}; {share(probes_2 * probe.value * US)} with a life of ten minutes and full servers",
-            "core.py, net/backend.py",
+            "proxy/proxy.py, upstream/connections.py",
         ),
         Row(
             "ordinary hour",
@@ -266,7 +266,7 @@
             "processor, the list",
             f"{figure(started.value)} ms",
             f"{started.how}; {figure(started_2.value)} ms with {t.SERVERS_2:,} servers",
-            "net/director.py, choice.py",
+            "discovery/http_discovery.py, balancing/balancer.py",
         ),
         Row(
             "worst: the node starts",
@@ -274,7 +274,7 @@
             f"{in_bytes(whole.value + snapshot.value)}",
             f"{whole.how}; {snapshot.how}; {in_bytes(whole_2.value + snapshot_2.value)} with "
             f"{t.SERVERS_2:,} servers and {t.KEYS_2:,} keys",
-            f"net/director.py, {observer}",
+            f"discovery/http_discovery.py, {observer}",
         ),
         Row("worst: 50 changes at once", "delta", in_bytes(burst.value), burst.how, observer),
         Row(
@@ -454,14 +454,14 @@
             "connections",
             figure(t.CONNECTIONS_PER_SERVER),
             f"100 M / {t.SERVERS} assumed; {figure(t.CONNECTIONS / t.SERVERS_2)} with {t.SERVERS_2:,}",
-            "choice.py",
+            "balancing/balancer.py",
         ),
         Row(
             "ordinary hour",
             "lines",
             f"{figure(lines)}/s, {in_bytes(lines * t.LINE_BYTES)}/s",
             f"12 M/s / {t.SERVERS}",
-            "net/backend.py",
+            "upstream/connections.py",
         ),
         Row(
             "ordinary hour",
@@ -469,7 +469,7 @@
             f"{figure(dials)}/s",
             f"100 M connections of an hour; {figure(t.CONNECTIONS / t.SESSION_S_2 / t.SERVERS)}/s of "
             "ten minutes",
-            "net/backend.py",
+            "upstream/connections.py",
         ),
         Row(
             "ordinary hour",
@@ -477,7 +477,7 @@
             f"{figure(probes)}/s on {t.NODES:,} connections",
             f"each node {figure(probes_per_s(t.SERVERS, t.ARRIVALS_PER_NODE, LOOK_SLOW))}/s over its "
             f"servers; {figure(probes_2)}/s with {t.SERVERS_2:,} servers",
-            "choice.py, net/backend.py",
+            "balancing/balancer.py, upstream/connections.py",
         ),
         Row(
             "worst: it has started anew",
@@ -493,7 +493,7 @@
                 figure(nodes * t.CONNECTIONS_PER_NODE / t.SERVERS),
                 f"{figure(nodes)} nodes × {figure(t.CONNECTIONS_PER_NODE)} / {t.SERVERS}, "
                 f"beside the {figure(t.CONNECTIONS_PER_SERVER)} that stand",
-                "choice.py",
+                "balancing/balancer.py",
             )
             for what, nodes in GONE
         ],
@@ -504,7 +504,7 @@
     """A client that comes again."""
     opened = book.at("open_by_connections", t.CONNECTIONS_PER_NODE)
     rows = [
-        Row("any", "bytes and lines", f"{RETURN_BYTES} B, 3 lines", "MOVE, OPEN, UP", "net/client_session.py")
+        Row("any", "bytes and lines", f"{RETURN_BYTES} B, 3 lines", "MOVE, OPEN, UP", "downstream/session.py")
     ]
     for what, nodes in GONE:
         cores = returning(nodes) * opened.value * US
@@ -515,7 +515,7 @@
                 f"{figure(max(t.RETURN_S, cores))} s",
                 f"{figure(returning(nodes))} at each node × {figure(opened.value)} µs, come within "
                 f"{figure(t.RETURN_S)} s",
-                "core.py",
+                "proxy/proxy.py",
             )
         )
     return rows
@@ -541,42 +541,42 @@
             f"{figure(t.LARGEST_GROUP / (t.CONNECTIONS / t.SERVERS_2))} with {t.SERVERS_2:,}",
             f"at the mean of {figure(t.CONNECTIONS_PER_SERVER)} connections a server; draws walk "
             f"{RING_WALK} servers of the ring and then the whole list",
-            "choice.py, ring.py",
+            "balancing/balancer.py, balancing/hash_ring.py",
         ),
         Row(
             "the group of 850,000",
             "its coming back at once, at a node",
             f"{figure(members)} requests, {figure(members * opened.value * US)} s of a core",
             opened.how,
-            "core.py",
+            "proxy/proxy.py",
         ),
         Row(
             "the group of 850,000",
             "its coming back at once, at servers",
             f"{figure(t.LARGEST_GROUP / RING_WALK)} at each of {RING_WALK}",
             f"all nodes walk the same {RING_WALK} servers first",
-            "choice.py, ring.py",
+            "balancing/balancer.py, balancing/hash_ring.py",
         ),
         Row(
             "a line to the whole group",
             "lines",
             f"{figure(t.LARGEST_GROUP)} at once, {figure(members)} a node",
             f"{figure(t.LARGEST_GROUP / t.LINES_PER_S * 1e3)} ms of the whole fleet's rate",
-            "net/backend.py",
+            "upstream/connections.py",
         ),
         Row(
             "the mean group",
             "members, nodes",
             f"{figure(t.CONNECTIONS / t.GROUPS)} members on as many nodes at most",
             "100 M / 800,000",
-            "choice.py",
+            "balancing/balancer.py",
         ),
         Row(
             "groups of a node",
             "the module's request",
             f"{figure(by_groups.value)} µs",
             by_groups.how,
-            "choice.py",
+            "balancing/balancer.py",
         ),
     ]
 
--- a/bench/wave.py
+++ b/bench/wave.py
@@ -14,7 +14,8 @@
 import sys
 from typing import Any
 
-from gradegap import interface as api
+from gradegap.balancing.actions import Forward
+from gradegap.balancing.events import Event, RequestArrived
 from tests.test_wave import INVENTORY, Fleet
 
 
@@ -27,12 +28,12 @@
         self.deadlines: dict[int, float] = {}
         super().__post_init__()
 
-    def feed(self, node: Any, event: api.Event) -> None:
-        if isinstance(event, api.Request):
+    def feed(self, node: Any, event: Event) -> None:
+        if isinstance(event, RequestArrived):
             self.deadlines[event.id] = event.deadline_at
         super().feed(node, event)
 
-    def send(self, node: Any, send: api.Send) -> None:
+    def send(self, node: Any, send: Forward) -> None:
         tries = self.tries[send.id] = self.tries.get(send.id, 0) + 1
         left = self.deadlines[send.id] - self.now
         tries_left = node.set.max_attempts - tries + 1
--- a/gradegap/__init__.py
+++ b/gradegap/__init__.py
@@ -1,6 +1,6 @@
 """gradegap: a node that places long-lived connections, and its decisions."""
 
-from gradegap.choice import Balancer
+from gradegap.balancing.balancer import Balancer
 
 VERSION = "0.2.0"
 
--- /dev/null
+++ b/gradegap/admin/__init__.py
@@ -0,0 +1,1 @@
+"""The operators' HTTP API of one node."""
--- a/gradegap/net/console.py
+++ b/gradegap/admin/http_api.py
@@ -11,7 +11,7 @@
 import httptools
 import structlog
 
-from gradegap.stats import Stats
+from gradegap.metrics import Metrics
 
 log = structlog.get_logger()
 
@@ -94,7 +94,7 @@
 class Caller(asyncio.Protocol):
     """A connection to the console: one call, one answer."""
 
-    def __init__(self, console: Console) -> None:
+    def __init__(self, console: AdminApi) -> None:
         self.console = console
         self.loop = console.loop
         self.transport: asyncio.Transport | None = None
@@ -205,10 +205,10 @@
         self.console.left(self)
 
 
-class Console:
+class AdminApi:
     """The listener, and who calls."""
 
-    def __init__(self, node: Operations, loop: asyncio.AbstractEventLoop, stats: Stats) -> None:
+    def __init__(self, node: Operations, loop: asyncio.AbstractEventLoop, stats: Metrics) -> None:
         self.node = node
         self.loop = loop
         self.stats = stats
@@ -251,4 +251,4 @@
                 caller.close()
 
 
-__all__ = ["CALLERS_MOST", "DONE", "Caller", "Console", "Done", "Verdict", "route"]
+__all__ = ["CALLERS_MOST", "DONE", "AdminApi", "Caller", "Done", "Verdict", "route"]
--- /dev/null
+++ b/gradegap/balancing/actions.py
@@ -0,0 +1,63 @@
+"""What the decisions answer with: actions, to be carried out in their order.
+
+All times are lengths in seconds, as floats. Nothing in this file decides anything.
+"""
+
+from __future__ import annotations
+
+import math
+from typing import NamedTuple
+
+
+class Forward(NamedTuple):
+    """Start one attempt: open a connection to the endpoint for this request."""
+
+    id: int
+    server: str
+    timeout: float  # s until the attempt has failed
+    begin_within: float = math.inf  # s after which the first line may not be written any more
+
+
+class Reject(NamedTuple):
+    """Final answer: trying again is harmless, after a while where one is given."""
+
+    id: int
+    retry_after: float = 0.0  # s; 0: no advice
+
+
+class Fail(NamedTuple):
+    """Final answer that promises nothing."""
+
+    id: int
+
+
+class Migrate(NamedTuple):
+    """End an established connection politely; its client comes again."""
+
+    id: int
+
+
+class SetTimer(NamedTuple):
+    """Send `TimerFired` with this token after a while."""
+
+    wait: float  # s
+    token: str
+
+
+class CheckHealth(NamedTuple):
+    """Ask an endpoint for its load report; `HealthCheckEnded` has the result."""
+
+    server: str
+
+
+class WatchEndpoints(NamedTuple):
+    """Ask discovery for changes of the endpoint list from now on."""
+
+
+class LogMessage(NamedTuple):
+    """A line for the log."""
+
+    text: str
+
+
+Action = Forward | Reject | Fail | Migrate | SetTimer | CheckHealth | WatchEndpoints | LogMessage
--- a/gradegap/choice.py
+++ b/gradegap/balancing/balancer.py
@@ -1,4 +1,4 @@
-"""Every decision of gradegap; its types, events and actions are in `interface.py`.
+"""Every decision of gradegap. Its types are in `events.py`, `actions.py` and `settings.py`.
 
 A `Balancer` is one proxy. It is fed events with the clock and answers with actions, and knows no more.
 
@@ -16,13 +16,50 @@
 from random import Random
 from typing import Any, get_args
 
-from gradegap import interface as api
-from gradegap import ring, told
-from gradegap.capacity import SURE_FROM, Capacity, is_cold
-from gradegap.cold import Cold
-from gradegap.figures import Figures
-from gradegap.rates import Rate, Usual
-from gradegap.worth import Worth
+from gradegap.balancing import connection_estimates as told
+from gradegap.balancing import hash_ring as ring
+from gradegap.balancing.actions import (
+    Action,
+    CheckHealth,
+    Fail,
+    Forward,
+    Migrate,
+    Reject,
+    SetTimer,
+    WatchEndpoints,
+)
+from gradegap.balancing.capacity import SURE_FROM, Capacity, is_cold
+from gradegap.balancing.events import (
+    NEVER_RAN,
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    ConnectionEstablished,
+    ConnectionInherited,
+    ConnectionObserved,
+    EndpointEntry,
+    EndpointList,
+    EndpointListKind,
+    EndpointPhase,
+    Event,
+    HealthCheckEnded,
+    ProxyDraining,
+    ProxyResumed,
+    RequestArrived,
+    TimerFired,
+)
+from gradegap.balancing.priority import PriorityWeights
+from gradegap.balancing.rates import BaselineRate, DecayingRate
+from gradegap.balancing.report_statistics import ReportStatistics
+from gradegap.balancing.settings import (
+    ClassSettings,
+    DeduplicationScope,
+    Idempotency,
+    ReportSource,
+    Settings,
+    WeightMeaning,
+)
+from gradegap.balancing.slow_start import SlowStart
 
 NEVER = -1e9  # a clock time before all others
 BETA_SCALE = 1.0  # factor on the paper's beta, which leaves the constant open
@@ -69,7 +106,7 @@
     zone: str = ""
     is_local: bool = True
     cell: int = 0
-    phase: api.Phase = api.Phase.GONE
+    phase: EndpointPhase = EndpointPhase.GONE
     weight: float = 1.0
     started_at: float = 0.0
     index: int = -1  # place in the list of ready servers; -1: not in it
@@ -102,7 +139,7 @@
 @dataclass(slots=True, eq=False)
 class _Req:
     id: int
-    cls: api.ClassSettings
+    cls: ClassSettings
     arrived: float
     deadline: float
     most: int = 1  # attempts, by the settings that it came under
@@ -131,9 +168,9 @@
 class Balancer:
     """One proxy's decisions: `handle(now, event)` returns the actions to carry out, in order."""
 
-    def __init__(self, settings: api.Settings, seed: int) -> None:
+    def __init__(self, settings: Settings, seed: int) -> None:
         self.rng = Random(seed)
-        self.worth = Worth(settings)
+        self.worth = PriorityWeights(settings)
         self.random = self.rng.random
         self.servers: dict[str, _Server] = {}
         self.ready: list[_Server] = []
@@ -141,13 +178,17 @@
         self.n_log_n = 0.0
         self.adopt(settings)
         self.reqs: dict[int, _Req] = {}
-        self.out: list[api.Action] = []
+        self.out: list[Action] = []
         self.born = NEVER
-        self.usual = Usual()
+        self.usual = BaselineRate()
         self.began_with = 0
-        self.stood, self.came, self.lost = Rate(), Rate(), Rate()  # what stood, was sent, failed once sent
-        self.figures, self.capacity = Figures(), Capacity()
-        self.cold = Cold(self.capacity)
+        self.stood, self.came, self.lost = (
+            DecayingRate(),
+            DecayingRate(),
+            DecayingRate(),
+        )  # what stood, was sent, failed once sent
+        self.figures, self.capacity = ReportStatistics(), Capacity()
+        self.cold = SlowStart(self.capacity)
         self.tokens = PROBES_SAVED / 2
         self.ticking = self.asking = self.leave_due = self.ending = False
         self.empty_by = 0.0  # this proxy leaves: all its connections are moved by then
@@ -155,19 +196,19 @@
         self.lead, self.list_failures = LEAD, 0
         self.answering = 1.0  # part of probes of late that were answered
         self.now = 0.0
-        handlers = {kind: getattr(self, f"_on_{kind.__name__.lower()}") for kind in get_args(api.Event)}
+        handlers = {kind: getattr(self, f"_on_{kind.__name__.lower()}") for kind in get_args(Event)}
         self.on: dict[type, Callable[[Any], None]] = handlers
 
-    def adopt(self, settings: api.Settings) -> None:
+    def adopt(self, settings: Settings) -> None:
         """Settings to decide by from now on."""
         self.set = settings
         self.worth.adopt(settings)
-        self.by_probe = settings.probes and settings.reports is not api.Reports.NONE
+        self.by_probe = settings.probes and settings.reports is not ReportSource.NONE
         self.field = next((f for f in COMPARED if f in settings.report_fields), "")
         self.use_ring = settings.groups or settings.passes
         self.cross = CROSSING * settings.cross_zone_price
 
-    def handle(self, now: float, event: api.Event) -> list[api.Action]:
+    def handle(self, now: float, event: Event) -> list[Action]:
         self.now = now
         self.born = self.cold.born = now if self.born == NEVER else self.born
         self.out = []
@@ -176,22 +217,22 @@
 
     # The list of servers
 
-    def _on_serverlist(self, e: api.ServerList) -> None:
-        if e.kind is api.ListKind.FAILED:
+    def _on_endpointlist(self, e: EndpointList) -> None:
+        if e.kind is EndpointListKind.FAILED:
             # Guards against a list service that drowns: each proxy waits longer after every failure.
             self.asking = False
             self.list_failures += 1
             self._ask_later(min(1.0, 0.1 * 2.0**self.list_failures) * (0.5 + self.random()))
             return
-        if e.kind is not api.ListKind.DELTA:
+        if e.kind is not EndpointListKind.DELTA:
             named = {entry.server for entry in e.entries}
             for s in list(self.servers.values()):
                 if s.name not in named:
-                    self._set_phase(s, api.Phase.GONE)
+                    self._set_phase(s, EndpointPhase.GONE)
         for entry in e.entries:
-            self._entry(entry, e.kind is api.ListKind.DELTA)
+            self._entry(entry, e.kind is EndpointListKind.DELTA)
         self.n_log_n = len(self.ready) * math.log(max(1, len(self.ready)))
-        if e.kind is not api.ListKind.CACHED:
+        if e.kind is not EndpointListKind.CACHED:
             self.asking, self.list_failures = False, 0
         elif self.set.ask_for_list:
             self._ask_later(ASK_SPREAD * self.random() * min(1.0, self.set.balancers / 10))
@@ -199,54 +240,54 @@
     def _ask_later(self, part: float) -> None:
         if self.set.ask_for_list and not self.asking:
             self.asking = True
-            self.out.append(api.SetTimer(part * self.set.ask_within, "list"))
+            self.out.append(SetTimer(part * self.set.ask_within, "list"))
 
     def _known(self, name: str) -> _Server:
         return self.servers.setdefault(name, _Server(name))
 
-    def _entry(self, e: api.ServerEntry, renewed: bool) -> None:
+    def _entry(self, e: EndpointEntry, renewed: bool) -> None:
         s = self._known(e.server)
         s.size = max(s.size, e.weight)
         if e.started_at > s.started_at:  # a new process: what was known of the old one is void
             s.started_at, s.load, s.unit, s.raw = e.started_at, None, 0.0, (None, None)
             s.silent, s.failed, s.out_until = 0, 0, 0.0
             s.seen_at = s.looked_at = s.told_at = NEVER
-        elif s.cores and renewed and s.index >= 0 and e.phase is api.Phase.READY:
+        elif s.cores and renewed and s.index >= 0 and e.phase is EndpointPhase.READY:
             # Where a phase changes, and in whole lists, the weight is the size and tells nothing of them.
             s.told, s.told_at = told.held(s.size, e.weight, s.cores), self.now
         s.zone, s.cell, s.weight, s.leaves_in = e.zone, e.cell, e.weight, e.leaves_in
         s.is_local = not e.zone or not self.set.zone or e.zone == self.set.zone
         self._set_phase(s, e.phase)
 
-    def _set_phase(self, s: _Server, phase: api.Phase) -> None:
+    def _set_phase(self, s: _Server, phase: EndpointPhase) -> None:
         s.phase = phase
-        if phase is api.Phase.READY and s.index < 0:
+        if phase is EndpointPhase.READY and s.index < 0:
             s.index = len(self.ready)
             self.ready.append(s)
             ring.add(self.ring, s.name)
-        elif phase is not api.Phase.READY and s.index >= 0:
+        elif phase is not EndpointPhase.READY and s.index >= 0:
             last = self.ready.pop()
             if last is not s:
                 self.ready[s.index] = last
                 last.index = s.index
             s.index = -1
             ring.remove(self.ring, s.name)
-        if phase is api.Phase.READY:
+        if phase is EndpointPhase.READY:
             s.drains_at = 0.0
         elif s.held:
             self._empty(s)
-        elif phase is api.Phase.GONE:
+        elif phase is EndpointPhase.GONE:
             self.servers.pop(s.name, None)
 
     # A request's way
 
-    def _on_request(self, e: api.Request) -> None:
+    def _on_requestarrived(self, e: RequestArrived) -> None:
         r = self.reqs[e.id] = self._made(e, self.set.classes[e.cls])
         again = e.retry or e.reconnect
         self.tokens = min(PROBES_SAVED, self.tokens + (PROBES_PER_RETURN if again else PROBES_PER_REQUEST))
         self._draw(r)
 
-    def _made(self, e: api.Request, cls: api.ClassSettings) -> _Req:
+    def _made(self, e: RequestArrived, cls: ClassSettings) -> _Req:
         r = _Req(e.id, cls, self.now, e.deadline_at, self.set.max_attempts, e.reconnect, e.tenant)
         r.ring_key = (e.team or (e.key if self.set.passes else "")) if self.use_ring else ""
         r.worth = self.worth.of(cls, e.tenant)
@@ -283,7 +324,7 @@
         else:
             # Guards against a silent probe: a request never waits longer than this for one.
             left = r.deadline - GUARD - self.now
-            self.out.append(api.SetTimer(max(0.0, min(HOLD * r.cls.aim, left)), f"h{r.id}"))
+            self.out.append(SetTimer(max(0.0, min(HOLD * r.cls.aim, left)), f"h{r.id}"))
 
     def _pick(self, r: _Req, other: _Server | None) -> _Server | None:
         """A uniform draw from the ready list, drawn again where a stated condition rules it out."""
@@ -414,11 +455,11 @@
                 return self._draw(r)
         keep = a
         if a is not b:
-            if self.by_probe or self.set.reports is api.Reports.ANSWERS:
+            if self.by_probe or self.set.reports is ReportSource.ANSWERS:
                 fa, fb = self._figure(a, r), self._figure(b, r)
                 oldest = min(max(s.seen_at, s.told_at) for s in (a, b))
                 age = 0.0 if None in (fa, fb) else self.now - oldest
-            elif self.set.weights is api.Weights.LIVE:
+            elif self.set.weights is WeightMeaning.LIVE:
                 fa, fb, age = 1.0 / max(a.weight, 1e-9), 1.0 / max(b.weight, 1e-9), 0.0
             else:  # no reports at all: our own connections are all that can be counted
                 fa, fb, age = len(a.held) / max(a.weight, 1e-9), len(b.held) / max(b.weight, 1e-9), 0.0
@@ -470,11 +511,17 @@
         s.own_at = self.now
         if s.failed >= OUT_FROM:  # one at a time finds out whether it is back
             s.out_until = self.now + OUT_FIRST
-        self.out.append(api.Send(r.id, s.name, timeout, r.bound_until - self.now))
+        self.out.append(Forward(r.id, s.name, timeout, r.bound_until - self.now))
 
     def _group_of(self, s: _Server, r: _Req) -> Any:
         group = r.cls.group
-        return s.zone if group is api.RepeatGroup.ZONE else s.cell if group is api.RepeatGroup.CELL else True
+        return (
+            s.zone
+            if group is DeduplicationScope.ZONE
+            else s.cell
+            if group is DeduplicationScope.CELL
+            else True
+        )
 
     def _out(self, s: _Server, times: int) -> None:
         """Condition: probes or attempts came to nothing, several in a row. Draws pass the server by for a
@@ -487,22 +534,22 @@
         if self.now - r.arrived >= r.cls.aim or r.deadline - self.now <= 2 * GUARD:
             return self._give_up(r)
         wait = min(r.cls.aim / 4 * (0.5 + self.random()), r.deadline - GUARD - self.now)
-        self.out.append(api.SetTimer(max(0.0, wait), f"h{r.id}"))
+        self.out.append(SetTimer(max(0.0, wait), f"h{r.id}"))
 
     def _give_up(self, r: _Req) -> None:
         """The one final answer, where no attempt is out: a refusal if that is true, else a failure."""
         r.done = True
         del self.reqs[r.id]
-        may_refuse = not r.maybe_ran or r.cls.repeat is api.Repeat.SAFE
-        if r.cls.repeat is api.Repeat.KEYED and r.maybe_ran and r.cls.group is api.RepeatGroup.ALL:
+        may_refuse = not r.maybe_ran or r.cls.repeat is Idempotency.SAFE
+        if r.cls.repeat is Idempotency.KEYED and r.maybe_ran and r.cls.group is DeduplicationScope.ALL:
             may_refuse = self.now < r.bound_until
         most = min(LEAVE_LAG, self.set.max_retry_after) if self.ending else self.set.max_retry_after
         after = most * (0.5 + 0.5 * self.random())
-        self.out.append(api.Refuse(r.id, after) if may_refuse else api.Fail(r.id))
+        self.out.append(Reject(r.id, after) if may_refuse else Fail(r.id))
 
     # What comes back
 
-    def _on_established(self, e: api.Established) -> None:
+    def _on_connectionestablished(self, e: ConnectionEstablished) -> None:
         r = self.reqs.get(e.id)
         if r is None or r.server is None:
             return
@@ -510,7 +557,7 @@
         s = r.server
         s.silent, s.failed, s.out_until = 0, 0, 0.0  # whatever its probes say, it serves
         self._hold(s, r)
-        if s.phase is not api.Phase.READY:  # it began to drain while this one was set up
+        if s.phase is not EndpointPhase.READY:  # it began to drain while this one was set up
             self._empty(s)
         self.stood.add(self.now)
         if r.again and self.owed >= 1.0:
@@ -533,7 +580,7 @@
             del s.teams[r.ring_key]
         return True
 
-    def _on_outcome(self, e: api.Outcome) -> None:
+    def _on_attemptended(self, e: AttemptEnded) -> None:
         if e.report and e.server in self.servers:
             self._read(self.servers[e.server], e.report)
         r = self.reqs.get(e.id)
@@ -543,46 +590,50 @@
         r.out = False
         if s is not None:
             held = self._let_go(s, r)
-            broke = held and e.result is api.Result.RESET
+            broke = held and e.result is AttemptResult.RESET
             self.owed += broke
-            if broke and not s.held and s.phase is api.Phase.DRAINING and not s.leaves_in:
+            if broke and not s.held and s.phase is EndpointPhase.DRAINING and not s.leaves_in:
                 self.lead = max(0.3, min(self.lead, self.now - s.drains_at))  # it stopped before the end
-            if s.phase is api.Phase.GONE and not s.held:
+            if s.phase is EndpointPhase.GONE and not s.held:
                 self.servers.pop(s.name, None)
         if e.settled or r.done or r.standing:
             r.done = True
             del self.reqs[r.id]
             return
-        if s is not None and e.result not in (api.Result.FULL, api.Result.CANCELLED, api.Result.MOOT):
+        if s is not None and e.result not in (
+            AttemptResult.FULL,
+            AttemptResult.CANCELLED,
+            AttemptResult.MOOT,
+        ):
             s.failed += 1
             self._out(s, s.failed if self._excess() <= 0 else 0)  # what fails anywhere is no server's fault
-            if e.result is not api.Result.CONNECT_FAILED:
+            if e.result is not AttemptResult.CONNECT_FAILED:
                 self.lost.add(self.now)
-        if e.result not in api.NEVER_RAN:
+        if e.result not in NEVER_RAN:
             r.maybe_ran = True
-            if r.cls.repeat is api.Repeat.KEYED and r.bound is None and s is not None:
+            if r.cls.repeat is Idempotency.KEYED and r.bound is None and s is not None:
                 r.bound, r.bound_until = self._group_of(s, r), r.sent_at + r.cls.repeat_window
         left = r.deadline - self.now
-        spent = r.attempts >= r.most or left <= 2 * GUARD or e.result is api.Result.MOOT
-        if spent or (r.maybe_ran and r.cls.repeat is api.Repeat.UNSAFE):
+        spent = r.attempts >= r.most or left <= 2 * GUARD or e.result is AttemptResult.MOOT
+        if spent or (r.maybe_ran and r.cls.repeat is Idempotency.UNSAFE):
             self._give_up(r)
         else:
             self._draw(r)
 
-    def _on_clientgone(self, e: api.ClientGone) -> None:
+    def _on_clientdisconnected(self, e: ClientDisconnected) -> None:
         if (r := self.reqs.get(e.id)) is not None:
             r.done = True
             if not r.out:
                 del self.reqs[r.id]
 
-    def _on_inherited(self, e: api.Inherited) -> None:
+    def _on_connectioninherited(self, e: ConnectionInherited) -> None:
         q = e.request
         classes = self.set.classes
         r = self._made(q, classes.get(q.cls) or next(iter(classes.values())))  # a reload took it
         s = self._known(e.server)
         r.attempts, r.out, r.standing, r.server = 1, True, True, s
         self._hold(s, r)
-        if s.phase is api.Phase.DRAINING:
+        if s.phase is EndpointPhase.DRAINING:
             self._empty(s)
         self.reqs[r.id] = r
         self.began_with += 1
@@ -595,21 +646,21 @@
         if s.probing < self.now - 1.0:
             s.probing = self.now
             self.tokens -= 1
-            self.out.append(api.Probe(s.name))
+            self.out.append(CheckHealth(s.name))
 
-    def _on_proberesult(self, e: api.ProbeResult) -> None:
+    def _on_healthcheckended(self, e: HealthCheckEnded) -> None:
         s = self.servers.get(e.server)
         if s is None:
             return
         s.probing = NEVER
-        if e.result is api.Result.OK:
+        if e.result is AttemptResult.OK:
             if e.report:
                 self._read(s, e.report)
             s.silent = 0
             if s.failed < OUT_FROM:
                 s.out_until = 0.0
             self.answering += 0.05 * (1.0 - self.answering)
-        elif e.result is not api.Result.FULL:  # its probes are capped: no sign of trouble
+        elif e.result is not AttemptResult.FULL:  # its probes are capped: no sign of trouble
             s.silent += 1
             self._out(s, s.silent)
             self.answering -= 0.05 * self.answering
@@ -637,7 +688,7 @@
         self.figures.changed(gap, s.raw, (value, count))
         s.raw = (value, count)
         s.seen_at = self.now
-        if self.set.weights is api.Weights.LIVE:
+        if self.set.weights is WeightMeaning.LIVE:
             s.cores = told.cores(s.cores, s.size, s.weight, count)
         piled = report.get("x1", 0.0)
         if self.field == "inflight":
@@ -680,7 +731,7 @@
                 self._let_go(r.server, r)
             r.done = True
             self.owed += 1.0
-            self.out.append(api.Move(r.id))
+            self.out.append(Migrate(r.id))
 
     def _empty(self, s: _Server) -> None:
         """Condition: a server drains or is gone. What stands is moved before it leaves, not in one wave."""
@@ -689,12 +740,12 @@
             first, last = LEAD_FROM * self.lead, LEAD_TO * self.lead
             if s.leaves_in:
                 first, last = SOON_FROM * s.leaves_in, SOON_TO * s.leaves_in
-            if s.phase is api.Phase.GONE:
+            if s.phase is EndpointPhase.GONE:
                 first, last = 0.0, GONE_TIME
             s.empty_by = self.now + last
-            self.out.append(api.SetTimer(first + LEAVE_TICK * self.random(), f"e{s.name}"))
+            self.out.append(SetTimer(first + LEAVE_TICK * self.random(), f"e{s.name}"))
 
-    def _on_leaving(self, e: api.Leaving) -> None:
+    def _on_proxydraining(self, e: ProxyDraining) -> None:
         """Condition: this proxy itself stops. All that it holds is moved by then, paced likewise. Where its
         process ends, what waits is refused at once: a connection stood up now would only be moved."""
         self.empty_by = min(self.empty_by or e.by, e.by)
@@ -703,9 +754,9 @@
             self._give_up(r)
         if not self.leave_due:
             self.leave_due = True
-            self.out.append(api.SetTimer(min(LEAVE_LAG, max(0.0, e.by - self.now)), "leave"))
+            self.out.append(SetTimer(min(LEAVE_LAG, max(0.0, e.by - self.now)), "leave"))
 
-    def _on_returned(self, e: api.Returned) -> None:
+    def _on_proxyresumed(self, e: ProxyResumed) -> None:
         """Condition: this proxy stays after all, with what it still holds."""
         self.empty_by = self.owed = 0.0
 
@@ -714,9 +765,9 @@
         rounds = max(1, int((by - self.now) / LEAVE_TICK))
         held.sort(key=lambda r: r.cls.worth * (0.5 + self.random()), reverse=True)
         self._move(held[: math.ceil(len(held) / rounds)])
-        self.out.append(api.SetTimer(LEAVE_TICK, token))
+        self.out.append(SetTimer(LEAVE_TICK, token))
 
-    def _on_note(self, e: api.Note) -> None:
+    def _on_connectionobserved(self, e: ConnectionObserved) -> None:
         """Messages take long at a server: look at it. Or a connection's load is told."""
         if e.load and (r := self.reqs.get(e.id)) is not None:
             self.worth.told(r.cls.name, e.load)
@@ -728,7 +779,7 @@
     def _start_ticking(self) -> None:
         if self.by_probe and not self.ticking:
             self.ticking = True
-            self.out.append(api.SetTimer(LOOK_FAST * (0.5 + self.random()), "look"))
+            self.out.append(SetTimer(LOOK_FAST * (0.5 + self.random()), "look"))
 
     def _look(self) -> None:
         """Probe servers that hold our connections: often where full, seldom where idle."""
@@ -744,13 +795,13 @@
             nearest = min(nearest, due)
         self.ticking = bool(seen) and self.by_probe
         if self.ticking:
-            self.out.append(api.SetTimer(max(0.5, nearest) * (0.75 + 0.5 * self.random()), "look"))
+            self.out.append(SetTimer(max(0.5, nearest) * (0.75 + 0.5 * self.random()), "look"))
 
-    def _on_timer(self, e: api.Timer) -> None:
+    def _on_timerfired(self, e: TimerFired) -> None:
         if e.token == "look":
             self._look()
         elif e.token == "list":
-            self.out.append(api.WatchList())
+            self.out.append(WatchEndpoints())
         elif e.token == "leave":
             self.leave_due = self.empty_by > 0.0
             if self.leave_due:
--- a/gradegap/capacity.py
+++ b/gradegap/balancing/capacity.py
@@ -7,7 +7,7 @@
 from statistics import median_low
 from typing import Protocol
 
-from gradegap import interface as api
+from gradegap.balancing.settings import Settings
 
 LOOK_EVERY = 0.25  # s between two looks at what is known of the servers
 SURE_FROM = 3.0  # connections from which a report says what one adds: a group's cost hides it in fewer
@@ -38,7 +38,7 @@
         self.mean_size = 0.0  # of the ready servers
         self.cold_count = 0  # of them
 
-    def look(self, now: float, ready: Sequence[Server], settings: api.Settings) -> None:
+    def look(self, now: float, ready: Sequence[Server], settings: Settings) -> None:
         """Looks at what is known of the servers, unless it did so just now.
 
         Servers that hold a few connections tell it surely, then any warm ones. Where those tell nothing, the
@@ -65,7 +65,7 @@
         """Returns how many connections fill a warm server of the mean size; 0: not known."""
         return self.mean_size / self.per_size if self.per_size > SMALLEST else 0.0
 
-    def present_share(self, server: Server, now: float, settings: api.Settings) -> float:
+    def present_share(self, server: Server, now: float, settings: Settings) -> float:
         """Returns what a cold server surely bears now, of an even share.
 
         That is its capacity by the slowest ramp there may be, and less where it is smaller than the others. A
@@ -80,6 +80,6 @@
     return [server.unit * server.size for server in servers if server.unit > 0.0]
 
 
-def is_cold(server: Server, now: float, settings: api.Settings) -> bool:
+def is_cold(server: Server, now: float, settings: Settings) -> bool:
     """Returns whether a server may still be cold; a start ahead of our clock counts as one just now."""
     return server.started_at > 0.0 and now - server.started_at < settings.cold_time
--- /dev/null
+++ b/gradegap/balancing/events.py
@@ -0,0 +1,162 @@
+"""What the decisions are told: events, and the values that they are made of.
+
+All times are seconds as floats: clock times where a field ends in `_at`, lengths otherwise.
+Nothing in this file decides anything.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from enum import IntEnum
+from typing import NamedTuple
+
+
+class EndpointPhase(IntEnum):
+    """Where an endpoint stands in its life, as discovery says."""
+
+    GONE = 0
+    READY = 1
+    DRAINING = 2
+
+
+class EndpointListKind(IntEnum):
+    """What an `EndpointList` is."""
+
+    FAILED = 0  # a call to discovery failed, or the watch broke
+    CACHED = 1  # the whole list as this proxy last held it
+    DELTA = 2  # changed entries only
+    FULL = 4  # the whole list
+
+
+class AttemptResult(IntEnum):
+    """How an attempt or a health check ended."""
+
+    OK = 10
+    ERROR = 20  # the endpoint answered with an error; may have run
+    FULL = 30  # rejected unseen; never ran
+    TIMEOUT = 40  # may have run
+    CONNECT_FAILED = 50  # never ran
+    RESET = 60  # may have run
+    CANCELLED = 70  # may have run
+    MOOT = 80  # never sent
+
+
+NEVER_RAN = frozenset({AttemptResult.FULL, AttemptResult.CONNECT_FAILED, AttemptResult.MOOT})
+
+
+class EndpointEntry(NamedTuple):
+    """One endpoint of the endpoint list."""
+
+    server: str
+    zone: str = ""
+    cell: int = 0
+    phase: EndpointPhase = EndpointPhase.READY
+    weight: float = 1.0
+    started_at: float = 0.0  # latest start; 0: long ago
+    leaves_in: float = 0.0  # s that it stays from when it is told to drain; 0: not told
+
+
+class EndpointList(NamedTuple):
+    """The endpoint list, whole or in part, or that it could not be had."""
+
+    kind: EndpointListKind
+    entries: tuple[EndpointEntry, ...] = ()
+
+
+class RequestArrived(NamedTuple):
+    """A client asks for a connection."""
+
+    id: int
+    cls: str
+    deadline_at: float
+    tenant: str = ""
+    key: str = ""
+    team: str = ""  # connections of one group share work on an endpoint
+    load: float = 0.0  # expected load; 0: not told
+    retry: bool = False
+    mid_flow: bool = False
+    reconnect: bool = False
+
+
+class ConnectionInherited(NamedTuple):
+    """A connection that already stands, through this proxy, at its start: its attempt 0."""
+
+    request: RequestArrived
+    server: str
+
+
+class ConnectionEstablished(NamedTuple):
+    """The endpoint has taken the connection."""
+
+    id: int
+    attempt: int
+    server: str
+    spent: float  # s since the attempt began
+
+
+class ConnectionObserved(NamedTuple):
+    """What was seen of an established connection: its load now, or how long a message takes."""
+
+    id: int
+    server: str
+    load: float | None = None
+    message_delay: float | None = None  # s
+
+
+class AttemptEnded(NamedTuple):
+    """The one outcome of an attempt, or the end of its connection."""
+
+    id: int
+    attempt: int
+    server: str
+    result: AttemptResult
+    spent: float  # s since the attempt began
+    settled: bool  # the client has its final answer
+    report: Mapping[str, float] | None = None
+
+
+class ClientDisconnected(NamedTuple):
+    """The client has gone away."""
+
+    id: int
+
+
+class TimerFired(NamedTuple):
+    """A timer that `SetTimer` asked for is due."""
+
+    token: str
+
+
+class HealthCheckEnded(NamedTuple):
+    """What a health check came to, with the load report that it brought."""
+
+    server: str
+    result: AttemptResult
+    spent: float  # s
+    report: Mapping[str, float] | None = None
+
+
+class ProxyDraining(NamedTuple):
+    """This proxy is about to stop: every connection it holds must have been told to migrate by then."""
+
+    by: float
+    ends: bool = False  # its process ends as well: whatever is not out to an endpoint by now never will be
+
+
+class ProxyResumed(NamedTuple):
+    """This proxy stays after all: `ProxyDraining` is taken back."""
+
+
+Event = (
+    EndpointList
+    | RequestArrived
+    | ConnectionInherited
+    | ConnectionEstablished
+    | ConnectionObserved
+    | AttemptEnded
+    | ClientDisconnected
+    | TimerFired
+    | HealthCheckEnded
+    | ProxyDraining
+    | ProxyResumed
+)
--- a/gradegap/worth.py
+++ b/gradegap/balancing/priority.py
@@ -7,26 +7,26 @@
 
 from __future__ import annotations
 
-from gradegap import interface as api
+from gradegap.balancing.settings import ClassSettings, Settings
 
 LEARN = 0.02  # part of one connection's load in its class's mean
 SLACK = 1.1  # how far over its share a tenant is reckoned before it counts: own connections are but a sample
 
 
-class Worth:
+class PriorityWeights:
     """Worth by class and tenant, as one proxy knows it."""
 
     __slots__ = ("held", "loads", "set")
 
-    def __init__(self, settings: api.Settings) -> None:
+    def __init__(self, settings: Settings) -> None:
         self.held: dict[str, int] = {}  # own connections by tenant
         self.loads: dict[str, float] = {}  # of a connection, by class, in no certain unit
         self.adopt(settings)
 
-    def adopt(self, settings: api.Settings) -> None:
+    def adopt(self, settings: Settings) -> None:
         self.set = settings
 
-    def _rate(self, cls: api.ClassSettings) -> float:
+    def _rate(self, cls: ClassSettings) -> float:
         """Worth a second for a unit of load; where a class's load is not known, no class's is used."""
         known = len(self.loads) >= len(self.set.classes)
         return cls.worth / self.loads.get(cls.name, 1.0) if known else cls.worth
@@ -50,7 +50,7 @@
         stand = (self.held.get(tenant, 0) + 1) * self.set.balancers
         return max(0.0, 1.0 - SLACK * told.quota / stand)
 
-    def of(self, cls: api.ClassSettings, tenant: str) -> float:
+    def of(self, cls: ClassSettings, tenant: str) -> float:
         """From 0 to 1: the worth of serving one more, for its load, over the most that any class is worth."""
         beyond = (1.0 - self.set.over_share_worth) * self.over(tenant)
         top = max(self._rate(c) for c in self.set.classes.values()) or 1.0
--- a/gradegap/rates.py
+++ b/gradegap/balancing/rates.py
@@ -8,7 +8,7 @@
 FAST = 2.0  # s: memory of the rate in a wave
 
 
-class Rate:
+class DecayingRate:
     """Events a second of late: the larger of a long and a short memory, so it rises at once in a wave."""
 
     __slots__ = ("at", "fast", "slow")
@@ -28,7 +28,7 @@
         return max(self.slow * math.exp((self.at - now) / SLOW), self.late(now))
 
 
-class Usual:
+class BaselineRate:
     """The usual number of something, as of late."""
 
     __slots__ = ("at", "number")
@@ -44,7 +44,7 @@
             self.at = now
 
 
-class Timing:
+class LatencyEstimate:
     """How long something takes: a smoothed mean and deviation, and when it is late (RFC 6298)."""
 
     __slots__ = ("apart", "mean")
--- a/gradegap/figures.py
+++ b/gradegap/balancing/report_statistics.py
@@ -15,7 +15,7 @@
 Raw = tuple[float | None, float | None]
 
 
-class Figures:
+class ReportStatistics:
     """Pace and noise of reports, as one proxy has seen them."""
 
     __slots__ = ("changes", "gaps", "noise")
--- /dev/null
+++ b/gradegap/balancing/settings.py
@@ -0,0 +1,115 @@
+"""What a proxy is told at its start: classes of requests, tenants, limits and costs.
+
+All times are seconds as floats. Nothing in this file decides anything.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+from enum import Enum
+
+
+class Idempotency(Enum):
+    """What a second run of a request of a class would do."""
+
+    SAFE = "safe"  # nothing: repeat at will
+    KEYED = "keyed"  # nothing, inside the group of servers that drops repeats, for a while
+    UNSAFE = "unsafe"  # harm: repeat only when no earlier attempt can have run
+
+
+class DeduplicationScope(Enum):
+    """Which servers drop the repeats of a keyed request."""
+
+    ALL = "all"
+    ZONE = "zone"
+    CELL = "cell"
+
+
+class ReportSource(Enum):
+    """How servers report their load."""
+
+    ANSWERS = "answers"  # with outcomes and with probe results
+    PROBE = "probe"  # with probe results only
+    NONE = "none"
+
+
+class WeightMeaning(Enum):
+    """What the weight in the server list means."""
+
+    NONE = "none"
+    NOMINAL = "nominal"
+    ROUGH = "rough"
+    LIVE = "live"  # size over (1 + requests held a core), some time ago
+
+
+@dataclass(slots=True, frozen=True)
+class ClassSettings:
+    """One class of requests."""
+
+    name: str
+    aim: float = 0.5  # an answer within this has its full worth
+    limit: float = 2.0  # the client's whole wait
+    worth: float = 1.0
+    repeat: Idempotency = Idempotency.SAFE
+    group: DeduplicationScope = DeduplicationScope.ALL
+    repeat_window: float = 0.0  # keyed: how long servers remember a request
+    message_aim: float = 0.0  # wanted time of one message on a standing connection; 0: none
+
+
+@dataclass(slots=True, frozen=True)
+class TenantSettings:
+    """One customer of the fleet."""
+
+    name: str
+    quota: float = 0.0  # open connections over all proxies within its share, or requests a second; 0: none
+    share: float = 0.0  # of the service
+
+
+@dataclass(slots=True, frozen=True)
+class Settings:
+    """What one proxy is told at its start."""
+
+    classes: Mapping[str, ClassSettings]
+    balancers: int = 1
+    zone: str = ""
+    ask_for_list: bool = False  # the list comes only when asked for
+    ask_within: float = 10.0
+    drain_grace: float = 1.0
+    answer_slack: float = 0.0
+    connect_timeout: float = 0.2  # a connection not up within this has failed
+    max_attempts: int = 3
+    max_retry_after: float = 0.0  # 0: no advice is passed on to clients
+    probes: bool = True
+    reports: ReportSource = ReportSource.NONE
+    report_fields: tuple[str, ...] = ()
+    weights: WeightMeaning = WeightMeaning.NONE
+    groups: bool = False  # connections of one group share work on a server
+    passes: bool = False  # packets pass through: connections outlive the proxy
+    cold_share: float = 1.0  # a server starts with at least this part of its capacity
+    cold_time: float = 0.0  # and is warm within this time
+    fall_multiple: float = 3.0
+    fall_time: float = 1.0
+    cross_zone_price: float = 0.0  # points of service for a request that crosses zones
+    move_price: float = 0.0  # points of service for a client moved once
+    probe_price: float = 0.0  # points of service for one probe a request
+    cpu_per_request: float = 0.0  # seconds; 0: no limit
+    tenants: Mapping[str, TenantSettings] = field(default_factory=dict)
+    over_share_worth: float = 1.0  # part of its worth that a request beyond its tenant's share has
+
+    def __post_init__(self) -> None:
+        if not self.classes:
+            raise ValueError("settings name no class of requests")
+        if self.balancers < 1:
+            raise ValueError(f"balancers must be 1 or more, not {self.balancers}")
+        if self.max_attempts < 1:
+            raise ValueError(f"max_attempts must be 1 or more, not {self.max_attempts}")
+        if not 0.0 <= self.cold_share <= 1.0:
+            raise ValueError(f"cold_share must lie between 0 and 1, not {self.cold_share}")
+        lengths = ("ask_within", "drain_grace", "answer_slack", "cold_time", "fall_time", "max_retry_after")
+        for name in lengths:
+            if getattr(self, name) < 0:
+                raise ValueError(f"{name} must not be negative, but is {getattr(self, name)}")
+        for each in self.classes.values():
+            if each.aim < 0 or each.limit < 0 or each.repeat_window < 0:
+                raise ValueError(f"class {each.name!r} has a negative time")
--- a/gradegap/settings.py
+++ b/gradegap/balancing/settings_reader.py
@@ -5,10 +5,17 @@
 import math
 from typing import Any
 
-from gradegap import interface as i
+from gradegap.balancing.settings import (
+    ClassSettings,
+    DeduplicationScope,
+    Idempotency,
+    ReportSource,
+    TenantSettings,
+    WeightMeaning,
+)
 
 NS = 1e-9
-SOURCES = {"inline": i.Reports.ANSWERS, "on_probe": i.Reports.PROBE, "off": i.Reports.NONE}
+SOURCES = {"inline": ReportSource.ANSWERS, "on_probe": ReportSource.PROBE, "off": ReportSource.NONE}
 FIELDS = {
     "concurrent": "inflight",
     "depth": "queue",
@@ -17,13 +24,13 @@
     "tps": "qps",
     "err_ps": "eps",
 }
-WEIGHTS = {"off": i.Weights.NONE} | {w.value: w for w in i.Weights}
+WEIGHTS = {"off": WeightMeaning.NONE} | {w.value: w for w in WeightMeaning}
 
 Fields = dict[str, str]
 
 
 def report(text: str | None) -> dict[str, float] | None:
-    """A load report, `name:value` pairs set apart by commas, under the names of `interface.py`."""
+    """A load report, `name:value` pairs set apart by commas, under the names of `Settings.report_fields`."""
     if not text or text == "-":
         return None
     out = {}
@@ -54,13 +61,13 @@
     for k in range(int(f.get("Lanes.count", 0))):
         p = f"Lanes.{k}."
         name = f[p + "Name"]
-        classes[name] = i.ClassSettings(
+        classes[name] = ClassSettings(
             name,
             seconds(p + "AimNs"),
             seconds(p + "HardLimitNs"),
             number(p + "Points", 1.0),
-            i.Repeat(f.get(p + "Idempotency", "safe")),
-            i.RepeatGroup(f.get(p + "Group", "all")),
+            Idempotency(f.get(p + "Idempotency", "safe")),
+            DeduplicationScope(f.get(p + "Group", "all")),
             seconds(p + "DedupWindowNs"),
             float(aims[k]) * NS if k < len(aims) and aims[k] != "null" else 0.0,
         )
@@ -72,7 +79,7 @@
         quota = number(p + "QuotaPerS")
         if k < len(quotas) and quotas[k] != "null":
             quota = float(quotas[k])
-        tenants[name] = i.TenantSettings(name, quota, number(p + "Fraction"))
+        tenants[name] = TenantSettings(name, quota, number(p + "Fraction"))
     return {
         "classes": classes,
         "balancers": int(number("ReplicasOfMe", 1)),
@@ -85,9 +92,9 @@
         "max_attempts": int(number("Bounds.MaxAttempts", 1)),
         "max_retry_after": seconds("Bounds.MaxRetryAfterNs") if yes("Bounds.RetryAfter") else 0.0,
         "probes": yes("Bounds.Probes"),
-        "reports": SOURCES.get(f.get("Telemetry.Source", "off"), i.Reports.NONE),
+        "reports": SOURCES.get(f.get("Telemetry.Source", "off"), ReportSource.NONE),
         "report_fields": tuple(FIELDS.get(t, t) for t in texts("Telemetry.Fields")),
-        "weights": WEIGHTS.get(f.get("Weights", "off"), i.Weights.NONE),
+        "weights": WEIGHTS.get(f.get("Weights", "off"), WeightMeaning.NONE),
         "groups": yes("FamilyInfo.Groups"),
         "passes": f.get("FamilyInfo.Mode") == "pass",
         "cold_share": number("Rules.ColdShare", 1.0),
--- a/gradegap/cold.py
+++ b/gradegap/balancing/slow_start.py
@@ -20,9 +20,9 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from gradegap import interface as api
-from gradegap.capacity import Capacity, Server
-from gradegap.rates import SLOW, Rate
+from gradegap.balancing.capacity import Capacity, Server
+from gradegap.balancing.rates import SLOW, DecayingRate
+from gradegap.balancing.settings import Settings
 
 SAFETY = 0.8  # part of what makes a cold server fall that it is given
 DRAWN = 0.4  # part of `fall_multiple` times its capacity, by which draws of a cold server are thinned
@@ -43,7 +43,7 @@
     most: float  # that the bucket holds
 
 
-class Cold:
+class SlowStart:
     """One node's part in what all nodes send to cold servers."""
 
     __slots__ = ("born", "bucket", "capacity", "refilled_at", "settled_at", "settled_slow")
@@ -57,7 +57,7 @@
         self.settled_slow = 0.0  # the slow rate at that time
 
     def chance(
-        self, now: float, server: Server, ready: Sequence[Server], sent: Rate, settings: api.Settings
+        self, now: float, server: Server, ready: Sequence[Server], sent: DecayingRate, settings: Settings
     ) -> float:
         """Takes from the bucket what a draw that came upon a cold server may use.
 
@@ -81,7 +81,7 @@
         self.bucket -= taken
         return taken * count * self.capacity.present_share(server, now, settings)
 
-    def _refill(self, ready: int, cold: int, usual: float, settings: api.Settings) -> Refill:
+    def _refill(self, ready: int, cold: int, usual: float, settings: Settings) -> Refill:
         """Returns the larger of two that both add up: servers tell one, and this node's own sends another."""
         window = max(SHORTEST_WINDOW, settings.fall_time)
         pairs_a_draw = max(1.0, ready / (2.0 * cold))  # pairs drawn for one draw of a cold server
@@ -92,7 +92,7 @@
         told = _refill_by_capacity(ready, filled_by, window, pairs_a_draw, settings)
         return Refill(max(by_sends.rate, told.rate), max(by_sends.most, told.most))
 
-    def _usual(self, now: float, sent: Rate) -> float:
+    def _usual(self, now: float, sent: DecayingRate) -> float:
         """Returns how often this node usually sends.
 
         The slow rate begins at none, and is far below what is usual for its first half minute. What came
@@ -108,7 +108,7 @@
 
 
 def _refill_by_sends(
-    ready: int, usual: float, window: float, pairs_a_draw: float, settings: api.Settings
+    ready: int, usual: float, window: float, pairs_a_draw: float, settings: Settings
 ) -> Refill:
     """Returns a part of an even share of what this node usually sends."""
     share = SHARE_SAFETY * settings.fall_multiple / ready
@@ -117,7 +117,7 @@
 
 
 def _refill_by_capacity(
-    ready: int, filled_by: float, window: float, pairs_a_draw: float, settings: api.Settings
+    ready: int, filled_by: float, window: float, pairs_a_draw: float, settings: Settings
 ) -> Refill:
     """Returns this node's part of what a server that is filled by so many connections bears."""
     falls_at = settings.fall_multiple * filled_by / settings.cold_time  # requests a second
--- a/gradegap/capture/evidence.py
+++ b/gradegap/capture/evidence.py
@@ -14,8 +14,20 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from gradegap import interface as api
-from gradegap.capture.replay import Gap, Item, Settings, State, Step
+from gradegap.balancing.actions import CheckHealth, Fail, Forward, Migrate, Reject
+from gradegap.balancing.events import (
+    AttemptEnded,
+    AttemptResult,
+    ConnectionEstablished,
+    ConnectionInherited,
+    EndpointList,
+    HealthCheckEnded,
+    ProxyDraining,
+    ProxyResumed,
+    RequestArrived,
+)
+from gradegap.balancing.settings import Settings
+from gradegap.capture.replay import Gap, Item, SettingsChange, State, Step
 
 RETURN = 0.4  # s from a MOVE or a break to the client's return, where the record shows none
 PROBE_WAIT = 0.25  # s until a probe counts as unanswered, as in the core
@@ -25,7 +37,7 @@
     """What a server was heard to say, or not to."""
 
     at: float
-    result: api.Result
+    result: AttemptResult
     spent: float
     report: Mapping[str, float] | None
     held: int  # connections that this node had there
@@ -36,7 +48,7 @@
 class Client:
     """One that came of its own accord."""
 
-    request: api.Request
+    request: RequestArrived
     at: float
     first: str = ""  # the server that its first attempt went to, in the record
     lasts: float | None = None  # clock at which it ended its connection itself, or gave up; None: it did not
@@ -50,11 +62,11 @@
     start: dict[str, Any] = field(default_factory=dict)
     began: float = 0.0
     ended: float = 0.0
-    lists: list[tuple[float, api.ServerList]] = field(default_factory=list)
+    lists: list[tuple[float, EndpointList]] = field(default_factory=list)
     others: list[tuple[float, Any]] = field(default_factory=list)  # that the node leaves, or stays
-    adopted: list[tuple[float, api.Settings]] = field(default_factory=list)
+    adopted: list[tuple[float, Settings]] = field(default_factory=list)
     clients: list[Client] = field(default_factory=list)
-    inherited: list[tuple[float, api.Inherited]] = field(default_factory=list)
+    inherited: list[tuple[float, ConnectionInherited]] = field(default_factory=list)
     words: dict[str, list[Word]] = field(default_factory=lambda: defaultdict(list))
     breaks: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
     returns: float = RETURN
@@ -91,7 +103,7 @@
             case Gap(why):
                 gatherer.evidence.gaps.append(why)
                 break
-            case Settings():
+            case SettingsChange():
                 gatherer.evidence.adopted.append((item.at, item.settings))
             case Step():
                 gatherer.see(item)
@@ -138,38 +150,38 @@
 
     def _see_event(self, at: float, event: Any) -> None:
         match event:
-            case api.ServerList():
+            case EndpointList():
                 self.evidence.lists.append((at, event))
-            case api.Leaving() | api.Returned():
+            case ProxyDraining() | ProxyResumed():
                 self.evidence.others.append((at, event))
-            case api.Inherited():
+            case ConnectionInherited():
                 self.evidence.inherited.append((at, event))
                 self._stands(event.request.id, event.server)
-            case api.Request():
+            case RequestArrived():
                 self._request(at, event)
-            case api.Established():
+            case ConnectionEstablished():
                 self._established(at, event)
-            case api.Outcome():
+            case AttemptEnded():
                 self._outcome(at, event)
-            case api.ProbeResult():
+            case HealthCheckEnded():
                 self._probe_result(at, event)
             case _:
                 pass
 
     def _see_action(self, at: float, action: Any) -> None:
         match action:
-            case api.Send():
+            case Forward():
                 self.attempts[action.id] = (action.server, at)
                 client = self.clients.get(action.id)
                 if client is not None and not client.first:
                     client.first = action.server
-            case api.Move():
+            case Migrate():
                 self.moved.add(action.id)
-            case api.Refuse() | api.Fail():
+            case Reject() | Fail():
                 # Unless it comes again, this was its last word.
                 if (turned_away := self.clients.get(action.id)) is not None:
                     turned_away.lasts = at
-            case api.Probe():
+            case CheckHealth():
                 self.probing[action.server] = at
             case _:
                 pass
@@ -178,7 +190,7 @@
         self.standing[request] = server
         self.held[server] += 1
 
-    def _request(self, at: float, request: api.Request) -> None:
+    def _request(self, at: float, request: RequestArrived) -> None:
         before = self.asked.get(request.key) if request.key else None
         if before is None or not (request.retry or request.reconnect):
             self._new_client(at, request)
@@ -189,43 +201,43 @@
         if (left_at := self.left_at.pop(request.key, None)) is not None:
             self.delays.append(at - left_at)
 
-    def _new_client(self, at: float, request: api.Request) -> None:
+    def _new_client(self, at: float, request: RequestArrived) -> None:
         client = self.clients[request.id] = Client(request, at)
         self.evidence.clients.append(client)
         if request.key:
             self.asked[request.key] = client
 
-    def _established(self, at: float, event: api.Established) -> None:
+    def _established(self, at: float, event: ConnectionEstablished) -> None:
         _, sent_at = self.attempts.pop(event.id, (event.server, at))
-        word = Word(sent_at, api.Result.OK, event.spent, None, self.held[event.server], False)
+        word = Word(sent_at, AttemptResult.OK, event.spent, None, self.held[event.server], False)
         self.evidence.words[event.server].append(word)
         self._stands(event.id, event.server)
         self.takes.append(event.spent)
 
-    def _probe_result(self, at: float, event: api.ProbeResult) -> None:
+    def _probe_result(self, at: float, event: HealthCheckEnded) -> None:
         sent_at = self.probing.pop(event.server, at)
-        if event.result is api.Result.FULL:
+        if event.result is AttemptResult.FULL:
             return  # the core's word, not the server's
         word = Word(sent_at, event.result, event.spent, event.report, self.held[event.server], True)
         self.evidence.words[event.server].append(word)
 
-    def _outcome(self, at: float, event: api.Outcome) -> None:
+    def _outcome(self, at: float, event: AttemptEnded) -> None:
         server = self.standing.pop(event.id, None)
         if server is None:
             self._attempt_failed(at, event)
         else:
             self._connection_ended(at, event, server)
 
-    def _attempt_failed(self, at: float, event: api.Outcome) -> None:
+    def _attempt_failed(self, at: float, event: AttemptEnded) -> None:
         _, sent_at = self.attempts.pop(event.id, (event.server, at))
-        if event.result in (api.Result.MOOT, api.Result.CANCELLED):
+        if event.result in (AttemptResult.MOOT, AttemptResult.CANCELLED):
             return  # these are the node's own
         word = Word(sent_at, event.result, event.spent, event.report, self.held[event.server], False)
         self.evidence.words[event.server].append(word)
 
-    def _connection_ended(self, at: float, event: api.Outcome, server: str) -> None:
+    def _connection_ended(self, at: float, event: AttemptEnded, server: str) -> None:
         self.held[server] -= 1
-        broke = event.result is api.Result.RESET
+        broke = event.result is AttemptResult.RESET
         moved = event.id in self.moved
         if broke and not moved:
             self.evidence.breaks[server].append(at)
--- a/gradegap/capture/explain.py
+++ b/gradegap/capture/explain.py
@@ -11,9 +11,9 @@
 from types import ModuleType
 from typing import Any
 
-from gradegap import interface as api
+from gradegap.balancing.actions import LogMessage
 from gradegap.capture import records, state
-from gradegap.capture.replay import Gap, Item, Settings, State, Step
+from gradegap.capture.replay import Gap, Item, SettingsChange, State, Step
 
 WATCHED = ("_draw", "_pick", "_decide", "_has_room", "beta", "_send", "_wait", "_give_up")
 
@@ -102,7 +102,7 @@
                 if began:
                     yield f"here the record has a gap: {why}"
                 balancer = None
-            case Settings():
+            case SettingsChange():
                 if balancer is not None:
                     balancer.adopt(item.settings)
             case Step():
@@ -125,7 +125,7 @@
     yield f"{step.at - began:9.4f} s  {told(step.event)}"
     yield from (f"             {line}" for line in watch.lines)
     for action in actions:
-        if getattr(action, "id", watch.req) == watch.req and not isinstance(action, api.Log):
+        if getattr(action, "id", watch.req) == watch.req and not isinstance(action, LogMessage):
             yield f"             -> {told(action)}"
 
 
--- a/gradegap/capture/judge.py
+++ b/gradegap/capture/judge.py
@@ -11,7 +11,19 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from gradegap import interface as api
+from gradegap.balancing.actions import CheckHealth, Fail, Forward, Migrate, Reject
+from gradegap.balancing.events import (
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    ConnectionEstablished,
+    ConnectionInherited,
+    EndpointList,
+    EndpointListKind,
+    EndpointPhase,
+    RequestArrived,
+)
+from gradegap.balancing.settings import Settings
 
 MOST_VIOLATIONS = 50  # told of; all are counted
 FEW = 4  # connections a server that must stand before shares are compared
@@ -63,12 +75,12 @@
 class Judge:
     """Holds each event and its actions to the rules, and counts how clients were served."""
 
-    settings: api.Settings
+    settings: Settings
     figures: Figures = field(default_factory=Figures)
     violations: list[str] = field(default_factory=list)
     reqs: dict[int, _Way] = field(default_factory=dict)
     held: Counter[str] = field(default_factory=Counter)
-    phase: dict[str, api.Phase] = field(default_factory=dict)
+    phase: dict[str, EndpointPhase] = field(default_factory=dict)
     told_at: dict[str, float] = field(default_factory=dict)  # when a server was told to drain, or is gone
     waits: list[float] = field(default_factory=list)
     now: float = 0.0
@@ -82,45 +94,45 @@
 
     def _see_event(self, now: float, event: Any) -> None:
         match event:
-            case api.ServerList():
+            case EndpointList():
                 self._list(event)
-            case api.Request():
+            case RequestArrived():
                 self.figures.taken += 1
                 self.reqs[event.id] = _Way(event.cls, now, event.deadline_at)
-            case api.Inherited():
+            case ConnectionInherited():
                 r = event.request
                 way = self.reqs[r.id] = _Way(r.cls, now, r.deadline_at, answered=True)
                 way.standing = event.server
                 self.held[event.server] += 1
-            case api.Established():
+            case ConnectionEstablished():
                 self._stands(event)
-            case api.Outcome():
+            case AttemptEnded():
                 self._outcome(event)
-            case api.ClientGone():
+            case ClientDisconnected():
                 self._client_gone(event)
             case _:
                 pass
 
     def _see_action(self, action: Any) -> None:
         match action:
-            case api.Send():
+            case Forward():
                 self._send(action)
-            case api.Refuse() | api.Fail():
+            case Reject() | Fail():
                 self._answer(action)
-            case api.Move():
+            case Migrate():
                 self._move(action)
-            case api.Probe():
+            case CheckHealth():
                 self.figures.probes += 1
             case _:
                 pass
 
-    def _client_gone(self, event: api.ClientGone) -> None:
+    def _client_gone(self, event: ClientDisconnected) -> None:
         way = self.reqs.get(event.id)
         if way is not None and not way.answered:
             way.answered = True
             self.figures.left += 1
 
-    def _move(self, action: api.Move) -> None:
+    def _move(self, action: Migrate) -> None:
         way = self.reqs.get(action.id)
         if way is not None and way.standing and not way.moved:
             way.moved = True
@@ -131,21 +143,21 @@
         if len(self.violations) < MOST_VIOLATIONS:
             self.violations.append(f"{self.now:.3f}: {what}")
 
-    def _list(self, e: api.ServerList) -> None:
-        if e.kind is not api.ListKind.DELTA and e.kind is not api.ListKind.FAILED:
+    def _list(self, e: EndpointList) -> None:
+        if e.kind is not EndpointListKind.DELTA and e.kind is not EndpointListKind.FAILED:
             for name in self.phase.keys() - {entry.server for entry in e.entries}:
-                self._phase(name, api.Phase.GONE)
+                self._phase(name, EndpointPhase.GONE)
         for entry in e.entries:
             self._phase(entry.server, entry.phase)
 
-    def _phase(self, name: str, phase: api.Phase) -> None:
-        if phase is api.Phase.READY:
+    def _phase(self, name: str, phase: EndpointPhase) -> None:
+        if phase is EndpointPhase.READY:
             self.told_at.pop(name, None)
         else:
             self.told_at.setdefault(name, self.now)
         self.phase[name] = phase
 
-    def _send(self, a: api.Send) -> None:
+    def _send(self, a: Forward) -> None:
         way = self.reqs.get(a.id)
         if way is None:
             return  # from before the record
@@ -164,7 +176,7 @@
         if way.late_by > 0:
             self._break(f"req {ident} went to {way.sent_to} {way.late_by:.3f} s after its grace")
 
-    def _stands(self, e: api.Established) -> None:
+    def _stands(self, e: ConnectionEstablished) -> None:
         way = self.reqs.get(e.id)
         if way is None:
             return
@@ -177,30 +189,30 @@
         self.figures.stood += 1
         self.waits.append(self.now - way.arrived)
         self.held[e.server] += 1
-        ready = [n for n, p in self.phase.items() if p is api.Phase.READY]
+        ready = [n for n, p in self.phase.items() if p is EndpointPhase.READY]
         mean = sum(self.held[n] for n in ready) / len(ready) if ready else 0.0
         if mean >= FEW:
             most = max(self.held[n] for n in ready) / mean
             self.figures.most_share = max(self.figures.most_share, most)
 
-    def _outcome(self, e: api.Outcome) -> None:
+    def _outcome(self, e: AttemptEnded) -> None:
         way = self.reqs.get(e.id)
         if way is None:
             return
         if way.standing:
             self.held[way.standing] -= 1
-            if e.result is api.Result.RESET and not way.moved:
+            if e.result is AttemptResult.RESET and not way.moved:
                 self.figures.broke += 1
             way.standing = ""
             del self.reqs[e.id]
             return
-        if e.result is not api.Result.MOOT and way.sent_to:
+        if e.result is not AttemptResult.MOOT and way.sent_to:
             self._went(e.id, way)
         way.sent_to = ""
         if way.answered:
             self.reqs.pop(e.id, None)
 
-    def _answer(self, a: api.Refuse | api.Fail) -> None:
+    def _answer(self, a: Reject | Fail) -> None:
         way = self.reqs.get(a.id)
         if way is None:
             return
@@ -210,7 +222,7 @@
         if self.now > way.deadline + LATE:
             self._break(f"req {a.id} is answered {self.now - way.deadline:.3f} s after its client gave up")
         way.answered = True
-        if isinstance(a, api.Refuse):
+        if isinstance(a, Reject):
             self.figures.refused += 1
         else:
             self.figures.failed += 1
--- a/gradegap/capture/plot.py
+++ b/gradegap/capture/plot.py
@@ -6,7 +6,14 @@
 from collections.abc import Iterable
 from typing import Any
 
-from gradegap import interface as api
+from gradegap.balancing.actions import Fail, Forward, Migrate, Reject
+from gradegap.balancing.events import (
+    AttemptEnded,
+    ConnectionEstablished,
+    ConnectionInherited,
+    HealthCheckEnded,
+    RequestArrived,
+)
 from gradegap.capture.replay import Item, Step
 
 BIN = 0.25  # s
@@ -50,17 +57,17 @@
 
     def _see_event(self, event: Any) -> None:
         match event:
-            case api.Request():
+            case RequestArrived():
                 self._rate("reqs")
-            case api.Established(id=ident, server=server):
+            case ConnectionEstablished(id=ident, server=server):
                 self._rate("stood")
                 self._stands(ident, server)
-            case api.Inherited(request=request, server=server):
+            case ConnectionInherited(request=request, server=server):
                 self._stands(request.id, server)
-            case api.Outcome(id=ident):
+            case AttemptEnded(id=ident):
                 if (server := self.standing.pop(ident, "")) != "":
                     self._held(server, -1)
-            case api.ProbeResult(server=server, report=report) if report is not None:
+            case HealthCheckEnded(server=server, report=report) if report is not None:
                 value = report.get("x0", report.get("inflight"))
                 if value is not None:
                     self.loads[server].append((self.at, value))
@@ -69,11 +76,11 @@
 
     def _see_action(self, action: Any) -> None:
         match action:
-            case api.Send():
+            case Forward():
                 self._rate("draws")
-            case api.Refuse() | api.Fail():
+            case Reject() | Fail():
                 self._rate("refused or failed")
-            case api.Move():
+            case Migrate():
                 self._rate("moved")
             case _:
                 pass
--- a/gradegap/capture/recorder.py
+++ b/gradegap/capture/recorder.py
@@ -21,12 +21,13 @@
 import structlog
 
 from gradegap import VERSION
-from gradegap import interface as api
+from gradegap.balancing.events import ConnectionInherited, RequestArrived
+from gradegap.balancing.settings import Settings
 from gradegap.capture import frames, records, snapshot, state
 from gradegap.capture.frames import Kind
 from gradegap.capture.index import Builder
-from gradegap.operator_file import CaptureSettings
-from gradegap.stats import Stats
+from gradegap.metrics import Metrics
+from gradegap.node.operator_file import CaptureSettings
 
 log = structlog.get_logger()
 
@@ -59,10 +60,10 @@
 
     def event(self, event: Any) -> Any:
         """The event with its ids hidden."""
-        if type(event) is api.Request:
+        if type(event) is RequestArrived:
             hidden = self.word(event.key), self.word(event.team)
             return event._replace(key=hidden[0], team=hidden[1])
-        if type(event) is api.Inherited:
+        if type(event) is ConnectionInherited:
             return event._replace(request=self.event(event.request))
         return event
 
@@ -82,7 +83,7 @@
             self.heard.step(now, event, actions)
         return actions
 
-    def adopt(self, settings: api.Settings) -> None:
+    def adopt(self, settings: Settings) -> None:
         """The module takes new settings, recorded."""
         self.balancer.adopt(settings)
         if self.heard is not None:
@@ -96,18 +97,23 @@
         self,
         settings: CaptureSettings,
         balancer: Any,
-        decides_by: api.Settings,
+        decides_by: Settings,
         seed: int,
-        stats: Stats,
+        stats: Metrics,
         loop: asyncio.AbstractEventLoop,
         now: Callable[[], float],
         name: str,
     ) -> None:
         self.settings, self.balancer, self.decides_by = settings, balancer, decides_by
         self.stats, self.loop, self.now = stats, loop, now
-        import gradegap.choice
-
-        self.about = {"node": name, "seed": seed, "version": VERSION, "policy": digest_of(gradegap.choice)}
+        import gradegap.balancing.balancer
+
+        self.about = {
+            "node": name,
+            "seed": seed,
+            "version": VERSION,
+            "policy": digest_of(gradegap.balancing.balancer),
+        }
         self.folder = Path(settings.folder)
         self.seq = 0  # of the next step
         self.batch: list[tuple[int, float, Any, Any]] = []
@@ -139,7 +145,7 @@
         if len(self.batch) >= BATCH:
             self._hand_over()
 
-    def adopted(self, settings: api.Settings) -> None:
+    def adopted(self, settings: Settings) -> None:
         """New settings that the module was given."""
         self.decides_by = settings
         if not self.closed:
@@ -335,7 +341,7 @@
     """Recording on and off, while the node runs."""
 
     def __init__(
-        self, settings: CaptureSettings, core: Any, seed: int, stats: Stats, name: str, hide: Hide | None
+        self, settings: CaptureSettings, core: Any, seed: int, stats: Metrics, name: str, hide: Hide | None
     ) -> None:
         self.settings, self.core, self.seed, self.stats, self.name = settings, core, seed, stats, name
         self.tap = core.balancer = Tap(core.balancer, None, hide)
--- a/gradegap/capture/records.py
+++ b/gradegap/capture/records.py
@@ -17,31 +17,56 @@
 
 import msgspec
 
-from gradegap import interface as api
+from gradegap.balancing.actions import (
+    Action,
+    CheckHealth,
+    Fail,
+    Forward,
+    LogMessage,
+    Migrate,
+    Reject,
+    SetTimer,
+    WatchEndpoints,
+)
+from gradegap.balancing.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    ConnectionEstablished,
+    ConnectionInherited,
+    ConnectionObserved,
+    EndpointList,
+    Event,
+    HealthCheckEnded,
+    ProxyDraining,
+    ProxyResumed,
+    RequestArrived,
+    TimerFired,
+)
+from gradegap.balancing.settings import ClassSettings, Settings, TenantSettings
 
 # Stored name -> class. The left column is the file format and never changes.
 EVENTS: dict[str, type] = {
-    "ServerList": api.ServerList,
-    "Request": api.Request,
-    "Inherited": api.Inherited,
-    "Established": api.Established,
-    "Note": api.Note,
-    "Outcome": api.Outcome,
-    "ClientGone": api.ClientGone,
-    "Timer": api.Timer,
-    "ProbeResult": api.ProbeResult,
-    "Leaving": api.Leaving,
-    "Returned": api.Returned,
+    "ServerList": EndpointList,
+    "Request": RequestArrived,
+    "Inherited": ConnectionInherited,
+    "Established": ConnectionEstablished,
+    "Note": ConnectionObserved,
+    "Outcome": AttemptEnded,
+    "ClientGone": ClientDisconnected,
+    "Timer": TimerFired,
+    "ProbeResult": HealthCheckEnded,
+    "Leaving": ProxyDraining,
+    "Returned": ProxyResumed,
 }
 ACTIONS: dict[str, type] = {
-    "Send": api.Send,
-    "Refuse": api.Refuse,
-    "Fail": api.Fail,
-    "Move": api.Move,
-    "SetTimer": api.SetTimer,
-    "Probe": api.Probe,
-    "WatchList": api.WatchList,
-    "Log": api.Log,
+    "Send": Forward,
+    "Refuse": Reject,
+    "Fail": Fail,
+    "Move": Migrate,
+    "SetTimer": SetTimer,
+    "Probe": CheckHealth,
+    "WatchList": WatchEndpoints,
+    "Log": LogMessage,
 }
 _STORED_NAMES: dict[type, str] = {kind: name for name, kind in (*EVENTS.items(), *ACTIONS.items())}
 
@@ -73,7 +98,7 @@
 
 
 CLASS_SETTINGS = StoredFields(
-    api.ClassSettings,
+    ClassSettings,
     {
         "name": "name",
         "aim": "aim",
@@ -85,9 +110,9 @@
         "message_aim": "message_aim",
     },
 )
-TENANT_SETTINGS = StoredFields(api.TenantSettings, {"name": "name", "quota": "quota", "share": "share"})
+TENANT_SETTINGS = StoredFields(TenantSettings, {"name": "name", "quota": "quota", "share": "share"})
 SETTINGS = StoredFields(
-    api.Settings,
+    Settings,
     {
         "classes": "classes",
         "balancers": "balancers",
@@ -151,24 +176,24 @@
         raise BadRecordError(f"a {raw[0]} that can't be read: {str(error)[:120]}") from None
 
 
-def names(value: api.Event | api.Action) -> set[Any]:
+def names(value: Event | Action) -> set[Any]:
     """The servers and requests that an event or action is about."""
     match value:
-        case api.ServerList():
+        case EndpointList():
             return {entry.server for entry in value.entries}
-        case api.Inherited():
+        case ConnectionInherited():
             return {value.request.id, value.server}
-        case api.Established() | api.Note() | api.Outcome() | api.Send():
+        case ConnectionEstablished() | ConnectionObserved() | AttemptEnded() | Forward():
             return {value.id, value.server}
-        case api.Request() | api.ClientGone() | api.Refuse() | api.Fail() | api.Move():
+        case RequestArrived() | ClientDisconnected() | Reject() | Fail() | Migrate():
             return {value.id}
-        case api.ProbeResult() | api.Probe():
+        case HealthCheckEnded() | CheckHealth():
             return {value.server}
         case _:
             return set()
 
 
-def plain_settings(settings: api.Settings) -> dict[str, Any]:
+def plain_settings(settings: Settings) -> dict[str, Any]:
     """Settings as plain values, by their stored names."""
     found = SETTINGS.to_plain(settings)
     for stored, form in _NESTED.items():
@@ -177,7 +202,7 @@
     return found
 
 
-def settings(raw: Mapping[str, Any]) -> api.Settings:
+def settings(raw: Mapping[str, Any]) -> Settings:
     """`BadRecordError` for what can't be settings of this version."""
     if extra := sorted(raw.keys() - SETTINGS.attributes.keys()):
         raise BadRecordError(f"settings of a later version: {', '.join(extra)[:80]}")
@@ -186,7 +211,7 @@
         if isinstance(each := held.get(stored), Mapping):
             held[stored] = {name: form.to_attributes(value) for name, value in each.items()}
     try:
-        made: api.Settings = SETTINGS.from_plain(held)
+        made: Settings = SETTINGS.from_plain(held)
     except (msgspec.ValidationError, ValueError) as error:
         raise BadRecordError(f"settings that can't be read: {str(error)[:120]}") from None
     return made
--- a/gradegap/capture/replay.py
+++ b/gradegap/capture/replay.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Settings:
+class SettingsChange:
     """New settings that the module was given."""
 
     seq: int
@@ -65,7 +65,7 @@
     why: str
 
 
-Item = Step | Settings | State | Gap
+Item = Step | SettingsChange | State | Gap
 
 
 def items(data: bytes) -> Iterator[Item]:
@@ -116,13 +116,13 @@
         if self.following >= 0 and frame.first != self.following:
             yield Gap(f"steps {self.following} to {frame.first - 1} are not there")
         for step in _steps(frame):
-            if isinstance(step, Settings) and self.start is not None:
+            if isinstance(step, SettingsChange) and self.start is not None:
                 self.start = self.start | {"settings": records.plain_settings(step.settings)}
             yield step
         self.following = frame.first + frame.records
 
 
-def _steps(frame: Frame) -> Iterator[Step | Settings]:
+def _steps(frame: Frame) -> Iterator[Step | SettingsChange]:
     if not isinstance(frame.body, list):
         raise records.BadRecordError("steps that are no list")
     for row in frame.body:
@@ -130,7 +130,7 @@
             case ["s", int(seq), float(at), list(event), list(actions)]:
                 yield Step(seq, at, records.event(event), [records.action(a) for a in actions])
             case ["a", int(seq), float(at), dict(raw)]:
-                yield Settings(seq, at, records.settings(raw))
+                yield SettingsChange(seq, at, records.settings(raw))
             case _:
                 raise records.BadRecordError("a step of no kind")
 
@@ -138,9 +138,9 @@
 def module_at(path: str | None) -> ModuleType:
     """The module in force, or another version of it from a file."""
     if path is None:
-        import gradegap.choice
+        import gradegap.balancing.balancer
 
-        return gradegap.choice
+        return gradegap.balancing.balancer
     spec = importlib.util.spec_from_file_location("gradegap_other_choice", path)
     if spec is None or spec.loader is None:
         raise BadModuleError(f"{path} is no policy file")
@@ -245,7 +245,7 @@
             case Gap(why):
                 self.balancer = None
                 self.report.gaps.append(why)
-            case Settings():
+            case SettingsChange():
                 if self.balancer is not None:
                     self.balancer.adopt(item.settings)
             case Step():
--- a/gradegap/capture/state.py
+++ b/gradegap/capture/state.py
@@ -18,24 +18,46 @@
 
 import msgspec
 
-from gradegap import interface as api
-from gradegap.capacity import Capacity
-from gradegap.cold import Cold
-from gradegap.figures import Figures
-from gradegap.rates import Rate, Usual
-from gradegap.worth import Worth
+from gradegap.balancing.capacity import Capacity
+from gradegap.balancing.events import AttemptResult, EndpointListKind, EndpointPhase
+from gradegap.balancing.priority import PriorityWeights
+from gradegap.balancing.rates import BaselineRate, DecayingRate
+from gradegap.balancing.report_statistics import ReportStatistics
+from gradegap.balancing.settings import (
+    ClassSettings,
+    DeduplicationScope,
+    Idempotency,
+    ReportSource,
+    Settings,
+    TenantSettings,
+    WeightMeaning,
+)
+from gradegap.balancing.slow_start import SlowStart
 
 LEFT_OUT = frozenset({"set", "on", "random", "out"})  # made anew from the settings, or empty between events
 MOST_OBJECTS = 1_000_000
 PLAIN = frozenset({type(None), bool, int, float, str})
 # What a module's objects are made of beside its own classes.
-_PARTS = {t.__name__: t for t in (Rate, Usual, Figures, Capacity, Cold, Worth)}
-_VALUES: dict[str, type] = {"ClassSettings": api.ClassSettings, "TenantSettings": api.TenantSettings}
+_PARTS: dict[str, type] = {
+    "Rate": DecayingRate,
+    "Usual": BaselineRate,
+    "Figures": ReportStatistics,
+    "Capacity": Capacity,
+    "Cold": SlowStart,
+    "Worth": PriorityWeights,
+}
+_PART_NAMES = {kind: name for name, kind in _PARTS.items()}
+_VALUES: dict[str, type] = {"ClassSettings": ClassSettings, "TenantSettings": TenantSettings}
 _ENUMS: dict[str, type[enum.Enum]] = {
-    t.__name__: t
-    for t in vars(api).values()
-    if isinstance(t, type) and issubclass(t, enum.Enum) and t.__module__ == api.__name__
+    "Repeat": Idempotency,
+    "RepeatGroup": DeduplicationScope,
+    "Reports": ReportSource,
+    "Weights": WeightMeaning,
+    "Phase": EndpointPhase,
+    "ListKind": EndpointListKind,
+    "Result": AttemptResult,
 }
+_ENUM_NAMES = {kind: name for name, kind in _ENUMS.items()}
 _VALUE_KINDS, _ENUM_KINDS = frozenset(_VALUES.values()), frozenset(_ENUMS.values())
 
 
@@ -60,7 +82,7 @@
 
     def ref(self, obj: Any) -> list[Any]:
         number = self.ids.get(id(obj))
-        if number is None and type(obj).__module__ == api.__name__:
+        if number is None and type(obj) in _VALUE_KINDS:
             # Values are one wherever they are equal: what is made anew from settings is not the same object.
             number = self.ids[id(obj)] = self.values.setdefault(obj, len(self.queue))
             if number == len(self.queue):
@@ -79,10 +101,10 @@
         if kind is dict:
             value = self.value
             return ["m", [[value(k), x if type(x) in PLAIN else value(x)] for k, x in v.items()]]
-        if kind.__module__ == self.module or kind in _VALUE_KINDS or kind is _PARTS.get(kind.__name__):
+        if kind.__module__ == self.module or kind in _VALUE_KINDS or kind in _PART_NAMES:
             return self.ref(v)
         if kind in _ENUM_KINDS:
-            return ["e", kind.__name__, v.value]
+            return ["e", _ENUM_NAMES[kind], v.value]
         if kind is Random:
             version, state, gauss = v.getstate()
             return ["r", version, list(state), gauss]
@@ -103,19 +125,19 @@
     getters: dict[type, Callable[[Any], tuple[Any, ...]]] = {}
     for obj in d.queue:  # grows while it is gone through
         kind = type(obj)
-        if kind.__module__ == api.__name__:
+        if kind in _VALUE_KINDS:
             objects.append([kind.__name__, msgspec.to_builtins(obj)])
             continue
         if kind not in getters:
-            held = names[kind.__name__] = _names(obj)
+            held = names[_PART_NAMES.get(kind, kind.__name__)] = _names(obj)
             getters[kind] = attrgetter(*held) if len(held) > 1 else _only(held[0])
         values = [v if type(v) in PLAIN else d.value(v) for v in getters[kind](obj)]
-        objects.append([kind.__name__, values])
+        objects.append([_PART_NAMES.get(kind, kind.__name__), values])
     return {"names": names, "objects": objects}
 
 
 class _Load:
-    def __init__(self, module: ModuleType, raw: Any, settings: api.Settings) -> None:
+    def __init__(self, module: ModuleType, raw: Any, settings: Settings) -> None:
         self.module = module
         if not isinstance(raw, Mapping) or not isinstance(raw.get("objects"), list) or not raw["objects"]:
             raise BadStateError("no state of a module")
@@ -131,7 +153,7 @@
             else:
                 self.made.append(self._make(each[0], k == 0, settings))
 
-    def _make(self, name: str, first: bool, settings: api.Settings) -> Any:
+    def _make(self, name: str, first: bool, settings: Settings) -> Any:
         cls = _PARTS.get(name) or getattr(self.module, name, None)
         if not isinstance(cls, type) or (name not in _PARTS and cls.__module__ != self.module.__name__):
             raise BadStateError(f"the module has no {name[:40]}")
@@ -164,7 +186,7 @@
         raise BadStateError(f"a value of no kind: {str(v[:1])[:40]}")
 
 
-def load(module: ModuleType, raw: Any, settings: api.Settings) -> Any:
+def load(module: ModuleType, raw: Any, settings: Settings) -> Any:
     """A `Balancer` of `module` in that state, under those settings; `BadStateError` where they don't fit."""
     try:
         loading = _Load(module, raw, settings)
--- a/gradegap/capture/whatif.py
+++ b/gradegap/capture/whatif.py
@@ -19,11 +19,24 @@
 
 import msgspec
 
-from gradegap import interface as api
+from gradegap.balancing.actions import CheckHealth, Fail, Forward, Migrate, Reject, SetTimer
+from gradegap.balancing.events import (
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    ConnectionEstablished,
+    ConnectionInherited,
+    HealthCheckEnded,
+    ProxyDraining,
+    ProxyResumed,
+    RequestArrived,
+    TimerFired,
+)
+from gradegap.balancing.settings import Settings
 from gradegap.capture import records
 from gradegap.capture.evidence import PROBE_WAIT, Client, Evidence, Word, gathered
 from gradegap.capture.judge import Figures, Judge
-from gradegap.capture.replay import Item, Settings, Step
+from gradegap.capture.replay import Item, SettingsChange, Step
 
 NEAR, FAR = 1.0, 5.0  # s
 TRIES = 3  # that a client makes which the record did not show to come more often
@@ -49,7 +62,7 @@
     gaps: list[str] = field(default_factory=list)
 
 
-def changed(settings: api.Settings, wishes: Iterable[str]) -> api.Settings:
+def changed(settings: Settings, wishes: Iterable[str]) -> Settings:
     """Settings with `name=value` in the place of some; `BadWishError` for what there is not, or can't be."""
     raw = records.plain_settings(settings)
     for wish in wishes:
@@ -81,7 +94,7 @@
     judge = Judge(settings)
     for item in items:
         match item:
-            case Settings():
+            case SettingsChange():
                 judge.settings = item.settings
             case Step():
                 judge.see(item.at, item.event, item.actions)
@@ -95,9 +108,7 @@
 
 
 class _World:
-    def __init__(
-        self, evidence: Evidence, module: ModuleType, settings: api.Settings, wishes: list[str]
-    ) -> None:
+    def __init__(self, evidence: Evidence, module: ModuleType, settings: Settings, wishes: list[str]) -> None:
         self.e, self.settings, self.wishes = evidence, settings, wishes
         self.balancer = module.Balancer(settings, int(evidence.start.get("seed") or 0))
         self.judge = Judge(settings)
@@ -142,34 +153,34 @@
         return self.result
 
     def feed(self, event: Any) -> None:
-        if isinstance(event, api.Leaving | api.Returned):
-            self.leaving = isinstance(event, api.Leaving)
+        if isinstance(event, ProxyDraining | ProxyResumed):
+            self.leaving = isinstance(event, ProxyDraining)
         actions = self.balancer.handle(self.now, event)
         self.judge.see(self.now, event, actions)
         for a in actions:
             match a:
-                case api.Send():
+                case Forward():
                     self.send(a)
-                case api.Refuse():
+                case Reject():
                     self.told(a.id, a.retry_after or AGAIN)
-                case api.Fail():
+                case Fail():
                     self.told(a.id, AGAIN)
-                case api.Move():
+                case Migrate():
                     self.move(a.id)
-                case api.SetTimer():
-                    self.at(self.now + max(0.0, a.wait), self.feed, api.Timer(a.token))
-                case api.Probe():
+                case SetTimer():
+                    self.at(self.now + max(0.0, a.wait), self.feed, TimerFired(a.token))
+                case CheckHealth():
                     self.probe(a.server)
                 case _:
                     pass
 
-    def adopt(self, settings: api.Settings) -> None:
+    def adopt(self, settings: Settings) -> None:
         self.settings = self.judge.settings = changed(settings, self.wishes)
         self.balancer.adopt(self.settings)
 
     # Clients
 
-    def come(self, client: Client, request: api.Request, at: float) -> None:
+    def come(self, client: Client, request: RequestArrived, at: float) -> None:
         self.clients[request.id] = client
         self.deadline[request.id] = request.deadline_at
         self.tries[client.request.id] += 1
@@ -188,7 +199,7 @@
         self.next_id += 1
         self.at(self.now + after, self.come, client, made, self.now + after)
 
-    def inherit(self, event: api.Inherited) -> None:
+    def inherit(self, event: ConnectionInherited) -> None:
         r = event.request
         self.clients[r.id] = Client(r, self.now)
         self.answered.add(r.id)
@@ -203,7 +214,9 @@
         self.answered.add(req)
         sent = self.out.pop(req, None)
         if sent is not None:
-            self.at(self.now, self.feed, api.Outcome(req, sent[1], sent[0], api.Result.CANCELLED, 0.0, True))
+            self.at(
+                self.now, self.feed, AttemptEnded(req, sent[1], sent[0], AttemptResult.CANCELLED, 0.0, True)
+            )
         client = self.clients.pop(req, None)
         if client is None or (client.lasts is not None and client.lasts <= self.now and client.times == 1):
             return  # the record has it give up, too
@@ -213,26 +226,26 @@
     def overdue(self, req: int) -> None:
         """As the core does: whoever has no answer by now is told that there is none."""
         if req not in self.answered and req in self.clients:
-            self.feed(api.ClientGone(req))
+            self.feed(ClientDisconnected(req))
             self.told(req, AGAIN)
 
     def leave(self, req: int) -> None:
         """A client ends its connection of its own accord."""
         if req in self.standing:
-            self.end(req, api.Result.CANCELLED)
+            self.end(req, AttemptResult.CANCELLED)
 
-    def end(self, req: int, result: api.Result) -> Client | None:
+    def end(self, req: int, result: AttemptResult) -> Client | None:
         server = self.standing.pop(req)
         self.held[server] -= 1
         client = self.clients.pop(req, None)
-        self.feed(api.Outcome(req, 0, server, result, 0.0, True))
+        self.feed(AttemptEnded(req, 0, server, result, 0.0, True))
         return client
 
     def move(self, req: int) -> None:
         if req in self.standing:
-            self.at(self.now, self.go, req, api.Result.CANCELLED)
+            self.at(self.now, self.go, req, AttemptResult.CANCELLED)
 
-    def go(self, req: int, result: api.Result) -> None:
+    def go(self, req: int, result: AttemptResult) -> None:
         if req in self.standing:
             client = self.end(req, result)
             if client is not None and not self.leaving:  # else it goes to another node
@@ -242,7 +255,7 @@
     def broken(self, server: str) -> None:
         """The record has connections of that server broken at this moment; so are this module's."""
         for req in [r for r, s in self.standing.items() if s == server]:
-            self.go(req, api.Result.RESET)
+            self.go(req, AttemptResult.RESET)
 
     # Servers
 
@@ -259,7 +272,7 @@
         told = self.judge.told_at.get(server)
         return told is None or self.now < told + self.settings.drain_grace
 
-    def send(self, a: api.Send) -> None:
+    def send(self, a: Forward) -> None:
         req = a.id
         if req in self.answered or req in self.out:
             return  # the judge has said so
@@ -272,17 +285,17 @@
         self.attempts[req] += 1
         self.out[req] = (a.server, number)
         if a.server not in self.judge.phase or not self.may_send(a.server):
-            self.at(self.now, self.over, req, number, api.Result.MOOT, 0.0)
+            self.at(self.now, self.over, req, number, AttemptResult.MOOT, 0.0)
             return
         word = self.weigh(self.e.nearest(a.server, self.now))
-        result, spent = (word.result, word.spent) if word is not None else (api.Result.OK, self.e.up_takes)
-        if word is not None and word.probe and result is api.Result.OK:
+        result, spent = (word.result, word.spent) if word is not None else (AttemptResult.OK, self.e.up_takes)
+        if word is not None and word.probe and result is AttemptResult.OK:
             spent = self.e.up_takes
         left = min(a.timeout, self.deadline[req] - self.now)
-        if result is api.Result.TIMEOUT or spent >= left:
+        if result is AttemptResult.TIMEOUT or spent >= left:
             # A server that was silent for as long as it was waited for is silent for longer, too.
-            result, spent = api.Result.TIMEOUT, left
-        if result is api.Result.OK:
+            result, spent = AttemptResult.TIMEOUT, left
+        if result is AttemptResult.OK:
             self.at(self.now + spent, self.up, req, number, spent)
         else:
             self.at(self.now + spent, self.over, req, number, result, spent)
@@ -299,28 +312,28 @@
         self.tries[client.request.id] = 0
         if client.lasts is not None:
             self.at(max(self.now, client.lasts), self.leave, req)
-        self.feed(api.Established(req, number, sent[0], spent))
+        self.feed(ConnectionEstablished(req, number, sent[0], spent))
 
-    def over(self, req: int, number: int, result: api.Result, spent: float) -> None:
+    def over(self, req: int, number: int, result: AttemptResult, spent: float) -> None:
         sent = self.out.get(req)
         if sent is not None and sent[1] == number:
             del self.out[req]
-            self.feed(api.Outcome(req, number, sent[0], result, spent, False))
+            self.feed(AttemptEnded(req, number, sent[0], result, spent, False))
 
     def probe(self, server: str) -> None:
         if server not in self.judge.phase or not self.may_send(server):
-            self.at(self.now, self.feed, api.ProbeResult(server, api.Result.FULL, 0.0, None))
+            self.at(self.now, self.feed, HealthCheckEnded(server, AttemptResult.FULL, 0.0, None))
             return
         word = self.weigh(self.e.nearest(server, self.now))
-        result = word.result if word is not None else api.Result.OK
-        if result is api.Result.TIMEOUT:
-            self.at(self.now + PROBE_WAIT, self.feed, api.ProbeResult(server, result, PROBE_WAIT, None))
+        result = word.result if word is not None else AttemptResult.OK
+        if result is AttemptResult.TIMEOUT:
+            self.at(self.now + PROBE_WAIT, self.feed, HealthCheckEnded(server, result, PROBE_WAIT, None))
             return
         spent = min(word.spent, PROBE_WAIT) if word is not None and word.probe else self.e.up_takes
-        report = self.report(server) if result in (api.Result.OK, api.Result.FULL) else None
-        if result is api.Result.FULL:
-            result = api.Result.OK  # it turned an attempt away, and tells its load
-        self.at(self.now + spent, self.feed, api.ProbeResult(server, result, spent, report))
+        report = self.report(server) if result in (AttemptResult.OK, AttemptResult.FULL) else None
+        if result is AttemptResult.FULL:
+            result = AttemptResult.OK  # it turned an attempt away, and tells its load
+        self.at(self.now + spent, self.feed, HealthCheckEnded(server, result, spent, report))
 
     def report(self, server: str) -> dict[str, float] | None:
         word = self.e.last_report(server, self.now)
--- a/gradegap/cli.py
+++ b/gradegap/cli.py
@@ -4,9 +4,9 @@
 
 import typer
 
-from gradegap.app import configure_log, load_both
-from gradegap.app import serve as run_serve
 from gradegap.capture import commands as capture_commands
+from gradegap.node.process import configure_log, load_both
+from gradegap.node.process import serve as run_serve
 from gradegap.quic import commands as quic_commands
 from gradegap.resume import commands as resume_commands
 from gradegap.store import commands
--- a/gradegap/dnssd.py
+++ b/gradegap/discovery/dns_sd_discovery.py
@@ -23,12 +23,12 @@
 import dns.rrset
 import structlog
 
-from gradegap import interface as api
-from gradegap.core import Core
-from gradegap.net.backend import split_address
-from gradegap.net.director import STATES
-from gradegap.operator_file import DnsSdSettings
-from gradegap.stats import Stats
+from gradegap.balancing.events import EndpointEntry, EndpointListKind
+from gradegap.discovery.http_discovery import STATES
+from gradegap.metrics import Metrics
+from gradegap.node.operator_file import DnsSdSettings
+from gradegap.proxy.proxy import Proxy
+from gradegap.upstream.connections import split_address
 
 log = structlog.get_logger()
 
@@ -59,7 +59,7 @@
     return pairs
 
 
-def read_entry(server: str, pairs: dict[str, str]) -> api.ServerEntry:
+def read_entry(server: str, pairs: dict[str, str]) -> EndpointEntry:
     if pairs.get("state") not in STATES:
         raise BadRecord(f"state {pairs.get('state')!r}")
     try:
@@ -70,20 +70,20 @@
         raise BadRecord("a figure that is no number") from None
     if not 0.0 < weight < math.inf or not 0.0 <= started < math.inf:
         raise BadRecord("a figure out of range")
-    return api.ServerEntry(server, pairs.get("zone", ""), cell, STATES[pairs["state"]], weight, started)
+    return EndpointEntry(server, pairs.get("zone", ""), cell, STATES[pairs["state"]], weight, started)
 
 
-class DnsDirector:
+class DnsSdDiscovery:
     """Keeps the core's list of backends as DNS-SD records tell it, for as long as they live."""
 
-    def __init__(self, core: Core, settings: DnsSdSettings, stats: Stats) -> None:
+    def __init__(self, core: Proxy, settings: DnsSdSettings, stats: Metrics) -> None:
         self.core = core
         self.settings = settings
         self.stats = stats
         self.where, self.port = split_address(settings.server)
         self.service = dns.name.from_text(settings.service)
         self.cache: dict[Key, tuple[float, dns.rrset.RRset]] = {}
-        self.known: dict[str, tuple[api.ServerEntry, str]] = {}  # the last good entry of each instance
+        self.known: dict[str, tuple[EndpointEntry, str]] = {}  # the last good entry of each instance
         self.told = False
         self.first: Callable[[], None] | None = None
         self.failures = 0
@@ -118,7 +118,7 @@
         now = self.core.loop.time()
         self.cache = {key: held for key, held in self.cache.items() if held[0] > now}
         names = [r.target for r in await self._lookup(self.service, dns.rdatatype.PTR)]
-        listed: dict[str, tuple[api.ServerEntry, str]] = {}
+        listed: dict[str, tuple[EndpointEntry, str]] = {}
         for name in names[:MOST_INSTANCES]:
             ident = name.labels[0].decode("utf-8", "replace")
             try:
@@ -132,13 +132,13 @@
         if not self.told or listed != self.known:
             self.known = listed
             self.stats.count("lists_full")
-            self.core.listing(api.ListKind.FULL, listed.values())
+            self.core.listing(EndpointListKind.FULL, listed.values())
         if not self.told:
             self.told = True
             if self.first is not None:
                 self.first()
 
-    async def _instance(self, ident: str, name: dns.name.Name) -> tuple[api.ServerEntry, str]:
+    async def _instance(self, ident: str, name: dns.name.Name) -> tuple[EndpointEntry, str]:
         srv = (await self._lookup(name, dns.rdatatype.SRV))[0]
         txt = (await self._lookup(name, dns.rdatatype.TXT))[0]
         entry = read_entry(ident, read_txt(txt.strings))
--- a/gradegap/net/director.py
+++ b/gradegap/discovery/http_discovery.py
@@ -17,11 +17,11 @@
 import msgspec
 import structlog
 
-from gradegap import interface as api
-from gradegap.core import Core
-from gradegap.net.backend import Dialer, split_address
-from gradegap.net.listclock import DIAL, UNFIT, Ask, ListClock
-from gradegap.stats import Stats
+from gradegap.balancing.events import EndpointEntry, EndpointListKind, EndpointPhase
+from gradegap.discovery.watch_schedule import DIAL, UNFIT, Ask, WatchSchedule
+from gradegap.metrics import Metrics
+from gradegap.proxy.proxy import Proxy
+from gradegap.upstream.connections import Dialer, split_address
 
 log = structlog.get_logger()
 
@@ -34,7 +34,7 @@
 LARGEST = 8 * 1024 * 1024  # bytes of one answer
 # What the parser raises; nesting without end is an error of its own.
 UNREADABLE = (msgspec.MsgspecError, RecursionError)
-STATES = {"Ready": api.Phase.READY, "Terminating": api.Phase.DRAINING, "Gone": api.Phase.GONE}
+STATES = {"Ready": EndpointPhase.READY, "Terminating": EndpointPhase.DRAINING, "Gone": EndpointPhase.GONE}
 
 
 class Item(msgspec.Struct):
@@ -58,14 +58,14 @@
         elif self.state == "Ready":
             raise ValueError("no address")
         # A state of a later protocol takes nothing new: it is not Ready.
-        phase = STATES.get(self.state, api.Phase.DRAINING)
-        entry = api.ServerEntry(
+        phase = STATES.get(self.state, EndpointPhase.DRAINING)
+        entry = EndpointEntry(
             self.id, self.zone, self.cell, phase, self.weight, max(0.0, self.started_ms) / 1000
         )
         return entry, self.addr
 
 
-Entry = tuple[api.ServerEntry, str]
+Entry = tuple[EndpointEntry, str]
 
 
 class Named(msgspec.Struct):
@@ -77,7 +77,7 @@
     full: bool = True
     servers: list[msgspec.Raw] = []
 
-    def entries(self, last: dict[str, Entry], stats: Stats) -> list[Entry]:
+    def entries(self, last: dict[str, Entry], stats: Metrics) -> list[Entry]:
         """What the list tells, one by one. Guards against one bad entry that takes the whole list with it:
         of such a server, what was told last is still true."""
         told: list[Entry] = []
@@ -96,15 +96,15 @@
         return told
 
 
-class Director:
+class HttpDiscovery:
     """Keeps the core's list of backends as discovery tells it."""
 
-    def __init__(self, core: Core, dialer: Dialer, address: str, stats: Stats) -> None:
+    def __init__(self, core: Proxy, dialer: Dialer, address: str, stats: Metrics) -> None:
         self.core = core
         self.dialer = dialer
         self.address = address
         self.stats = stats
-        self.clock = ListClock(core.settings, random.Random())
+        self.clock = WatchSchedule(core.settings, random.Random())
         self.told = False  # a list has come since the start
         self.first: Callable[[], None] | None = None
         self.calls: list[Call] = []  # all that are out, the latest last; those before it are overdue
@@ -159,7 +159,7 @@
         self.clock.took(ask, self.core.loop.time(), listing.version)
         self._only(call)
         if listing.full or listing.servers:
-            kind = api.ListKind.FULL if listing.full else api.ListKind.DELTA
+            kind = EndpointListKind.FULL if listing.full else EndpointListKind.DELTA
             self.core.listing(kind, listing.entries(self.last, self.stats))
         if not self.told:
             self.told = True
@@ -200,7 +200,7 @@
 class Call(asyncio.Protocol):
     """A connection to discovery; the next request goes out as soon as an answer is read."""
 
-    def __init__(self, director: Director) -> None:
+    def __init__(self, director: HttpDiscovery) -> None:
         self.director = director
         self.stats = director.stats
         self.loop = director.core.loop
--- a/gradegap/net/listclock.py
+++ b/gradegap/discovery/watch_schedule.py
@@ -19,8 +19,8 @@
 from dataclasses import dataclass
 from random import Random
 
-from gradegap import interface as api
-from gradegap.core import send_for
+from gradegap.balancing.settings import Settings
+from gradegap.proxy.proxy import send_for
 
 SILENCE_TOLD = 6.0  # s after a silence began at which what it hid counts as told
 WAIT_TOLD = 2.0  # s after the end of a call's wait at which what it hid counts as told
@@ -55,10 +55,10 @@
     made_at: float
 
 
-class ListClock:
+class WatchSchedule:
     """What to call next. Times are seconds on any steady clock; randomness is handed in."""
 
-    def __init__(self, settings: api.Settings, rng: Random) -> None:
+    def __init__(self, settings: Settings, rng: Random) -> None:
         self.rng = rng
         self.adopt(settings)
         self.version: int | None = None  # None: the next call asks for the whole list
@@ -73,7 +73,7 @@
         """Whether an overdue call stays open beside the next one: given up, it would lose its turn."""
         return not self.pushed
 
-    def adopt(self, settings: api.Settings) -> None:
+    def adopt(self, settings: Settings) -> None:
         """Settings to go by from the next call on."""
         self.pushed, self.nodes = not settings.ask_for_list, settings.balancers
         if self.pushed:
--- a/gradegap/net/framing.py
+++ b/gradegap/downstream/framing.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from gradegap.core import Ask
-from gradegap.settings import FIELDS
+from gradegap.balancing.settings_reader import FIELDS
+from gradegap.proxy.proxy import ConnectionRequest
 
 LONGEST = 4096  # bytes of a line, its end included
 LONGEST_WAIT = 10 * 24 * 3600.0  # s; timers take no more
@@ -21,7 +21,7 @@
 _FIGURE = re.compile(r"[0-9]{1,16}(?:\.[0-9]{1,18})?(?:[eE][+-]?[0-9]{1,2})?")
 
 
-class BadLine(ValueError):
+class InvalidLineError(ValueError):
     """A first line that cannot be read."""
 
 
@@ -29,7 +29,7 @@
 class Opening:
     """A client's first line: what it asks for, and the bytes as they came, before and after its wait."""
 
-    ask: Ask
+    ask: ConnectionRequest
     before: bytes
     after: bytes
 
@@ -41,10 +41,10 @@
 def figure(text: str, most: float = math.inf) -> float:
     """A figure of the protocol: a plain number, not negative and not beyond `most`."""
     if _FIGURE.fullmatch(text) is None:
-        raise BadLine(f"{text[:40]!r} is no figure")
+        raise InvalidLineError(f"{text[:40]!r} is no figure")
     value = float(text)
     if value > most:
-        raise BadLine(f"{text[:40]} is too large")
+        raise InvalidLineError(f"{text[:40]} is too large")
     return value
 
 
@@ -57,26 +57,26 @@
     try:
         text = line.decode("utf-8")
     except UnicodeDecodeError:
-        raise BadLine("not UTF-8") from None
+        raise InvalidLineError("not UTF-8") from None
     if not text.endswith("\r\n") or not text[:-2].isprintable():
-        raise BadLine("no CRLF at its end, or control characters")
+        raise InvalidLineError("no CRLF at its end, or control characters")
     parts = text[:-2].split(" ")
     if len(parts) != 4 or parts[0] != "OPEN" or not parts[1] or not parts[2]:
-        raise BadLine("not OPEN with an id, a key and a list of values")
+        raise InvalidLineError("not OPEN with an id, a key and a list of values")
     values: dict[str, str] = {}
     for pair in parts[3].split(","):
         name, sign, value = pair.partition("=")
         if not sign or not name:
-            raise BadLine(f"{pair[:40]!r} is no name and value")
+            raise InvalidLineError(f"{pair[:40]!r} is no name and value")
         if name in values:
-            raise BadLine(f"{name[:40]!r} twice")
+            raise InvalidLineError(f"{name[:40]!r} twice")
         values[name] = value
     if "c" not in values or "d" not in values:
-        raise BadLine("no class or no wait")
+        raise InvalidLineError("no class or no wait")
     # A connection from before the run waits for hours, longer than a timer can.
     wait = min(figure(values["d"], LARGEST_WAIT) / 1000, LONGEST_WAIT)
     load = figure(values.get("h", "0"), LARGEST_LOAD) * 1e-6
-    ask = Ask(
+    ask = ConnectionRequest(
         values["c"],
         wait,
         parts[2],
@@ -99,7 +99,7 @@
     for pair in text.strip().split(","):
         name, sign, value = pair.partition("=")
         if sign:
-            with contextlib.suppress(BadLine):
+            with contextlib.suppress(InvalidLineError):
                 report[FIELDS.get(name, name)] = figure(value)
     return report or None
 
--- a/gradegap/net/client_session.py
+++ b/gradegap/downstream/session.py
@@ -11,10 +11,10 @@
 from enum import Enum
 from typing import Any, Protocol, cast
 
-from gradegap.core import Core, Req, Unfit
-from gradegap.net.descriptors import Descriptors, Rank
-from gradegap.net.framing import LONGEST, BadLine, LineWatch, Opening, parse_opening
-from gradegap.stats import Stats
+from gradegap.downstream.framing import LONGEST, InvalidLineError, LineWatch, Opening, parse_opening
+from gradegap.metrics import Metrics
+from gradegap.proxy.proxy import InvalidRequestError, Proxy, Request
+from gradegap.transport.descriptors import Descriptors, Rank
 
 HIGH_WATER = 64 * 1024  # bytes kept for one side until the other is no longer read
 FIRST_LINE_WAIT = 2.5  # s from its start that a connection may take over its first line
@@ -120,7 +120,7 @@
     """One client's connection: its first line, its answer, then lines both ways."""
 
     def __init__(
-        self, core: Core, stats: Stats, channel: Channel, ready: Callable[[], bool], spent: float = 0.0
+        self, core: Proxy, stats: Metrics, channel: Channel, ready: Callable[[], bool], spent: float = 0.0
     ) -> None:
         """A session whose channel has taken `spent` seconds to come up."""
         self.core = core
@@ -128,7 +128,7 @@
         self.channel = channel
         self.ready = ready
         self.opening: Opening | None = None
-        self.req: Req | None = None
+        self.req: Request | None = None
         self.pipe: Pipe | None = None
         self.buffer = bytearray()  # before the answer: what came and is not passed on yet
         self.watch = LineWatch(self._passed)
@@ -263,11 +263,11 @@
             try:
                 self.opening = opening = parse_opening(line)
                 if self._asks_more():
-                    raise BadLine("more than a first line")
+                    raise InvalidLineError("more than a first line")
                 if self.resuming is not None and self.resuming.begin(self, line, opening):
                     return
                 self.req = self.core.take(self, opening.ask)
-            except (BadLine, Unfit) as error:
+            except (InvalidLineError, InvalidRequestError) as error:
                 self._bad(str(error))
                 return
             self.unwait()
@@ -281,7 +281,7 @@
         self.opening = opening
         try:
             self.req = self.core.take(self, opening.ask)
-        except Unfit as error:
+        except InvalidRequestError as error:
             self._bad(str(error))
             return
         self.unwait()
@@ -469,8 +469,8 @@
 
     def __init__(
         self,
-        core: Core,
-        stats: Stats,
+        core: Proxy,
+        stats: Metrics,
         ready: Callable[[], bool],
         live: set[TcpChannel],
         descriptors: Descriptors,
--- a/gradegap/handover.py
+++ b/gradegap/hot_restart/handover.py
@@ -22,13 +22,13 @@
 import msgspec
 import structlog
 
-from gradegap import interface as api
-from gradegap.core import Ask, Core
-from gradegap.net.backend import Backends, Fetch
-from gradegap.net.client_session import Resuming, TcpChannel
-from gradegap.net.descriptors import Descriptors, DialedSocket
-from gradegap.net.framing import Opening
-from gradegap.stats import Stats
+from gradegap.balancing.events import AttemptResult, EndpointEntry, EndpointListKind, EndpointPhase
+from gradegap.downstream.framing import Opening
+from gradegap.downstream.session import Resuming, TcpChannel
+from gradegap.metrics import Metrics
+from gradegap.proxy.proxy import ConnectionRequest, Proxy
+from gradegap.transport.descriptors import Descriptors, DialedSocket
+from gradegap.upstream.connections import Backends, Fetch
 
 log = structlog.get_logger()
 
@@ -90,7 +90,7 @@
     """A standing session, with its client's and its backend's sockets."""
 
     serial: int
-    ask: Ask
+    ask: ConnectionRequest
     before: bytes
     after: bytes
     backend: str
@@ -326,8 +326,8 @@
     """The node, as a handover sees it."""
 
     loop: asyncio.AbstractEventLoop
-    stats: Stats
-    core: Core
+    stats: Metrics
+    core: Proxy
     backends: Backends
     descriptors: Descriptors
     channels: set[TcpChannel]
@@ -387,10 +387,10 @@
         core = self.node.core
         entries = []
         for k in self.listed:
-            phase = api.Phase(k.phase)
-            entry = api.ServerEntry(k.id, k.zone, k.cell, phase, k.weight, k.started_at)
+            phase = EndpointPhase(k.phase)
+            entry = EndpointEntry(k.id, k.zone, k.cell, phase, k.weight, k.started_at)
             entries.append((entry, k.address))
-        core.listing(api.ListKind.CACHED, entries)
+        core.listing(EndpointListKind.CACHED, entries)
         core.told_before({k.id: k.told_at for k in self.listed if k.told_at is not None})
         for server, at in (self.offer.out if self.offer is not None else {}).items():
             core.take_out(server, at)
@@ -444,7 +444,7 @@
             return False
         fetch = Fetch(session, req.attempt, 0.0)
         fetch.sent = fetch.up = True
-        fetch.said = None if message.said is None else api.Result(message.said)
+        fetch.said = None if message.said is None else AttemptResult(message.said)
         fetch.report = message.report
         req.attempt.fetch = fetch
         session.req, session.pipe, session.standing = req, fetch, True
@@ -472,7 +472,7 @@
         for b in node.core.backends.values():
             if (e := b.told) is not None:
                 k = Known(b.id, b.address, e.zone, e.cell, int(e.phase), e.weight, e.started_at)
-                k.told_at = b.told_at if b.phase is not api.Phase.READY else None
+                k.told_at = b.told_at if b.phase is not EndpointPhase.READY else None
                 k.report, k.report_at = dict(b.report) if b.report is not None else None, b.report_at
                 known.append(k)
         for start in range(0, len(known), BATCH):
@@ -525,7 +525,7 @@
         if not isinstance(fetch, Fetch) or req is None or req.attempt is None or fetch.transport is None:
             return
         fit = req.standing and not req.moved and not session.moving and fetch.at_rest()
-        if not fit or req.attempt.backend.phase is not api.Phase.READY:
+        if not fit or req.attempt.backend.phase is not EndpointPhase.READY:
             return
         standing = Standing(
             self.serial,
--- a/gradegap/stats.py
+++ b/gradegap/metrics.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 
-class Stats:
+class Metrics:
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
         self.gauges: dict[str, Callable[[], object]] = {}
--- a/gradegap/configuration.py
+++ b/gradegap/node/configuration.py
@@ -11,10 +11,10 @@
 import msgspec
 import structlog
 
-from gradegap import interface as api
-from gradegap import settings as reader
-from gradegap.net.backend import split_address
-from gradegap.net.director import Listing
+from gradegap.balancing import settings_reader as reader
+from gradegap.balancing.settings import Settings
+from gradegap.discovery.http_discovery import Listing
+from gradegap.upstream.connections import split_address
 
 log = structlog.get_logger()
 
@@ -22,7 +22,7 @@
 FIXED = ("name", "listen", "seed", "console")  # what lasts for the life of a process
 
 
-class BadConfig(ValueError):
+class ConfigurationError(ValueError):
     """A configuration that the node can't start with; its text is one plain line."""
 
 
@@ -48,7 +48,7 @@
 @dataclass(slots=True)
 class Setup:
     config: Config
-    settings: api.Settings
+    settings: Settings
     path: str  # the file it was read from
     written: Config  # as the file has it, without the environment's words
     names: dict[str, Any]  # all that the file has, but for the lists of `known`
@@ -65,15 +65,15 @@
     """The configuration from NODE_CONFIG, with the other NODE_ variables over it."""
     path = path or os.environ.get("NODE_CONFIG", "")
     if not path:
-        raise BadConfig("NODE_CONFIG names no file")
+        raise ConfigurationError("NODE_CONFIG names no file")
     try:
         data = Path(path).read_bytes()
         config = msgspec.json.decode(data, type=Config)
         names = msgspec.json.decode(data) | {"known": None}
     except OSError as error:
-        raise BadConfig(f"{path} can't be read: {error.strerror}") from None
+        raise ConfigurationError(f"{path} can't be read: {error.strerror}") from None
     except (msgspec.MsgspecError, RecursionError) as error:
-        raise BadConfig(f"{path} is no configuration: {error}") from None
+        raise ConfigurationError(f"{path} is no configuration: {error}") from None
     written = msgspec.structs.replace(config)
     config.name = os.environ.get("NODE_NAME") or config.name
     config.listen = os.environ.get("NODE_LISTEN") or config.listen
@@ -85,14 +85,14 @@
             if address or name != "console":
                 split_address(address)
         except ValueError:
-            raise BadConfig(f"{name} is no address: {address!r}") from None
+            raise ConfigurationError(f"{name} is no address: {address!r}") from None
     try:
         reader.check(config.settings)
-        settings = api.Settings(**reader.read(reader.flatten(config.settings)))
+        settings = Settings(**reader.read(reader.flatten(config.settings)))
     except KeyError as error:
-        raise BadConfig(f"settings lack {error}") from None
+        raise ConfigurationError(f"settings lack {error}") from None
     except (ValueError, TypeError) as error:
-        raise BadConfig(f"settings can't be used: {error}") from None
+        raise ConfigurationError(f"settings can't be used: {error}") from None
     return Setup(config, settings, path, written, names)
 
 
@@ -102,7 +102,7 @@
     new = load(old.path)
     # Guards against a file that was cut between two of its names: what it lacks would become a default.
     if missing := reader.lacking(old.names, new.names):
-        raise BadConfig(f"{old.path} lacks {missing}, which the one in force has")
+        raise ConfigurationError(f"{old.path} lacks {missing}, which the one in force has")
     for name in RELOADED:
         now, before = getattr(new.written, name), getattr(old.written, name)
         setattr(new.config, name, now if now != before else getattr(old.config, name))
--- a/gradegap/trace.py
+++ b/gradegap/node/decision_trace.py
@@ -2,7 +2,7 @@
 
 On with `[trace]` in the operator's file. Meant for a day that went badly and is played again with logs: the
 lines of all nodes, merged by their clocks, follow one req through every node that handled it. A step is
-`step t=CLOCK in=EVENT out=ACTION;ACTION`, in the fields of `interface.py`, with long lists cut short.
+`step t=CLOCK in=EVENT out=ACTION;ACTION`, in the fields of `gradegap.balancing`, with long lists cut short.
 It costs a node some tens of microseconds a step, so it is no part of ordinary service.
 """
 
@@ -14,7 +14,9 @@
 
 import msgspec
 
-from gradegap import interface as api
+from gradegap.balancing.actions import Action
+from gradegap.balancing.events import Event
+from gradegap.balancing.settings import Settings
 
 LIST_MOST = 64  # entries of a list written out; the rest are counted
 
@@ -45,23 +47,23 @@
     return f"{kind.__name__}[{' '.join(parts)}]"
 
 
-class Trace:
+class DecisionTrace:
     """A module whose every step is written out; the core knows no difference."""
 
     def __init__(self, balancer: Any, out: IO[str] | None = None) -> None:
         self.balancer = balancer
         self.out = out or sys.stderr
 
-    def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        actions: list[api.Action] = self.balancer.handle(now, event)
+    def handle(self, now: float, event: Event) -> list[Action]:
+        actions: list[Action] = self.balancer.handle(now, event)
         told = ";".join(_form(a) for a in actions)
         self.out.write(f"step t={now:.4f} in={_form(event)} out={told}\n")
         return actions
 
-    def adopt(self, settings: api.Settings) -> None:
+    def adopt(self, settings: Settings) -> None:
         self.balancer.adopt(settings)
         self.settings(settings)
 
-    def settings(self, settings: api.Settings) -> None:
+    def settings(self, settings: Settings) -> None:
         """The settings decided by, once at the start and at every change, as JSON."""
         self.out.write(f"settings {msgspec.json.encode(settings).decode()}\n")
--- a/gradegap/node.py
+++ b/gradegap/node/node.py
@@ -13,30 +13,31 @@
 import msgspec
 import structlog
 
-from gradegap import interface as api
-from gradegap.configuration import BadConfig, Setup, private_file, reload
-from gradegap.core import Core
-from gradegap.handover import Handover, close_all
-from gradegap.live import LiveConfig, set_log_level
-from gradegap.net.backend import Backends, raise_descriptor_limit, split_address
-from gradegap.net.client_session import Resuming, TcpChannel
-from gradegap.net.console import CALLERS_MOST, DONE, Console, Done, Verdict
-from gradegap.net.descriptors import Descriptors
-from gradegap.net.director import Director
-from gradegap.operator_file import (
-    BadOperatorFile,
+from gradegap.admin.http_api import CALLERS_MOST, DONE, AdminApi, Done, Verdict
+from gradegap.balancing.events import EndpointListKind
+from gradegap.balancing.settings import Settings
+from gradegap.discovery.http_discovery import HttpDiscovery
+from gradegap.downstream.session import Resuming, TcpChannel
+from gradegap.hot_restart.handover import Handover, close_all
+from gradegap.metrics import Metrics
+from gradegap.node.configuration import ConfigurationError, Setup, private_file, reload
+from gradegap.node.operator_file import (
     ObserverSettings,
+    OperatorFileError,
     OperatorSettings,
     QuicSettings,
     StoreSettings,
     read_secret,
 )
-from gradegap.stats import Stats
+from gradegap.proxy.proxy import Proxy
+from gradegap.store.dynamic_configuration import DynamicConfiguration, set_log_level
 from gradegap.store.snapshot import Snapshot
+from gradegap.transport.descriptors import Descriptors
+from gradegap.upstream.connections import Backends, raise_descriptor_limit, split_address
 
 if TYPE_CHECKING:
     from gradegap.capture.recorder import Switch
-    from gradegap.dnssd import DnsDirector
+    from gradegap.discovery.dns_sd_discovery import DnsSdDiscovery
     from gradegap.observer.attached import ObservedStore
     from gradegap.quic.front import QuicFront
     from gradegap.store.attached import Attached
@@ -78,7 +79,7 @@
     return sock
 
 
-def killed_from(settings: api.Settings) -> float:
+def killed_from(settings: Settings) -> float:
     """s from SIGTERM after which the platform may kill the process; what was taken is answered by then."""
     return min(DEADLINE_MOST, max(c.limit for c in settings.classes.values())) + KILLED_AFTER
 
@@ -93,27 +94,27 @@
         self.operator = operator or OperatorSettings()
         self.quic: QuicFront | None = None
         self.loop = loop
-        self.stats = Stats()
+        self.stats = Metrics()
         self.descriptors = Descriptors(raise_descriptor_limit(setup.config.limits.sockets), self.stats)
         self.backends = Backends(loop, setup.settings.connect_timeout, self.descriptors)
-        self.core = Core(setup.settings, setup.seed, self.backends, self.stats, loop)
-        self.director: Director | DnsDirector = self._make_director()
-        self.live = LiveConfig(self.stats)
+        self.core = Proxy(setup.settings, setup.seed, self.backends, self.stats, loop)
+        self.director: HttpDiscovery | DnsSdDiscovery = self._make_director()
+        self.live = DynamicConfiguration(self.stats)
         self.store: Attached | ObservedStore | None = None
         self.store_until = 0.0  # steady time up to which the process before this one had a lease
         self.channels: set[TcpChannel] = set()
         self.ready = False
         self.leaving = False
-        self.console: Console | None = None
+        self.console: AdminApi | None = None
         self.again: asyncio.Task[None] | None = None
         self.late: list[asyncio.Task[None]] = []  # ports that wait for the process before to leave them
         self.snapshot = Snapshot(private_file(setup.config, "snapshot"), self.stats)
         self.resuming: Resuming | None = self._make_resuming()
         self.capture = self._make_capture()
         if self.operator.trace is not None and self.operator.trace.decisions:
-            from gradegap.trace import Trace
+            from gradegap.node.decision_trace import DecisionTrace
 
-            trace = Trace(self.core.balancer)
+            trace = DecisionTrace(self.core.balancer)
             trace.settings(setup.settings)
             self.core.balancer = cast(Any, trace)  # the core knows no difference
         self.core.out_changed = self._keep_out
@@ -126,12 +127,12 @@
         self.stats.gauge("open_sessions", lambda: len(self.channels))
         self.stats.gauge("reqs", lambda: len(self.core.reqs))
 
-    def _make_director(self) -> Director | DnsDirector:
+    def _make_director(self) -> HttpDiscovery | DnsSdDiscovery:
         if self.operator.dnssd is None:
-            return Director(self.core, self.backends.dialer, self.setup.config.discovery, self.stats)
-        from gradegap.dnssd import DnsDirector
+            return HttpDiscovery(self.core, self.backends.dialer, self.setup.config.discovery, self.stats)
+        from gradegap.discovery.dns_sd_discovery import DnsSdDiscovery
 
-        return DnsDirector(self.core, self.operator.dnssd, self.stats)
+        return DnsSdDiscovery(self.core, self.operator.dnssd, self.stats)
 
     def _make_capture(self) -> Switch | None:
         settings = self.operator.capture
@@ -142,7 +143,9 @@
         try:
             hide = Hide(Path(settings.hide).read_bytes().strip()) if settings.hide else None
         except OSError as error:
-            raise BadConfig(f"capture.hide: {settings.hide} can't be read: {error.strerror}") from None
+            raise ConfigurationError(
+                f"capture.hide: {settings.hide} can't be read: {error.strerror}"
+            ) from None
         name, seed = self.setup.config.name, self.setup.seed
         made = Switch(settings, self.core, seed, self.stats, name, hide)
         self.live.key("capture", settings.on, made.set)
@@ -176,7 +179,7 @@
         try:
             self.listening = self.listening or listen(*split_address(config.listen))
         except OSError as error:
-            raise BadConfig(f"can't listen on {config.listen}: {error.strerror}") from None
+            raise ConfigurationError(f"can't listen on {config.listen}: {error.strerror}") from None
         if config.console:
             await self._start_console(config.console)
         await self._accept()
@@ -226,7 +229,7 @@
         """Start a front or the store, at once or as soon as the process before has left its port."""
         try:
             await start(settings)
-        except BadConfig as error:
+        except ConfigurationError as error:
             if not following:
                 raise
             log.info("waits until the process before has left", reason=str(error))
@@ -238,7 +241,7 @@
             await asyncio.sleep(PORT_RETRY)
             try:
                 return await start(settings)
-            except BadConfig as error:
+            except ConfigurationError as error:
                 if alone:
                     self.stats.count("ports_not_free")
                     log.error("not started", error=str(error))
@@ -246,11 +249,11 @@
 
     async def _start_console(self, address: str) -> None:
         self.descriptors.reserve(CALLERS_MOST)
-        self.console = Console(self, self.loop, self.stats)
+        self.console = AdminApi(self, self.loop, self.stats)
         try:
             await self.console.start(*split_address(address))
         except OSError as error:
-            raise BadConfig(f"the console can't listen on {address}: {error.strerror}") from None
+            raise ConfigurationError(f"the console can't listen on {address}: {error.strerror}") from None
         log.info("listening", console=address)
 
     # What operators ask for
@@ -342,8 +345,8 @@
     def _take_known(self) -> None:
         """The list of the configuration, to serve with until discovery has told one."""
         known = self.setup.config.known.entries({}, self.stats)
-        self.core.listing(api.ListKind.CACHED, known)
-        if known and isinstance(self.director, Director):
+        self.core.listing(EndpointListKind.CACHED, known)
+        if known and isinstance(self.director, HttpDiscovery):
             self.director.clock.known(self.setup.config.known.version)
         if known:
             self.loop.call_later(READY_ANYWAY, self._get_ready)
@@ -364,7 +367,7 @@
                 return  # it has the port of the process before
             await self.quic.listen(*split_address(settings.listen))
         except (OSError, ValueError) as error:
-            raise BadConfig(f"the QUIC front can't start: {error}") from None
+            raise ConfigurationError(f"the QUIC front can't start: {error}") from None
         log.info("listening", quic=settings.listen)
 
     def give_port(self) -> tuple[bytes, list[int]] | None:
@@ -430,13 +433,15 @@
             told = lambda: self.director.told  # noqa: E731
             parts = self.core, self.live, self.stats, self.loop, self._state, told
             made = Attached(settings, secret, place, *parts)
-        except (BadFolder, BadOperatorFile) as error:
-            raise BadConfig(str(error)) from None
+        except (BadFolder, OperatorFileError) as error:
+            raise ConfigurationError(str(error)) from None
         try:
             await made.start()
         except OSError as error:
             made.close()
-            raise BadConfig(f"the store can't listen on {settings.listen}: {error.strerror}") from None
+            raise ConfigurationError(
+                f"the store can't listen on {settings.listen}: {error.strerror}"
+            ) from None
         self.store = made
 
     async def _start_observer(self, settings: ObserverSettings) -> None:
@@ -446,8 +451,8 @@
         settings = msgspec.structs.replace(settings, name=settings.name or self.setup.config.name)
         try:
             made = ObservedStore(settings, self.core, self.live, self.stats, self.loop)
-        except BadOperatorFile as error:
-            raise BadConfig(str(error)) from None
+        except OperatorFileError as error:
+            raise ConfigurationError(str(error)) from None
         await made.start()
         self.store = made
 
@@ -490,21 +495,21 @@
         old = self.setup
         try:
             self.setup = new = reload(old)
-        except BadConfig as error:
+        except ConfigurationError as error:
             self.stats.count("reloads_failed")
             log.error("configuration not reloaded, the old one is kept", error=str(error))
             return
         self.stats.count("reloads")
         if new.settings != old.settings:
             self.core.reconfigure(new.settings)
-            if isinstance(self.director, Director):
+            if isinstance(self.director, HttpDiscovery):
                 self.director.clock.adopt(new.settings)
             self.backends.connect_wait = new.settings.connect_timeout
         if new.config.limits != old.config.limits:
             self.descriptors.limit = raise_descriptor_limit(new.config.limits.sockets)
         if new.config.known != old.config.known and not self.director.told:
             self._take_known()
-        if new.config.discovery != old.config.discovery and isinstance(self.director, Director):
+        if new.config.discovery != old.config.discovery and isinstance(self.director, HttpDiscovery):
             self.director.change_over(new.config.discovery)
         log.info("configuration reloaded", discovery=new.config.discovery)
 
--- a/gradegap/operator_file.py
+++ b/gradegap/node/operator_file.py
@@ -128,7 +128,7 @@
         return self.store if self.store is not None else self.observer
 
 
-class BadOperatorFile(ValueError):
+class OperatorFileError(ValueError):
     """An operator's file that can't be used; its text is one plain line."""
 
 
@@ -140,16 +140,16 @@
         check_form(msgspec.toml.decode(raw))
         settings = msgspec.toml.decode(raw, type=OperatorSettings)
     except OSError as error:
-        raise BadOperatorFile(f"{path} can't be read: {error.strerror}") from None
-    except BadOperatorFile as error:
-        raise BadOperatorFile(f"{path}: {error}") from None
+        raise OperatorFileError(f"{path} can't be read: {error.strerror}") from None
+    except OperatorFileError as error:
+        raise OperatorFileError(f"{path}: {error}") from None
     except (msgspec.MsgspecError, ValueError) as error:
-        raise BadOperatorFile(f"{path} is no operator's file: {error}") from None
+        raise OperatorFileError(f"{path} is no operator's file: {error}") from None
     if settings.store is not None:
         check_store(settings.store)
     if settings.observer is not None:
         if settings.store is not None:
-            raise BadOperatorFile(
+            raise OperatorFileError(
                 "[observer] and [store] exclude each other: a node subscribes, or is a member; leave one out"
             )
         check_observer(settings.observer)
@@ -164,33 +164,33 @@
     if not isinstance(store, dict):
         return
     if any(isinstance(peer, str) for peer in store.get("peers", ()) or ()):
-        raise BadOperatorFile(
+        raise OperatorFileError(
             'store.peers has the form of an earlier version; write peers = [{ name = "n2", address = '
             '"127.0.0.1:7401" }, ...], and a name for this member: name = "n1"'
         )
     if "name" not in store:
-        raise BadOperatorFile('store has no name; write name = "n1", one for each member of the cluster')
+        raise OperatorFileError('store has no name; write name = "n1", one for each member of the cluster')
 
 
 def check_store(store: StoreSettings) -> None:
     if not NAME.fullmatch(store.name):
-        raise BadOperatorFile(f"store.name is no name of letters, digits, - and _: {store.name!r}")
+        raise OperatorFileError(f"store.name is no name of letters, digits, - and _: {store.name!r}")
     loopback(store.listen, "store.listen")
     if store.advertise:
         loopback(store.advertise, "store.advertise")
     for peer in store.peers:
         if not NAME.fullmatch(peer.name):
-            raise BadOperatorFile(f"store.peers: no name of letters, digits, - and _: {peer.name!r}")
+            raise OperatorFileError(f"store.peers: no name of letters, digits, - and _: {peer.name!r}")
         loopback(peer.address, f"store.peers: the address of {peer.name}")
         if (peer.name == store.name) != (peer.address in (store.listen, store.advertise)):
-            raise BadOperatorFile(f"store.peers: {peer.name} at {peer.address} is and is not this member")
+            raise OperatorFileError(f"store.peers: {peer.name} at {peer.address} is and is not this member")
     for of in ("name", "address"):
         if len({getattr(p, of) for p in store.peers}) != len(store.peers):
-            raise BadOperatorFile(f"store.peers: two peers have the same {of}")
+            raise OperatorFileError(f"store.peers: two peers have the same {of}")
     if store.publish:
         loopback(store.publish, "store.publish")
         if store.publish in (store.listen, store.advertise):
-            raise BadOperatorFile("store.publish is a port of its own, not that of store.listen")
+            raise OperatorFileError("store.publish is a port of its own, not that of store.listen")
     check_regions(store)
 
 
@@ -203,7 +203,7 @@
     held = Counter(regions[name] for name in voters if regions[name])
     region, count = held.most_common(1)[0]
     if count > len(voters) // 2:
-        raise BadOperatorFile(
+        raise OperatorFileError(
             f"store.peers: region {region} holds {count} of the {len(voters)} voters ({', '.join(voters)}), "
             f"a majority; voters are the first {store.voters} members by name: spread them over more regions"
         )
@@ -211,14 +211,16 @@
 
 def check_observer(observer: ObserverSettings) -> None:
     if observer.name and not NAME.fullmatch(observer.name):
-        raise BadOperatorFile(f"observer.name is no name of letters, digits, - and _: {observer.name!r}")
+        raise OperatorFileError(f"observer.name is no name of letters, digits, - and _: {observer.name!r}")
     for machine in observer.machines:
         if not NAME.fullmatch(machine.name):
-            raise BadOperatorFile(f"observer.machines: no name of letters, digits, - and _: {machine.name!r}")
+            raise OperatorFileError(
+                f"observer.machines: no name of letters, digits, - and _: {machine.name!r}"
+            )
         loopback(machine.address, f"observer.machines: the address of {machine.name}")
     for of in ("name", "address"):
         if len({getattr(m, of) for m in observer.machines}) != len(observer.machines):
-            raise BadOperatorFile(f"observer.machines: two machines have the same {of}")
+            raise OperatorFileError(f"observer.machines: two machines have the same {of}")
 
 
 def read_secret(settings: StoreSettings | ObserverSettings) -> bytes:
@@ -229,9 +231,9 @@
     try:
         secret = Path(settings.secret).read_bytes().strip()
     except OSError as error:
-        raise BadOperatorFile(f"{name}: {settings.secret} can't be read: {error.strerror}") from None
+        raise OperatorFileError(f"{name}: {settings.secret} can't be read: {error.strerror}") from None
     if len(secret) < 16:
-        raise BadOperatorFile(f"{name}: {settings.secret} has less than 16 bytes")
+        raise OperatorFileError(f"{name}: {settings.secret} has less than 16 bytes")
     return secret
 
 
@@ -243,4 +245,4 @@
     except ValueError:
         good = False
     if not good:
-        raise BadOperatorFile(f"{name} is no loopback address and port: {address!r}")
+        raise OperatorFileError(f"{name} is no loopback address and port: {address!r}")
--- a/gradegap/app.py
+++ b/gradegap/node/process.py
@@ -10,9 +10,9 @@
 
 import structlog
 
-from gradegap.configuration import BadConfig, Setup, load
-from gradegap.node import Node
-from gradegap.operator_file import BadOperatorFile, OperatorSettings, load_operator
+from gradegap.node.configuration import ConfigurationError, Setup, load
+from gradegap.node.node import Node
+from gradegap.node.operator_file import OperatorFileError, OperatorSettings, load_operator
 
 log = structlog.get_logger()
 
@@ -71,7 +71,7 @@
 def load_both(config: str | None, operator: str | None) -> tuple[Setup, OperatorSettings]:
     try:
         return load(config), load_operator(operator or os.environ.get("GRADEGAP_OPERATOR"))
-    except (BadConfig, BadOperatorFile) as error:
+    except (ConfigurationError, OperatorFileError) as error:
         raise stop_line(error) from None
 
 
@@ -82,5 +82,5 @@
     setup, settings = load_both(config, operator)
     try:
         run(setup, settings)
-    except BadConfig as error:
+    except ConfigurationError as error:
         raise stop_line(error) from None
--- a/gradegap/observer/attached.py
+++ b/gradegap/observer/attached.py
@@ -13,15 +13,15 @@
 
 import structlog
 
-from gradegap.core import Core
-from gradegap.live import LiveConfig
-from gradegap.net.console import DONE, Done, Verdict
+from gradegap.admin.http_api import DONE, Done, Verdict
+from gradegap.metrics import Metrics
+from gradegap.node.operator_file import ObserverSettings
 from gradegap.observer.client import ObserverClient
 from gradegap.observer.messages import Change
-from gradegap.operator_file import ObserverSettings
-from gradegap.stats import Stats
+from gradegap.proxy.proxy import Proxy
 from gradegap.store import wire
 from gradegap.store.committed import CALL_WAIT, CONFIG, OUT, CommittedState
+from gradegap.store.dynamic_configuration import DynamicConfiguration
 from gradegap.store.machine import Item, Op
 
 log = structlog.get_logger()
@@ -71,9 +71,9 @@
     def __init__(
         self,
         settings: ObserverSettings,
-        core: Core,
-        live: LiveConfig,
-        stats: Stats,
+        core: Proxy,
+        live: DynamicConfiguration,
+        stats: Metrics,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
         """`settings.name` is set. `BadOperatorFile` where the secret can't be read."""
--- a/gradegap/observer/client.py
+++ b/gradegap/observer/client.py
@@ -19,16 +19,16 @@
 import msgspec
 import structlog
 
-from gradegap.net.backend import split_address
+from gradegap.metrics import Metrics
+from gradegap.node.operator_file import ObserverSettings, read_secret
 from gradegap.observer.errors import REMEDIES
 from gradegap.observer.limits import Limits
 from gradegap.observer.link import FRAME_OVERHEAD, TokenBucket, decode_to_subscriber, subscriber_channel
 from gradegap.observer.messages import Change, Code, Renew
 from gradegap.observer.selection import Machine
 from gradegap.observer.subscriber import Apply, Connect, Disconnect, LeaseChanged, Phase, Send, Subscriber
-from gradegap.operator_file import ObserverSettings, read_secret
-from gradegap.stats import Stats
 from gradegap.store import wire
+from gradegap.upstream.connections import split_address
 
 log = structlog.get_logger()
 
@@ -165,7 +165,7 @@
         self,
         settings: ObserverSettings,
         loop: asyncio.AbstractEventLoop,
-        stats: Stats,
+        stats: Metrics,
         on_apply: Callable[[int, tuple[Change, ...], bool], None],
         on_lease: Callable[[bool], None],
         limits: Limits | None = None,
--- a/gradegap/observer/server.py
+++ b/gradegap/observer/server.py
@@ -17,18 +17,18 @@
 import msgspec
 import structlog
 
-from gradegap.net.backend import raise_descriptor_limit, split_address
+from gradegap.metrics import Metrics
+from gradegap.node.operator_file import StoreSettings
 from gradegap.observer.inforce import MachineReport
 from gradegap.observer.limits import Limits
 from gradegap.observer.link import EncodedOnce, publisher_channel
 from gradegap.observer.messages import Code, Delta, Rejected, SnapshotPart, Subscribe
 from gradegap.observer.publisher import Close, Publisher, Send
 from gradegap.observer.source import MachineSource
-from gradegap.operator_file import StoreSettings
-from gradegap.stats import Stats
 from gradegap.store import wire
 from gradegap.store.disk import Identity
 from gradegap.store.machine import Machine
+from gradegap.upstream.connections import raise_descriptor_limit, split_address
 
 log = structlog.get_logger()
 
@@ -58,7 +58,7 @@
     """The member that publishes."""
 
     loop: asyncio.AbstractEventLoop
-    stats: Stats
+    stats: Metrics
     settings: StoreSettings
     machine: Machine
 
