--- a/gradegap/quic/channel.py
+++ b/gradegap/quic/channel.py
@@ -8,12 +8,12 @@
 
 from aioquic.quic import events
 
-from gradegap.core import Core
-from gradegap.net.client_session import FIRST_LINE_WAIT, LINGER, Resuming
+from gradegap.downstream.session import FIRST_LINE_WAIT, LINGER, Resuming
+from gradegap.metrics import Metrics
+from gradegap.proxy.proxy import Proxy
 from gradegap.quic.connection import HeldConnection
 from gradegap.quic.stream import CloseCode, StreamChannel
 from gradegap.quic.tokens import Tokens
-from gradegap.stats import Stats
 
 HANDSHAKE_WAIT = FIRST_LINE_WAIT  # s that a handshake may take; with the first line behind it no longer
 MOST_STREAMS = 32  # sessions of one connection at once
@@ -24,8 +24,8 @@
 class Front(Protocol):
     """What a channel needs of its front."""
 
-    core: Core
-    stats: Stats
+    core: Proxy
+    stats: Metrics
     loop: asyncio.AbstractEventLoop
     resuming: Resuming | None
     tokens: Tokens
@@ -62,11 +62,11 @@
     # As a stream sees it
 
     @property
-    def core(self) -> Core:
+    def core(self) -> Proxy:
         return self.front.core
 
     @property
-    def stats(self) -> Stats:
+    def stats(self) -> Metrics:
         return self.front.stats
 
     @property
--- a/gradegap/quic/front.py
+++ b/gradegap/quic/front.py
@@ -22,9 +22,10 @@
 from aioquic.quic.configuration import QuicConfiguration
 from aioquic.quic.packet import encode_quic_retry, encode_quic_version_negotiation
 
-from gradegap.core import Core
-from gradegap.net.client_session import Resuming
-from gradegap.operator_file import QuicSettings
+from gradegap.downstream.session import Resuming
+from gradegap.metrics import Metrics
+from gradegap.node.operator_file import QuicSettings
+from gradegap.proxy.proxy import Proxy
 from gradegap.quic.channel import QuicChannel
 from gradegap.quic.connection import HeldConnection
 from gradegap.quic.credentials import SOON, read
@@ -34,7 +35,6 @@
 from gradegap.quic.stream import CloseCode
 from gradegap.quic.tokens import BadToken, Tokens
 from gradegap.quic.trace import Traces
-from gradegap.stats import Stats
 
 if TYPE_CHECKING:
     from gradegap.store.machine import Machine
@@ -66,8 +66,8 @@
 
     def __init__(
         self,
-        core: Core,
-        stats: Stats,
+        core: Proxy,
+        stats: Metrics,
         ready: Callable[[], bool],
         settings: QuicSettings,
         name: str,
--- a/gradegap/quic/relay.py
+++ b/gradegap/quic/relay.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from gradegap.stats import Stats
+from gradegap.metrics import Metrics
 
 BUFFER = 1 << 20  # octets that may wait between two processes
 LARGEST = 70_000  # octets of one datagram with its address
@@ -43,7 +43,7 @@
 class Relay:
     """The way to a process that holds connections."""
 
-    def __init__(self, sock: socket.socket, stats: Stats) -> None:
+    def __init__(self, sock: socket.socket, stats: Metrics) -> None:
         self.sock, self.stats = sock, stats
         self.gone = False
         sock.setblocking(False)
@@ -74,7 +74,7 @@
         self,
         loop: asyncio.AbstractEventLoop,
         sock: socket.socket,
-        stats: Stats,
+        stats: Metrics,
         came: Callable[[bytes, Any], None],
     ) -> None:
         self.loop, self.sock, self.stats, self.came = loop, sock, stats, came
--- a/gradegap/quic/stream.py
+++ b/gradegap/quic/stream.py
@@ -11,10 +11,10 @@
 from enum import IntEnum
 from typing import Protocol
 
-from gradegap.core import Core
-from gradegap.net.client_session import HIGH_WATER, LINGER, ClientSession, Ending, Resuming
+from gradegap.downstream.session import HIGH_WATER, LINGER, ClientSession, Ending, Resuming
+from gradegap.metrics import Metrics
+from gradegap.proxy.proxy import Proxy
 from gradegap.quic.connection import HeldConnection
-from gradegap.stats import Stats
 
 OVERRUN = 8 * 1024 * 1024  # bytes waiting for a client beyond which its session is given up
 DRAIN_CHECK = 0.02  # s between two looks whether a paused backend may go on
@@ -51,9 +51,9 @@
     gone: bool
 
     @property
-    def core(self) -> Core: ...
+    def core(self) -> Proxy: ...
     @property
-    def stats(self) -> Stats: ...
+    def stats(self) -> Metrics: ...
     @property
     def resuming(self) -> Resuming | None: ...
     def ready(self) -> bool: ...
--- a/gradegap/quic/trace.py
+++ b/gradegap/quic/trace.py
@@ -14,7 +14,7 @@
 import structlog
 from aioquic.quic.logger import QuicLogger, QuicLoggerTrace
 
-from gradegap.stats import Stats
+from gradegap.metrics import Metrics
 
 log = structlog.get_logger()
 
@@ -26,7 +26,7 @@
 class Trace(QuicLoggerTrace):
     """One connection's, up to a length."""
 
-    def __init__(self, odcid: bytes, stats: Stats) -> None:
+    def __init__(self, odcid: bytes, stats: Metrics) -> None:
         super().__init__(is_client=False, odcid=odcid)
         self.stats = stats
 
@@ -40,7 +40,7 @@
 class Traces(QuicLogger):
     """A logger that aioquic's connections can be given, one for each."""
 
-    def __init__(self, folder: str, most_mb: int, stats: Stats) -> None:
+    def __init__(self, folder: str, most_mb: int, stats: Metrics) -> None:
         """`OSError` where the folder can't be written."""
         super().__init__()
         self.folder, self.most, self.stats = Path(folder), most_mb * 1024 * 1024, stats
--- a/gradegap/resume/move.py
+++ b/gradegap/resume/move.py
@@ -14,9 +14,9 @@
 
 import structlog
 
-from gradegap.core import Req, Unfit
-from gradegap.net.client_session import ClientSession
-from gradegap.net.framing import Opening
+from gradegap.downstream.framing import Opening
+from gradegap.downstream.session import ClientSession
+from gradegap.proxy.proxy import InvalidRequestError, Request
 from gradegap.resume.switch import Passing
 
 log = structlog.get_logger()
@@ -54,7 +54,7 @@
         self.core = session.core
         self.channel = session.channel
         self.reset = False
-        self.req: Req | None = None
+        self.req: Request | None = None
         self.over = False
         self.began = time.monotonic()
 
@@ -64,7 +64,7 @@
             return
         try:
             self.req = self.core.take(self, self.opening.ask)
-        except Unfit as error:
+        except InvalidRequestError as error:
             log.warning("a session could not be moved in place", reason=str(error))
             self.give_up("unfit")
 
--- a/gradegap/resume/part.py
+++ b/gradegap/resume/part.py
@@ -16,9 +16,10 @@
 import msgspec
 import structlog
 
-from gradegap.net.client_session import ClientSession
-from gradegap.net.framing import BadLine, Opening, parse_opening
-from gradegap.operator_file import ResumeSettings
+from gradegap.downstream.framing import InvalidLineError, Opening, parse_opening
+from gradegap.downstream.session import ClientSession
+from gradegap.metrics import Metrics
+from gradegap.node.operator_file import ResumeSettings
 from gradegap.resume.claims import CLAIMS, Claimed, LocalClaims, claim, digest_of
 from gradegap.resume.lines import MOST
 from gradegap.resume.move import WAIT, Mover, Offer
@@ -26,7 +27,6 @@
 from gradegap.resume.switch import Passing, State
 from gradegap.resume.token import RING, BadToken, Place, Ring, digest, opened, seal
 from gradegap.resume.window import WINDOW
-from gradegap.stats import Stats
 from gradegap.store import wire
 from gradegap.store.machine import Machine
 
@@ -75,7 +75,7 @@
         self,
         node: str,
         settings: ResumeSettings,
-        stats: Stats,
+        stats: Metrics,
         loop: asyncio.AbstractEventLoop,
         store: Callable[[], Store | None] | None,
     ) -> None:
@@ -152,7 +152,7 @@
         values = dict(pair.split("=", 1) for pair in fields.split(","))
         if "rn" in values:
             # Guards the save servers: only a node says whose a session is.
-            raise BadLine("rn is a node's word")
+            raise InvalidLineError("rn is a node's word")
         if values.get("rs") != "1":
             return False
         ring, token = self.ring(), values.pop("rt", "")
@@ -160,7 +160,7 @@
         try:
             by = digest_of(values.pop("ra", ""))
         except ValueError as error:
-            raise BadLine(str(error)) from None
+            raise InvalidLineError(str(error)) from None
         if not token:
             if ring.sealing is None or seen != "0":
                 self.stats.count("resume_not_offered")
--- a/gradegap/wirehost.py
+++ b/gradegap/simulator_adapter.py
@@ -12,22 +12,48 @@
 from collections.abc import Callable, Iterator
 from typing import Any, NoReturn, TextIO
 
-from gradegap import interface as i
-from gradegap.choice import Balancer
-from gradegap.settings import NS, Fields, read, report
-
-RESULTS = {str(int(r)): r for r in i.Result}
-KINDS = {str(int(k)): k for k in i.ListKind}
-PHASES = {str(int(p)): p for p in i.Phase}
+from gradegap.balancing.actions import (
+    CheckHealth,
+    Fail,
+    Forward,
+    LogMessage,
+    Migrate,
+    Reject,
+    SetTimer,
+    WatchEndpoints,
+)
+from gradegap.balancing.balancer import Balancer
+from gradegap.balancing.events import (
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    ConnectionEstablished,
+    ConnectionInherited,
+    ConnectionObserved,
+    EndpointEntry,
+    EndpointList,
+    EndpointListKind,
+    EndpointPhase,
+    Event,
+    HealthCheckEnded,
+    RequestArrived,
+    TimerFired,
+)
+from gradegap.balancing.settings import Settings
+from gradegap.balancing.settings_reader import NS, Fields, read, report
+
+RESULTS = {str(int(r)): r for r in AttemptResult}
+KINDS = {str(int(k)): k for k in EndpointListKind}
+PHASES = {str(int(p)): p for p in EndpointPhase}
 
 
 class Malformed(Exception):
     """A line of the wire that cannot be read."""
 
 
-def _request(f: Fields) -> i.Request:
+def _request(f: Fields) -> RequestArrived:
     get = f.get
-    return i.Request(
+    return RequestArrived(
         int(f["Tid"]),
         f["Service"],
         int(f["DeadlineNs"]) * NS,
@@ -41,21 +67,23 @@
     )
 
 
-def _note(f: Fields) -> i.Note:
+def _note(f: Fields) -> ConnectionObserved:
     value = float(f["Value"])
     if f["Topic"] == "1":
-        return i.Note(int(f["Tid"]), f["Server"], load=value * 1e-6)
+        return ConnectionObserved(int(f["Tid"]), f["Server"], load=value * 1e-6)
     if f["Topic"] == "2":
-        return i.Note(int(f["Tid"]), f["Server"], message_delay=value * 1e-3)
-    return i.Note(int(f["Tid"]), f["Server"])
+        return ConnectionObserved(int(f["Tid"]), f["Server"], message_delay=value * 1e-3)
+    return ConnectionObserved(int(f["Tid"]), f["Server"])
 
 
-READERS: dict[str, Callable[[Fields], i.Event]] = {
+READERS: dict[str, Callable[[Fields], Event]] = {
     "demand": _request,
-    "inherited": lambda f: i.Inherited(_request(f), f["Server"]),
-    "under_way": lambda f: i.Established(int(f["Tid"]), int(f["Go"]), f["Server"], int(f["SpentNs"]) * NS),
+    "inherited": lambda f: ConnectionInherited(_request(f), f["Server"]),
+    "under_way": lambda f: ConnectionEstablished(
+        int(f["Tid"]), int(f["Go"]), f["Server"], int(f["SpentNs"]) * NS
+    ),
     "status_note": _note,
-    "report_back": lambda f: i.Outcome(
+    "report_back": lambda f: AttemptEnded(
         int(f["Tid"]),
         int(f["Go"]),
         f["Server"],
@@ -64,17 +92,17 @@
         f.get("Settled") == "1",
         report(f.get("ServerStats")),
     ),
-    "timed_out_client": lambda f: i.ClientGone(int(f["Tid"])),
-    "reminder": lambda f: i.Timer(f["Ctx"]),
-    "probe_done": lambda f: i.ProbeResult(
+    "timed_out_client": lambda f: ClientDisconnected(int(f["Tid"])),
+    "reminder": lambda f: TimerFired(f["Ctx"]),
+    "probe_done": lambda f: HealthCheckEnded(
         f["Server"], RESULTS[f["StateCode"]], int(f.get("SpentNs", 0)) * NS, report(f.get("ServerStats"))
     ),
 }
 
 
-def _entry(line: str) -> i.ServerEntry:
+def _entry(line: str) -> EndpointEntry:
     f = _fields(line)
-    return i.ServerEntry(
+    return EndpointEntry(
         f["Server"],
         f.get("Site", ""),
         int(f.get("Cluster", 0)),
@@ -98,14 +126,14 @@
 
 
 WRITERS: dict[type, Callable[[Any], str]] = {
-    i.Send: lambda a: f"route\tTid={a.id}\tServer={a.server}\tTimeoutNs={_ns(a.timeout)}",
-    i.Refuse: _refuse,
-    i.Fail: lambda a: f"error\tTid={a.id}",
-    i.Move: lambda a: f"migrate\tTid={a.id}",
-    i.SetTimer: lambda a: f"wake_at\tWaitNs={_ns(a.wait)}\tCtx={a.token}",
-    i.Probe: lambda a: f"sample\tServer={a.server}",
-    i.WatchList: lambda a: "subscribe\tWant=1",
-    i.Log: lambda a: "print\tBodyText=" + " ".join(a.text.split()),
+    Forward: lambda a: f"route\tTid={a.id}\tServer={a.server}\tTimeoutNs={_ns(a.timeout)}",
+    Reject: _refuse,
+    Fail: lambda a: f"error\tTid={a.id}",
+    Migrate: lambda a: f"migrate\tTid={a.id}",
+    SetTimer: lambda a: f"wake_at\tWaitNs={_ns(a.wait)}\tCtx={a.token}",
+    CheckHealth: lambda a: f"sample\tServer={a.server}",
+    WatchEndpoints: lambda a: "subscribe\tWant=1",
+    LogMessage: lambda a: "print\tBodyText=" + " ".join(a.text.split()),
 }
 
 
@@ -121,7 +149,7 @@
 
     def __init__(self) -> None:
         self.instances: dict[str, Balancer] = {}
-        self.sheets: dict[str, tuple[i.ServerEntry, ...]] = {}
+        self.sheets: dict[str, tuple[EndpointEntry, ...]] = {}
 
     def event(self, who: str | None, name: str, line: str, now: float) -> list[str]:
         """One event to one instance; the lines of its actions."""
@@ -132,7 +160,7 @@
             seed, known = int(f["Seed"]), read(f)
             self.instances.pop(who, None)
             try:
-                self.instances[who] = Balancer(i.Settings(**known), seed)
+                self.instances[who] = Balancer(Settings(**known), seed)
             except Exception as error:  # settings that the decisions cannot work with
                 return [_fault(error)]
             return []
@@ -141,11 +169,11 @@
             return []
         if name != "backends_changed" and name not in READERS:
             return []  # an event of a later wire
-        event: i.Event
+        event: Event
         f = _fields(line)
         if name == "backends_changed":
             kind = KINDS[f["Kind"]]
-            event = i.ServerList(kind, () if kind is i.ListKind.FAILED else self.sheets[f["Ref"]])
+            event = EndpointList(kind, () if kind is EndpointListKind.FAILED else self.sheets[f["Ref"]])
         else:
             event = READERS[name](f)
         instance = self.instances.get(who)
--- a/gradegap/store/attached.py
+++ b/gradegap/store/attached.py
@@ -15,15 +15,15 @@
 
 import structlog
 
-from gradegap.core import Core
-from gradegap.live import LiveConfig
-from gradegap.net.console import DONE, Done, Verdict
-from gradegap.operator_file import StoreSettings
-from gradegap.stats import Stats
+from gradegap.admin.http_api import DONE, Done, Verdict
+from gradegap.metrics import Metrics
+from gradegap.node.operator_file import StoreSettings
+from gradegap.proxy.proxy import Proxy
 from gradegap.store import wire
 from gradegap.store.committed import CALL_WAIT, CONFIG, OUT, CommittedState
 from gradegap.store.daemon import Daemon
 from gradegap.store.disk import BadFolder
+from gradegap.store.dynamic_configuration import DynamicConfiguration
 from gradegap.store.gossip import PERIOD, Learner
 from gradegap.store.links import Link
 from gradegap.store.machine import Event, Machine, Op
@@ -40,9 +40,9 @@
         settings: StoreSettings,
         secret: bytes,
         folder: Path,
-        core: Core,
-        live: LiveConfig,
-        stats: Stats,
+        core: Proxy,
+        live: DynamicConfiguration,
+        stats: Metrics,
         loop: asyncio.AbstractEventLoop,
         state: Callable[[], dict[str, object]],
         told: Callable[[], bool],
--- a/gradegap/store/commands.py
+++ b/gradegap/store/commands.py
@@ -17,7 +17,7 @@
 import msgspec
 import typer
 
-from gradegap.operator_file import BadOperatorFile, StoreSettings, load_operator, read_secret
+from gradegap.node.operator_file import OperatorFileError, StoreSettings, load_operator, read_secret
 from gradegap.store import schema, wire
 from gradegap.store.disk import BadFolder
 from gradegap.store.machine import Compare, Event, Item, Op
@@ -55,7 +55,7 @@
             yield made
     except StoreError as error:
         raise stop(str(error), CODES[error.kind]) from None
-    except BadOperatorFile as error:
+    except OperatorFileError as error:
         raise stop(str(error), 2) from None
 
 
@@ -113,7 +113,7 @@
 
     try:
         serve(load_operator(operator))
-    except (BadOperatorFile, BadFolder) as error:
+    except (OperatorFileError, BadFolder) as error:
         raise stop(str(error), 2) from None
 
 
@@ -339,11 +339,11 @@
     try:
         settings = load_operator(operator).store
         if settings is None:
-            raise BadOperatorFile("the operator's file has no [store] table")
+            raise OperatorFileError("the operator's file has no [store] table")
         base = restore(file.read_bytes(), settings)
     except OSError as error:
         raise stop(f"{file} can't be read: {error.strerror}", 2) from None
-    except (BadOperatorFile, BadFolder, ValueError) as error:
+    except (OperatorFileError, BadFolder, ValueError) as error:
         raise stop(str(error), 2) from None
     say({"index": base.index}, json, f"restored; start it with: store serve --operator {operator}")
 
--- a/gradegap/store/committed.py
+++ b/gradegap/store/committed.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from gradegap.core import Core
-from gradegap.live import LiveConfig
+from gradegap.proxy.proxy import Proxy
 from gradegap.store import schema
+from gradegap.store.dynamic_configuration import DynamicConfiguration
 from gradegap.store.machine import Op
 
 OUT = "out/"
@@ -17,7 +17,7 @@
 class CommittedState:
     """Applies changes of committed keys to one node."""
 
-    def __init__(self, core: Core, live: LiveConfig) -> None:
+    def __init__(self, core: Proxy, live: DynamicConfiguration) -> None:
         self.core, self.live = core, live
 
     def apply(self, key: str, value: object, deleted: bool) -> None:
--- a/gradegap/store/daemon.py
+++ b/gradegap/store/daemon.py
@@ -16,7 +16,8 @@
 
 import structlog
 
-from gradegap.operator_file import StoreSettings
+from gradegap.metrics import Metrics
+from gradegap.node.operator_file import StoreSettings
 from gradegap.raft.core import NEVER, Raft, Refused
 from gradegap.raft.types import (
     ClusterConfiguration,
@@ -29,7 +30,6 @@
     SnapshotMetadata,
     Tuning,
 )
-from gradegap.stats import Stats
 from gradegap.store import wire
 from gradegap.store.disk import BadFolder, Batch, Disk, Found, Identity
 from gradegap.store.forming import Forming, promotable
@@ -60,7 +60,7 @@
         secret: bytes,
         folder: Path,
         loop: asyncio.AbstractEventLoop,
-        stats: Stats,
+        stats: Metrics,
         failed: Callable[[BadFolder], None],
         tuning: Tuning | None = None,
     ) -> None:
--- a/gradegap/live.py
+++ b/gradegap/store/dynamic_configuration.py
@@ -8,7 +8,7 @@
 
 import structlog
 
-from gradegap.stats import Stats
+from gradegap.metrics import Metrics
 
 log = structlog.get_logger()
 
@@ -19,10 +19,10 @@
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(LEVELS[name]))
 
 
-class LiveConfig:
+class DynamicConfiguration:
     """The settings that a node obeys, each with its value of the start and what applies it."""
 
-    def __init__(self, stats: Stats) -> None:
+    def __init__(self, stats: Metrics) -> None:
         self.stats = stats
         self.known: dict[str, tuple[Any, Callable[[Any], None]]] = {}
         self.set: dict[str, Any] = {}  # what was set, also before there was something to apply it
--- a/gradegap/store/forming.py
+++ b/gradegap/store/forming.py
@@ -10,7 +10,7 @@
 
 import secrets
 
-from gradegap.operator_file import StoreSettings
+from gradegap.node.operator_file import StoreSettings
 from gradegap.raft.types import ClusterConfiguration, Member
 from gradegap.store.wire import Hello
 
--- a/gradegap/store/gossip.py
+++ b/gradegap/store/gossip.py
@@ -11,14 +11,20 @@
 import math
 from collections.abc import Callable
 
-from gradegap import interface as api
-from gradegap.core import PROBE_WAIT, Backend, Core
-from gradegap.stats import Stats
+from gradegap.balancing.events import (
+    AttemptResult,
+    EndpointEntry,
+    EndpointListKind,
+    EndpointPhase,
+    HealthCheckEnded,
+)
+from gradegap.metrics import Metrics
+from gradegap.proxy.proxy import HEALTH_CHECK_TIMEOUT_S, Endpoint, Proxy
 from gradegap.store.wire import Gossip, Learned
 
 PERIOD = 1.0  # s between two words
 OLDEST = 5.0  # s; older reports say nothing any more
-PHASES = {int(p) for p in api.Phase}
+PHASES = {int(p) for p in EndpointPhase}
 MOST = 2000  # of what is told at once
 MOST_FIELDS = 16  # of a report
 NEWER = 0.25  # s by which a report must be newer than one's own to be taken
@@ -27,7 +33,7 @@
 class Learner:
     """One node's part: what it tells, and what it takes of what it is told."""
 
-    def __init__(self, node: str, core: Core, stats: Stats, told: Callable[[], bool]) -> None:
+    def __init__(self, node: str, core: Proxy, stats: Metrics, told: Callable[[], bool]) -> None:
         self.node, self.core, self.stats = node, core, stats
         self.silent: dict[str, float] = {}  # by server, the latest word of a sibling
         self.told = told  # whether discovery has told this node a list
@@ -58,7 +64,7 @@
             return
         self.stats.count("gossip_heard")
         now = self.core.now()
-        changed: list[tuple[api.ServerEntry, str]] = []
+        changed: list[tuple[EndpointEntry, str]] = []
         for learned in gossip.learned[:MOST]:
             if not self._fit(learned):
                 self.stats.count("gossip_unfit")
@@ -73,7 +79,7 @@
                     b.told.phase,
                     b.told.started_at,
                 ):
-                    entry = b.told._replace(phase=api.Phase(learned.phase), started_at=learned.started_at)
+                    entry = b.told._replace(phase=EndpointPhase(learned.phase), started_at=learned.started_at)
                     changed.append((entry, ""))
             elif learned.age > OLDEST or now - learned.age < b.report_at + NEWER:
                 self.stats.count("gossip_old")
@@ -83,9 +89,9 @@
                 self.core.recall(now - learned.age, b.id, learned.report)
         if changed:
             self.stats.count("gossip_listed", len(changed))
-            self.core.listing(api.ListKind.DELTA, changed)
+            self.core.listing(EndpointListKind.DELTA, changed)
 
-    def _silent(self, learned: Learned, b: Backend, now: float) -> None:
+    def _silent(self, learned: Learned, b: Endpoint, now: float) -> None:
         """A sibling's probe was left unanswered: the module hears of it as of one of its own, and no more
         often than of its own, where this node has no later answer."""
         at = now - learned.age
@@ -95,7 +101,7 @@
             return
         self.silent[b.id] = at  # apart from what this node saw itself, which alone it tells on
         self.stats.count("gossip_silent")
-        self.core.feed(api.ProbeResult(b.id, api.Result.TIMEOUT, PROBE_WAIT, None))
+        self.core.feed(HealthCheckEnded(b.id, AttemptResult.TIMEOUT, HEALTH_CHECK_TIMEOUT_S, None))
 
     def _fit(self, learned: Learned) -> bool:
         """Guards the module against figures that no probe could have brought."""
--- a/gradegap/store/links.py
+++ b/gradegap/store/links.py
@@ -14,11 +14,11 @@
 
 import structlog
 
-from gradegap.net.backend import split_address
+from gradegap.metrics import Metrics
 from gradegap.raft.types import Member
-from gradegap.stats import Stats
 from gradegap.store.leases import LENGTH
 from gradegap.store.wire import BadLink, Channel, Word
+from gradegap.upstream.connections import split_address
 
 log = structlog.get_logger()
 
@@ -175,7 +175,7 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        stats: Stats,
+        stats: Metrics,
         secret: bytes,
         heard: Callable[[Link, Word], None],
         linked: Callable[[Dial, Link], None],
--- a/gradegap/store/serve.py
+++ b/gradegap/store/serve.py
@@ -11,10 +11,10 @@
 import msgspec
 import structlog
 
-from gradegap.operator_file import BadOperatorFile, OperatorSettings, StoreSettings, read_secret
+from gradegap.metrics import Metrics
+from gradegap.node.operator_file import OperatorFileError, OperatorSettings, StoreSettings, read_secret
 from gradegap.raft.core import Refused
 from gradegap.raft.types import ClusterConfiguration, HardState, Member, SnapshotMetadata
-from gradegap.stats import Stats
 from gradegap.store.daemon import Daemon
 from gradegap.store.disk import BadFolder, Batch, Disk, Identity
 from gradegap.store.machine import Item, unpack
@@ -31,7 +31,7 @@
         return Path(settings.data)
     place = os.environ.get("TMPDIR")
     if not place:
-        raise BadOperatorFile("store.data names no folder, and there is no TMPDIR")
+        raise OperatorFileError("store.data names no folder, and there is no TMPDIR")
     return Path(place) / f"gradegap-store-{settings.name}"
 
 
@@ -57,9 +57,9 @@
 
     settings = operator.store
     if settings is None:
-        raise BadOperatorFile("the operator's file has no [store] table")
+        raise OperatorFileError("the operator's file has no [store] table")
     secret = read_secret(settings)
-    stats = Stats()
+    stats = Metrics()
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
@@ -84,7 +84,7 @@
             await daemon.start()
         except OSError as error:
             daemon.close()
-            raise BadOperatorFile(
+            raise OperatorFileError(
                 f"store.listen: can't listen on {settings.listen}: {error.strerror}"
             ) from None
         failed = await done
--- a/gradegap/store/service.py
+++ b/gradegap/store/service.py
@@ -18,10 +18,10 @@
 import msgspec
 import structlog
 
-from gradegap.operator_file import StoreSettings
+from gradegap.metrics import Metrics
+from gradegap.node.operator_file import StoreSettings
 from gradegap.raft.core import Raft, Refused
 from gradegap.raft.types import Entry, EntryKind, Member
-from gradegap.stats import Stats
 from gradegap.store import leases, schema, wire
 from gradegap.store.disk import Identity
 from gradegap.store.gather import Gathering
@@ -75,7 +75,7 @@
     """The member that a service answers for."""
 
     loop: asyncio.AbstractEventLoop
-    stats: Stats
+    stats: Metrics
     settings: StoreSettings
     identity: Identity
     machine: Machine
--- a/gradegap/store/snapshot.py
+++ b/gradegap/store/snapshot.py
@@ -10,7 +10,7 @@
 import msgspec
 import structlog
 
-from gradegap.stats import Stats
+from gradegap.metrics import Metrics
 
 log = structlog.get_logger()
 
@@ -22,7 +22,7 @@
     """Servers with when they were taken out, at a path. Written beside it and renamed into place, so that
     half a file is never read."""
 
-    def __init__(self, path: Path | None, stats: Stats) -> None:
+    def __init__(self, path: Path | None, stats: Metrics) -> None:
         self.path = path
         self.stats = stats
 
--- a/gradegap/net/descriptors.py
+++ b/gradegap/transport/descriptors.py
@@ -13,7 +13,7 @@
 from itertools import count
 from typing import Protocol
 
-from gradegap.stats import Stats
+from gradegap.metrics import Metrics
 
 BASE = 32  # for the process itself, its listeners, discovery, the store's peers and some probes
 DIALS = 16  # one part in so many is kept from new clients, for fetches and probes
@@ -37,7 +37,7 @@
 
 
 class Descriptors:
-    def __init__(self, limit: int, stats: Stats) -> None:
+    def __init__(self, limit: int, stats: Metrics) -> None:
         self.limit = limit
         self.stats = stats
         self.held = 0
--- a/gradegap/net/backend.py
+++ b/gradegap/upstream/connections.py
@@ -10,11 +10,11 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from gradegap.core import Attempt, Backend, ProbeDone
-from gradegap.interface import Result
-from gradegap.net.client_session import HIGH_WATER, ClientSession, Pausable, end, no_delay, reset
-from gradegap.net.descriptors import Descriptors
-from gradegap.net.framing import LONGEST, figure, parse_report
+from gradegap.balancing.events import AttemptResult
+from gradegap.downstream.framing import LONGEST, figure, parse_report
+from gradegap.downstream.session import HIGH_WATER, ClientSession, Pausable, end, no_delay, reset
+from gradegap.proxy.proxy import Attempt, Endpoint, HealthCheckDone
+from gradegap.transport.descriptors import Descriptors
 
 PROBE_IDLE = 20.0  # s until an idle probe connection is closed
 _UP = re.compile(rb"UP [!-~][ -~]*")
@@ -119,13 +119,13 @@
         self.sent = False
         self.up = False
         self.over = False
-        self.said: Result | None = None  # what the backend's last word makes of its end
+        self.said: AttemptResult | None = None  # what the backend's last word makes of its end
         self.report: dict[str, float] | None = None
         self.buffer = b""
         self.eof_sent = False
 
     def dial_failed(self) -> None:
-        self._finish(Result.CONNECT_FAILED)
+        self._finish(AttemptResult.CONNECT_FAILED)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -154,7 +154,7 @@
         end = self.buffer.find(b"\n")
         if end < 0:
             if len(self.buffer) >= LONGEST:
-                self._answer(Result.ERROR)
+                self._answer(AttemptResult.ERROR)
             return
         word = self.buffer[:end].rstrip(b"\r")
         # Guards against half an answer, or noise, taken for the receipt that a server gives.
@@ -165,7 +165,7 @@
             self.attempt.up()
         else:
             self._read_word(word)
-            self._answer(self.said or Result.ERROR)
+            self._answer(self.said or AttemptResult.ERROR)
 
     def saw(self, line: bytes) -> None:
         """A line that went by on a standing connection."""
@@ -179,14 +179,19 @@
     def _read_word(self, line: bytes) -> None:
         word, _, rest = line.decode("utf-8", "replace").partition(" ")
         if word in ("BYE", "ERR", "BUSY", "MOVE"):
-            words = {"BYE": Result.OK, "ERR": Result.ERROR, "BUSY": Result.FULL, "MOVE": Result.CANCELLED}
+            words = {
+                "BYE": AttemptResult.OK,
+                "ERR": AttemptResult.ERROR,
+                "BUSY": AttemptResult.FULL,
+                "MOVE": AttemptResult.CANCELLED,
+            }
             self.said = words[word]
             self.report = parse_report(rest)
 
-    def _answer(self, result: Result) -> None:
+    def _answer(self, result: AttemptResult) -> None:
         """An answer other than UP."""
-        if result is Result.OK:
-            result = Result.ERROR  # ended before it stood
+        if result is AttemptResult.OK:
+            result = AttemptResult.ERROR  # ended before it stood
         transport = self.transport
         self._finish(result, self.report)
         if transport is not None:
@@ -200,7 +205,7 @@
         if self.over:
             return
         if not self.up:
-            self._finish(Result.RESET if self.sent else Result.CONNECT_FAILED)
+            self._finish(AttemptResult.RESET if self.sent else AttemptResult.CONNECT_FAILED)
             return
         self.session.reset = exc is not None
         if self.session.moving:
@@ -208,11 +213,11 @@
         if self.said is not None:
             self._finish(self.said, self.report)
         elif self.eof_sent:
-            self._finish(Result.CANCELLED)
+            self._finish(AttemptResult.CANCELLED)
         else:
-            self._finish(Result.RESET)
+            self._finish(AttemptResult.RESET)
 
-    def _finish(self, result: Result, report: dict[str, float] | None = None) -> None:
+    def _finish(self, result: AttemptResult, report: dict[str, float] | None = None) -> None:
         if not self.over:
             self.over = True
             self.attempt.over(result, report)
@@ -265,13 +270,13 @@
         self.gone = gone
         self.transport: asyncio.Transport | None = None
         self.stop: Callable[[], None] | None = None
-        self.waiting: ProbeDone | None = None
+        self.waiting: HealthCheckDone | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.idle: asyncio.TimerHandle | None = None
         self.asked = False
         self.buffer = b""
 
-    def ask(self, wait: float, done: ProbeDone) -> None:
+    def ask(self, wait: float, done: HealthCheckDone) -> None:
         self.buffer = b""  # what came unasked answers nothing
         self.waiting = done
         self.asked = False
@@ -301,16 +306,16 @@
         if self.waiting is None or not 0 <= end < LONGEST:
             # Guards against lines without end, and against a word too many taken for the next answer.
             self.close()
-            self._over(Result.ERROR)
+            self._over(AttemptResult.ERROR)
             return
         word, _, rest = self.buffer[:end].rstrip(b"\r").decode("utf-8", "replace").partition(" ")
         self.buffer = self.buffer[end + 1 :]
         if word == "PONG":
-            self._over(Result.OK, parse_report(rest))
+            self._over(AttemptResult.OK, parse_report(rest))
         else:
-            self._over(Result.FULL if word == "BUSY" else Result.ERROR)
+            self._over(AttemptResult.FULL if word == "BUSY" else AttemptResult.ERROR)
 
-    def _over(self, result: Result, report: dict[str, float] | None = None) -> None:
+    def _over(self, result: AttemptResult, report: dict[str, float] | None = None) -> None:
         done, self.waiting = self.waiting, None
         if self.timer is not None:
             self.timer.cancel()
@@ -320,18 +325,18 @@
 
     def _late(self) -> None:
         # Guards against a late answer taken for the next one's: this connection is not used again.
-        result = Result.TIMEOUT if self.asked else Result.CONNECT_FAILED
+        result = AttemptResult.TIMEOUT if self.asked else AttemptResult.CONNECT_FAILED
         self.close()
         self._over(result)
 
     def dial_failed(self) -> None:
         self.gone(self)
-        self._over(Result.CONNECT_FAILED)
+        self._over(AttemptResult.CONNECT_FAILED)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
         self.gone(self)
-        self._over(Result.RESET if self.asked else Result.CONNECT_FAILED)
+        self._over(AttemptResult.RESET if self.asked else AttemptResult.CONNECT_FAILED)
 
     def close(self) -> None:
         self.gone(self)
@@ -354,16 +359,16 @@
         self.connect_wait = connect_wait
         self.probers: dict[str, Prober] = {}
 
-    def fetch(self, session: Any, backend: Backend, wait: float, attempt: Attempt) -> Fetch:
+    def fetch(self, session: Any, backend: Endpoint, wait: float, attempt: Attempt) -> Fetch:
         fetch = Fetch(session, attempt, wait)
         limit = min(wait, self.connect_wait)
         fetch.stop = self.dialer.dial(backend.address, limit, fetch, fetch.dial_failed)
         return fetch
 
-    def probe(self, backend: Backend, wait: float, done: ProbeDone) -> None:
+    def probe(self, backend: Endpoint, wait: float, done: HealthCheckDone) -> None:
         prober = self.probers.get(backend.id)
         if prober is not None and prober.waiting is not None:
-            self.loop.call_soon(done, Result.FULL, None)
+            self.loop.call_soon(done, AttemptResult.FULL, None)
             return
         if prober is None:
             prober = Prober(self.loop, lambda p: self._gone(backend.id, p))
@@ -378,11 +383,11 @@
         if self.probers.get(name) is prober:
             del self.probers[name]
 
-    def forget(self, backend: Backend) -> None:
+    def forget(self, backend: Endpoint) -> None:
         prober = self.probers.get(backend.id)
         if prober is not None:
             prober.close()
-            self.loop.call_soon(prober._over, Result.RESET)
+            self.loop.call_soon(prober._over, AttemptResult.RESET)
 
 
 def raise_descriptor_limit(wanted: int) -> int:
--- a/tests/test_handover_steps.py
+++ b/tests/test_handover_steps.py
@@ -14,7 +14,7 @@
 import msgspec
 import pytest
 
-from gradegap.handover import (
+from gradegap.hot_restart.handover import (
     LARGEST,
     MOST_FDS,
     Begin,
--- a/tests/test_silent_watches.py
+++ b/tests/test_silent_watches.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from gradegap.net.listclock import SILENCE_TOLD, WAIT_TOLD
+from gradegap.discovery.watch_schedule import SILENCE_TOLD, WAIT_TOLD
 from tests.deployments import ASKED, NodeProcess, Server
 from tests.silent_discovery import TurnDiscovery
 from tests.world import BUSY_MACHINE, Client, wait_for
