--- a/bench/capture.py
+++ b/bench/capture.py
@@ -25,8 +25,8 @@
 from gradegap.balancing.events import ConnectionInherited, RequestArrived
 from gradegap.capture import records, replay, snapshot, state
 from gradegap.capture.recorder import Recorder, Tap
+from gradegap.capture.settings import CaptureSettings
 from gradegap.metrics import Metrics
-from gradegap.node.operator_file import CaptureSettings
 from tests.test_capture import Day
 from tests.world import Backend, Client, World, wait_for
 
--- a/bench/scale/measure.py
+++ b/bench/scale/measure.py
@@ -16,7 +16,8 @@
 
 from gradegap.store import wire
 from gradegap.transport.descriptors import Descriptors
-from gradegap.upstream.connections import Dialer, Prober
+from gradegap.transport.dialer import Dialer
+from gradegap.upstream.connections import Prober
 
 LONGEST_US = 3_600_000_000
 DIGITS = 3
--- a/bench/scale/sessions.py
+++ b/bench/scale/sessions.py
@@ -12,11 +12,11 @@
 
 from bench.scale.measure import CountedChannel, Traffic
 from gradegap.metrics import Metrics
-from gradegap.node.operator_file import Peer, StoreSettings
 from gradegap.proxy.proxy import Proxy
 from gradegap.store.attached import Attached
 from gradegap.store.dynamic_configuration import DynamicConfiguration
 from gradegap.store.machine import Event
+from gradegap.store.settings import Peer, StoreSettings
 from gradegap.store.wire import Channel
 
 
--- a/bench/scale/slopes_module.py
+++ b/bench/scale/slopes_module.py
@@ -30,7 +30,7 @@
 from gradegap.proxy.proxy import Attempt, ConnectPort, Endpoint, HealthCheckDone, Proxy
 from gradegap.store.gossip import Learner
 from gradegap.store.wire import Channel, Gossip
-from gradegap.upstream.connections import Dialer
+from gradegap.transport.dialer import Dialer
 from tests.helpers import settings
 
 SERVERS = (60, 600, 6_000)
--- a/bench/scale/storeclient.py
+++ b/bench/scale/storeclient.py
@@ -11,7 +11,7 @@
 from bench.scale.sessions import steady
 from gradegap.store import wire
 from gradegap.store.machine import Op
-from gradegap.upstream.connections import split_address
+from gradegap.transport.addresses import split_address
 
 CONNECT_S = 1.0
 TRY_S = 5.0  # that a machine may take over one try
--- a/bench/scale/subscription.py
+++ b/bench/scale/subscription.py
@@ -4,10 +4,10 @@
 
 from bench.scale.measure import Traffic
 from bench.scale.sessions import MachineSpec, NodeSpec, SessionParts
-from gradegap.node.operator_file import ObserverMachine, ObserverSettings
 from gradegap.observer import client as observer_client
 from gradegap.observer.attached import ObservedStore
 from gradegap.observer.messages import Change
+from gradegap.observer.settings import ObserverMachine, ObserverSettings
 from gradegap.observer.subscriber import Phase
 
 
--- a/gradegap/capture/recorder.py
+++ b/gradegap/capture/recorder.py
@@ -26,8 +26,8 @@
 from gradegap.capture import frames, records, snapshot, state
 from gradegap.capture.frames import Kind
 from gradegap.capture.index import Builder
+from gradegap.capture.settings import CaptureSettings
 from gradegap.metrics import Metrics
-from gradegap.node.operator_file import CaptureSettings
 
 log = structlog.get_logger()
 
--- a/gradegap/discovery/dns_sd_discovery.py
+++ b/gradegap/discovery/dns_sd_discovery.py
@@ -25,10 +25,10 @@
 
 from gradegap.balancing.events import EndpointEntry, EndpointListKind
 from gradegap.discovery.http_discovery import STATES
+from gradegap.discovery.settings import DnsSdSettings
 from gradegap.metrics import Metrics
-from gradegap.node.operator_file import DnsSdSettings
 from gradegap.proxy.proxy import Proxy
-from gradegap.upstream.connections import split_address
+from gradegap.transport.addresses import split_address
 
 log = structlog.get_logger()
 
--- a/gradegap/discovery/http_discovery.py
+++ b/gradegap/discovery/http_discovery.py
@@ -21,7 +21,8 @@
 from gradegap.discovery.watch_schedule import DIAL, UNFIT, Ask, WatchSchedule
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
-from gradegap.upstream.connections import Dialer, split_address
+from gradegap.transport.addresses import split_address
+from gradegap.transport.dialer import Dialer
 
 log = structlog.get_logger()
 
--- a/gradegap/downstream/session.py
+++ b/gradegap/downstream/session.py
@@ -6,7 +6,6 @@
 import contextlib
 import os
 import socket
-import struct
 from collections.abc import Callable
 from enum import Enum
 from typing import Any, Protocol, cast
@@ -15,8 +14,8 @@
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import InvalidRequestError, Proxy, Request
 from gradegap.transport.descriptors import Descriptors, Rank
+from gradegap.transport.sockets import HIGH_WATER, Pausable, end, no_delay, reset
 
-HIGH_WATER = 64 * 1024  # bytes kept for one side until the other is no longer read
 FIRST_LINE_WAIT = 2.5  # s from its start that a connection may take over its first line
 PING_IDLE = 30.0  # s that one which has said PING may take until it says more
 PINGS = 100  # that may come at once
@@ -447,23 +446,6 @@
         self.channel.close(ending)
 
 
-class Pausable(asyncio.Protocol):
-    """A TCP connection that is not read while the other side takes no more."""
-
-    transport: asyncio.Transport | None = None
-    paused = False
-
-    def pause(self) -> None:
-        if self.transport is not None and not self.paused and not self.transport.is_closing():
-            self.paused = True
-            self.transport.pause_reading()
-
-    def resume(self) -> None:
-        if self.transport is not None and self.paused:
-            self.paused = False
-            self.transport.resume_reading()
-
-
 class TcpChannel(Pausable):
     """A client's TCP connection."""
 
@@ -645,25 +627,3 @@
             for _ in range(READ_AWAY):
                 if not os.read(self.fd, HIGH_WATER):
                     return
-
-
-def end(transport: asyncio.Transport) -> None:
-    """Close a connection at once: what the other side has not taken by now is dropped."""
-    if transport.get_write_buffer_size():
-        transport.abort()
-    else:
-        transport.close()
-
-
-def no_delay(transport: asyncio.BaseTransport) -> None:
-    sock = transport.get_extra_info("socket")
-    if sock is not None:
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-
-
-def reset(transport: asyncio.Transport) -> None:
-    """End a connection by a reset, as the other side of it was."""
-    sock = transport.get_extra_info("socket")
-    if sock is not None and not transport.is_closing():
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    transport.abort()
--- a/gradegap/node/configuration.py
+++ b/gradegap/node/configuration.py
@@ -14,7 +14,7 @@
 from gradegap.balancing import settings_reader as reader
 from gradegap.balancing.settings import Settings
 from gradegap.discovery.http_discovery import Listing
-from gradegap.upstream.connections import split_address
+from gradegap.transport.addresses import split_address
 
 log = structlog.get_logger()
 
--- a/gradegap/node/node.py
+++ b/gradegap/node/node.py
@@ -21,19 +21,16 @@
 from gradegap.hot_restart.handover import Handover, close_all
 from gradegap.metrics import Metrics
 from gradegap.node.configuration import ConfigurationError, Setup, private_file, reload
-from gradegap.node.operator_file import (
-    ObserverSettings,
-    OperatorFileError,
-    OperatorSettings,
-    QuicSettings,
-    StoreSettings,
-    read_secret,
-)
+from gradegap.node.operator_file import OperatorFileError, OperatorSettings, read_secret
+from gradegap.observer.settings import ObserverSettings
 from gradegap.proxy.proxy import Proxy
+from gradegap.quic.settings import QuicSettings
 from gradegap.store.dynamic_configuration import DynamicConfiguration, set_log_level
+from gradegap.store.settings import StoreSettings
 from gradegap.store.snapshot import Snapshot
-from gradegap.transport.descriptors import Descriptors
-from gradegap.upstream.connections import Backends, raise_descriptor_limit, split_address
+from gradegap.transport.addresses import split_address
+from gradegap.transport.descriptors import Descriptors, raise_descriptor_limit
+from gradegap.upstream.connections import Backends
 
 if TYPE_CHECKING:
     from gradegap.capture.recorder import Switch
--- a/gradegap/node/operator_file.py
+++ b/gradegap/node/operator_file.py
@@ -6,105 +6,18 @@
 import re
 from collections import Counter
 from pathlib import Path
-from typing import Annotated, Any, Literal
+from typing import Any
 
 import msgspec
 
-NAME = re.compile(r"[A-Za-z0-9_-]{1,64}")
-
-
-class QuicSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """The `[quic]` table of an operator's file."""
-
-    listen: str
-    certificate: str
-    private_key: str
-    alpn: tuple[str, ...] = ("gradegap/1",)
-    idle_s: float = 30.0
-    max_sessions: int = 4000
-    retry_from: int = 64  # handshakes under way from which clients must prove their address
-    node: Annotated[int, msgspec.Meta(ge=0, le=65535)] | None = None  # in ids; none: made of the node's name
-    keylog: str = ""  # a file for all sessions' secrets, as packet analysers read them: for tests alone
-    qlog: str = ""  # a folder for traces of some connections
-    qlog_mb: Annotated[int, msgspec.Meta(ge=1, le=100_000)] = 64  # MiB that they may take
-
-
-class Peer(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Another member of the store."""
-
-    name: str
-    address: str
-    region: str = ""
-
-
-class StoreSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """The `[store]` table: this member of the replicated store, and the members it begins with."""
-
-    name: str
-    listen: str
-    peers: tuple[Peer, ...] = ()  # this member may be among them
-    advertise: str = ""  # where the others reach this member, if not at `listen`
-    data: str = ""  # a folder that lasts; none: `$TMPDIR`, and the member comes back empty
-    when_stale: Literal["refuse", "serve"] = "refuse"  # what a node does without a lease
-    secret: str = ""  # a file with the cluster's secret, the same for all
-    publish: str = ""  # where nodes subscribe; none: this member serves no subscriptions
-    voters: Annotated[int, msgspec.Meta(ge=1, le=9)] = 5  # at most; further members are learners in reserve
-    region: str = ""
-    lease_s: Annotated[float, msgspec.Meta(ge=0.3, le=30.0)] = 1.0  # the same at all members
-
-    @property
-    def regions(self) -> dict[str, str]:
-        """The region of each member by its name; empty where none is named."""
-        return {p.name: p.region for p in self.peers} | {self.name: self.region}
-
-    @property
-    def first_voters(self) -> list[str]:
-        """The names of the voters of a new cluster: the same at each member, whatever its file's order."""
-        return sorted({self.name, *(p.name for p in self.peers)})[: self.voters]
-
+from gradegap.capture.settings import CaptureSettings
+from gradegap.discovery.settings import DnsSdSettings
+from gradegap.observer.settings import ObserverSettings
+from gradegap.quic.settings import QuicSettings
+from gradegap.resume.settings import ResumeSettings
+from gradegap.store.settings import StoreSettings
 
-class ObserverMachine(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A control machine that serves subscriptions."""
-
-    name: str
-    address: str  # its `store.publish`
-    region: str = ""
-
-
-class ObserverSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """The `[observer]` table: this node subscribes to committed configuration and is no member itself."""
-
-    machines: Annotated[tuple[ObserverMachine, ...], msgspec.Meta(min_length=1, max_length=32)]
-    name: str = ""  # none: the node's
-    region: str = ""  # machines of the same region are asked first
-    secret: str = ""  # a file with the cluster's secret
-    when_stale: Literal["refuse", "serve"] = "refuse"  # what the node does without a lease
-    bytes_per_s: Annotated[int, msgspec.Meta(ge=500, le=1_000_000)] = 3000  # that the node may send
-
-
-class DnsSdSettings(msgspec.Struct):
-    """The `[dnssd]` table: backends from DNS-SD records instead of discovery's HTTP."""
-
-    server: str
-    service: str
-
-
-class ResumeSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """The `[resume]` table: sessions that go on at another server, by a token."""
-
-    life_s: Annotated[int, msgspec.Meta(ge=10, le=600)] = 600  # for which a token may be used
-
-
-class CaptureSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """The `[capture]` table: a record of what the module is told and does, in a ring of files."""
-
-    folder: str
-    on: bool = True  # from the start; `config/capture` of the store, or SIGUSR2, turns it on and off
-    part_mb: Annotated[int, msgspec.Meta(ge=1, le=1024)] = 16  # MiB of one file
-    total_mb: Annotated[int, msgspec.Meta(ge=1, le=1_000_000)] = 256  # MiB of all
-    age_s: Annotated[int, msgspec.Meta(ge=1)] = 7 * 24 * 3600  # after which a file goes
-    state_s: Annotated[float, msgspec.Meta(ge=1.0, le=3600.0)] = 30.0  # between two states to begin at
-    hide: str = ""  # a file with a key: players' ids are recorded, and decided by, as a keyed hash
+NAME = re.compile(r"[A-Za-z0-9_-]{1,64}")
 
 
 class TraceSettings(msgspec.Struct, forbid_unknown_fields=True):
--- a/gradegap/observer/attached.py
+++ b/gradegap/observer/attached.py
@@ -15,9 +15,9 @@
 
 from gradegap.admin.http_api import DONE, Done, Verdict
 from gradegap.metrics import Metrics
-from gradegap.node.operator_file import ObserverSettings
 from gradegap.observer.client import ObserverClient
 from gradegap.observer.messages import Change
+from gradegap.observer.settings import ObserverSettings
 from gradegap.proxy.proxy import Proxy
 from gradegap.store import wire
 from gradegap.store.committed import CALL_WAIT, CONFIG, OUT, CommittedState
--- a/gradegap/observer/client.py
+++ b/gradegap/observer/client.py
@@ -20,15 +20,16 @@
 import structlog
 
 from gradegap.metrics import Metrics
-from gradegap.node.operator_file import ObserverSettings, read_secret
+from gradegap.node.operator_file import read_secret
 from gradegap.observer.errors import REMEDIES
 from gradegap.observer.limits import Limits
 from gradegap.observer.link import FRAME_OVERHEAD, TokenBucket, decode_to_subscriber, subscriber_channel
 from gradegap.observer.messages import Change, Code, Renew
 from gradegap.observer.selection import Machine
+from gradegap.observer.settings import ObserverSettings
 from gradegap.observer.subscriber import Apply, Connect, Disconnect, LeaseChanged, Phase, Send, Subscriber
 from gradegap.store import wire
-from gradegap.upstream.connections import split_address
+from gradegap.transport.addresses import split_address
 
 log = structlog.get_logger()
 
--- a/gradegap/observer/server.py
+++ b/gradegap/observer/server.py
@@ -18,7 +18,6 @@
 import structlog
 
 from gradegap.metrics import Metrics
-from gradegap.node.operator_file import StoreSettings
 from gradegap.observer.inforce import MachineReport
 from gradegap.observer.limits import Limits
 from gradegap.observer.link import EncodedOnce, publisher_channel
@@ -28,7 +27,9 @@
 from gradegap.store import wire
 from gradegap.store.disk import Identity
 from gradegap.store.machine import Machine
-from gradegap.upstream.connections import raise_descriptor_limit, split_address
+from gradegap.store.settings import StoreSettings
+from gradegap.transport.addresses import split_address
+from gradegap.transport.descriptors import raise_descriptor_limit
 
 log = structlog.get_logger()
 
--- /dev/null
+++ b/gradegap/observer/settings.py
@@ -0,0 +1,26 @@
+"""What the operator sets for a node that subscribes."""
+
+from __future__ import annotations
+
+from typing import Annotated, Literal
+
+import msgspec
+
+
+class ObserverMachine(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """A control machine that serves subscriptions."""
+
+    name: str
+    address: str  # its `store.publish`
+    region: str = ""
+
+
+class ObserverSettings(msgspec.Struct, forbid_unknown_fields=True):
+    """The `[observer]` table: this node subscribes to committed configuration and is no member itself."""
+
+    machines: Annotated[tuple[ObserverMachine, ...], msgspec.Meta(min_length=1, max_length=32)]
+    name: str = ""  # none: the node's
+    region: str = ""  # machines of the same region are asked first
+    secret: str = ""  # a file with the cluster's secret
+    when_stale: Literal["refuse", "serve"] = "refuse"  # what the node does without a lease
+    bytes_per_s: Annotated[int, msgspec.Meta(ge=500, le=1_000_000)] = 3000  # that the node may send
--- a/gradegap/quic/front.py
+++ b/gradegap/quic/front.py
@@ -24,7 +24,6 @@
 
 from gradegap.downstream.session import Resuming
 from gradegap.metrics import Metrics
-from gradegap.node.operator_file import QuicSettings
 from gradegap.proxy.proxy import Proxy
 from gradegap.quic.channel import QuicChannel
 from gradegap.quic.connection import HeldConnection
@@ -32,6 +31,7 @@
 from gradegap.quic.keys import NONCE, RING, SERVER, Holder, Keys, QuicRing
 from gradegap.quic.relay import Inlet, Relay, pair
 from gradegap.quic.routing import RESET_LEAST, Bucket, Route, Router, Way
+from gradegap.quic.settings import QuicSettings
 from gradegap.quic.stream import CloseCode
 from gradegap.quic.tokens import BadToken, Tokens
 from gradegap.quic.trace import Traces
--- a/gradegap/quic/stream.py
+++ b/gradegap/quic/stream.py
@@ -11,10 +11,11 @@
 from enum import IntEnum
 from typing import Protocol
 
-from gradegap.downstream.session import HIGH_WATER, LINGER, ClientSession, Ending, Resuming
+from gradegap.downstream.session import LINGER, ClientSession, Ending, Resuming
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
 from gradegap.quic.connection import HeldConnection
+from gradegap.transport.sockets import HIGH_WATER
 
 OVERRUN = 8 * 1024 * 1024  # bytes waiting for a client beyond which its session is given up
 DRAIN_CHECK = 0.02  # s between two looks whether a paused backend may go on
--- a/gradegap/resume/part.py
+++ b/gradegap/resume/part.py
@@ -19,11 +19,11 @@
 from gradegap.downstream.framing import InvalidLineError, Opening, parse_opening
 from gradegap.downstream.session import ClientSession
 from gradegap.metrics import Metrics
-from gradegap.node.operator_file import ResumeSettings
 from gradegap.resume.claims import CLAIMS, Claimed, LocalClaims, claim, digest_of
 from gradegap.resume.lines import MOST
 from gradegap.resume.move import WAIT, Mover, Offer
 from gradegap.resume.renew import Renewals
+from gradegap.resume.settings import ResumeSettings
 from gradegap.resume.switch import Passing, State
 from gradegap.resume.token import RING, BadToken, Place, Ring, digest, opened, seal
 from gradegap.resume.window import WINDOW
--- a/gradegap/store/attached.py
+++ b/gradegap/store/attached.py
@@ -17,7 +17,6 @@
 
 from gradegap.admin.http_api import DONE, Done, Verdict
 from gradegap.metrics import Metrics
-from gradegap.node.operator_file import StoreSettings
 from gradegap.proxy.proxy import Proxy
 from gradegap.store import wire
 from gradegap.store.committed import CALL_WAIT, CONFIG, OUT, CommittedState
@@ -28,6 +27,7 @@
 from gradegap.store.links import Link
 from gradegap.store.machine import Event, Machine, Op
 from gradegap.store.service import Service
+from gradegap.store.settings import StoreSettings
 
 log = structlog.get_logger()
 
--- a/gradegap/store/commands.py
+++ b/gradegap/store/commands.py
@@ -17,11 +17,12 @@
 import msgspec
 import typer
 
-from gradegap.node.operator_file import OperatorFileError, StoreSettings, load_operator, read_secret
+from gradegap.node.operator_file import OperatorFileError, load_operator, read_secret
 from gradegap.store import schema, wire
 from gradegap.store.disk import BadFolder
 from gradegap.store.machine import Compare, Event, Item, Op
 from gradegap.store.remote import Remote, StoreError
+from gradegap.store.settings import StoreSettings
 
 CODES = {"no": 1, "unreachable": 2, "unknown": 3, "no_quorum": 4}
 
--- a/gradegap/store/daemon.py
+++ b/gradegap/store/daemon.py
@@ -17,7 +17,6 @@
 import structlog
 
 from gradegap.metrics import Metrics
-from gradegap.node.operator_file import StoreSettings
 from gradegap.raft.core import NEVER, Raft, Refused
 from gradegap.raft.types import (
     ClusterConfiguration,
@@ -37,6 +36,7 @@
 from gradegap.store.links import Dial, Link, Network
 from gradegap.store.machine import Command, Expire, Logged, Machine, Result, State, encode, pack, unpack
 from gradegap.store.service import Service
+from gradegap.store.settings import StoreSettings
 
 if TYPE_CHECKING:
     from gradegap.observer.inforce import MachineReport
--- a/gradegap/store/forming.py
+++ b/gradegap/store/forming.py
@@ -10,8 +10,8 @@
 
 import secrets
 
-from gradegap.node.operator_file import StoreSettings
 from gradegap.raft.types import ClusterConfiguration, Member
+from gradegap.store.settings import StoreSettings
 from gradegap.store.wire import Hello
 
 
--- a/gradegap/store/links.py
+++ b/gradegap/store/links.py
@@ -18,7 +18,7 @@
 from gradegap.raft.types import Member
 from gradegap.store.leases import LENGTH
 from gradegap.store.wire import BadLink, Channel, Word
-from gradegap.upstream.connections import split_address
+from gradegap.transport.addresses import split_address
 
 log = structlog.get_logger()
 
--- a/gradegap/store/remote.py
+++ b/gradegap/store/remote.py
@@ -9,7 +9,7 @@
 
 from gradegap.store import wire
 from gradegap.store.machine import Compare, Event, Item, Op
-from gradegap.upstream.connections import split_address
+from gradegap.transport.addresses import split_address
 
 MARGIN = 1.0  # s that an answer may take beyond the time that the member was given
 
--- a/gradegap/store/serve.py
+++ b/gradegap/store/serve.py
@@ -12,13 +12,14 @@
 import structlog
 
 from gradegap.metrics import Metrics
-from gradegap.node.operator_file import OperatorFileError, OperatorSettings, StoreSettings, read_secret
+from gradegap.node.operator_file import OperatorFileError, OperatorSettings, read_secret
 from gradegap.raft.core import Refused
 from gradegap.raft.types import ClusterConfiguration, HardState, Member, SnapshotMetadata
 from gradegap.store.daemon import Daemon
 from gradegap.store.disk import BadFolder, Batch, Disk, Identity
 from gradegap.store.machine import Item, unpack
 from gradegap.store.service import INVITED
+from gradegap.store.settings import StoreSettings
 
 log = structlog.get_logger()
 
--- a/gradegap/store/service.py
+++ b/gradegap/store/service.py
@@ -19,7 +19,6 @@
 import structlog
 
 from gradegap.metrics import Metrics
-from gradegap.node.operator_file import StoreSettings
 from gradegap.raft.core import Raft, Refused
 from gradegap.raft.types import Entry, EntryKind, Member
 from gradegap.store import leases, schema, wire
@@ -27,6 +26,7 @@
 from gradegap.store.gather import Gathering
 from gradegap.store.links import Link
 from gradegap.store.machine import BadCommand, Command, Event, Machine, Op, Result, check_op, pack
+from gradegap.store.settings import StoreSettings
 
 if TYPE_CHECKING:
     from gradegap.observer.inforce import MachineReport
--- a/gradegap/transport/descriptors.py
+++ b/gradegap/transport/descriptors.py
@@ -8,6 +8,7 @@
 
 from __future__ import annotations
 
+import resource
 import socket
 from enum import IntEnum
 from itertools import count
@@ -133,3 +134,12 @@
         # How uvloop lets go of a socket whose transport it closes.
         self._release()
         return super().detach()
+
+
+def raise_descriptor_limit(wanted: int) -> int:
+    """As many descriptors as are wanted, where the system gives them; what there are then to use."""
+    soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
+    if soft < wanted:
+        soft = wanted if hard == resource.RLIM_INFINITY else min(wanted, hard)
+        resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
+    return min(wanted, soft) if wanted > 0 else soft
--- /dev/null
+++ b/gradegap/transport/sockets.py
@@ -0,0 +1,51 @@
+"""Flow control and socket options of TCP connections."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+import struct
+
+HIGH_WATER = 64 * 1024  # bytes kept for one side until the other is no longer read
+
+
+class Pausable(asyncio.Protocol):
+    """A TCP connection that is not read while the other side takes no more."""
+
+    transport: asyncio.Transport | None = None
+    paused = False
+
+    def pause(self) -> None:
+        """Stop reading until `resume`."""
+        if self.transport is not None and not self.paused and not self.transport.is_closing():
+            self.paused = True
+            self.transport.pause_reading()
+
+    def resume(self) -> None:
+        """Read on."""
+        if self.transport is not None and self.paused:
+            self.paused = False
+            self.transport.resume_reading()
+
+
+def end(transport: asyncio.Transport) -> None:
+    """Close a connection at once: what the other side has not taken by now is dropped."""
+    if transport.get_write_buffer_size():
+        transport.abort()
+    else:
+        transport.close()
+
+
+def no_delay(transport: asyncio.BaseTransport) -> None:
+    """Send small writes at once (`TCP_NODELAY`)."""
+    sock = transport.get_extra_info("socket")
+    if sock is not None:
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+
+
+def reset(transport: asyncio.Transport) -> None:
+    """End a connection by a reset, as the other side of it was."""
+    sock = transport.get_extra_info("socket")
+    if sock is not None and not transport.is_closing():
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    transport.abort()
--- a/gradegap/upstream/connections.py
+++ b/gradegap/upstream/connections.py
@@ -5,109 +5,22 @@
 import asyncio
 import contextlib
 import re
-import resource
-import socket
 from collections.abc import Callable
 from typing import Any, cast
 
 from gradegap.balancing.events import AttemptResult
 from gradegap.downstream.framing import LONGEST, figure, parse_report
-from gradegap.downstream.session import HIGH_WATER, ClientSession, Pausable, end, no_delay, reset
+from gradegap.downstream.session import ClientSession
 from gradegap.proxy.proxy import Attempt, Endpoint, HealthCheckDone
-from gradegap.transport.descriptors import Descriptors
+from gradegap.transport.descriptors import Descriptors, raise_descriptor_limit
+from gradegap.transport.dialer import Dialer
+from gradegap.transport.sockets import HIGH_WATER, Pausable, end, no_delay, reset
 
 PROBE_IDLE = 20.0  # s until an idle probe connection is closed
 _UP = re.compile(rb"UP [!-~][ -~]*")
 END_WAIT = 0.9  # s that a backend may take to end its side once the client has ended its own
 
 
-def split_address(address: str) -> tuple[str, int]:
-    host, _, port = address.rpartition(":")
-    if not host or not port.isdecimal() or not 0 < int(port) < 65536:
-        raise ValueError(f"{address[:80]!r} is no address")
-    return host.strip("[]"), int(port)
-
-
-class Dialer:
-    """Makes TCP connections without a task for each: one task hands all that are made to the loop."""
-
-    def __init__(self, loop: asyncio.AbstractEventLoop, descriptors: Descriptors) -> None:
-        self.loop = loop
-        self.descriptors = descriptors
-        self.made: asyncio.Queue[tuple[socket.socket, asyncio.Protocol]] = asyncio.Queue()
-        self.task = loop.create_task(self._hand_over())
-
-    def dial(
-        self, address: str, wait: float, protocol: asyncio.Protocol, failed: Callable[[], None]
-    ) -> Callable[[], None]:
-        """Connect; `protocol` hears of it as usual, `failed` is called where it can't be done in time.
-        Gives back what stops it."""
-        over = False
-        sock: socket.socket | None = None
-        timer: asyncio.TimerHandle | None = None
-
-        def end() -> None:
-            nonlocal over
-            over = True
-            if timer is not None:
-                timer.cancel()
-            if sock is not None:
-                self.loop.remove_writer(sock)
-
-        def stop() -> None:
-            if not over:
-                end()
-                if sock is not None:
-                    sock.close()
-
-        def fail() -> None:
-            if not over:
-                stop()
-                failed()
-
-        def writable() -> None:
-            if over or sock is None:
-                return
-            if sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-                fail()
-                return
-            end()
-            self.made.put_nowait((sock, protocol))
-
-        try:
-            host, port = split_address(address)
-            family = socket.AF_INET6 if ":" in host else socket.AF_INET
-            sock = self.descriptors.dialed(family)
-            sock.setblocking(False)
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            sock.connect((host, port))
-        except BlockingIOError:
-            pass
-        except (OSError, ValueError, OverflowError):
-            self.loop.call_soon(fail)
-            return stop
-        assert sock is not None
-        self.loop.add_writer(sock, writable)
-        timer = self.loop.call_later(wait, fail)
-        return stop
-
-    async def _hand_over(self) -> None:
-        while True:
-            sock, protocol = await self.made.get()
-            try:
-                transport, _ = await self.loop.create_connection(lambda p=protocol: p, sock=sock)  # type: ignore[misc]
-            except OSError as error:
-                sock.close()
-                protocol.connection_lost(error)
-                continue
-            if transport.is_closing():
-                # Guards against another connection's end. uvloop lets go of `sock` when it closes the
-                # transport, but ties the two together only after `connection_made`. Closed by then, as by an
-                # attempt that was given up, `sock` kept the number of a descriptor that was closed, and when
-                # it was collected it closed whatever had that number.
-                sock.detach()
-
-
 class Fetch(Pausable):
     """One attempt on its own connection: the first line out, the answer in, then lines both ways."""
 
@@ -390,13 +303,4 @@
             self.loop.call_soon(prober._over, AttemptResult.RESET)
 
 
-def raise_descriptor_limit(wanted: int) -> int:
-    """As many descriptors as are wanted, where the system gives them; what there are then to use."""
-    soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if soft < wanted:
-        soft = wanted if hard == resource.RLIM_INFINITY else min(wanted, hard)
-        resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-    return min(wanted, soft) if wanted > 0 else soft
-
-
 __all__ = ["Backends", "Dialer", "Fetch", "Prober", "raise_descriptor_limit"]
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -45,8 +45,8 @@
 from gradegap.capture.frames import BadCaptureError, Damage, Kind
 from gradegap.capture.recorder import MOST_BATCHES, Hide, Recorder, Tap
 from gradegap.capture.redact import redact
+from gradegap.capture.settings import CaptureSettings
 from gradegap.metrics import Metrics
-from gradegap.node.operator_file import CaptureSettings
 from tests.helpers import settings
 from tests.world import ROOT, Backend, wait_for, world
 
--- a/tests/test_dialer.py
+++ b/tests/test_dialer.py
@@ -12,7 +12,7 @@
 
 from gradegap.metrics import Metrics
 from gradegap.transport.descriptors import Descriptors
-from gradegap.upstream.connections import Dialer
+from gradegap.transport.dialer import Dialer
 
 TURNS = 20
 
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -13,7 +13,7 @@
 from gradegap.discovery.http_discovery import CALLS_MOST, Call, Entry, HttpDiscovery
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
-from gradegap.upstream.connections import Dialer
+from gradegap.transport.dialer import Dialer
 from tests import helpers
 
 
--- a/tests/test_lint_rules.py
+++ b/tests/test_lint_rules.py
@@ -94,7 +94,7 @@
 gradegap/store/snapshot.py: D
 gradegap/store/wire.py: D N
 gradegap/transport/descriptors.py: D
-gradegap/upstream/connections.py: C90 D
+gradegap/upstream/connections.py: D
 """
 
 Exceptions = Mapping[str, frozenset[str]]  # by file: the families of rules that it does not keep
--- a/tests/test_observer_server.py
+++ b/tests/test_observer_server.py
@@ -19,14 +19,7 @@
 import uvloop
 
 from gradegap.metrics import Metrics
-from gradegap.node.operator_file import (
-    ObserverMachine,
-    ObserverSettings,
-    OperatorFileError,
-    Peer,
-    StoreSettings,
-    load_operator,
-)
+from gradegap.node.operator_file import OperatorFileError, load_operator
 from gradegap.observer import server as server_module
 from gradegap.observer.client import ObserverClient
 from gradegap.observer.inforce import InForce
@@ -46,11 +39,13 @@
     Subscribe,
 )
 from gradegap.observer.selection import Machine
+from gradegap.observer.settings import ObserverMachine, ObserverSettings
 from gradegap.observer.subscriber import Phase, Subscriber
 from gradegap.store import wire
 from gradegap.store.daemon import Daemon
 from gradegap.store.machine import Op
-from gradegap.upstream.connections import split_address
+from gradegap.store.settings import Peer, StoreSettings
+from gradegap.transport.addresses import split_address
 from tests.world import ROOT, SETTINGS, free_port
 
 SECRET = b"0123456789abcdef of a test"
--- a/tests/test_quic_fuzz.py
+++ b/tests/test_quic_fuzz.py
@@ -23,9 +23,9 @@
 from hypothesis import strategies as st
 
 from gradegap.metrics import Metrics
-from gradegap.node.operator_file import QuicSettings
 from gradegap.proxy.proxy import Proxy
 from gradegap.quic.front import QuicFront
+from gradegap.quic.settings import QuicSettings
 from tests.helpers import settings
 from tests.test_quic import make_certificate
 from tests.test_store_node import NoPort
--- a/tests/test_store_parts.py
+++ b/tests/test_store_parts.py
@@ -13,7 +13,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from gradegap.check.linear import FOREVER, Did, explain
-from gradegap.node.operator_file import OperatorFileError, Peer, StoreSettings, load_operator
+from gradegap.node.operator_file import OperatorFileError, load_operator
 from gradegap.raft.types import ClusterConfiguration, Entry, EntryKind, HardState, Member, SnapshotMetadata
 from gradegap.store import schema, wire
 from gradegap.store.disk import BadFolder, Batch, Disk
@@ -34,6 +34,7 @@
     pack,
     unpack,
 )
+from gradegap.store.settings import Peer, StoreSettings
 
 # The state machine
 
--- a/tests/test_store_voters.py
+++ b/tests/test_store_voters.py
@@ -8,11 +8,12 @@
 import msgspec
 import pytest
 
-from gradegap.node.operator_file import OperatorFileError, Peer, StoreSettings, load_operator
+from gradegap.node.operator_file import OperatorFileError, load_operator
 from gradegap.raft.types import ClusterConfiguration, Member
 from gradegap.store import wire
 from gradegap.store.forming import Forming, promotable
 from gradegap.store.remote import StoreError
+from gradegap.store.settings import Peer, StoreSettings
 from tests.cluster import Cluster
 from tests.world import wait_for
 
