--- a/tests/compatibility/present.py
+++ b/tests/compatibility/present.py
@@ -13,17 +13,23 @@
 
 import msgspec
 
+from gradegap.capture import settings as capture_settings
 from gradegap.check import sessions as checked_sessions
 from gradegap.discovery import http_discovery
+from gradegap.discovery import settings as discovery_settings
 from gradegap.hot_restart import handover
 from gradegap.node import configuration, operator_file
 from gradegap.observer import inforce, selection
 from gradegap.observer import messages as subscription
+from gradegap.observer import settings as observer_settings
 from gradegap.proxy import proxy
 from gradegap.quic import front, keys, relay, tokens
+from gradegap.quic import settings as quic_settings
 from gradegap.raft import types as raft
 from gradegap.resume import claims, token
+from gradegap.resume import settings as resume_settings
 from gradegap.store import disk, machine, schema, wire
+from gradegap.store import settings as store_settings
 
 
 @dataclass(frozen=True)
@@ -200,14 +206,14 @@
         checked_sessions.Record,  # of the model checker's save store
         checked_sessions._Ran,
         operator_file.OperatorSettings,
-        operator_file.QuicSettings,
-        operator_file.StoreSettings,
-        operator_file.Peer,
-        operator_file.ObserverSettings,
-        operator_file.ObserverMachine,
-        operator_file.DnsSdSettings,
-        operator_file.ResumeSettings,
-        operator_file.CaptureSettings,
+        quic_settings.QuicSettings,
+        store_settings.StoreSettings,
+        store_settings.Peer,
+        observer_settings.ObserverSettings,
+        observer_settings.ObserverMachine,
+        discovery_settings.DnsSdSettings,
+        resume_settings.ResumeSettings,
+        capture_settings.CaptureSettings,
         operator_file.TraceSettings,
     }
 )
