--- a/gradegap/check/bugs.py
+++ b/gradegap/check/bugs.py
@@ -27,7 +27,7 @@
     EntryKind,
     HardState,
     Member,
-    Output,
+    Ready,
     RequestVote,
     RequestVoteResponse,
     SnapshotMetadata,
@@ -40,18 +40,18 @@
 
     def keep_hard_state(self) -> None:
         """Forgets the vote."""
-        self.out.hard = HardState(self.term, "")
+        self.pending.hard_state = HardState(self.term, "")
 
 
 class TermNotSynced(Raft):
     """A message goes out before what it stands for is on disk."""
 
-    def take(self) -> Output:
+    def take_ready(self) -> Ready:
         """Sends all messages early."""
-        out = super().take()
-        out.early += out.messages
-        out.messages = []
-        return out
+        ready = super().take_ready()
+        ready.immediate_messages += ready.messages
+        ready.messages = []
+        return ready
 
 
 class VotesTwice(Raft):
@@ -202,7 +202,7 @@
         def read(self, now: float, number: int) -> None:
             if not self.raft.leads:
                 raise RefusedError("not_leader")
-            self.raft.out.reads.append((number, self.raft.commit))
+            self.raft.pending.read_states.append((number, self.raft.commit))
 
     reads_type = _Reads
 
@@ -264,10 +264,10 @@
 class AppliesWhatIsNotCommitted(Raft):
     """Entries are applied as soon as they are written."""
 
-    def take_committed(self) -> list[Entry]:
+    def take_committed_entries(self) -> list[Entry]:
         """Takes all that is on this disk to be committed."""
         self.commit, kept = max(self.commit, self.stable), self.commit
-        entries = super().take_committed()
+        entries = super().take_committed_entries()
         self.commit = max(kept, self.applied)
         return entries
 
--- a/gradegap/check/explore.py
+++ b/gradegap/check/explore.py
@@ -129,17 +129,17 @@
 
     def _settle(self, name: str) -> None:
         raft, disk = self.members[name], self.disks[name]
-        out = raft.take()
-        while out.durable or out.early or out.messages or out.apply:
-            disk.write(out)
-            for to, message in (*out.early, *out.messages):
+        ready = raft.take_ready()
+        while ready.must_sync or ready.immediate_messages or ready.messages or ready.committed_entries:
+            disk.write(ready)
+            for to, message in (*ready.immediate_messages, *ready.messages):
                 self.flying.append((name, to, message))
-            for entry in out.apply:
+            for entry in ready.committed_entries:
                 self.states[name] = chain(self.states[name], entry)
                 self.rules.applied(entry, self.states[name])
-            if out.entries:
-                raft.persisted(self.now, out.entries[-1].index, out.entries[-1].term)
-            out = raft.take()
+            if ready.entries:
+                raft.persisted(self.now, ready.entries[-1].index, ready.entries[-1].term)
+            ready = raft.take_ready()
         del self.flying[: -self.bounds.flying]
         self.rules.check(raft)
 
--- a/gradegap/check/sim.py
+++ b/gradegap/check/sim.py
@@ -22,7 +22,7 @@
     HardState,
     Member,
     Message,
-    Output,
+    Ready,
     SnapshotMetadata,
     Tuning,
 )
@@ -40,14 +40,14 @@
     hard: HardState = field(default_factory=HardState)
     entries: list[Entry] = field(default_factory=list)
 
-    def write(self, out: Output) -> None:
+    def write(self, ready: Ready) -> None:
         """Make durable what the core asked for."""
-        if out.install is not None:
-            self.base, self.state = out.install[0], out.install[1]
+        if ready.snapshot is not None:
+            self.base, self.state = ready.snapshot[0], ready.snapshot[1]
             self.entries = []
-        if out.hard is not None:
-            self.hard = out.hard
-        for entry in out.entries:
+        if ready.hard_state is not None:
+            self.hard = ready.hard_state
+        for entry in ready.entries:
             del self.entries[max(0, entry.index - self.base.index - 1) :]
             self.entries.append(entry)
 
@@ -81,7 +81,7 @@
         self.raft: Raft | None = None
         self.paused = False
         self.inbox: deque[tuple[str, Message]] = deque()
-        self.writing: deque[Output] = deque()
+        self.writing: deque[Ready] = deque()
         self.life = 0
         self.state = disk.state
         self.states: dict[int, bytes] = {}
@@ -142,33 +142,33 @@
         """As a daemon does after each call: write, then send, then say that it is written."""
         raft = self.raft
         assert raft is not None
-        out = raft.take()
-        for to, message in out.early:
+        ready = raft.take_ready()
+        for to, message in ready.immediate_messages:
             self.sim.send(self.name, to, message)
-        if out.install is not None:
-            self.state = out.install[1]
-            self.states = {out.install[0].index: self.state}
-        for entry in out.apply:
+        if ready.snapshot is not None:
+            self.state = ready.snapshot[1]
+            self.states = {ready.snapshot[0].index: self.state}
+        for entry in ready.committed_entries:
             self.state = chain(self.state, entry)
             self.states[entry.index] = self.state
             self.sim.rules.applied(entry, self.state)
-        for number, index in out.reads:
+        for number, index in ready.read_states:
             self.sim.read_done(self.name, number, index)
-        if out.want_snapshot and raft.applied in self.states:
+        if ready.snapshot_wanted and raft.applied in self.states:
             term = raft.log.term(raft.applied)
             assert term is not None
             meta = SnapshotMetadata(raft.applied, term, raft.log.configuration_at(raft.applied))
             raft.offer_snapshot(self.now, meta, self.state)
             self.settle()
-        if out.durable or out.messages:
-            self.writing.append(out)
+        if ready.must_sync or ready.messages:
+            self.writing.append(ready)
             if len(self.writing) == 1:
                 self._write()
         self.sim.rules.check(raft)
 
     def _write(self) -> None:
         rng = self.sim.rng
-        takes = rng.expovariate(200.0) if self.writing[0].durable else 0.0
+        takes = rng.expovariate(200.0) if self.writing[0].must_sync else 0.0
         if rng.random() < self.sim.faults.slow_sync:
             takes *= 10.0
         self.sim.after(takes, self._written, self.life)
@@ -179,12 +179,12 @@
         if self.paused:
             self.sim.after(TICK, self._written, life)
             return
-        out = self.writing.popleft()
-        self.disk.write(out)
-        for to, message in out.messages:
+        ready = self.writing.popleft()
+        self.disk.write(ready)
+        for to, message in ready.messages:
             self.sim.send(self.name, to, message)
-        if out.entries:
-            self.raft.persisted(self.now, out.entries[-1].index, out.entries[-1].term)
+        if ready.entries:
+            self.raft.persisted(self.now, ready.entries[-1].index, ready.entries[-1].term)
         if self.writing:
             self._write()
         self.settle()
--- a/gradegap/raft/core.py
+++ b/gradegap/raft/core.py
@@ -1,8 +1,8 @@
 """The consensus core: Raft with pre-vote, check-quorum, ReadIndex, learners and leases, and no I/O.
 
-It is told the time (seconds, any steady clock) with every call, and what it wants done gathers in an
-`Output` that `take` hands over. The driver persists, then sends, then says `persisted`. Nothing here reads
-a clock, a socket or a file, so that the simulator in `gradegap.check` can run the very same code.
+It is given the time (seconds, any steady clock) with every call, and what it wants done gathers in a `Ready`
+that `take_ready` hands over. The driver persists, then sends, then calls `persisted`. Nothing here reads a
+clock, a socket or a file, so that the simulator in `gradegap.check` can run the very same code.
 
 `Raft` holds a member's own state, passes on its role, and gives each call and message to the part whose job
 it is: elections, heartbeats, replication, snapshots, reads, membership, handover.
@@ -38,7 +38,7 @@
     InstallSnapshotResponse,
     Member,
     Message,
-    Output,
+    Ready,
     RequestVote,
     RequestVoteResponse,
     Role,
@@ -85,7 +85,7 @@
         self.commit = max(base.index, applied)
         self.applied = self.commit
         self.stable = self.log.last_index  # the last index that is on this member's disk
-        self.out = Output()
+        self.pending = Ready()
         self.election = self.election_type(self, now)
         self.heartbeats = self.heartbeats_type(self)
         self.replication = self.replication_type(self)
@@ -98,13 +98,13 @@
 
     # What a driver asks
 
-    def take(self) -> Output:
+    def take_ready(self) -> Ready:
         """All that is to be done by now; the next call begins anew."""
-        out, self.out = self.out, Output()
-        out.apply = self.take_committed()
-        return out
+        ready, self.pending = self.pending, Ready()
+        ready.committed_entries = self.take_committed_entries()
+        return ready
 
-    def take_committed(self) -> list[Entry]:
+    def take_committed_entries(self) -> list[Entry]:
         """The entries to apply now: committed, on this disk, and not handed out before."""
         last = min(self.commit, self.stable)
         if last <= self.applied:
@@ -201,7 +201,7 @@
             self.replication.flush(now)
 
     def read(self, now: float, number: int) -> None:
-        """Ask for the index that a linearizable read must see; it comes in `Output.reads`."""
+        """Ask for the index that a linearizable read must see; it comes in `Ready.read_states`."""
         self.reads.read(now, number)
 
     def add(self, now: float, member: Member) -> int:
@@ -271,11 +271,11 @@
 
     def send(self, to: str, message: Message) -> None:
         """Send a message once what this member has said so far is on its disk."""
-        self.out.messages.append((to, message))
+        self.pending.messages.append((to, message))
 
     def keep_hard_state(self) -> None:
         """Have the term and the vote written before anybody is told of them."""
-        self.out.hard = HardState(self.term, self.vote)
+        self.pending.hard_state = HardState(self.term, self.vote)
 
     def commits_own_term(self) -> bool:
         """Whether the commit index is known to cover all that earlier leaders committed."""
--- a/gradegap/raft/follower.py
+++ b/gradegap/raft/follower.py
@@ -57,12 +57,12 @@
             if known_term is not None:
                 self._truncate(entry.index)
             log.append(entry)
-            raft.out.entries.append(entry)
+            raft.pending.entries.append(entry)
 
     def _truncate(self, index: int) -> None:
         raft = self.raft
         if index <= raft.commit:
             raise AssertionError(f"entry {index} is committed and would be replaced")
         raft.log.truncate(index)
-        raft.out.entries = [entry for entry in raft.out.entries if entry.index < index]
+        raft.pending.entries = [entry for entry in raft.pending.entries if entry.index < index]
         raft.stable = min(raft.stable, index - 1)
--- a/gradegap/raft/reads.py
+++ b/gradegap/raft/reads.py
@@ -35,7 +35,7 @@
         if not raft.commits_own_term():
             raise RefusedError("not_ready: the leader has committed nothing in its term yet")
         if now < raft.lease_until(now):
-            raft.out.reads.append((number, raft.commit))
+            raft.pending.read_states.append((number, raft.commit))
             return
         if raft.heartbeats.sent_at < now:
             raft.heartbeats.send(now)
@@ -48,10 +48,10 @@
             return
         answered = self.raft.heartbeats.answered_round()
         confirmed = [(read.number, read.index) for read in self.pending if read.round <= answered]
-        self.raft.out.reads += confirmed
+        self.raft.pending.read_states += confirmed
         self.pending = [read for read in self.pending if read.round > answered]
 
     def abandon(self) -> None:
         """This member leads no more: the reads must be asked for elsewhere."""
-        self.raft.out.unread += [read.number for read in self.pending]
+        self.raft.pending.aborted_reads += [read.number for read in self.pending]
         self.pending = []
--- a/gradegap/raft/replication.py
+++ b/gradegap/raft/replication.py
@@ -63,7 +63,7 @@
         entry = Entry(raft.log.last_index + 1, raft.term, kind, data)
         raft.log.append(entry)
         self.uncommitted += entry.size
-        raft.out.entries.append(entry)
+        raft.pending.entries.append(entry)
         return entry.index
 
     # Sending
@@ -114,7 +114,7 @@
         term = raft.log.term(previous)
         assert term is not None
         message = AppendEntries(raft.term, previous, term, raft.commit, raft.heartbeats.round, tuple(entries))
-        raft.out.early.append((peer, message))
+        raft.pending.immediate_messages.append((peer, message))
         if entries and progress.streaming:
             last = entries[-1].index
             progress.next = last + 1
--- a/gradegap/raft/snapshots.py
+++ b/gradegap/raft/snapshots.py
@@ -54,7 +54,7 @@
         raft = self.raft
         snapshot = self.outgoing
         if snapshot is None or snapshot.meta.index < raft.log.base.index:
-            raft.out.want_snapshot = True
+            raft.pending.snapshot_wanted = True
             return
         if progress.snapshot != snapshot.meta.index:
             progress.snapshot = snapshot.meta.index
@@ -63,7 +63,7 @@
         elif not again and progress.awaiting_answer:
             return
         progress.awaiting_answer = True
-        raft.out.early.append((peer, self._chunk(snapshot, progress.offset)))
+        raft.pending.immediate_messages.append((peer, self._chunk(snapshot, progress.offset)))
 
     def _chunk(self, snapshot: OutgoingSnapshot, offset: int) -> InstallSnapshot:
         raft = self.raft
@@ -130,9 +130,9 @@
         raft = self.raft
         raft.log.reset(meta)
         raft.commit = raft.applied = raft.stable = meta.index
-        raft.out.entries = []
-        raft.out.install = (meta, data)
-        raft.out.apply = []
+        raft.pending.entries = []
+        raft.pending.snapshot = (meta, data)
+        raft.pending.committed_entries = []
 
     def _respond(self, sender: str, chunk: InstallSnapshot, offset: int, done: bool = False) -> None:
         raft = self.raft
--- a/gradegap/raft/types.py
+++ b/gradegap/raft/types.py
@@ -195,24 +195,24 @@
 
 
 @dataclass(slots=True)
-class Output:
+class Ready:
     """What the driver is to do, in this order.
 
-    Install `install`; write `hard` and `entries` (an entry replaces what stands from its index on) and sync;
-    then send `messages`. `early` may go before.
+    Install `snapshot`; write `hard_state` and `entries` (an entry replaces what stands from its index on) and
+    sync; then send `messages`. `immediate_messages` may go before.
     """
 
-    hard: HardState | None = None
-    install: tuple[SnapshotMetadata, bytes] | None = None
+    hard_state: HardState | None = None
+    snapshot: tuple[SnapshotMetadata, bytes] | None = None
     entries: list[Entry] = field(default_factory=list)
-    early: list[tuple[str, Message]] = field(default_factory=list)
+    immediate_messages: list[tuple[str, Message]] = field(default_factory=list)
     messages: list[tuple[str, Message]] = field(default_factory=list)
-    apply: list[Entry] = field(default_factory=list)
-    reads: list[tuple[int, int]] = field(default_factory=list)  # a read's number, and the index it must see
-    unread: list[int] = field(default_factory=list)  # reads that this member can't confirm any more
-    want_snapshot: bool = False  # a member is behind the log: `offer_snapshot` is awaited
+    committed_entries: list[Entry] = field(default_factory=list)
+    read_states: list[tuple[int, int]] = field(default_factory=list)  # a request's number, the index to see
+    aborted_reads: list[int] = field(default_factory=list)  # this member can't confirm them any more
+    snapshot_wanted: bool = False  # a member is behind the log: `offer_snapshot` is awaited
 
     @property
-    def durable(self) -> bool:
+    def must_sync(self) -> bool:
         """Whether anything must be on disk before `messages` go."""
-        return self.hard is not None or self.install is not None or bool(self.entries)
+        return self.hard_state is not None or self.snapshot is not None or bool(self.entries)
--- a/gradegap/store/daemon.py
+++ b/gradegap/store/daemon.py
@@ -24,7 +24,7 @@
     EntryKind,
     Member,
     Message,
-    Output,
+    Ready,
     Role,
     SnapshotMetadata,
     Tuning,
@@ -88,7 +88,7 @@
         self.gossiped: Callable[[wire.Gossip], None] = lambda gossip: None
         self.met: Callable[[Link], None] = lambda link: None
         self.thread = ThreadPoolExecutor(1, "store-disk")
-        self.outs: list[Output] = []
+        self.outs: list[Ready] = []
         self.writing = False
         self.compacting = 0
         self.packing = False
@@ -270,29 +270,29 @@
         raft = self.raft
         if raft is None or self.closed:
             return
-        out = raft.take()
-        for to, message in out.early:
+        out = raft.take_ready()
+        for to, message in out.immediate_messages:
             self._send(to, message)
-        if out.install is not None:
+        if out.snapshot is not None:
             try:
-                state = unpack(out.install[1])
+                state = unpack(out.snapshot[1])
             except ValueError as error:
                 self._fail(BadFolder(f"a snapshot that came can't be read: {error}"))
                 return
             self.stats.count("store_snapshots_taken")
             self.machine.load(state)
             self.loaded = state
-        for entry in out.apply:
+        for entry in out.committed_entries:
             self._apply(entry)
-        if out.apply or out.install is not None:
+        if out.committed_entries or out.snapshot is not None:
             self._applied()
-        for number, index in out.reads:
+        for number, index in out.read_states:
             self.service.read_at(number, index)
-        for number in out.unread:
+        for number in out.aborted_reads:
             self.service.unread(number)
-        if out.want_snapshot and not self.packing:
+        if out.snapshot_wanted and not self.packing:
             self._pack(raft)
-        if out.durable or out.messages:
+        if out.must_sync or out.messages:
             self.outs.append(out)
             self._write()
         self._look_at_role(raft)
@@ -439,17 +439,17 @@
         self.stats.count("store_syncs")
         self.in_thread(self.thread.submit(self.disk.write, batch), lambda _: self._synced(outs))
 
-    def _batch(self, outs: list[Output]) -> Batch | None:
-        if not any(o.durable for o in outs):
+    def _batch(self, outs: list[Ready]) -> Batch | None:
+        if not any(o.must_sync for o in outs):
             return None
         raft = self.raft
         assert raft is not None
         batch = Batch()
         for out in outs:
-            if out.hard is not None:
-                batch.hard = out.hard
-            if out.install is not None:
-                batch.base = out.install[0]
+            if out.hard_state is not None:
+                batch.hard = out.hard_state
+            if out.snapshot is not None:
+                batch.base = out.snapshot[0]
                 batch.entries = []
                 batch.whole = self.loaded
             for entry in out.entries:
@@ -475,7 +475,7 @@
             self.compacting = index
             self.stats.count("store_compactions")
 
-    def _synced(self, outs: list[Output]) -> None:
+    def _synced(self, outs: list[Ready]) -> None:
         self.writing = False
         if self.raft is None:
             return
@@ -487,7 +487,7 @@
         self.settle()
         self._write()
 
-    def _written(self, outs: list[Output]) -> None:
+    def _written(self, outs: list[Ready]) -> None:
         raft = self.raft
         assert raft is not None
         for out in outs:
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -161,10 +161,10 @@
 
 def test_a_lone_member_leads_and_commits_once_its_disk_has_it() -> None:
     raft = lone()
-    out = raft.take()
-    assert raft.leads and out.hard is not None and not out.apply
-    raft.persisted(10.0, out.entries[-1].index, out.entries[-1].term)
-    assert [e.kind for e in raft.take().apply] == [EntryKind.NO_OP]
+    ready = raft.take_ready()
+    assert raft.leads and ready.hard_state is not None and not ready.committed_entries
+    raft.persisted(10.0, ready.entries[-1].index, ready.entries[-1].term)
+    assert [e.kind for e in raft.take_ready().committed_entries] == [EntryKind.NO_OP]
 
 
 def test_proposals_are_refused_when_too_much_is_not_committed() -> None:
@@ -184,12 +184,12 @@
     ):
         with pytest.raises(Refused, match=f"^{reason}"):
             wish()
-    out = raft.take()
-    raft.persisted(10.0, out.entries[-1].index, out.entries[-1].term)
+    ready = raft.take_ready()
+    raft.persisted(10.0, ready.entries[-1].index, ready.entries[-1].term)
     with pytest.raises(Refused, match="^last"):
         raft.remove(10.0, "a")
     raft.add(10.0, Member("b", "b", "y", voter=False))
-    raft.take()
+    raft.take_ready()
     with pytest.raises(Refused, match="^change_pending"):
         raft.add(10.0, Member("c", "c", "z", voter=False))
 
@@ -225,7 +225,7 @@
         term = 1 if previous else 0
         raft.step(0.1, "a", AppendEntries(1, previous, term, commit, 1, entries))
         raft.persisted(0.1, raft.log.last_index, 1)
-        raft.take()
+        raft.take_ready()
         return raft.was_removed()
 
     assert not told(0, 3, founded), "the leader has committed more than this"
