--- a/gradegap/check/bugs.py
+++ b/gradegap/check/bugs.py
@@ -38,7 +38,7 @@
 class VoteNotSynced(Raft):
     """The vote is given before it is on disk, so that a crash forgets it."""
 
-    def keep_hard_state(self) -> None:
+    def persist_hard_state(self) -> None:
         """Forgets the vote."""
         self.pending.hard_state = HardState(self.term, "")
 
@@ -60,7 +60,7 @@
     class _Election(Election):
         def on_request_vote(self, now: float, sender: str, request: RequestVote) -> None:
             if not request.pre_vote and request.term == self.raft.term:
-                self.raft.vote = ""
+                self.raft.voted_for = ""
             super().on_request_vote(now, sender, request)
 
     election_type = _Election
@@ -95,7 +95,7 @@
     class _Replication(Replication):
         def append(self, kind: EntryKind, data: bytes) -> int:
             index = super().append(kind, data)
-            self.raft.stable = index
+            self.raft.stable_index = index
             return index
 
     replication_type = _Replication
@@ -112,7 +112,7 @@
                 super().on_append_entries(now, sender, request)
                 return
             match = request.prev_log_index + len(request.entries)
-            raft.commit = max(raft.commit, min(request.leader_commit, match, log.last_index))
+            raft.commit_index = max(raft.commit_index, min(request.leader_commit, match, log.last_index))
             raft.send(
                 sender,
                 AppendEntriesResponse(
@@ -144,7 +144,7 @@
         def on_append_entries(self, now: float, sender: str, request: AppendEntries) -> None:
             super().on_append_entries(now, sender, request)
             raft = self.raft
-            raft.commit = max(raft.commit, min(request.leader_commit, raft.log.last_index))
+            raft.commit_index = max(raft.commit_index, min(request.leader_commit, raft.log.last_index))
 
     follower_type = _Follower
 
@@ -155,7 +155,7 @@
     class _Heartbeats(Heartbeats):
         def lease_until(self, now: float) -> float:
             until = super().lease_until(now)
-            tuning = self.raft.tuning
+            tuning = self.raft.settings
             return until if until == NEVER else until + tuning.election * tuning.drift
 
     heartbeats_type = _Heartbeats
@@ -179,7 +179,7 @@
 
     class _Election(Election):
         def has_live_leader(self, now: float) -> bool:
-            return self.raft.leader != "" and super().has_live_leader(now)
+            return self.raft.leader_id != "" and super().has_live_leader(now)
 
     election_type = _Election
 
@@ -200,9 +200,9 @@
 
     class _Reads(Reads):
         def read(self, now: float, number: int) -> None:
-            if not self.raft.leads:
+            if not self.raft.is_leader:
                 raise RefusedError("not_leader")
-            self.raft.pending.read_states.append((number, self.raft.commit))
+            self.raft.pending.read_states.append((number, self.raft.commit_index))
 
     reads_type = _Reads
 
@@ -223,7 +223,7 @@
 
     class _Membership(Membership):
         def check_may_change(self) -> None:
-            if not self.raft.leads:
+            if not self.raft.is_leader:
                 raise RefusedError("not_leader")
 
         def add(self, now: float, member: Member) -> int:
@@ -266,9 +266,9 @@
 
     def take_committed_entries(self) -> list[Entry]:
         """Takes all that is on this disk to be committed."""
-        self.commit, kept = max(self.commit, self.stable), self.commit
+        self.commit_index, kept = max(self.commit_index, self.stable_index), self.commit_index
         entries = super().take_committed_entries()
-        self.commit = max(kept, self.applied)
+        self.commit_index = max(kept, self.applied_index)
         return entries
 
 
@@ -287,7 +287,7 @@
         super().__init__(me, now, seed, base, entries, *more)  # type: ignore[arg-type]
         if base.index:
             self.log = Log(base, [])
-            self.stable = self.log.last_index
+            self.stable_index = self.log.last_index
 
 
 class MatchFromTheLength(Raft):
--- a/gradegap/check/explore.py
+++ b/gradegap/check/explore.py
@@ -69,7 +69,7 @@
         d = self.disks[name]
         self.states[name] = d.state
         raft = self.core(name, self.now, 0, d.base, list(d.entries), d.hard, d.base.index, self.tuning)
-        raft.rng = Steady()
+        raft.random = Steady()
         return raft
 
     def copy(self) -> Case:
@@ -83,7 +83,7 @@
         bounds = self.bounds
         found: list[Action] = [("deliver", k) for k in range(len(self.flying))]
         for name, raft in self.members.items():
-            if raft.leads:
+            if raft.is_leader:
                 if self.commands < bounds.commands:
                     found.append(("propose", name))
                 if self.beats[name] < bounds.beats:
@@ -148,14 +148,14 @@
         members = [
             (
                 r.term,
-                r.vote,
+                r.voted_for,
                 r.role.value,
-                r.leader,
-                r.commit,
+                r.leader_id,
+                r.commit_index,
                 [(e.term, e.data) for e in r.log.entries],
-                sorted(r.election.votes.items()) if not r.leads else [],
+                sorted(r.election.votes.items()) if not r.is_leader else [],
                 [(n, p.next, p.match, p.streaming, p.awaiting_answer) for n, p in sorted(r.peers.items())]
-                if r.leads
+                if r.is_leader
                 else [],
                 self.beats[n],
             )
--- a/gradegap/check/rules.py
+++ b/gradegap/check/rules.py
@@ -50,16 +50,16 @@
         """Hold one member, after a step of it, to all that was seen before."""
         self._log_matching(member)
         self._commit(member)
-        if member.leads:
+        if member.is_leader:
             self._election_safety(member)
 
     def _election_safety(self, member: Raft) -> None:
         known = self.leaders.get(member.term)
         if known is None:
-            self.leaders[member.term] = member.me
+            self.leaders[member.term] = member.member_id
             self._leader_completeness(member)
-        elif known != member.me:
-            raise BreachError(f"election-safety: {known} and {member.me} lead in term {member.term}")
+        elif known != member.member_id:
+            raise BreachError(f"election-safety: {known} and {member.member_id} lead in term {member.term}")
 
     def _leader_completeness(self, member: Raft) -> None:
         log = member.log
@@ -68,7 +68,7 @@
             bound = self.committed_in.get(index, member.term) < member.term
             if bound and index > log.base.index and log.term(index) != entry.term:
                 raise BreachError(
-                    f"leader-completeness: {member.me} leads term {member.term} without {entry}"
+                    f"leader-completeness: {member.member_id} leads term {member.term} without {entry}"
                 )
 
     def _log_matching(self, member: Raft) -> None:
@@ -82,15 +82,17 @@
             known = self.entries.setdefault((entry.index, entry.term), (entry.data, before))
             if known != (entry.data, before):
                 raise BreachError(
-                    f"log-matching: {member.me} has another entry {entry.index} of {entry.term}"
+                    f"log-matching: {member.member_id} has another entry {entry.index} of {entry.term}"
                 )
             before = entry.term
 
     def _commit(self, member: Raft) -> None:
         log = member.log
-        if member.commit > log.last_index:
-            raise BreachError(f"log-matching: {member.me} commits {member.commit} beyond its log")
-        index = member.commit
+        if member.commit_index > log.last_index:
+            raise BreachError(
+                f"log-matching: {member.member_id} commits {member.commit_index} beyond its log"
+            )
+        index = member.commit_index
         while index > log.base.index and index not in self.committed_in:
             entry = log.entries[index - log.base.index - 1]
             self.committed_in[index] = member.term
@@ -98,7 +100,7 @@
                 break
             index -= 1
         if index > log.base.index and log.term(index) != self.committed[index].term:
-            raise BreachError(f"state-machine-safety: {member.me} commits another entry at {index}")
+            raise BreachError(f"state-machine-safety: {member.member_id} commits another entry at {index}")
 
     @property
     def last_committed(self) -> int:
@@ -118,7 +120,7 @@
         `holders` are the members that run, with what their own clocks say.
         """
         running = list(holders)
-        leading = [member for member, _ in running if member.leads]
+        leading = [member for member, _ in running if member.is_leader]
         for member, now in running:
             if now < member.lease_until(now):
                 self._no_later_leader(member, leading)
@@ -127,7 +129,8 @@
         for other in leading:
             if other.term > holder.term:
                 raise BreachError(
-                    f"lease: {other.me} leads term {other.term}, {holder.me} holds a lease of {holder.term}"
+                    f"lease: {other.member_id} leads term {other.term}, "
+                    f"{holder.member_id} holds a lease of {holder.term}"
                 )
 
     def commands(self) -> list[bytes]:
--- a/gradegap/check/sim.py
+++ b/gradegap/check/sim.py
@@ -154,10 +154,10 @@
             self.sim.rules.applied(entry, self.state)
         for number, index in ready.read_states:
             self.sim.read_done(self.name, number, index)
-        if ready.snapshot_wanted and raft.applied in self.states:
-            term = raft.log.term(raft.applied)
+        if ready.snapshot_wanted and raft.applied_index in self.states:
+            term = raft.log.term(raft.applied_index)
             assert term is not None
-            meta = SnapshotMetadata(raft.applied, term, raft.log.configuration_at(raft.applied))
+            meta = SnapshotMetadata(raft.applied_index, term, raft.log.configuration_at(raft.applied_index))
             raft.offer_snapshot(self.now, meta, self.state)
             self.settle()
         if ready.must_sync or ready.messages:
@@ -192,9 +192,9 @@
     def compact(self) -> None:
         """Write the applied state, and drop the log that led there."""
         raft = self.raft
-        index = raft.applied if raft is not None else 0
+        index = raft.applied_index if raft is not None else 0
         # As a daemon: what it has applied is written before the log that led there goes.
-        if raft is None or self.writing or index <= self.disk.base.index or raft.stable < index:
+        if raft is None or self.writing or index <= self.disk.base.index or raft.stable_index < index:
             return
         raft.compact(index)
         base = raft.log.base
@@ -262,7 +262,7 @@
 
     def leader(self) -> Node | None:
         """A running member that takes itself to be the leader."""
-        leading = [n for n in self.nodes.values() if n.runs and n.raft is not None and n.raft.leads]
+        leading = [n for n in self.nodes.values() if n.runs and n.raft is not None and n.raft.is_leader]
         return self.rng.choice(leading) if leading else None
 
     def _load(self) -> None:
@@ -276,7 +276,7 @@
                 node.raft.flush(node.now)
                 if self.rng.random() < 0.5:
                     self.reads[len(self.reads)] = self.rules.last_committed
-                    node.raft.read(node.now, len(self.reads) - 1)
+                    node.raft.read_index(node.now, len(self.reads) - 1)
             except RefusedError as error:
                 self.counts[f"refused {str(error).split(':')[0]}"] += 1
             node.settle()
@@ -366,13 +366,13 @@
             learners = [m for m in members if not m.voter]
             if learners:
                 m = rng.choice(learners)
-                raft.add(node.now, Member(m.id, m.name, m.address))
+                raft.add_member(node.now, Member(m.id, m.name, m.address))
             elif len(members) < 5 and rng.random() < 0.6:
                 name = self._name()
-                raft.add(node.now, Member(name, name, name, voter=False))
+                raft.add_member(node.now, Member(name, name, name, voter=False))
                 self._make(name, initial_snapshot(()))
             elif len(members) > 1:
-                raft.remove(node.now, rng.choice(members).id)
+                raft.remove_member(node.now, rng.choice(members).id)
             self.counts["changes"] += 1
         except RefusedError as error:
             self.counts[f"refused {str(error).split(':')[0]}"] += 1
@@ -384,7 +384,7 @@
             others = [v for v in node.raft.configuration.voters if v != node.name]
             if others:
                 try:
-                    node.raft.transfer(node.now, self.rng.choice(others))
+                    node.raft.transfer_leadership(node.now, self.rng.choice(others))
                     self.counts["transfers"] += 1
                 except RefusedError:
                     pass
@@ -411,7 +411,7 @@
         assert leader is not None and leader.raft is not None, "no leader once all faults have ended"
         self.run(1.0)
         members = [self.nodes[m.id] for m in leader.raft.configuration.members]
-        least = min(n.raft.applied for n in members if n.raft is not None)
+        least = min(n.raft.applied_index for n in members if n.raft is not None)
         assert least >= self.rules.last_committed - 40, "a member does not catch up"
         assert self.counts["reads"] > 0
 
--- a/gradegap/raft/core.py
+++ b/gradegap/raft/core.py
@@ -51,7 +51,7 @@
 
 
 class Raft:
-    """One member. `me` is its identity for this life of its disk."""
+    """One member. `member_id` is its identity for this incarnation of its disk."""
 
     # The classes of its parts: the checkers plant mistakes by putting others in their place.
     election_type: ClassVar[type[Election]] = Election
@@ -64,27 +64,27 @@
 
     def __init__(
         self,
-        me: str,
+        member_id: str,
         now: float,
         seed: int,
         base: SnapshotMetadata,
         entries: list[Entry] | None = None,
-        hard: HardState | None = None,
-        applied: int = 0,
-        tuning: Tuning | None = None,
+        hard_state: HardState | None = None,
+        applied_index: int = 0,
+        settings: Tuning | None = None,
     ) -> None:
-        self.me = me
-        self.tuning = tuning or Tuning()
-        self.rng = random.Random(seed)
+        self.member_id = member_id
+        self.settings = settings or Tuning()
+        self.random = random.Random(seed)
         self.log = Log(base, entries or [])
-        hard = hard or HardState()
-        self.term = hard.term
-        self.vote = hard.vote
+        hard_state = hard_state or HardState()
+        self.term = hard_state.term
+        self.voted_for = hard_state.voted_for
         self.role = Role.FOLLOWER
-        self.leader = ""
-        self.commit = max(base.index, applied)
-        self.applied = self.commit
-        self.stable = self.log.last_index  # the last index that is on this member's disk
+        self.leader_id = ""
+        self.commit_index = max(base.index, applied_index)
+        self.applied_index = self.commit_index
+        self.stable_index = self.log.last_index  # the last index that is on this member's disk
         self.pending = Ready()
         self.election = self.election_type(self, now)
         self.heartbeats = self.heartbeats_type(self)
@@ -106,16 +106,16 @@
 
     def take_committed_entries(self) -> list[Entry]:
         """The entries to apply now: committed, on this disk, and not handed out before."""
-        last = min(self.commit, self.stable)
-        if last <= self.applied:
+        last = min(self.commit_index, self.stable_index)
+        if last <= self.applied_index:
             return []
-        entries = self.log.slice(self.applied + 1, EVERYTHING, last)
-        self.applied = last
+        entries = self.log.slice(self.applied_index + 1, EVERYTHING, last)
+        self.applied_index = last
         return entries
 
-    def deadline(self) -> float:
+    def next_tick_at(self) -> float:
         """When `tick` is wanted at the latest."""
-        return self.heartbeats.next_at() if self.leads else self.election.timeout_at
+        return self.heartbeats.next_at() if self.is_leader else self.election.timeout_at
 
     @property
     def configuration(self) -> ClusterConfiguration:
@@ -123,7 +123,7 @@
         return self.log.configuration
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this member takes itself to be the leader."""
         return self.role is Role.LEADER
 
@@ -148,42 +148,42 @@
     def status(self, now: float) -> dict[str, object]:
         """What an operator is shown of this member."""
         return {
-            "id": self.me,
+            "id": self.member_id,
             "role": self.role.value,
             "term": self.term,
-            "leader": self.leader,
-            "commit": self.commit,
-            "applied": self.applied,
+            "leader": self.leader_id,
+            "commit": self.commit_index,
+            "applied": self.applied_index,
             "last_index": self.log.last_index,
             "first_index": self.log.base.index + 1,
-            "lease_ms": max(0, round((self.lease_until(now) - now) * 1000)) if self.leads else 0,
+            "lease_ms": max(0, round((self.lease_until(now) - now) * 1000)) if self.is_leader else 0,
         }
 
     # What a driver tells
 
     def tick(self, now: float) -> None:
         """Time has passed: elections, heartbeats and transfers that are due."""
-        if not self.leads:
+        if not self.is_leader:
             self.election.tick(now)
             return
         if self.heartbeats.quorum_lost(now):
             self.become_follower(now, self.term, "")
             return
         self.handover.tick(now)
-        if self.leads and now >= self.heartbeats.next_at():
+        if self.is_leader and now >= self.heartbeats.next_at():
             self.heartbeats.send(now)
 
     def persisted(self, now: float, index: int, term: int) -> None:
         """The driver has synced all entries up to this one."""
         if self.log.term(index) != term:
             return
-        self.stable = max(self.stable, index)
-        if self.leads:
+        self.stable_index = max(self.stable_index, index)
+        if self.is_leader:
             self.replication.advance_commit(now)
 
     def compact(self, index: int) -> None:
         """The driver keeps the state up to here on its disk."""
-        self.log.compact(min(index, self.applied))
+        self.log.compact(min(index, self.applied_index))
 
     def offer_snapshot(self, now: float, meta: SnapshotMetadata, data: bytes) -> None:
         """The state at `meta`, for members that are behind the log."""
@@ -197,24 +197,24 @@
 
     def flush(self, now: float) -> None:
         """Send what was proposed; once for all that came together."""
-        if self.leads:
+        if self.is_leader:
             self.replication.flush(now)
 
-    def read(self, now: float, number: int) -> None:
+    def read_index(self, now: float, request_id: int) -> None:
         """Ask for the index that a linearizable read must see; it comes in `Ready.read_states`."""
-        self.reads.read(now, number)
+        self.reads.read(now, request_id)
 
-    def add(self, now: float, member: Member) -> int:
+    def add_member(self, now: float, member: Member) -> int:
         """Add a learner, or make a learner that has caught up a voter; the index of the change."""
         return self.membership.add(now, member)
 
-    def remove(self, now: float, member: str) -> int:
+    def remove_member(self, now: float, member_id: str) -> int:
         """Remove a member, this one too; the index of the change."""
-        return self.membership.remove(now, member)
+        return self.membership.remove(now, member_id)
 
-    def transfer(self, now: float, to: str) -> None:
+    def transfer_leadership(self, now: float, target: str) -> None:
         """Hand over to a voter, as soon as it has all entries; given up after an election's time."""
-        self.handover.start(now, to)
+        self.handover.start(now, target)
 
     # Messages
 
@@ -236,7 +236,7 @@
         if message.term < self.term:
             self._reject_stale_leader(sender, message)
             return
-        if message.term > self.term or self.role is not Role.FOLLOWER or self.leader != sender:
+        if message.term > self.term or self.role is not Role.FOLLOWER or self.leader_id != sender:
             self.become_follower(now, message.term, sender)
         self.election.hear_leader(now)
         if isinstance(message, AppendEntries):
@@ -256,7 +256,7 @@
             self.become_follower(now, message.term, "")
             return
         progress = self.peers.get(sender)
-        if not self.leads or message.term != self.term or progress is None:
+        if not self.is_leader or message.term != self.term or progress is None:
             return
         progress.heard_at = now
         progress.round = max(progress.round, message.heartbeat_round)
@@ -264,7 +264,7 @@
             self.replication.on_append_entries_response(now, sender, progress, message)
         else:
             self.snapshot_sender.on_install_snapshot_response(now, sender, progress, message)
-        if self.leads:
+        if self.is_leader:
             self.reads.confirm()
 
     # What its parts share
@@ -273,32 +273,32 @@
         """Send a message once what this member has said so far is on its disk."""
         self.pending.messages.append((to, message))
 
-    def keep_hard_state(self) -> None:
+    def persist_hard_state(self) -> None:
         """Have the term and the vote written before anybody is told of them."""
-        self.pending.hard_state = HardState(self.term, self.vote)
+        self.pending.hard_state = HardState(self.term, self.voted_for)
 
     def commits_own_term(self) -> bool:
         """Whether the commit index is known to cover all that earlier leaders committed."""
-        return self.log.term(self.commit) == self.term
+        return self.log.term(self.commit_index) == self.term
 
     def become_follower(self, now: float, term: int, leader: str) -> None:
         """Follow `leader`, or nobody known yet where it is empty, in `term`."""
         if term > self.term:
             self.term = term
-            self.vote = ""
-            self.keep_hard_state()
+            self.voted_for = ""
+            self.persist_hard_state()
         if self.role is not Role.FOLLOWER:
             self.reads.abandon()
             self.election.reset_timeout(now)
         self.role = Role.FOLLOWER
-        self.leader = leader
+        self.leader_id = leader
         self.handover.reset()
         self.snapshot_sender.outgoing = None
 
     def become_leader(self, now: float) -> None:
         """Lead this term, and begin it with an entry of its own."""
         self.role = Role.LEADER
-        self.leader = self.me
+        self.leader_id = self.member_id
         self.election.leader_heard_at = now
         self.handover.reset()
         self.heartbeats.start(now)
--- a/gradegap/raft/election.py
+++ b/gradegap/raft/election.py
@@ -25,7 +25,7 @@
     def reset_timeout(self, now: float) -> None:
         """Wait anew, by a random time, before calling an election."""
         raft = self.raft
-        self.timeout_at = now + raft.tuning.election * raft.rng.uniform(1.0, 2.0)
+        self.timeout_at = now + raft.settings.election * raft.random.uniform(1.0, 2.0)
 
     def hear_leader(self, now: float) -> None:
         """A leader of this term was heard: its followers wait, and give no votes."""
@@ -47,31 +47,31 @@
         elected with.
         """
         raft, log = self.raft, self.raft.log
-        if raft.me in log.configuration.voters:
+        if raft.member_id in log.configuration.voters:
             return True
         return (
-            log.configuration_index > raft.commit
-            and raft.me in log.configuration_at(log.configuration_index - 1).voters
+            log.configuration_index > raft.commit_index
+            and raft.member_id in log.configuration_at(log.configuration_index - 1).voters
         )
 
     def campaign(self, now: float, pre_vote: bool, leadership_transfer: bool = False) -> None:
         """Ask all voters for their votes; with `pre_vote`, only whether they would give them."""
         raft, log = self.raft, self.raft.log
         self.reset_timeout(now)
-        self.votes = {raft.me: True}
-        raft.leader = ""
+        self.votes = {raft.member_id: True}
+        raft.leader_id = ""
         if pre_vote:
             raft.role = Role.PRE_CANDIDATE
         else:
             raft.role = Role.CANDIDATE
             raft.term += 1
-            raft.vote = raft.me
-            raft.keep_hard_state()
+            raft.voted_for = raft.member_id
+            raft.persist_hard_state()
         request = RequestVote(
             raft.term + pre_vote, log.last_index, log.last_term, pre_vote, leadership_transfer
         )
         for voter in raft.configuration.voters:
-            if voter != raft.me:
+            if voter != raft.member_id:
                 raft.send(voter, request)
         self.count_votes(now)
 
@@ -92,8 +92,8 @@
     def has_live_leader(self, now: float) -> bool:
         """Whether a leader may count on this member not to vote yet (thesis, 4.2.3 and 6.4.1)."""
         raft = self.raft
-        heard_at = raft.heartbeats.followed_since(now) if raft.leads else self.leader_heard_at
-        return now - heard_at < raft.tuning.election
+        heard_at = raft.heartbeats.followed_since(now) if raft.is_leader else self.leader_heard_at
+        return now - heard_at < raft.settings.election
 
     def on_request_vote(self, now: float, sender: str, request: RequestVote) -> None:
         """A candidate asks for this member's vote."""
@@ -108,8 +108,8 @@
             raft.become_follower(now, request.term, "")
         granted = self._may_vote_for(sender, request)
         if granted:
-            raft.vote = sender
-            raft.keep_hard_state()
+            raft.voted_for = sender
+            raft.persist_hard_state()
             self.reset_timeout(now)
         raft.send(sender, RequestVoteResponse(raft.term, granted))
 
@@ -120,7 +120,7 @@
         raft = self.raft
         return (
             request.term == raft.term
-            and raft.vote in ("", candidate)
+            and raft.voted_for in ("", candidate)
             and raft.role is Role.FOLLOWER
             and self._log_suffices(request)
         )
--- a/gradegap/raft/follower.py
+++ b/gradegap/raft/follower.py
@@ -31,7 +31,7 @@
         self._take(entries)
         self.leader_commit = max(self.leader_commit, request.leader_commit)
         match = previous + len(entries)
-        raft.commit = max(raft.commit, min(request.leader_commit, match))
+        raft.commit_index = max(raft.commit_index, min(request.leader_commit, match))
         raft.send(
             sender,
             AppendEntriesResponse(raft.term, True, match, request.prev_log_index, request.heartbeat_round),
@@ -61,8 +61,8 @@
 
     def _truncate(self, index: int) -> None:
         raft = self.raft
-        if index <= raft.commit:
+        if index <= raft.commit_index:
             raise AssertionError(f"entry {index} is committed and would be replaced")
         raft.log.truncate(index)
         raft.pending.entries = [entry for entry in raft.pending.entries if entry.index < index]
-        raft.stable = min(raft.stable, index - 1)
+        raft.stable_index = min(raft.stable_index, index - 1)
--- a/gradegap/raft/handover.py
+++ b/gradegap/raft/handover.py
@@ -30,16 +30,16 @@
         """Hand over to a voter, as soon as it has all entries; given up after an election's time."""
         raft = self.raft
         peers = raft.replication.peers
-        if not raft.leads:
+        if not raft.is_leader:
             raise RefusedError("not_leader")
-        if to == raft.me:
+        if to == raft.member_id:
             raise RefusedError("member: it leads already")
         if to not in raft.configuration.voters or to not in peers:
             raise RefusedError("no such member")
         if self.target:
             raise RefusedError("transferring leadership")
         self.target = to
-        self.give_up_at = now + raft.tuning.election
+        self.give_up_at = now + raft.settings.election
         self.proceed()
         if not self.timeout_sent:
             raft.replication.send_to(to, peers[to], always=True)
@@ -65,5 +65,5 @@
     def on_timeout_now(self, now: float, request: TimeoutNow) -> None:
         """The leader wants this member to lead."""
         raft = self.raft
-        if request.term == raft.term and raft.me in raft.configuration.voters and not raft.leads:
+        if request.term == raft.term and raft.member_id in raft.configuration.voters and not raft.is_leader:
             raft.election.campaign(now, pre_vote=False, leadership_transfer=True)
--- a/gradegap/raft/heartbeats.py
+++ b/gradegap/raft/heartbeats.py
@@ -32,7 +32,7 @@
 
     def next_at(self) -> float:
         """When the next round is due."""
-        return self.sent_at + self.raft.tuning.heartbeat
+        return self.sent_at + self.raft.settings.heartbeat
 
     def send(self, now: float) -> None:
         """Begin a new round: whoever answers it has followed since its beginning."""
@@ -44,7 +44,7 @@
 
     def answered_round(self) -> int:
         """The latest round that a quorum, this member in it, has answered."""
-        me, peers = self.raft.me, self.raft.replication.peers
+        me, peers = self.raft.member_id, self.raft.replication.peers
         return reached_by_majority(
             self.round if voter == me else peers[voter].round if voter in peers else 0
             for voter in self.raft.configuration.voters
@@ -69,7 +69,7 @@
 
     def quorum_lost(self, now: float) -> bool:
         """Check-quorum (thesis, 6.2): guards against a cut-off leader that goes on as if it led."""
-        election = self.raft.tuning.election
+        election = self.raft.settings.election
         return now - self.led_at >= election and self.followed_since(now) < now - election
 
     def lease_until(self, now: float) -> float:
@@ -79,9 +79,9 @@
         own clocks, which may run faster than this one by the bound on drift.
         """
         raft = self.raft
-        if not raft.leads or raft.handover.timeout_sent or not raft.commits_own_term():
+        if not raft.is_leader or raft.handover.timeout_sent or not raft.commits_own_term():
             return NEVER
         began = self.followed_since(now)
         if began == NEVER:
             return NEVER
-        return began + raft.tuning.election * (1.0 - raft.tuning.drift)
+        return began + raft.settings.election * (1.0 - raft.settings.drift)
--- a/gradegap/raft/membership.py
+++ b/gradegap/raft/membership.py
@@ -24,7 +24,7 @@
 
     def settled(self) -> bool:
         """Whether the latest configuration is committed: no change is under way."""
-        return self.raft.log.configuration_index <= self.raft.commit
+        return self.raft.log.configuration_index <= self.raft.commit_index
 
     def was_removed(self) -> bool:
         """Whether the latest committed configuration leaves this member out.
@@ -33,13 +33,13 @@
         each of them is the latest that it has until it has all that its leader said to be committed.
         """
         raft = self.raft
-        caught_up = raft.leads or raft.follower.leader_commit <= raft.commit
-        return raft.configuration.get(raft.me) is None and self.settled() and caught_up
+        caught_up = raft.is_leader or raft.follower.leader_commit <= raft.commit_index
+        return raft.configuration.get(raft.member_id) is None and self.settled() and caught_up
 
     def check_may_change(self) -> None:
         """Refuse a change that would not be safe now."""
         raft = self.raft
-        if not raft.leads:
+        if not raft.is_leader:
             raise RefusedError("not_leader")
         if raft.handover.target:
             raise RefusedError("transferring leadership")
@@ -72,7 +72,7 @@
 
     def _caught_up(self, member: str) -> bool:
         progress = self.raft.replication.peers.get(member)
-        return progress is not None and progress.match >= self.raft.commit and progress.streaming
+        return progress is not None and progress.match >= self.raft.commit_index and progress.streaming
 
     def remove(self, now: float, member: str) -> int:
         """Remove a member, this one too; the index of the change."""
--- a/gradegap/raft/reads.py
+++ b/gradegap/raft/reads.py
@@ -30,16 +30,16 @@
     def read(self, now: float, number: int) -> None:
         """Find the index that a read must see, under the lease or by a round of heartbeats."""
         raft = self.raft
-        if not raft.leads:
+        if not raft.is_leader:
             raise RefusedError("not_leader")
         if not raft.commits_own_term():
             raise RefusedError("not_ready: the leader has committed nothing in its term yet")
         if now < raft.lease_until(now):
-            raft.pending.read_states.append((number, raft.commit))
+            raft.pending.read_states.append((number, raft.commit_index))
             return
         if raft.heartbeats.sent_at < now:
             raft.heartbeats.send(now)
-        self.pending.append(PendingRead(number, raft.commit, raft.heartbeats.round))
+        self.pending.append(PendingRead(number, raft.commit_index, raft.heartbeats.round))
         self.confirm()
 
     def confirm(self) -> None:
--- a/gradegap/raft/replication.py
+++ b/gradegap/raft/replication.py
@@ -31,7 +31,7 @@
         """This member became leader: nothing is known of the others yet."""
         raft = self.raft
         self.peers = {}
-        self.uncommitted = sum(entry.size for entry in raft.log.slice(raft.commit + 1, EVERYTHING))
+        self.uncommitted = sum(entry.size for entry in raft.log.slice(raft.commit_index + 1, EVERYTHING))
         self.track_members(now)
 
     def track_members(self, now: float) -> None:
@@ -41,7 +41,7 @@
         for removed in [peer for peer in self.peers if peer not in ids]:
             del self.peers[removed]
         for member in members:  # in their order, so that one seed gives one run
-            if member.id != self.raft.me and member.id not in self.peers:
+            if member.id != self.raft.member_id and member.id not in self.peers:
                 self.peers[member.id] = Progress(self.raft.log.last_index + 1, heard_at=now)
 
     # Proposals
@@ -49,11 +49,11 @@
     def propose(self, data: bytes, kind: EntryKind) -> int:
         """Append an entry for a client; its index."""
         raft = self.raft
-        if not raft.leads:
+        if not raft.is_leader:
             raise RefusedError("not_leader")
         if raft.handover.target:
             raise RefusedError("transferring leadership")
-        if self.uncommitted + len(data) > raft.tuning.uncommitted and self.uncommitted:
+        if self.uncommitted + len(data) > raft.settings.uncommitted and self.uncommitted:
             raise RefusedError("busy: too much is not committed yet")
         return self.append(kind, data)
 
@@ -90,7 +90,7 @@
         if not progress.streaming and not progress.awaiting_answer:
             progress.awaiting_answer = sent = True
             self._send_entries(
-                peer, progress, raft.log.slice(progress.next, min(PROBE_BYTES, raft.tuning.batch))
+                peer, progress, raft.log.slice(progress.next, min(PROBE_BYTES, raft.settings.batch))
             )
         if always and not sent:
             self._send_entries(peer, progress, [])
@@ -101,10 +101,10 @@
         sent = False
         while (
             progress.streaming
-            and len(progress.in_flight) < raft.tuning.window
+            and len(progress.in_flight) < raft.settings.window
             and progress.next <= raft.log.last_index
         ):
-            self._send_entries(peer, progress, raft.log.slice(progress.next, raft.tuning.batch))
+            self._send_entries(peer, progress, raft.log.slice(progress.next, raft.settings.batch))
             sent = True
         return sent
 
@@ -113,7 +113,9 @@
         previous = progress.next - 1
         term = raft.log.term(previous)
         assert term is not None
-        message = AppendEntries(raft.term, previous, term, raft.commit, raft.heartbeats.round, tuple(entries))
+        message = AppendEntries(
+            raft.term, previous, term, raft.commit_index, raft.heartbeats.round, tuple(entries)
+        )
         raft.pending.immediate_messages.append((peer, message))
         if entries and progress.streaming:
             last = entries[-1].index
@@ -153,7 +155,7 @@
             progress.stream_after(response.match_index)
             progress.next = max(sent_up_to, progress.next)
         self.advance_commit(now)
-        if self.raft.leads:
+        if self.raft.is_leader:
             self.send_to(sender, progress)
             self.raft.handover.proceed()
 
@@ -167,7 +169,7 @@
         """The last index that is on the disks of a majority of voters."""
         raft, peers = self.raft, self.peers
         return reached_by_majority(
-            raft.stable if voter == raft.me else peers[voter].match if voter in peers else 0
+            raft.stable_index if voter == raft.member_id else peers[voter].match if voter in peers else 0
             for voter in raft.configuration.voters
         )
 
@@ -175,13 +177,16 @@
         """Commit what a majority holds, and tell the members that have all entries."""
         raft = self.raft
         index = self._held_by_majority()
-        if index <= raft.commit or not self.may_commit(index):
+        if index <= raft.commit_index or not self.may_commit(index):
             return
-        first = raft.commit + 1
-        raft.commit = index
+        first = raft.commit_index + 1
+        raft.commit_index = index
         self.uncommitted -= sum(entry.size for entry in raft.log.slice(first, EVERYTHING, index))
         for peer, progress in self.peers.items():
             if progress.streaming and progress.next > raft.log.last_index:
                 self._send_entries(peer, progress, [])  # so that they apply it before the next heartbeat
-        if raft.log.configuration_index <= raft.commit and raft.me not in raft.configuration.voters:
+        if (
+            raft.log.configuration_index <= raft.commit_index
+            and raft.member_id not in raft.configuration.voters
+        ):
             raft.become_follower(now, raft.term, "")  # it has led its own removal to the end (thesis, 4.2.2)
--- a/gradegap/raft/snapshots.py
+++ b/gradegap/raft/snapshots.py
@@ -40,7 +40,7 @@
     def offer(self, meta: SnapshotMetadata, data: bytes) -> None:
         """The driver hands over the state at `meta`, for members that are behind the log."""
         raft = self.raft
-        if not raft.leads:
+        if not raft.is_leader:
             return
         if meta.index < raft.log.base.index:
             raise ValueError("a snapshot from before the log")
@@ -67,7 +67,7 @@
 
     def _chunk(self, snapshot: OutgoingSnapshot, offset: int) -> InstallSnapshot:
         raft = self.raft
-        data = snapshot.data[offset : offset + raft.tuning.chunk]
+        data = snapshot.data[offset : offset + raft.settings.chunk]
         done = offset + len(data) >= len(snapshot.data)
         return InstallSnapshot(
             raft.term, snapshot.meta, offset, data, done, snapshot.checksum, raft.heartbeats.round
@@ -89,7 +89,7 @@
             raft.replication.advance_commit(now)
         else:
             progress.offset = response.offset
-        if raft.leads:
+        if raft.is_leader:
             raft.replication.send_to(sender, progress)
 
 
@@ -102,7 +102,7 @@
 
     def on_install_snapshot(self, now: float, sender: str, chunk: InstallSnapshot) -> None:
         """The leader sends a chunk of a snapshot."""
-        if chunk.metadata.index <= self.raft.commit:
+        if chunk.metadata.index <= self.raft.commit_index:
             self.incoming = None
             self._respond(sender, chunk, 0, done=True)
             return
@@ -129,7 +129,7 @@
     def _install(self, meta: SnapshotMetadata, data: bytes) -> None:
         raft = self.raft
         raft.log.reset(meta)
-        raft.commit = raft.applied = raft.stable = meta.index
+        raft.commit_index = raft.applied_index = raft.stable_index = meta.index
         raft.pending.entries = []
         raft.pending.snapshot = (meta, data)
         raft.pending.committed_entries = []
--- a/gradegap/store/daemon.py
+++ b/gradegap/store/daemon.py
@@ -220,16 +220,16 @@
         self.service.tick(now)
         wait = TICK
         if self.raft is not None:
-            wait = min(TICK, max(0.001, self.raft.deadline() - time.monotonic()))
+            wait = min(TICK, max(0.001, self.raft.next_tick_at() - time.monotonic()))
         self.timer = self.loop.call_later(wait, self._tick)
 
     def _lead_tick(self, now: float, raft: Raft) -> None:
-        if not raft.leads:
+        if not raft.is_leader:
             return
         if self.granter is not None:
             self.granter.look(now)
         expiry = self.machine.next_expiry()
-        if expiry is not None and expiry <= self.log_clock() and raft.commit == raft.log.last_index:
+        if expiry is not None and expiry <= self.log_clock() and raft.commit_index == raft.log.last_index:
             self.propose(Expire())
         if now >= self.promote_at:
             self.promote_at = now + PROMOTE
@@ -239,7 +239,7 @@
         """Make a learner that has caught up a voter, while there are fewer voters than wanted."""
         for member in promotable(raft.configuration, self.settings):
             try:
-                raft.add(now, Member(member.id, member.name, member.address))
+                raft.add_member(now, Member(member.id, member.name, member.address))
             except Refused:
                 continue  # it has not caught up yet; asked again soon
             self.stats.count("store_promoted")
@@ -331,7 +331,7 @@
         now, raft = time.monotonic(), self.raft
         if not self.want_lease or self.holder.until <= now or raft is None:
             return
-        if raft.leads and self.granter is not None:
+        if raft.is_leader and self.granter is not None:
             self.granter.applied(self.holder.name, self.safe_index())
             self.granter.look(now)
         else:
@@ -347,7 +347,7 @@
         )
         for link in self.net.all:
             theirs = link.channel.theirs
-            if raft.leads and link.dial is not None and theirs is not None and link.channel.proven:
+            if raft.is_leader and link.dial is not None and theirs is not None and link.channel.proven:
                 gone = raft.configuration.get(theirs.id) is None
                 if gone and theirs.cluster and link.dial.address not in old:
                     link.send(wire.Turned("removed"))
@@ -369,10 +369,10 @@
         log.warning("this member was removed from its cluster; it takes no part any more")
 
     def _look_at_role(self, raft: Raft) -> None:
-        if raft.leads != self.led:
-            self.led = raft.leads
+        if raft.is_leader != self.led:
+            self.led = raft.is_leader
             now = time.monotonic()
-            if raft.leads:
+            if raft.is_leader:
                 self.stats.count("store_elected")
                 self.clock_base = (now, self.machine.clock)
                 self.granter = Granter(now, self.tuning.drift, self.settings.lease_s)
@@ -382,10 +382,10 @@
                 self.granter = None
                 log.info("leads no more", term=raft.term)
             self.service.lost_leader()
-        if raft.leader != self.known_leader and raft.role is not Role.LEADER:
-            self.known_leader = raft.leader
+        if raft.leader_id != self.known_leader and raft.role is not Role.LEADER:
+            self.known_leader = raft.leader_id
             self.service.leader_changed()
-        self.known_leader = raft.leader
+        self.known_leader = raft.leader_id
 
     def _pack(self, raft: Raft) -> None:
         """A snapshot for a member that is behind the log; made in a thread, as it takes a while."""
@@ -403,7 +403,7 @@
     def _packed(self, meta: SnapshotMetadata, data: bytes) -> None:
         self.packing = False
         raft = self.raft
-        if raft is not None and raft.leads and meta.index >= raft.log.base.index:
+        if raft is not None and raft.is_leader and meta.index >= raft.log.base.index:
             raft.offer_snapshot(time.monotonic(), meta, data)
             self.settle()
 
@@ -468,7 +468,7 @@
     def _compact_with(self, batch: Batch, raft: Raft) -> None:
         """Log that the state on disk has made superfluous goes, but for a tail."""
         keep = KEEP if raft.log.size <= COMPACT_BYTES else KEEP // 10
-        index = min(self.machine.index, raft.stable) - keep
+        index = min(self.machine.index, raft.stable_index) - keep
         term = raft.log.term(index)
         if index > raft.log.base.index and term is not None and batch.base is None and not self.compacting:
             batch.base = SnapshotMetadata(index, term, raft.log.configuration_at(index))
@@ -585,14 +585,14 @@
         until = raft.lease_until(now) if not raft.transferee else NEVER
         duration = self.granter.grant(now, ask.holder, ask.applied, until)
         self.stats.count("store_leases_given" if duration else "store_leases_refused")
-        return wire.LeaseGrant(ask.holder, ask.serial, raft.term, raft.commit, duration)
+        return wire.LeaseGrant(ask.holder, ask.serial, raft.term, raft.commit_index, duration)
 
     def _renew(self, now: float) -> None:
         if self.want_lease and self.holder.wants(now, self.settings.lease_s):
             last = max(self.holder.asked.values(), default=NEVER)
             if now - last >= 0.1:
                 ask = wire.LeaseAsk(self.holder.name, self.holder.ask(now), self.safe_index())
-                if self.raft is not None and self.raft.leads:
+                if self.raft is not None and self.raft.is_leader:
                     self._granted(self._lease(ask))
                 else:
                     self.to_leader(ask)
@@ -612,7 +612,7 @@
 
     def to_leader(self, word: wire.Word) -> bool:
         raft = self.raft
-        leader = raft.configuration.get(raft.leader) if raft is not None and raft.leader else None
+        leader = raft.configuration.get(raft.leader_id) if raft is not None and raft.leader_id else None
         return leader is not None and self.net.send(leader.id, leader.address, word)
 
     def to_member(self, member: Member, ask: wire.Ask) -> bool:
--- a/gradegap/store/serve.py
+++ b/gradegap/store/serve.py
@@ -39,13 +39,13 @@
 def hand_over(daemon: Daemon) -> bool:
     """Guards against the time without a leader that a planned end would cost: another member takes over."""
     raft = daemon.raft
-    if raft is None or not raft.leads:
+    if raft is None or not raft.is_leader:
         return False
-    voters = [v for v in raft.configuration.voters if v != raft.me and v in raft.peers]
+    voters = [v for v in raft.configuration.voters if v != raft.member_id and v in raft.peers]
     if not voters:
         return False
     try:
-        raft.transfer(time.monotonic(), max(voters, key=lambda v: raft.peers[v].match))
+        raft.transfer_leadership(time.monotonic(), max(voters, key=lambda v: raft.peers[v].match))
         daemon.settle()
     except Refused:
         return False
--- a/gradegap/store/service.py
+++ b/gradegap/store/service.py
@@ -172,7 +172,7 @@
     def log_clock(self) -> int:
         """The log's time, as far as it is known here; it may be behind."""
         raft = self.member.raft
-        if raft is not None and raft.leads:
+        if raft is not None and raft.is_leader:
             return self.member.log_clock()
         at, base = self.clock
         return max(self.member.machine.clock, base + int((time.monotonic() - at) * 1000) if base else 0)
@@ -203,7 +203,7 @@
                 self._answer(p, wire.Answer(0, "no", "removed: this member belongs to no cluster"))
             else:
                 p.waits_for = "leader"
-        elif raft.leads:
+        elif raft.is_leader:
             self._lead(p)
         elif p.relayed:
             self._answer(p, wire.Answer(0, "no", "not_leader: ask again"))
@@ -251,8 +251,8 @@
         m, raft = self.member, self.member.raft
         assert raft is not None
         left = p.until - time.monotonic()
-        if raft.leader and left > 0 and m.to_leader(wire.Ask(p.serial, p.wish, left)):
-            p.waits_for, p.taken = raft.leader, True
+        if raft.leader_id and left > 0 and m.to_leader(wire.Ask(p.serial, p.wish, left)):
+            p.waits_for, p.taken = raft.leader_id, True
             if isinstance(p.wish, wire.Write):
                 p.wish = msgspec.structs.replace(p.wish, tries=p.wish.tries + 1)
         else:
@@ -277,7 +277,7 @@
                     found = raft.configuration.find_by_name(w.name)
                     if found is None:
                         raise Refused(f"no_such_member: {w.name}")
-                    self._wait_for(p, raft.remove(now, found.id))
+                    self._wait_for(p, raft.remove_member(now, found.id))
                     m.flush()
                 case wire.TakeIn():
                     self._take_in(p, w.member)
@@ -286,16 +286,16 @@
                     found = raft.configuration.find_by_name(w.name)
                     if found is None:
                         raise Refused(f"no_such_member: {w.name}")
-                    if found.id == raft.me:
+                    if found.id == raft.member_id:
                         self._answer(p, wire.Answer(0))  # it was asked before, and has taken over
                     else:
                         p.waits_for = "transfer"
-                        raft.transfer(now, found.id)
+                        raft.transfer_leadership(now, found.id)
                         m.settle()
                 case _:
                     self.reading[p.serial] = p
                     p.waits_for = "read"
-                    raft.read(now, p.serial)
+                    raft.read_index(now, p.serial)
                     m.settle()
         except Refused as error:
             self.reading.pop(p.serial, None)
@@ -433,7 +433,7 @@
 
     def leader_changed(self) -> None:
         raft = self.member.raft
-        leader = raft.leader if raft is not None else ""
+        leader = raft.leader_id if raft is not None else ""
         for p in list(self.pending.values()):
             if isinstance(p.wish, wire.InForce):
                 continue  # asked of each member, whoever leads
@@ -471,7 +471,7 @@
 
     def _look_at_transfer(self, p: Pending) -> None:
         raft = self.member.raft
-        if raft is not None and raft.leads and not raft.transferee and isinstance(p.wish, wire.Transfer):
+        if raft is not None and raft.is_leader and not raft.transferee and isinstance(p.wish, wire.Transfer):
             self._answer(p, wire.Answer(0, "no", "failed: it did not take over in time"))
 
     # Members that come
@@ -503,7 +503,7 @@
             progress = raft.peers.get(old.id)
             if old.id == m.identity.id or (progress is not None and now - progress.heard_at < ALIVE):
                 raise Refused(f"alive: another daemon is {member.name} and answers")
-            raft.remove(now, old.id)
+            raft.remove_member(now, old.id)
             self.stats.count("store_lives_replaced")
             log.warning("an earlier life of a member is removed", member=member.name, id=old.id)
             invite = Op(INVITED + member.name, {"address": member.address})
@@ -514,7 +514,7 @@
         if item is None:
             raise Refused(f"not_invited: nobody added {member.name}; see `gradegap store add`")
         learner = msgspec.structs.replace(member, voter=False)
-        self._wait_for(p, raft.add(now, learner))
+        self._wait_for(p, raft.add_member(now, learner))
 
     # Watches
 
@@ -566,7 +566,7 @@
                 more = k + PIECE < len(data)
                 done(wire.Answer(0, revision=revision, data=data[k : k + PIECE], more=more))
 
-        if m.raft is not None and not m.raft.leads:
+        if m.raft is not None and not m.raft.is_leader:
             # The state is read here: this member first waits until it has what the leader had committed.
             self._when_as_far_as_the_leader(read, ask.left)
         else:
@@ -610,12 +610,12 @@
                 "id": each.id,
                 "address": each.address,
                 "voter": each.voter,
-                "leader": each.id == raft.leader,
+                "leader": each.id == raft.leader_id,
             }
             if p is not None:
                 row |= {"match": p.match, "silent_ms": max(0, round((now - p.heard_at) * 1000))}
             members.append(row)
-        leader = raft.configuration.get(raft.leader)
+        leader = raft.configuration.get(raft.leader_id)
         state = raft.status(now) | {"leader": leader.name if leader is not None else ""}
         if m.granter is not None:
             state["leases"] = len(m.granter.grants)
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -89,15 +89,15 @@
 def elect(case: Case, who: str, among: set[str]) -> None:
     """`who` comes to lead with the votes of `among`; nothing else of what was said arrives."""
     for _ in range(4):
-        if case.members[who].leads:
+        if case.members[who].is_leader:
             break
         case.act(("timeout", who))
         for _ in range(20):
             at = [k for k, (a, b, _) in enumerate(case.flying) if a in among and b in among]
-            if not at or case.members[who].leads:
+            if not at or case.members[who].is_leader:
                 break
             case.act(("deliver", at[0]))
-    assert case.members[who].leads
+    assert case.members[who].is_leader
 
 
 @pytest.mark.parametrize("core", [Raft, CommitsEarlierTerms])
@@ -137,12 +137,12 @@
     follower, third = (n for n in sim.nodes.values() if n is not leader)
     sim.cuts = {(a, b) for a in sim.nodes for b in sim.nodes if third.name in (a, b)}
     sim.run(1.0)
-    assert leader.raft is not None and leader.raft.leads
+    assert leader.raft is not None and leader.raft.is_leader
     follower.crash()
     follower.start()
     sim.cuts = {(a, b) for a in sim.nodes for b in sim.nodes if leader.name in (a, b)}
     sim.run(2.0)
-    assert any(n.raft is not None and n.raft.leads for n in (follower, third))
+    assert any(n.raft is not None and n.raft.is_leader for n in (follower, third))
 
 
 def test_a_member_that_starts_anew_keeps_what_its_earlier_life_promised() -> None:
@@ -154,7 +154,7 @@
 
 
 def lone(**tuning: float) -> Raft:
-    raft = Raft("a", 0.0, 1, initial_snapshot((Member("a", "a", "x"),)), tuning=Tuning(**tuning))  # type: ignore[arg-type]
+    raft = Raft("a", 0.0, 1, initial_snapshot((Member("a", "a", "x"),)), settings=Tuning(**tuning))  # type: ignore[arg-type]
     raft.tick(10.0)
     return raft
 
@@ -162,7 +162,7 @@
 def test_a_lone_member_leads_and_commits_once_its_disk_has_it() -> None:
     raft = lone()
     ready = raft.take_ready()
-    assert raft.leads and ready.hard_state is not None and not ready.committed_entries
+    assert raft.is_leader and ready.hard_state is not None and not ready.committed_entries
     raft.persisted(10.0, ready.entries[-1].index, ready.entries[-1].term)
     assert [e.kind for e in raft.take_ready().committed_entries] == [EntryKind.NO_OP]
 
@@ -178,20 +178,20 @@
 def test_refusals_name_their_reason() -> None:
     raft = lone()
     for wish, reason in (
-        (lambda: raft.add(10.0, Member("b", "b", "y", voter=False)), "not_ready"),
-        (lambda: raft.transfer(10.0, "z"), "no such"),
-        (lambda: raft.read(10.0, 1), "not_ready"),
+        (lambda: raft.add_member(10.0, Member("b", "b", "y", voter=False)), "not_ready"),
+        (lambda: raft.transfer_leadership(10.0, "z"), "no such"),
+        (lambda: raft.read_index(10.0, 1), "not_ready"),
     ):
         with pytest.raises(Refused, match=f"^{reason}"):
             wish()
     ready = raft.take_ready()
     raft.persisted(10.0, ready.entries[-1].index, ready.entries[-1].term)
     with pytest.raises(Refused, match="^last"):
-        raft.remove(10.0, "a")
-    raft.add(10.0, Member("b", "b", "y", voter=False))
+        raft.remove_member(10.0, "a")
+    raft.add_member(10.0, Member("b", "b", "y", voter=False))
     raft.take_ready()
     with pytest.raises(Refused, match="^change_pending"):
-        raft.add(10.0, Member("c", "c", "z", voter=False))
+        raft.add_member(10.0, Member("c", "c", "z", voter=False))
 
 
 def test_a_late_wish_to_lead_is_void_in_a_later_term() -> None:
@@ -199,7 +199,7 @@
     raft = Raft("a", 0.0, 1, initial_snapshot(members))
     raft.step(1.0, "b", AppendEntries(5, 0, 0, 0, 1))
     raft.step(1.0, "b", TimeoutNow(4))
-    assert raft.term == 5 and not raft.leads and raft.leader == "b"
+    assert raft.term == 5 and not raft.is_leader and raft.leader_id == "b"
 
 
 def test_a_log_hints_past_a_whole_term() -> None:
--- a/tests/test_store_service.py
+++ b/tests/test_store_service.py
@@ -16,7 +16,7 @@
 
 def service() -> tuple[Service, Any]:
     """A service at a leader whose entries are never committed."""
-    raft = SimpleNamespace(leads=True, term=1, leader="m1", transferee="", status=lambda now: {})
+    raft = SimpleNamespace(is_leader=True, term=1, leader_id="m1", transferee="", status=lambda now: {})
     member = SimpleNamespace(
         loop=cast(asyncio.AbstractEventLoop, None),
         stats=Metrics(),
@@ -31,9 +31,9 @@
         settle=lambda: None,
         flush=lambda: None,
     )
-    raft.read = lambda now, serial: None
+    raft.read_index = lambda now, serial: None
     raft.configuration = SimpleNamespace(find_by_name=lambda name: SimpleNamespace(id=name))
-    raft.remove = lambda now, member: 7
+    raft.remove_member = lambda now, member: 7
     return Service(cast(Any, member)), member
 
 
@@ -43,7 +43,7 @@
     told: list[wire.Answer] = []
     s.request(wire.Write((Op("a", 1),)), told.append)
     s.request(wire.Get("a"), told.append)
-    member.removed, member.raft.leads = True, False
+    member.removed, member.raft.is_leader = True, False
     s.lost_leader()
     s.tick(time.monotonic())
     s.request(wire.Write((Op("b", 1),)), told.append)
@@ -58,7 +58,7 @@
     told: list[wire.Answer] = []
     s.request(wire.RemoveMember("n1"), told.append)
     s.request(wire.RemoveMember("n2"), told.append)
-    member.removed, member.raft.leads = True, False
+    member.removed, member.raft.is_leader = True, False
     s.lost_leader()
     s.tick(time.monotonic())
     s.request(wire.RemoveMember("n1"), told.append)
