--- a/gradegap/check/bugs.py
+++ b/gradegap/check/bugs.py
@@ -27,11 +27,11 @@
     EntryKind,
     HardState,
     Member,
+    RaftSettings,
     Ready,
     RequestVote,
     RequestVoteResponse,
     SnapshotMetadata,
-    Tuning,
 )
 
 
@@ -155,8 +155,8 @@
     class _Heartbeats(Heartbeats):
         def lease_until(self, now: float) -> float:
             until = super().lease_until(now)
-            tuning = self.raft.settings
-            return until if until == NEVER else until + tuning.election * tuning.drift
+            settings = self.raft.settings
+            return until if until == NEVER else until + settings.election_timeout_s * settings.max_clock_drift
 
     heartbeats_type = _Heartbeats
 
@@ -308,17 +308,19 @@
 
 EVERYTHING = Faults()
 MEMBERS = Faults(change=9.0, crash=0.5, cut=2.5, pause=0.0)
-SMALL = Tuning(batch=60, window=4, chunk=5)
-DRIFT = Tuning(batch=60, window=4, chunk=5, drift=0.4)
+SMALL = RaftSettings(max_message_bytes=60, max_inflight_messages=4, snapshot_chunk_bytes=5)
+DRIFT = RaftSettings(
+    max_message_bytes=60, max_inflight_messages=4, snapshot_chunk_bytes=5, max_clock_drift=0.4
+)
 AT_ONCE = (0.0, 0.05)
 SLOW_DISKS = Faults(crash=3.0, cut=2.0, pause=0.0, change=0.0, slow_sync=0.5, load=30.0, away=AT_ONCE)
 CUT_OFF = Faults(crash=0.0, pause=0.0, cut=3.0, change=0.0, transfer=0.0, load=5.0)
 ANSWERS = Faults(crash=0.0, pause=1.0, cut=3.0, change=0.0, transfer=0.0, late=0.2)
 HANDING = Faults(transfer=3.0, crash=0.0, pause=1.0, change=0.0)
 
-# What shows each: the number of members, the faults and the tuning of the run. Some show in no run of
+# What shows each: the number of members, the faults and the settings of the run. Some show in no run of
 # this kind that is short enough; `explore` walks to them, or a test leads there step by step.
-BUGS: dict[type[Raft], tuple[int, Faults, Tuning]] = {
+BUGS: dict[type[Raft], tuple[int, Faults, RaftSettings]] = {
     TermNotSynced: (3, SLOW_DISKS, SMALL),
     VotesTwice: (3, EVERYTHING, SMALL),
     VotesForStaleLogs: (3, EVERYTHING, SMALL),
@@ -342,10 +344,10 @@
 
 def find(bug: type[Raft], seeds: range, seconds: float = 20.0) -> tuple[int, str] | None:
     """The first seed whose run shows the mistake, and the rule that it breaks."""
-    members, faults, tuning = BUGS[bug]
+    members, faults, settings = BUGS[bug]
     for seed in seeds:
         try:
-            Sim(seed, members, bug, faults, tuning).run(seconds)
+            Sim(seed, members, bug, faults, settings).run(seconds)
         except AssertionError as breach:
             return seed, str(breach)
     return None
--- a/gradegap/check/explore.py
+++ b/gradegap/check/explore.py
@@ -18,7 +18,7 @@
 from gradegap.check.rules import Rules, chain
 from gradegap.check.sim import EMPTY, Disk
 from gradegap.raft.core import Raft, RefusedError, initial_snapshot
-from gradegap.raft.types import AppendEntries, AppendEntriesResponse, Member, Message, Tuning
+from gradegap.raft.types import AppendEntries, AppendEntriesResponse, Member, Message, RaftSettings
 
 Action = tuple[str, object]
 
@@ -53,7 +53,7 @@
 
     def __init__(self, core: type[Raft], bounds: Bounds) -> None:
         self.core, self.bounds = core, bounds
-        self.tuning = Tuning(batch=1, window=2)
+        self.raft_settings = RaftSettings(max_message_bytes=1, max_inflight_messages=2)
         self.now = 0.0
         names = [f"m{k}" for k in range(bounds.members)]
         base = initial_snapshot(tuple(Member(n, n, n) for n in names))
@@ -68,7 +68,7 @@
     def _start(self, name: str) -> Raft:
         d = self.disks[name]
         self.states[name] = d.state
-        raft = self.core(name, self.now, 0, d.base, list(d.entries), d.hard, d.base.index, self.tuning)
+        raft = self.core(name, self.now, 0, d.base, list(d.entries), d.hard, d.base.index, self.raft_settings)
         raft.random = Steady()
         return raft
 
@@ -108,7 +108,7 @@
         match what:
             case "timeout":
                 self.timeouts += 1
-                self.now += 2 * self.tuning.election  # all promises have run out
+                self.now += 2 * self.raft_settings.election_timeout_s  # all promises have run out
                 raft.election.timeout_at = self.now
                 raft.tick(self.now)
             case "propose":
@@ -123,7 +123,7 @@
                 raft.heartbeats.send(self.now)
             case "crash":
                 self.crashes += 1
-                self.now += 2 * self.tuning.election  # a restart takes so long
+                self.now += 2 * self.raft_settings.election_timeout_s  # a restart takes so long
                 self.members[name] = raft = self._start(name)
         self._settle(name)
 
--- a/gradegap/check/sim.py
+++ b/gradegap/check/sim.py
@@ -22,12 +22,14 @@
     HardState,
     Member,
     Message,
+    RaftSettings,
     Ready,
     SnapshotMetadata,
-    Tuning,
 )
 
 TICK = 0.02
+# So that entries and snapshots are cut in pieces.
+SMALL_LIMITS = RaftSettings(max_message_bytes=60, max_inflight_messages=4, snapshot_chunk_bytes=5)
 EMPTY = b"\0" * 12
 
 
@@ -106,7 +108,7 @@
         self.states = {d.base.index: d.state}
         seed = self.sim.rng.getrandbits(32)
         self.raft = self.sim.core(
-            self.name, self.now, seed, d.base, list(d.entries), d.hard, d.base.index, self.sim.tuning
+            self.name, self.now, seed, d.base, list(d.entries), d.hard, d.base.index, self.sim.raft_settings
         )
         self.sim.after(0.0, self.tick, self.life)
 
@@ -213,12 +215,12 @@
         members: int = 3,
         core: type[Raft] = Raft,
         faults: Faults | None = None,
-        tuning: Tuning | None = None,
+        raft_settings: RaftSettings | None = None,
     ) -> None:
         self.rng = random.Random(seed)
         self.core = core
         self.faults = faults or Faults()
-        self.tuning = tuning or Tuning(batch=60, window=4, chunk=5)  # small, so that all is cut in pieces
+        self.raft_settings = raft_settings or SMALL_LIMITS
         super().__init__()
         self.rules = Rules()
         self.cuts: set[tuple[str, str]] = set()
@@ -239,7 +241,11 @@
 
     def _make(self, name: str, base: SnapshotMetadata) -> Node:
         # Clocks at the edge of the bound: one runs as much faster than another as is allowed.
-        rate = self.rng.choice([1.0, 1.0 / (1.0 - self.tuning.drift)]) if self.faults.drift else 1.0
+        rate = (
+            self.rng.choice([1.0, 1.0 / (1.0 - self.raft_settings.max_clock_drift)])
+            if self.faults.drift
+            else 1.0
+        )
         node = self.nodes[name] = Node(self, name, Disk(base), self.rng.uniform(0, 1e6), rate)
         node.start()
         return node
--- a/gradegap/raft/core.py
+++ b/gradegap/raft/core.py
@@ -38,13 +38,13 @@
     InstallSnapshotResponse,
     Member,
     Message,
+    RaftSettings,
     Ready,
     RequestVote,
     RequestVoteResponse,
     Role,
     SnapshotMetadata,
     TimeoutNow,
-    Tuning,
 )
 
 __all__ = ["NEVER", "Progress", "Raft", "Refused", "RefusedError", "initial_snapshot"]
@@ -71,10 +71,10 @@
         entries: list[Entry] | None = None,
         hard_state: HardState | None = None,
         applied_index: int = 0,
-        settings: Tuning | None = None,
+        settings: RaftSettings | None = None,
     ) -> None:
         self.member_id = member_id
-        self.settings = settings or Tuning()
+        self.settings = settings or RaftSettings()
         self.random = random.Random(seed)
         self.log = Log(base, entries or [])
         hard_state = hard_state or HardState()
--- a/gradegap/raft/election.py
+++ b/gradegap/raft/election.py
@@ -25,7 +25,7 @@
     def reset_timeout(self, now: float) -> None:
         """Wait anew, by a random time, before calling an election."""
         raft = self.raft
-        self.timeout_at = now + raft.settings.election * raft.random.uniform(1.0, 2.0)
+        self.timeout_at = now + raft.settings.election_timeout_s * raft.random.uniform(1.0, 2.0)
 
     def hear_leader(self, now: float) -> None:
         """A leader of this term was heard: its followers wait, and give no votes."""
@@ -93,7 +93,7 @@
         """Whether a leader may count on this member not to vote yet (thesis, 4.2.3 and 6.4.1)."""
         raft = self.raft
         heard_at = raft.heartbeats.followed_since(now) if raft.is_leader else self.leader_heard_at
-        return now - heard_at < raft.settings.election
+        return now - heard_at < raft.settings.election_timeout_s
 
     def on_request_vote(self, now: float, sender: str, request: RequestVote) -> None:
         """A candidate asks for this member's vote."""
--- a/gradegap/raft/handover.py
+++ b/gradegap/raft/handover.py
@@ -39,7 +39,7 @@
         if self.target:
             raise RefusedError("transferring leadership")
         self.target = to
-        self.give_up_at = now + raft.settings.election
+        self.give_up_at = now + raft.settings.election_timeout_s
         self.proceed()
         if not self.timeout_sent:
             raft.replication.send_to(to, peers[to], always=True)
--- a/gradegap/raft/heartbeats.py
+++ b/gradegap/raft/heartbeats.py
@@ -32,7 +32,7 @@
 
     def next_at(self) -> float:
         """When the next round is due."""
-        return self.sent_at + self.raft.settings.heartbeat
+        return self.sent_at + self.raft.settings.heartbeat_interval_s
 
     def send(self, now: float) -> None:
         """Begin a new round: whoever answers it has followed since its beginning."""
@@ -69,7 +69,7 @@
 
     def quorum_lost(self, now: float) -> bool:
         """Check-quorum (thesis, 6.2): guards against a cut-off leader that goes on as if it led."""
-        election = self.raft.settings.election
+        election = self.raft.settings.election_timeout_s
         return now - self.led_at >= election and self.followed_since(now) < now - election
 
     def lease_until(self, now: float) -> float:
@@ -84,4 +84,4 @@
         began = self.followed_since(now)
         if began == NEVER:
             return NEVER
-        return began + raft.settings.election * (1.0 - raft.settings.drift)
+        return began + raft.settings.election_timeout_s * (1.0 - raft.settings.max_clock_drift)
--- a/gradegap/raft/replication.py
+++ b/gradegap/raft/replication.py
@@ -53,7 +53,7 @@
             raise RefusedError("not_leader")
         if raft.handover.target:
             raise RefusedError("transferring leadership")
-        if self.uncommitted + len(data) > raft.settings.uncommitted and self.uncommitted:
+        if self.uncommitted + len(data) > raft.settings.max_uncommitted_bytes and self.uncommitted:
             raise RefusedError("busy: too much is not committed yet")
         return self.append(kind, data)
 
@@ -90,7 +90,9 @@
         if not progress.streaming and not progress.awaiting_answer:
             progress.awaiting_answer = sent = True
             self._send_entries(
-                peer, progress, raft.log.slice(progress.next, min(PROBE_BYTES, raft.settings.batch))
+                peer,
+                progress,
+                raft.log.slice(progress.next, min(PROBE_BYTES, raft.settings.max_message_bytes)),
             )
         if always and not sent:
             self._send_entries(peer, progress, [])
@@ -101,10 +103,10 @@
         sent = False
         while (
             progress.streaming
-            and len(progress.in_flight) < raft.settings.window
+            and len(progress.in_flight) < raft.settings.max_inflight_messages
             and progress.next <= raft.log.last_index
         ):
-            self._send_entries(peer, progress, raft.log.slice(progress.next, raft.settings.batch))
+            self._send_entries(peer, progress, raft.log.slice(progress.next, raft.settings.max_message_bytes))
             sent = True
         return sent
 
--- a/gradegap/raft/snapshots.py
+++ b/gradegap/raft/snapshots.py
@@ -67,7 +67,7 @@
 
     def _chunk(self, snapshot: OutgoingSnapshot, offset: int) -> InstallSnapshot:
         raft = self.raft
-        data = snapshot.data[offset : offset + raft.settings.chunk]
+        data = snapshot.data[offset : offset + raft.settings.snapshot_chunk_bytes]
         done = offset + len(data) >= len(snapshot.data)
         return InstallSnapshot(
             raft.term, snapshot.meta, offset, data, done, snapshot.checksum, raft.heartbeats.round
--- a/gradegap/store/daemon.py
+++ b/gradegap/store/daemon.py
@@ -24,10 +24,10 @@
     EntryKind,
     Member,
     Message,
+    RaftSettings,
     Ready,
     Role,
     SnapshotMetadata,
-    Tuning,
 )
 from gradegap.store import wire
 from gradegap.store.disk import BadFolder, Batch, Disk, Found, Identity
@@ -62,10 +62,10 @@
         loop: asyncio.AbstractEventLoop,
         stats: Metrics,
         failed: Callable[[BadFolder], None],
-        tuning: Tuning | None = None,
+        raft_settings: RaftSettings | None = None,
     ) -> None:
         self.settings, self.loop, self.stats, self.failed = settings, loop, stats, failed
-        self.tuning = tuning or Tuning()
+        self.raft_settings = raft_settings or RaftSettings()
         self.disk = Disk(folder)
         try:
             self.found: Found = self.disk.start()
@@ -82,7 +82,7 @@
         self.raft: Raft | None = None
         self.service = Service(self)
         self.forming = Forming(settings, me)
-        self.holder = Holder(self._holder_name(), self.tuning.drift)
+        self.holder = Holder(self._holder_name(), self.raft_settings.max_clock_drift)
         self.granter: Granter | None = None
         self.lease_changed: Callable[[], None] = lambda: None
         self.gossiped: Callable[[wire.Gossip], None] = lambda gossip: None
@@ -154,7 +154,7 @@
             found.entries,
             found.hard,
             found.state.index,
-            self.tuning,
+            self.raft_settings,
         )
         self._want_links()
 
@@ -375,7 +375,7 @@
             if raft.is_leader:
                 self.stats.count("store_elected")
                 self.clock_base = (now, self.machine.clock)
-                self.granter = Granter(now, self.tuning.drift, self.settings.lease_s)
+                self.granter = Granter(now, self.raft_settings.max_clock_drift, self.settings.lease_s)
                 log.info("leads", term=raft.term)
             else:
                 self.stats.count("store_deposed")
--- a/gradegap/store/leases.py
+++ b/gradegap/store/leases.py
@@ -1,7 +1,8 @@
 """Leases of nodes that decide by committed state: the leader's side and the node's. No I/O, no clock.
 
-All times are seconds of the caller's own steady clock. The bound on drift is the core's (`Tuning.drift`): a
-holder counts from when it asked and stops early, a granter from when it granted and waits longer.
+All times are seconds of the caller's own steady clock. The bound on drift is the core's
+(`RaftSettings.max_clock_drift`): a holder counts from when it asked and stops early, a granter from when it
+granted and waits longer.
 """
 
 from __future__ import annotations
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -19,9 +19,9 @@
     Entry,
     EntryKind,
     Member,
+    RaftSettings,
     SnapshotMetadata,
     TimeoutNow,
-    Tuning,
 )
 
 RUNS = 40  # seeds of the simulator in one run of the tests
@@ -153,8 +153,8 @@
             restarted_within_a_promise(PromiseForgottenAtRestart, seed)
 
 
-def lone(**tuning: float) -> Raft:
-    raft = Raft("a", 0.0, 1, initial_snapshot((Member("a", "a", "x"),)), settings=Tuning(**tuning))  # type: ignore[arg-type]
+def lone(**settings: float) -> Raft:
+    raft = Raft("a", 0.0, 1, initial_snapshot((Member("a", "a", "x"),)), settings=RaftSettings(**settings))  # type: ignore[arg-type]
     raft.tick(10.0)
     return raft
 
@@ -168,7 +168,7 @@
 
 
 def test_proposals_are_refused_when_too_much_is_not_committed() -> None:
-    raft = lone(uncommitted=1000)
+    raft = lone(max_uncommitted_bytes=1000)
     with pytest.raises(Refused, match="^busy"):
         for _ in range(100):
             raft.propose(10.0, b"x" * 100)
