--- a/gradegap/check/explore.py
+++ b/gradegap/check/explore.py
@@ -17,7 +17,7 @@
 
 from gradegap.check.rules import Rules, chain
 from gradegap.check.sim import EMPTY, Disk
-from gradegap.raft.core import Raft, RefusedError, initial_snapshot
+from gradegap.raft.core import Raft, RequestRejectedError, initial_snapshot
 from gradegap.raft.types import AppendEntries, AppendEntriesResponse, Member, Message, RaftSettings
 
 Action = tuple[str, object]
@@ -115,7 +115,7 @@
                 self.commands += 1
                 try:
                     raft.propose(self.now, b"c%d" % self.commands)
-                except RefusedError:
+                except RequestRejectedError:
                     return
                 raft.flush(self.now)
             case "beat":
--- a/gradegap/check/sim.py
+++ b/gradegap/check/sim.py
@@ -15,7 +15,7 @@
 
 from gradegap.check.rules import Rules, chain
 from gradegap.check.schedule import Schedule
-from gradegap.raft.core import Raft, RefusedError, initial_snapshot
+from gradegap.raft.core import Raft, RequestRejectedError, initial_snapshot
 from gradegap.raft.types import (
     Entry,
     EntryKind,
@@ -283,7 +283,7 @@
                 if self.rng.random() < 0.5:
                     self.reads[len(self.reads)] = self.rules.last_committed
                     node.raft.read_index(node.now, len(self.reads) - 1)
-            except RefusedError as error:
+            except RequestRejectedError as error:
                 self.counts[f"refused {str(error).split(':')[0]}"] += 1
             node.settle()
         self.after(self.rng.expovariate(self.faults.load), self._load)
@@ -380,7 +380,7 @@
             elif len(members) > 1:
                 raft.remove_member(node.now, rng.choice(members).id)
             self.counts["changes"] += 1
-        except RefusedError as error:
+        except RequestRejectedError as error:
             self.counts[f"refused {str(error).split(':')[0]}"] += 1
         node.settle()
 
@@ -392,7 +392,7 @@
                 try:
                     node.raft.transfer_leadership(node.now, self.rng.choice(others))
                     self.counts["transfers"] += 1
-                except RefusedError:
+                except RequestRejectedError:
                     pass
                 node.settle()
 
--- a/gradegap/raft/core.py
+++ b/gradegap/raft/core.py
@@ -17,7 +17,7 @@
 from typing import ClassVar
 
 from gradegap.raft.election import Election
-from gradegap.raft.errors import Refused, RefusedError
+from gradegap.raft.errors import RequestRejectedError
 from gradegap.raft.follower import Follower
 from gradegap.raft.handover import Handover
 from gradegap.raft.heartbeats import Heartbeats
@@ -47,7 +47,7 @@
     TimeoutNow,
 )
 
-__all__ = ["NEVER", "Progress", "Raft", "Refused", "RefusedError", "initial_snapshot"]
+__all__ = ["NEVER", "Progress", "Raft", "RequestRejectedError", "initial_snapshot"]
 
 
 class Raft:
--- a/gradegap/raft/errors.py
+++ b/gradegap/raft/errors.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 
-class RefusedError(Exception):
-    """A request that this member turns down: the text says why, its first word is the code to count it by."""
+class RaftError(Exception):
+    """Base of this package's errors."""
 
 
-# The name by which the store imports it.
-Refused = RefusedError
+class RequestRejectedError(RaftError):
+    """A request that this member rejects: the text says why, its first word is the code to count it by."""
--- a/gradegap/raft/handover.py
+++ b/gradegap/raft/handover.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from gradegap.raft.errors import RefusedError
+from gradegap.raft.errors import RequestRejectedError
 from gradegap.raft.progress import NEVER
 from gradegap.raft.types import TimeoutNow
 
@@ -31,13 +31,13 @@
         raft = self.raft
         peers = raft.replication.peers
         if not raft.is_leader:
-            raise RefusedError("not_leader")
+            raise RequestRejectedError("not_leader")
         if to == raft.member_id:
-            raise RefusedError("member: it leads already")
+            raise RequestRejectedError("member: it leads already")
         if to not in raft.configuration.voters or to not in peers:
-            raise RefusedError("no such member")
+            raise RequestRejectedError("no such member")
         if self.target:
-            raise RefusedError("transferring leadership")
+            raise RequestRejectedError("transferring leadership")
         self.target = to
         self.give_up_at = now + raft.settings.election_timeout_s
         self.proceed()
--- a/gradegap/raft/membership.py
+++ b/gradegap/raft/membership.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING
 
-from gradegap.raft.errors import RefusedError
+from gradegap.raft.errors import RequestRejectedError
 from gradegap.raft.log import encode_configuration
 from gradegap.raft.types import ClusterConfiguration, EntryKind, Member
 
@@ -40,13 +40,13 @@
         """Refuse a change that would not be safe now."""
         raft = self.raft
         if not raft.is_leader:
-            raise RefusedError("not_leader")
+            raise RequestRejectedError("not_leader")
         if raft.handover.target:
-            raise RefusedError("transferring leadership")
+            raise RequestRejectedError("transferring leadership")
         if not raft.commits_own_term():
-            raise RefusedError("not_ready: the leader has committed nothing in its term yet")
+            raise RequestRejectedError("not_ready: the leader has committed nothing in its term yet")
         if not self.settled():
-            raise RefusedError("change_pending: another change of members is not committed yet")
+            raise RequestRejectedError("change_pending: another change of members is not committed yet")
 
     def change(self, now: float, configuration: ClusterConfiguration) -> int:
         """Put a new configuration into the log; the index of the change."""
@@ -63,11 +63,11 @@
         configuration = self.raft.configuration
         known = configuration.get(member.id)
         if known is not None and known.voter:
-            raise RefusedError("member: it is a voter already")
+            raise RequestRejectedError("member: it is a voter already")
         if member.voter and (known is None or not self._caught_up(member.id)):
-            raise RefusedError("behind: it has not caught up with the log yet")
+            raise RequestRejectedError("behind: it has not caught up with the log yet")
         if not member.voter and known is not None:
-            raise RefusedError("member: it is a learner already")
+            raise RequestRejectedError("member: it is a learner already")
         return self.change(now, configuration.with_member(member))
 
     def _caught_up(self, member: str) -> bool:
@@ -79,7 +79,7 @@
         self.check_may_change()
         configuration = self.raft.configuration
         if configuration.get(member) is None:
-            raise RefusedError("no such member")
+            raise RequestRejectedError("no such member")
         if configuration.voters == (member,):
-            raise RefusedError("last: it is the only voter")
+            raise RequestRejectedError("last: it is the only voter")
         return self.change(now, configuration.without_member(member))
--- a/gradegap/store/daemon.py
+++ b/gradegap/store/daemon.py
@@ -17,7 +17,7 @@
 import structlog
 
 from gradegap.metrics import Metrics
-from gradegap.raft.core import NEVER, Raft, Refused
+from gradegap.raft.core import NEVER, Raft, RequestRejectedError
 from gradegap.raft.types import (
     ClusterConfiguration,
     Entry,
@@ -240,7 +240,7 @@
         for member in promotable(raft.configuration, self.settings):
             try:
                 raft.add_member(now, Member(member.id, member.name, member.address))
-            except Refused:
+            except RequestRejectedError:
                 continue  # it has not caught up yet; asked again soon
             self.stats.count("store_promoted")
             log.info("member has caught up", member=member.name)
@@ -252,7 +252,7 @@
         return max(self.machine.clock, base + int((time.monotonic() - at) * 1000))
 
     def propose(self, body: Command | Expire) -> int:
-        """`Refused` where it can't be; else the index to wait for. `settle` has to follow."""
+        """`RequestRejectedError` where it can't be; else the index to wait for. `settle` has to follow."""
         assert self.raft is not None
         logged = Logged(self.log_clock(), time.time_ns() // 1_000_000, body)
         index = self.raft.propose(time.monotonic(), encode(logged))
--- a/gradegap/store/serve.py
+++ b/gradegap/store/serve.py
@@ -13,7 +13,7 @@
 
 from gradegap.metrics import Metrics
 from gradegap.node.operator_file import OperatorFileError, OperatorSettings, read_secret
-from gradegap.raft.core import Refused
+from gradegap.raft.core import RequestRejectedError
 from gradegap.raft.types import ClusterConfiguration, HardState, Member, SnapshotMetadata
 from gradegap.store.daemon import Daemon
 from gradegap.store.disk import BadFolder, Batch, Disk, Identity
@@ -47,7 +47,7 @@
     try:
         raft.transfer_leadership(time.monotonic(), max(voters, key=lambda v: raft.peers[v].match))
         daemon.settle()
-    except Refused:
+    except RequestRejectedError:
         return False
     return True
 
--- a/gradegap/store/service.py
+++ b/gradegap/store/service.py
@@ -19,7 +19,7 @@
 import structlog
 
 from gradegap.metrics import Metrics
-from gradegap.raft.core import Raft, Refused
+from gradegap.raft.core import Raft, RequestRejectedError
 from gradegap.raft.types import Entry, EntryKind, Member
 from gradegap.store import leases, schema, wire
 from gradegap.store.disk import Identity
@@ -266,7 +266,7 @@
             match w:
                 case wire.Write():
                     if p.relayed and not w.tries and w.until < m.log_clock() + LIFE // 2:
-                        raise Refused("restamp: it bears a time that is over")
+                        raise RequestRejectedError("restamp: it bears a time that is over")
                     body = Command(w.client, w.seq, w.until, w.author, w.compares, w.then, w.otherwise)
                     self._wait_for(p, m.propose(body))
                 case wire.AddMember():
@@ -276,7 +276,7 @@
                 case wire.RemoveMember():
                     found = raft.configuration.find_by_name(w.name)
                     if found is None:
-                        raise Refused(f"no_such_member: {w.name}")
+                        raise RequestRejectedError(f"no_such_member: {w.name}")
                     self._wait_for(p, raft.remove_member(now, found.id))
                     m.flush()
                 case wire.TakeIn():
@@ -285,7 +285,7 @@
                 case wire.Transfer():
                     found = raft.configuration.find_by_name(w.name)
                     if found is None:
-                        raise Refused(f"no_such_member: {w.name}")
+                        raise RequestRejectedError(f"no_such_member: {w.name}")
                     if found.id == raft.member_id:
                         self._answer(p, wire.Answer(0))  # it was asked before, and has taken over
                     else:
@@ -297,7 +297,7 @@
                     p.waits_for = "read"
                     raft.read_index(now, p.serial)
                     m.settle()
-        except Refused as error:
+        except RequestRejectedError as error:
             self.reading.pop(p.serial, None)
             reason = str(error).split(":")[0].split(" ")[0]
             self.stats.count(f"store_refused_{reason}")
@@ -502,7 +502,7 @@
         if old is not None:
             progress = raft.peers.get(old.id)
             if old.id == m.identity.id or (progress is not None and now - progress.heard_at < ALIVE):
-                raise Refused(f"alive: another daemon is {member.name} and answers")
+                raise RequestRejectedError(f"alive: another daemon is {member.name} and answers")
             raft.remove_member(now, old.id)
             self.stats.count("store_lives_replaced")
             log.warning("an earlier life of a member is removed", member=member.name, id=old.id)
@@ -512,7 +512,7 @@
             return
         item = m.machine.get(INVITED + member.name)
         if item is None:
-            raise Refused(f"not_invited: nobody added {member.name}; see `gradegap store add`")
+            raise RequestRejectedError(f"not_invited: nobody added {member.name}; see `gradegap store add`")
         learner = msgspec.structs.replace(member, voter=False)
         self._wait_for(p, raft.add_member(now, learner))
 
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -11,7 +11,7 @@
 from gradegap.check.explore import ELECTIONS, Bounds, Case, explore, find_by_walks, walk
 from gradegap.check.rules import Breach
 from gradegap.check.sim import Faults, Sim
-from gradegap.raft.core import Raft, Refused, initial_snapshot
+from gradegap.raft.core import Raft, RequestRejectedError, initial_snapshot
 from gradegap.raft.log import Log, encode_configuration
 from gradegap.raft.types import (
     AppendEntries,
@@ -169,7 +169,7 @@
 
 def test_proposals_are_refused_when_too_much_is_not_committed() -> None:
     raft = lone(max_uncommitted_bytes=1000)
-    with pytest.raises(Refused, match="^busy"):
+    with pytest.raises(RequestRejectedError, match="^busy"):
         for _ in range(100):
             raft.propose(10.0, b"x" * 100)
     assert raft.log.last_index < 12
@@ -182,15 +182,15 @@
         (lambda: raft.transfer_leadership(10.0, "z"), "no such"),
         (lambda: raft.read_index(10.0, 1), "not_ready"),
     ):
-        with pytest.raises(Refused, match=f"^{reason}"):
+        with pytest.raises(RequestRejectedError, match=f"^{reason}"):
             wish()
     ready = raft.take_ready()
     raft.persisted(10.0, ready.entries[-1].index, ready.entries[-1].term)
-    with pytest.raises(Refused, match="^last"):
+    with pytest.raises(RequestRejectedError, match="^last"):
         raft.remove_member(10.0, "a")
     raft.add_member(10.0, Member("b", "b", "y", voter=False))
     raft.take_ready()
-    with pytest.raises(Refused, match="^change_pending"):
+    with pytest.raises(RequestRejectedError, match="^change_pending"):
         raft.add_member(10.0, Member("c", "c", "z", voter=False))
 
 
