--- a/gradegap/check/bugs.py
+++ b/gradegap/check/bugs.py
@@ -11,7 +11,7 @@
 from gradegap.check.sim import Faults, Sim
 from gradegap.raft.core import Raft
 from gradegap.raft.election import Election
-from gradegap.raft.errors import RequestRejectedError
+from gradegap.raft.errors import NotLeaderError
 from gradegap.raft.follower import Follower
 from gradegap.raft.handover import Handover
 from gradegap.raft.heartbeats import Heartbeats
@@ -201,7 +201,7 @@
     class _Reads(Reads):
         def read(self, now: float, number: int) -> None:
             if not self.raft.is_leader:
-                raise RequestRejectedError("not_leader")
+                raise NotLeaderError
             self.raft.pending.read_states.append((number, self.raft.commit_index))
 
     reads_type = _Reads
@@ -224,7 +224,7 @@
     class _Membership(Membership):
         def check_may_change(self) -> None:
             if not self.raft.is_leader:
-                raise RequestRejectedError("not_leader")
+                raise NotLeaderError
 
         def add(self, now: float, member: Member) -> int:
             configuration = self.raft.configuration
--- a/gradegap/raft/follower.py
+++ b/gradegap/raft/follower.py
@@ -4,6 +4,7 @@
 
 from typing import TYPE_CHECKING
 
+from gradegap.raft.errors import InvariantViolationError
 from gradegap.raft.types import AppendEntries, AppendEntriesResponse, Entry
 
 if TYPE_CHECKING:
@@ -62,7 +63,7 @@
     def _truncate(self, index: int) -> None:
         raft = self.raft
         if index <= raft.commit_index:
-            raise AssertionError(f"entry {index} is committed and would be replaced")
+            raise InvariantViolationError(f"entry {index} is committed and would be replaced")
         raft.log.truncate(index)
         raft.pending.entries = [entry for entry in raft.pending.entries if entry.index < index]
         raft.stable_index = min(raft.stable_index, index - 1)
--- a/gradegap/raft/handover.py
+++ b/gradegap/raft/handover.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from gradegap.raft.errors import RequestRejectedError
+from gradegap.raft.errors import MemberRoleError, NotLeaderError, TransferInProgressError, UnknownMemberError
 from gradegap.raft.progress import NEVER
 from gradegap.raft.types import TimeoutNow
 
@@ -31,13 +31,13 @@
         raft = self.raft
         peers = raft.replication.peers
         if not raft.is_leader:
-            raise RequestRejectedError("not_leader")
+            raise NotLeaderError
         if to == raft.member_id:
-            raise RequestRejectedError("member: it leads already")
+            raise MemberRoleError("leads")
         if to not in raft.configuration.voters or to not in peers:
-            raise RequestRejectedError("no such member")
+            raise UnknownMemberError
         if self.target:
-            raise RequestRejectedError("transferring leadership")
+            raise TransferInProgressError
         self.target = to
         self.give_up_at = now + raft.settings.election_timeout_s
         self.proceed()
--- a/gradegap/raft/log.py
+++ b/gradegap/raft/log.py
@@ -4,6 +4,7 @@
 
 import msgspec
 
+from gradegap.raft.errors import LogGapError
 from gradegap.raft.types import ClusterConfiguration, Entry, EntryKind, SnapshotMetadata
 
 EVERYTHING = 1 << 40  # bytes: no bound on a slice of the log
@@ -62,7 +63,7 @@
     def append(self, entry: Entry) -> None:
         """Add the entry that follows the last one."""
         if entry.index != self.last_index + 1:
-            raise ValueError(f"entry {entry.index} after {self.last_index}")
+            raise LogGapError(entry.index, self.last_index)
         self.entries.append(entry)
         self.size += entry.size
         if entry.kind is EntryKind.CONFIGURATION:
--- a/gradegap/raft/membership.py
+++ b/gradegap/raft/membership.py
@@ -8,7 +8,16 @@
 
 from typing import TYPE_CHECKING
 
-from gradegap.raft.errors import RequestRejectedError
+from gradegap.raft.errors import (
+    ChangePendingError,
+    LastVoterError,
+    LeaderNotReadyError,
+    LearnerBehindError,
+    MemberRoleError,
+    NotLeaderError,
+    TransferInProgressError,
+    UnknownMemberError,
+)
 from gradegap.raft.log import encode_configuration
 from gradegap.raft.types import ClusterConfiguration, EntryKind, Member
 
@@ -40,13 +49,13 @@
         """Refuse a change that would not be safe now."""
         raft = self.raft
         if not raft.is_leader:
-            raise RequestRejectedError("not_leader")
+            raise NotLeaderError
         if raft.handover.target:
-            raise RequestRejectedError("transferring leadership")
+            raise TransferInProgressError
         if not raft.commits_own_term():
-            raise RequestRejectedError("not_ready: the leader has committed nothing in its term yet")
+            raise LeaderNotReadyError
         if not self.settled():
-            raise RequestRejectedError("change_pending: another change of members is not committed yet")
+            raise ChangePendingError
 
     def change(self, now: float, configuration: ClusterConfiguration) -> int:
         """Put a new configuration into the log; the index of the change."""
@@ -63,11 +72,11 @@
         configuration = self.raft.configuration
         known = configuration.get(member.id)
         if known is not None and known.voter:
-            raise RequestRejectedError("member: it is a voter already")
+            raise MemberRoleError("is a voter")
         if member.voter and (known is None or not self._caught_up(member.id)):
-            raise RequestRejectedError("behind: it has not caught up with the log yet")
+            raise LearnerBehindError
         if not member.voter and known is not None:
-            raise RequestRejectedError("member: it is a learner already")
+            raise MemberRoleError("is a learner")
         return self.change(now, configuration.with_member(member))
 
     def _caught_up(self, member: str) -> bool:
@@ -79,7 +88,7 @@
         self.check_may_change()
         configuration = self.raft.configuration
         if configuration.get(member) is None:
-            raise RequestRejectedError("no such member")
+            raise UnknownMemberError
         if configuration.voters == (member,):
-            raise RequestRejectedError("last: it is the only voter")
+            raise LastVoterError
         return self.change(now, configuration.without_member(member))
--- a/gradegap/raft/reads.py
+++ b/gradegap/raft/reads.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from gradegap.raft.errors import RequestRejectedError
+from gradegap.raft.errors import LeaderNotReadyError, NotLeaderError
 
 if TYPE_CHECKING:
     from gradegap.raft.core import Raft
@@ -31,9 +31,9 @@
         """Find the index that a read must see, under the lease or by a round of heartbeats."""
         raft = self.raft
         if not raft.is_leader:
-            raise RequestRejectedError("not_leader")
+            raise NotLeaderError
         if not raft.commits_own_term():
-            raise RequestRejectedError("not_ready: the leader has committed nothing in its term yet")
+            raise LeaderNotReadyError
         if now < raft.lease_until(now):
             raft.pending.read_states.append((number, raft.commit_index))
             return
--- a/gradegap/raft/replication.py
+++ b/gradegap/raft/replication.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING
 
-from gradegap.raft.errors import RequestRejectedError
+from gradegap.raft.errors import NotLeaderError, TooMuchUncommittedError, TransferInProgressError
 from gradegap.raft.log import EVERYTHING
 from gradegap.raft.progress import Progress, reached_by_majority
 from gradegap.raft.types import AppendEntries, AppendEntriesResponse, Entry, EntryKind
@@ -50,11 +50,11 @@
         """Append an entry for a client; its index."""
         raft = self.raft
         if not raft.is_leader:
-            raise RequestRejectedError("not_leader")
+            raise NotLeaderError
         if raft.handover.target:
-            raise RequestRejectedError("transferring leadership")
+            raise TransferInProgressError
         if self.uncommitted + len(data) > raft.settings.max_uncommitted_bytes and self.uncommitted:
-            raise RequestRejectedError("busy: too much is not committed yet")
+            raise TooMuchUncommittedError
         return self.append(kind, data)
 
     def append(self, kind: EntryKind, data: bytes) -> int:
--- a/gradegap/raft/snapshots.py
+++ b/gradegap/raft/snapshots.py
@@ -6,6 +6,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
+from gradegap.raft.errors import SnapshotTooOldError
 from gradegap.raft.progress import Progress
 from gradegap.raft.types import InstallSnapshot, InstallSnapshotResponse, SnapshotMetadata
 
@@ -43,7 +44,7 @@
         if not raft.is_leader:
             return
         if meta.index < raft.log.base.index:
-            raise ValueError("a snapshot from before the log")
+            raise SnapshotTooOldError
         self.outgoing = OutgoingSnapshot(meta, data, zlib.crc32(data))
         for peer, progress in raft.replication.peers.items():
             if progress.next <= raft.log.base.index:
