--- a/gradegap/raft/types.py
+++ b/gradegap/raft/types.py
@@ -72,7 +72,7 @@
     """What must be on disk before anybody is told of it (Raft paper, figure 2)."""
 
     term: int = 0
-    voted_for: str = ""
+    voted_for: str = msgspec.field(default="", name="vote")
 
 
 class SnapshotMetadata(msgspec.Struct, frozen=True, array_like=True):
