--- a/gradegap/check/bugs.py
+++ b/gradegap/check/bugs.py
@@ -83,7 +83,7 @@
     """Answers for an entry of an earlier term are counted (Raft paper, figure 8)."""
 
     class _Replication(Replication):
-        def may_commit(self, index: int) -> bool:
+        def can_commit(self, index: int) -> bool:
             return True
 
     replication_type = _Replication
@@ -107,7 +107,7 @@
     class _Follower(Follower):
         def on_append_entries(self, now: float, sender: str, request: AppendEntries) -> None:
             raft, log = self.raft, self.raft.log
-            kept = tuple(e for e in request.entries if (log.term(e.index) or e.term) == e.term)
+            kept = tuple(e for e in request.entries if (log.term_at(e.index) or e.term) == e.term)
             if len(kept) == len(request.entries):
                 super().on_append_entries(now, sender, request)
                 return
@@ -129,7 +129,7 @@
     class _Follower(Follower):
         def on_append_entries(self, now: float, sender: str, request: AppendEntries) -> None:
             log = self.raft.log
-            term = log.term(request.prev_log_index)
+            term = log.term_at(request.prev_log_index)
             if term is not None and request.prev_log_index >= log.base.index:
                 request = msgspec.structs.replace(request, prev_log_term=term)
             super().on_append_entries(now, sender, request)
@@ -167,7 +167,7 @@
     class _Heartbeats(Heartbeats):
         def followed_since(self, now: float) -> float:
             peers = self.raft.peers
-            voters = [peers[v].heard_at for v in self.raft.configuration.voters if v in peers]
+            voters = [peers[v].last_response_at for v in self.raft.configuration.voters if v in peers]
             heard = sorted([*voters, now])
             return heard[(len(heard) - 1) // 2]
 
@@ -178,8 +178,8 @@
     """A member that starts anew votes at once, whatever its earlier life had promised."""
 
     class _Election(Election):
-        def has_live_leader(self, now: float) -> bool:
-            return self.raft.leader_id != "" and super().has_live_leader(now)
+        def is_leader_alive(self, now: float) -> bool:
+            return self.raft.leader_id != "" and super().is_leader_alive(now)
 
     election_type = _Election
 
@@ -222,7 +222,7 @@
     """
 
     class _Membership(Membership):
-        def check_may_change(self) -> None:
+        def check_can_change(self) -> None:
             if not self.raft.is_leader:
                 raise NotLeaderError
 
@@ -297,7 +297,7 @@
         def on_append_entries_response(
             self, now: float, sender: str, progress: Progress, response: AppendEntriesResponse
         ) -> None:
-            match = max(response.match_index, progress.next - 1)
+            match = max(response.match_index, progress.next_index - 1)
             taken = AppendEntriesResponse(
                 response.term, True, match, response.prev_log_index, response.heartbeat_round
             )
--- a/gradegap/check/explore.py
+++ b/gradegap/check/explore.py
@@ -154,7 +154,10 @@
                 r.commit_index,
                 [(e.term, e.data) for e in r.log.entries],
                 sorted(r.election.votes.items()) if not r.is_leader else [],
-                [(n, p.next, p.match, p.streaming, p.awaiting_answer) for n, p in sorted(r.peers.items())]
+                [
+                    (n, p.next_index, p.match_index, p.streaming, p.awaiting_response)
+                    for n, p in sorted(r.peers.items())
+                ]
                 if r.is_leader
                 else [],
                 self.beats[n],
--- a/gradegap/check/rules.py
+++ b/gradegap/check/rules.py
@@ -66,7 +66,7 @@
         for index, entry in self.committed.items():
             # A candidate may win an early term late; what was committed after that term binds it not.
             bound = self.committed_in.get(index, member.term) < member.term
-            if bound and index > log.base.index and log.term(index) != entry.term:
+            if bound and index > log.base.index and log.term_at(index) != entry.term:
                 raise BreachError(
                     f"leader-completeness: {member.member_id} leads term {member.term} without {entry}"
                 )
@@ -99,7 +99,7 @@
             if self.committed.setdefault(index, entry) != entry:
                 break
             index -= 1
-        if index > log.base.index and log.term(index) != self.committed[index].term:
+        if index > log.base.index and log.term_at(index) != self.committed[index].term:
             raise BreachError(f"state-machine-safety: {member.member_id} commits another entry at {index}")
 
     @property
--- a/gradegap/check/sim.py
+++ b/gradegap/check/sim.py
@@ -157,7 +157,7 @@
         for number, index in ready.read_states:
             self.sim.read_done(self.name, number, index)
         if ready.snapshot_wanted and raft.applied_index in self.states:
-            term = raft.log.term(raft.applied_index)
+            term = raft.log.term_at(raft.applied_index)
             assert term is not None
             meta = SnapshotMetadata(raft.applied_index, term, raft.log.configuration_at(raft.applied_index))
             raft.offer_snapshot(self.now, meta, self.state)
--- a/gradegap/raft/core.py
+++ b/gradegap/raft/core.py
@@ -21,7 +21,7 @@
 from gradegap.raft.follower import Follower
 from gradegap.raft.handover import Handover
 from gradegap.raft.heartbeats import Heartbeats
-from gradegap.raft.log import EVERYTHING, Log
+from gradegap.raft.log import UNBOUNDED_BYTES, Log
 from gradegap.raft.membership import Membership
 from gradegap.raft.progress import NEVER, Progress
 from gradegap.raft.reads import Reads
@@ -109,7 +109,7 @@
         last = min(self.commit_index, self.stable_index)
         if last <= self.applied_index:
             return []
-        entries = self.log.slice(self.applied_index + 1, EVERYTHING, last)
+        entries = self.log.slice(self.applied_index + 1, UNBOUNDED_BYTES, last)
         self.applied_index = last
         return entries
 
@@ -175,7 +175,7 @@
 
     def persisted(self, now: float, index: int, term: int) -> None:
         """The driver has synced all entries up to this one."""
-        if self.log.term(index) != term:
+        if self.log.term_at(index) != term:
             return
         self.stable_index = max(self.stable_index, index)
         if self.is_leader:
@@ -238,7 +238,7 @@
             return
         if message.term > self.term or self.role is not Role.FOLLOWER or self.leader_id != sender:
             self.become_follower(now, message.term, sender)
-        self.election.hear_leader(now)
+        self.election.on_leader_contact(now)
         if isinstance(message, AppendEntries):
             self.follower.on_append_entries(now, sender, message)
         else:
@@ -258,8 +258,8 @@
         progress = self.peers.get(sender)
         if not self.is_leader or message.term != self.term or progress is None:
             return
-        progress.heard_at = now
-        progress.round = max(progress.round, message.heartbeat_round)
+        progress.last_response_at = now
+        progress.heartbeat_round = max(progress.heartbeat_round, message.heartbeat_round)
         if isinstance(message, AppendEntriesResponse):
             self.replication.on_append_entries_response(now, sender, progress, message)
         else:
@@ -279,7 +279,7 @@
 
     def commits_own_term(self) -> bool:
         """Whether the commit index is known to cover all that earlier leaders committed."""
-        return self.log.term(self.commit_index) == self.term
+        return self.log.term_at(self.commit_index) == self.term
 
     def become_follower(self, now: float, term: int, leader: str) -> None:
         """Follow `leader`, or nobody known yet where it is empty, in `term`."""
@@ -299,7 +299,7 @@
         """Lead this term, and begin it with an entry of its own."""
         self.role = Role.LEADER
         self.leader_id = self.member_id
-        self.election.leader_heard_at = now
+        self.election.last_leader_contact_at = now
         self.handover.reset()
         self.heartbeats.start(now)
         self.replication.start(now)
--- a/gradegap/raft/election.py
+++ b/gradegap/raft/election.py
@@ -17,7 +17,7 @@
         self.raft = raft
         # As if a leader had just been heard: the promise not to vote that an earlier life of this process
         # may have given must have run out before it votes again, or leases would not hold.
-        self.leader_heard_at = now
+        self.last_leader_contact_at = now
         self.votes: dict[str, bool] = {}
         self.timeout_at = now
         self.reset_timeout(now)
@@ -27,9 +27,9 @@
         raft = self.raft
         self.timeout_at = now + raft.settings.election_timeout_s * raft.random.uniform(1.0, 2.0)
 
-    def hear_leader(self, now: float) -> None:
+    def on_leader_contact(self, now: float) -> None:
         """A leader of this term was heard: its followers wait, and give no votes."""
-        self.leader_heard_at = now
+        self.last_leader_contact_at = now
         self.reset_timeout(now)
 
     def tick(self, now: float) -> None:
@@ -37,10 +37,10 @@
         if now < self.timeout_at:
             return
         self.reset_timeout(now)
-        if self.may_campaign():
+        if self.can_campaign():
             self.campaign(now, pre_vote=True)
 
-    def may_campaign(self) -> bool:
+    def can_campaign(self) -> bool:
         """Whether this member is a voter, or is one until its own removal is committed (thesis, 4.2.2).
 
         Guards against a cluster without a leader for good: who is removed may alone have the log to be
@@ -89,40 +89,40 @@
         elif refused > len(voters) // 2:
             raft.become_follower(now, raft.term, "")
 
-    def has_live_leader(self, now: float) -> bool:
+    def is_leader_alive(self, now: float) -> bool:
         """Whether a leader may count on this member not to vote yet (thesis, 4.2.3 and 6.4.1)."""
         raft = self.raft
-        heard_at = raft.heartbeats.followed_since(now) if raft.is_leader else self.leader_heard_at
+        heard_at = raft.heartbeats.followed_since(now) if raft.is_leader else self.last_leader_contact_at
         return now - heard_at < raft.settings.election_timeout_s
 
     def on_request_vote(self, now: float, sender: str, request: RequestVote) -> None:
         """A candidate asks for this member's vote."""
         raft = self.raft
-        if not request.leadership_transfer and self.has_live_leader(now):
+        if not request.leadership_transfer and self.is_leader_alive(now):
             return  # guards against a removed or cut-off member that keeps calling elections
         if request.pre_vote:
-            granted = request.term > raft.term and self._log_suffices(request)
+            granted = request.term > raft.term and self._is_log_up_to_date(request)
             raft.send(sender, RequestVoteResponse(request.term if granted else raft.term, granted, True))
             return
         if request.term > raft.term:
             raft.become_follower(now, request.term, "")
-        granted = self._may_vote_for(sender, request)
+        granted = self._can_vote_for(sender, request)
         if granted:
             raft.voted_for = sender
             raft.persist_hard_state()
             self.reset_timeout(now)
         raft.send(sender, RequestVoteResponse(raft.term, granted))
 
-    def _log_suffices(self, request: RequestVote) -> bool:
-        return self.raft.log.up_to_date(request.last_log_index, request.last_log_term)
+    def _is_log_up_to_date(self, request: RequestVote) -> bool:
+        return self.raft.log.is_up_to_date(request.last_log_index, request.last_log_term)
 
-    def _may_vote_for(self, candidate: str, request: RequestVote) -> bool:
+    def _can_vote_for(self, candidate: str, request: RequestVote) -> bool:
         raft = self.raft
         return (
             request.term == raft.term
             and raft.voted_for in ("", candidate)
             and raft.role is Role.FOLLOWER
-            and self._log_suffices(request)
+            and self._is_log_up_to_date(request)
         )
 
     def on_request_vote_response(self, now: float, sender: str, response: RequestVoteResponse) -> None:
--- a/gradegap/raft/follower.py
+++ b/gradegap/raft/follower.py
@@ -26,7 +26,7 @@
             # What is compacted here is committed, and so the same there.
             entries = tuple(entry for entry in entries if entry.index > log.base.index)
             previous = log.base.index
-        elif log.term(previous) != request.prev_log_term:
+        elif log.term_at(previous) != request.prev_log_term:
             self._reject_mismatch(sender, request)
             return
         self._take(entries)
@@ -40,7 +40,7 @@
 
     def _reject_mismatch(self, sender: str, request: AppendEntries) -> None:
         raft = self.raft
-        index, term = raft.log.conflict(request.prev_log_index)
+        index, term = raft.log.find_conflict_hint(request.prev_log_index)
         raft.send(
             sender,
             AppendEntriesResponse(
@@ -52,7 +52,7 @@
         """Append what is not there yet; an entry of another term gives way, with all that follow it."""
         raft, log = self.raft, self.raft.log
         for entry in entries:
-            known_term = log.term(entry.index)
+            known_term = log.term_at(entry.index)
             if known_term == entry.term:
                 continue
             if known_term is not None:
--- a/gradegap/raft/handover.py
+++ b/gradegap/raft/handover.py
@@ -48,7 +48,7 @@
         """Tell the target to lead, once it has all entries."""
         raft = self.raft
         progress = raft.replication.peers.get(self.target)
-        if progress is not None and not self.timeout_sent and progress.match == raft.log.last_index:
+        if progress is not None and not self.timeout_sent and progress.match_index == raft.log.last_index:
             self.timeout_sent = True
             raft.send(self.target, TimeoutNow(raft.term))
 
--- a/gradegap/raft/heartbeats.py
+++ b/gradegap/raft/heartbeats.py
@@ -9,7 +9,7 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from gradegap.raft.progress import NEVER, reached_by_majority
+from gradegap.raft.progress import NEVER, majority_value
 
 if TYPE_CHECKING:
     from gradegap.raft.core import Raft
@@ -20,15 +20,15 @@
 
     def __init__(self, raft: Raft) -> None:
         self.raft = raft
-        self.round = 0
-        self.begun: deque[tuple[int, float]] = deque()  # rounds and when they began, oldest first
+        self.current_round = 0
+        self.started_rounds: deque[tuple[int, float]] = deque()  # rounds and when they began, oldest first
         self.sent_at = NEVER
-        self.led_at = NEVER  # when this member became leader
+        self.leader_since = NEVER  # when this member became leader
 
     def start(self, now: float) -> None:
         """This member became leader: answers of earlier terms count no more."""
-        self.led_at = now
-        self.begun.clear()
+        self.leader_since = now
+        self.started_rounds.clear()
 
     def next_at(self) -> float:
         """When the next round is due."""
@@ -36,17 +36,17 @@
 
     def send(self, now: float) -> None:
         """Begin a new round: whoever answers it has followed since its beginning."""
-        self.round += 1
-        self.begun.append((self.round, now))
+        self.current_round += 1
+        self.started_rounds.append((self.current_round, now))
         self.sent_at = now
         self.raft.replication.broadcast()
         self.raft.reads.confirm()
 
-    def answered_round(self) -> int:
+    def acknowledged_round(self) -> int:
         """The latest round that a quorum, this member in it, has answered."""
         me, peers = self.raft.member_id, self.raft.replication.peers
-        return reached_by_majority(
-            self.round if voter == me else peers[voter].round if voter in peers else 0
+        return majority_value(
+            self.current_round if voter == me else peers[voter].heartbeat_round if voter in peers else 0
             for voter in self.raft.configuration.voters
         )
 
@@ -55,22 +55,22 @@
         voters = self.raft.configuration.voters
         if not voters:
             return NEVER
-        answered = self.answered_round()
-        if answered == self.round and len(voters) == 1:
+        answered = self.acknowledged_round()
+        if answered == self.current_round and len(voters) == 1:
             return now
         began = NEVER
-        for number, began_at in self.begun:
+        for number, began_at in self.started_rounds:
             if number > answered:
                 break
             began = began_at
-        while len(self.begun) > 1 and self.begun[1][0] <= answered:
-            self.begun.popleft()
+        while len(self.started_rounds) > 1 and self.started_rounds[1][0] <= answered:
+            self.started_rounds.popleft()
         return began
 
     def quorum_lost(self, now: float) -> bool:
         """Check-quorum (thesis, 6.2): guards against a cut-off leader that goes on as if it led."""
         election = self.raft.settings.election_timeout_s
-        return now - self.led_at >= election and self.followed_since(now) < now - election
+        return now - self.leader_since >= election and self.followed_since(now) < now - election
 
     def lease_until(self, now: float) -> float:
         """Until when, by this clock, no other member can have become leader; `NEVER` without a lease.
--- a/gradegap/raft/membership.py
+++ b/gradegap/raft/membership.py
@@ -45,7 +45,7 @@
         caught_up = raft.is_leader or raft.follower.leader_commit <= raft.commit_index
         return raft.configuration.get(raft.member_id) is None and self.settled() and caught_up
 
-    def check_may_change(self) -> None:
+    def check_can_change(self) -> None:
         """Refuse a change that would not be safe now."""
         raft = self.raft
         if not raft.is_leader:
@@ -59,7 +59,7 @@
 
     def change(self, now: float, configuration: ClusterConfiguration) -> int:
         """Put a new configuration into the log; the index of the change."""
-        self.check_may_change()
+        self.check_can_change()
         replication = self.raft.replication
         index = replication.append(EntryKind.CONFIGURATION, encode_configuration(configuration))
         replication.track_members(now)
@@ -68,7 +68,7 @@
 
     def add(self, now: float, member: Member) -> int:
         """Add a learner, or make a learner that has caught up a voter; the index of the change."""
-        self.check_may_change()
+        self.check_can_change()
         configuration = self.raft.configuration
         known = configuration.get(member.id)
         if known is not None and known.voter:
@@ -81,11 +81,11 @@
 
     def _caught_up(self, member: str) -> bool:
         progress = self.raft.replication.peers.get(member)
-        return progress is not None and progress.match >= self.raft.commit_index and progress.streaming
+        return progress is not None and progress.match_index >= self.raft.commit_index and progress.streaming
 
     def remove(self, now: float, member: str) -> int:
         """Remove a member, this one too; the index of the change."""
-        self.check_may_change()
+        self.check_can_change()
         configuration = self.raft.configuration
         if configuration.get(member) is None:
             raise UnknownMemberError
--- a/gradegap/raft/reads.py
+++ b/gradegap/raft/reads.py
@@ -39,14 +39,14 @@
             return
         if raft.heartbeats.sent_at < now:
             raft.heartbeats.send(now)
-        self.pending.append(PendingRead(number, raft.commit_index, raft.heartbeats.round))
+        self.pending.append(PendingRead(number, raft.commit_index, raft.heartbeats.current_round))
         self.confirm()
 
     def confirm(self) -> None:
         """Hand over the reads whose round a quorum has answered."""
         if not self.pending:
             return
-        answered = self.raft.heartbeats.answered_round()
+        answered = self.raft.heartbeats.acknowledged_round()
         confirmed = [(read.number, read.index) for read in self.pending if read.round <= answered]
         self.raft.pending.read_states += confirmed
         self.pending = [read for read in self.pending if read.round > answered]
--- a/gradegap/raft/replication.py
+++ b/gradegap/raft/replication.py
@@ -9,8 +9,8 @@
 from typing import TYPE_CHECKING
 
 from gradegap.raft.errors import NotLeaderError, TooMuchUncommittedError, TransferInProgressError
-from gradegap.raft.log import EVERYTHING
-from gradegap.raft.progress import Progress, reached_by_majority
+from gradegap.raft.log import UNBOUNDED_BYTES
+from gradegap.raft.progress import Progress, majority_value
 from gradegap.raft.types import AppendEntries, AppendEntriesResponse, Entry, EntryKind
 
 if TYPE_CHECKING:
@@ -25,13 +25,15 @@
     def __init__(self, raft: Raft) -> None:
         self.raft = raft
         self.peers: dict[str, Progress] = {}
-        self.uncommitted = 0  # bytes of entries that are not committed
+        self.uncommitted_bytes = 0  # bytes of entries that are not committed
 
     def start(self, now: float) -> None:
         """This member became leader: nothing is known of the others yet."""
         raft = self.raft
         self.peers = {}
-        self.uncommitted = sum(entry.size for entry in raft.log.slice(raft.commit_index + 1, EVERYTHING))
+        self.uncommitted_bytes = sum(
+            entry.size_bytes for entry in raft.log.slice(raft.commit_index + 1, UNBOUNDED_BYTES)
+        )
         self.track_members(now)
 
     def track_members(self, now: float) -> None:
@@ -42,7 +44,7 @@
             del self.peers[removed]
         for member in members:  # in their order, so that one seed gives one run
             if member.id != self.raft.member_id and member.id not in self.peers:
-                self.peers[member.id] = Progress(self.raft.log.last_index + 1, heard_at=now)
+                self.peers[member.id] = Progress(self.raft.log.last_index + 1, last_response_at=now)
 
     # Proposals
 
@@ -53,7 +55,10 @@
             raise NotLeaderError
         if raft.handover.target:
             raise TransferInProgressError
-        if self.uncommitted + len(data) > raft.settings.max_uncommitted_bytes and self.uncommitted:
+        if (
+            self.uncommitted_bytes + len(data) > raft.settings.max_uncommitted_bytes
+            and self.uncommitted_bytes
+        ):
             raise TooMuchUncommittedError
         return self.append(kind, data)
 
@@ -62,7 +67,7 @@
         raft = self.raft
         entry = Entry(raft.log.last_index + 1, raft.term, kind, data)
         raft.log.append(entry)
-        self.uncommitted += entry.size
+        self.uncommitted_bytes += entry.size_bytes
         raft.pending.entries.append(entry)
         return entry.index
 
@@ -77,22 +82,22 @@
     def broadcast(self) -> None:
         """Send each member a message, with entries or without: it carries the round of heartbeats."""
         for peer, progress in self.peers.items():
-            progress.awaiting_answer = False
+            progress.awaiting_response = False
             self.send_to(peer, progress, always=True)
 
     def send_to(self, peer: str, progress: Progress, always: bool = False) -> None:
         """Send a member the entries or the chunk that it is due; with `always`, one message at least."""
         raft = self.raft
-        if progress.snapshot or progress.next <= raft.log.base.index:
+        if progress.snapshot_index or progress.next_index <= raft.log.base.index:
             raft.snapshot_sender.send_chunk(peer, progress, again=always)
             return
         sent = self._stream(peer, progress)
-        if not progress.streaming and not progress.awaiting_answer:
-            progress.awaiting_answer = sent = True
+        if not progress.streaming and not progress.awaiting_response:
+            progress.awaiting_response = sent = True
             self._send_entries(
                 peer,
                 progress,
-                raft.log.slice(progress.next, min(PROBE_BYTES, raft.settings.max_message_bytes)),
+                raft.log.slice(progress.next_index, min(PROBE_BYTES, raft.settings.max_message_bytes)),
             )
         if always and not sent:
             self._send_entries(peer, progress, [])
@@ -103,26 +108,28 @@
         sent = False
         while (
             progress.streaming
-            and len(progress.in_flight) < raft.settings.max_inflight_messages
-            and progress.next <= raft.log.last_index
+            and len(progress.inflight) < raft.settings.max_inflight_messages
+            and progress.next_index <= raft.log.last_index
         ):
-            self._send_entries(peer, progress, raft.log.slice(progress.next, raft.settings.max_message_bytes))
+            self._send_entries(
+                peer, progress, raft.log.slice(progress.next_index, raft.settings.max_message_bytes)
+            )
             sent = True
         return sent
 
     def _send_entries(self, peer: str, progress: Progress, entries: list[Entry]) -> None:
         raft = self.raft
-        previous = progress.next - 1
-        term = raft.log.term(previous)
+        previous = progress.next_index - 1
+        term = raft.log.term_at(previous)
         assert term is not None
         message = AppendEntries(
-            raft.term, previous, term, raft.commit_index, raft.heartbeats.round, tuple(entries)
+            raft.term, previous, term, raft.commit_index, raft.heartbeats.current_round, tuple(entries)
         )
         raft.pending.immediate_messages.append((peer, message))
         if entries and progress.streaming:
             last = entries[-1].index
-            progress.next = last + 1
-            progress.in_flight.append(last)
+            progress.next_index = last + 1
+            progress.inflight.append(last)
 
     # Answers
 
@@ -130,7 +137,7 @@
         self, now: float, sender: str, progress: Progress, response: AppendEntriesResponse
     ) -> None:
         """A member answers: its log fits up to an index, or differs."""
-        progress.awaiting_answer = False
+        progress.awaiting_response = False
         if response.success:
             self._on_match(now, sender, progress, response)
         else:
@@ -138,24 +145,26 @@
 
     def _on_mismatch(self, sender: str, progress: Progress, response: AppendEntriesResponse) -> None:
         # Guards against a late refusal of something that was since sent again and taken.
-        if response.prev_log_index <= progress.match or (
-            progress.streaming and response.prev_log_index >= progress.next
+        if response.prev_log_index <= progress.match_index or (
+            progress.streaming and response.prev_log_index >= progress.next_index
         ):
             return
         progress.stop_streaming()
         hint = min(response.match_index, response.prev_log_index - 1)
-        progress.next = max(progress.match, self.raft.log.last_of_term(hint, response.hint_term)) + 1
+        progress.next_index = (
+            max(progress.match_index, self.raft.log.last_index_up_to_term(hint, response.hint_term)) + 1
+        )
         self.send_to(sender, progress)
 
     def _on_match(self, now: float, sender: str, progress: Progress, response: AppendEntriesResponse) -> None:
-        while progress.in_flight and progress.in_flight[0] <= response.match_index:
-            progress.in_flight.popleft()
-        if progress.snapshot:
+        while progress.inflight and progress.inflight[0] <= response.match_index:
+            progress.inflight.popleft()
+        if progress.snapshot_index:
             progress.end_snapshot()
-        if response.match_index >= progress.match:
-            sent_up_to = progress.next if progress.streaming else 0
+        if response.match_index >= progress.match_index:
+            sent_up_to = progress.next_index if progress.streaming else 0
             progress.stream_after(response.match_index)
-            progress.next = max(sent_up_to, progress.next)
+            progress.next_index = max(sent_up_to, progress.next_index)
         self.advance_commit(now)
         if self.raft.is_leader:
             self.send_to(sender, progress)
@@ -163,29 +172,35 @@
 
     # Commits
 
-    def may_commit(self, index: int) -> bool:
+    def can_commit(self, index: int) -> bool:
         """Whether answers for this entry count: only for one of the leader's own term (Raft paper, 5.4.2)."""
-        return self.raft.log.term(index) == self.raft.term
+        return self.raft.log.term_at(index) == self.raft.term
 
-    def _held_by_majority(self) -> int:
+    def _stored_by_majority(self) -> int:
         """The last index that is on the disks of a majority of voters."""
         raft, peers = self.raft, self.peers
-        return reached_by_majority(
-            raft.stable_index if voter == raft.member_id else peers[voter].match if voter in peers else 0
+        return majority_value(
+            raft.stable_index
+            if voter == raft.member_id
+            else peers[voter].match_index
+            if voter in peers
+            else 0
             for voter in raft.configuration.voters
         )
 
     def advance_commit(self, now: float) -> None:
         """Commit what a majority holds, and tell the members that have all entries."""
         raft = self.raft
-        index = self._held_by_majority()
-        if index <= raft.commit_index or not self.may_commit(index):
+        index = self._stored_by_majority()
+        if index <= raft.commit_index or not self.can_commit(index):
             return
         first = raft.commit_index + 1
         raft.commit_index = index
-        self.uncommitted -= sum(entry.size for entry in raft.log.slice(first, EVERYTHING, index))
+        self.uncommitted_bytes -= sum(
+            entry.size_bytes for entry in raft.log.slice(first, UNBOUNDED_BYTES, index)
+        )
         for peer, progress in self.peers.items():
-            if progress.streaming and progress.next > raft.log.last_index:
+            if progress.streaming and progress.next_index > raft.log.last_index:
                 self._send_entries(peer, progress, [])  # so that they apply it before the next heartbeat
         if (
             raft.log.configuration_index <= raft.commit_index
--- a/gradegap/raft/snapshots.py
+++ b/gradegap/raft/snapshots.py
@@ -47,7 +47,7 @@
             raise SnapshotTooOldError
         self.outgoing = OutgoingSnapshot(meta, data, zlib.crc32(data))
         for peer, progress in raft.replication.peers.items():
-            if progress.next <= raft.log.base.index:
+            if progress.next_index <= raft.log.base.index:
                 raft.replication.send_to(peer, progress, always=True)
 
     def send_chunk(self, peer: str, progress: Progress, again: bool) -> None:
@@ -57,21 +57,21 @@
         if snapshot is None or snapshot.meta.index < raft.log.base.index:
             raft.pending.snapshot_wanted = True
             return
-        if progress.snapshot != snapshot.meta.index:
-            progress.snapshot = snapshot.meta.index
-            progress.offset = 0
+        if progress.snapshot_index != snapshot.meta.index:
+            progress.snapshot_index = snapshot.meta.index
+            progress.snapshot_offset = 0
             progress.stop_streaming()
-        elif not again and progress.awaiting_answer:
+        elif not again and progress.awaiting_response:
             return
-        progress.awaiting_answer = True
-        raft.pending.immediate_messages.append((peer, self._chunk(snapshot, progress.offset)))
+        progress.awaiting_response = True
+        raft.pending.immediate_messages.append((peer, self._chunk(snapshot, progress.snapshot_offset)))
 
     def _chunk(self, snapshot: OutgoingSnapshot, offset: int) -> InstallSnapshot:
         raft = self.raft
         data = snapshot.data[offset : offset + raft.settings.snapshot_chunk_bytes]
         done = offset + len(data) >= len(snapshot.data)
         return InstallSnapshot(
-            raft.term, snapshot.meta, offset, data, done, snapshot.checksum, raft.heartbeats.round
+            raft.term, snapshot.meta, offset, data, done, snapshot.checksum, raft.heartbeats.current_round
         )
 
     def on_install_snapshot_response(
@@ -79,17 +79,17 @@
     ) -> None:
         """A member answers a chunk: where the next begins, or that it has the whole."""
         raft = self.raft
-        if not progress.snapshot or response.snapshot_index != progress.snapshot:
+        if not progress.snapshot_index or response.snapshot_index != progress.snapshot_index:
             return
-        progress.awaiting_answer = False
+        progress.awaiting_response = False
         if response.done:
             progress.end_snapshot()
-            progress.stream_after(max(progress.match, response.snapshot_index))
-            if not any(other.snapshot for other in raft.replication.peers.values()):
+            progress.stream_after(max(progress.match_index, response.snapshot_index))
+            if not any(other.snapshot_index for other in raft.replication.peers.values()):
                 self.outgoing = None
             raft.replication.advance_commit(now)
         else:
-            progress.offset = response.offset
+            progress.snapshot_offset = response.offset
         if raft.is_leader:
             raft.replication.send_to(sender, progress)
 
--- a/gradegap/raft/types.py
+++ b/gradegap/raft/types.py
@@ -63,7 +63,7 @@
     data: bytes = b""
 
     @property
-    def size(self) -> int:
+    def size_bytes(self) -> int:
         """Bytes, with those of its index, term and kind."""
         return len(self.data) + ENTRY_OVERHEAD
 
--- a/gradegap/store/daemon.py
+++ b/gradegap/store/daemon.py
@@ -391,7 +391,7 @@
         """A snapshot for a member that is behind the log; made in a thread, as it takes a while."""
         self.packing = True
         index = self.machine.index
-        term = raft.log.term(index)
+        term = raft.log.term_at(index)
         if term is None:
             self.packing = False
             return
@@ -461,15 +461,15 @@
         self.loaded = None
         m = self.machine
         batch.applied = (m.index, m.revision, m.clock)
-        if raft.log.size > COMPACT_BYTES or len(raft.log.entries) > COMPACT_ENTRIES:
+        if raft.log.size_bytes > COMPACT_BYTES or len(raft.log.entries) > COMPACT_ENTRIES:
             self._compact_with(batch, raft)
         return batch
 
     def _compact_with(self, batch: Batch, raft: Raft) -> None:
         """Log that the state on disk has made superfluous goes, but for a tail."""
-        keep = KEEP if raft.log.size <= COMPACT_BYTES else KEEP // 10
+        keep = KEEP if raft.log.size_bytes <= COMPACT_BYTES else KEEP // 10
         index = min(self.machine.index, raft.stable_index) - keep
-        term = raft.log.term(index)
+        term = raft.log.term_at(index)
         if index > raft.log.base.index and term is not None and batch.base is None and not self.compacting:
             batch.base = SnapshotMetadata(index, term, raft.log.configuration_at(index))
             self.compacting = index
--- a/gradegap/store/serve.py
+++ b/gradegap/store/serve.py
@@ -45,7 +45,7 @@
     if not voters:
         return False
     try:
-        raft.transfer_leadership(time.monotonic(), max(voters, key=lambda v: raft.peers[v].match))
+        raft.transfer_leadership(time.monotonic(), max(voters, key=lambda v: raft.peers[v].match_index))
         daemon.settle()
     except RequestRejectedError:
         return False
--- a/gradegap/store/service.py
+++ b/gradegap/store/service.py
@@ -501,7 +501,7 @@
         old = raft.configuration.find_by_name(member.name)
         if old is not None:
             progress = raft.peers.get(old.id)
-            if old.id == m.identity.id or (progress is not None and now - progress.heard_at < ALIVE):
+            if old.id == m.identity.id or (progress is not None and now - progress.last_response_at < ALIVE):
                 raise RequestRejectedError(f"alive: another daemon is {member.name} and answers")
             raft.remove_member(now, old.id)
             self.stats.count("store_lives_replaced")
@@ -613,7 +613,7 @@
                 "leader": each.id == raft.leader_id,
             }
             if p is not None:
-                row |= {"match": p.match, "silent_ms": max(0, round((now - p.heard_at) * 1000))}
+                row |= {"match": p.match_index, "silent_ms": max(0, round((now - p.last_response_at) * 1000))}
             members.append(row)
         leader = raft.configuration.get(raft.leader_id)
         state = raft.status(now) | {"leader": leader.name if leader is not None else ""}
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -111,7 +111,7 @@
     case.flying.clear()
     case.act(("crash", "m1"))
     elect(case, "m0", {"m0", "m2"})
-    while case.members["m2"].log.last_index < 1 or case.members["m0"].peers["m2"].match < 1:
+    while case.members["m2"].log.last_index < 1 or case.members["m0"].peers["m2"].match_index < 1:
         at = [k for k, (a, b, _) in enumerate(case.flying) if {a, b} == {"m0", "m2"}]
         case.act(("deliver", at[0]) if at else ("beat", "m0"))
     case.flying.clear()
@@ -122,7 +122,7 @@
 
     if core is Raft:
         takes_over()
-        assert case.members["m1"].log.term(1) == 2
+        assert case.members["m1"].log.term_at(1) == 2
     else:
         with pytest.raises(Breach, match="leader-completeness"):
             takes_over()
@@ -205,11 +205,11 @@
 def test_a_log_hints_past_a_whole_term() -> None:
     base = initial_snapshot(())
     log = Log(base, [Entry(i, t, EntryKind.COMMAND) for i, t in enumerate([1, 1, 4, 4, 4], 1)])
-    assert log.conflict(9) == (5, 4)
-    assert log.conflict(4) == (2, 1)
-    assert log.last_of_term(5, 3) == 2
+    assert log.find_conflict_hint(9) == (5, 4)
+    assert log.find_conflict_hint(4) == (2, 1)
+    assert log.last_index_up_to_term(5, 3) == 2
     log.compact(3)
-    assert (log.base.index, log.base.term, log.term(2), log.last_index) == (3, 4, None, 5)
+    assert (log.base.index, log.base.term, log.term_at(2), log.last_index) == (3, 4, None, 5)
 
 
 def test_a_member_that_replays_configurations_from_before_it_was_added_was_not_removed() -> None:
