--- a/gradegap/check/bugs.py
+++ b/gradegap/check/bugs.py
@@ -13,12 +13,12 @@
 from gradegap.raft.election import Election
 from gradegap.raft.errors import NotLeaderError
 from gradegap.raft.follower import Follower
-from gradegap.raft.handover import Handover
 from gradegap.raft.heartbeats import Heartbeats
+from gradegap.raft.leadership_transfer import LeadershipTransfer
 from gradegap.raft.log import Log
 from gradegap.raft.membership import Membership
 from gradegap.raft.progress import NEVER, Progress
-from gradegap.raft.reads import Reads
+from gradegap.raft.read_index import ReadIndexQueue
 from gradegap.raft.replication import Replication
 from gradegap.raft.types import (
     AppendEntries,
@@ -187,24 +187,24 @@
 class LeaseKeptWhileHandingOver(Raft):
     """The leader tells another to lead, and still counts on nobody else being elected."""
 
-    class _Handover(Handover):
+    class _Handover(LeadershipTransfer):
         def proceed(self) -> None:
             super().proceed()
             self.timeout_sent = False
 
-    handover_type = _Handover
+    leadership_transfer_type = _Handover
 
 
 class ReadsUnconfirmed(Raft):
     """A leader answers reads because it was one a moment ago."""
 
-    class _Reads(Reads):
+    class _Reads(ReadIndexQueue):
         def read(self, now: float, number: int) -> None:
             if not self.raft.is_leader:
                 raise NotLeaderError
             self.raft.pending.read_states.append((number, self.raft.commit_index))
 
-    reads_type = _Reads
+    read_index_queue_type = _Reads
 
 
 class ReadsBeforeItsFirstCommit(Raft):
--- a/gradegap/raft/core.py
+++ b/gradegap/raft/core.py
@@ -19,12 +19,12 @@
 from gradegap.raft.election import Election
 from gradegap.raft.errors import RequestRejectedError
 from gradegap.raft.follower import Follower
-from gradegap.raft.handover import Handover
 from gradegap.raft.heartbeats import Heartbeats
+from gradegap.raft.leadership_transfer import LeadershipTransfer
 from gradegap.raft.log import UNBOUNDED_BYTES, Log
 from gradegap.raft.membership import Membership
 from gradegap.raft.progress import NEVER, Progress
-from gradegap.raft.reads import Reads
+from gradegap.raft.read_index import ReadIndexQueue
 from gradegap.raft.replication import Replication
 from gradegap.raft.snapshots import SnapshotReceiver, SnapshotSender
 from gradegap.raft.types import (
@@ -58,9 +58,9 @@
     heartbeats_type: ClassVar[type[Heartbeats]] = Heartbeats
     replication_type: ClassVar[type[Replication]] = Replication
     follower_type: ClassVar[type[Follower]] = Follower
-    reads_type: ClassVar[type[Reads]] = Reads
+    read_index_queue_type: ClassVar[type[ReadIndexQueue]] = ReadIndexQueue
     membership_type: ClassVar[type[Membership]] = Membership
-    handover_type: ClassVar[type[Handover]] = Handover
+    leadership_transfer_type: ClassVar[type[LeadershipTransfer]] = LeadershipTransfer
 
     def __init__(
         self,
@@ -92,9 +92,9 @@
         self.follower = self.follower_type(self)
         self.snapshot_sender = SnapshotSender(self)
         self.snapshot_receiver = SnapshotReceiver(self)
-        self.reads = self.reads_type(self)
+        self.read_index_queue = self.read_index_queue_type(self)
         self.membership = self.membership_type(self)
-        self.handover = self.handover_type(self)
+        self.leadership_transfer = self.leadership_transfer_type(self)
 
     # What a driver asks
 
@@ -135,7 +135,7 @@
     @property
     def transferee(self) -> str:
         """The voter that leadership is being handed over to; empty without a transfer."""
-        return self.handover.target
+        return self.leadership_transfer.target
 
     def lease_until(self, now: float) -> float:
         """Until when, by this clock, no other member can have become leader; `NEVER` without a lease."""
@@ -169,7 +169,7 @@
         if self.heartbeats.quorum_lost(now):
             self.become_follower(now, self.term, "")
             return
-        self.handover.tick(now)
+        self.leadership_transfer.tick(now)
         if self.is_leader and now >= self.heartbeats.next_at():
             self.heartbeats.send(now)
 
@@ -202,7 +202,7 @@
 
     def read_index(self, now: float, request_id: int) -> None:
         """Ask for the index that a linearizable read must see; it comes in `Ready.read_states`."""
-        self.reads.read(now, request_id)
+        self.read_index_queue.read(now, request_id)
 
     def add_member(self, now: float, member: Member) -> int:
         """Add a learner, or make a learner that has caught up a voter; the index of the change."""
@@ -214,7 +214,7 @@
 
     def transfer_leadership(self, now: float, target: str) -> None:
         """Hand over to a voter, as soon as it has all entries; given up after an election's time."""
-        self.handover.start(now, target)
+        self.leadership_transfer.start(now, target)
 
     # Messages
 
@@ -230,7 +230,7 @@
             case RequestVoteResponse():
                 self.election.on_request_vote_response(now, sender, message)
             case TimeoutNow():
-                self.handover.on_timeout_now(now, message)
+                self.leadership_transfer.on_timeout_now(now, message)
 
     def _on_leader_message(self, now: float, sender: str, message: AppendEntries | InstallSnapshot) -> None:
         if message.term < self.term:
@@ -265,7 +265,7 @@
         else:
             self.snapshot_sender.on_install_snapshot_response(now, sender, progress, message)
         if self.is_leader:
-            self.reads.confirm()
+            self.read_index_queue.confirm()
 
     # What its parts share
 
@@ -288,11 +288,11 @@
             self.voted_for = ""
             self.persist_hard_state()
         if self.role is not Role.FOLLOWER:
-            self.reads.abandon()
+            self.read_index_queue.abandon()
             self.election.reset_timeout(now)
         self.role = Role.FOLLOWER
         self.leader_id = leader
-        self.handover.reset()
+        self.leadership_transfer.reset()
         self.snapshot_sender.outgoing = None
 
     def become_leader(self, now: float) -> None:
@@ -300,7 +300,7 @@
         self.role = Role.LEADER
         self.leader_id = self.member_id
         self.election.last_leader_contact_at = now
-        self.handover.reset()
+        self.leadership_transfer.reset()
         self.heartbeats.start(now)
         self.replication.start(now)
         self.replication.append(EntryKind.NO_OP, b"")
--- a/gradegap/raft/heartbeats.py
+++ b/gradegap/raft/heartbeats.py
@@ -40,7 +40,7 @@
         self.started_rounds.append((self.current_round, now))
         self.sent_at = now
         self.raft.replication.broadcast()
-        self.raft.reads.confirm()
+        self.raft.read_index_queue.confirm()
 
     def acknowledged_round(self) -> int:
         """The latest round that a quorum, this member in it, has answered."""
@@ -79,7 +79,7 @@
         own clocks, which may run faster than this one by the bound on drift.
         """
         raft = self.raft
-        if not raft.is_leader or raft.handover.timeout_sent or not raft.commits_own_term():
+        if not raft.is_leader or raft.leadership_transfer.timeout_sent or not raft.commits_own_term():
             return NEVER
         began = self.followed_since(now)
         if began == NEVER:
--- a/gradegap/raft/handover.py
+++ b/gradegap/raft/leadership_transfer.py
@@ -12,7 +12,7 @@
     from gradegap.raft.core import Raft
 
 
-class Handover:
+class LeadershipTransfer:
     """A transfer that is under way, if one is."""
 
     def __init__(self, raft: Raft) -> None:
--- a/gradegap/raft/membership.py
+++ b/gradegap/raft/membership.py
@@ -50,7 +50,7 @@
         raft = self.raft
         if not raft.is_leader:
             raise NotLeaderError
-        if raft.handover.target:
+        if raft.leadership_transfer.target:
             raise TransferInProgressError
         if not raft.commits_own_term():
             raise LeaderNotReadyError
--- a/gradegap/raft/reads.py
+++ b/gradegap/raft/read_index.py
@@ -20,7 +20,7 @@
     round: int  # the round of heartbeats that must be answered
 
 
-class Reads:
+class ReadIndexQueue:
     """The reads that a leader was asked for and has not confirmed yet."""
 
     def __init__(self, raft: Raft) -> None:
--- a/gradegap/raft/replication.py
+++ b/gradegap/raft/replication.py
@@ -53,7 +53,7 @@
         raft = self.raft
         if not raft.is_leader:
             raise NotLeaderError
-        if raft.handover.target:
+        if raft.leadership_transfer.target:
             raise TransferInProgressError
         if (
             self.uncommitted_bytes + len(data) > raft.settings.max_uncommitted_bytes
@@ -168,7 +168,7 @@
         self.advance_commit(now)
         if self.raft.is_leader:
             self.send_to(sender, progress)
-            self.raft.handover.proceed()
+            self.raft.leadership_transfer.proceed()
 
     # Commits
 
