--- a/gradegap/check/bugs.py
+++ b/gradegap/check/bugs.py
@@ -9,30 +9,31 @@
 import msgspec
 
 from gradegap.check.sim import Faults, Sim
-from gradegap.raft.core import Raft
-from gradegap.raft.election import Election
-from gradegap.raft.errors import NotLeaderError
-from gradegap.raft.follower import Follower
-from gradegap.raft.heartbeats import Heartbeats
-from gradegap.raft.leadership_transfer import LeadershipTransfer
-from gradegap.raft.log import Log
-from gradegap.raft.membership import Membership
-from gradegap.raft.progress import NEVER, Progress
-from gradegap.raft.read_index import ReadIndexQueue
-from gradegap.raft.replication import Replication
-from gradegap.raft.types import (
+from gradegap.raft import (
+    NEVER,
     AppendEntries,
     AppendEntriesResponse,
     Entry,
     EntryKind,
     HardState,
     Member,
+    NotLeaderError,
+    Progress,
+    Raft,
     RaftSettings,
     Ready,
     RequestVote,
     RequestVoteResponse,
     SnapshotMetadata,
 )
+from gradegap.raft.election import Election
+from gradegap.raft.follower import Follower
+from gradegap.raft.heartbeats import Heartbeats
+from gradegap.raft.leadership_transfer import LeadershipTransfer
+from gradegap.raft.log import Log
+from gradegap.raft.membership import Membership
+from gradegap.raft.read_index import ReadIndexQueue
+from gradegap.raft.replication import Replication
 
 
 class VoteNotSynced(Raft):
--- a/gradegap/check/explore.py
+++ b/gradegap/check/explore.py
@@ -17,8 +17,16 @@
 
 from gradegap.check.rules import Rules, chain
 from gradegap.check.sim import EMPTY, Disk
-from gradegap.raft.core import Raft, RequestRejectedError, initial_snapshot
-from gradegap.raft.types import AppendEntries, AppendEntriesResponse, Member, Message, RaftSettings
+from gradegap.raft import (
+    AppendEntries,
+    AppendEntriesResponse,
+    Member,
+    Message,
+    Raft,
+    RaftSettings,
+    RequestRejectedError,
+    initial_snapshot,
+)
 
 Action = tuple[str, object]
 
--- a/gradegap/check/rules.py
+++ b/gradegap/check/rules.py
@@ -9,8 +9,7 @@
 import hashlib
 from collections.abc import Iterable
 
-from gradegap.raft.core import Raft
-from gradegap.raft.types import Entry, EntryKind
+from gradegap.raft import Entry, EntryKind, Raft
 
 
 class BreachError(AssertionError):
--- a/gradegap/check/sim.py
+++ b/gradegap/check/sim.py
@@ -15,16 +15,18 @@
 
 from gradegap.check.rules import Rules, chain
 from gradegap.check.schedule import Schedule
-from gradegap.raft.core import Raft, RequestRejectedError, initial_snapshot
-from gradegap.raft.types import (
+from gradegap.raft import (
     Entry,
     EntryKind,
     HardState,
     Member,
     Message,
+    Raft,
     RaftSettings,
     Ready,
+    RequestRejectedError,
     SnapshotMetadata,
+    initial_snapshot,
 )
 
 TICK = 0.02
--- a/gradegap/raft/__init__.py
+++ b/gradegap/raft/__init__.py
@@ -1,1 +1,79 @@
-"""Consensus without I/O: Raft as a core that is told the time and messages, and gives back what to do."""
+"""Consensus without I/O: Raft with pre-vote, check-quorum, ReadIndex, learners and leases.
+
+The package owns a member's view of the log: its term and vote, its role, which entries are committed, and
+what a leader knows of the other members. It keeps nothing itself: `Raft` is given the time and messages, and
+hands back a `Ready` with what to write, to send and to apply. `gradegap.store` drives it with a disk and
+links, `gradegap.check` with simulated ones.
+"""
+
+from gradegap.raft.cluster import ClusterConfiguration, Member
+from gradegap.raft.core import Raft
+from gradegap.raft.entries import Entry, EntryKind, HardState, SnapshotMetadata, initial_snapshot
+from gradegap.raft.errors import (
+    ChangePendingError,
+    InvariantViolationError,
+    LastVoterError,
+    LeaderNotReadyError,
+    LearnerBehindError,
+    LogGapError,
+    MemberRoleError,
+    NotLeaderError,
+    RaftError,
+    RequestRejectedError,
+    SnapshotTooOldError,
+    TooMuchUncommittedError,
+    TransferInProgressError,
+    UnknownMemberError,
+)
+from gradegap.raft.messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    InstallSnapshot,
+    InstallSnapshotResponse,
+    Message,
+    RequestVote,
+    RequestVoteResponse,
+    TimeoutNow,
+)
+from gradegap.raft.progress import NEVER, Progress
+from gradegap.raft.ready import Ready
+from gradegap.raft.role import Role
+from gradegap.raft.settings import RaftSettings
+
+__all__ = [
+    "NEVER",
+    "AppendEntries",
+    "AppendEntriesResponse",
+    "ChangePendingError",
+    "ClusterConfiguration",
+    "Entry",
+    "EntryKind",
+    "HardState",
+    "InstallSnapshot",
+    "InstallSnapshotResponse",
+    "InvariantViolationError",
+    "LastVoterError",
+    "LeaderNotReadyError",
+    "LearnerBehindError",
+    "LogGapError",
+    "Member",
+    "MemberRoleError",
+    "Message",
+    "NotLeaderError",
+    "Progress",
+    "Raft",
+    "RaftError",
+    "RaftSettings",
+    "Ready",
+    "RequestRejectedError",
+    "RequestVote",
+    "RequestVoteResponse",
+    "Role",
+    "SnapshotMetadata",
+    "SnapshotTooOldError",
+    "TimeoutNow",
+    "TooMuchUncommittedError",
+    "TransferInProgressError",
+    "UnknownMemberError",
+    "initial_snapshot",
+]
--- a/gradegap/raft/core.py
+++ b/gradegap/raft/core.py
@@ -5,7 +5,7 @@
 clock, a socket or a file, so that the simulator in `gradegap.check` can run the very same code.
 
 `Raft` holds a member's own state, passes on its role, and gives each call and message to the part whose job
-it is: elections, heartbeats, replication, snapshots, reads, membership, handover.
+it is: elections, heartbeats, replication, snapshots, reads, membership, leadership transfer.
 
 Sources: Ongaro, "Consensus: Bridging Theory and Practice" (thesis); Ongaro and Ousterhout, "In Search of an
 Understandable Consensus Algorithm" (Raft paper).
@@ -16,38 +16,31 @@
 import random
 from typing import ClassVar
 
+from gradegap.raft.cluster import ClusterConfiguration, Member
 from gradegap.raft.election import Election
-from gradegap.raft.errors import RequestRejectedError
+from gradegap.raft.entries import Entry, EntryKind, HardState, SnapshotMetadata
 from gradegap.raft.follower import Follower
 from gradegap.raft.heartbeats import Heartbeats
 from gradegap.raft.leadership_transfer import LeadershipTransfer
 from gradegap.raft.log import UNBOUNDED_BYTES, Log
 from gradegap.raft.membership import Membership
-from gradegap.raft.progress import NEVER, Progress
-from gradegap.raft.read_index import ReadIndexQueue
-from gradegap.raft.replication import Replication
-from gradegap.raft.snapshots import SnapshotReceiver, SnapshotSender
-from gradegap.raft.types import (
+from gradegap.raft.messages import (
     AppendEntries,
     AppendEntriesResponse,
-    ClusterConfiguration,
-    Entry,
-    EntryKind,
-    HardState,
     InstallSnapshot,
     InstallSnapshotResponse,
-    Member,
     Message,
-    RaftSettings,
-    Ready,
     RequestVote,
     RequestVoteResponse,
-    Role,
-    SnapshotMetadata,
     TimeoutNow,
 )
-
-__all__ = ["NEVER", "Progress", "Raft", "RequestRejectedError", "initial_snapshot"]
+from gradegap.raft.progress import Progress
+from gradegap.raft.read_index import ReadIndexQueue
+from gradegap.raft.ready import Ready
+from gradegap.raft.replication import Replication
+from gradegap.raft.role import Role
+from gradegap.raft.settings import RaftSettings
+from gradegap.raft.snapshots import SnapshotReceiver, SnapshotSender
 
 
 class Raft:
@@ -306,8 +299,3 @@
         self.replication.append(EntryKind.NO_OP, b"")
         self.heartbeats.send(now)
         self.replication.advance_commit(now)
-
-
-def initial_snapshot(members: tuple[Member, ...]) -> SnapshotMetadata:
-    """What a new cluster begins with: no entry, and its first members."""
-    return SnapshotMetadata(0, 0, ClusterConfiguration(members))
--- a/gradegap/raft/election.py
+++ b/gradegap/raft/election.py
@@ -4,7 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from gradegap.raft.types import RequestVote, RequestVoteResponse, Role
+from gradegap.raft.messages import RequestVote, RequestVoteResponse
+from gradegap.raft.role import Role
 
 if TYPE_CHECKING:
     from gradegap.raft.core import Raft
--- a/gradegap/raft/follower.py
+++ b/gradegap/raft/follower.py
@@ -4,8 +4,9 @@
 
 from typing import TYPE_CHECKING
 
+from gradegap.raft.entries import Entry
 from gradegap.raft.errors import InvariantViolationError
-from gradegap.raft.types import AppendEntries, AppendEntriesResponse, Entry
+from gradegap.raft.messages import AppendEntries, AppendEntriesResponse
 
 if TYPE_CHECKING:
     from gradegap.raft.core import Raft
--- a/gradegap/raft/leadership_transfer.py
+++ b/gradegap/raft/leadership_transfer.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING
 
 from gradegap.raft.errors import MemberRoleError, NotLeaderError, TransferInProgressError, UnknownMemberError
+from gradegap.raft.messages import TimeoutNow
 from gradegap.raft.progress import NEVER
-from gradegap.raft.types import TimeoutNow
 
 if TYPE_CHECKING:
     from gradegap.raft.core import Raft
--- a/gradegap/raft/log.py
+++ b/gradegap/raft/log.py
@@ -2,25 +2,12 @@
 
 from __future__ import annotations
 
-import msgspec
-
+from gradegap.raft.cluster import ClusterConfiguration
+from gradegap.raft.entries import Entry, EntryKind, SnapshotMetadata, decode_configuration
 from gradegap.raft.errors import LogGapError
-from gradegap.raft.types import ClusterConfiguration, Entry, EntryKind, SnapshotMetadata
 
 UNBOUNDED_BYTES = 1 << 40  # bytes: no bound on a slice of the log
 
-_decoder: msgspec.msgpack.Decoder[ClusterConfiguration] = msgspec.msgpack.Decoder(ClusterConfiguration)
-
-
-def encode_configuration(configuration: ClusterConfiguration) -> bytes:
-    """A configuration as the data of its entry."""
-    return msgspec.msgpack.encode(configuration)
-
-
-def decode_configuration(entry: Entry) -> ClusterConfiguration:
-    """The configuration that an entry carries."""
-    return _decoder.decode(entry.data)
-
 
 class Log:
     """Entries after `base`, the last index that was compacted away or came in a snapshot."""
--- a/gradegap/raft/membership.py
+++ b/gradegap/raft/membership.py
@@ -8,6 +8,8 @@
 
 from typing import TYPE_CHECKING
 
+from gradegap.raft.cluster import ClusterConfiguration, Member
+from gradegap.raft.entries import EntryKind, encode_configuration
 from gradegap.raft.errors import (
     ChangePendingError,
     LastVoterError,
@@ -18,8 +20,6 @@
     TransferInProgressError,
     UnknownMemberError,
 )
-from gradegap.raft.log import encode_configuration
-from gradegap.raft.types import ClusterConfiguration, EntryKind, Member
 
 if TYPE_CHECKING:
     from gradegap.raft.core import Raft
--- a/gradegap/raft/replication.py
+++ b/gradegap/raft/replication.py
@@ -8,10 +8,11 @@
 
 from typing import TYPE_CHECKING
 
+from gradegap.raft.entries import Entry, EntryKind
 from gradegap.raft.errors import NotLeaderError, TooMuchUncommittedError, TransferInProgressError
 from gradegap.raft.log import UNBOUNDED_BYTES
+from gradegap.raft.messages import AppendEntries, AppendEntriesResponse
 from gradegap.raft.progress import Progress, majority_value
-from gradegap.raft.types import AppendEntries, AppendEntriesResponse, Entry, EntryKind
 
 if TYPE_CHECKING:
     from gradegap.raft.core import Raft
--- a/gradegap/raft/snapshots.py
+++ b/gradegap/raft/snapshots.py
@@ -6,9 +6,10 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
+from gradegap.raft.entries import SnapshotMetadata
 from gradegap.raft.errors import SnapshotTooOldError
+from gradegap.raft.messages import InstallSnapshot, InstallSnapshotResponse
 from gradegap.raft.progress import Progress
-from gradegap.raft.types import InstallSnapshot, InstallSnapshotResponse, SnapshotMetadata
 
 if TYPE_CHECKING:
     from gradegap.raft.core import Raft
--- a/gradegap/store/daemon.py
+++ b/gradegap/store/daemon.py
@@ -17,15 +17,17 @@
 import structlog
 
 from gradegap.metrics import Metrics
-from gradegap.raft.core import NEVER, Raft, RequestRejectedError
-from gradegap.raft.types import (
+from gradegap.raft import (
+    NEVER,
     ClusterConfiguration,
     Entry,
     EntryKind,
     Member,
     Message,
+    Raft,
     RaftSettings,
     Ready,
+    RequestRejectedError,
     Role,
     SnapshotMetadata,
 )
--- a/gradegap/store/disk.py
+++ b/gradegap/store/disk.py
@@ -20,7 +20,7 @@
 import lmdb
 import msgspec
 
-from gradegap.raft.types import ClusterConfiguration, Entry, HardState, SnapshotMetadata
+from gradegap.raft import ClusterConfiguration, Entry, HardState, SnapshotMetadata
 from gradegap.store.machine import Dirty, Event, Item, Session, State
 
 T = TypeVar("T")
--- a/gradegap/store/forming.py
+++ b/gradegap/store/forming.py
@@ -10,7 +10,7 @@
 
 import secrets
 
-from gradegap.raft.types import ClusterConfiguration, Member
+from gradegap.raft import ClusterConfiguration, Member
 from gradegap.store.settings import StoreSettings
 from gradegap.store.wire import Hello
 
--- a/gradegap/store/gather.py
+++ b/gradegap/store/gather.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from gradegap.raft.types import Member
+from gradegap.raft import Member
 from gradegap.store import wire
 
 if TYPE_CHECKING:
--- a/gradegap/store/links.py
+++ b/gradegap/store/links.py
@@ -15,7 +15,7 @@
 import structlog
 
 from gradegap.metrics import Metrics
-from gradegap.raft.types import Member
+from gradegap.raft import Member
 from gradegap.store.leases import LENGTH
 from gradegap.store.wire import BadLink, Channel, Word
 from gradegap.transport.addresses import split_address
--- a/gradegap/store/serve.py
+++ b/gradegap/store/serve.py
@@ -13,8 +13,7 @@
 
 from gradegap.metrics import Metrics
 from gradegap.node.operator_file import OperatorFileError, OperatorSettings, read_secret
-from gradegap.raft.core import RequestRejectedError
-from gradegap.raft.types import ClusterConfiguration, HardState, Member, SnapshotMetadata
+from gradegap.raft import ClusterConfiguration, HardState, Member, RequestRejectedError, SnapshotMetadata
 from gradegap.store.daemon import Daemon
 from gradegap.store.disk import BadFolder, Batch, Disk, Identity
 from gradegap.store.machine import Item, unpack
--- a/gradegap/store/service.py
+++ b/gradegap/store/service.py
@@ -19,8 +19,7 @@
 import structlog
 
 from gradegap.metrics import Metrics
-from gradegap.raft.core import Raft, RequestRejectedError
-from gradegap.raft.types import Entry, EntryKind, Member
+from gradegap.raft import Entry, EntryKind, Member, Raft, RequestRejectedError
 from gradegap.store import leases, schema, wire
 from gradegap.store.disk import Identity
 from gradegap.store.gather import Gathering
--- a/gradegap/store/wire.py
+++ b/gradegap/store/wire.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from gradegap.raft.types import ClusterConfiguration, Member, Message
+from gradegap.raft import ClusterConfiguration, Member, Message
 from gradegap.store.leases import LENGTH
 from gradegap.store.machine import Compare, Event, Item, Op
 
--- a/tests/compatibility/present.py
+++ b/tests/compatibility/present.py
@@ -13,6 +13,7 @@
 
 import msgspec
 
+from gradegap import raft
 from gradegap.capture import settings as capture_settings
 from gradegap.check import sessions as checked_sessions
 from gradegap.discovery import http_discovery
@@ -25,7 +26,6 @@
 from gradegap.proxy import proxy
 from gradegap.quic import front, keys, relay, tokens
 from gradegap.quic import settings as quic_settings
-from gradegap.raft import types as raft
 from gradegap.resume import claims, token
 from gradegap.resume import settings as resume_settings
 from gradegap.store import disk, machine, schema, wire
--- a/tests/compatibility/readers.py
+++ b/tests/compatibility/readers.py
@@ -12,10 +12,10 @@
 
 import msgspec
 
+from gradegap import raft
 from gradegap.capture import frames
 from gradegap.metrics import Metrics
 from gradegap.quic import ids, keys, tokens
-from gradegap.raft import types as raft
 from gradegap.resume import claims, lines, token
 from gradegap.store import disk, machine, wire
 from gradegap.store.snapshot import Snapshot
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -11,18 +11,21 @@
 from gradegap.check.explore import ELECTIONS, Bounds, Case, explore, find_by_walks, walk
 from gradegap.check.rules import Breach
 from gradegap.check.sim import Faults, Sim
-from gradegap.raft.core import Raft, RequestRejectedError, initial_snapshot
-from gradegap.raft.log import Log, encode_configuration
-from gradegap.raft.types import (
+from gradegap.raft import (
     AppendEntries,
     ClusterConfiguration,
     Entry,
     EntryKind,
     Member,
+    Raft,
     RaftSettings,
+    RequestRejectedError,
     SnapshotMetadata,
     TimeoutNow,
+    initial_snapshot,
 )
+from gradegap.raft.entries import encode_configuration
+from gradegap.raft.log import Log
 
 RUNS = 40  # seeds of the simulator in one run of the tests
 SECONDS = 15.0
--- a/tests/test_store_parts.py
+++ b/tests/test_store_parts.py
@@ -14,7 +14,7 @@
 
 from gradegap.check.linear import FOREVER, Did, explain
 from gradegap.node.operator_file import OperatorFileError, load_operator
-from gradegap.raft.types import ClusterConfiguration, Entry, EntryKind, HardState, Member, SnapshotMetadata
+from gradegap.raft import ClusterConfiguration, Entry, EntryKind, HardState, Member, SnapshotMetadata
 from gradegap.store import schema, wire
 from gradegap.store.disk import BadFolder, Batch, Disk
 from gradegap.store.forming import Forming
--- a/tests/test_store_voters.py
+++ b/tests/test_store_voters.py
@@ -9,7 +9,7 @@
 import pytest
 
 from gradegap.node.operator_file import OperatorFileError, load_operator
-from gradegap.raft.types import ClusterConfiguration, Member
+from gradegap.raft import ClusterConfiguration, Member
 from gradegap.store import wire
 from gradegap.store.forming import Forming, promotable
 from gradegap.store.remote import StoreError
