--- a/gradegap/raft/core.py
+++ b/gradegap/raft/core.py
@@ -4,8 +4,9 @@
 that `take_ready` hands over. The driver persists, then sends, then calls `persisted`. Nothing here reads a
 clock, a socket or a file, so that the simulator in `gradegap.check` can run the very same code.
 
-`Raft` holds a member's own state, passes on its role, and gives each call and message to the part whose job
-it is: elections, heartbeats, replication, snapshots, reads, membership, leadership transfer.
+`Raft` gives each call and message to the part whose job it is: elections, heartbeats, replication, snapshots,
+reads, membership, leadership transfer. The parts share a `NodeState`, and reach each other by the interfaces
+in `context`.
 
 Sources: Ongaro, "Consensus: Bridging Theory and Practice" (thesis); Ongaro and Ousterhout, "In Search of an
 Understandable Consensus Algorithm" (Raft paper).
@@ -13,10 +14,10 @@
 
 from __future__ import annotations
 
-import random
 from typing import ClassVar
 
-from gradegap.raft.cluster import ClusterConfiguration, Member
+from gradegap.raft.cluster import Member
+from gradegap.raft.context import RaftContext
 from gradegap.raft.election import Election
 from gradegap.raft.entries import Entry, EntryKind, HardState, SnapshotMetadata
 from gradegap.raft.follower import Follower
@@ -34,7 +35,6 @@
     RequestVoteResponse,
     TimeoutNow,
 )
-from gradegap.raft.progress import Progress
 from gradegap.raft.read_index import ReadIndexQueue
 from gradegap.raft.ready import Ready
 from gradegap.raft.replication import Replication
@@ -43,7 +43,7 @@
 from gradegap.raft.snapshots import SnapshotReceiver, SnapshotSender
 
 
-class Raft:
+class Raft(RaftContext):
     """One member. `member_id` is its identity for this incarnation of its disk."""
 
     # The classes of its parts: the checkers plant mistakes by putting others in their place.
@@ -55,6 +55,14 @@
     membership_type: ClassVar[type[Membership]] = Membership
     leadership_transfer_type: ClassVar[type[LeadershipTransfer]] = LeadershipTransfer
 
+    election: Election
+    heartbeats: Heartbeats
+    replication: Replication
+    follower: Follower
+    snapshot_sender: SnapshotSender
+    read_index_queue: ReadIndexQueue
+    leadership_transfer: LeadershipTransfer
+
     def __init__(
         self,
         member_id: str,
@@ -66,19 +74,14 @@
         applied_index: int = 0,
         settings: RaftSettings | None = None,
     ) -> None:
-        self.member_id = member_id
-        self.settings = settings or RaftSettings()
-        self.random = random.Random(seed)
-        self.log = Log(base, entries or [])
-        hard_state = hard_state or HardState()
-        self.term = hard_state.term
-        self.voted_for = hard_state.voted_for
-        self.role = Role.FOLLOWER
-        self.leader_id = ""
-        self.commit_index = max(base.index, applied_index)
-        self.applied_index = self.commit_index
-        self.stable_index = self.log.last_index  # the last index that is on this member's disk
-        self.pending = Ready()
+        super().__init__(
+            member_id,
+            seed,
+            Log(base, entries or []),
+            hard_state or HardState(),
+            applied_index,
+            settings or RaftSettings(),
+        )
         self.election = self.election_type(self, now)
         self.heartbeats = self.heartbeats_type(self)
         self.replication = self.replication_type(self)
@@ -110,21 +113,6 @@
         """When `tick` is wanted at the latest."""
         return self.heartbeats.next_at() if self.is_leader else self.election.timeout_at
 
-    @property
-    def configuration(self) -> ClusterConfiguration:
-        """The members in force, committed or not."""
-        return self.log.configuration
-
-    @property
-    def is_leader(self) -> bool:
-        """Whether this member takes itself to be the leader."""
-        return self.role is Role.LEADER
-
-    @property
-    def peers(self) -> dict[str, Progress]:
-        """What this member, as the leader, knows of each other one."""
-        return self.replication.peers
-
     @property
     def transferee(self) -> str:
         """The voter that leadership is being handed over to; empty without a transfer."""
@@ -260,22 +248,10 @@
         if self.is_leader:
             self.read_index_queue.confirm()
 
-    # What its parts share
-
-    def send(self, to: str, message: Message) -> None:
-        """Send a message once what this member has said so far is on its disk."""
-        self.pending.messages.append((to, message))
-
-    def persist_hard_state(self) -> None:
-        """Have the term and the vote written before anybody is told of them."""
-        self.pending.hard_state = HardState(self.term, self.voted_for)
-
-    def commits_own_term(self) -> bool:
-        """Whether the commit index is known to cover all that earlier leaders committed."""
-        return self.log.term_at(self.commit_index) == self.term
+    # Changes of role
 
-    def become_follower(self, now: float, term: int, leader: str) -> None:
-        """Follow `leader`, or nobody known yet where it is empty, in `term`."""
+    def become_follower(self, now: float, term: int, leader_id: str) -> None:
+        """Follow `leader_id`, or nobody known yet where it is empty, in `term`."""
         if term > self.term:
             self.term = term
             self.voted_for = ""
@@ -284,7 +260,7 @@
             self.read_index_queue.abandon()
             self.election.reset_timeout(now)
         self.role = Role.FOLLOWER
-        self.leader_id = leader
+        self.leader_id = leader_id
         self.leadership_transfer.reset()
         self.snapshot_sender.outgoing = None
 
--- a/gradegap/raft/election.py
+++ b/gradegap/raft/election.py
@@ -2,19 +2,15 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
+from gradegap.raft.context import RaftContext
 from gradegap.raft.messages import RequestVote, RequestVoteResponse
 from gradegap.raft.role import Role
 
-if TYPE_CHECKING:
-    from gradegap.raft.core import Raft
-
 
 class Election:
     """One member's timeouts, its campaigns and the votes that it gives."""
 
-    def __init__(self, raft: Raft, now: float) -> None:
+    def __init__(self, raft: RaftContext, now: float) -> None:
         self.raft = raft
         # As if a leader had just been heard: the promise not to vote that an earlier life of this process
         # may have given must have run out before it votes again, or leases would not hold.
--- a/gradegap/raft/follower.py
+++ b/gradegap/raft/follower.py
@@ -2,20 +2,16 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
+from gradegap.raft.context import RaftContext
 from gradegap.raft.entries import Entry
 from gradegap.raft.errors import InvariantViolationError
 from gradegap.raft.messages import AppendEntries, AppendEntriesResponse
 
-if TYPE_CHECKING:
-    from gradegap.raft.core import Raft
-
 
 class Follower:
     """Takes the leader's entries, and tells it where the logs differ (Raft paper, 5.3)."""
 
-    def __init__(self, raft: Raft) -> None:
+    def __init__(self, raft: RaftContext) -> None:
         self.raft = raft
         self.leader_commit = 0  # the most that a leader has said to be committed, held here or not
 
@@ -58,8 +54,7 @@
                 continue
             if known_term is not None:
                 self._truncate(entry.index)
-            log.append(entry)
-            raft.pending.entries.append(entry)
+            raft.append_entry(entry)
 
     def _truncate(self, index: int) -> None:
         raft = self.raft
--- a/gradegap/raft/heartbeats.py
+++ b/gradegap/raft/heartbeats.py
@@ -7,18 +7,15 @@
 from __future__ import annotations
 
 from collections import deque
-from typing import TYPE_CHECKING
 
+from gradegap.raft.context import RaftContext
 from gradegap.raft.progress import NEVER, majority_value
 
-if TYPE_CHECKING:
-    from gradegap.raft.core import Raft
-
 
 class Heartbeats:
     """When this member sent its rounds as the leader, and which of them a quorum has answered."""
 
-    def __init__(self, raft: Raft) -> None:
+    def __init__(self, raft: RaftContext) -> None:
         self.raft = raft
         self.current_round = 0
         self.started_rounds: deque[tuple[int, float]] = deque()  # rounds and when they began, oldest first
--- a/gradegap/raft/leadership_transfer.py
+++ b/gradegap/raft/leadership_transfer.py
@@ -2,20 +2,16 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
+from gradegap.raft.context import RaftContext
 from gradegap.raft.errors import MemberRoleError, NotLeaderError, TransferInProgressError, UnknownMemberError
 from gradegap.raft.messages import TimeoutNow
 from gradegap.raft.progress import NEVER
 
-if TYPE_CHECKING:
-    from gradegap.raft.core import Raft
-
 
 class LeadershipTransfer:
     """A transfer that is under way, if one is."""
 
-    def __init__(self, raft: Raft) -> None:
+    def __init__(self, raft: RaftContext) -> None:
         self.raft = raft
         self.target = ""  # the voter that is to lead
         self.give_up_at = NEVER
--- a/gradegap/raft/membership.py
+++ b/gradegap/raft/membership.py
@@ -6,9 +6,8 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
 from gradegap.raft.cluster import ClusterConfiguration, Member
+from gradegap.raft.context import RaftContext
 from gradegap.raft.entries import EntryKind, encode_configuration
 from gradegap.raft.errors import (
     ChangePendingError,
@@ -21,14 +20,11 @@
     UnknownMemberError,
 )
 
-if TYPE_CHECKING:
-    from gradegap.raft.core import Raft
-
 
 class Membership:
     """Adds and removes members, while this member leads."""
 
-    def __init__(self, raft: Raft) -> None:
+    def __init__(self, raft: RaftContext) -> None:
         self.raft = raft
 
     def settled(self) -> bool:
@@ -63,7 +59,7 @@
         replication = self.raft.replication
         index = replication.append(EntryKind.CONFIGURATION, encode_configuration(configuration))
         replication.track_members(now)
-        self.raft.flush(now)
+        replication.flush(now)
         return index
 
     def add(self, now: float, member: Member) -> int:
--- a/gradegap/raft/read_index.py
+++ b/gradegap/raft/read_index.py
@@ -3,13 +3,10 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
 
+from gradegap.raft.context import RaftContext
 from gradegap.raft.errors import LeaderNotReadyError, NotLeaderError
 
-if TYPE_CHECKING:
-    from gradegap.raft.core import Raft
-
 
 @dataclass(slots=True, frozen=True)
 class PendingRead:
@@ -23,7 +20,7 @@
 class ReadIndexQueue:
     """The reads that a leader was asked for and has not confirmed yet."""
 
-    def __init__(self, raft: Raft) -> None:
+    def __init__(self, raft: RaftContext) -> None:
         self.raft = raft
         self.pending: list[PendingRead] = []
 
@@ -34,7 +31,7 @@
             raise NotLeaderError
         if not raft.commits_own_term():
             raise LeaderNotReadyError
-        if now < raft.lease_until(now):
+        if now < raft.heartbeats.lease_until(now):
             raft.pending.read_states.append((number, raft.commit_index))
             return
         if raft.heartbeats.sent_at < now:
--- a/gradegap/raft/replication.py
+++ b/gradegap/raft/replication.py
@@ -6,24 +6,20 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
+from gradegap.raft.context import RaftContext
 from gradegap.raft.entries import Entry, EntryKind
 from gradegap.raft.errors import NotLeaderError, TooMuchUncommittedError, TransferInProgressError
 from gradegap.raft.log import UNBOUNDED_BYTES
 from gradegap.raft.messages import AppendEntries, AppendEntriesResponse
 from gradegap.raft.progress import Progress, majority_value
 
-if TYPE_CHECKING:
-    from gradegap.raft.core import Raft
-
 PROBE_BYTES = 4096  # of entries sent along while it is not known whether they fit
 
 
 class Replication:
     """What the leader knows of the other members' logs, and what of its own is committed."""
 
-    def __init__(self, raft: Raft) -> None:
+    def __init__(self, raft: RaftContext) -> None:
         self.raft = raft
         self.peers: dict[str, Progress] = {}
         self.uncommitted_bytes = 0  # bytes of entries that are not committed
@@ -67,9 +63,8 @@
         """Append an entry of this term to the leader's own log; its index."""
         raft = self.raft
         entry = Entry(raft.log.last_index + 1, raft.term, kind, data)
-        raft.log.append(entry)
+        raft.append_entry(entry)
         self.uncommitted_bytes += entry.size_bytes
-        raft.pending.entries.append(entry)
         return entry.index
 
     # Sending
--- a/gradegap/raft/snapshots.py
+++ b/gradegap/raft/snapshots.py
@@ -4,16 +4,13 @@
 
 import zlib
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
 
+from gradegap.raft.context import RaftContext
 from gradegap.raft.entries import SnapshotMetadata
 from gradegap.raft.errors import SnapshotTooOldError
 from gradegap.raft.messages import InstallSnapshot, InstallSnapshotResponse
 from gradegap.raft.progress import Progress
 
-if TYPE_CHECKING:
-    from gradegap.raft.core import Raft
-
 
 @dataclass(slots=True, frozen=True)
 class OutgoingSnapshot:
@@ -35,7 +32,7 @@
 class SnapshotSender:
     """The leader's side: one snapshot at a time, to as many members as need it."""
 
-    def __init__(self, raft: Raft) -> None:
+    def __init__(self, raft: RaftContext) -> None:
         self.raft = raft
         self.outgoing: OutgoingSnapshot | None = None
 
@@ -98,7 +95,7 @@
 class SnapshotReceiver:
     """A follower's side: chunks are gathered, and the whole takes the place of the log."""
 
-    def __init__(self, raft: Raft) -> None:
+    def __init__(self, raft: RaftContext) -> None:
         self.raft = raft
         self.incoming: IncomingSnapshot | None = None
 
