--- a/bench/scale/slopes_module.py
+++ b/bench/scale/slopes_module.py
@@ -65,13 +65,13 @@
         """`held`: between what bounds servers report the connections that they hold."""
         self.rng = Random(seed)
         self.groups, self.held = groups, held
-        self.balancer = Balancer(settings(balancers=1, groups=groups > 0), seed)
+        self.balancer = Balancer(settings(proxy_count=1, connection_groups=groups > 0), seed)
         self.now = 100.0
         self.next_id = 0
         self.ids: list[tuple[int, str]] = []
         self.handle(EndpointList(EndpointListKind.CACHED, entries(servers)))
         for entry in entries(servers):
-            self.handle(self.report(entry.server))
+            self.handle(self.report(entry.name))
 
     def handle(self, event: Event) -> list[Action]:
         """One event to the module."""
@@ -86,14 +86,14 @@
         """One request from its arrival to its connection's standing, probes included."""
         self.next_id += 1
         team = f"group-{self.rng.randrange(self.groups)}" if self.groups else ""
-        todo = self.handle(RequestArrived(self.next_id, "live", self.now + 2.0, team=team))
+        todo = self.handle(RequestArrived(self.next_id, "live", self.now + 2.0, group=team))
         while todo:
             action = todo.pop(0)
             if isinstance(action, CheckHealth):
-                todo += self.handle(self.report(action.server))
+                todo += self.handle(self.report(action.endpoint))
             elif isinstance(action, Forward):
-                self.handle(ConnectionEstablished(action.id, 0, action.server, 0.01))
-                self.ids.append((action.id, action.server))
+                self.handle(ConnectionEstablished(action.request_id, 0, action.endpoint, 0.01))
+                self.ids.append((action.request_id, action.endpoint))
 
     def end(self) -> None:
         """The oldest session ends."""
@@ -212,7 +212,7 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop, seed: int) -> None:
         stats = Metrics()
-        self.core = Proxy(settings(balancers=1600), seed, NoBackends(), stats, loop)
+        self.core = Proxy(settings(proxy_count=1600), seed, NoBackends(), stats, loop)
         self.director = HttpDiscovery(self.core, cast(Dialer, None), "127.0.0.1:1", stats)
 
     def take(self, body: bytes, whole: bool) -> float:
--- a/bench/wave.py
+++ b/bench/wave.py
@@ -30,14 +30,14 @@
 
     def feed(self, node: Any, event: Event) -> None:
         if isinstance(event, RequestArrived):
-            self.deadlines[event.id] = event.deadline_at
+            self.deadlines[event.request_id] = event.deadline_at
         super().feed(node, event)
 
     def send(self, node: Any, send: Forward) -> None:
-        tries = self.tries[send.id] = self.tries.get(send.id, 0) + 1
-        left = self.deadlines[send.id] - self.now
+        tries = self.tries[send.request_id] = self.tries.get(send.request_id, 0) + 1
+        left = self.deadlines[send.request_id] - self.now
         tries_left = node.set.max_attempts - tries + 1
-        wait = left if tries_left <= 1 else min(left, max(INVENTORY.aim, left / tries_left / 2))
+        wait = left if tries_left <= 1 else min(left, max(INVENTORY.latency_objective, left / tries_left / 2))
         super().send(node, send._replace(timeout=min(send.timeout, wait)))
 
 
--- a/gradegap/balancing/actions.py
+++ b/gradegap/balancing/actions.py
@@ -12,8 +12,8 @@
 class Forward(NamedTuple):
     """Start one attempt: open a connection to the endpoint for this request."""
 
-    id: int
-    server: str
+    request_id: int
+    endpoint: str
     timeout: float  # s until the attempt has failed
     begin_within: float = math.inf  # s after which the first line may not be written any more
 
@@ -21,33 +21,33 @@
 class Reject(NamedTuple):
     """Final answer: trying again is harmless, after a while where one is given."""
 
-    id: int
+    request_id: int
     retry_after: float = 0.0  # s; 0: no advice
 
 
 class Fail(NamedTuple):
     """Final answer that promises nothing."""
 
-    id: int
+    request_id: int
 
 
 class Migrate(NamedTuple):
     """End an established connection politely; its client comes again."""
 
-    id: int
+    request_id: int
 
 
 class SetTimer(NamedTuple):
     """Send `TimerFired` with this token after a while."""
 
-    wait: float  # s
+    delay: float  # s
     token: str
 
 
 class CheckHealth(NamedTuple):
     """Ask an endpoint for its load report; `HealthCheckEnded` has the result."""
 
-    server: str
+    endpoint: str
 
 
 class WatchEndpoints(NamedTuple):
--- a/gradegap/balancing/balancer.py
+++ b/gradegap/balancing/balancer.py
@@ -106,7 +106,7 @@
     zone: str = ""
     is_local: bool = True
     cell: int = 0
-    phase: EndpointPhase = EndpointPhase.GONE
+    phase: EndpointPhase = EndpointPhase.REMOVED
     weight: float = 1.0
     started_at: float = 0.0
     index: int = -1  # place in the list of ready servers; -1: not in it
@@ -203,10 +203,10 @@
         """Settings to decide by from now on."""
         self.set = settings
         self.worth.adopt(settings)
-        self.by_probe = settings.probes and settings.reports is not ReportSource.NONE
+        self.by_probe = settings.health_checks and settings.report_source is not ReportSource.NONE
         self.field = next((f for f in COMPARED if f in settings.report_fields), "")
-        self.use_ring = settings.groups or settings.passes
-        self.cross = CROSSING * settings.cross_zone_price
+        self.use_ring = settings.connection_groups or settings.passthrough
+        self.cross = CROSSING * settings.cross_zone_cost
 
     def handle(self, now: float, event: Event) -> list[Action]:
         self.now = now
@@ -225,28 +225,28 @@
             self._ask_later(min(1.0, 0.1 * 2.0**self.list_failures) * (0.5 + self.random()))
             return
         if e.kind is not EndpointListKind.DELTA:
-            named = {entry.server for entry in e.entries}
+            named = {entry.name for entry in e.entries}
             for s in list(self.servers.values()):
                 if s.name not in named:
-                    self._set_phase(s, EndpointPhase.GONE)
+                    self._set_phase(s, EndpointPhase.REMOVED)
         for entry in e.entries:
             self._entry(entry, e.kind is EndpointListKind.DELTA)
         self.n_log_n = len(self.ready) * math.log(max(1, len(self.ready)))
         if e.kind is not EndpointListKind.CACHED:
             self.asking, self.list_failures = False, 0
-        elif self.set.ask_for_list:
-            self._ask_later(ASK_SPREAD * self.random() * min(1.0, self.set.balancers / 10))
+        elif self.set.polls_endpoints:
+            self._ask_later(ASK_SPREAD * self.random() * min(1.0, self.set.proxy_count / 10))
 
     def _ask_later(self, part: float) -> None:
-        if self.set.ask_for_list and not self.asking:
+        if self.set.polls_endpoints and not self.asking:
             self.asking = True
-            self.out.append(SetTimer(part * self.set.ask_within, "list"))
+            self.out.append(SetTimer(part * self.set.poll_within, "list"))
 
     def _known(self, name: str) -> _Server:
         return self.servers.setdefault(name, _Server(name))
 
     def _entry(self, e: EndpointEntry, renewed: bool) -> None:
-        s = self._known(e.server)
+        s = self._known(e.name)
         s.size = max(s.size, e.weight)
         if e.started_at > s.started_at:  # a new process: what was known of the old one is void
             s.started_at, s.load, s.unit, s.raw = e.started_at, None, 0.0, (None, None)
@@ -255,7 +255,7 @@
         elif s.cores and renewed and s.index >= 0 and e.phase is EndpointPhase.READY:
             # Where a phase changes, and in whole lists, the weight is the size and tells nothing of them.
             s.told, s.told_at = told.held(s.size, e.weight, s.cores), self.now
-        s.zone, s.cell, s.weight, s.leaves_in = e.zone, e.cell, e.weight, e.leaves_in
+        s.zone, s.cell, s.weight, s.leaves_in = e.zone, e.cell, e.weight, e.stops_within
         s.is_local = not e.zone or not self.set.zone or e.zone == self.set.zone
         self._set_phase(s, e.phase)
 
@@ -276,20 +276,20 @@
             s.drains_at = 0.0
         elif s.held:
             self._empty(s)
-        elif phase is EndpointPhase.GONE:
+        elif phase is EndpointPhase.REMOVED:
             self.servers.pop(s.name, None)
 
     # A request's way
 
     def _on_requestarrived(self, e: RequestArrived) -> None:
-        r = self.reqs[e.id] = self._made(e, self.set.classes[e.cls])
+        r = self.reqs[e.request_id] = self._made(e, self.set.classes[e.class_name])
         again = e.retry or e.reconnect
         self.tokens = min(PROBES_SAVED, self.tokens + (PROBES_PER_RETURN if again else PROBES_PER_REQUEST))
         self._draw(r)
 
     def _made(self, e: RequestArrived, cls: ClassSettings) -> _Req:
-        r = _Req(e.id, cls, self.now, e.deadline_at, self.set.max_attempts, e.reconnect, e.tenant)
-        r.ring_key = (e.team or (e.key if self.set.passes else "")) if self.use_ring else ""
+        r = _Req(e.request_id, cls, self.now, e.deadline_at, self.set.max_attempts, e.reconnect, e.tenant)
+        r.ring_key = (e.group or (e.key if self.set.passthrough else "")) if self.use_ring else ""
         r.worth = self.worth.of(cls, e.tenant)
         return r
 
@@ -312,7 +312,7 @@
                 break
         if a is b or not self.by_probe:
             return self._decide(r)
-        old = self.now - FRESH * r.cls.aim
+        old = self.now - FRESH * r.cls.latency_objective
         r.waiting = 0
         for s in pair:
             if s.looked_at < old and self.tokens > 0:
@@ -324,7 +324,7 @@
         else:
             # Guards against a silent probe: a request never waits longer than this for one.
             left = r.deadline - GUARD - self.now
-            self.out.append(SetTimer(max(0.0, min(HOLD * r.cls.aim, left)), f"h{r.id}"))
+            self.out.append(SetTimer(max(0.0, min(HOLD * r.cls.latency_objective, left)), f"h{r.id}"))
 
     def _pick(self, r: _Req, other: _Server | None) -> _Server | None:
         """A uniform draw from the ready list, drawn again where a stated condition rules it out."""
@@ -374,7 +374,7 @@
 
     def beta(self, older_age: float) -> float:
         """The chance of a two-way comparison, for figures of which the older has this age."""
-        b = self.stood.get(self.now) * self.set.balancers * older_age
+        b = self.stood.get(self.now) * self.set.proxy_count * older_age
         if b <= self.n_log_n:
             return 1.0
         return min(1.0, BETA_SCALE * math.sqrt(self.n_log_n / b))
@@ -424,7 +424,7 @@
             return False
         pace = self.figures.pace()
         lag = pace + min(age, pace)  # over longer, those who leave make room for those who come
-        rivals = 2.0 * self.came.get(self.now) * self.set.balancers * lag / max(1, len(self.ready))
+        rivals = 2.0 * self.came.get(self.now) * self.set.proxy_count * lag / max(1, len(self.ready))
         return rivals <= room or self.random() * rivals < room
 
     def _unit(self, s: _Server) -> float:
@@ -455,11 +455,11 @@
                 return self._draw(r)
         keep = a
         if a is not b:
-            if self.by_probe or self.set.reports is ReportSource.ANSWERS:
+            if self.by_probe or self.set.report_source is ReportSource.ANSWERS:
                 fa, fb = self._figure(a, r), self._figure(b, r)
                 oldest = min(max(s.seen_at, s.told_at) for s in (a, b))
                 age = 0.0 if None in (fa, fb) else self.now - oldest
-            elif self.set.weights is WeightMeaning.LIVE:
+            elif self.set.weight_meaning is WeightMeaning.LIVE:
                 fa, fb, age = 1.0 / max(a.weight, 1e-9), 1.0 / max(b.weight, 1e-9), 0.0
             else:  # no reports at all: our own connections are all that can be counted
                 fa, fb, age = len(a.held) / max(a.weight, 1e-9), len(b.held) / max(b.weight, 1e-9), 0.0
@@ -480,7 +480,7 @@
             room = self._has_room(keep, r)
             if not room or (figure is not None and figure >= FULL_AT):
                 r.best = keep
-                if r.redraws < REDRAWS and self.now - r.arrived < FRESH * r.cls.aim:
+                if r.redraws < REDRAWS and self.now - r.arrived < FRESH * r.cls.latency_objective:
                     r.redraws += 1
                     return self._draw(r)
                 # Condition: no pair drawn has room. One more would spoil what is held: come again later.
@@ -498,7 +498,7 @@
         # The last attempt, and one that would only repeat its cost, has all the time left, others until the
         # aim is left for one more. Guards against a wave that slows all servers: work done twice buries them.
         last = r.most - r.attempts <= 1 or self._excess() > 0
-        timeout = left if last else max(min(left, r.cls.aim), left - r.cls.aim)
+        timeout = left if last else max(min(left, r.cls.latency_objective), left - r.cls.latency_objective)
         r.attempts += 1
         r.sent_at = self.now
         # What all proxies are about to give a server is what they send: arrivals refused put nothing on any.
@@ -514,7 +514,7 @@
         self.out.append(Forward(r.id, s.name, timeout, r.bound_until - self.now))
 
     def _group_of(self, s: _Server, r: _Req) -> Any:
-        group = r.cls.group
+        group = r.cls.deduplication_scope
         return (
             s.zone
             if group is DeduplicationScope.ZONE
@@ -531,17 +531,21 @@
 
     def _wait(self, r: _Req) -> None:
         """Nothing may be sent to now: look again soon, and refuse when the aim has passed."""
-        if self.now - r.arrived >= r.cls.aim or r.deadline - self.now <= 2 * GUARD:
+        if self.now - r.arrived >= r.cls.latency_objective or r.deadline - self.now <= 2 * GUARD:
             return self._give_up(r)
-        wait = min(r.cls.aim / 4 * (0.5 + self.random()), r.deadline - GUARD - self.now)
+        wait = min(r.cls.latency_objective / 4 * (0.5 + self.random()), r.deadline - GUARD - self.now)
         self.out.append(SetTimer(max(0.0, wait), f"h{r.id}"))
 
     def _give_up(self, r: _Req) -> None:
         """The one final answer, where no attempt is out: a refusal if that is true, else a failure."""
         r.done = True
         del self.reqs[r.id]
-        may_refuse = not r.maybe_ran or r.cls.repeat is Idempotency.SAFE
-        if r.cls.repeat is Idempotency.KEYED and r.maybe_ran and r.cls.group is DeduplicationScope.ALL:
+        may_refuse = not r.maybe_ran or r.cls.idempotency is Idempotency.IDEMPOTENT
+        if (
+            r.cls.idempotency is Idempotency.KEYED
+            and r.maybe_ran
+            and r.cls.deduplication_scope is DeduplicationScope.ALL
+        ):
             may_refuse = self.now < r.bound_until
         most = min(LEAVE_LAG, self.set.max_retry_after) if self.ending else self.set.max_retry_after
         after = most * (0.5 + 0.5 * self.random())
@@ -550,7 +554,7 @@
     # What comes back
 
     def _on_connectionestablished(self, e: ConnectionEstablished) -> None:
-        r = self.reqs.get(e.id)
+        r = self.reqs.get(e.request_id)
         if r is None or r.server is None:
             return
         r.standing = True
@@ -581,9 +585,9 @@
         return True
 
     def _on_attemptended(self, e: AttemptEnded) -> None:
-        if e.report and e.server in self.servers:
-            self._read(self.servers[e.server], e.report)
-        r = self.reqs.get(e.id)
+        if e.report and e.endpoint in self.servers:
+            self._read(self.servers[e.endpoint], e.report)
+        r = self.reqs.get(e.request_id)
         if r is None:
             return
         s = r.server
@@ -594,7 +598,7 @@
             self.owed += broke
             if broke and not s.held and s.phase is EndpointPhase.DRAINING and not s.leaves_in:
                 self.lead = max(0.3, min(self.lead, self.now - s.drains_at))  # it stopped before the end
-            if s.phase is EndpointPhase.GONE and not s.held:
+            if s.phase is EndpointPhase.REMOVED and not s.held:
                 self.servers.pop(s.name, None)
         if e.settled or r.done or r.standing:
             r.done = True
@@ -603,7 +607,7 @@
         if s is not None and e.result not in (
             AttemptResult.FULL,
             AttemptResult.CANCELLED,
-            AttemptResult.MOOT,
+            AttemptResult.NOT_SENT,
         ):
             s.failed += 1
             self._out(s, s.failed if self._excess() <= 0 else 0)  # what fails anywhere is no server's fault
@@ -611,17 +615,17 @@
                 self.lost.add(self.now)
         if e.result not in NEVER_RAN:
             r.maybe_ran = True
-            if r.cls.repeat is Idempotency.KEYED and r.bound is None and s is not None:
-                r.bound, r.bound_until = self._group_of(s, r), r.sent_at + r.cls.repeat_window
+            if r.cls.idempotency is Idempotency.KEYED and r.bound is None and s is not None:
+                r.bound, r.bound_until = self._group_of(s, r), r.sent_at + r.cls.deduplication_window
         left = r.deadline - self.now
-        spent = r.attempts >= r.most or left <= 2 * GUARD or e.result is AttemptResult.MOOT
-        if spent or (r.maybe_ran and r.cls.repeat is Idempotency.UNSAFE):
+        spent = r.attempts >= r.most or left <= 2 * GUARD or e.result is AttemptResult.NOT_SENT
+        if spent or (r.maybe_ran and r.cls.idempotency is Idempotency.NON_IDEMPOTENT):
             self._give_up(r)
         else:
             self._draw(r)
 
     def _on_clientdisconnected(self, e: ClientDisconnected) -> None:
-        if (r := self.reqs.get(e.id)) is not None:
+        if (r := self.reqs.get(e.request_id)) is not None:
             r.done = True
             if not r.out:
                 del self.reqs[r.id]
@@ -629,8 +633,8 @@
     def _on_connectioninherited(self, e: ConnectionInherited) -> None:
         q = e.request
         classes = self.set.classes
-        r = self._made(q, classes.get(q.cls) or next(iter(classes.values())))  # a reload took it
-        s = self._known(e.server)
+        r = self._made(q, classes.get(q.class_name) or next(iter(classes.values())))  # a reload took it
+        s = self._known(e.endpoint)
         r.attempts, r.out, r.standing, r.server = 1, True, True, s
         self._hold(s, r)
         if s.phase is EndpointPhase.DRAINING:
@@ -649,7 +653,7 @@
             self.out.append(CheckHealth(s.name))
 
     def _on_healthcheckended(self, e: HealthCheckEnded) -> None:
-        s = self.servers.get(e.server)
+        s = self.servers.get(e.endpoint)
         if s is None:
             return
         s.probing = NEVER
@@ -688,7 +692,7 @@
         self.figures.changed(gap, s.raw, (value, count))
         s.raw = (value, count)
         s.seen_at = self.now
-        if self.set.weights is WeightMeaning.LIVE:
+        if self.set.weight_meaning is WeightMeaning.LIVE:
             s.cores = told.cores(s.cores, s.size, s.weight, count)
         piled = report.get("x1", 0.0)
         if self.field == "inflight":
@@ -714,7 +718,7 @@
         # Guards against moves that no other server has room for: their clients would only be refused.
         others = [(self._load(o) or 0.0, o.unit) for o in self.ready if o is not s and o.unit > 0]
         room = math.inf if s.silent else sum(max(0.0, ROOM_TO - full) / unit for full, unit in others)
-        room /= self.set.balancers
+        room /= self.set.proxy_count
         count = int(min(len(s.held) * (load - MOVE_TO * wide) / load, room) + self.random())
         s.rest_until = self.now + MOVE_REST * self.figures.pace() * (0.75 + 0.5 * self.random())
         if count:
@@ -740,7 +744,7 @@
             first, last = LEAD_FROM * self.lead, LEAD_TO * self.lead
             if s.leaves_in:
                 first, last = SOON_FROM * s.leaves_in, SOON_TO * s.leaves_in
-            if s.phase is EndpointPhase.GONE:
+            if s.phase is EndpointPhase.REMOVED:
                 first, last = 0.0, GONE_TIME
             s.empty_by = self.now + last
             self.out.append(SetTimer(first + LEAVE_TICK * self.random(), f"e{s.name}"))
@@ -748,13 +752,13 @@
     def _on_proxydraining(self, e: ProxyDraining) -> None:
         """Condition: this proxy itself stops. All that it holds is moved by then, paced likewise. Where its
         process ends, what waits is refused at once: a connection stood up now would only be moved."""
-        self.empty_by = min(self.empty_by or e.by, e.by)
-        self.ending = self.ending or e.ends
+        self.empty_by = min(self.empty_by or e.deadline_at, e.deadline_at)
+        self.ending = self.ending or e.process_ends
         for r in [r for r in self.reqs.values() if self.ending and not r.out and not r.done]:
             self._give_up(r)
         if not self.leave_due:
             self.leave_due = True
-            self.out.append(SetTimer(min(LEAVE_LAG, max(0.0, e.by - self.now)), "leave"))
+            self.out.append(SetTimer(min(LEAVE_LAG, max(0.0, e.deadline_at - self.now)), "leave"))
 
     def _on_proxyresumed(self, e: ProxyResumed) -> None:
         """Condition: this proxy stays after all, with what it still holds."""
@@ -763,15 +767,15 @@
     def _move_part(self, held: list[_Req], by: float, token: str) -> None:
         """Move a share of what is left, so that all are moved by then; the worthiest first."""
         rounds = max(1, int((by - self.now) / LEAVE_TICK))
-        held.sort(key=lambda r: r.cls.worth * (0.5 + self.random()), reverse=True)
+        held.sort(key=lambda r: r.cls.priority_weight * (0.5 + self.random()), reverse=True)
         self._move(held[: math.ceil(len(held) / rounds)])
         self.out.append(SetTimer(LEAVE_TICK, token))
 
     def _on_connectionobserved(self, e: ConnectionObserved) -> None:
         """Messages take long at a server: look at it. Or a connection's load is told."""
-        if e.load and (r := self.reqs.get(e.id)) is not None:
+        if e.load and (r := self.reqs.get(e.request_id)) is not None:
             self.worth.told(r.cls.name, e.load)
-        s = self.servers.get(e.server)
+        s = self.servers.get(e.endpoint)
         slow = e.message_delay is not None and self.by_probe and self.tokens > PROBES_KEPT
         if s is not None and slow and s.looked_at < self.now - LOOK_FAST:
             self._probe(s)
--- a/gradegap/balancing/capacity.py
+++ b/gradegap/balancing/capacity.py
@@ -71,8 +71,8 @@
         That is its capacity by the slowest ramp there may be, and less where it is smaller than the others. A
         larger one gets no more for it: sizes may be rough.
         """
-        grown = max(0.0, now - server.started_at) / settings.cold_time
-        capacity = settings.cold_share + (1.0 - settings.cold_share) * grown
+        grown = max(0.0, now - server.started_at) / settings.slow_start_time
+        capacity = settings.slow_start_share + (1.0 - settings.slow_start_share) * grown
         return capacity * min(1.0, server.size / self.mean_size) if self.mean_size > 0.0 else capacity
 
 
@@ -82,4 +82,4 @@
 
 def is_cold(server: Server, now: float, settings: Settings) -> bool:
     """Returns whether a server may still be cold; a start ahead of our clock counts as one just now."""
-    return server.started_at > 0.0 and now - server.started_at < settings.cold_time
+    return server.started_at > 0.0 and now - server.started_at < settings.slow_start_time
--- a/gradegap/balancing/events.py
+++ b/gradegap/balancing/events.py
@@ -14,7 +14,7 @@
 class EndpointPhase(IntEnum):
     """Where an endpoint stands in its life, as discovery says."""
 
-    GONE = 0
+    REMOVED = 0
     READY = 1
     DRAINING = 2
 
@@ -38,22 +38,22 @@
     CONNECT_FAILED = 50  # never ran
     RESET = 60  # may have run
     CANCELLED = 70  # may have run
-    MOOT = 80  # never sent
+    NOT_SENT = 80  # never sent
 
 
-NEVER_RAN = frozenset({AttemptResult.FULL, AttemptResult.CONNECT_FAILED, AttemptResult.MOOT})
+NEVER_RAN = frozenset({AttemptResult.FULL, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT})
 
 
 class EndpointEntry(NamedTuple):
     """One endpoint of the endpoint list."""
 
-    server: str
+    name: str
     zone: str = ""
     cell: int = 0
     phase: EndpointPhase = EndpointPhase.READY
     weight: float = 1.0
     started_at: float = 0.0  # latest start; 0: long ago
-    leaves_in: float = 0.0  # s that it stays from when it is told to drain; 0: not told
+    stops_within: float = 0.0  # s that it stays from when it is told to drain; 0: not told
 
 
 class EndpointList(NamedTuple):
@@ -66,12 +66,12 @@
 class RequestArrived(NamedTuple):
     """A client asks for a connection."""
 
-    id: int
-    cls: str
+    request_id: int
+    class_name: str
     deadline_at: float
     tenant: str = ""
     key: str = ""
-    team: str = ""  # connections of one group share work on an endpoint
+    group: str = ""  # connections of one group share work on an endpoint
     load: float = 0.0  # expected load; 0: not told
     retry: bool = False
     mid_flow: bool = False
@@ -82,23 +82,23 @@
     """A connection that already stands, through this proxy, at its start: its attempt 0."""
 
     request: RequestArrived
-    server: str
+    endpoint: str
 
 
 class ConnectionEstablished(NamedTuple):
     """The endpoint has taken the connection."""
 
-    id: int
+    request_id: int
     attempt: int
-    server: str
-    spent: float  # s since the attempt began
+    endpoint: str
+    elapsed: float  # s since the attempt began
 
 
 class ConnectionObserved(NamedTuple):
     """What was seen of an established connection: its load now, or how long a message takes."""
 
-    id: int
-    server: str
+    request_id: int
+    endpoint: str
     load: float | None = None
     message_delay: float | None = None  # s
 
@@ -106,11 +106,11 @@
 class AttemptEnded(NamedTuple):
     """The one outcome of an attempt, or the end of its connection."""
 
-    id: int
+    request_id: int
     attempt: int
-    server: str
+    endpoint: str
     result: AttemptResult
-    spent: float  # s since the attempt began
+    elapsed: float  # s since the attempt began
     settled: bool  # the client has its final answer
     report: Mapping[str, float] | None = None
 
@@ -118,7 +118,7 @@
 class ClientDisconnected(NamedTuple):
     """The client has gone away."""
 
-    id: int
+    request_id: int
 
 
 class TimerFired(NamedTuple):
@@ -130,17 +130,19 @@
 class HealthCheckEnded(NamedTuple):
     """What a health check came to, with the load report that it brought."""
 
-    server: str
+    endpoint: str
     result: AttemptResult
-    spent: float  # s
+    elapsed: float  # s
     report: Mapping[str, float] | None = None
 
 
 class ProxyDraining(NamedTuple):
     """This proxy is about to stop: every connection it holds must have been told to migrate by then."""
 
-    by: float
-    ends: bool = False  # its process ends as well: whatever is not out to an endpoint by now never will be
+    deadline_at: float
+    process_ends: bool = (
+        False  # its process ends as well: whatever is not out to an endpoint by now never will be
+    )
 
 
 class ProxyResumed(NamedTuple):
--- a/gradegap/balancing/priority.py
+++ b/gradegap/balancing/priority.py
@@ -29,7 +29,7 @@
     def _rate(self, cls: ClassSettings) -> float:
         """Worth a second for a unit of load; where a class's load is not known, no class's is used."""
         known = len(self.loads) >= len(self.set.classes)
-        return cls.worth / self.loads.get(cls.name, 1.0) if known else cls.worth
+        return cls.priority_weight / self.loads.get(cls.name, 1.0) if known else cls.priority_weight
 
     def told(self, cls: str, load: float) -> None:
         """What one standing connection asks of its server now."""
@@ -47,11 +47,11 @@
         told = self.set.tenants.get(tenant)
         if told is None or told.quota <= 0.0:
             return 0.0
-        stand = (self.held.get(tenant, 0) + 1) * self.set.balancers
+        stand = (self.held.get(tenant, 0) + 1) * self.set.proxy_count
         return max(0.0, 1.0 - SLACK * told.quota / stand)
 
     def of(self, cls: ClassSettings, tenant: str) -> float:
         """From 0 to 1: the worth of serving one more, for its load, over the most that any class is worth."""
-        beyond = (1.0 - self.set.over_share_worth) * self.over(tenant)
+        beyond = (1.0 - self.set.over_share_weight) * self.over(tenant)
         top = max(self._rate(c) for c in self.set.classes.values()) or 1.0
         return min(1.0, self._rate(cls) / top) * (1.0 - beyond)
--- a/gradegap/balancing/settings.py
+++ b/gradegap/balancing/settings.py
@@ -13,9 +13,9 @@
 class Idempotency(Enum):
     """What a second run of a request of a class would do."""
 
-    SAFE = "safe"  # nothing: repeat at will
+    IDEMPOTENT = "safe"  # nothing: repeat at will
     KEYED = "keyed"  # nothing, inside the group of servers that drops repeats, for a while
-    UNSAFE = "unsafe"  # harm: repeat only when no earlier attempt can have run
+    NON_IDEMPOTENT = "unsafe"  # harm: repeat only when no earlier attempt can have run
 
 
 class DeduplicationScope(Enum):
@@ -48,13 +48,13 @@
     """One class of requests."""
 
     name: str
-    aim: float = 0.5  # an answer within this has its full worth
-    limit: float = 2.0  # the client's whole wait
-    worth: float = 1.0
-    repeat: Idempotency = Idempotency.SAFE
-    group: DeduplicationScope = DeduplicationScope.ALL
-    repeat_window: float = 0.0  # keyed: how long servers remember a request
-    message_aim: float = 0.0  # wanted time of one message on a standing connection; 0: none
+    latency_objective: float = 0.5  # an answer within this has its full worth
+    time_limit: float = 2.0  # the client's whole wait
+    priority_weight: float = 1.0
+    idempotency: Idempotency = Idempotency.IDEMPOTENT
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window: float = 0.0  # keyed: how long servers remember a request
+    message_latency_objective: float = 0.0  # wanted time of one message on a standing connection; 0: none
 
 
 @dataclass(slots=True, frozen=True)
@@ -71,45 +71,51 @@
     """What one proxy is told at its start."""
 
     classes: Mapping[str, ClassSettings]
-    balancers: int = 1
+    proxy_count: int = 1
     zone: str = ""
-    ask_for_list: bool = False  # the list comes only when asked for
-    ask_within: float = 10.0
+    polls_endpoints: bool = False  # the list comes only when asked for
+    poll_within: float = 10.0
     drain_grace: float = 1.0
-    answer_slack: float = 0.0
+    response_slack: float = 0.0
     connect_timeout: float = 0.2  # a connection not up within this has failed
     max_attempts: int = 3
     max_retry_after: float = 0.0  # 0: no advice is passed on to clients
-    probes: bool = True
-    reports: ReportSource = ReportSource.NONE
+    health_checks: bool = True
+    report_source: ReportSource = ReportSource.NONE
     report_fields: tuple[str, ...] = ()
-    weights: WeightMeaning = WeightMeaning.NONE
-    groups: bool = False  # connections of one group share work on a server
-    passes: bool = False  # packets pass through: connections outlive the proxy
-    cold_share: float = 1.0  # a server starts with at least this part of its capacity
-    cold_time: float = 0.0  # and is warm within this time
-    fall_multiple: float = 3.0
-    fall_time: float = 1.0
-    cross_zone_price: float = 0.0  # points of service for a request that crosses zones
-    move_price: float = 0.0  # points of service for a client moved once
-    probe_price: float = 0.0  # points of service for one probe a request
+    weight_meaning: WeightMeaning = WeightMeaning.NONE
+    connection_groups: bool = False  # connections of one group share work on a server
+    passthrough: bool = False  # packets pass through: connections outlive the proxy
+    slow_start_share: float = 1.0  # a server starts with at least this part of its capacity
+    slow_start_time: float = 0.0  # and is warm within this time
+    overload_multiple: float = 3.0
+    overload_window: float = 1.0
+    cross_zone_cost: float = 0.0  # points of service for a request that crosses zones
+    migration_cost: float = 0.0  # points of service for a client moved once
+    health_check_cost: float = 0.0  # points of service for one probe a request
     cpu_per_request: float = 0.0  # seconds; 0: no limit
     tenants: Mapping[str, TenantSettings] = field(default_factory=dict)
-    over_share_worth: float = 1.0  # part of its worth that a request beyond its tenant's share has
+    over_share_weight: float = 1.0  # part of its worth that a request beyond its tenant's share has
 
     def __post_init__(self) -> None:
         if not self.classes:
             raise ValueError("settings name no class of requests")
-        if self.balancers < 1:
-            raise ValueError(f"balancers must be 1 or more, not {self.balancers}")
+        if self.proxy_count < 1:
+            raise ValueError(f"balancers must be 1 or more, not {self.proxy_count}")
         if self.max_attempts < 1:
             raise ValueError(f"max_attempts must be 1 or more, not {self.max_attempts}")
-        if not 0.0 <= self.cold_share <= 1.0:
-            raise ValueError(f"cold_share must lie between 0 and 1, not {self.cold_share}")
-        lengths = ("ask_within", "drain_grace", "answer_slack", "cold_time", "fall_time", "max_retry_after")
-        for name in lengths:
-            if getattr(self, name) < 0:
-                raise ValueError(f"{name} must not be negative, but is {getattr(self, name)}")
+        if not 0.0 <= self.slow_start_share <= 1.0:
+            raise ValueError(f"cold_share must lie between 0 and 1, not {self.slow_start_share}")
+        for name, length in (
+            ("ask_within", self.poll_within),
+            ("drain_grace", self.drain_grace),
+            ("answer_slack", self.response_slack),
+            ("cold_time", self.slow_start_time),
+            ("fall_time", self.overload_window),
+            ("max_retry_after", self.max_retry_after),
+        ):
+            if length < 0:
+                raise ValueError(f"{name} must not be negative, but is {length}")
         for each in self.classes.values():
-            if each.aim < 0 or each.limit < 0 or each.repeat_window < 0:
+            if each.latency_objective < 0 or each.time_limit < 0 or each.deduplication_window < 0:
                 raise ValueError(f"class {each.name!r} has a negative time")
--- a/gradegap/balancing/slow_start.py
+++ b/gradegap/balancing/slow_start.py
@@ -77,13 +77,13 @@
         since = max(0.0, now - max(self.refilled_at, self.born))
         self.refilled_at = now
         self.bucket = min(refill.most, self.bucket + refill.rate * since)
-        taken = min(self.bucket, DRAWN * settings.fall_multiple / count)
+        taken = min(self.bucket, DRAWN * settings.overload_multiple / count)
         self.bucket -= taken
         return taken * count * self.capacity.present_share(server, now, settings)
 
     def _refill(self, ready: int, cold: int, usual: float, settings: Settings) -> Refill:
         """Returns the larger of two that both add up: servers tell one, and this node's own sends another."""
-        window = max(SHORTEST_WINDOW, settings.fall_time)
+        window = max(SHORTEST_WINDOW, settings.overload_window)
         pairs_a_draw = max(1.0, ready / (2.0 * cold))  # pairs drawn for one draw of a cold server
         by_sends = _refill_by_sends(ready, usual, window, pairs_a_draw, settings)
         filled_by = self.capacity.filled_by()
@@ -111,7 +111,7 @@
     ready: int, usual: float, window: float, pairs_a_draw: float, settings: Settings
 ) -> Refill:
     """Returns a part of an even share of what this node usually sends."""
-    share = SHARE_SAFETY * settings.fall_multiple / ready
+    share = SHARE_SAFETY * settings.overload_multiple / ready
     rate = share * max(1.0 / (SHARE_EARNED_IN * window), SHARE_REFILL * usual)
     return Refill(rate, share * pairs_a_draw * (1.0 + usual * window))
 
@@ -120,10 +120,10 @@
     ready: int, filled_by: float, window: float, pairs_a_draw: float, settings: Settings
 ) -> Refill:
     """Returns this node's part of what a server that is filled by so many connections bears."""
-    falls_at = settings.fall_multiple * filled_by / settings.cold_time  # requests a second
-    rate = SAFETY * falls_at / settings.balancers
+    falls_at = settings.overload_multiple * filled_by / settings.slow_start_time  # requests a second
+    rate = SAFETY * falls_at / settings.proxy_count
     # In a wave all who stand come again. Where they are fewer than the nodes, most nodes see none of it, and
     # what each of the others has kept may be larger.
     wave = max(1.0, USUAL_LOAD * ready * filled_by)
-    windows = max(KEPT, pairs_a_draw * settings.balancers / wave)
+    windows = max(KEPT, pairs_a_draw * settings.proxy_count / wave)
     return Refill(rate, rate * window * windows)
--- a/gradegap/capture/evidence.py
+++ b/gradegap/capture/evidence.py
@@ -156,7 +156,7 @@
                 self.evidence.others.append((at, event))
             case ConnectionInherited():
                 self.evidence.inherited.append((at, event))
-                self._stands(event.request.id, event.server)
+                self._stands(event.request.request_id, event.endpoint)
             case RequestArrived():
                 self._request(at, event)
             case ConnectionEstablished():
@@ -171,18 +171,18 @@
     def _see_action(self, at: float, action: Any) -> None:
         match action:
             case Forward():
-                self.attempts[action.id] = (action.server, at)
-                client = self.clients.get(action.id)
+                self.attempts[action.request_id] = (action.endpoint, at)
+                client = self.clients.get(action.request_id)
                 if client is not None and not client.first:
-                    client.first = action.server
+                    client.first = action.endpoint
             case Migrate():
-                self.moved.add(action.id)
+                self.moved.add(action.request_id)
             case Reject() | Fail():
                 # Unless it comes again, this was its last word.
-                if (turned_away := self.clients.get(action.id)) is not None:
+                if (turned_away := self.clients.get(action.request_id)) is not None:
                     turned_away.lasts = at
             case CheckHealth():
-                self.probing[action.server] = at
+                self.probing[action.endpoint] = at
             case _:
                 pass
 
@@ -197,51 +197,51 @@
             return
         before.times += 1
         before.lasts = None
-        self.clients[request.id] = before
+        self.clients[request.request_id] = before
         if (left_at := self.left_at.pop(request.key, None)) is not None:
             self.delays.append(at - left_at)
 
     def _new_client(self, at: float, request: RequestArrived) -> None:
-        client = self.clients[request.id] = Client(request, at)
+        client = self.clients[request.request_id] = Client(request, at)
         self.evidence.clients.append(client)
         if request.key:
             self.asked[request.key] = client
 
     def _established(self, at: float, event: ConnectionEstablished) -> None:
-        _, sent_at = self.attempts.pop(event.id, (event.server, at))
-        word = Word(sent_at, AttemptResult.OK, event.spent, None, self.held[event.server], False)
-        self.evidence.words[event.server].append(word)
-        self._stands(event.id, event.server)
-        self.takes.append(event.spent)
+        _, sent_at = self.attempts.pop(event.request_id, (event.endpoint, at))
+        word = Word(sent_at, AttemptResult.OK, event.elapsed, None, self.held[event.endpoint], False)
+        self.evidence.words[event.endpoint].append(word)
+        self._stands(event.request_id, event.endpoint)
+        self.takes.append(event.elapsed)
 
     def _probe_result(self, at: float, event: HealthCheckEnded) -> None:
-        sent_at = self.probing.pop(event.server, at)
+        sent_at = self.probing.pop(event.endpoint, at)
         if event.result is AttemptResult.FULL:
             return  # the core's word, not the server's
-        word = Word(sent_at, event.result, event.spent, event.report, self.held[event.server], True)
-        self.evidence.words[event.server].append(word)
+        word = Word(sent_at, event.result, event.elapsed, event.report, self.held[event.endpoint], True)
+        self.evidence.words[event.endpoint].append(word)
 
     def _outcome(self, at: float, event: AttemptEnded) -> None:
-        server = self.standing.pop(event.id, None)
+        server = self.standing.pop(event.request_id, None)
         if server is None:
             self._attempt_failed(at, event)
         else:
             self._connection_ended(at, event, server)
 
     def _attempt_failed(self, at: float, event: AttemptEnded) -> None:
-        _, sent_at = self.attempts.pop(event.id, (event.server, at))
-        if event.result in (AttemptResult.MOOT, AttemptResult.CANCELLED):
+        _, sent_at = self.attempts.pop(event.request_id, (event.endpoint, at))
+        if event.result in (AttemptResult.NOT_SENT, AttemptResult.CANCELLED):
             return  # these are the node's own
-        word = Word(sent_at, event.result, event.spent, event.report, self.held[event.server], False)
-        self.evidence.words[event.server].append(word)
+        word = Word(sent_at, event.result, event.elapsed, event.report, self.held[event.endpoint], False)
+        self.evidence.words[event.endpoint].append(word)
 
     def _connection_ended(self, at: float, event: AttemptEnded, server: str) -> None:
         self.held[server] -= 1
         broke = event.result is AttemptResult.RESET
-        moved = event.id in self.moved
+        moved = event.request_id in self.moved
         if broke and not moved:
             self.evidence.breaks[server].append(at)
-        client = self.clients.get(event.id)
+        client = self.clients.get(event.request_id)
         if client is None:
             return
         if moved or broke:
--- a/gradegap/capture/explain.py
+++ b/gradegap/capture/explain.py
@@ -117,7 +117,7 @@
 
 def _concerns(req: int, event: Any, actions: Iterable[Any]) -> bool:
     """Whether an event or what answered it names the req."""
-    return req in records.names(event) or any(getattr(a, "id", None) == req for a in actions)
+    return req in records.names(event) or any(getattr(a, "request_id", None) == req for a in actions)
 
 
 def _step_lines(step: Step, actions: Iterable[Any], watch: Watch, began: float) -> Iterator[str]:
@@ -125,7 +125,7 @@
     yield f"{step.at - began:9.4f} s  {told(step.event)}"
     yield from (f"             {line}" for line in watch.lines)
     for action in actions:
-        if getattr(action, "id", watch.req) == watch.req and not isinstance(action, LogMessage):
+        if getattr(action, "request_id", watch.req) == watch.req and not isinstance(action, LogMessage):
             yield f"             -> {told(action)}"
 
 
--- a/gradegap/capture/judge.py
+++ b/gradegap/capture/judge.py
@@ -98,12 +98,12 @@
                 self._list(event)
             case RequestArrived():
                 self.figures.taken += 1
-                self.reqs[event.id] = _Way(event.cls, now, event.deadline_at)
+                self.reqs[event.request_id] = _Way(event.class_name, now, event.deadline_at)
             case ConnectionInherited():
                 r = event.request
-                way = self.reqs[r.id] = _Way(r.cls, now, r.deadline_at, answered=True)
-                way.standing = event.server
-                self.held[event.server] += 1
+                way = self.reqs[r.request_id] = _Way(r.class_name, now, r.deadline_at, answered=True)
+                way.standing = event.endpoint
+                self.held[event.endpoint] += 1
             case ConnectionEstablished():
                 self._stands(event)
             case AttemptEnded():
@@ -127,13 +127,13 @@
                 pass
 
     def _client_gone(self, event: ClientDisconnected) -> None:
-        way = self.reqs.get(event.id)
+        way = self.reqs.get(event.request_id)
         if way is not None and not way.answered:
             way.answered = True
             self.figures.left += 1
 
     def _move(self, action: Migrate) -> None:
-        way = self.reqs.get(action.id)
+        way = self.reqs.get(action.request_id)
         if way is not None and way.standing and not way.moved:
             way.moved = True
             self.figures.moved += 1
@@ -145,10 +145,10 @@
 
     def _list(self, e: EndpointList) -> None:
         if e.kind is not EndpointListKind.DELTA and e.kind is not EndpointListKind.FAILED:
-            for name in self.phase.keys() - {entry.server for entry in e.entries}:
-                self._phase(name, EndpointPhase.GONE)
+            for name in self.phase.keys() - {entry.name for entry in e.entries}:
+                self._phase(name, EndpointPhase.REMOVED)
         for entry in e.entries:
-            self._phase(entry.server, entry.phase)
+            self._phase(entry.name, entry.phase)
 
     def _phase(self, name: str, phase: EndpointPhase) -> None:
         if phase is EndpointPhase.READY:
@@ -158,16 +158,16 @@
         self.phase[name] = phase
 
     def _send(self, a: Forward) -> None:
-        way = self.reqs.get(a.id)
+        way = self.reqs.get(a.request_id)
         if way is None:
             return  # from before the record
         if way.sent_to:
-            self._break(f"req {a.id} has an attempt out and is sent again")
+            self._break(f"req {a.request_id} has an attempt out and is sent again")
         if way.answered:
-            self._break(f"req {a.id} is sent after its answer")
-        way.sent_to, way.sent_at = a.server, self.now
+            self._break(f"req {a.request_id} is sent after its answer")
+        way.sent_to, way.sent_at = a.endpoint, self.now
         way.attempts += 1
-        told = self.told_at.get(a.server)
+        told = self.told_at.get(a.endpoint)
         way.late_by = self.now - told - self.settings.drain_grace if told is not None else -1.0
         self.figures.attempts += 1
 
@@ -177,18 +177,18 @@
             self._break(f"req {ident} went to {way.sent_to} {way.late_by:.3f} s after its grace")
 
     def _stands(self, e: ConnectionEstablished) -> None:
-        way = self.reqs.get(e.id)
+        way = self.reqs.get(e.request_id)
         if way is None:
             return
-        self._went(e.id, way)
+        self._went(e.request_id, way)
         if way.answered:
-            self._break(f"req {e.id} stands after its answer")
+            self._break(f"req {e.request_id} stands after its answer")
         if self.now > way.deadline + LATE:
-            self._break(f"req {e.id} stands {self.now - way.deadline:.3f} s after its client gave up")
-        way.answered, way.standing, way.sent_to = True, e.server, ""
+            self._break(f"req {e.request_id} stands {self.now - way.deadline:.3f} s after its client gave up")
+        way.answered, way.standing, way.sent_to = True, e.endpoint, ""
         self.figures.stood += 1
         self.waits.append(self.now - way.arrived)
-        self.held[e.server] += 1
+        self.held[e.endpoint] += 1
         ready = [n for n, p in self.phase.items() if p is EndpointPhase.READY]
         mean = sum(self.held[n] for n in ready) / len(ready) if ready else 0.0
         if mean >= FEW:
@@ -196,7 +196,7 @@
             self.figures.most_share = max(self.figures.most_share, most)
 
     def _outcome(self, e: AttemptEnded) -> None:
-        way = self.reqs.get(e.id)
+        way = self.reqs.get(e.request_id)
         if way is None:
             return
         if way.standing:
@@ -204,23 +204,25 @@
             if e.result is AttemptResult.RESET and not way.moved:
                 self.figures.broke += 1
             way.standing = ""
-            del self.reqs[e.id]
+            del self.reqs[e.request_id]
             return
-        if e.result is not AttemptResult.MOOT and way.sent_to:
-            self._went(e.id, way)
+        if e.result is not AttemptResult.NOT_SENT and way.sent_to:
+            self._went(e.request_id, way)
         way.sent_to = ""
         if way.answered:
-            self.reqs.pop(e.id, None)
+            self.reqs.pop(e.request_id, None)
 
     def _answer(self, a: Reject | Fail) -> None:
-        way = self.reqs.get(a.id)
+        way = self.reqs.get(a.request_id)
         if way is None:
             return
         if way.answered:
-            self._break(f"req {a.id} has two answers")
+            self._break(f"req {a.request_id} has two answers")
             return
         if self.now > way.deadline + LATE:
-            self._break(f"req {a.id} is answered {self.now - way.deadline:.3f} s after its client gave up")
+            self._break(
+                f"req {a.request_id} is answered {self.now - way.deadline:.3f} s after its client gave up"
+            )
         way.answered = True
         if isinstance(a, Reject):
             self.figures.refused += 1
--- a/gradegap/capture/plot.py
+++ b/gradegap/capture/plot.py
@@ -59,18 +59,18 @@
         match event:
             case RequestArrived():
                 self._rate("reqs")
-            case ConnectionEstablished(id=ident, server=server):
+            case ConnectionEstablished(request_id=ident, endpoint=endpoint):
                 self._rate("stood")
-                self._stands(ident, server)
-            case ConnectionInherited(request=request, server=server):
-                self._stands(request.id, server)
-            case AttemptEnded(id=ident):
-                if (server := self.standing.pop(ident, "")) != "":
-                    self._held(server, -1)
-            case HealthCheckEnded(server=server, report=report) if report is not None:
+                self._stands(ident, endpoint)
+            case ConnectionInherited(request=request, endpoint=endpoint):
+                self._stands(request.request_id, endpoint)
+            case AttemptEnded(request_id=ident):
+                if (endpoint := self.standing.pop(ident, "")) != "":
+                    self._held(endpoint, -1)
+            case HealthCheckEnded(endpoint=endpoint, report=report) if report is not None:
                 value = report.get("x0", report.get("inflight"))
                 if value is not None:
-                    self.loads[server].append((self.at, value))
+                    self.loads[endpoint].append((self.at, value))
             case _:
                 pass
 
@@ -88,13 +88,13 @@
     def _rate(self, name: str) -> None:
         self.rates[name][int(self.at / BIN)] += 1
 
-    def _stands(self, ident: int, server: str) -> None:
-        self.standing[ident] = server
-        self._held(server, 1)
+    def _stands(self, ident: int, endpoint: str) -> None:
+        self.standing[ident] = endpoint
+        self._held(endpoint, 1)
 
-    def _held(self, server: str, change: int) -> None:
-        self.count[server] += change
-        self.held[server].append((self.at, self.count[server]))
+    def _held(self, endpoint: str, change: int) -> None:
+        self.count[endpoint] += change
+        self.held[endpoint].append((self.at, self.count[endpoint]))
 
 
 def draw(source: Iterable[Item], path: str, title: str) -> None:
@@ -113,8 +113,10 @@
     rates.set_ylabel("a second")
     rates.legend(loc="upper right", fontsize="small")
     for axis, name, label in ((held, "held", "connections of this node"), (loads, "loads", "load as told")):
-        for server, points in sorted(found[name].items()):
-            axis.step([t for t, _ in points], [v for _, v in points], where="post", label=server, linewidth=1)
+        for endpoint, points in sorted(found[name].items()):
+            axis.step(
+                [t for t, _ in points], [v for _, v in points], where="post", label=endpoint, linewidth=1
+            )
         axis.set_ylabel(label)
         if 0 < len(found[name]) <= 16:
             axis.legend(loc="upper right", fontsize="x-small", ncols=4)
--- a/gradegap/capture/recorder.py
+++ b/gradegap/capture/recorder.py
@@ -62,8 +62,8 @@
     def event(self, event: Any) -> Any:
         """The event with its ids hidden."""
         if type(event) is RequestArrived:
-            hidden = self.word(event.key), self.word(event.team)
-            return event._replace(key=hidden[0], team=hidden[1])
+            hidden = self.word(event.key), self.word(event.group)
+            return event._replace(key=hidden[0], group=hidden[1])
         if type(event) is ConnectionInherited:
             return event._replace(request=self.event(event.request))
         return event
--- a/gradegap/capture/records.py
+++ b/gradegap/capture/records.py
@@ -101,13 +101,13 @@
     ClassSettings,
     {
         "name": "name",
-        "aim": "aim",
-        "limit": "limit",
-        "worth": "worth",
-        "repeat": "repeat",
-        "group": "group",
-        "repeat_window": "repeat_window",
-        "message_aim": "message_aim",
+        "aim": "latency_objective",
+        "limit": "time_limit",
+        "worth": "priority_weight",
+        "repeat": "idempotency",
+        "group": "deduplication_scope",
+        "repeat_window": "deduplication_window",
+        "message_aim": "message_latency_objective",
     },
 )
 TENANT_SETTINGS = StoredFields(TenantSettings, {"name": "name", "quota": "quota", "share": "share"})
@@ -115,31 +115,31 @@
     Settings,
     {
         "classes": "classes",
-        "balancers": "balancers",
+        "balancers": "proxy_count",
         "zone": "zone",
-        "ask_for_list": "ask_for_list",
-        "ask_within": "ask_within",
+        "ask_for_list": "polls_endpoints",
+        "ask_within": "poll_within",
         "drain_grace": "drain_grace",
-        "answer_slack": "answer_slack",
+        "answer_slack": "response_slack",
         "connect_timeout": "connect_timeout",
         "max_attempts": "max_attempts",
         "max_retry_after": "max_retry_after",
-        "probes": "probes",
-        "reports": "reports",
+        "probes": "health_checks",
+        "reports": "report_source",
         "report_fields": "report_fields",
-        "weights": "weights",
-        "groups": "groups",
-        "passes": "passes",
-        "cold_share": "cold_share",
-        "cold_time": "cold_time",
-        "fall_multiple": "fall_multiple",
-        "fall_time": "fall_time",
-        "cross_zone_price": "cross_zone_price",
-        "move_price": "move_price",
-        "probe_price": "probe_price",
+        "weights": "weight_meaning",
+        "groups": "connection_groups",
+        "passes": "passthrough",
+        "cold_share": "slow_start_share",
+        "cold_time": "slow_start_time",
+        "fall_multiple": "overload_multiple",
+        "fall_time": "overload_window",
+        "cross_zone_price": "cross_zone_cost",
+        "move_price": "migration_cost",
+        "probe_price": "health_check_cost",
         "cpu_per_request": "cpu_per_request",
         "tenants": "tenants",
-        "over_share_worth": "over_share_worth",
+        "over_share_worth": "over_share_weight",
     },
 )
 # Stored fields of `SETTINGS` that hold a map of further settings by name.
@@ -180,15 +180,15 @@
     """The servers and requests that an event or action is about."""
     match value:
         case EndpointList():
-            return {entry.server for entry in value.entries}
+            return {entry.name for entry in value.entries}
         case ConnectionInherited():
-            return {value.request.id, value.server}
+            return {value.request.request_id, value.endpoint}
         case ConnectionEstablished() | ConnectionObserved() | AttemptEnded() | Forward():
-            return {value.id, value.server}
+            return {value.request_id, value.endpoint}
         case RequestArrived() | ClientDisconnected() | Reject() | Fail() | Migrate():
-            return {value.id}
+            return {value.request_id}
         case HealthCheckEnded() | CheckHealth():
-            return {value.server}
+            return {value.endpoint}
         case _:
             return set()
 
--- a/gradegap/capture/redact.py
+++ b/gradegap/capture/redact.py
@@ -33,7 +33,7 @@
             if row[0] == "s" and row[3][0] in ("Request", "Inherited"):
                 event = records.event(row[3])
                 request = getattr(event, "request", event)
-                yield from (request.key, request.team, request.tenant)
+                yield from (request.key, request.group, request.tenant)
     elif frame.kind is Kind.STATE:
         yield from state.personal_ids(frame.body)
 
--- a/gradegap/capture/whatif.py
+++ b/gradegap/capture/whatif.py
@@ -115,7 +115,7 @@
         self.now = evidence.began
         self.heap: list[tuple[float, int, Any, tuple[Any, ...]]] = []
         self.count = 0
-        self.next_id = 1 + max([0, *(c.request.id for c in evidence.clients)])
+        self.next_id = 1 + max([0, *(c.request.request_id for c in evidence.clients)])
         self.clients: dict[int, Client] = {}
         self.tries: Counter[int] = Counter()  # by the client's first req
         self.attempts: Counter[int] = Counter()
@@ -162,15 +162,15 @@
                 case Forward():
                     self.send(a)
                 case Reject():
-                    self.told(a.id, a.retry_after or AGAIN)
+                    self.told(a.request_id, a.retry_after or AGAIN)
                 case Fail():
-                    self.told(a.id, AGAIN)
+                    self.told(a.request_id, AGAIN)
                 case Migrate():
-                    self.move(a.id)
+                    self.move(a.request_id)
                 case SetTimer():
-                    self.at(self.now + max(0.0, a.wait), self.feed, TimerFired(a.token))
+                    self.at(self.now + max(0.0, a.delay), self.feed, TimerFired(a.token))
                 case CheckHealth():
-                    self.probe(a.server)
+                    self.probe(a.endpoint)
                 case _:
                     pass
 
@@ -181,17 +181,17 @@
     # Clients
 
     def come(self, client: Client, request: RequestArrived, at: float) -> None:
-        self.clients[request.id] = client
-        self.deadline[request.id] = request.deadline_at
-        self.tries[client.request.id] += 1
-        self.at(request.deadline_at, self.overdue, request.id)
+        self.clients[request.request_id] = client
+        self.deadline[request.request_id] = request.deadline_at
+        self.tries[client.request.request_id] += 1
+        self.at(request.deadline_at, self.overdue, request.request_id)
         self.feed(request)
 
     def again(self, client: Client, reconnect: bool, after: float) -> None:
         """A client that comes again, under a new number."""
         first = client.request
         made = first._replace(
-            id=self.next_id,
+            request_id=self.next_id,
             deadline_at=self.now + after + first.deadline_at - client.at,
             retry=not reconnect,
             reconnect=reconnect,
@@ -201,10 +201,10 @@
 
     def inherit(self, event: ConnectionInherited) -> None:
         r = event.request
-        self.clients[r.id] = Client(r, self.now)
-        self.answered.add(r.id)
-        self.standing[r.id] = event.server
-        self.held[event.server] += 1
+        self.clients[r.request_id] = Client(r, self.now)
+        self.answered.add(r.request_id)
+        self.standing[r.request_id] = event.endpoint
+        self.held[event.endpoint] += 1
         self.feed(event)
 
     def told(self, req: int, after: float) -> None:
@@ -220,7 +220,7 @@
         client = self.clients.pop(req, None)
         if client is None or (client.lasts is not None and client.lasts <= self.now and client.times == 1):
             return  # the record has it give up, too
-        if self.tries[client.request.id] < max(TRIES, client.times):
+        if self.tries[client.request.request_id] < max(TRIES, client.times):
             self.again(client, False, after)
 
     def overdue(self, req: int) -> None:
@@ -249,7 +249,7 @@
         if req in self.standing:
             client = self.end(req, result)
             if client is not None and not self.leaving:  # else it goes to another node
-                self.tries[client.request.id] = 0
+                self.tries[client.request.request_id] = 0
                 self.again(client, True, self.e.returns)
 
     def broken(self, server: str) -> None:
@@ -273,21 +273,21 @@
         return told is None or self.now < told + self.settings.drain_grace
 
     def send(self, a: Forward) -> None:
-        req = a.id
+        req = a.request_id
         if req in self.answered or req in self.out:
             return  # the judge has said so
         client = self.clients.get(req)
-        if client is not None and req == client.request.id and not self.attempts[req]:
-            other = client.first != a.server
+        if client is not None and req == client.request.request_id and not self.attempts[req]:
+            other = client.first != a.endpoint
             if other and self.result.first_other is None:
-                self.result.first_other = (self.now, req, client.first or "none", a.server)
+                self.result.first_other = (self.now, req, client.first or "none", a.endpoint)
         number = self.attempts[req]
         self.attempts[req] += 1
-        self.out[req] = (a.server, number)
-        if a.server not in self.judge.phase or not self.may_send(a.server):
-            self.at(self.now, self.over, req, number, AttemptResult.MOOT, 0.0)
+        self.out[req] = (a.endpoint, number)
+        if a.endpoint not in self.judge.phase or not self.may_send(a.endpoint):
+            self.at(self.now, self.over, req, number, AttemptResult.NOT_SENT, 0.0)
             return
-        word = self.weigh(self.e.nearest(a.server, self.now))
+        word = self.weigh(self.e.nearest(a.endpoint, self.now))
         result, spent = (word.result, word.spent) if word is not None else (AttemptResult.OK, self.e.up_takes)
         if word is not None and word.probe and result is AttemptResult.OK:
             spent = self.e.up_takes
@@ -309,7 +309,7 @@
         self.standing[req] = sent[0]
         self.held[sent[0]] += 1
         client = self.clients[req]
-        self.tries[client.request.id] = 0
+        self.tries[client.request.request_id] = 0
         if client.lasts is not None:
             self.at(max(self.now, client.lasts), self.leave, req)
         self.feed(ConnectionEstablished(req, number, sent[0], spent))
--- a/gradegap/cli.py
+++ b/gradegap/cli.py
@@ -48,7 +48,7 @@
     setup, extra = load_both(config, operator)
     s = setup.settings
     typer.echo(f"name {setup.config.name}, listen {setup.config.listen}, discovery {setup.config.discovery}")
-    typer.echo(f"classes {', '.join(s.classes)}; zone {s.zone or '-'}; {s.balancers} nodes")
+    typer.echo(f"classes {', '.join(s.classes)}; zone {s.zone or '-'}; {s.proxy_count} nodes")
     typer.echo(f"QUIC front {extra.quic.listen if extra.quic else 'off'}")
     if extra.observer is not None:
         typer.echo(f"subscribes at {', '.join(machine.name for machine in extra.observer.machines)}")
--- a/gradegap/discovery/http_discovery.py
+++ b/gradegap/discovery/http_discovery.py
@@ -35,7 +35,7 @@
 LARGEST = 8 * 1024 * 1024  # bytes of one answer
 # What the parser raises; nesting without end is an error of its own.
 UNREADABLE = (msgspec.MsgspecError, RecursionError)
-STATES = {"Ready": EndpointPhase.READY, "Terminating": EndpointPhase.DRAINING, "Gone": EndpointPhase.GONE}
+STATES = {"Ready": EndpointPhase.READY, "Terminating": EndpointPhase.DRAINING, "Gone": EndpointPhase.REMOVED}
 
 
 class Item(msgspec.Struct):
@@ -93,7 +93,7 @@
                     told += [last[name]] if self.full and name in last else []
         if self.full:
             last.clear()
-        last.update((entry.server, (entry, address)) for entry, address in told)
+        last.update((entry.name, (entry, address)) for entry, address in told)
         return told
 
 
--- a/gradegap/discovery/watch_schedule.py
+++ b/gradegap/discovery/watch_schedule.py
@@ -75,14 +75,14 @@
 
     def adopt(self, settings: Settings) -> None:
         """Settings to go by from the next call on."""
-        self.pushed, self.nodes = not settings.ask_for_list, settings.balancers
+        self.pushed, self.nodes = not settings.polls_endpoints, settings.proxy_count
         if self.pushed:
             left = send_for(settings)
             # An open watch that is broken, and a call that an outage swallowed, cost this much of the grace.
             self.wait = _within(left / 2, PUSHED_WAIT)
             self.answer = _within(left / 4, PUSHED_ANSWER)
         else:
-            self.wait = _within(settings.ask_within, ASKED_WAIT)
+            self.wait = _within(settings.poll_within, ASKED_WAIT)
             self.answer = ASKED_ANSWER
 
     def known(self, version: int) -> None:
--- a/gradegap/node/node.py
+++ b/gradegap/node/node.py
@@ -78,7 +78,7 @@
 
 def killed_from(settings: Settings) -> float:
     """s from SIGTERM after which the platform may kill the process; what was taken is answered by then."""
-    return min(DEADLINE_MOST, max(c.limit for c in settings.classes.values())) + KILLED_AFTER
+    return min(DEADLINE_MOST, max(c.time_limit for c in settings.classes.values())) + KILLED_AFTER
 
 
 class Node:
--- a/gradegap/proxy/proxy.py
+++ b/gradegap/proxy/proxy.py
@@ -122,7 +122,7 @@
 class Endpoint:
     id: str
     address: str = ""
-    phase: EndpointPhase = EndpointPhase.GONE
+    phase: EndpointPhase = EndpointPhase.REMOVED
     started_at: float = 0.0
     told: EndpointEntry | None = None  # the last that a director said of it, whatever is laid over that
     told_at: float = NEVER  # when this node was told that it drains or is gone
@@ -212,7 +212,7 @@
 
 def slow_message(settings: Settings) -> float:
     """How much longer than its shortest a message takes where the module is told of it."""
-    aims = [c.message_aim for c in settings.classes.values() if c.message_aim > 0]
+    aims = [c.message_latency_objective for c in settings.classes.values() if c.message_latency_objective > 0]
     return min(aims, default=0.15) / 3
 
 
@@ -278,12 +278,12 @@
         """The director's list: entries with the address of each backend."""
         known = list(entries)
         if kind is not EndpointListKind.DELTA:
-            named = {e.server for e, _ in known}
+            named = {e.name for e, _ in known}
             for b in self.backends.values():
-                if b.id not in named and b.told is not None and b.told.phase is not EndpointPhase.GONE:
-                    known.append((b.told._replace(phase=EndpointPhase.GONE), ""))
+                if b.id not in named and b.told is not None and b.told.phase is not EndpointPhase.REMOVED:
+                    known.append((b.told._replace(phase=EndpointPhase.REMOVED), ""))
         for e, address in known:
-            b = self.backends.setdefault(e.server, Endpoint(e.server))
+            b = self.backends.setdefault(e.name, Endpoint(e.name))
             b.told = e
             if (address and address != b.address) or e.started_at > b.started_at:
                 # Guards against a probe connection to the process that ran there before.
@@ -299,21 +299,21 @@
         laid = []
         told = []  # who leaves, by this word
         for e in entries:
-            if e.phase is EndpointPhase.READY and e.server in self.out:
+            if e.phase is EndpointPhase.READY and e.name in self.out:
                 # It may be stopped soon after nothing new goes to it. Guards against all its clients sent
                 # away at once, where the grace is short.
                 e = e._replace(
-                    phase=EndpointPhase.DRAINING, leaves_in=max(OUT_STAYS, self.settings.drain_grace)
+                    phase=EndpointPhase.DRAINING, stops_within=max(OUT_STAYS, self.settings.drain_grace)
                 )
             laid.append(e)
-            b = self.backends[e.server]
+            b = self.backends[e.name]
             was, b.phase = b.phase, e.phase
             if e.phase is EndpointPhase.READY:
                 b.told_at = NEVER
             elif was is EndpointPhase.READY or b.told_at == NEVER:
-                b.told_at = self.out.get(e.server, now)
+                b.told_at = self.out.get(e.name, now)
                 told.append(b)
-            if e.phase is EndpointPhase.GONE and was is not EndpointPhase.GONE:
+            if e.phase is EndpointPhase.REMOVED and was is not EndpointPhase.REMOVED:
                 self.port.forget(b)
         self.feed(EndpointList(kind, tuple(laid)))
         for b in told:
@@ -324,7 +324,7 @@
         Whether there is such a backend. `at` names when it was taken out, by a process before this one."""
         if at is not None and server not in self.backends:
             # Guards against a held backend that is not on the list now: it must not come back in service.
-            self.backends[server] = Endpoint(server, told=EndpointEntry(server, phase=EndpointPhase.GONE))
+            self.backends[server] = Endpoint(server, told=EndpointEntry(server, phase=EndpointPhase.REMOVED))
         b = self.backends.get(server)
         if b is None or b.told is None:
             return False
@@ -395,7 +395,7 @@
             self.open_ids.add(ask.id)
         self.stats.count("taken")
         now = self.now()
-        wait = cls.limit if ask.wait is None else ask.wait
+        wait = cls.time_limit if ask.wait is None else ask.wait
         req = Request(self, self.next_id, ask, session, now + wait, self.settings.max_attempts)
         self.next_id += 1
         self.reqs[req.id] = req
@@ -463,20 +463,20 @@
     # What the module decides
 
     def _send(self, a: Forward) -> None:
-        req, b = self.reqs.get(a.id), self.backends.get(a.server)
+        req, b = self.reqs.get(a.request_id), self.backends.get(a.endpoint)
         wait = 0.0 if req is None else min(a.timeout, req.deadline - EARLY - self.now())
         if req is None or req.answered or req.attempt is not None or req.standing:
             # Guards against two attempts at once, or one after the answer.
             self.stats.count("moot")
             return
         begin_by = self.now() + a.begin_within
-        attempt = Attempt(req, b or Endpoint(a.server), req.attempts, self.now(), wait, begin_by)
+        attempt = Attempt(req, b or Endpoint(a.endpoint), req.attempts, self.now(), wait, begin_by)
         req.attempts += 1
         req.attempt = attempt
         if self._held_back(req):
-            self.over(attempt, AttemptResult.MOOT)
+            self.over(attempt, AttemptResult.NOT_SENT)
         elif b is None or not self._may_begin(attempt) or attempt.number >= req.most or wait <= 0:
-            self.loop.call_soon(attempt.over, AttemptResult.MOOT)
+            self.loop.call_soon(attempt.over, AttemptResult.NOT_SENT)
         elif self.begins(attempt):
             self._fetch(attempt)
 
@@ -492,14 +492,14 @@
         self.stats.count(f"answered_{kind}")
 
     def _refuse(self, a: Reject) -> None:
-        req = self.reqs.get(a.id)
+        req = self.reqs.get(a.request_id)
         if req is not None and not req.answered:
             self._answer(req, "refused")
             req.session.refuse(a.retry_after)
             self._finish(req)
 
     def _fail(self, a: Fail) -> None:
-        req = self.reqs.get(a.id)
+        req = self.reqs.get(a.request_id)
         if req is not None and not req.answered:
             self._answer(req, "failed")
             req.session.fail()
@@ -513,7 +513,7 @@
             self.loop.call_soon(req.attempt.over, AttemptResult.CANCELLED)
 
     def _move(self, a: Migrate) -> None:
-        req = self.reqs.get(a.id)
+        req = self.reqs.get(a.request_id)
         if req is not None:
             self.move(req)
 
@@ -527,10 +527,10 @@
             self.loop.call_soon(attempt.over, AttemptResult.CANCELLED)
 
     def _set_timer(self, a: SetTimer) -> None:
-        self.loop.call_later(max(0.0, a.wait), self.feed, TimerFired(a.token))
+        self.loop.call_later(max(0.0, a.delay), self.feed, TimerFired(a.token))
 
     def _probe(self, a: CheckHealth) -> None:
-        b = self.backends.get(a.server)
+        b = self.backends.get(a.endpoint)
         began = self.now()
         self.stats.count("probes")
 
@@ -543,7 +543,7 @@
                 b.silent_at = self.now()
             if result in (AttemptResult.OK, AttemptResult.TIMEOUT):
                 self.probing.took(self.now() - began)
-            self.feed(HealthCheckEnded(a.server, result, self.now() - began, report))
+            self.feed(HealthCheckEnded(a.endpoint, result, self.now() - began, report))
 
         if b is None or not self.in_grace(b):
             # A backend that drains past its grace gets nothing new, probes included. Guards against that
@@ -667,7 +667,7 @@
     ) -> Request | None:
         """A session that stands already at a backend of the list; None where it can't stand here."""
         b = self.backends.get(server)
-        if b is None or b.phase is EndpointPhase.GONE or (ask.id and ask.id in self.open_ids):
+        if b is None or b.phase is EndpointPhase.REMOVED or (ask.id and ask.id in self.open_ids):
             return None
         now = self.now()
         req = Request(self, self.next_id, ask, session, now, standing=True, answered=True)
@@ -700,7 +700,7 @@
         """This node stops: the module moves all that stands, in its own pace, within that time."""
         if not self.leaving:
             self.leaving = True
-            self.feed(ProxyDraining(self.now() + within, ends=True))
+            self.feed(ProxyDraining(self.now() + within, process_ends=True))
 
     def drain(self, within: float) -> None:
         """This node is out of service: all that stands, or comes to, is moved, and it stays."""
--- a/gradegap/simulator_adapter.py
+++ b/gradegap/simulator_adapter.py
@@ -122,16 +122,16 @@
 
 def _refuse(a: Any) -> str:
     after = f"\tRetryAfterNs={_ns(a.retry_after)}" if a.retry_after > 0 else ""
-    return f"push_back\tTid={a.id}{after}"
+    return f"push_back\tTid={a.request_id}{after}"
 
 
 WRITERS: dict[type, Callable[[Any], str]] = {
-    Forward: lambda a: f"route\tTid={a.id}\tServer={a.server}\tTimeoutNs={_ns(a.timeout)}",
+    Forward: lambda a: f"route\tTid={a.request_id}\tServer={a.endpoint}\tTimeoutNs={_ns(a.timeout)}",
     Reject: _refuse,
-    Fail: lambda a: f"error\tTid={a.id}",
-    Migrate: lambda a: f"migrate\tTid={a.id}",
-    SetTimer: lambda a: f"wake_at\tWaitNs={_ns(a.wait)}\tCtx={a.token}",
-    CheckHealth: lambda a: f"sample\tServer={a.server}",
+    Fail: lambda a: f"error\tTid={a.request_id}",
+    Migrate: lambda a: f"migrate\tTid={a.request_id}",
+    SetTimer: lambda a: f"wake_at\tWaitNs={_ns(a.delay)}\tCtx={a.token}",
+    CheckHealth: lambda a: f"sample\tServer={a.endpoint}",
     WatchEndpoints: lambda a: "subscribe\tWant=1",
     LogMessage: lambda a: "print\tBodyText=" + " ".join(a.text.split()),
 }
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -20,19 +20,19 @@
 )
 from gradegap.balancing.settings import ClassSettings, ReportSource, Settings
 
-CLASS = ClassSettings("live", aim=0.5, limit=2.0, worth=1.0)
+CLASS = ClassSettings("live", latency_objective=0.5, time_limit=2.0, priority_weight=1.0)
 
 
 def settings(**changes: Any) -> Settings:
     base: dict[str, Any] = {
         "classes": {"live": CLASS},
-        "balancers": 10,
+        "proxy_count": 10,
         "max_attempts": 3,
         "max_retry_after": 2.0,
-        "reports": ReportSource.PROBE,
+        "report_source": ReportSource.PROBE,
         "report_fields": ("x0", "inflight"),
-        "cold_share": 0.3,
-        "cold_time": 10.0,
+        "slow_start_share": 0.3,
+        "slow_start_time": 10.0,
         "drain_grace": 1.0,
     }
     return Settings(**(base | changes))
@@ -60,7 +60,11 @@
     def request(self, after: float = 0.0, **changes: Any) -> list[Action]:
         self.next_id += 1
         self.now += after
-        fields: dict[str, Any] = {"id": self.next_id, "cls": "live", "deadline_at": self.now + 2.0} | changes
+        fields: dict[str, Any] = {
+            "request_id": self.next_id,
+            "class_name": "live",
+            "deadline_at": self.now + 2.0,
+        } | changes
         return self.feed(RequestArrived(**fields))
 
     def probed(self, server: str, x0: float, inflight: float = 5.0) -> list[Action]:
@@ -75,16 +79,16 @@
         while todo:
             action = todo.pop(0)
             if isinstance(action, CheckHealth):
-                todo += self.probed(action.server, x0(action.server) if callable(x0) else x0, inflight)
+                todo += self.probed(action.endpoint, x0(action.endpoint) if callable(x0) else x0, inflight)
             else:
                 rest.append(action)
         return rest
 
     def outcome(self, send: Forward, result: AttemptResult, settled: bool = False) -> list[Action]:
-        return self.feed(AttemptEnded(send.id, 0, send.server, result, 0.01, settled))
+        return self.feed(AttemptEnded(send.request_id, 0, send.endpoint, result, 0.01, settled))
 
     def stand(self, send: Forward) -> list[Action]:
-        return self.feed(ConnectionEstablished(send.id, 0, send.server, 0.01))
+        return self.feed(ConnectionEstablished(send.request_id, 0, send.endpoint, 0.01))
 
     def set_phase(self, server: str, phase: EndpointPhase, started_at: float = 0.0) -> None:
         entry = EndpointEntry(server, phase=phase, started_at=started_at)
--- a/tests/test_beta.py
+++ b/tests/test_beta.py
@@ -17,13 +17,13 @@
     for _ in range(count):
         out = d.answer_probes(d.request(after=5.0), lambda s: loads[s])
         (send,) = sends(out)
-        chosen[send.server] += 1
+        chosen[send.endpoint] += 1
         d.outcome(send, AttemptResult.OK, settled=True)
     return chosen
 
 
 def test_beta_is_one_until_b_reaches_n_ln_n_and_follows_the_root_past_it() -> None:
-    d = Driver(servers=20, balancers=50)
+    d = Driver(servers=20, proxy_count=50)
     for _ in range(400):
         d.balancer.stood.add(d.now)
         d.now += 0.5
@@ -69,10 +69,10 @@
 def test_ties_and_unprobed_servers_are_split_at_random() -> None:
     equal = place(Driver(servers=2, seed=5), {"s0": 0.3, "s1": 0.3}, 1000)
     assert equal["s0"] / 1000 == pytest.approx(0.5, abs=0.06)
-    d = Driver(servers=2, seed=6, probes=False)
+    d = Driver(servers=2, seed=6, health_checks=False)
     d.balancer.by_probe = True  # reports exist, none came yet: both are unprobed
     d.balancer.tokens = -1e9
-    chosen = Counter(sends(d.request(after=60.0))[0].server for _ in range(1000))
+    chosen = Counter(sends(d.request(after=60.0))[0].endpoint for _ in range(1000))
     assert chosen["s0"] / 1000 == pytest.approx(0.5, abs=0.06)
 
 
@@ -93,7 +93,7 @@
 def test_names_change_no_decision() -> None:
     runs = []
     for zones in ({"a": "a", "b": "b"}, {"a": "north", "b": "south"}):
-        d = Driver(servers=0, seed=12, zone=zones["a"], cross_zone_price=0.06)
+        d = Driver(servers=0, seed=12, zone=zones["a"], cross_zone_cost=0.06)
         entries = tuple(EndpointEntry(f"s{i}", zone=zones["ab"[i % 2]]) for i in range(8))
         d.feed(EndpointList(EndpointListKind.FULL, entries))
         runs.append(place(d, {f"s{i}": 0.05 * i for i in range(8)}, 50))
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -57,7 +57,7 @@
 
     def __init__(self, seed: int, servers: int = 8, groups: bool = True) -> None:
         self.rng = random.Random(seed)
-        self.settings = settings(groups=groups)
+        self.settings = settings(connection_groups=groups)
         self.balancer = Balancer(self.settings, seed)
         self.seed, self.now, self.next = seed, 1000.0, 0
         self.steps: list[Any] = []
@@ -78,15 +78,15 @@
         for a in did:
             match a:
                 case Forward():
-                    self.out[a.id] = a.server
+                    self.out[a.request_id] = a.endpoint
                 case CheckHealth():
-                    self.probes.append(a.server)
+                    self.probes.append(a.endpoint)
                 case SetTimer():
-                    self.timers.append((self.now + a.wait, a.token))
+                    self.timers.append((self.now + a.delay, a.token))
                 case Migrate():
-                    if (server := self.standing.pop(a.id, None)) is not None:
+                    if (server := self.standing.pop(a.request_id, None)) is not None:
                         result = AttemptResult.CANCELLED
-                        self.feed(AttemptEnded(a.id, 0, server, result, 1.0, True))
+                        self.feed(AttemptEnded(a.request_id, 0, server, result, 1.0, True))
 
     def live(self, steps: int) -> Day:
         for _ in range(steps):
@@ -219,7 +219,7 @@
     ("b = self._pick(r, a) or a", "b = a"),
     ("OWN_MEMORY = 1.0", "OWN_MEMORY = 0.2"),
     ("timeout = left if last else", "timeout = left if True else"),
-    ("left - r.cls.aim)", "left - 2 * r.cls.aim)"),
+    ("left - r.cls.latency_objective)", "left - 2 * r.cls.latency_objective)"),
     ("self.answering += 0.05", "self.answering += 0.5"),
 ]
 
@@ -233,7 +233,10 @@
         module = mutant(folder, old, new)
         found = again(data, module)
         # The same by hand: both modules from the beginning, until one decides otherwise.
-        plain, other = Balancer(settings(groups=True), 11), module.Balancer(settings(groups=True), 11)
+        plain, other = (
+            Balancer(settings(connection_groups=True), 11),
+            module.Balancer(settings(connection_groups=True), 11),
+        )
         first = next(
             (
                 i.seq
@@ -474,7 +477,7 @@
 
 def test_a_reload_in_a_batch_that_was_dropped_is_in_the_next_state(tmp_path: Path) -> None:
     day, stats = Day(61), Metrics()
-    changed = settings(groups=True, max_attempts=1, drain_grace=3.0)
+    changed = settings(connection_groups=True, max_attempts=1, drain_grace=3.0)
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
@@ -534,10 +537,10 @@
 
 def test_hidden_ids_are_decided_by_and_say_nothing() -> None:
     hide = Hide(b"0123456789abcdef")
-    one = hide.event(RequestArrived(1, "live", 2.0, key="player-17", team="guild"))
+    one = hide.event(RequestArrived(1, "live", 2.0, key="player-17", group="guild"))
     assert "player" not in str(one) and "guild" not in str(one)
-    assert hide.event(RequestArrived(2, "live", 2.0, team="guild")).team == one.team
-    assert Hide(b"another key of it").word("guild") != one.team
+    assert hide.event(RequestArrived(2, "live", 2.0, group="guild")).group == one.group
+    assert Hide(b"another key of it").word("guild") != one.group
 
 
 # A real node
--- a/tests/test_capture_index.py
+++ b/tests/test_capture_index.py
@@ -250,7 +250,7 @@
         for i in replay.items(next(folders[0].iterdir()).read_bytes())
         if isinstance(i, replay.Step) and isinstance(i.event, EndpointList)
     ]
-    phases = [e.phase for listed in lists for e in listed.entries if e.server == "s-a"]
+    phases = [e.phase for listed in lists for e in listed.entries if e.name == "s-a"]
     drained = phases.index(EndpointPhase.DRAINING)
     assert EndpointPhase.READY in phases[drained:]
     events = [
@@ -258,4 +258,4 @@
         for i in replay.items(next(folders[1].iterdir()).read_bytes())
         if isinstance(i, replay.Step)
     ]
-    assert events.count("Inherited") >= 6
+    assert events.count("ConnectionInherited") >= 6
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -57,11 +57,11 @@
 def test_without_reports_draws_far_apart_keep_a_cold_server_by_its_part_of_an_even_share() -> None:
     one = Server(started_at=1e9)  # a start ahead of the clock: it stays as cold as at its start
     ready = [one] + [Server() for _ in range(9)]
-    cold = of(ready, fall_multiple=2.0)
+    cold = of(ready, overload_multiple=2.0)
     # One pair in five comes upon it, so what five pairs may give it is kept for one draw.
     kept = min(SHARE_SAFETY * 2.0 / 10 * 5, DRAWN * 2.0)
     for k in range(1, 5):
-        assert chance(cold, one, ready, NOW + 1000.0 * k, fall_multiple=2.0) == pytest.approx(kept * 0.3)
+        assert chance(cold, one, ready, NOW + 1000.0 * k, overload_multiple=2.0) == pytest.approx(kept * 0.3)
 
 
 @pytest.mark.parametrize("draws", [1, 10, 1000])
@@ -73,7 +73,8 @@
     ready = [one] + [Server(unit=unit) for _ in range(9)]
     cold = of(ready)
     window = 1.0
-    total = sum(chance(cold, one, ready, NOW + window * k / draws, fall_time=window) for k in range(draws))
+    clocks = [NOW + window * k / draws for k in range(draws)]
+    total = sum(chance(cold, one, ready, now, overload_window=window) for now in clocks)
     grown = 0.3 + 0.7 * window / 10.0  # its part of its capacity at the window's end
     share = SHARE_SAFETY * 3.0 / 10
     most = share * (5.0 + 1.0 / SHARE_EARNED_IN) * grown
@@ -94,7 +95,7 @@
     for cold in [of(ready) for _ in range(sample)]:
         now = NOW + rng.expovariate(10.0)
         while now < NOW + 10.0:
-            given += chance(cold, rng.choice(young), ready, now, balancers=nodes, fall_time=1.0) / 100
+            given += chance(cold, rng.choice(young), ready, now, proxy_count=nodes, overload_window=1.0) / 100
             now += rng.expovariate(10.0)
     falls = sum(3.0 * 100 * (0.3 + 0.7 * t / 10.0) / 10.0 for t in range(10))  # over its warm-up
     print(f"{given * nodes / sample:.1f} of {falls:.1f}")
@@ -121,7 +122,7 @@
 
 
 def test_no_server_is_cold_where_settings_tell_no_time() -> None:
-    assert not is_cold(just_started(), NOW, settings(cold_time=0.0, fall_time=0.0))
+    assert not is_cold(just_started(), NOW, settings(slow_start_time=0.0, overload_window=0.0))
 
 
 def test_a_few_servers_that_hang_do_not_make_others_look_full() -> None:
@@ -166,12 +167,18 @@
     team = next(f"g{k}" for k in count() if ring.order(names, f"g{k}", 1) == ["s7"])
     hits = total = 0
     for seed in range(600):
-        driver = Driver(servers=20, seed=seed, reports=ReportSource.NONE, probes=False, groups=True)
+        driver = Driver(
+            servers=20,
+            seed=seed,
+            report_source=ReportSource.NONE,
+            health_checks=False,
+            connection_groups=True,
+        )
         driver.now += 100.0
         driver.set_phase("s7", EndpointPhase.READY, started_at=driver.now - 5.0)
-        for send in sends(driver.request(team=team)):
+        for send in sends(driver.request(group=team)):
             total += 1
-            hits += send.server == "s7"
+            hits += send.endpoint == "s7"
     part = 0.3 + 0.7 * 0.5  # of its capacity, 5 s after its start
     print(f"{hits} of {total} sends, each from another node")
     assert total == 600
@@ -182,7 +189,7 @@
     hits = 0
     for _ in range(requests):
         for send in sends(driver.answer_probes(driver.request(after=0.01), 0.2)):
-            hits += send.server == server
+            hits += send.endpoint == server
             driver.outcome(send, AttemptResult.OK, settled=True)
     return hits
 
@@ -219,13 +226,18 @@
 def test_a_keyed_repeat_bound_to_a_cold_cell_has_no_budget_of_its_own() -> None:
     """All servers that drop the repeat are cold: it waits its turn like any attempt, and most are refused."""
     keyed = ClassSettings(
-        "live", aim=0.5, limit=2.0, repeat=Idempotency.KEYED, group=DeduplicationScope.ZONE, repeat_window=5.0
+        "live",
+        latency_objective=0.5,
+        time_limit=2.0,
+        idempotency=Idempotency.KEYED,
+        deduplication_scope=DeduplicationScope.ZONE,
+        deduplication_window=5.0,
     )
     repeats = 0
     for seed in range(200):
-        driver = Driver(servers=10, seed=seed, classes={"live": keyed}, cold_share=0.13)
+        driver = Driver(servers=10, seed=seed, classes={"live": keyed}, slow_start_share=0.13)
         (send,) = sends(driver.answer_probes(driver.request(after=9.0), 0.2))
-        zone = "a" if int(send.server[1:]) % 2 else "b"
+        zone = "a" if int(send.endpoint[1:]) % 2 else "b"
         for k in range(10):
             if ("a" if k % 2 else "b") == zone:
                 entry = EndpointEntry(f"s{k}", zone=zone, started_at=driver.now)
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -84,18 +84,18 @@
         self.zones = {f"s{k}": ("a" if k < cold else "bc"[k % 2]) if zones else "" for k in range(SERVERS)}
         self.settings = settings = Settings(
             classes={"live": CLASS},
-            balancers=processes,
+            proxy_count=processes,
             max_attempts=3,
             max_retry_after=1.0,
-            probes=not blind,
-            reports=ReportSource.NONE if blind else ReportSource.PROBE,
+            health_checks=not blind,
+            report_source=ReportSource.NONE if blind else ReportSource.PROBE,
             report_fields=() if blind else ("x0", "inflight"),
-            groups=groups > 0,
-            cold_share=kind.cold_share,
-            cold_time=kind.cold_time,
-            fall_multiple=kind.fall_multiple,
-            fall_time=kind.fall_time,
-            cross_zone_price=0.02 if zones else 0.0,
+            connection_groups=groups > 0,
+            slow_start_share=kind.cold_share,
+            slow_start_time=kind.cold_time,
+            overload_multiple=kind.fall_multiple,
+            overload_window=kind.fall_time,
+            cross_zone_cost=0.02 if zones else 0.0,
         )
         self.places = [replace(settings, zone="abc"[k % 3] if zones else "") for k in range(processes)]
         self.nodes = [Balancer(place, 1000 * seed + k) for k, place in enumerate(self.places)]
@@ -124,19 +124,19 @@
         for a in node.handle(self.now, event):
             match a:
                 case Forward():
-                    self.sends.append((self.now, a.server))
+                    self.sends.append((self.now, a.endpoint))
                     if self.rng.random() < self.failing:
                         self.at(0.01, lambda a=a, life=self.life: self.fails(node, a, life))
                     else:
-                        self.held[a.server] += 1
+                        self.held[a.endpoint] += 1
                         self.at(0.05, lambda a=a, life=self.life: self.stands(node, a, life))
                 case CheckHealth():
-                    x0 = self.seen[a.server] / (self.full * self.part(a.server))
-                    report = {"x0": x0 + 1e-9 * next(self.order), "inflight": float(self.seen[a.server])}
-                    result = HealthCheckEnded(a.server, AttemptResult.OK, 0.01, report)
+                    x0 = self.seen[a.endpoint] / (self.full * self.part(a.endpoint))
+                    report = {"x0": x0 + 1e-9 * next(self.order), "inflight": float(self.seen[a.endpoint])}
+                    result = HealthCheckEnded(a.endpoint, AttemptResult.OK, 0.01, report)
                     self.at(0.01, lambda r=result, life=self.life: self.tell(node, r, life))
                 case SetTimer():
-                    self.at(a.wait, lambda t=a.token, life=self.life: self.tell(node, TimerFired(t), life))
+                    self.at(a.delay, lambda t=a.token, life=self.life: self.tell(node, TimerFired(t), life))
                 case Reject() | Fail():
                     self.refused += 1
                     self.at(self.rng.uniform(0.5, 1.5) * RETURN, self.arrives)
@@ -148,17 +148,17 @@
             self.feed(node, event)
 
     def stands(self, node: Balancer, a: Forward, life: int) -> None:
-        self.tell(node, ConnectionEstablished(a.id, 0, a.server, 0.05), life)
+        self.tell(node, ConnectionEstablished(a.request_id, 0, a.endpoint, 0.05), life)
         self.at(self.rng.expovariate(1.0 / LIFE), lambda: self.ends(node, a, life))
 
     def fails(self, node: Balancer, a: Forward, life: int) -> None:
-        outcome = AttemptEnded(a.id, 0, a.server, AttemptResult.CONNECT_FAILED, 0.01, False)
+        outcome = AttemptEnded(a.request_id, 0, a.endpoint, AttemptResult.CONNECT_FAILED, 0.01, False)
         self.tell(node, outcome, life)
 
     def ends(self, node: Balancer, a: Forward, life: int) -> None:
         if life == self.life:
-            self.held[a.server] -= 1
-            self.feed(node, AttemptEnded(a.id, 0, a.server, AttemptResult.OK, 1.0, True))
+            self.held[a.endpoint] -= 1
+            self.feed(node, AttemptEnded(a.request_id, 0, a.endpoint, AttemptResult.OK, 1.0, True))
 
     def part(self, server: str) -> float:
         if server not in self.cold or self.now < 0.0:
@@ -171,7 +171,7 @@
         self.ids += 1
         node = self.rng.choices(self.nodes, self.weights)[0]
         team = self.rng.choices(self.teams, self.groups)[0] if self.groups else ""
-        self.feed(node, RequestArrived(self.ids, "live", self.now + 2.0, team=team))
+        self.feed(node, RequestArrived(self.ids, "live", self.now + 2.0, group=team))
 
     def flow(self) -> None:
         self.arrives()
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -156,7 +156,7 @@
         self.core = Proxy(settings(drain_grace=2.0), 1, self.ports, Metrics(), made)
         self.core.balancer = self.script  # type: ignore[assignment]
         self.tell("a", EndpointListKind.FULL)
-        self.script.answers[RequestArrived] = lambda e: [Forward(e.id, "a", 5.0)]
+        self.script.answers[RequestArrived] = lambda e: [Forward(e.request_id, "a", 5.0)]
 
     def tell(self, name: str, kind: EndpointListKind = EndpointListKind.DELTA, **fields: Any) -> None:
         self.core.listing(kind, [(EndpointEntry(name, **fields), f"{name}:1")])
@@ -177,7 +177,7 @@
 
 def test_a_second_send_while_one_is_out_goes_nowhere() -> None:
     rig = Rig()
-    rig.script.answers[RequestArrived] = lambda e: [Forward(e.id, "a", 1.0), Forward(e.id, "a", 1.0)]
+    rig.script.answers[RequestArrived] = lambda e: [Forward(e.request_id, "a", 1.0)] * 2
     rig.take()
     assert len(rig.ports.fetches) == 1 and rig.core.stats.counts["moot"] == 1
 
@@ -193,7 +193,7 @@
 
 def test_an_attempt_ends_before_the_deadline_so_that_the_answer_is_in_time() -> None:
     rig = Rig()
-    rig.script.answers[AttemptEnded] = lambda e: [Reject(e.id, 0.5)]
+    rig.script.answers[AttemptEnded] = lambda e: [Reject(e.request_id, 0.5)]
     began = rig.clock.now
     session, _ = rig.take(wait=1.5)
     rig.ports.fetches[0].write()
@@ -205,7 +205,7 @@
 
 def test_words_that_come_late_touch_nothing() -> None:
     rig = Rig()
-    rig.script.answers[AttemptEnded] = lambda e: [Reject(e.id, 0.5)]
+    rig.script.answers[AttemptEnded] = lambda e: [Reject(e.request_id, 0.5)]
     session, req = rig.take(wait=1.0)
     attempt = rig.ports.fetches[0].attempt
     rig.clock.run(1.2)
@@ -217,12 +217,12 @@
     assert session.words == ["busy"] and len(rig.script.outcomes()) == 1
 
 
-@pytest.mark.parametrize("phase", [EndpointPhase.DRAINING, EndpointPhase.GONE])
+@pytest.mark.parametrize("phase", [EndpointPhase.DRAINING, EndpointPhase.REMOVED])
 def test_a_fetch_still_connecting_when_its_backend_leaves_is_abandoned_unsent(phase: EndpointPhase) -> None:
     """At once, and not at the end of the grace: when this node hears of it, the word may be as old as that.
     The module is told of the list first, or it would choose that backend again."""
     rig = Rig()
-    rig.script.answers[AttemptEnded] = lambda e: [Forward(e.id, "b", 5.0)]
+    rig.script.answers[AttemptEnded] = lambda e: [Forward(e.request_id, "b", 5.0)]
     rig.tell("b")
     session, _ = rig.take(wait=9.0)
     rig.tell("a", phase=phase)
@@ -233,7 +233,7 @@
     del rig.script.answers[AttemptEnded], rig.ports.fetches[1]
     rig.take(wait=9.0)  # and nothing new is sent there, though the module asks for it
     rig.clock.run(0.1)
-    assert len(rig.ports.fetches) == 1 and rig.script.outcomes()[1:] == [AttemptResult.MOOT]
+    assert len(rig.ports.fetches) == 1 and rig.script.outcomes()[1:] == [AttemptResult.NOT_SENT]
 
 
 def test_a_connection_from_before_the_run_has_the_grace_of_its_backend() -> None:
@@ -270,7 +270,7 @@
 def test_a_repeat_that_could_not_be_written_within_its_window_is_not_written_after_it() -> None:
     """It was decided in time, and its connection came up late: servers drop repeats for so long only."""
     rig = Rig()
-    rig.script.answers[RequestArrived] = lambda e: [Forward(e.id, "a", 5.0, begin_within=0.1)]
+    rig.script.answers[RequestArrived] = lambda e: [Forward(e.request_id, "a", 5.0, begin_within=0.1)]
     rig.take()
     rig.take()
     rig.clock.run(0.09)
@@ -386,7 +386,7 @@
     rig.core.settings = settings(drain_grace=grace)
     assert rig.core.take_out("a")
     (told,) = [e for e in rig.script.events if isinstance(e, EndpointList)][-1].entries
-    assert told.phase is EndpointPhase.DRAINING and told.leaves_in == stays
+    assert told.phase is EndpointPhase.DRAINING and told.stops_within == stays
 
 
 @pytest.mark.parametrize(("grace", "sends_for"), [(0.05, 0.03), (0.25, 0.15), (2.0, 1.9)])
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -70,7 +70,7 @@
 
 @pytest.mark.parametrize(("limits", "killed"), [((1.8, 2.0), 2.7), ((3.0, 2.0, 1.2), 3.7), ((30.0,), 3.7)])
 def test_sigkill_comes_by_the_longest_deadline(limits: tuple[float, ...], killed: float) -> None:
-    classes = {str(k): ClassSettings(str(k), limit=limit) for k, limit in enumerate(limits)}
+    classes = {str(k): ClassSettings(str(k), time_limit=limit) for k, limit in enumerate(limits)}
     assert killed_from(Settings(classes)) == pytest.approx(killed)
 
 
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -72,7 +72,7 @@
 
     def __init__(self, pushed: bool = False) -> None:
         self.loop = Loop()
-        self.settings = helpers.settings(ask_for_list=not pushed, ask_within=10.0, drain_grace=2.0)
+        self.settings = helpers.settings(polls_endpoints=not pushed, poll_within=10.0, drain_grace=2.0)
         self.calls: list[tuple[Call, Transport]] = []
         self.lists: list[tuple[EndpointListKind, list[Entry]]] = []
         self.stats = Metrics()
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -26,11 +26,11 @@
     seen = [(d.now, sum(isinstance(a, Migrate) for a in first))]
     out = first
     while timers := [a for a in out if isinstance(a, SetTimer) and a.token == token]:
-        if d.now + timers[0].wait > end:
+        if d.now + timers[0].delay > end:
             break
-        out = d.feed(TimerFired(token), after=timers[0].wait)
+        out = d.feed(TimerFired(token), after=timers[0].delay)
         for move in [a for a in out if isinstance(a, Migrate)]:
-            d.feed(AttemptEnded(move.id, 0, "s0", AttemptResult.CANCELLED, 1.0, True))
+            d.feed(AttemptEnded(move.request_id, 0, "s0", AttemptResult.CANCELLED, 1.0, True))
         seen.append((d.now, sum(isinstance(a, Migrate) for a in out)))
     return seen
 
@@ -40,7 +40,7 @@
     return d.feed(EndpointList(EndpointListKind.DELTA, (entry,)))
 
 
-@pytest.mark.parametrize("phase", [EndpointPhase.DRAINING, EndpointPhase.GONE])
+@pytest.mark.parametrize("phase", [EndpointPhase.DRAINING, EndpointPhase.REMOVED])
 def test_clients_are_told_before_their_server_leaves(phase: EndpointPhase) -> None:
     """The module once left them there until they were cut off."""
     d = Driver(servers=2)
@@ -76,7 +76,7 @@
     d = Driver(servers=2)
     stood_on_one(d, 20)
     held, told = len(d.balancer.servers["s0"].held), d.now
-    entry = EndpointEntry("s0", phase=EndpointPhase.DRAINING, leaves_in=2.0)
+    entry = EndpointEntry("s0", phase=EndpointPhase.DRAINING, stops_within=2.0)
     out = d.feed(EndpointList(EndpointListKind.DELTA, (entry,)))
     moved = [(at, n) for at, n in moves_until(d, out, "es0", told + 10.0) if n]
     assert sum(n for _, n in moved) == held and moved[-1][0] < told + 2.0
--- a/tests/test_listclock.py
+++ b/tests/test_listclock.py
@@ -26,7 +26,7 @@
 
 
 def clock(pushed: bool, grace: float = 2.0, seed: int = 1) -> WatchSchedule:
-    told = helpers.settings(ask_for_list=not pushed, drain_grace=grace, ask_within=10.0, balancers=40)
+    told = helpers.settings(polls_endpoints=not pushed, drain_grace=grace, poll_within=10.0, proxy_count=40)
     made = WatchSchedule(told, Random(seed))
     made.took(made.next(0.0), 0.02, 7)
     return made
@@ -87,14 +87,14 @@
 
 
 def test_a_list_known_from_before_the_start_is_asked_on_from_where_calls_are_dear() -> None:
-    c = WatchSchedule(helpers.settings(ask_for_list=True, ask_within=10.0), Random(1))
+    c = WatchSchedule(helpers.settings(polls_endpoints=True, poll_within=10.0), Random(1))
     c.known(0)
     first = c.next(0.0)
     assert first.index == 0 and 2.5 <= first.wait <= 7.5
     assert first.limit < first.wait + listclock.WAIT_TOLD
     c.took(first, 6.0, 0)
     assert 5.0 <= c.next(6.0).wait <= 15.0
-    c = WatchSchedule(helpers.settings(ask_for_list=False), Random(1))
+    c = WatchSchedule(helpers.settings(polls_endpoints=False), Random(1))
     c.known(7)
     assert c.next(0.0).index is None
 
@@ -104,7 +104,7 @@
     for first, about in ((True, 5.0), (False, 10.0)):
         waits_of = []
         for seed in range(200):
-            c = WatchSchedule(helpers.settings(ask_for_list=True, ask_within=10.0), Random(seed))
+            c = WatchSchedule(helpers.settings(polls_endpoints=True, poll_within=10.0), Random(seed))
             c.known(7)
             if not first:
                 c.took(c.next(0.0), 6.0, 7)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -168,14 +168,14 @@
 
 def test_the_module_goes_on_with_settings_that_take_away_what_it_used() -> None:
     """A request under way draws from the ring, and looks are due, when a reload switches both off."""
-    d = Driver(groups=True)
-    first = sends(d.answer_probes(d.request(team="g1"), 0.1))[0]
+    d = Driver(connection_groups=True)
+    first = sends(d.answer_probes(d.request(group="g1"), 0.1))[0]
     d.stand(first)
-    waiting = d.request(team="g2")
+    waiting = d.request(group="g2")
     assert not sends(waiting)
-    d.balancer.adopt(settings(classes={"other": CLASS}, probes=False))
+    d.balancer.adopt(settings(classes={"other": CLASS}, health_checks=False))
     assert not any(isinstance(a, CheckHealth) for a in d.feed(TimerFired("look"), after=1.0))
     again = d.feed(TimerFired(f"h{d.next_id}"))
     assert sends(again) and sends(d.outcome(sends(again)[0], AttemptResult.RESET))
-    d.balancer.adopt(settings(groups=True))
-    assert sends(d.answer_probes(d.request(team="g1"), 0.1)) and len(d.balancer.ring) == 6 * 16
+    d.balancer.adopt(settings(connection_groups=True))
+    assert sends(d.answer_probes(d.request(group="g1"), 0.1)) and len(d.balancer.ring) == 6 * 16
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -27,7 +27,7 @@
         timers = [a for a in out if isinstance(a, SetTimer) and a.token.startswith("h")]
         if not timers:
             break
-        out = d.feed(TimerFired(timers[0].token), after=timers[0].wait)
+        out = d.feed(TimerFired(timers[0].token), after=timers[0].delay)
     assert finals(out) and d.now < 102.0
     assert not d.balancer.reqs
 
@@ -36,8 +36,8 @@
     d = Driver()
     out = d.request()
     (timer,) = [a for a in out if isinstance(a, SetTimer)]
-    assert timer.wait < CLASS.aim / 2
-    assert sends(d.feed(TimerFired(timer.token), after=timer.wait))
+    assert timer.delay < CLASS.latency_objective / 2
+    assert sends(d.feed(TimerFired(timer.token), after=timer.delay))
 
 
 def test_every_attempt_failing_ends_in_one_final_answer_and_nothing_after() -> None:
@@ -68,33 +68,33 @@
     d = Driver()
     out = d.answer_probes(d.request(), 0.2)
     (first,) = sends(out)
-    assert first.timeout == pytest.approx(2.0 - CLASS.aim)  # one more within the aim still fits
+    assert first.timeout == pytest.approx(2.0 - CLASS.latency_objective)  # one more within the aim still fits
     (second,) = sends(d.answer_probes(d.outcome(first, AttemptResult.CONNECT_FAILED), 0.2))
-    assert second.server != first.server
+    assert second.endpoint != first.endpoint
 
 
 def test_nothing_is_sent_for_a_client_that_left() -> None:
     d = Driver()
     (send,) = sends(d.answer_probes(d.request(), 0.2))
-    d.feed(ClientDisconnected(send.id))
+    d.feed(ClientDisconnected(send.request_id))
     out = d.outcome(send, AttemptResult.ERROR)
     assert not sends(out) and not finals(out)
 
 
 def keyed(group: DeduplicationScope, repeat: Idempotency = Idempotency.KEYED) -> ClassSettings:
-    return dataclasses.replace(CLASS, repeat=repeat, group=group, repeat_window=1.0)
+    return dataclasses.replace(CLASS, idempotency=repeat, deduplication_scope=group, deduplication_window=1.0)
 
 
 def test_an_unsafe_request_that_may_have_run_is_neither_repeated_nor_refused() -> None:
-    unsafe = keyed(DeduplicationScope.ALL, Idempotency.UNSAFE)
+    unsafe = keyed(DeduplicationScope.ALL, Idempotency.NON_IDEMPOTENT)
     d = Driver(classes={"live": unsafe})
     (send,) = sends(d.answer_probes(d.request(), 0.2))
     out = d.outcome(send, AttemptResult.RESET)
-    assert out == [Fail(send.id)]
+    assert out == [Fail(send.request_id)]
 
 
 def test_an_unsafe_request_that_never_ran_is_tried_again() -> None:
-    d = Driver(classes={"live": keyed(DeduplicationScope.ALL, Idempotency.UNSAFE)})
+    d = Driver(classes={"live": keyed(DeduplicationScope.ALL, Idempotency.NON_IDEMPOTENT)})
     (send,) = sends(d.answer_probes(d.request(), 0.2))
     assert sends(d.answer_probes(d.outcome(send, AttemptResult.FULL), 0.2))
 
@@ -105,9 +105,9 @@
     zone = {f"s{i}": "a" if i % 2 else "b" for i in range(6)}
     (send,) = sends(d.answer_probes(d.request(), 0.2))
     (again,) = sends(d.answer_probes(d.outcome(send, AttemptResult.TIMEOUT), 0.2))
-    assert zone[again.server] == zone[send.server]
+    assert zone[again.endpoint] == zone[send.endpoint]
     d.now += 1.01
-    assert d.answer_probes(d.outcome(again, AttemptResult.TIMEOUT), 0.2) == [Fail(send.id)]
+    assert d.answer_probes(d.outcome(again, AttemptResult.TIMEOUT), 0.2) == [Fail(send.request_id)]
 
 
 def test_a_keyed_repeat_that_waits_for_its_probes_past_the_window_is_not_sent() -> None:
@@ -117,11 +117,11 @@
     assert send.begin_within == math.inf
     d.now += 0.9
     drawn = d.outcome(send, AttemptResult.TIMEOUT)
-    probes = [a.server for a in drawn if isinstance(a, CheckHealth)]
+    probes = [a.endpoint for a in drawn if isinstance(a, CheckHealth)]
     assert probes and not sends(drawn)
     d.now += 0.11
     assert d.answer_probes(drawn, 0.2) == [a for a in drawn if not isinstance(a, CheckHealth)] + [
-        Fail(send.id)
+        Fail(send.request_id)
     ]
 
 
@@ -133,13 +133,13 @@
     assert again.begin_within == pytest.approx(0.6)
 
 
-@pytest.mark.parametrize("phase", [EndpointPhase.DRAINING, EndpointPhase.GONE])
+@pytest.mark.parametrize("phase", [EndpointPhase.DRAINING, EndpointPhase.REMOVED])
 def test_nothing_goes_to_a_draining_or_gone_server(phase: EndpointPhase) -> None:
     d = Driver(servers=3)
     d.set_phase("s1", phase)
     for _ in range(50):
         (send,) = sends(d.answer_probes(d.request(after=1.0), 0.2))
-        assert send.server != "s1"
+        assert send.endpoint != "s1"
         d.outcome(send, AttemptResult.OK, settled=True)
 
 
@@ -149,7 +149,7 @@
         out = d.request()
         d.set_phase("s1", EndpointPhase.DRAINING)
         placed = sends(d.answer_probes(out, lambda s: 0.01 if s == "s1" else 0.5))
-        assert all(a.server != "s1" for a in placed)
+        assert all(a.endpoint != "s1" for a in placed)
 
 
 def test_cold_budget_added_up_over_many_proxies_in_a_wave() -> None:
@@ -167,7 +167,7 @@
     hits = 0
     for _ in range(200):
         for send in sends(d.answer_probes(d.request(after=1.0), 0.2)):
-            hits += send.server == "s0"
+            hits += send.endpoint == "s0"
             d.outcome(send, AttemptResult.OK, settled=True)
     assert 0 < hits < 80
 
@@ -182,7 +182,7 @@
     to s7, and all sends, of `requests` each `after` s apart; each settled at once with `settle`."""
     to_cold = total = 0
     for seed in range(seeds):
-        d = Driver(servers=20, seed=seed, balancers=40, **changes)
+        d = Driver(servers=20, seed=seed, proxy_count=40, **changes)
         d.now = 200.0
         d.set_phase("s7", EndpointPhase.READY, started_at=199.9)
         for _ in range(requests):
@@ -190,7 +190,7 @@
             out = d.answer_probes(drawn, lambda s: 0.0 if s == "s7" else warm, warm * FILLED_BY)
             for send in sends(out):
                 total += 1
-                to_cold += send.server == "s7"
+                to_cold += send.endpoint == "s7"
                 if settle:
                     d.outcome(send, AttemptResult.OK, settled=True)
     return to_cold, total
@@ -198,7 +198,7 @@
 
 def _cold_share_of_sends(fall_multiple: float) -> float:
     """Steady arrivals, one every 0.2 s; the part of sends that the server just started gets."""
-    cold = {"cold_share": 0.13, "cold_time": 24.0, "fall_multiple": fall_multiple}
+    cold = {"slow_start_share": 0.13, "slow_start_time": 24.0, "overload_multiple": fall_multiple}
     to_cold, total = _sends_to_one_just_started(300, 30, 0.2, 0.3, settle=True, **cold)
     assert total > 5000
     return to_cold / total
--- a/tests/test_serves_nobody.py
+++ b/tests/test_serves_nobody.py
@@ -28,13 +28,13 @@
         for action in actions:
             if isinstance(action, Forward):
                 sends.append(d.now)
-                failed = AttemptEnded(action.id, 0, action.server, result, 0.01, False, None)
+                failed = AttemptEnded(action.request_id, 0, action.endpoint, result, 0.01, False, None)
                 carry_out(d.feed(failed))
             elif isinstance(action, CheckHealth):
                 report = {"x0": 0.3, "inflight": 5.0} if probes is AttemptResult.OK else None
-                carry_out(d.feed(HealthCheckEnded(action.server, probes, 0.01, report)))
+                carry_out(d.feed(HealthCheckEnded(action.endpoint, probes, 0.01, report)))
             elif isinstance(action, SetTimer):
-                timers.append((d.now + action.wait, action.token))
+                timers.append((d.now + action.delay, action.token))
 
     while d.now < began + LASTS:
         carry_out(d.request(after=PAUSE))
--- a/tests/test_store_node.py
+++ b/tests/test_store_node.py
@@ -210,7 +210,7 @@
 
     def handle(now: float, event: Event) -> list[Action]:
         if isinstance(event, HealthCheckEnded):
-            heard.append((core.now() - now, event.server))
+            heard.append((core.now() - now, event.endpoint))
         return plain(now, event)
 
     core.balancer.handle = handle  # type: ignore[method-assign]
@@ -247,7 +247,7 @@
     s1 = core.backends["s1"]
     assert s1.phase is EndpointPhase.DRAINING and s1.told_at > 0 and s1.started_at == 77.0
     told = True
-    learner.hear(Gossip("other", {}, [Learned("s2", "listed", 0.0, None, int(EndpointPhase.GONE), 0.0)]))
+    learner.hear(Gossip("other", {}, [Learned("s2", "listed", 0.0, None, int(EndpointPhase.REMOVED), 0.0)]))
     assert core.backends["s2"].phase is EndpointPhase.READY
     assert {x.server for x in learner.tell({}).learned if x.kind == "listed"} == {"s1", "s2"}
     loop.close()
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -20,18 +20,19 @@
     entries = tuple(EndpointEntry(f"x{i}") for i in range(100))
     driver.feed(EndpointList(EndpointListKind.DELTA, entries))
     first, second = out.getvalue().splitlines()
-    assert first.startswith("step t=100.0000 in=Request[id=1 cls=live deadline_at=102] out=")
-    assert "Probe[server=" in first or "Send[id=1" in first
-    assert second.count("ServerEntry[") == 64 and second.endswith(",+36)] out=")
+    event = "RequestArrived[request_id=1 class_name=live deadline_at=102]"
+    assert first.startswith(f"step t=100.0000 in={event} out=")
+    assert "CheckHealth[endpoint=" in first or "Forward[request_id=1" in first
+    assert second.count("EndpointEntry[") == 64 and second.endswith(",+36)] out=")
 
 
 def test_the_settings_are_written_as_json_at_the_start_and_at_each_change() -> None:
     out = io.StringIO()
     trace = DecisionTrace(Driver().balancer, out)
     trace.settings(settings())
-    trace.adopt(settings(balancers=40))
+    trace.adopt(settings(proxy_count=40))
     lines = out.getvalue().splitlines()
-    assert [msgspec.json.decode(line.split(" ", 1)[1])["balancers"] for line in lines] == [10, 40]
+    assert [msgspec.json.decode(line.split(" ", 1)[1])["proxy_count"] for line in lines] == [10, 40]
 
 
 def test_the_table_is_read_from_the_operator_s_file() -> None:
--- a/tests/test_trouble.py
+++ b/tests/test_trouble.py
@@ -37,14 +37,14 @@
     for seed in range(10):
         d = Driver(servers=4, seed=seed)
         out = d.answer_probes(d.request(), lambda s: 0.2 if s in ("s0", "s1") else 1.5)
-        assert all(a.server in ("s0", "s1") for a in sends(out))
+        assert all(a.endpoint in ("s0", "s1") for a in sends(out))
 
 
 def test_a_little_room_seen_by_all_is_not_taken_by_all() -> None:
     """Many proxies, a busy second, one server with room: only some of them take it."""
     taken = 0
     for seed in range(60):
-        d = Driver(servers=10, seed=seed, balancers=20)
+        d = Driver(servers=10, seed=seed, proxy_count=20)
         for _ in range(20):
             d.balancer.came.add(d.now)
             d.now += 0.1
@@ -55,14 +55,14 @@
 
 def test_less_worth_is_refused_first() -> None:
     classes = {
-        "live": ClassSettings("live", worth=5.0),
-        "spare": ClassSettings("spare", worth=1.0),
+        "live": ClassSettings("live", priority_weight=5.0),
+        "spare": ClassSettings("spare", priority_weight=1.0),
     }
     placed = {"live": 0, "spare": 0}
     for seed in range(40):
         for name in placed:
             d = Driver(seed=seed, classes=classes)
-            placed[name] += len(sends(d.answer_probes(d.request(cls=name), ROOM_TO - 0.07)))
+            placed[name] += len(sends(d.answer_probes(d.request(class_name=name), ROOM_TO - 0.07)))
     assert placed["live"] > placed["spare"]
 
 
@@ -70,7 +70,7 @@
 def test_clients_moved_off_another_proxy_are_no_growth(again: bool) -> None:
     """When one of two nodes was drained, the other held its clients for new load on top of the reports, in
     which they were all along, and refused them for four seconds with servers half idle."""
-    d = Driver(servers=4, balancers=2)
+    d = Driver(servers=4, proxy_count=2)
     for _ in range(40):
         d.stand(sends(d.answer_probes(d.request(after=2.0), 0.3))[0])
     for _ in range(40):
@@ -129,35 +129,35 @@
 def held_from_before(d: Driver, server: str, team: str, count: int) -> None:
     for _ in range(count):
         d.next_id += 1
-        d.feed(ConnectionInherited(RequestArrived(d.next_id, "live", d.now + 2.0, team=team), server))
+        d.feed(ConnectionInherited(RequestArrived(d.next_id, "live", d.now + 2.0, group=team), server))
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_a_group_stays_where_it_is_held_unless_that_is_much_the_fuller(seed: int) -> None:
     """Each server that holds any of a group pays for it once more; groups were once spread by load alone."""
-    d = Driver(servers=2, seed=seed, groups=True)
+    d = Driver(servers=2, seed=seed, connection_groups=True)
     held_from_before(d, "s0", "g1", 20)
-    (send,) = sends(d.answer_probes(d.request(team="g1"), lambda s: 0.42 if s == "s0" else 0.40, 20.0))
-    assert send.server == "s0"
+    (send,) = sends(d.answer_probes(d.request(group="g1"), lambda s: 0.42 if s == "s0" else 0.40, 20.0))
+    assert send.endpoint == "s0"
     d.outcome(send, AttemptResult.CANCELLED, settled=True)
     d.now += 30.0
-    (send,) = sends(d.answer_probes(d.request(team="g1"), lambda s: 0.8 if s == "s0" else 0.2, 20.0))
-    assert send.server == "s1"
+    (send,) = sends(d.answer_probes(d.request(group="g1"), lambda s: 0.8 if s == "s0" else 0.2, 20.0))
+    assert send.endpoint == "s1"
 
 
 def test_moves_take_the_smallest_groups_first() -> None:
-    d = Driver(servers=2, groups=True)
+    d = Driver(servers=2, connection_groups=True)
     for team, count in (("large", 30), ("small", 2)):
         held_from_before(d, "s0", team, count)
     d.probed("s1", 0.2, 20.0)
-    moved = [a.id for a in d.probed("s0", 1.2, 32.0) if isinstance(a, Migrate)]
+    moved = [a.request_id for a in d.probed("s0", 1.2, 32.0) if isinstance(a, Migrate)]
     assert {31, 32} <= set(moved) and len(moved) < 15
 
 
 @pytest.mark.parametrize(("elsewhere", "most"), [(0.95, 0), (0.85, 3), (0.3, 14)])
 def test_no_more_is_moved_than_others_have_room_for(elsewhere: float, most: int) -> None:
     """What was moved off a full fleet came back only to be refused."""
-    d = Driver(servers=2, balancers=1)
+    d = Driver(servers=2, proxy_count=1)
     held_from_before(d, "s0", "", 32)
     d.probed("s1", elsewhere, 40.0)
     moved = [a for a in d.probed("s0", 1.5, 32.0) if isinstance(a, Migrate)]
@@ -169,7 +169,7 @@
     raised it until the rest, at three quarters, refused most of what came."""
     placed = 0
     for seed in range(40):
-        d = Driver(servers=3, seed=seed, balancers=2)
+        d = Driver(servers=3, seed=seed, proxy_count=2)
         for _ in range(30):
             d.probed("s0", 1.4, 3.0)
             for _ in range(2):
@@ -190,24 +190,24 @@
     result: AttemptResult,
 ) -> None:
     """Its probes were answered, and light it was: it won each pair, and each lost its time there."""
-    d = Driver(servers=4, balancers=1)
+    d = Driver(servers=4, proxy_count=1)
     failures = 0
     while failures < 2:
         send = first_send(d)
-        if send.server == "s0":
+        if send.endpoint == "s0":
             failures += 1
             d.answer_probes(d.outcome(send, result), 0.05, 40.0)
-        d.feed(ClientDisconnected(send.id))
-    assert all(first_send(d).server != "s0" for _ in range(40))
+        d.feed(ClientDisconnected(send.request_id))
+    assert all(first_send(d).endpoint != "s0" for _ in range(40))
     d.now += 1.0
-    tried = [send for send in (first_send(d) for _ in range(40)) if send.server == "s0"]
+    tried = [send for send in (first_send(d) for _ in range(40)) if send.endpoint == "s0"]
     assert len(tried) == 1
     d.stand(tried[0])
-    assert any(first_send(d).server == "s0" for _ in range(40))
+    assert any(first_send(d).endpoint == "s0" for _ in range(40))
 
 
 def test_where_all_fail_something_is_still_tried() -> None:
-    d = Driver(servers=3, balancers=1)
+    d = Driver(servers=3, proxy_count=1)
     for _ in range(12):
         out = d.answer_probes(d.request(after=0.01), 0.3)
         while sends(out):
@@ -238,10 +238,10 @@
     for _ in range(200):
         out = d.answer_probes(d.request(after=2.0), lambda s: 0.0 if s == "s0" else 0.3)
         (send,) = sends(out)
-        if send.server == "s0":
+        if send.endpoint == "s0":
             failed += 1
             (send,) = sends(d.answer_probes(d.outcome(send, AttemptResult.ERROR), 0.3))
-        assert send.server != "s0"
+        assert send.endpoint != "s0"
         assert not d.outcome(send, AttemptResult.OK, settled=True)
     assert failed > 50
 
@@ -283,7 +283,7 @@
             d.feed(event, after=0.2)
     out = todo = d.request()
     while todo:
-        todo = [a for p in todo if isinstance(p, CheckHealth) for a in d.feed(frozen[p.server])]
+        todo = [a for p in todo if isinstance(p, CheckHealth) for a in d.feed(frozen[p.endpoint])]
         out = out + todo
     assert sends(out)
 
@@ -294,24 +294,24 @@
         out = d.request()
         d.probed("s1", 0.5)
         (timer,) = [a for a in out if isinstance(a, SetTimer)]
-        (send,) = sends(d.feed(TimerFired(timer.token), after=timer.wait))
-        assert send.server == "s1"
+        (send,) = sends(d.feed(TimerFired(timer.token), after=timer.delay))
+        assert send.endpoint == "s1"
 
 
 def test_calls_to_the_list_are_spread_and_back_off_after_failures() -> None:
     first = set()
     waits = []
     for seed in range(20):
-        d = Driver(seed=seed, ask_for_list=True)
+        d = Driver(seed=seed, polls_endpoints=True)
         (timer,) = [a for _, a in d.log if isinstance(a, SetTimer) and a.token == "list"]
-        assert timer.wait < d.set.ask_within
-        first.add(round(timer.wait, 3))
-        assert d.feed(TimerFired("list"), after=timer.wait) == [WatchEndpoints()]
+        assert timer.delay < d.set.poll_within
+        first.add(round(timer.delay, 3))
+        assert d.feed(TimerFired("list"), after=timer.delay) == [WatchEndpoints()]
         for _ in range(6):
             out = d.feed(EndpointList(EndpointListKind.FAILED))
             (timer,) = [a for a in out if isinstance(a, SetTimer)]
-            waits.append(timer.wait)
-            d.feed(TimerFired("list"), after=timer.wait)
+            waits.append(timer.delay)
+            d.feed(TimerFired("list"), after=timer.delay)
         assert len(d.balancer.ready) == 6  # the old list is kept
     assert len(first) > 15
     assert sum(waits[5::6]) > 3 * sum(waits[0::6])
@@ -321,17 +321,17 @@
 def test_groups_meet_on_few_servers_whichever_proxy_decides() -> None:
     places: set[str] = set()
     for seed in range(30):
-        d = Driver(servers=20, seed=seed, groups=True)
-        out = d.answer_probes(d.request(team="board-9"), 0.3)
-        places |= {a.server for a in sends(out)}
+        d = Driver(servers=20, seed=seed, connection_groups=True)
+        out = d.answer_probes(d.request(group="board-9"), 0.3)
+        places |= {a.endpoint for a in sends(out)}
     assert len(places) <= 2
 
 
 def test_a_group_keeps_its_servers_when_others_go() -> None:
-    d = Driver(servers=20, groups=True)
-    before = sends(d.answer_probes(d.request(team="board-9"), lambda s: 0.3))[0].server
+    d = Driver(servers=20, connection_groups=True)
+    before = sends(d.answer_probes(d.request(group="board-9"), lambda s: 0.3))[0].endpoint
     for name in [f"s{i}" for i in range(20) if f"s{i}" != before][:5]:
-        d.set_phase(name, EndpointPhase.GONE)
+        d.set_phase(name, EndpointPhase.REMOVED)
     after = [d.balancer.servers[name].name for _, name in d.balancer.ring]
     assert before in after and len(set(after)) == 15
 
@@ -339,10 +339,10 @@
 def test_crossing_price_keeps_near_servers_while_they_have_room() -> None:
     near = total = 0
     for seed in range(60):
-        d = Driver(servers=8, seed=seed, zone="a", cross_zone_price=0.06)
+        d = Driver(servers=8, seed=seed, zone="a", cross_zone_cost=0.06)
         for send in sends(d.answer_probes(d.request(), 0.3)):
             total += 1
-            near += int(send.server[1:]) % 2
+            near += int(send.endpoint[1:]) % 2
     assert near / total > 0.9
 
 
@@ -360,7 +360,7 @@
 def test_any_site_gets_its_requests_placed(
     reports: ReportSource, weights: WeightMeaning, probes: bool
 ) -> None:
-    d = Driver(reports=reports, weights=weights, probes=probes)
+    d = Driver(report_source=reports, weight_meaning=weights, health_checks=probes)
     for _ in range(20):
         (send,) = sends(d.answer_probes(d.request(after=0.3), 0.2))
         d.stand(send)
@@ -370,7 +370,7 @@
     with pytest.raises(ValueError, match="no class"):
         Settings(classes={})
     with pytest.raises(ValueError, match="cold_time"):
-        Driver(cold_time=-1.0)
+        Driver(slow_start_time=-1.0)
 
 
 def test_notes_of_slow_messages_leave_probes_to_requests() -> None:
@@ -405,7 +405,7 @@
 def test_attempts_that_fail_everywhere_are_made_fewer_until_they_come_to_something() -> None:
     """A wave of returning clients overran the store behind all servers, and four attempts for each of them
     kept it so: a dozen and more a client, of which none stood."""
-    d = Driver(servers=4, balancers=1)
+    d = Driver(servers=4, proxy_count=1)
     sent: list[int] = []
     for fails in (False, True, False):
         sent.append(0)
@@ -423,7 +423,7 @@
 
 def test_an_attempt_has_all_the_time_there_is_while_most_fail() -> None:
     """Cut off after a part of it, each was made again and cost the store behind the servers once more."""
-    d = Driver(servers=4, balancers=1)
+    d = Driver(servers=4, proxy_count=1)
     assert first_send(d).timeout < 2.0
     for _ in range(10):
         out = d.answer_probes(d.request(after=0.01), 0.05, 40.0)
--- a/tests/test_wave.py
+++ b/tests/test_wave.py
@@ -29,7 +29,7 @@
 )
 from gradegap.balancing.settings import ClassSettings, Settings
 
-INVENTORY = ClassSettings("inventory", aim=0.3, limit=1.8, worth=5.0)
+INVENTORY = ClassSettings("inventory", latency_objective=0.3, time_limit=1.8, priority_weight=5.0)
 
 
 @dataclass
@@ -51,10 +51,10 @@
     def __post_init__(self) -> None:
         settings = Settings(
             classes={"inventory": INVENTORY},
-            balancers=self.proxies,
+            proxy_count=self.proxies,
             max_attempts=4,
             max_retry_after=1.0,
-            probes=False,
+            health_checks=False,
         )
         self.seq = itertools.count()
         self.rng = Random(self.seed)
@@ -71,7 +71,7 @@
             if isinstance(action, Forward):
                 self.send(node, action)
             elif isinstance(action, SetTimer):
-                self.at(self.now + action.wait, self.arrival(node, TimerFired(action.token)))
+                self.at(self.now + action.delay, self.arrival(node, TimerFired(action.token)))
             elif isinstance(action, Reject | Fail):
                 self.refused += 1
 
@@ -81,11 +81,11 @@
         done, given_up = self.free_at, began + send.timeout
         self.setups += 1
         if done <= given_up:
-            up = ConnectionEstablished(send.id, 0, send.server, done - began)
+            up = ConnectionEstablished(send.request_id, 0, send.endpoint, done - began)
             self.at(done, lambda: self.stand(node, up))
         else:
             self.wasted += 1
-            over = AttemptEnded(send.id, 0, send.server, AttemptResult.TIMEOUT, send.timeout, False)
+            over = AttemptEnded(send.request_id, 0, send.endpoint, AttemptResult.TIMEOUT, send.timeout, False)
             self.at(given_up, lambda: self.feed(node, over))
 
     def arrival(self, node: Balancer, event: Event) -> Callable[[], None]:
@@ -99,7 +99,7 @@
         """Requests spread evenly over `over` seconds, each at a proxy drawn at random; then all is played."""
         for k in range(requests):
             when = k * over / requests
-            ask = RequestArrived(k + 1, "inventory", deadline_at=when + INVENTORY.limit)
+            ask = RequestArrived(k + 1, "inventory", deadline_at=when + INVENTORY.time_limit)
             self.at(when, self.arrival(self.rng.choice(self.nodes), ask))
         while self.queue:
             self.now, _, then = heapq.heappop(self.queue)
@@ -126,7 +126,7 @@
     first = node.handle(0.0, RequestArrived(1, "inventory", deadline_at=1.8))
     sends = [a for a in first if isinstance(a, Forward)]
     assert [round(s.timeout, 6) for s in sends] == [1.5]
-    again = node.handle(1.5, AttemptEnded(1, 0, sends[0].server, AttemptResult.TIMEOUT, 1.5, False))
+    again = node.handle(1.5, AttemptEnded(1, 0, sends[0].endpoint, AttemptResult.TIMEOUT, 1.5, False))
     last = [a for a in again if isinstance(a, Forward)]
     assert [round(s.timeout, 6) for s in last] == [0.3]  # the aim is what is left, all of it
 
@@ -136,7 +136,7 @@
     connections each, and s9, a third of their size and empty, as its reports go on saying while they lag."""
     from tests.helpers import Driver, sends
 
-    d = Driver(servers=10, seed=3, balancers=1)
+    d = Driver(servers=10, seed=3, proxy_count=1)
     weights = [8.0] * 9 + [2.5]
     d.feed(
         EndpointList(
@@ -147,7 +147,7 @@
     for _ in range(requests):
         out = d.answer_probes(d.request(after=over / requests), lambda s: 0.0 if s == "s9" else 0.5, 40.0)
         for send in sends(out):
-            to_empty += send.server == "s9"
+            to_empty += send.endpoint == "s9"
             d.stand(send)
     return to_empty
 
@@ -166,7 +166,7 @@
     two connections each (0.85 of capacity with 17). Its sends."""
     from tests.helpers import Driver, sends
 
-    d = Driver(servers=10, seed=5, balancers=40)
+    d = Driver(servers=10, seed=5, proxy_count=40)
     taken = 0
     for _ in range(30):
         out = d.answer_probes(d.request(after=1 / 30, reconnect=reconnect), 0.85, 17.0)
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -20,9 +20,9 @@
 from tests.helpers import Driver, sends, settings
 from tests.test_trouble import held_from_before
 
-FEED = ClassSettings("feed", aim=0.5, limit=3.0, worth=3.0)
-EDIT = ClassSettings("edit", aim=0.5, limit=2.0, worth=5.0)
-MARKS = ClassSettings("marks", aim=0.3, limit=1.2, worth=1.0)
+FEED = ClassSettings("feed", latency_objective=0.5, time_limit=3.0, priority_weight=3.0)
+EDIT = ClassSettings("edit", latency_objective=0.5, time_limit=2.0, priority_weight=5.0)
+MARKS = ClassSettings("marks", latency_objective=0.3, time_limit=1.2, priority_weight=1.0)
 CLASSES = {c.name: c for c in (FEED, EDIT, MARKS)}
 TENANTS = {
     "capital": TenantSettings("capital", quota=40.0),
@@ -31,7 +31,7 @@
 
 
 def worth(**changes: object) -> PriorityWeights:
-    base = {"classes": CLASSES, "tenants": TENANTS, "over_share_worth": 0.05, "balancers": 4}
+    base = {"classes": CLASSES, "tenants": TENANTS, "over_share_weight": 0.05, "proxy_count": 4}
     return PriorityWeights(settings(**(base | changes)))
 
 
@@ -67,13 +67,13 @@
 def test_where_room_is_short_who_is_beyond_a_share_is_refused_first(held: int, room: bool) -> None:
     seen = []
     for tenant in ("capital", "coban"):
-        d = Driver(servers=2, classes=CLASSES, tenants=TENANTS, over_share_worth=0.05, balancers=4)
+        d = Driver(servers=2, classes=CLASSES, tenants=TENANTS, over_share_weight=0.05, proxy_count=4)
         for _ in range(held):
             d.next_id += 1
             q = RequestArrived(d.next_id, "edit", d.now + 2.0, tenant="capital")
             d.feed(ConnectionInherited(q, f"s{d.next_id % 2}"))
         full = ROOM_TO - LOW_WORTH / 2
-        seen.append(bool(sends(d.answer_probes(d.request(cls="edit", tenant=tenant), full, 40.0))))
+        seen.append(bool(sends(d.answer_probes(d.request(class_name="edit", tenant=tenant), full, 40.0))))
     assert seen == [room, True]
 
 
@@ -100,7 +100,7 @@
     """Servers at 0.8 whose reports swing by a fifth: their connections were moved about by the dozen."""
     rng, moved = Random(9), 0
     print("seed 9")
-    d = Driver(servers=4, balancers=1)
+    d = Driver(servers=4, proxy_count=1)
     for k in range(4):
         held_from_before(d, f"s{k}", "", 30)
     for _ in range(100):
@@ -115,7 +115,7 @@
 def test_reports_from_before_a_round_of_moves_start_no_other() -> None:
     """With reports some seconds late, round after round looked at the load before the first, until servers
     that were said to hold thirty stood empty."""
-    d = Driver(servers=2, balancers=1)
+    d = Driver(servers=2, proxy_count=1)
     held_from_before(d, "s0", "", 40)
     d.probed("s1", 0.1, 10.0)
     rounds = []
@@ -127,7 +127,7 @@
     assert sum(n > 0 for n in rounds) == 3, rounds  # REPORTS_BEHIND apart: they may be of no use for good
     assert REPORTS_BEHIND == 5.0
     moved = next(n for n in rounds if n)
-    d = Driver(servers=2, balancers=1)
+    d = Driver(servers=2, proxy_count=1)
     held_from_before(d, "s0", "", 40)
     d.probed("s1", 0.1, 10.0)
     assert any(isinstance(a, Migrate) for a in d.probed("s0", 1.5, 40.0))
@@ -140,20 +140,20 @@
 def test_a_group_is_not_spread_for_a_sixth_of_a_server(seed: int) -> None:
     """The three loads that a group costs on one more server are not all: what is next of it follows there,
     and it stays as long as any does. Ten groups stood on 36 places and came to a fifth of the fleet."""
-    d = Driver(servers=2, seed=seed, groups=True)
+    d = Driver(servers=2, seed=seed, connection_groups=True)
     held_from_before(d, "s0", "g1", 20)
-    (send,) = sends(d.answer_probes(d.request(team="g1"), lambda s: 0.75 if s == "s0" else 0.62, 37.0))
-    assert send.server == "s0"
+    (send,) = sends(d.answer_probes(d.request(group="g1"), lambda s: 0.75 if s == "s0" else 0.62, 37.0))
+    assert send.endpoint == "s0"
 
 
 def test_a_group_has_room_on_a_server_that_once_held_a_few() -> None:
     """A group's cost made one connection look like a third of the server. By that all later room was
     reckoned, and with fifty refused a second it stood empty for fifteen seconds."""
-    d = Driver(servers=2, groups=True, balancers=2)
+    d = Driver(servers=2, connection_groups=True, proxy_count=2)
     for k in range(8):
         d.probed("s0", 0.3 + 0.01 * k, 1.0)
         d.probed("s1", 0.95 + 0.001 * k, 32.0)
     d.now += 5.0
     held_from_before(d, "s1", "g1", 5)
-    out = d.answer_probes(d.request(team="g1"), lambda s: 0.0 if s == "s0" else 0.96, 0.0)
-    assert [s.server for s in sends(out)] == ["s0"]
+    out = d.answer_probes(d.request(group="g1"), lambda s: 0.0 if s == "s0" else 0.96, 0.0)
+    assert [s.endpoint for s in sends(out)] == ["s0"]
