--- a/gradegap/capture/commands.py
+++ b/gradegap/capture/commands.py
@@ -13,9 +13,9 @@
 import msgspec
 import typer
 
+from gradegap.capture import decision_module, frames, index, records, replay
 from gradegap.capture import explain as explaining
-from gradegap.capture import frames, index, records, replay
-from gradegap.capture.errors import BadStateError
+from gradegap.capture.errors import BadModuleError, BadStateError
 from gradegap.capture.frames import BadCaptureError, Damage, Kind
 
 capture = typer.Typer(help="Files of what the module was told and did.", no_args_is_help=True)
@@ -25,6 +25,9 @@
 SHIFT = typer.Option([], "--shift", help="seconds that a file's clock is behind, one for each file")
 KEY = typer.Option(..., "--key", help="a file with the key of the hash")
 KINDS = typer.Option([], "--kind", help="kinds of events: Request, Outcome, ...")
+MODULE = typer.Option(
+    None, "--module", help="a file with another Balancer, or a folder: a changed copy of gradegap/balancing"
+)
 OUT = typer.Option(..., "--out", help="the file to write; it must not be there")
 
 
@@ -222,8 +225,8 @@
 
 def _module(path: str | None) -> Any:
     try:
-        return replay.module_at(path)
-    except replay.BadModuleError as error:
+        return decision_module.load(path)
+    except BadModuleError as error:
         raise stop(error) from None
 
 
@@ -239,7 +242,7 @@
 
 def replay_command(
     file: str = FILE,
-    module: str | None = typer.Option(None, "--module", help="another version of the policy file"),
+    module: str | None = MODULE,
     against: str | None = typer.Option(None, "--against", help="another capture of the same events"),
     since: float = typer.Option(-1e18, "--from", help="clock of the state to begin at, at the latest"),
     until_differs: bool = typer.Option(True, help="stop at the first decision that differs"),
@@ -328,7 +331,7 @@
 
 def whatif_command(
     file: str = FILE,
-    module: str | None = typer.Option(None, "--module", help="another version of the policy file"),
+    module: str | None = MODULE,
     wishes: list[str] = SET,
     json: bool = typer.Option(False, "--json"),
 ) -> None:
--- a/gradegap/capture/errors.py
+++ b/gradegap/capture/errors.py
@@ -21,3 +21,7 @@
 
 class OtherAlgorithmError(BadStateError):
     """A sound state of a module that decides by another algorithm, and so keeps something else."""
+
+
+class BadModuleError(CaptureError):
+    """A file or folder that can't be loaded as a decision module."""
--- a/gradegap/capture/recorder.py
+++ b/gradegap/capture/recorder.py
@@ -23,7 +23,7 @@
 from gradegap import VERSION
 from gradegap.balancing.events import ConnectionInherited, RequestArrived
 from gradegap.balancing.settings import Settings
-from gradegap.capture import frames, records, snapshot, state
+from gradegap.capture import decision_module, frames, records, snapshot, state
 from gradegap.capture.errors import BadStateError
 from gradegap.capture.frames import Kind
 from gradegap.capture.index import Builder
@@ -38,11 +38,6 @@
 SUFFIX = ".ggc"
 
 
-def digest_of(module: Any) -> str:
-    """Of the policy file that decides, so that a replay knows whether it is the same."""
-    return hashlib.sha256(Path(module.__file__).read_bytes()).hexdigest()
-
-
 class Hide:
     """Ids that name players, as a keyed hash.
 
@@ -107,13 +102,11 @@
     ) -> None:
         self.settings, self.balancer, self.decides_by = settings, balancer, decides_by
         self.stats, self.loop, self.now = stats, loop, now
-        import gradegap.balancing.balancer
-
         self.about = {
             "node": name,
             "seed": seed,
             "version": VERSION,
-            "policy": digest_of(gradegap.balancing.balancer),
+            "policy": decision_module.digest_of(decision_module.in_force()),
         }
         self.folder = Path(settings.folder)
         self.seq = 0  # of the next step
--- a/gradegap/capture/replay.py
+++ b/gradegap/capture/replay.py
@@ -7,8 +7,6 @@
 from __future__ import annotations
 
 import hashlib
-import importlib.util
-import sys
 from collections import deque
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
@@ -26,10 +24,6 @@
 RECENT = 2000  # events among which these are looked for
 
 
-class BadModuleError(ValueError):
-    """A policy file that can't be loaded."""
-
-
 @dataclass(slots=True, frozen=True)
 class Step:
     """One event with what was done, as recorded."""
@@ -136,26 +130,6 @@
                 raise records.BadRecordError("a step of no kind")
 
 
-def module_at(path: str | None) -> ModuleType:
-    """The module in force, or another version of it from a file."""
-    if path is None:
-        import gradegap.balancing.balancer
-
-        return gradegap.balancing.balancer
-    spec = importlib.util.spec_from_file_location("gradegap_other_choice", path)
-    if spec is None or spec.loader is None:
-        raise BadModuleError(f"{path} is no policy file")
-    made = importlib.util.module_from_spec(spec)
-    sys.modules[spec.name] = made  # dataclasses look it up
-    try:
-        spec.loader.exec_module(made)
-    except Exception as error:  # whatever that file does
-        raise BadModuleError(f"{path} can't be loaded: {error}") from None
-    if not hasattr(made, "Balancer"):
-        raise BadModuleError(f"{path} has no Balancer")
-    return made
-
-
 @dataclass(slots=True)
 class Difference:
     """The first decision that is not the recorded one."""
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -49,6 +49,7 @@
 from gradegap.capture.settings import CaptureSettings
 from gradegap.metrics import Metrics
 from tests.helpers import settings
+from tests.mutants import mutant, mutated_copy
 from tests.world import ROOT, Backend, wait_for, world
 
 
@@ -191,15 +192,6 @@
     assert len(said) == 1
 
 
-def mutant(tmp_path: Path, old: str, new: str) -> ModuleType:
-    assert gradegap.balancing.balancer.__file__ is not None
-    text = Path(gradegap.balancing.balancer.__file__).read_text()
-    assert text.count(old) >= 1, old
-    path = tmp_path / "other.py"
-    path.write_text(text.replace(old, new))
-    return replay.module_at(str(path))
-
-
 MUTANTS = [
     ("FRESH = 0.5", "FRESH = 0.4"),
     ("HOLD = 0.16", "HOLD = 0.17"),
@@ -605,10 +597,7 @@
     ).stdout.splitlines()
     clocks = [msgspec.json.decode(line)["at"] for line in merged]
     assert clocks == sorted(clocks) and len(clocks) == 2 * info["steps"]
-    other = tmp_path / "other.py"
-    assert gradegap.balancing.balancer.__file__ is not None
-    text = Path(gradegap.balancing.balancer.__file__).read_text()
-    other.write_text(text.replace("HOLD = 0.16", "HOLD = 0.17"))
+    other = mutated_copy(tmp_path, "HOLD = 0.16", "HOLD = 0.17")
     done = cli("replay", str(first), "--module", str(other))
     assert done.returncode == 1 and "differs: Request" in done.stdout and "SetTimer" in done.stdout
 
--- a/tests/test_capture_days.py
+++ b/tests/test_capture_days.py
@@ -31,7 +31,8 @@
 from gradegap.capture.judge import Judge
 from gradegap.capture.whatif import BadWishError, Result, changed, whatif
 from tests.helpers import settings
-from tests.test_capture import mutant, taken
+from tests.mutants import mutant
+from tests.test_capture import taken
 from tests.world import ROOT
 
 FOLDER = Path(__file__).parent / "captures"
--- /dev/null
+++ b/tests/test_capture_decision_module.py
@@ -0,0 +1,211 @@
+"""Candidates for the module that decides: files, copies of the package, and what is neither."""
+
+from __future__ import annotations
+
+import inspect
+import shutil
+import sys
+from pathlib import Path
+
+import msgspec
+import pytest
+
+from gradegap.balancing import balancer
+from gradegap.balancing.settings import Settings
+from gradegap.capture import decision_module, records, replay, state
+from gradegap.capture.errors import BadModuleError
+from tests.helpers import settings
+from tests.mutants import BALANCING, mutant, mutated_copy
+from tests.test_capture import Day, again, taken
+
+
+def package(folder: Path, **modules: str) -> Path:
+    """A made-up package of the given modules."""
+    made = folder / "made_up"
+    made.mkdir()
+    (made / "__init__.py").write_text('"""Made up."""\n')
+    for name, text in modules.items():
+        (made / f"{name}.py").write_text(text)
+    return made
+
+
+FACADE = """
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from gradegap.balancing import parts as inner, settings
+from gradegap.balancing.parts import LIMIT
+import gradegap.balancing.parts as again
+from gradegap.balancing.events import RequestArrived
+from . import parts, events
+from .parts import Part
+
+
+@dataclass
+class Marker:
+    value: int
+
+
+class Balancer:
+    def __init__(self, given: settings.Settings, seed: int) -> None:
+        self.given, self.part = given, Part(LIMIT)
+
+    def handle(self, now: float, event: object) -> list[object]:
+        from gradegap.balancing.later import answer
+
+        return [answer(event, RequestArrived)]
+"""
+PARTS = """
+LIMIT = 7
+
+
+class Part:
+    def __init__(self, limit: int) -> None:
+        self.limit = limit
+"""
+LATER = """
+def answer(event: object, kind: type) -> bool:
+    return isinstance(event, kind)
+"""
+
+
+def test_a_copy_s_modules_import_one_another_and_share_the_program_s_types(tmp_path: Path) -> None:
+    folder = package(tmp_path, balancer=FACADE, parts=PARTS, later=LATER)
+    module = decision_module.load(str(folder))
+    made = module.Balancer(settings(), 1)
+    assert made.part.limit == 7
+    assert module.inner is module.parts is module.again
+    assert module.parts.__name__ == module.__name__.replace(".balancer", ".parts")
+    assert module.settings.Settings is Settings
+    assert module.RequestArrived is records.EVENTS["Request"] is module.events.RequestArrived
+    assert made.handle(0.0, records.event(["Request", [1, "live", 2.0]])) == [True]
+    assert "gradegap.balancing.parts" not in sys.modules
+
+
+def test_two_copies_stand_beside_each_other_and_beside_the_program_s(tmp_path: Path) -> None:
+    one, other = tmp_path / "one", tmp_path / "other"
+    one.mkdir()
+    other.mkdir()
+    first = decision_module.load(str(package(one, balancer=FACADE, parts=PARTS)))
+    second = decision_module.load(str(package(other, balancer=FACADE, parts=PARTS.replace("7", "8"))))
+    limits = [module.Balancer(settings(), 1).part.limit for module in (first, second)]
+    assert limits == [7, 8]
+    assert decision_module.load(None) is decision_module.in_force() is balancer
+
+
+def test_bytecode_that_was_copied_along_is_not_run(tmp_path: Path) -> None:
+    folder = package(tmp_path, balancer=FACADE, parts=PARTS)
+    decision_module.load(str(folder))
+    assert not list(folder.rglob("__pycache__"))
+    cache = folder / "__pycache__"
+    cache.mkdir()
+    (cache / f"parts.{sys.implementation.cache_tag}.pyc").write_bytes(b"no bytecode")
+    assert decision_module.load(str(folder)).LIMIT == 7
+
+
+def test_a_whole_copy_of_the_package_decides_as_the_program_does(tmp_path: Path) -> None:
+    copy = tmp_path / "balancing"
+    shutil.copytree(BALANCING, copy)
+    module = decision_module.load(str(copy))
+    assert module.Balancer is not balancer.Balancer
+    data = taken(17, 400, 3)
+    found, own = again(data, module), again(data)
+    assert found.difference is None and not found.state_differs and not found.gaps
+    assert (found.digest, found.states) == (own.digest, 3)
+    day = Day(17).live(300)
+    raw = msgspec.msgpack.decode(msgspec.msgpack.encode(state.dump(day.balancer)))
+    made = state.load(module, raw, day.settings)
+    assert {type(server).__module__.partition(".")[0] for server in made.servers.values()} == {
+        module.__name__.partition(".")[0]
+    }
+
+
+def test_a_changed_copy_decides_otherwise(tmp_path: Path) -> None:
+    module = mutant(tmp_path, "FULL_AT = 0.9 ", "FULL_AT = 0.05 ")
+    assert again(taken(11, 3000, 1), module).difference is not None
+
+
+SUBCLASS = """
+from gradegap.balancing.balancer import Balancer as Own
+
+
+class Balancer(Own):
+    def __init__(self, settings, seed):
+        super().__init__(settings, seed)
+        self.own_counter = 0
+
+    def handle(self, now, event):
+        self.own_counter += 1
+        return super().handle(now, event)
+"""
+
+
+def test_a_file_with_a_subclass_is_a_candidate(tmp_path: Path) -> None:
+    path = tmp_path / "candidate.py"
+    path.write_text(SUBCLASS)
+    module = decision_module.load(str(path))
+    data = taken(18, 400, 3)
+    found = again(data, module)
+    assert found.difference is None and not found.state_differs and found.digest == again(data).digest
+    other = tmp_path / "other.py"
+    other.write_text(SUBCLASS.replace("super().handle(now, event)", "super().handle(now, event)[:-1]"))
+    assert again(data, decision_module.load(str(other))).difference is not None
+
+
+@pytest.mark.parametrize(
+    ("name", "text", "message"),
+    [
+        ("candidate.py", "x = 1", "has no Balancer"),
+        ("candidate.py", "raise RuntimeError('broken')", "can't be loaded: broken"),
+        ("candidate.py", "def", "can't be loaded"),
+        ("candidate.txt", "", "is no Python file"),
+        ("folder/parts.py", "", "has no balancer.py"),
+        ("empty/notes.txt", "", "has no __init__.py"),
+        ("folder/balancer.py", "x = 1", "has no Balancer"),
+        ("folder/balancer.py", "import gradegap.balancing.rates", "line 1: write `from"),
+        ("folder/balancer.py", "from gradegap import balancing", "line 1: write `from"),
+        (
+            "folder/balancer.py",
+            "from gradegap.balancing.nowhere import x",
+            "can't be loaded: No module named",
+        ),
+    ],
+)
+def test_what_is_no_candidate_is_refused(tmp_path: Path, name: str, text: str, message: str) -> None:
+    path = tmp_path / name
+    path.parent.mkdir(exist_ok=True)
+    path.write_text(text)
+    if path.parent.name == "folder":
+        (path.parent / "__init__.py").touch()
+    with pytest.raises(BadModuleError, match=message):
+        decision_module.load(str(path.parent if path.parent != tmp_path else path))
+
+
+def test_a_path_that_is_not_there_is_refused(tmp_path: Path) -> None:
+    with pytest.raises(BadModuleError, match="can't be loaded"):
+        decision_module.load(str(tmp_path / "nowhere.py"))
+
+
+def test_the_shared_modules_are_those_that_define_what_recordings_hold() -> None:
+    kinds = [*records.EVENTS.values(), *records.ACTIONS.values()]
+    kinds += [form.cls for form in (records.SETTINGS, records.CLASS_SETTINGS, records.TENANT_SETTINGS)]
+    modules = {kind.__module__ for kind in kinds}
+    assert modules == {f"{decision_module.PACKAGE}.{name}" for name in decision_module.SHARED}
+
+
+def test_a_digest_is_of_all_that_decides(tmp_path: Path) -> None:
+    own = decision_module.digest_of(decision_module.in_force())
+    assert len(own) == 64
+    copy = tmp_path / "same" / "balancing"
+    shutil.copytree(BALANCING, copy)
+    assert decision_module.digest_of(decision_module.load(str(copy))) == own
+    changed = mutated_copy(tmp_path, "SLOW = 20.0", "SLOW = 20.5")
+    assert decision_module.digest_of(decision_module.load(str(changed))) != own
+    path = tmp_path / "candidate.py"
+    path.write_text(SUBCLASS)
+    assert decision_module.digest_of(decision_module.load(str(path))) not in ("", own)
+
+
+def test_replay_knows_no_module_by_name() -> None:
+    assert "gradegap.balancing" not in inspect.getsource(replay)
