--- a/gradegap/capture/commands.py
+++ b/gradegap/capture/commands.py
@@ -15,7 +15,7 @@
 
 from gradegap.capture import decision_module, frames, index, records, replay
 from gradegap.capture import explain as explaining
-from gradegap.capture.errors import BadModuleError, BadStateError
+from gradegap.capture.errors import BadModuleError, BadStateError, LaterStateError
 from gradegap.capture.frames import BadCaptureError, Damage, Kind
 
 capture = typer.Typer(help="Files of what the module was told and did.", no_args_is_help=True)
@@ -260,7 +260,7 @@
             data = index.seek(data, since) or data
         source = replay.items(data)
         found = replay.replay(paced(source, pace) if pace else source, made, since, until_differs)
-    except BadCaptureError as error:
+    except (BadCaptureError, LaterStateError) as error:
         raise stop(error) from None
     if json:
         typer.echo(
--- a/gradegap/capture/errors.py
+++ b/gradegap/capture/errors.py
@@ -2,6 +2,11 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable
+from dataclasses import dataclass
+
+SHOWN_FIELDS = 4  # of those in which two algorithms differ
+
 
 class CaptureError(ValueError):
     """The base of this package's errors; each is one plain line for whoever runs a command."""
@@ -19,9 +24,36 @@
         self.found, self.known = found, known
 
 
+@dataclass(slots=True, frozen=True)
+class DecisionVersion:
+    """Which program decided, and by which code."""
+
+    program: str
+    digest: str  # SHA-256 of the decision module, in hexadecimal
+
+    def __str__(self) -> str:
+        return f"version {self.program[:20]} (decisions {self.digest[:12]})"
+
+
 class OtherAlgorithmError(BadStateError):
     """A sound state of a module that decides by another algorithm, and so keeps something else."""
 
+    def __init__(
+        self,
+        kind: str,
+        fields: Iterable[str],
+        recorded: DecisionVersion | None = None,
+        present: DecisionVersion | None = None,
+    ) -> None:
+        self.kind, self.fields = kind, sorted(fields)
+        self.recorded, self.present = recorded, present
+        named = ", ".join(field[:40] for field in self.fields[:SHOWN_FIELDS])
+        more = len(self.fields) - SHOWN_FIELDS
+        found = f"its {kind} differs in {named}{f' and {more} more' if more > 0 else ''}"
+        if recorded is not None and present is not None:
+            found = f"recorded by {recorded}, whose algorithm is not that of {present}: {found}"
+        super().__init__(found)
+
 
 class BadModuleError(CaptureError):
     """A file or folder that can't be loaded as a decision module."""
--- a/gradegap/capture/explain.py
+++ b/gradegap/capture/explain.py
@@ -12,8 +12,8 @@
 from typing import Any
 
 from gradegap.balancing.actions import LogMessage
-from gradegap.capture import records, state
-from gradegap.capture.replay import Gap, Item, SettingsChange, State, Step
+from gradegap.capture import records
+from gradegap.capture.replay import Gap, Item, SettingsChange, State, Step, begin
 
 WATCHED = ("_draw", "_pick", "_decide", "_has_room", "beta", "_send", "_wait", "_give_up")
 
@@ -95,7 +95,7 @@
         match item:
             case State():
                 if balancer is None:
-                    balancer = state.load(module, item.held, records.settings(item.start["settings"]))
+                    balancer = begin(module, item)
                     balancer.__class__ = cls
                     watch.balancer = balancer
             case Gap(why):
--- a/gradegap/capture/replay.py
+++ b/gradegap/capture/replay.py
@@ -16,8 +16,9 @@
 
 import msgspec
 
-from gradegap.capture import frames, records, state
-from gradegap.capture.errors import BadStateError
+from gradegap import VERSION
+from gradegap.capture import decision_module, frames, records, state
+from gradegap.capture.errors import BadStateError, DecisionVersion, LaterStateError, OtherAlgorithmError
 from gradegap.capture.frames import BadCaptureError, Damage, Frame, Kind
 
 LAST = 8  # events told of in front of a difference
@@ -130,6 +131,22 @@
                 raise records.BadRecordError("a step of no kind")
 
 
+def begin(module: ModuleType, recorded: State) -> Any:
+    """A `Balancer` of the module in a recorded state.
+
+    Raises `BadStateError` where they don't fit; its subclasses say which versions are at odds.
+    """
+    settings = records.settings(recorded.start["settings"])
+    try:
+        return state.load(module, recorded.held, settings)
+    except OtherAlgorithmError as error:
+        recorder = DecisionVersion(
+            str(recorded.start.get("version", "unknown")), str(recorded.start.get("policy", "unknown"))
+        )
+        present = DecisionVersion(VERSION, decision_module.digest_of(module))
+        raise OtherAlgorithmError(error.kind, error.fields, recorder, present) from None
+
+
 @dataclass(slots=True)
 class Difference:
     """The first decision that is not the recorded one."""
@@ -228,17 +245,24 @@
                     self._step(item)
 
     def _load(self, recorded: State) -> None:
-        settings = records.settings(recorded.start["settings"])
         try:
-            self.balancer = state.load(self.module, recorded.held, settings)
+            self.balancer = begin(self.module, recorded)
+        except LaterStateError:
+            raise
         except BadStateError as error:
-            self.report.gaps.append(str(error))
+            if str(error) not in self.report.gaps:  # each state of a file may say the same
+                self.report.gaps.append(str(error))
 
     def _hold_against(self, recorded: State) -> None:
         """The module's own state against the recorded one."""
         self.report.states += 1
         settings = records.settings(recorded.start["settings"])
-        same = state.same(self.module, self.balancer, recorded.held, settings)
+        try:
+            same = state.same(self.module, self.balancer, recorded.held, settings)
+        except LaterStateError:
+            raise
+        except BadStateError:
+            same = False
         if not same and not self.report.state_differs:
             self.report.state_differs = f"at step {recorded.seq} the state is not the recorded one"
             self.over = self.until_differs
--- a/gradegap/capture/state.py
+++ b/gradegap/capture/state.py
@@ -155,8 +155,8 @@
         if len(self.rows) > MOST_OBJECTS:
             raise BadStateError("more objects than a module holds")
         for name, form in FORMS.items():
-            if (odd := set(self.fields.get(name, form.fields)) ^ set(form.fields)) != set():
-                raise OtherAlgorithmError(f"its {name} differs in {', '.join(sorted(map(str, odd)))}")
+            if odd := set(self.fields.get(name, form.fields)) ^ set(form.fields):
+                raise OtherAlgorithmError(name, map(str, odd))
         self.made: list[Any] = []
 
     def balancer(self) -> Any:
--- a/gradegap/capture/state_v1.py
+++ b/gradegap/capture/state_v1.py
@@ -216,5 +216,5 @@
 
 
 def _compare(name: str, found: Any, expected: Any) -> None:
-    if odd := sorted(str(each) for each in set(found) ^ set(expected)):
-        raise OtherAlgorithmError(f"its {name} differs in {', '.join(odd)}")
+    if odd := set(found) ^ set(expected):
+        raise OtherAlgorithmError(name, map(str, odd))
--- a/tests/test_capture_days.py
+++ b/tests/test_capture_days.py
@@ -14,6 +14,7 @@
 import pytest
 
 import gradegap.balancing.balancer
+from gradegap import VERSION
 from gradegap.balancing.actions import Fail, Forward, Reject
 from gradegap.balancing.events import (
     AttemptEnded,
@@ -26,13 +27,13 @@
     RequestArrived,
     TimerFired,
 )
-from gradegap.capture import frames, replay
+from gradegap.capture import decision_module, frames, records, replay
 from gradegap.capture.frames import Damage, Kind
 from gradegap.capture.judge import Judge
 from gradegap.capture.whatif import BadWishError, Result, changed, whatif
 from tests.helpers import settings
 from tests.mutants import mutant
-from tests.test_capture import taken
+from tests.test_capture import cli, taken
 from tests.world import ROOT
 
 FOLDER = Path(__file__).parent / "captures"
@@ -66,9 +67,59 @@
 
 
 def test_a_hundred_replays_of_a_real_node_s_day_give_one_digest() -> None:
-    items = list(replay.items((FOLDER / "silent.ggc").read_bytes()))
+    items = list(replay.items((FOLDER / "rolling_deploy.ggc").read_bytes()))
     module = gradegap.balancing.balancer
-    assert len({replay.replay(items, module, until_differs=False).digest for _ in range(100)}) == 1
+    found = [replay.replay(items, module, until_differs=False) for _ in range(100)]
+    assert len({each.digest for each in found}) == 1
+    assert found[0].steps == 1000 and not found[0].gaps
+
+
+# Recorded by a module of another algorithm, in whose states this program's can't be.
+OLDER = ("drain_under_load", "jump", "parted_discovery", "quarter_dies", "silent")
+
+
+def test_a_captured_day_of_this_algorithm_is_replayed_whole() -> None:
+    done = cli("replay", str(FOLDER / "rolling_deploy.ggc"))
+    assert done.returncode == 0 and done.stdout.count("\n") == 1, done.stdout
+    assert done.stdout.startswith("1000 steps, ")
+    assert {"rolling_deploy", *OLDER} == DAYS.keys()
+
+
+@pytest.mark.parametrize("name", OLDER)
+def test_a_captured_day_of_another_algorithm_says_which_versions_are_at_odds(name: str) -> None:
+    path = FOLDER / f"{name}.ggc"
+    present = decision_module.digest_of(decision_module.in_force())[:12]
+    line = (
+        "recorded by version 0.2.0 (decisions af06a3bfd027), whose algorithm is not that of "
+        f"version {VERSION} (decisions {present}): its Balancer differs in "
+    )
+    done = cli("replay", str(path))
+    assert done.returncode == 1
+    gaps = [said for said in done.stdout.splitlines() if said.startswith("gap: ")]
+    assert len(gaps) == 1 and gaps[0].startswith(f"gap: {line}"), done.stdout
+    assert done.stderr == "gradegap: nothing could be replayed\n"
+    (request,) = next(
+        records.names(item.event)
+        for item in replay.items(path.read_bytes())
+        if isinstance(item, replay.Step) and isinstance(item.event, RequestArrived)
+    )
+    done = cli("explain", str(path), str(request))
+    assert done.returncode == 2 and done.stderr.startswith(f"gradegap: {line}")
+    assert done.stderr.count("\n") == 1
+
+
+def test_a_state_of_a_later_version_ends_a_replay_in_one_line(tmp_path: Path) -> None:
+    made = [frames.MAGIC]
+    for f in frames.read(taken(22, 40, 1)):
+        assert not isinstance(f, Damage)
+        body = f.body | {"version": 3} if f.kind is Kind.STATE else f.body
+        made.append(frames.pack(f.kind, body, f.records, f.first, f.at, f.until))
+    path = tmp_path / "later.ggc"
+    path.write_bytes(b"".join(made))
+    for words in (("replay", str(path)), ("explain", str(path), "1")):
+        done = cli(*words)
+        assert done.returncode == 2, done.stdout
+        assert done.stderr == "gradegap: a state of format 3; this program reads formats up to 2\n"
 
 
 def test_clients_leave_a_server_that_drains_before_it_is_gone() -> None:
