--- a/bench/capture.py
+++ b/bench/capture.py
@@ -52,11 +52,11 @@
 
 async def under_recorder(told: list[tuple[float, Any]], folder: Path) -> tuple[float, Metrics]:
     """CPU of loop and thread together."""
-    settings, stats = Day(1, 40).settings, Metrics()
+    settings, metrics = Day(1, 40).settings, Metrics()
     balancer = Balancer(settings, 1)
     loop = asyncio.get_running_loop()
     set_up = CaptureSettings(str(folder), state_s=3600.0)
-    made = Recorder(set_up, balancer, settings, 1, stats, loop, lambda: told[0][0], "bench")
+    made = Recorder(set_up, balancer, settings, 1, metrics, loop, lambda: told[0][0], "bench")
     made.begin()
     tap = Tap(balancer, made)
     began = time.process_time()
@@ -68,7 +68,7 @@
     made.close()
     while made.file is not None or made.under_way:
         await asyncio.sleep(0.001)
-    return time.process_time() - began, stats
+    return time.process_time() - began, metrics
 
 
 def module() -> dict[str, Any]:
@@ -78,8 +78,8 @@
     for _ in range(ROUNDS):
         plain.append(alone(told))
         with tempfile.TemporaryDirectory() as name:
-            spent, stats = asyncio.run(under_recorder(told, Path(name)))
-            assert not stats.counts["capture_dropped"]
+            spent, metrics = asyncio.run(under_recorder(told, Path(name)))
+            assert not metrics.counts["capture_dropped"]
             taped.append(spent)
             (path,) = Path(name).iterdir()
             data = path.read_bytes()
--- a/bench/quic.py
+++ b/bench/quic.py
@@ -62,7 +62,7 @@
 
     async def relayed() -> float:
         reads, writes = pair()
-        stats, count = Metrics(), 0
+        metrics, count = Metrics(), 0
         done = asyncio.Event()
 
         def came(data: bytes, addr: Any) -> None:
@@ -71,8 +71,8 @@
             if count % 200 == 0:
                 done.set()
 
-        inlet = Inlet(asyncio.get_running_loop(), reads, stats, came)
-        relay = Relay(writes, stats)
+        inlet = Inlet(asyncio.get_running_loop(), reads, metrics, came)
+        relay = Relay(writes, metrics)
         began = time.perf_counter()
         for _ in range(50):
             done.clear()
--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -119,14 +119,14 @@
     def __init__(self, process: HollowProcess, spec: NodeSpec, record: NodeRecord, traffic: Traffic) -> None:
         self.process, self.spec, self.record, self.traffic = process, spec, record, traffic
         loop, settings = process.loop, process.settings
-        self.stats = process.stats
-        descriptors = Descriptors(DESCRIPTORS, self.stats)
+        self.metrics = process.metrics
+        descriptors = Descriptors(DESCRIPTORS, self.metrics)
         self.backends = Backends(loop, settings.connect_timeout, descriptors)
         self.backends.dialer.task.cancel()
         self.backends.dialer = CountedDialer(loop, descriptors, traffic)
-        self.core = Proxy(settings, process.rng.getrandbits(32), self.backends, self.stats, loop)
-        self.director = HttpDiscovery(self.core, self.backends.dialer, process.spec.discovery, self.stats)
-        self.live = DynamicConfiguration(self.stats)
+        self.proxy = Proxy(settings, process.rng.getrandbits(32), self.backends, self.metrics, loop)
+        self.director = HttpDiscovery(self.proxy, self.backends.dialer, process.spec.discovery, self.metrics)
+        self.live = DynamicConfiguration(self.metrics)
         self.live.key(CHANGED_KEY, "", lambda value: None)
         self.session: Session = process.session(self)
         self.probe_timer: asyncio.TimerHandle | None = None
@@ -168,9 +168,9 @@
 
     def _probe(self) -> None:
         """Probe some server, as a node with clients there would now and then."""
-        known = [name for name, b in self.core.backends.items() if b.address]
+        known = [name for name, b in self.proxy.backends.items() if b.address]
         if known and not self.ended:
-            self.core.act[CheckHealth](CheckHealth(self.process.rng.choice(known)))
+            self.proxy.act[CheckHealth](CheckHealth(self.process.rng.choice(known)))
         self._probe_later()
 
     def stop(self) -> None:
@@ -190,8 +190,8 @@
             prober.close()
         self.backends.dialer.task.cancel()
         # The core's timers go on for good, as a process ends with its core: they find nothing to do.
-        self.core._sweep = lambda: None  # type: ignore[method-assign]
-        self.core.feed = lambda event: None  # type: ignore[method-assign]
+        self.proxy._sweep = lambda: None  # type: ignore[method-assign]
+        self.proxy.feed = lambda event: None  # type: ignore[method-assign]
 
 
 class HollowProcess:
@@ -200,7 +200,7 @@
     def __init__(self, spec: HollowSpec, loop: asyncio.AbstractEventLoop) -> None:
         self.spec, self.loop = spec, loop
         self.rng = random.Random(spec.seed)
-        self.stats = Metrics()
+        self.metrics = Metrics()
         fields = reader.flatten({**SETTINGS, "ReplicasOfMe": spec.of_all})
         self.settings = Settings(**reader.read(fields))
         self.records = [NodeRecord(n.name, n.region) for n in spec.nodes]
@@ -215,7 +215,7 @@
     def session(self, node: HollowNode) -> Session:
         """The node's side of the store, by the run's mechanism."""
         parts = SessionParts(
-            node.core, node.live, node.stats, self.loop, node.traffic, node.told, node.applied
+            node.proxy, node.live, node.metrics, self.loop, node.traffic, node.told, node.applied
         )
         spec, machines = node.spec, self.spec.machines
         if self.spec.mechanism == "observer":
@@ -298,7 +298,7 @@
     def finish(self, message: dict[str, Any]) -> dict[str, Any]:
         """Write what was measured; times of the settling after the window are in it."""
         assert self.measured is not None
-        self.measured.counters = dict(self.stats.counts)
+        self.measured.counters = dict(self.metrics.counts)
         path = Path(message["path"])
         path.write_bytes(msgspec.json.encode(self.measured))
         return {"finished": str(path)}
--- a/bench/scale/sessions.py
+++ b/bench/scale/sessions.py
@@ -45,9 +45,9 @@
 class SessionParts(msgspec.Struct):
     """What a session works on: the node's own parts, and where what is measured goes."""
 
-    core: Proxy
+    proxy: Proxy
     live: DynamicConfiguration
-    stats: Metrics
+    metrics: Metrics
     loop: asyncio.AbstractEventLoop
     traffic: Traffic
     told: Callable[[], bool]
@@ -87,9 +87,9 @@
             settings,
             secret,
             folder,
-            parts.core,
+            parts.proxy,
             parts.live,
-            parts.stats,
+            parts.metrics,
             parts.loop,
             self._state,
             parts.told,
@@ -110,12 +110,12 @@
 
     def _state(self) -> dict[str, object]:
         """As `Node` tells its siblings."""
-        core = self.parts.core
+        proxy = self.parts.proxy
         return {
             "state": "ready" if self.parts.told() else "starting",
             "listen": self.node.member_address,
             "quic": None,
-            "started_ms": round(core.anchor_ms),
+            "started_ms": round(proxy.anchor_ms),
         }
 
     async def start(self) -> None:
--- a/bench/scale/slopes_module.py
+++ b/bench/scale/slopes_module.py
@@ -211,16 +211,16 @@
     """A real core with a real reader of lists, and no sockets."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, seed: int) -> None:
-        stats = Metrics()
-        self.core = Proxy(settings(proxy_count=1600), seed, NoBackends(), stats, loop)
-        self.director = HttpDiscovery(self.core, cast(Dialer, None), "127.0.0.1:1", stats)
+        metrics = Metrics()
+        self.proxy = Proxy(settings(proxy_count=1600), seed, NoBackends(), metrics, loop)
+        self.director = HttpDiscovery(self.proxy, cast(Dialer, None), "127.0.0.1:1", metrics)
 
     def take(self, body: bytes, whole: bool) -> float:
         """Milliseconds of processor time from an answer's bytes to the module's knowing it."""
         clock = self.director.clock
         if whole:
             clock.version = None
-        ask = clock.next(self.core.loop.time() - clock.wait)
+        ask = clock.next(self.proxy.loop.time() - clock.wait)
         call = Call(self.director)
         began = time.process_time()
         refused = self.director.answer(call, ask, body)
@@ -294,11 +294,11 @@
         rng = Random(seed)
         for each in (reader, other):
             each.take(answer(range(servers), 1, True), True)
-        for backend in reader.core.backends.values():
+        for backend in reader.proxy.backends.values():
             backend.report = {"x0": rng.uniform(0.05, 0.9), "inflight": float(rng.randrange(60))}
-            backend.report_at = reader.core.now()
-        tells = Learner("node-0001", reader.core, Metrics(), lambda: True)
-        hears = Learner("node-0002", other.core, Metrics(), lambda: True)
+            backend.report_at = reader.proxy.now()
+        tells = Learner("node-0001", reader.proxy, Metrics(), lambda: True)
+        hears = Learner("node-0002", other.proxy, Metrics(), lambda: True)
         dialer, acceptor = proven_pair()
         out, taken, frames = [], [], []
         for _ in range(REPEATS):
--- a/bench/scale/slopes_probes.py
+++ b/bench/scale/slopes_probes.py
@@ -55,38 +55,38 @@
         self.server.listener.close()
 
 
-async def ask(core: Proxy, names: list[str]) -> None:
+async def ask(proxy: Proxy, names: list[str]) -> None:
     """One probe of each, all answered."""
-    before = {name: core.backends[name].report for name in names}
+    before = {name: proxy.backends[name].report for name in names}
     for name in names:
-        core.act[CheckHealth](CheckHealth(name))
+        proxy.act[CheckHealth](CheckHealth(name))
     until = time.monotonic() + ANSWER_S
-    while any(core.backends[name].report is before[name] for name in names):
+    while any(proxy.backends[name].report is before[name] for name in names):
         if time.monotonic() > until:
-            raise RuntimeError(f"a probe was not answered: {core.stats.snapshot()}")
+            raise RuntimeError(f"a probe was not answered: {proxy.metrics.snapshot()}")
         await asyncio.sleep(STEP)
 
 
-async def rounds(core: Proxy, names: list[str]) -> float:
+async def rounds(proxy: Proxy, names: list[str]) -> float:
     """Microseconds of this thread's processor time for one probe."""
     began = time.thread_time()
     for _ in range(ROUNDS):
         for first in range(0, len(names), AT_ONCE):
-            await ask(core, names[first : first + AT_ONCE])
+            await ask(proxy, names[first : first + AT_ONCE])
     return (time.thread_time() - began) / (ROUNDS * len(names)) * 1e6
 
 
 async def probed(address: str, servers: int, seed: int) -> list[float]:
     """Each repeat's price of a probe with so many servers."""
-    stats, loop = Metrics(), asyncio.get_running_loop()
-    backends = Backends(loop, 1.0, Descriptors(DESCRIPTORS, stats))
-    core = Proxy(settings(), seed, backends, stats, loop)
+    metrics, loop = Metrics(), asyncio.get_running_loop()
+    backends = Backends(loop, 1.0, Descriptors(DESCRIPTORS, metrics))
+    proxy = Proxy(settings(), seed, backends, metrics, loop)
     names = [server_name(k) for k in range(servers)]
-    core.listing(EndpointListKind.FULL, [(EndpointEntry(name), address) for name in names])
-    await rounds(core, names)  # connects
-    found = [await rounds(core, names) for _ in range(REPEATS)]
+    proxy.listing(EndpointListKind.FULL, [(EndpointEntry(name), address) for name in names])
+    await rounds(proxy, names)  # connects
+    found = [await rounds(proxy, names) for _ in range(REPEATS)]
     for name in names:
-        backends.forget(core.backends[name])
+        backends.forget(proxy.backends[name])
     backends.dialer.task.cancel()
     return found
 
--- a/bench/scale/subscription.py
+++ b/bench/scale/subscription.py
@@ -42,7 +42,7 @@
             region=node.region,
             secret=secret_file,
         )
-        self.store = ObservedStore(settings, parts.core, parts.live, parts.stats, parts.loop)
+        self.store = ObservedStore(settings, parts.proxy, parts.live, parts.metrics, parts.loop)
         self.store.client.traffic = ForwardedTraffic(parts.traffic)
         self.store.client.on_apply = self._apply
 
--- a/gradegap/admin/http_api.py
+++ b/gradegap/admin/http_api.py
@@ -171,7 +171,7 @@
             return
         self.answered = True
         status, body = verdict.status, f"{verdict.text}\n".encode("utf-8", "replace")
-        self.console.stats.count(f"console_{status.value}")
+        self.console.metrics.count(f"console_{status.value}")
         self.console.idle.pop(self, None)
         self.console.answered[self] = None
         head = f"HTTP/1.1 {status.value} {status.phrase}\r\nContent-Type: text/plain; charset=utf-8\r\n"
@@ -208,15 +208,15 @@
 class AdminApi:
     """The listener, and who calls."""
 
-    def __init__(self, node: Operations, loop: asyncio.AbstractEventLoop, stats: Metrics) -> None:
+    def __init__(self, node: Operations, loop: asyncio.AbstractEventLoop, metrics: Metrics) -> None:
         self.node = node
         self.loop = loop
-        self.stats = stats
+        self.metrics = metrics
         self.callers: dict[Caller, None] = {}
         self.idle: dict[Caller, None] = {}  # whose call isn't whole, the oldest first
         self.answered: dict[Caller, None] = {}  # who have yet to end their side
         self.server: asyncio.Server | None = None
-        stats.gauge("console_callers", lambda: len(self.callers))
+        metrics.gauge("console_callers", lambda: len(self.callers))
 
     async def start(self, host: str, port: int) -> None:
         self.server = await self.loop.create_server(lambda: Caller(self), host, port, backlog=128)
@@ -232,7 +232,7 @@
             return
         young = not oldest.answered and self.loop.time() - oldest.began < YOUNG
         if not young or len(self.callers) > CALLERS_MOST:
-            self.stats.count("console_made_way")
+            self.metrics.count("console_made_way")
             oldest.fail(HTTPStatus.SERVICE_UNAVAILABLE, "too many callers")
             self.left(oldest)
             if oldest.transport is not None:
--- a/gradegap/capture/recorder.py
+++ b/gradegap/capture/recorder.py
@@ -95,13 +95,13 @@
         balancer: Any,
         decides_by: Settings,
         seed: int,
-        stats: Metrics,
+        metrics: Metrics,
         loop: asyncio.AbstractEventLoop,
         now: Callable[[], float],
         name: str,
     ) -> None:
         self.settings, self.balancer, self.decides_by = settings, balancer, decides_by
-        self.stats, self.loop, self.now = stats, loop, now
+        self.metrics, self.loop, self.now = metrics, loop, now
         self.about = {
             "node": name,
             "seed": seed,
@@ -153,7 +153,7 @@
         if self.under_way >= MOST_BATCHES:
             # Guards the node against a slow disk: it is the capture that loses, and says so.
             self.dropped += len(batch)
-            self.stats.count("capture_dropped", len(batch))
+            self.metrics.count("capture_dropped", len(batch))
             self.state_at = 0.0
             return
         if self.dropped:
@@ -197,7 +197,7 @@
                     # Guards against a fork asked for at every tick where a filter refuses them all (the
                     # fleet's platform): from here on the state is walked in place, as for a small module.
                     self.forks = False
-                    self.stats.count("capture_forks_refused")
+                    self.metrics.count("capture_forks_refused")
                     log.warning("processes are refused; states are walked in place", error=str(error))
                 # Guards the node, which a walk in place would hold up: no state until there is a process.
                 self._lost(error)
@@ -211,12 +211,12 @@
                 self.close()
                 return
             self._submit(self._write_state, start, held, self.seq, self.now())
-        self.stats.counts["capture_state_us_most"] = max(
-            self.stats.counts["capture_state_us_most"], round((time.monotonic() - now) * 1e6)
+        self.metrics.counts["capture_state_us_most"] = max(
+            self.metrics.counts["capture_state_us_most"], round((time.monotonic() - now) * 1e6)
         )
 
     def _lost(self, error: Exception) -> None:
-        self.stats.count("capture_states_lost")
+        self.metrics.count("capture_states_lost")
         log.warning("no state was recorded", error=str(error))
         self.state_at = 0.0  # at the next tick again
 
@@ -230,7 +230,7 @@
         except (OSError, ValueError) as error:
             # Guards the node against a full or broken disk: the recording ends, and nothing else.
             self.closed = True
-            self.stats.count("capture_failed")
+            self.metrics.count("capture_failed")
             log.error("the recording has ended", error=str(error))
             self._end_file()
 
@@ -248,7 +248,7 @@
         if self.file is not None:
             self.file.write(data)
             self.size += len(data)
-            self.stats.count("capture_bytes", len(data))
+            self.metrics.count("capture_bytes", len(data))
 
     def _frame(
         self, kind: Kind, body: Any, count: int = 0, first: int = 0, at: float = 0.0, until: float = 0.0
@@ -316,7 +316,7 @@
                 old = time.time() - seen.st_mtime > self.settings.age_s
                 if path != newest and (old or kept > limit):
                     path.unlink()
-                    self.stats.count("capture_files_removed")
+                    self.metrics.count("capture_files_removed")
 
     # The end
 
@@ -335,11 +335,11 @@
     """Recording on and off, while the node runs."""
 
     def __init__(
-        self, settings: CaptureSettings, core: Any, seed: int, stats: Metrics, name: str, hide: Hide | None
+        self, settings: CaptureSettings, proxy: Any, seed: int, metrics: Metrics, name: str, hide: Hide | None
     ) -> None:
-        self.settings, self.core, self.seed, self.stats, self.name = settings, core, seed, stats, name
-        self.tap = core.balancer = Tap(core.balancer, None, hide)
-        stats.gauge("capture_on", lambda: int(self.on))
+        self.settings, self.proxy, self.seed, self.metrics, self.name = settings, proxy, seed, metrics, name
+        self.tap = proxy.balancer = Tap(proxy.balancer, None, hide)
+        metrics.gauge("capture_on", lambda: int(self.on))
 
     @property
     def on(self) -> bool:
@@ -350,21 +350,21 @@
         """The recording ends, or one begins; a folder that can't be written is logged, and nothing else."""
         heard = self.tap.heard
         if on and not self.on:
-            core = self.core
+            proxy = self.proxy
             made = Recorder(
                 self.settings,
                 self.tap.balancer,
-                core.settings,
+                proxy.settings,
                 self.seed,
-                self.stats,
-                core.loop,
-                core.now,
+                self.metrics,
+                proxy.loop,
+                proxy.now,
                 self.name,
             )
             try:
                 made.begin()
             except OSError as error:
-                self.stats.count("capture_failed")
+                self.metrics.count("capture_failed")
                 log.error("not recorded", folder=self.settings.folder, error=str(error))
                 return
             self.tap.heard = made
--- a/gradegap/discovery/dns_sd_discovery.py
+++ b/gradegap/discovery/dns_sd_discovery.py
@@ -76,10 +76,10 @@
 class DnsSdDiscovery:
     """Keeps the core's list of backends as DNS-SD records tell it, for as long as they live."""
 
-    def __init__(self, core: Proxy, settings: DnsSdSettings, stats: Metrics) -> None:
-        self.core = core
+    def __init__(self, proxy: Proxy, settings: DnsSdSettings, metrics: Metrics) -> None:
+        self.proxy = proxy
         self.settings = settings
-        self.stats = stats
+        self.metrics = metrics
         self.where, self.port = split_address(settings.server)
         self.service = dns.name.from_text(settings.service)
         self.cache: dict[Key, tuple[float, dns.rrset.RRset]] = {}
@@ -88,11 +88,11 @@
         self.first: Callable[[], None] | None = None
         self.failures = 0
         self.task: asyncio.Task[None] | None = None
-        stats.gauge("dns_sd", lambda: {"instances": len(self.known), "failures": self.failures})
+        metrics.gauge("dns_sd", lambda: {"instances": len(self.known), "failures": self.failures})
 
     def start(self) -> None:
         # One task for as long as the node runs; no req starts any.
-        self.task = self.core.loop.create_task(self._run())
+        self.task = self.proxy.loop.create_task(self._run())
 
     async def _run(self) -> None:
         while True:
@@ -103,19 +103,19 @@
             except LookupFailed as error:
                 # The last list is kept.
                 self.failures += 1
-                self.stats.count("dns_failures")
+                self.metrics.count("dns_failures")
                 log.warning("DNS-SD lookup failed", error=str(error))
                 wait = min(RETRY_MOST, RETRY * 2.0 ** (self.failures - 1))
             await asyncio.sleep(wait)
 
     def _next_expiry(self) -> float:
-        now = self.core.loop.time()
+        now = self.proxy.loop.time()
         left = min((at for at, _ in self.cache.values()), default=now) - now
         return min(LONGEST, max(SHORTEST, left))
 
     async def _round(self) -> None:
         """Ask for what has expired, and tell the core the list if anything in it is new."""
-        now = self.core.loop.time()
+        now = self.proxy.loop.time()
         self.cache = {key: held for key, held in self.cache.items() if held[0] > now}
         names = [r.target for r in await self._lookup(self.service, dns.rdatatype.PTR)]
         listed: dict[str, tuple[EndpointEntry, str]] = {}
@@ -125,14 +125,14 @@
                 listed[ident] = await self._instance(ident, name)
             except (BadRecord, LookupFailed) as error:
                 # Guards against one bad record: its instance stays as it was last, the others count.
-                self.stats.count("dns_bad_instances")
+                self.metrics.count("dns_bad_instances")
                 log.warning("DNS-SD instance unreadable", instance=ident, error=str(error))
                 if ident in self.known:
                     listed[ident] = self.known[ident]
         if not self.told or listed != self.known:
             self.known = listed
-            self.stats.count("lists_full")
-            self.core.listing(EndpointListKind.FULL, listed.values())
+            self.metrics.count("lists_full")
+            self.proxy.listing(EndpointListKind.FULL, listed.values())
         if not self.told:
             self.told = True
             if self.first is not None:
@@ -150,10 +150,10 @@
 
     async def _lookup(self, name: dns.name.Name, kind: dns.rdatatype.RdataType) -> list[Any]:
         held = self.cache.get((name, kind))
-        if held is not None and held[0] > self.core.loop.time():
+        if held is not None and held[0] > self.proxy.loop.time():
             return list(held[1])
         query = dns.message.make_query(name, kind)
-        self.stats.count("dns_queries")
+        self.metrics.count("dns_queries")
         try:
             answer, _ = await dns.asyncquery.udp_with_fallback(
                 query, self.where, timeout=QUERY_WAIT, port=self.port, ignore_unexpected=True
@@ -162,7 +162,7 @@
             raise LookupFailed(f"{name} {kind.name}: {type(error).__name__}") from None
         if answer.rcode() != dns.rcode.NOERROR:
             raise LookupFailed(f"{name} {kind.name}: {dns.rcode.to_text(answer.rcode())}")
-        now = self.core.loop.time()
+        now = self.proxy.loop.time()
         # What is sent along (RFC 6763, section 12) is kept as well, each for its own life.
         for rrset in [*answer.answer, *answer.additional]:
             if rrset.rdtype != dns.rdatatype.OPT:
--- a/gradegap/discovery/http_discovery.py
+++ b/gradegap/discovery/http_discovery.py
@@ -78,7 +78,7 @@
     full: bool = True
     servers: list[msgspec.Raw] = []
 
-    def entries(self, last: dict[str, Entry], stats: Metrics) -> list[Entry]:
+    def entries(self, last: dict[str, Entry], metrics: Metrics) -> list[Entry]:
         """What the list tells, one by one. Guards against one bad entry that takes the whole list with it:
         of such a server, what was told last is still true."""
         told: list[Entry] = []
@@ -86,7 +86,7 @@
             try:
                 told.append(msgspec.json.decode(raw, type=Item).entry())
             except (ValueError, *UNREADABLE) as error:
-                stats.count("list_items_bad")
+                metrics.count("list_items_bad")
                 log.warning("entry of the list ignored", error=str(error)[:200])
                 with contextlib.suppress(*UNREADABLE):
                     name = msgspec.json.decode(raw, type=Named).id
@@ -100,19 +100,19 @@
 class HttpDiscovery:
     """Keeps the core's list of backends as discovery tells it."""
 
-    def __init__(self, core: Proxy, dialer: Dialer, address: str, stats: Metrics) -> None:
-        self.core = core
+    def __init__(self, proxy: Proxy, dialer: Dialer, address: str, metrics: Metrics) -> None:
+        self.proxy = proxy
         self.dialer = dialer
         self.address = address
-        self.stats = stats
-        self.clock = WatchSchedule(core.settings, random.Random())
+        self.metrics = metrics
+        self.clock = WatchSchedule(proxy.settings, random.Random())
         self.told = False  # a list has come since the start
         self.first: Callable[[], None] | None = None
         self.calls: list[Call] = []  # all that are out, the latest last; those before it are overdue
         self.again: asyncio.TimerHandle | None = None  # the next call, after one that failed
         self.last: dict[str, Entry] = {}  # what was told of each
         self.decoder = msgspec.json.Decoder(Listing)
-        stats.gauge("watch", lambda: {"version": self.clock.version, "told": self.told})
+        metrics.gauge("watch", lambda: {"version": self.clock.version, "told": self.told})
 
     def start(self) -> None:
         self._connect()
@@ -120,7 +120,7 @@
     def change_over(self, address: str) -> None:
         """Discovery is elsewhere from now on: its full list is asked for, and until it comes the last one
         is kept. Whatever the old address still says is not heard."""
-        self.stats.count("director_changes")
+        self.metrics.count("director_changes")
         self.address = address
         self.clock.changed_over()
         self._drop_calls()
@@ -133,7 +133,7 @@
         if after <= 0.0:
             self._connect()
         else:
-            self.again = self.core.loop.call_later(after, self._connect)
+            self.again = self.proxy.loop.call_later(after, self._connect)
 
     def _connect(self) -> None:
         self.again = None
@@ -154,14 +154,14 @@
         except UNREADABLE as error:
             log.warning("list malformed", error=str(error))
             return "malformed"
-        if why := self.clock.fits(ask, self.core.loop.time(), listing.full, listing.version):
+        if why := self.clock.fits(ask, self.proxy.loop.time(), listing.full, listing.version):
             return why
-        self.stats.count("lists_full" if listing.full else "lists_delta")
-        self.clock.took(ask, self.core.loop.time(), listing.version)
+        self.metrics.count("lists_full" if listing.full else "lists_delta")
+        self.clock.took(ask, self.proxy.loop.time(), listing.version)
         self._only(call)
         if listing.full or listing.servers:
             kind = EndpointListKind.FULL if listing.full else EndpointListKind.DELTA
-            self.core.listing(kind, listing.entries(self.last, self.stats))
+            self.proxy.listing(kind, listing.entries(self.last, self.metrics))
         if not self.told:
             self.told = True
             if self.first is not None:
@@ -203,8 +203,8 @@
 
     def __init__(self, director: HttpDiscovery) -> None:
         self.director = director
-        self.stats = director.stats
-        self.loop = director.core.loop
+        self.metrics = director.metrics
+        self.loop = director.proxy.loop
         self.transport: asyncio.Transport | None = None
         self.stop: Callable[[], None] | None = None
         self.timer: asyncio.TimerHandle | None = None
@@ -273,7 +273,7 @@
         if status in BUSY:
             # It has no room now, and still knows what this node has: the changes since are asked for again,
             # which cost it less than the full list.
-            self.stats.count("lists_busy")
+            self.metrics.count("lists_busy")
             self._end(self.director.clock.no_room())
             return
         assert self.ask is not None
@@ -283,7 +283,7 @@
             return
         self.answers += 1
         if beyond:
-            self.stats.count("lists_refused_behind_another")
+            self.metrics.count("lists_refused_behind_another")
             self._end(self.director.clock.refused("out_of_turn"))
         elif keep and self.transport is not None and not self.transport.is_closing():
             self._ask()
@@ -293,13 +293,13 @@
     def _refused(self, why: str) -> None:
         """Guards against an answer that can't be read, or is not the one asked for: the last list is kept,
         and this connection, whose answers may all be one behind by now, is not used again."""
-        self.stats.count(f"lists_refused_{why}")
+        self.metrics.count(f"lists_refused_{why}")
         clock = self.director.clock
         log.warning("list refused", reason=why, version=clock.version)
         if why in UNFIT:
             self._end(clock.refused(why))
         else:
-            self.stats.count("lists_malformed" if why == "malformed" else "lists_failed")
+            self.metrics.count("lists_malformed" if why == "malformed" else "lists_failed")
             self._end(clock.lost(anew=True))
 
     def _late(self, seen: int) -> None:
@@ -310,12 +310,12 @@
             return
         assert self.ask is not None
         self.timer = None
-        self.stats.count("lists_silent")
+        self.metrics.count("lists_silent")
         log.warning("discovery is silent", asked=target(self.ask), silent=self.director.clock.silent + 1)
         self.director.overdue(self)
 
     def failed(self) -> None:
-        self.stats.count("lists_failed")
+        self.metrics.count("lists_failed")
         self.director.over(self, self.director.clock.lost())
 
     def _end(self, after: float) -> None:
@@ -336,7 +336,7 @@
         if self.timer is not None:
             self.timer.cancel()
         if self._is_out():
-            self.stats.count("lists_ended")
+            self.metrics.count("lists_ended")
             # Between two answers it may just have been closed as idle: then the watch goes on at once.
             clean = self.answers > 0 and not self.bytes and exc is None
             self.director.over(self, 0.0 if clean else self.director.clock.lost())
--- a/gradegap/downstream/session.py
+++ b/gradegap/downstream/session.py
@@ -119,11 +119,11 @@
     """One client's connection: its first line, its answer, then lines both ways."""
 
     def __init__(
-        self, core: Proxy, stats: Metrics, channel: Channel, ready: Callable[[], bool], spent: float = 0.0
+        self, proxy: Proxy, metrics: Metrics, channel: Channel, ready: Callable[[], bool], spent: float = 0.0
     ) -> None:
         """A session whose channel has taken `spent` seconds to come up."""
-        self.core = core
-        self.stats = stats
+        self.proxy = proxy
+        self.metrics = metrics
         self.channel = channel
         self.ready = ready
         self.opening: Opening | None = None
@@ -142,8 +142,8 @@
         self.held = False  # not read on, as its window is full
         self.mover: Moving | None = None
         self.ended = False  # the client has: the end of its server is no reason to move it
-        self.began = self.piece_at = core.loop.time() - spent
-        self.timer: asyncio.TimerHandle | None = core.loop.call_later(
+        self.began = self.piece_at = proxy.loop.time() - spent
+        self.timer: asyncio.TimerHandle | None = proxy.loop.call_later(
             max(0.0, FIRST_LINE_WAIT - spent), self._late
         )
 
@@ -164,8 +164,8 @@
         if self.opening is None:
             pinged = not self.buffer and self.idle
             if pinged:
-                self.began = self.core.loop.time()
-            self.piece_at = self.core.loop.time()
+                self.began = self.proxy.loop.time()
+            self.piece_at = self.proxy.loop.time()
             self.buffer += data
             self._first_lines()
             if pinged and self.buffer and self.opening is None and not self.closed:
@@ -214,20 +214,20 @@
 
     def wait(self, length: float) -> None:
         self.unwait()
-        self.timer = self.core.loop.call_later(length, self._late)
+        self.timer = self.proxy.loop.call_later(length, self._late)
 
     def unwait(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
 
     def time_left(self) -> float:
-        return 0.0 if self.timer is None else max(0.0, self.timer.when() - self.core.loop.time())
+        return 0.0 if self.timer is None else max(0.0, self.timer.when() - self.proxy.loop.time())
 
     def _late(self) -> None:
         """Guards against clients that say nothing, or half a line, and hold what others need."""
         if self.opening is not None or self.closed:
             return
-        now = self.core.loop.time()
+        now = self.proxy.loop.time()
         slow = self.buffer.startswith(b"OPEN ") and now < self.piece_at + SLOW_PAUSE
         if slow and now < self.began + SLOW_MOST:
             self.wait(SLOW_PAUSE / 2)  # spares who writes in small pieces, and still comes on
@@ -248,7 +248,7 @@
             line = bytes(self.buffer[: end + 1])
             del self.buffer[: end + 1]
             if line.rstrip(b"\r\n") == b"PING":
-                self.stats.count("pings")
+                self.metrics.count("pings")
                 pings += 1
                 if pings > PINGS:
                     self._bad("too many commands at once")
@@ -265,7 +265,7 @@
                     raise InvalidLineError("more than a first line")
                 if self.resuming is not None and self.resuming.begin(self, line, opening):
                     return
-                self.req = self.core.take(self, opening.ask)
+                self.req = self.proxy.take(self, opening.ask)
             except (InvalidLineError, InvalidRequestError) as error:
                 self._bad(str(error))
                 return
@@ -279,7 +279,7 @@
             return
         self.opening = opening
         try:
-            self.req = self.core.take(self, opening.ask)
+            self.req = self.proxy.take(self, opening.ask)
         except InvalidRequestError as error:
             self._bad(str(error))
             return
@@ -304,7 +304,7 @@
                 self._passed(line)
             self.channel.write(passed.to_client)
         if passed.over:
-            self.stats.count(f"resume_over_{passed.over}")
+            self.metrics.count(f"resume_over_{passed.over}")
             pipe, req = self.pipe, self.req
             self._shut(Ending.FAILED)
             if pipe is not None:
@@ -322,7 +322,7 @@
         return len(self.buffer) > LONGEST or self.buffer.startswith(b"OPEN ") or b"\nOPEN " in self.buffer
 
     def _bad(self, why: str, counter: str = "bad_first_lines") -> None:
-        self.stats.count(counter)
+        self.metrics.count(counter)
         self.channel.write(b"ERR\r\n")
         self._shut(Ending.BAD)
 
@@ -361,7 +361,7 @@
         else:
             # Guards against a MOVE inside a line: the rest of the line goes first.
             self.moving = True
-            self.core.loop.call_later(LINE_END_WAIT, self._line_never_ended)
+            self.proxy.loop.call_later(LINE_END_WAIT, self._line_never_ended)
 
     def end(self) -> None:
         """The backend's side has ended."""
@@ -451,16 +451,16 @@
 
     def __init__(
         self,
-        core: Proxy,
-        stats: Metrics,
+        proxy: Proxy,
+        metrics: Metrics,
         ready: Callable[[], bool],
         live: set[TcpChannel],
         descriptors: Descriptors,
     ) -> None:
-        self.loop = core.loop
+        self.loop = proxy.loop
         self.live = live
         self.descriptors = descriptors
-        self.session = ClientSession(core, stats, self, ready)
+        self.session = ClientSession(proxy, metrics, self, ready)
         self.closing = False
         self.close_by = 0.0
         self.unsent = float("inf")  # bytes on their way out, when the linger was last over
@@ -521,7 +521,7 @@
         self.descriptors.rank(self, None)
 
     def dismiss(self) -> None:
-        self.session.evict(self.session.core.settings.max_retry_after)
+        self.session.evict(self.session.proxy.settings.max_retry_after)
 
     def evict(self) -> None:
         if self.closing:  # its answer went out some time ago
@@ -533,7 +533,7 @@
     def end_rest(self, after: float) -> None:
         """This process ends: a client that has not asked for anything yet is told to come again elsewhere."""
         if self.session.opening is None and not self.closing:
-            self.session.core.stats.count("rests_ended")
+            self.session.proxy.metrics.count("rests_ended")
             self.session.evict(after)
 
     def end_soon(self) -> None:
--- a/gradegap/hot_restart/handover.py
+++ b/gradegap/hot_restart/handover.py
@@ -326,8 +326,8 @@
     """The node, as a handover sees it."""
 
     loop: asyncio.AbstractEventLoop
-    stats: Metrics
-    core: Proxy
+    metrics: Metrics
+    proxy: Proxy
     backends: Backends
     descriptors: Descriptors
     channels: set[TcpChannel]
@@ -362,7 +362,7 @@
         self.serial = 0
         self.given: dict[int, tuple[TcpChannel, Fetch | None, Standing | None]] = {}  # until they are taken
         self.told_held = -1
-        node.stats.gauge("successor", lambda: self.link is not None and self.gave_way)
+        node.metrics.gauge("successor", lambda: self.link is not None and self.gave_way)
 
     # As the process that follows
 
@@ -378,25 +378,25 @@
         except TimeoutError:
             good = False
         if not good:
-            self.node.stats.count("handovers_failed")
+            self.node.metrics.count("handovers_failed")
             log.warning("the process of this node that serves did not answer; starting alone")
             link.close()
         return good
 
     def _begin(self) -> None:
-        core = self.node.core
+        proxy = self.node.proxy
         entries = []
         for k in self.listed:
             phase = EndpointPhase(k.phase)
             entry = EndpointEntry(k.id, k.zone, k.cell, phase, k.weight, k.started_at)
             entries.append((entry, k.address))
-        core.listing(EndpointListKind.CACHED, entries)
-        core.told_before({k.id: k.told_at for k in self.listed if k.told_at is not None})
+        proxy.listing(EndpointListKind.CACHED, entries)
+        proxy.told_before({k.id: k.told_at for k in self.listed if k.told_at is not None})
         for server, at in (self.offer.out if self.offer is not None else {}).items():
-            core.take_out(server, at)
+            proxy.take_out(server, at)
         reports = sorted((k.report_at, k.id, k.report) for k in self.listed if k.report is not None)
         for at, server, report in reports:
-            core.recall(at, server, report)
+            proxy.recall(at, server, report)
         self.listed = []
         if self.begun is not None and not self.begun.done():
             self.begun.set_result(True)
@@ -415,7 +415,7 @@
             self.waiting = Waiting(self.loop, self.path, self._came)
         except OSError as error:
             # Without it the next process starts alone, and this one leaves as at any planned stop.
-            self.node.stats.count("handovers_failed")
+            self.node.metrics.count("handovers_failed")
             log.error("a next process can't find this one", error=str(error))
 
     def _adopt(self, message: Door | Standing, fds: list[int]) -> bool:
@@ -433,11 +433,11 @@
             session.idle = message.idle
             session.wait(message.left)
             dialer.made.put_nowait((client, channel))
-            node.stats.count("taken_over_door")
+            node.metrics.count("taken_over_door")
             return True
         session.unwait()
         session.opening = Opening(message.ask, message.before, message.after)
-        req = node.core.adopt(session, message.ask, message.backend, message.heard_at, message.asked_at)
+        req = node.proxy.adopt(session, message.ask, message.backend, message.heard_at, message.asked_at)
         if req is None or req.attempt is None:
             client.close()
             os.close(fds[1])
@@ -454,7 +454,7 @@
         # The backend's side first: whatever the client says then finds it there.
         dialer.made.put_nowait((backend, fetch))
         dialer.made.put_nowait((client, channel))
-        node.stats.count("taken_over_standing")
+        node.metrics.count("taken_over_standing")
         return True
 
     # As the process that is followed
@@ -465,11 +465,11 @@
             sock.close()
             return
         self.link = link = Link(self.loop, sock, self._heard, self._lost)
-        node.stats.count("handovers_begun")
+        node.metrics.count("handovers_begun")
         ring = node.resuming.handed() if node.resuming is not None else b""
-        link.send(Offer(dict(node.core.out), node.descriptors.own(), ring), node.listening.fileno())
+        link.send(Offer(dict(node.proxy.out), node.descriptors.own(), ring), node.listening.fileno())
         known = []
-        for b in node.core.backends.values():
+        for b in node.proxy.backends.values():
             if (e := b.told) is not None:
                 k = Known(b.id, b.address, e.zone, e.cell, int(e.phase), e.weight, e.started_at)
                 k.told_at = b.told_at if b.phase is not EndpointPhase.READY else None
@@ -482,11 +482,11 @@
 
     def _give_way(self) -> None:
         log.info("the next process takes clients", sessions=len(self.node.channels))
-        self.node.stats.count("handovers")
+        self.node.metrics.count("handovers")
         self.gave_way = True
         self.node.stop_accepting()
         if self.link is not None and (left := self.node.leave_store()) > 0:
-            self.link.send(Lease(left, dict(self.node.core.out)))
+            self.link.send(Lease(left, dict(self.node.proxy.out)))
         port = self.node.give_port()
         if self.link is not None and port is not None:
             self.link.send(Port(port[0]), *port[1])
@@ -543,7 +543,7 @@
         transport.pause_reading()
         fetch.transport.pause_reading()
         session.closed = fetch.over = True
-        self.node.core.gave(req)
+        self.node.proxy.gave(req)
         link.send(standing, fd, fetch.transport.get_extra_info("socket").fileno())
 
     def _taken(self, serial: int, good: bool) -> None:
@@ -553,7 +553,7 @@
         if not good:
             self._take_back(channel, fetch, standing)
             return
-        self.node.stats.count("passed_on_door" if fetch is None else "passed_on_standing")
+        self.node.metrics.count("passed_on_door" if fetch is None else "passed_on_standing")
         for each in (fetch, channel):
             # Our descriptors only: the connections live on in the other process.
             if each is not None and each.transport is not None:
@@ -561,7 +561,7 @@
 
     def _take_back(self, channel: TcpChannel, fetch: Fetch | None, standing: Standing | None) -> None:
         """Guards against a successor that could not take a session, or died before it said so."""
-        self.node.stats.count("taken_back")
+        self.node.metrics.count("taken_back")
         session = channel.session
         session.closed = False
         if fetch is None or standing is None:
@@ -570,7 +570,7 @@
         else:
             fetch.over = False
             args = (standing.ask, standing.backend, standing.heard_at, standing.asked_at)
-            session.req = req = self.node.core.adopt(session, *args)
+            session.req = req = self.node.proxy.adopt(session, *args)
             if req is None or req.attempt is None:
                 session.lost()
                 return
@@ -645,7 +645,7 @@
         if self.gave_way and not self.node.leaving:
             self.gave_way = False
             log.warning("the next process has gone; this one serves again")
-            self.node.stats.count("handovers_undone")
+            self.node.metrics.count("handovers_undone")
             self.node.accept_again()
             self._wait_for_next()
 
--- a/gradegap/node/node.py
+++ b/gradegap/node/node.py
@@ -91,12 +91,12 @@
         self.operator = operator or OperatorSettings()
         self.quic: QuicFront | None = None
         self.loop = loop
-        self.stats = Metrics()
-        self.descriptors = Descriptors(raise_descriptor_limit(setup.config.limits.sockets), self.stats)
+        self.metrics = Metrics()
+        self.descriptors = Descriptors(raise_descriptor_limit(setup.config.limits.sockets), self.metrics)
         self.backends = Backends(loop, setup.settings.connect_timeout, self.descriptors)
-        self.core = Proxy(setup.settings, setup.seed, self.backends, self.stats, loop)
+        self.proxy = Proxy(setup.settings, setup.seed, self.backends, self.metrics, loop)
         self.director: HttpDiscovery | DnsSdDiscovery = self._make_director()
-        self.live = DynamicConfiguration(self.stats)
+        self.live = DynamicConfiguration(self.metrics)
         self.store: Attached | ObservedStore | None = None
         self.store_until = 0.0  # steady time up to which the process before this one had a lease
         self.channels: set[TcpChannel] = set()
@@ -105,31 +105,31 @@
         self.console: AdminApi | None = None
         self.again: asyncio.Task[None] | None = None
         self.late: list[asyncio.Task[None]] = []  # ports that wait for the process before to leave them
-        self.snapshot = Snapshot(private_file(setup.config, "snapshot"), self.stats)
+        self.snapshot = Snapshot(private_file(setup.config, "snapshot"), self.metrics)
         self.resuming: Resuming | None = self._make_resuming()
         self.capture = self._make_capture()
         if self.operator.trace is not None and self.operator.trace.decisions:
             from gradegap.node.decision_trace import DecisionTrace
 
-            trace = DecisionTrace(self.core.balancer)
+            trace = DecisionTrace(self.proxy.balancer)
             trace.settings(setup.settings)
-            self.core.balancer = cast(Any, trace)  # the core knows no difference
-        self.core.out_changed = self._keep_out
+            self.proxy.balancer = cast(Any, trace)  # the core knows no difference
+        self.proxy.out_changed = self._keep_out
         if self.operator.decides_by is not None:
-            self.core.gate = self._gate
+            self.proxy.gate = self._gate
         self.handover = Handover(self, private_file(setup.config, "sock"))
         self.listening: socket.socket | None = None  # kept beside the one accepted from, to pass on
         self.done: asyncio.Future[None] = loop.create_future()
         self.server: asyncio.Server | None = None
-        self.stats.gauge("open_sessions", lambda: len(self.channels))
-        self.stats.gauge("reqs", lambda: len(self.core.reqs))
+        self.metrics.gauge("open_sessions", lambda: len(self.channels))
+        self.metrics.gauge("reqs", lambda: len(self.proxy.reqs))
 
     def _make_director(self) -> HttpDiscovery | DnsSdDiscovery:
         if self.operator.dnssd is None:
-            return HttpDiscovery(self.core, self.backends.dialer, self.setup.config.discovery, self.stats)
+            return HttpDiscovery(self.proxy, self.backends.dialer, self.setup.config.discovery, self.metrics)
         from gradegap.discovery.dns_sd_discovery import DnsSdDiscovery
 
-        return DnsSdDiscovery(self.core, self.operator.dnssd, self.stats)
+        return DnsSdDiscovery(self.proxy, self.operator.dnssd, self.metrics)
 
     def _make_capture(self) -> Switch | None:
         settings = self.operator.capture
@@ -144,7 +144,7 @@
                 f"capture.hide: {settings.hide} can't be read: {error.strerror}"
             ) from None
         name, seed = self.setup.config.name, self.setup.seed
-        made = Switch(settings, self.core, seed, self.stats, name, hide)
+        made = Switch(settings, self.proxy, seed, self.metrics, name, hide)
         self.live.key("capture", settings.on, made.set)
         return made
 
@@ -160,7 +160,7 @@
 
         # It comes later, and may go.
         store = (lambda: cast(Any, self.store)) if self.operator.decides_by is not None else None
-        return Resumer(self.setup.config.name, self.operator.resume, self.stats, self.loop, store)
+        return Resumer(self.setup.config.name, self.operator.resume, self.metrics, self.loop, store)
 
     async def start(self) -> None:
         config = self.setup.config
@@ -192,7 +192,7 @@
         log.info("listening", name=config.name, address=config.listen, following=following)
 
     def channel(self) -> TcpChannel:
-        made = TcpChannel(self.core, self.stats, self.admits, self.channels, self.descriptors)
+        made = TcpChannel(self.proxy, self.metrics, self.admits, self.channels, self.descriptors)
         made.session.resuming = self.resuming
         return made
 
@@ -240,13 +240,13 @@
                 return await start(settings)
             except ConfigurationError as error:
                 if alone:
-                    self.stats.count("ports_not_free")
+                    self.metrics.count("ports_not_free")
                     log.error("not started", error=str(error))
                     return
 
     async def _start_console(self, address: str) -> None:
         self.descriptors.reserve(CALLERS_MOST)
-        self.console = AdminApi(self, self.loop, self.stats)
+        self.console = AdminApi(self, self.loop, self.metrics)
         try:
             await self.console.start(*split_address(address))
         except OSError as error:
@@ -257,7 +257,7 @@
 
     def admits(self) -> bool:
         """What PING is told: whether new clients are to come here."""
-        return self.ready and self.core.drained_by is None and self._store_allows()
+        return self.ready and self.proxy.drained_by is None and self._store_allows()
 
     def ask_ready(self, done: Done) -> None:
         done(DONE if self.ready else Verdict(HTTPStatus.SERVICE_UNAVAILABLE, "takes no clients"))
@@ -279,7 +279,7 @@
         return cast("ObservedStore", self.store) if self.operator.observer is not None else None
 
     def take_out(self, server: str, done: Done) -> None:
-        if len(self.core.out) >= MOST_OUT and server not in self.core.out:
+        if len(self.proxy.out) >= MOST_OUT and server not in self.proxy.out:
             done(Verdict(HTTPStatus.SERVICE_UNAVAILABLE, f"{MOST_OUT} save servers are out already"))
         else:
             self._by_hand("out", server, done)
@@ -288,7 +288,7 @@
         self._by_hand("back", server, done)
 
     def _by_hand(self, what: str, server: str, done: Done) -> None:
-        b = self.core.backends.get(server)
+        b = self.proxy.backends.get(server)
         if b is None or b.told is None:
             done(UNKNOWN)
         elif self.store is not None:
@@ -306,43 +306,43 @@
         """A call that the other process was asked for."""
         match what:
             case "out":
-                self.core.take_out(server)
+                self.proxy.take_out(server)
             case "back":
-                self.core.call_back(server)
+                self.proxy.call_back(server)
             case "drain":
-                self.core.drain(DRAIN_MOVES)
+                self.proxy.drain(DRAIN_MOVES)
             case "stay":
-                self.core.stay()
+                self.proxy.stay()
 
     def out_of_service(self, done: Done) -> None:
-        self.core.drain(DRAIN_MOVES)
+        self.proxy.drain(DRAIN_MOVES)
         self._state_changed("drain", done)
 
     def in_service(self, done: Done) -> None:
-        self.core.stay()
+        self.proxy.stay()
         self._state_changed("stay", done)
 
     def _state_changed(self, what: str, done: Done) -> None:
         if self.leaving and self.handover.link is None:
             done(Verdict(HTTPStatus.SERVICE_UNAVAILABLE, "this process is leaving"))
             return
-        out = self.core.drained_by is not None
-        self.stats.count("calls_out_of_service" if out else "calls_in_service")
+        out = self.proxy.drained_by is not None
+        self.metrics.count("calls_out_of_service" if out else "calls_in_service")
         self._both(what, "", done)
 
     def _keep_out(self) -> None:
         """The save servers out by hand, for the next process of this node."""
-        self.snapshot.write(self.core.out)
+        self.snapshot.write(self.proxy.out)
 
     def _take_snapshot(self) -> None:
         """What a process of this node before this one was told by hand."""
         for server, at in self.snapshot.read().items():
-            self.core.take_out(server, at)
+            self.proxy.take_out(server, at)
 
     def _take_known(self) -> None:
         """The list of the configuration, to serve with until discovery has told one."""
-        known = self.setup.config.known.entries({}, self.stats)
-        self.core.listing(EndpointListKind.CACHED, known)
+        known = self.setup.config.known.entries({}, self.metrics)
+        self.proxy.listing(EndpointListKind.CACHED, known)
         if known and isinstance(self.director, HttpDiscovery):
             self.director.clock.known(self.setup.config.known.version)
         if known:
@@ -355,7 +355,7 @@
         try:
             if self.quic is None:
                 name = self.setup.config.name
-                made = QuicFront(self.core, self.stats, self.admits, settings, name, self._machine)
+                made = QuicFront(self.proxy, self.metrics, self.admits, settings, name, self._machine)
                 made.resuming = self.resuming
                 self.live.key("quic_max_sessions", settings.max_sessions, made.set_most)
                 self.live.key("quic_accept", True, made.set_accept)
@@ -383,7 +383,7 @@
             if self.quic is None:
                 raise ValueError("this process has no QUIC front")
         except ValueError as error:
-            self.stats.count("quic_ports_refused")
+            self.metrics.count("quic_ports_refused")
             log.error("QUIC's port was not taken over", error=str(error))
             close_all(fds)
             return
@@ -408,16 +408,16 @@
         if not self._store_allows():
             return STALE_WAIT
         if self.store is None or not self.store.fresh():
-            self.stats.count("decided_stale")
+            self.metrics.count("decided_stale")
         return None
 
     def inherit(self, left: float, out: Mapping[str, float]) -> None:
         """The process before this one had a lease for so long yet, and told of all that it had applied."""
         self.store_until = time.monotonic() + left
-        for server in list(self.core.out.keys() - out.keys()):
-            self.core.call_back(server)
+        for server in list(self.proxy.out.keys() - out.keys()):
+            self.proxy.call_back(server)
         for server, at in out.items():
-            self.core.take_out(server, at)
+            self.proxy.take_out(server, at)
 
     async def _start_store(self, settings: StoreSettings) -> None:
         # Loaded here: a node without a store does without its libraries' memory.
@@ -428,7 +428,7 @@
         try:
             secret, place = read_secret(settings), folder(settings)
             told = lambda: self.director.told  # noqa: E731
-            parts = self.core, self.live, self.stats, self.loop, self._state, told
+            parts = self.proxy, self.live, self.metrics, self.loop, self._state, told
             made = Attached(settings, secret, place, *parts)
         except (BadFolder, OperatorFileError) as error:
             raise ConfigurationError(str(error)) from None
@@ -447,7 +447,7 @@
 
         settings = msgspec.structs.replace(settings, name=settings.name or self.setup.config.name)
         try:
-            made = ObservedStore(settings, self.core, self.live, self.stats, self.loop)
+            made = ObservedStore(settings, self.proxy, self.live, self.metrics, self.loop)
         except OperatorFileError as error:
             raise ConfigurationError(str(error)) from None
         await made.start()
@@ -469,7 +469,7 @@
 
     def _state(self) -> dict[str, object]:
         """What this node is doing, for its siblings and its operator; never load or choices."""
-        out = self.core.drained_by is not None
+        out = self.proxy.drained_by is not None
         state = (
             "leaving" if self.leaving else "out of service" if out else "ready" if self.ready else "starting"
         )
@@ -477,7 +477,7 @@
             "state": state,
             "listen": self.setup.config.listen,
             "quic": self.operator.quic.listen if self.operator.quic is not None else None,
-            "started_ms": round(self.core.anchor_ms),
+            "started_ms": round(self.proxy.anchor_ms),
         }
 
     def _get_ready(self) -> None:
@@ -493,12 +493,12 @@
         try:
             self.setup = new = reload(old)
         except ConfigurationError as error:
-            self.stats.count("reloads_failed")
+            self.metrics.count("reloads_failed")
             log.error("configuration not reloaded, the old one is kept", error=str(error))
             return
-        self.stats.count("reloads")
+        self.metrics.count("reloads")
         if new.settings != old.settings:
-            self.core.reconfigure(new.settings)
+            self.proxy.reconfigure(new.settings)
             if isinstance(self.director, HttpDiscovery):
                 self.director.clock.adopt(new.settings)
             self.backends.connect_wait = new.settings.connect_timeout
@@ -514,11 +514,11 @@
         """Leave: clients still come for a while, all are answered, all that stands is moved; then end."""
         if self.leaving:
             return
-        log.info("leaving", reqs=len(self.core.reqs))
+        log.info("leaving", reqs=len(self.proxy.reqs))
         self.leaving = True
         self.ready = False
-        killed = killed_from(self.core.settings)
-        self.core.leave(max(killed - LEAVE_MOVES[0], killed * LEAVE_MOVES[1]))
+        killed = killed_from(self.proxy.settings)
+        self.proxy.leave(max(killed - LEAVE_MOVES[0], killed * LEAVE_MOVES[1]))
         at_least = 0.0 if self.handover.gave_way else LEAVE_AT_LEAST
         self.loop.call_later(at_least, self._look_empty)
         last = max(killed - LEAVE_LAST[0], killed * LEAVE_LAST[1])
@@ -530,19 +530,19 @@
 
         Guards against a successor that hangs: a session on its way to it is taken back, and moved here."""
         self.handover.close()
-        self.core.move_all()
-        self.core.answer_all()
+        self.proxy.move_all()
+        self.proxy.answer_all()
 
     def _look_empty(self, was_empty: bool = False) -> None:
         """End once the last client has gone, and none has come since the look before."""
         if self.handover.link is None or not self.handover.gave_way:
             # Guards against a request that comes to a connection as it is closed: each that rests here is
             # told first, so that whatever its client has written meanwhile has its answer.
-            after = min(LEAVE_AGAIN, self.core.settings.max_retry_after)
+            after = min(LEAVE_AGAIN, self.proxy.settings.max_retry_after)
             for channel in list(self.channels):
                 channel.end_rest(after)
         answering = self.quic is not None and self.quic.answering()
-        empty = not (self.core.reqs or self.channels or answering)
+        empty = not (self.proxy.reqs or self.channels or answering)
         if empty and was_empty:
             self._end()
         else:
@@ -568,4 +568,4 @@
             self.done.set_result(None)
 
     def print_counters(self) -> None:
-        log.info("counters", **self.stats.snapshot())
+        log.info("counters", **self.metrics.snapshot())
--- a/gradegap/observer/attached.py
+++ b/gradegap/observer/attached.py
@@ -71,24 +71,24 @@
     def __init__(
         self,
         settings: ObserverSettings,
-        core: Proxy,
+        proxy: Proxy,
         live: DynamicConfiguration,
-        stats: Metrics,
+        metrics: Metrics,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
         """`settings.name` is set. `BadOperatorFile` where the secret can't be read."""
-        self.settings, self.core, self.live, self.stats = settings, core, live, stats
-        self.committed = CommittedState(core, live)
+        self.settings, self.proxy, self.live, self.metrics = settings, proxy, live, metrics
+        self.committed = CommittedState(proxy, live)
         self.machine = Replica()
-        self.client = ObserverClient(settings, loop, stats, self._apply, self._lease_changed)
+        self.client = ObserverClient(settings, loop, metrics, self._apply, self._lease_changed)
         self.service = Requests(self.client)
         self.synced = False
-        stats.gauge("store_fresh", lambda: int(self.fresh()))
-        stats.gauge("observer_revision", lambda: self.client.revision)
-        stats.gauge("observer_age_ms", self._age_ms)
-        stats.gauge("observer_machine", lambda: self.client.machine or "none")
-        stats.gauge("observer_bytes_sent", lambda: self.client.traffic.bytes_sent)
-        stats.gauge("observer_bytes_received", lambda: self.client.traffic.bytes_received)
+        metrics.gauge("store_fresh", lambda: int(self.fresh()))
+        metrics.gauge("observer_revision", lambda: self.client.revision)
+        metrics.gauge("observer_age_ms", self._age_ms)
+        metrics.gauge("observer_machine", lambda: self.client.machine or "none")
+        metrics.gauge("observer_bytes_sent", lambda: self.client.traffic.bytes_sent)
+        metrics.gauge("observer_bytes_received", lambda: self.client.traffic.bytes_received)
 
     def _age_ms(self) -> int:
         """How old this node's knowledge is; -1: it has none."""
@@ -111,7 +111,7 @@
         return self.client.fresh()
 
     def _lease_changed(self, fresh: bool) -> None:
-        self.stats.count("store_fresh_again" if fresh else "store_stale")
+        self.metrics.count("store_fresh_again" if fresh else "store_stale")
         known = {"revision": self.client.revision, "age_ms": self._age_ms()}
         if fresh and not self.synced:
             self._forget_all_but(set(self.machine.items))  # a store without keys has nothing to send
@@ -130,15 +130,15 @@
         for change in changes:
             self.machine.take(change)
             self._obey(change)
-        self.stats.count("observer_snapshots" if whole else "observer_deltas")
+        self.metrics.count("observer_snapshots" if whole else "observer_deltas")
 
     def _forget_all_but(self, kept: set[str]) -> None:
         if not self.synced:
             # What was in force before this subscription is so no more, unless the store has it.
             self.synced = True
-            for server in list(self.core.out):
+            for server in list(self.proxy.out):
                 if OUT + server not in kept:
-                    self.core.call_back(server)
+                    self.proxy.call_back(server)
             for name in list(self.live.set):
                 if CONFIG + name not in kept:
                     self.live.reset(name)
--- a/gradegap/observer/client.py
+++ b/gradegap/observer/client.py
@@ -166,14 +166,14 @@
         self,
         settings: ObserverSettings,
         loop: asyncio.AbstractEventLoop,
-        stats: Metrics,
+        metrics: Metrics,
         on_apply: Callable[[int, tuple[Change, ...], bool], None],
         on_lease: Callable[[bool], None],
         limits: Limits | None = None,
     ) -> None:
         """`settings.name` is the node's. `BadOperatorFile` where the secret can't be read."""
         assert settings.name, "a subscription needs its node's name"
-        self.settings, self.loop, self.stats = settings, loop, stats
+        self.settings, self.loop, self.metrics = settings, loop, metrics
         self.on_apply, self.on_lease = on_apply, on_lease
         self.secret = read_secret(settings)
         self.instance = secrets.token_hex(8)
@@ -256,7 +256,7 @@
     def request(self, wish: wire.Wish, done: Done, left: float = 5.0, relayed: bool = False) -> None:
         """`done` with one answer, at the latest after `left` seconds and a margin."""
         if self.closed or len(self.requests) >= MOST_REQUESTS:
-            self.stats.count("observer_requests_refused")
+            self.metrics.count("observer_requests_refused")
             why = "this process is leaving" if self.closed else "too many requests are under way"
             done(wire.Answer(0, "no", f"busy: {why}"))
             return
@@ -298,7 +298,7 @@
             request.sent = True
             self.connection.send("Ask", body)
         else:
-            self.stats.count("observer_requests_delayed")
+            self.metrics.count("observer_requests_delayed")
             self.loop.call_later(self.bucket.wait(now, size, RESERVE) + 0.001, self._send_again, request)
 
     def _send_again(self, request: Request) -> None:
@@ -361,7 +361,7 @@
         self._run()
 
     def _log_end(self, machine: Machine, reason: str) -> None:
-        self.stats.count("observer_disconnected")
+        self.metrics.count("observer_disconnected")
         log.info("subscription ended", machine=machine.name, reason=reason, revision=self.revision)
 
     # What the subscriber wants
@@ -402,7 +402,7 @@
 
     def _connect(self, machine: Machine) -> None:
         self.connection = connection = PublisherConnection(self, machine)
-        self.stats.count("observer_connects")
+        self.metrics.count("observer_connects")
         self.connecting = self.loop.create_task(self._dial(connection))
 
     async def _dial(self, connection: PublisherConnection) -> None:
@@ -418,7 +418,7 @@
         connection, self.connection = self.connection, None
         if connection is not None:
             connection.close()
-        self.stats.count(f"observer_ended_{code}")
+        self.metrics.count(f"observer_ended_{code}")
         if connection is not None and code is not Code.LEAVING:
             remedy = REMEDIES[code]
             log.warning("machine left", machine=connection.machine.name, reason=str(code), remedy=remedy)
@@ -432,7 +432,7 @@
             self.connection.send(type(message).__name__, body)
         else:
             # Said again with the next renewal; a lease that runs out meanwhile is the budget's price.
-            self.stats.count("observer_left_out")
+            self.metrics.count("observer_left_out")
 
     def _arm(self) -> None:
         if self.timer is not None:
--- a/gradegap/observer/server.py
+++ b/gradegap/observer/server.py
@@ -59,7 +59,7 @@
     """The member that publishes."""
 
     loop: asyncio.AbstractEventLoop
-    stats: Metrics
+    metrics: Metrics
     settings: StoreSettings
     machine: Machine
 
@@ -152,7 +152,7 @@
         """End it at once, for a reason that is counted."""
         if self.transport is None or self.transport.is_closing():
             return
-        self.server.stats.count(f"observer_link_{reason}")
+        self.server.metrics.count(f"observer_link_{reason}")
         if self.node:
             log.warning("subscription ended", node=self.node, reason=str(reason), detail=text)
         if self.transport.get_write_buffer_size():
@@ -183,7 +183,7 @@
     """All connections of a control machine's `publish` port, and the publisher that serves them."""
 
     def __init__(self, host: Host, secret: bytes, limits: Limits | None = None) -> None:
-        self.host, self.loop, self.stats, self.secret = host, host.loop, host.stats, secret
+        self.host, self.loop, self.metrics, self.secret = host, host.loop, host.metrics, secret
         self.limits = limits or Limits().for_lease(host.settings.lease_s)
         self.publisher: Publisher | None = None  # once the member belongs to a cluster
         self.listening: asyncio.Server | None = None
@@ -196,8 +196,8 @@
         self.timer: asyncio.TimerHandle | None = None
         self.timer_at = 0.0
         self.stopped = False
-        self.stats.gauge("observer_connections", lambda: len(self.connections))
-        self.stats.gauge("observer_subscribers", self._count)
+        self.metrics.gauge("observer_connections", lambda: len(self.connections))
+        self.metrics.gauge("observer_subscribers", self._count)
 
     def _count(self) -> int:
         return len(self.publisher.subscriptions) if self.publisher is not None else 0
@@ -367,7 +367,7 @@
 
     def _count_up(self, publisher: Publisher) -> None:
         for name, count in publisher.counts.items():
-            self.stats.counts[f"observer_{name}"] = count
+            self.metrics.counts[f"observer_{name}"] = count
 
     def _report_safe_index(self) -> None:
         before = self.reported
--- a/gradegap/proxy/proxy.py
+++ b/gradegap/proxy/proxy.py
@@ -139,7 +139,7 @@
 class Request:
     """A req from its first line to the end of its connection; a client session's handle on the core."""
 
-    core: Proxy
+    proxy: Proxy
     id: int
     ask: ConnectionRequest
     session: SessionPort
@@ -156,17 +156,17 @@
 
     def gone(self) -> None:
         """The client has left."""
-        self.core.client_gone(self)
+        self.proxy.client_gone(self)
 
     def asked(self) -> None:
         if self.asked_at is None:
-            self.asked_at = self.core.now()
+            self.asked_at = self.proxy.now()
 
     def heard(self, line: bool = True) -> None:
         """Something came back; a whole line of it, or a part."""
-        self.heard_at = self.core.now()
+        self.heard_at = self.proxy.now()
         if line:
-            self.core.heard(self)
+            self.proxy.heard(self)
 
 
 @dataclass(slots=True, eq=False)
@@ -185,7 +185,7 @@
 
     def begins(self) -> bool:
         """Its connection is up: whether the first line may be written."""
-        return self.live and self.req.core.begins(self)
+        return self.live and self.req.proxy.begins(self)
 
     def wrote(self) -> None:
         """The first line is out."""
@@ -193,15 +193,15 @@
 
     def up(self) -> None:
         if self.live:
-            self.req.core.up(self)
+            self.req.proxy.up(self)
 
     def over(self, result: AttemptResult, report: Mapping[str, float] | None = None) -> None:
         if self.live:
-            self.req.core.over(self, result, report)
+            self.req.proxy.over(self, result, report)
 
     def load(self, value: float) -> None:
         if self.live:
-            self.req.core.note(self.req, self.backend, load=value)
+            self.req.proxy.note(self.req, self.backend, load=value)
 
 
 def send_for(settings: Settings) -> float:
@@ -222,14 +222,14 @@
         settings: Settings,
         seed: int,
         backends: UpstreamPort,
-        stats: Metrics,
+        metrics: Metrics,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
         self.settings = settings
         self.slow_message = slow_message(settings)
         self.balancer = Balancer(settings, seed)
         self.port = backends
-        self.stats = stats
+        self.metrics = metrics
         self.loop = loop
         self.anchor = time.time() - loop.time()  # once: the clock never jumps, yet compares with started_ms
         self.anchor_ms = time.time() * 1000  # when this node started, in Unix time
@@ -330,7 +330,7 @@
             return False
         if server not in self.out:
             self.out[server] = self.now() if at is None else at
-            self.stats.count("taken_out")
+            self.metrics.count("taken_out")
             self._lay(EndpointListKind.DELTA, [b.told])
             self._out_changed()
         return True
@@ -341,7 +341,7 @@
         if b is None or b.told is None:
             return False
         if self.out.pop(server, None) is not None:
-            self.stats.count("called_back")
+            self.metrics.count("called_back")
             self._lay(EndpointListKind.DELTA, [b.told])
             self._out_changed()
         return True
@@ -366,10 +366,10 @@
         client's end, which the loop has not read yet, the word that the backend leaves, the end of the time
         in which a repeat is dropped there."""
         if attempt.req.session.left():
-            self.stats.count("left_unseen")
+            self.metrics.count("left_unseen")
             self.client_gone(attempt.req)
         elif not self._may_begin(attempt) or self.now() >= attempt.begin_by:
-            self.stats.count("begun_too_late")
+            self.metrics.count("begun_too_late")
             self._give_up_unsent(attempt)
         return attempt.live
 
@@ -393,7 +393,7 @@
             raise InvalidRequestError("the id of another client's req")
         if ask.id:
             self.open_ids.add(ask.id)
-        self.stats.count("taken")
+        self.metrics.count("taken")
         now = self.now()
         wait = cls.time_limit if ask.wait is None else ask.wait
         req = Request(self, self.next_id, ask, session, now + wait, self.settings.max_attempts)
@@ -412,7 +412,7 @@
         wait = self.gate() if self.gate is not None else None
         if wait is None:
             return False
-        self.stats.count("refused_stale")
+        self.metrics.count("refused_stale")
         self._answer(req, "refused")
         req.session.refuse(min(wait, self.settings.max_retry_after))
         self._drop(req)
@@ -436,7 +436,7 @@
         if req.answered:
             return
         req.answered = True
-        self.stats.count("client_gone")
+        self.metrics.count("client_gone")
         self._unguard(req)
         if not req.ask.at:
             self.feed(ClientDisconnected(req.id))
@@ -453,7 +453,7 @@
         if attempt is not None:
             self._time_out(attempt)
         if not req.answered:
-            self.stats.count("overdue")
+            self.metrics.count("overdue")
             self._answer(req, "failed")
             req.session.fail()
             if not req.ask.at:
@@ -467,7 +467,7 @@
         wait = 0.0 if req is None else min(a.timeout, req.deadline - EARLY - self.now())
         if req is None or req.answered or req.attempt is not None or req.standing:
             # Guards against two attempts at once, or one after the answer.
-            self.stats.count("moot")
+            self.metrics.count("moot")
             return
         begin_by = self.now() + a.begin_within
         attempt = Attempt(req, b or Endpoint(a.endpoint), req.attempts, self.now(), wait, begin_by)
@@ -481,7 +481,7 @@
             self._fetch(attempt)
 
     def _fetch(self, attempt: Attempt) -> None:
-        self.stats.count("sent")
+        self.metrics.count("sent")
         attempt.backend.connecting.add(attempt)
         attempt.timer = self.loop.call_later(attempt.wait, self._time_out, attempt)
         attempt.fetch = self.port.fetch(attempt.req.session, attempt.backend, attempt.wait, attempt)
@@ -489,7 +489,7 @@
     def _answer(self, req: Request, kind: str) -> None:
         req.answered = True
         self._unguard(req)
-        self.stats.count(f"answered_{kind}")
+        self.metrics.count(f"answered_{kind}")
 
     def _refuse(self, a: Reject) -> None:
         req = self.reqs.get(a.request_id)
@@ -522,7 +522,7 @@
         attempt = req.attempt
         if req.standing and not req.moved and attempt is not None:
             req.moved = True
-            self.stats.count("moved")
+            self.metrics.count("moved")
             req.session.move()
             self.loop.call_soon(attempt.over, AttemptResult.CANCELLED)
 
@@ -532,10 +532,10 @@
     def _probe(self, a: CheckHealth) -> None:
         b = self.backends.get(a.endpoint)
         began = self.now()
-        self.stats.count("probes")
+        self.metrics.count("probes")
 
         def done(result: AttemptResult, report: Mapping[str, float] | None) -> None:
-            self.stats.count(f"probe_{result.name.lower()}")
+            self.metrics.count(f"probe_{result.name.lower()}")
             if b is not None and report is not None:
                 b.report, b.report_at, b.told_by_peer = report, self.now(), False
                 b.silent_at = NEVER
@@ -580,7 +580,7 @@
             attempt.timer.cancel()
         req = attempt.req
         req.attempt = None
-        self.stats.count(f"{'ended' if req.standing else 'fetch'}_{result.name.lower()}")
+        self.metrics.count(f"{'ended' if req.standing else 'fetch'}_{result.name.lower()}")
         if req.standing and not req.moved:
             req.session.end()
         if req.ask.at and not req.standing:
@@ -678,7 +678,7 @@
         self.reqs[req.id] = req
         if ask.id:
             self.open_ids.add(ask.id)
-        self.stats.count("adopted")
+        self.metrics.count("adopted")
         self.feed(ConnectionInherited(self._request(req), b.id))
         return req
 
@@ -754,5 +754,5 @@
             self.move_all()
         for req in list(self.reqs.values()):
             if req.standing and req.asked_at is not None and now - req.heard_at > UNRESPONSIVE_AFTER_S:
-                self.stats.count("silent")
+                self.metrics.count("silent")
                 self.move(req)
--- a/gradegap/quic/channel.py
+++ b/gradegap/quic/channel.py
@@ -24,8 +24,8 @@
 class Front(Protocol):
     """What a channel needs of its front."""
 
-    core: Proxy
-    stats: Metrics
+    proxy: Proxy
+    metrics: Metrics
     loop: asyncio.AbstractEventLoop
     resuming: Resuming | None
     tokens: Tokens
@@ -62,12 +62,12 @@
     # As a stream sees it
 
     @property
-    def core(self) -> Proxy:
-        return self.front.core
+    def proxy(self) -> Proxy:
+        return self.front.proxy
 
     @property
-    def stats(self) -> Metrics:
-        return self.front.stats
+    def metrics(self) -> Metrics:
+        return self.front.metrics
 
     @property
     def resuming(self) -> Resuming | None:
@@ -109,7 +109,7 @@
         if now_at != self.address:
             # The same session at a new address: aioquic validates the path before it is used in full.
             self.address = now_at
-            self.stats.count("quic_migrations")
+            self.metrics.count("quic_migrations")
         self.run()
         return True
 
@@ -140,7 +140,7 @@
 
     def _shook(self) -> None:
         self.shook = True
-        self.stats.count("quic_handshakes")
+        self.metrics.count("quic_handshakes")
         # Proves this address next time, without a Retry.
         self.connection.offer = self.front.tokens.new(self.address, time.time())
         self.waiting.cancel()
@@ -159,14 +159,14 @@
         number = event.stream_id
         if number % 4:
             # Streams of one direction have no meaning here.
-            self.stats.count("quic_other_streams")
+            self.metrics.count("quic_other_streams")
             self.connection.stop(number, CloseCode.BAD_LINE)
             return None
         if number in self.over:
             return None  # the rest of one
         if len(self.streams) >= MOST_STREAMS or len(self.over) >= MOST_EVER or not self.front.room():
             # Guards against one client with a connection's worth of memory for each of its streams.
-            self.stats.count("quic_streams_refused")
+            self.metrics.count("quic_streams_refused")
             if len(self.over) < 2 * MOST_EVER:
                 self.over.add(number)
             self.connection.stop(number, CloseCode.REFUSED)
@@ -197,7 +197,7 @@
         self._terminated(True)
 
     def _handshake_late(self) -> None:
-        self.stats.count("quic_handshakes_late")
+        self.metrics.count("quic_handshakes_late")
         if not self.connection.proven():
             # Guards whoever has that address, and may have said nothing: a close is one more answer to it,
             # and aioquic does not count it into the three times of what came (RFC 9000, 8.1).
@@ -209,8 +209,8 @@
 
     def _never_spoke(self) -> None:
         """Guards against clients that shake hands and say nothing; there is no stream to answer on."""
-        self.stats.count("late_first_lines")
-        self.stats.count("quic_closed_bad_line")
+        self.metrics.count("late_first_lines")
+        self.metrics.count("quic_closed_bad_line")
         self.abort(CloseCode.BAD_LINE)
 
     def abort(self, code: CloseCode) -> None:
--- a/gradegap/quic/front.py
+++ b/gradegap/quic/front.py
@@ -66,17 +66,17 @@
 
     def __init__(
         self,
-        core: Proxy,
-        stats: Metrics,
+        proxy: Proxy,
+        metrics: Metrics,
         ready: Callable[[], bool],
         settings: QuicSettings,
         name: str,
         machine: Callable[[], Machine | None],
     ) -> None:
         """`name` is the node's; `machine` the store's, where there is one by now."""
-        self.core = core
-        self.loop = core.loop
-        self.stats = stats
+        self.proxy = proxy
+        self.loop = proxy.loop
+        self.metrics = metrics
         self.ready = ready
         self.machine = machine
         self.most = settings.max_sessions
@@ -101,17 +101,17 @@
         self.channels: set[QuicChannel] = set()
         self.retired: dict[bytes, float] = {}  # ids of sessions that stand, lately retired, with until when
         self.settings = settings
-        self.traces = Traces(settings.qlog, settings.qlog_mb, stats) if settings.qlog else None
+        self.traces = Traces(settings.qlog, settings.qlog_mb, metrics) if settings.qlog else None
         # Open for as long as the process lives: secrets of each session go there as they are made.
         self.keylog = open(settings.keylog, "a") if settings.keylog else None  # noqa: SIM115
         if self.keylog is not None:
             log.warning("secrets of all QUIC sessions are written to a file", keylog=settings.keylog)
         self.configuration = self._configured()
         self._warn_of_end()
-        stats.gauge("quic_connections", lambda: len(self.channels))
-        stats.gauge("quic_sessions", self.sessions)
-        stats.gauge("quic_ids", lambda: len(self.routes))
-        stats.gauge("quic_certificate_days", self._days_left)
+        metrics.gauge("quic_connections", lambda: len(self.channels))
+        metrics.gauge("quic_sessions", self.sessions)
+        metrics.gauge("quic_ids", lambda: len(self.routes))
+        metrics.gauge("quic_certificate_days", self._days_left)
 
     def set_most(self, value: int) -> None:
         self.most = value
@@ -148,10 +148,10 @@
         try:
             self.configuration = self._configured()
         except ValueError as error:
-            self.stats.count("quic_certificates_refused")
+            self.metrics.count("quic_certificates_refused")
             log.error("the certificate was not reloaded, the old one is kept", error=str(error))
             return
-        self.stats.count("quic_certificates")
+        self.metrics.count("quic_certificates")
         log.info("certificate", subject=self.credentials.subject, until=str(self.credentials.until))
         self._warn_of_end()
 
@@ -192,7 +192,7 @@
             self.transport = None
         if self.inlet is None or self.way_here is None:
             reads, self.way_here = pair()
-            self.inlet = Inlet(self.loop, reads, self.stats, self.forwarded)
+            self.inlet = Inlet(self.loop, reads, self.metrics, self.forwarded)
         used, whole = self.tokens.used.told(USED_TOLD)
         others = [h for h, relay in self.relays.items() if not relay.gone][:MOST_BEFORE]
         now = time.time()
@@ -208,7 +208,7 @@
             for each in socks:
                 each.close()
             return
-        self.relays |= {h: Relay(s, self.stats) for h, s in zip(handed.holders, socks[1:], strict=True)}
+        self.relays |= {h: Relay(s, self.metrics) for h, s in zip(handed.holders, socks[1:], strict=True)}
         while self.me in self.relays:
             self.me = self.router.me = Holder(self.me.node, (self.me.process + 1) % 256)
         self.tokens.used.hear(handed.used)
@@ -241,11 +241,11 @@
         try:
             keys = Keys(msgspec.convert(item.value, QuicRing))
         except ValueError as error:
-            self.stats.count("quic_ring_unfit")
+            self.metrics.count("quic_ring_unfit")
             log.error("the ring of QUIC's keys can't be used; the one before stays", error=str(error))
             return
         self._adopt(keys)
-        self.stats.count("quic_rings")
+        self.metrics.count("quic_rings")
         log.info("QUIC's ring", bits=[k.bits for k in keys.ring.keys], makes=keys.newest)
 
     def _adopt(self, keys: Keys) -> None:
@@ -292,7 +292,7 @@
         route = self.router.route(data, held, forwarded)
         if forwarded and route.way is Way.NEW:
             # Guards against a session that begins where no new one is to: the client's next try is another's.
-            self.stats.count("quic_dropped_leaving")
+            self.metrics.count("quic_dropped_leaving")
             return
         match route.way:
             case Way.HERE:
@@ -306,11 +306,11 @@
             case Way.NEGOTIATE:
                 self._negotiate(route, addr)
             case Way.RESET if self.retired.get(route.destination, 0.0) > self.loop.time():
-                self.stats.count("quic_dropped_retired")
+                self.metrics.count("quic_dropped_retired")
             case Way.RESET:
                 self._reset(route, data, addr)
             case _:
-                self.stats.count(f"quic_dropped_{route.why or route.way.value}")
+                self.metrics.count(f"quic_dropped_{route.why or route.way.value}")
 
     def send(self, data: bytes, addr: Any) -> None:
         """A datagram out, also where another process reads the port. One without room for it is lost."""
@@ -320,10 +320,10 @@
             try:
                 self.sock.sendto(data, addr)
             except OSError:
-                self.stats.count("quic_send_full")
+                self.metrics.count("quic_send_full")
 
     def _negotiate(self, route: Route, addr: Any) -> None:
-        self.stats.count("quic_negotiations")
+        self.metrics.count("quic_negotiations")
         versions = self.configuration.supported_versions
         self.send(
             encode_quic_version_negotiation(
@@ -336,9 +336,9 @@
         """Tell a client that what its packet is about is lost here (RFC 9000, 10.3), so that it does not wait
         for its idle time: this process held it before it was started anew, or has forgotten it."""
         if not self.resets.take(self.loop.time()):
-            self.stats.count("quic_resets_held_back")
+            self.metrics.count("quic_resets_held_back")
             return
-        self.stats.count("quic_resets")
+        self.metrics.count("quic_resets")
         size = max(RESET_LEAST, min(len(data) - 1, RESET_MOST))
         token = self.keys.reset_token(route.destination)
         noise = secrets.token_bytes(size - len(token))
@@ -348,7 +348,7 @@
         under_way = sum(1 for c in self.channels if not c.shook)
         if not self.room() or len(self.channels) >= self.most or under_way >= MOST_HANDSHAKES:
             # Guards against floods of first packets: over the limit they are dropped, and may come again.
-            self.stats.count("quic_crowded")
+            self.metrics.count("quic_crowded")
             return
         original, retried = route.destination, None
         if route.token or under_way >= self.retry_from:
@@ -358,7 +358,7 @@
                 first = self.tokens.proven(route.token, addr, route.destination, time.time())
             except BadToken as error:
                 if route.token:
-                    self.stats.count(f"quic_token_{str(error).split(':')[0]}")
+                    self.metrics.count(f"quic_token_{str(error).split(':')[0]}")
                 if under_way >= self.retry_from:
                     self._ask_again(route, addr)
                     return
@@ -376,7 +376,7 @@
         self.issue(connection.host_cid, channel)
         if not channel.receive(data, addr):
             # Guards memory against noise that begins like a first packet: nothing is kept for it.
-            self.stats.count("quic_dropped_unopened")
+            self.metrics.count("quic_dropped_unopened")
             channel.forget()
 
     def _ask_again(self, route: Route, addr: Any) -> None:
@@ -388,7 +388,7 @@
             original_destination_cid=route.destination,
             retry_token=self.tokens.retry(addr, route.destination, source, time.time()),
         )
-        self.stats.count("quic_retries")
+        self.metrics.count("quic_retries")
         self.send(answer, addr)
 
     def answering(self) -> bool:
--- a/gradegap/quic/relay.py
+++ b/gradegap/quic/relay.py
@@ -43,8 +43,8 @@
 class Relay:
     """The way to a process that holds connections."""
 
-    def __init__(self, sock: socket.socket, stats: Metrics) -> None:
-        self.sock, self.stats = sock, stats
+    def __init__(self, sock: socket.socket, metrics: Metrics) -> None:
+        self.sock, self.metrics = sock, metrics
         self.gone = False
         sock.setblocking(False)
 
@@ -54,12 +54,12 @@
             self.sock.send(msgspec.msgpack.encode(Passed(addr[0], addr[1], data)))
         except (BlockingIOError, InterruptedError):
             # Guards this process against one that is slow or stopped: its clients send again.
-            self.stats.count("quic_forward_full")
+            self.metrics.count("quic_forward_full")
         except OSError:
             self.gone = True
-            self.stats.count("quic_forward_gone")
+            self.metrics.count("quic_forward_gone")
         else:
-            self.stats.count("quic_forwarded")
+            self.metrics.count("quic_forwarded")
         return not self.gone
 
     def close(self) -> None:
@@ -74,10 +74,10 @@
         self,
         loop: asyncio.AbstractEventLoop,
         sock: socket.socket,
-        stats: Metrics,
+        metrics: Metrics,
         came: Callable[[bytes, Any], None],
     ) -> None:
-        self.loop, self.sock, self.stats, self.came = loop, sock, stats, came
+        self.loop, self.sock, self.metrics, self.came = loop, sock, metrics, came
         loop.add_reader(sock, self._readable)
 
     def _readable(self) -> None:
@@ -92,9 +92,9 @@
             try:
                 passed = _decoder.decode(raw)
             except ValueError:  # of another version's process
-                self.stats.count("quic_forward_malformed")
+                self.metrics.count("quic_forward_malformed")
                 continue
-            self.stats.count("quic_forwarded_here")
+            self.metrics.count("quic_forwarded_here")
             self.came(passed.data, (passed.host, passed.port))
 
     def close(self) -> None:
--- a/gradegap/quic/stream.py
+++ b/gradegap/quic/stream.py
@@ -52,9 +52,9 @@
     gone: bool
 
     @property
-    def core(self) -> Proxy: ...
+    def proxy(self) -> Proxy: ...
     @property
-    def stats(self) -> Metrics: ...
+    def metrics(self) -> Metrics: ...
     @property
     def resuming(self) -> Resuming | None: ...
     def ready(self) -> bool: ...
@@ -72,7 +72,7 @@
         self.closing = False  # our side of the stream has ended
         self.full = False  # the backend is not read while the client is slow
         self.client_ended = False
-        self.session = ClientSession(link.core, link.stats, self, link.ready, spent)
+        self.session = ClientSession(link.proxy, link.metrics, self, link.ready, spent)
         self.session.resuming = link.resuming
 
     # From the connection
@@ -109,7 +109,7 @@
         link.flush_soon()
         waiting = link.connection.unsent(self.number)
         if waiting > OVERRUN:
-            link.stats.count("quic_overrun")
+            link.metrics.count("quic_overrun")
             self._broke(CloseCode.OVERRUN)
             self.session.lost(reset=True)
         elif waiting > HIGH_WATER and not self.full:
@@ -141,7 +141,7 @@
         if self.link.gone or self.closing:
             return
         code = CODES[ending]
-        self.link.stats.count(f"quic_closed_{code.name.lower()}")
+        self.link.metrics.count(f"quic_closed_{code.name.lower()}")
         if ending is Ending.RESET:
             self._broke(code)
             return
--- a/gradegap/quic/trace.py
+++ b/gradegap/quic/trace.py
@@ -26,13 +26,13 @@
 class Trace(QuicLoggerTrace):
     """One connection's, up to a length."""
 
-    def __init__(self, odcid: bytes, stats: Metrics) -> None:
+    def __init__(self, odcid: bytes, metrics: Metrics) -> None:
         super().__init__(is_client=False, odcid=odcid)
-        self.stats = stats
+        self.metrics = metrics
 
     def log_event(self, *, category: str, event: str, data: dict[str, Any]) -> None:
         if len(self._events) >= EVENTS_MOST:
-            self.stats.count("quic_trace_events_cut")
+            self.metrics.count("quic_trace_events_cut")
             return
         super().log_event(category=category, event=event, data=data)
 
@@ -40,10 +40,10 @@
 class Traces(QuicLogger):
     """A logger that aioquic's connections can be given, one for each."""
 
-    def __init__(self, folder: str, most_mb: int, stats: Metrics) -> None:
+    def __init__(self, folder: str, most_mb: int, metrics: Metrics) -> None:
         """`OSError` where the folder can't be written."""
         super().__init__()
-        self.folder, self.most, self.stats = Path(folder), most_mb * 1024 * 1024, stats
+        self.folder, self.most, self.metrics = Path(folder), most_mb * 1024 * 1024, metrics
         self.folder.mkdir(parents=True, exist_ok=True)
         self.count = 0
 
@@ -52,9 +52,9 @@
         return len(self._traces) < AT_ONCE
 
     def start_trace(self, is_client: bool, odcid: bytes) -> QuicLoggerTrace:
-        trace = Trace(odcid, self.stats)
+        trace = Trace(odcid, self.metrics)
         self._traces.append(trace)
-        self.stats.count("quic_traces")
+        self.metrics.count("quic_traces")
         return trace
 
     def end_trace(self, trace: QuicLoggerTrace) -> None:
@@ -67,7 +67,7 @@
         try:
             path.write_text(json.dumps(made))
         except OSError as error:
-            self.stats.count("quic_traces_failed")
+            self.metrics.count("quic_traces_failed")
             log.warning("a trace was not written", error=str(error))
             return
         self._trim()
@@ -84,4 +84,4 @@
             if kept > self.most:
                 with contextlib.suppress(OSError):
                     path.unlink()
-                    self.stats.count("quic_traces_removed")
+                    self.metrics.count("quic_traces_removed")
--- a/gradegap/resume/move.py
+++ b/gradegap/resume/move.py
@@ -51,7 +51,7 @@
     ) -> None:
         self.session, self.opening, self.offer = session, opening, offer
         self.accepts, self.token = accepts, token
-        self.core = session.core
+        self.proxy = session.proxy
         self.channel = session.channel
         self.reset = False
         self.req: Request | None = None
@@ -63,7 +63,7 @@
             self.stop()
             return
         try:
-            self.req = self.core.take(self, self.opening.ask)
+            self.req = self.proxy.take(self, self.opening.ask)
         except InvalidRequestError as error:
             log.warning("a session could not be moved in place", reason=str(error))
             self.give_up("unfit")
@@ -91,7 +91,7 @@
         assert req is not None
         req.session, session.req = session, req
         session.offer, session.mover = self.offer, None
-        session.stats.count("resume_in_place")
+        session.metrics.count("resume_in_place")
         session.take(passing.changed(executed))
         if not session.closed:
             session.tell(passing.token(self.token(session, self.offer)))
@@ -130,7 +130,7 @@
         self.over = True
         session = self.session
         session.mover = None
-        session.stats.count(f"resume_in_place_{reason}")
+        session.metrics.count(f"resume_in_place_{reason}")
         log.info("not moved in place", session=self.offer.session, epoch=self.offer.epoch, why=reason)
         if not session.closed and isinstance(session.passing, Passing):
             session.tell(session.passing.token(self.token(session, self.offer)))
--- a/gradegap/resume/part.py
+++ b/gradegap/resume/part.py
@@ -75,11 +75,11 @@
         self,
         node: str,
         settings: ResumeSettings,
-        stats: Metrics,
+        metrics: Metrics,
         loop: asyncio.AbstractEventLoop,
         store: Callable[[], Store | None] | None,
     ) -> None:
-        self.node, self.settings, self.stats, self.loop, self.store = node, settings, stats, loop, store
+        self.node, self.settings, self.metrics, self.loop, self.store = node, settings, metrics, loop, store
         self.own = Ring().rotated(time.time_ns() // 1_000_000)  # where there is no store
         self.claims = LocalClaims()
         self.renewals: Renewals[ClientSession] = Renewals(settings.life_s)
@@ -93,7 +93,7 @@
         try:
             return msgspec.convert(item.value, Ring) if item is not None else Ring()
         except msgspec.ValidationError:
-            self.stats.count("resume_ring_unfit")
+            self.metrics.count("resume_ring_unfit")
             return Ring()
 
     def cluster(self) -> str:
@@ -113,7 +113,7 @@
             ring = msgspec.msgpack.decode(handed, type=Ring)
             ring.check()
         except ValueError:
-            self.stats.count("resume_ring_unfit")
+            self.metrics.count("resume_ring_unfit")
             return
         self.own = ring
 
@@ -141,7 +141,7 @@
             token = self._token(session, offer)
             if token != NO_TOKEN:
                 session.tell(passing.token(token))
-                self.stats.count("resume_tokens_renewed")
+                self.metrics.count("resume_tokens_renewed")
         self._look_soon()
 
     # First lines
@@ -163,7 +163,7 @@
             raise InvalidLineError(str(error)) from None
         if not token:
             if ring.sealing is None or seen != "0":
-                self.stats.count("resume_not_offered")
+                self.metrics.count("resume_not_offered")
                 return False  # plain lines, as the server does without the node's word
             made = Offer(secrets.token_hex(8), 1, 0, opening.ask.key, opening.ask.cls, by)
             self._go_on(session, head, values, made, 0.0)
@@ -190,7 +190,7 @@
 
     def _turn(self, session: ClientSession, token: str, error: Exception) -> None:
         reason = str(error).split(":")[0]
-        self.stats.count(f"resume_refused_{reason}")
+        self.metrics.count(f"resume_refused_{reason}")
         log.info("session not resumed", token=digest(token), reason=str(error))
         session.turn(reason)
 
@@ -206,7 +206,7 @@
             ask = dataclasses.replace(opening.ask, wait=max(LEAST_WAIT, opening.ask.wait - spent))
             opening = dataclasses.replace(opening, ask=ask)
         session.offer = offer
-        self.stats.count("resume_offered" if offer.epoch == 1 else "resume_returns")
+        self.metrics.count("resume_offered" if offer.epoch == 1 else "resume_returns")
         session.go_on(opening)
 
     def _claim(
@@ -223,7 +223,7 @@
 
         def won(epoch: int) -> None:
             if epoch > place.epoch + 1:
-                self.stats.count("resume_returns_again")
+                self.metrics.count("resume_returns_again")
             offer.epoch = epoch
             log.info(GIVEN, session=offer.session, epoch=offer.epoch, how="return", token=digest(token))
             self._go_on(session, head, values, offer, time.monotonic() - began)
@@ -289,7 +289,7 @@
 
     def _later(self, session: ClientSession, why: str) -> None:
         """Without a quorum nobody can be said to be the one: come again, at once told so."""
-        self.stats.count("resume_not_claimed")
+        self.metrics.count("resume_not_claimed")
         log.warning("a token could not be claimed", why=why)
         if not session.closed:
             session.refuse(AGAIN)
@@ -306,14 +306,14 @@
         if found is None or int(found[2]) < offer.seen:
             session.offer = None
             if offer.epoch == 1:
-                self.stats.count("resume_not_accepted")
+                self.metrics.count("resume_not_accepted")
                 return first
             # It came to go on; a server that begins anew would lose what it had.
-            self.stats.count("resume_refused_server")
+            self.metrics.count("resume_refused_server")
             return None
         executed = int(found[2])
         session.passing = passing = Passing(offer.seen, executed)
-        self.stats.count("resume_accepted")
+        self.metrics.count("resume_accepted")
         token = self._token(session, offer)
         told = b"UP %b rs=%d,w=%d,t=%b\r\n" % (found[1], executed, WINDOW, token.encode())
         if rest:
@@ -326,9 +326,9 @@
         """Whether a session goes to another server while its client's connection stays: not from a node that
         leaves itself, and not while its window can't be trusted."""
         offer, passing, opening = session.offer, session.passing, session.opening
-        core = session.core
+        proxy = session.proxy
         good = isinstance(offer, Offer) and isinstance(passing, Passing) and passing.state is not State.OVER
-        if not good or core.leaving or core.drained_by is not None or opening is None:
+        if not good or proxy.leaving or proxy.drained_by is not None or opening is None:
             return False
         assert isinstance(offer, Offer) and isinstance(passing, Passing)
         # Guards against a request that ends every server it comes to: without an answer in between, a session
@@ -336,7 +336,7 @@
         offer.fruitless = offer.fruitless + 1 if passing.position == offer.position else 0
         offer.position = passing.position
         if offer.fruitless >= MOST_FRUITLESS:
-            self.stats.count("resume_in_place_fruitless")
+            self.metrics.count("resume_in_place_fruitless")
             log.warning("a session is not moved again: no answer came of the last moves")
             return False
         head, _, fields = (opening.before + b"1" + opening.after).decode().rstrip("\r\n").rpartition(" ")
@@ -362,7 +362,7 @@
 
         def lost(why: str) -> None:
             """The life in force is not this one's to give on: the client's own token says more."""
-            self.stats.count("resume_in_place_unclaimed")
+            self.metrics.count("resume_in_place_unclaimed")
             log.warning("not moved in place", session=offer.session, why=why)
             if not waiting.stopped and not session.closed:
                 session.mover = None
@@ -395,6 +395,6 @@
         try:
             return seal(ring, self.cluster(), place)
         except ValueError as error:
-            self.stats.count("resume_token_not_made")
+            self.metrics.count("resume_token_not_made")
             log.warning("no token", error=str(error))
             return NO_TOKEN
--- a/gradegap/store/attached.py
+++ b/gradegap/store/attached.py
@@ -40,27 +40,27 @@
         settings: StoreSettings,
         secret: bytes,
         folder: Path,
-        core: Proxy,
+        proxy: Proxy,
         live: DynamicConfiguration,
-        stats: Metrics,
+        metrics: Metrics,
         loop: asyncio.AbstractEventLoop,
         state: Callable[[], dict[str, object]],
         told: Callable[[], bool],
     ) -> None:
-        self.settings, self.core, self.live, self.stats, self.loop = settings, core, live, stats, loop
+        self.settings, self.proxy, self.live, self.metrics, self.loop = settings, proxy, live, metrics, loop
         self.state = state
-        self.committed = CommittedState(core, live)
-        self.daemon = Daemon(settings, secret, folder, loop, stats, self._failed)
+        self.committed = CommittedState(proxy, live)
+        self.daemon = Daemon(settings, secret, folder, loop, metrics, self._failed)
         self.daemon.want_lease = True
         self.daemon.lease_changed = self._look
         self.daemon.gossiped = self._gossiped
         self.daemon.met = self._met
         self.daemon.machine.watchers.append(self._events)
-        self.learner = Learner(settings.name, core, stats, told)
+        self.learner = Learner(settings.name, proxy, metrics, told)
         self.was_fresh: bool | None = None
         self.synced = False
         self.timer: asyncio.TimerHandle | None = None
-        stats.gauge("store_fresh", lambda: int(self.fresh()))
+        metrics.gauge("store_fresh", lambda: int(self.fresh()))
 
     @property
     def machine(self) -> Machine:
@@ -92,7 +92,7 @@
             self._take_over_all()
         if fresh != self.was_fresh:
             self.was_fresh = fresh
-            self.stats.count("store_fresh_again" if fresh else "store_stale")
+            self.metrics.count("store_fresh_again" if fresh else "store_stale")
             if fresh:
                 log.info("decides by committed state")
             else:
@@ -111,8 +111,8 @@
         held = {i.key.removeprefix(OUT): i.value for i in machine.list(OUT)}
         for server, value in held.items():
             self.committed.apply(OUT + server, value, deleted=False)
-        for server in list(self.core.out.keys() - held.keys()):
-            self.core.call_back(server)
+        for server in list(self.proxy.out.keys() - held.keys()):
+            self.proxy.call_back(server)
         for item in machine.list(CONFIG):
             self.live.apply(item.key.removeprefix(CONFIG), item.value)
 
--- a/gradegap/store/committed.py
+++ b/gradegap/store/committed.py
@@ -17,8 +17,8 @@
 class CommittedState:
     """Applies changes of committed keys to one node."""
 
-    def __init__(self, core: Proxy, live: DynamicConfiguration) -> None:
-        self.core, self.live = core, live
+    def __init__(self, proxy: Proxy, live: DynamicConfiguration) -> None:
+        self.proxy, self.live = proxy, live
 
     def apply(self, key: str, value: object, deleted: bool) -> None:
         """One change; keys that a node does not decide by are passed over."""
@@ -29,13 +29,13 @@
 
     def _apply_out(self, server: str, value: object, deleted: bool) -> None:
         if deleted:
-            self.core.call_back(server)
+            self.proxy.call_back(server)
             return
         try:
             since = msgspec.convert(value, schema.Out).at_ms / 1000
         except msgspec.ValidationError:
             since = 0.0  # long ago where nobody said when: no grace is left, then
-        self.core.take_out(server, min(since, self.core.now()))
+        self.proxy.take_out(server, min(since, self.proxy.now()))
 
     def _apply_config(self, name: str, value: object, deleted: bool) -> None:
         if deleted:
@@ -45,7 +45,7 @@
 
     def out_by_hand(self, server: str, author: str) -> Op:
         """The write that takes a save server out from now on."""
-        return Op(OUT + server, {"at_ms": round(self.core.now() * 1000), "by": author})
+        return Op(OUT + server, {"at_ms": round(self.proxy.now() * 1000), "by": author})
 
     def back_by_hand(self, server: str) -> Op:
         """The write that calls a save server back."""
--- a/gradegap/store/daemon.py
+++ b/gradegap/store/daemon.py
@@ -62,11 +62,11 @@
         secret: bytes,
         folder: Path,
         loop: asyncio.AbstractEventLoop,
-        stats: Metrics,
+        metrics: Metrics,
         failed: Callable[[BadFolder], None],
         raft_settings: RaftSettings | None = None,
     ) -> None:
-        self.settings, self.loop, self.stats, self.failed = settings, loop, stats, failed
+        self.settings, self.loop, self.metrics, self.failed = settings, loop, metrics, failed
         self.raft_settings = raft_settings or RaftSettings()
         self.disk = Disk(folder)
         try:
@@ -75,7 +75,7 @@
             self.disk.close()
             raise
         self.identity = self.found.identity
-        self.net = Network(loop, stats, secret, self._heard, self._linked)
+        self.net = Network(loop, metrics, secret, self._heard, self._linked)
         self.net.me = me = Member(self.identity.id, settings.name, settings.advertise or settings.listen)
         self.net.cluster = self.identity.cluster
         self.net.lease_s = settings.lease_s
@@ -105,11 +105,11 @@
         self.timer: asyncio.TimerHandle | None = None
         self.want_lease = False
         self.publisher = self._make_publisher(secret)
-        stats.gauge("store_keys", lambda: len(self.machine.items))
-        stats.gauge("store_revision", lambda: self.machine.revision)
-        stats.gauge("store_links", lambda: len(self.net.all))
-        stats.gauge("store_role", lambda: self.raft.role.value if self.raft is not None else "forming")
-        stats.gauge("store_term", lambda: self.raft.term if self.raft is not None else 0)
+        metrics.gauge("store_keys", lambda: len(self.machine.items))
+        metrics.gauge("store_revision", lambda: self.machine.revision)
+        metrics.gauge("store_links", lambda: len(self.net.all))
+        metrics.gauge("store_role", lambda: self.raft.role.value if self.raft is not None else "forming")
+        metrics.gauge("store_term", lambda: self.raft.term if self.raft is not None else 0)
 
     def _holder_name(self) -> str:
         """Who holds this member's lease. With subscriptions each start of the process is another holder: the
@@ -174,7 +174,7 @@
         self.identity = identity
         self.net.cluster_is(cluster)
         self.found.base = base
-        self.stats.count("store_formed")
+        self.metrics.count("store_formed")
         log.info("belongs to a cluster", cluster=cluster, members=[m.name for m in config.members])
         self._run(self.found)
         for member in config.members:
@@ -195,7 +195,7 @@
     def _fail(self, error: BadFolder) -> None:
         """Guards against going on with what is not on disk: the member is as good as dead."""
         if not self.closed:
-            self.stats.count("store_disk_failed")
+            self.metrics.count("store_disk_failed")
             log.error("store stopped", error=str(error))
             self.raft = None
             self.removed = True
@@ -244,7 +244,7 @@
                 raft.add_member(now, Member(member.id, member.name, member.address))
             except RequestRejectedError:
                 continue  # it has not caught up yet; asked again soon
-            self.stats.count("store_promoted")
+            self.metrics.count("store_promoted")
             log.info("member has caught up", member=member.name)
             return
 
@@ -281,7 +281,7 @@
             except ValueError as error:
                 self._fail(BadFolder(f"a snapshot that came can't be read: {error}"))
                 return
-            self.stats.count("store_snapshots_taken")
+            self.metrics.count("store_snapshots_taken")
             self.machine.load(state)
             self.loaded = state
         for entry in out.committed_entries:
@@ -303,7 +303,7 @@
         if entry.kind is EntryKind.COMMAND:
             result = self.machine.apply(entry.index, entry.data)
             if result.error:
-                self.stats.count(f"store_refused_{result.error.split(':')[0]}")
+                self.metrics.count(f"store_refused_{result.error.split(':')[0]}")
         else:
             self.machine.skip(entry.index)
             result = Result(self.machine.revision)
@@ -367,7 +367,7 @@
         self.removed = True
         if self.publisher is not None:
             self.publisher.stop()
-        self.stats.count("store_removed")
+        self.metrics.count("store_removed")
         log.warning("this member was removed from its cluster; it takes no part any more")
 
     def _look_at_role(self, raft: Raft) -> None:
@@ -375,12 +375,12 @@
             self.led = raft.is_leader
             now = time.monotonic()
             if raft.is_leader:
-                self.stats.count("store_elected")
+                self.metrics.count("store_elected")
                 self.clock_base = (now, self.machine.clock)
                 self.granter = Granter(now, self.raft_settings.max_clock_drift, self.settings.lease_s)
                 log.info("leads", term=raft.term)
             else:
-                self.stats.count("store_deposed")
+                self.metrics.count("store_deposed")
                 self.granter = None
                 log.info("leads no more", term=raft.term)
             self.service.lost_leader()
@@ -399,7 +399,7 @@
             return
         meta = SnapshotMetadata(index, term, raft.log.configuration_at(index))
         state = self.machine.state()
-        self.stats.count("store_snapshots_made")
+        self.metrics.count("store_snapshots_made")
         self.in_thread(self.thread.submit(pack, state), lambda data: self._packed(meta, data))
 
     def _packed(self, meta: SnapshotMetadata, data: bytes) -> None:
@@ -438,7 +438,7 @@
             self._written(outs)
             return
         self.writing = True
-        self.stats.count("store_syncs")
+        self.metrics.count("store_syncs")
         self.in_thread(self.thread.submit(self.disk.write, batch), lambda _: self._synced(outs))
 
     def _batch(self, outs: list[Ready]) -> Batch | None:
@@ -475,7 +475,7 @@
         if index > raft.log.base.index and term is not None and batch.base is None and not self.compacting:
             batch.base = SnapshotMetadata(index, term, raft.log.configuration_at(index))
             self.compacting = index
-            self.stats.count("store_compactions")
+            self.metrics.count("store_compactions")
 
     def _synced(self, outs: list[Ready]) -> None:
         self.writing = False
@@ -575,7 +575,7 @@
                 if raft is not None and not self.removed:
                     self._now_removed()
             case _:
-                self.stats.count("store_words_unfit")
+                self.metrics.count("store_words_unfit")
 
     # Leases
 
@@ -586,7 +586,7 @@
             return wire.LeaseGrant(ask.holder, ask.serial, 0, 0, 0.0)
         until = raft.lease_until(now) if not raft.transferee else NEVER
         duration = self.granter.grant(now, ask.holder, ask.applied, until)
-        self.stats.count("store_leases_given" if duration else "store_leases_refused")
+        self.metrics.count("store_leases_given" if duration else "store_leases_refused")
         return wire.LeaseGrant(ask.holder, ask.serial, raft.term, raft.commit_index, duration)
 
     def _renew(self, now: float) -> None:
--- a/gradegap/store/dynamic_configuration.py
+++ b/gradegap/store/dynamic_configuration.py
@@ -22,8 +22,8 @@
 class DynamicConfiguration:
     """The settings that a node obeys, each with its value of the start and what applies it."""
 
-    def __init__(self, stats: Metrics) -> None:
-        self.stats = stats
+    def __init__(self, metrics: Metrics) -> None:
+        self.metrics = metrics
         self.known: dict[str, tuple[Any, Callable[[Any], None]]] = {}
         self.set: dict[str, Any] = {}  # what was set, also before there was something to apply it
 
@@ -44,7 +44,7 @@
             good = check_value(f"config/{name}", value)
         except ValueError as error:
             # Guards against a value written by another version: what was in force stays so.
-            self.stats.count("config_ignored")
+            self.metrics.count("config_ignored")
             log.warning("configuration ignored", key=name, error=str(error)[:200])
             return
         self.known[name][1](good)
--- a/gradegap/store/gossip.py
+++ b/gradegap/store/gossip.py
@@ -33,28 +33,28 @@
 class Learner:
     """One node's part: what it tells, and what it takes of what it is told."""
 
-    def __init__(self, node: str, core: Proxy, stats: Metrics, told: Callable[[], bool]) -> None:
-        self.node, self.core, self.stats = node, core, stats
+    def __init__(self, node: str, proxy: Proxy, metrics: Metrics, told: Callable[[], bool]) -> None:
+        self.node, self.proxy, self.metrics = node, proxy, metrics
         self.silent: dict[str, float] = {}  # by server, the latest word of a sibling
         self.told = told  # whether discovery has told this node a list
 
     def tell(self, state: dict[str, object]) -> Gossip:
         """Only what this node saw itself: what it was told is not told on, so nothing goes in circles."""
-        now = self.core.now()
+        now = self.proxy.now()
         seen = [
             Learned(b.id, "report", now - b.report_at, dict(b.report))
-            for b in self.core.backends.values()
+            for b in self.proxy.backends.values()
             if b.report is not None and not b.told_by_peer and now - b.report_at < OLDEST
         ]
         seen += [
             Learned(b.id, "silent", now - b.silent_at)
-            for b in self.core.backends.values()
+            for b in self.proxy.backends.values()
             if now - b.silent_at < OLDEST
         ]
         if self.told():
             seen += [
                 Learned(b.id, "listed", 0.0, None, int(b.told.phase), b.told.started_at)
-                for b in self.core.backends.values()
+                for b in self.proxy.backends.values()
                 if b.told is not None
             ]
         return Gossip(self.node, state, seen[:MOST])
@@ -62,16 +62,16 @@
     def hear(self, gossip: Gossip) -> None:
         if gossip.node == self.node:
             return
-        self.stats.count("gossip_heard")
-        now = self.core.now()
+        self.metrics.count("gossip_heard")
+        now = self.proxy.now()
         changed: list[tuple[EndpointEntry, str]] = []
         for learned in gossip.learned[:MOST]:
             if not self._fit(learned):
-                self.stats.count("gossip_unfit")
+                self.metrics.count("gossip_unfit")
                 continue
-            b = self.core.backends.get(learned.server)
+            b = self.proxy.backends.get(learned.server)
             if b is None or b.told is None:
-                self.stats.count("gossip_unknown_server")
+                self.metrics.count("gossip_unknown_server")
             elif learned.kind == "silent":
                 self._silent(learned, b, now)
             elif learned.report is None:
@@ -82,14 +82,14 @@
                     entry = b.told._replace(phase=EndpointPhase(learned.phase), started_at=learned.started_at)
                     changed.append((entry, ""))
             elif learned.age > OLDEST or now - learned.age < b.report_at + NEWER:
-                self.stats.count("gossip_old")
+                self.metrics.count("gossip_old")
             else:
-                self.stats.count("gossip_taken")
+                self.metrics.count("gossip_taken")
                 b.told_by_peer = True
-                self.core.recall(now - learned.age, b.id, learned.report)
+                self.proxy.recall(now - learned.age, b.id, learned.report)
         if changed:
-            self.stats.count("gossip_listed", len(changed))
-            self.core.listing(EndpointListKind.DELTA, changed)
+            self.metrics.count("gossip_listed", len(changed))
+            self.proxy.listing(EndpointListKind.DELTA, changed)
 
     def _silent(self, learned: Learned, b: Endpoint, now: float) -> None:
         """A sibling's probe was left unanswered: the module hears of it as of one of its own, and no more
@@ -97,11 +97,11 @@
         at = now - learned.age
         known = max(b.silent_at, self.silent.get(b.id, -1e9)) + NEWER
         if at <= max(b.report_at, known) or learned.age > OLDEST:
-            self.stats.count("gossip_old")
+            self.metrics.count("gossip_old")
             return
         self.silent[b.id] = at  # apart from what this node saw itself, which alone it tells on
-        self.stats.count("gossip_silent")
-        self.core.feed(HealthCheckEnded(b.id, AttemptResult.TIMEOUT, HEALTH_CHECK_TIMEOUT_S, None))
+        self.metrics.count("gossip_silent")
+        self.proxy.feed(HealthCheckEnded(b.id, AttemptResult.TIMEOUT, HEALTH_CHECK_TIMEOUT_S, None))
 
     def _fit(self, learned: Learned) -> bool:
         """Guards the module against figures that no probe could have brought."""
--- a/gradegap/store/links.py
+++ b/gradegap/store/links.py
@@ -90,7 +90,7 @@
             return False
         if t.get_write_buffer_size() > MOST_UNSENT:
             # Guards memory against a member that is stopped: what the core says is said again anyway.
-            self.net.stats.count("store_dropped_slow")
+            self.net.metrics.count("store_dropped_slow")
             return False
         t.write(self.channel.send(word))
         return True
@@ -103,7 +103,7 @@
         if self.transport is None or self.why:
             return
         self.why = reason
-        self.net.stats.count(f"store_link_{reason}")
+        self.net.metrics.count(f"store_link_{reason}")
         name = self.dial.address if self.dial is not None else self.transport.get_extra_info("peername")
         log.warning("store link ended", reason=reason, detail=text, peer=str(name))
         self.transport.close()
@@ -175,12 +175,12 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        stats: Metrics,
+        metrics: Metrics,
         secret: bytes,
         heard: Callable[[Link, Word], None],
         linked: Callable[[Dial, Link], None],
     ) -> None:
-        self.loop, self.stats, self.secret = loop, stats, secret
+        self.loop, self.metrics, self.secret = loop, metrics, secret
         self.heard, self.linked = heard, linked
         self.me: Member | None = None
         self.lease_s = LENGTH
--- a/gradegap/store/serve.py
+++ b/gradegap/store/serve.py
@@ -59,7 +59,7 @@
     if settings is None:
         raise OperatorFileError("the operator's file has no [store] table")
     secret = read_secret(settings)
-    stats = Metrics()
+    metrics = Metrics()
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
@@ -69,13 +69,13 @@
             if not done.done():
                 done.set_result(error)
 
-        daemon = Daemon(settings, secret, folder(settings), loop, stats, end)
+        daemon = Daemon(settings, secret, folder(settings), loop, metrics, end)
 
         def stop() -> None:
             loop.call_later(HAND_OVER if hand_over(daemon) else 0.0, end)
 
         def print_counters() -> None:
-            log.info("counters", **stats.snapshot())
+            log.info("counters", **metrics.snapshot())
 
         loop.add_signal_handler(signal.SIGTERM, stop)
         loop.add_signal_handler(signal.SIGINT, stop)
--- a/gradegap/store/service.py
+++ b/gradegap/store/service.py
@@ -74,7 +74,7 @@
     """The member that a service answers for."""
 
     loop: asyncio.AbstractEventLoop
-    stats: Metrics
+    metrics: Metrics
     settings: StoreSettings
     identity: Identity
     machine: Machine
@@ -99,7 +99,7 @@
 
     def __init__(self, member: Host) -> None:
         self.member = member
-        self.stats = member.stats
+        self.metrics = member.metrics
         self.serial = 0
         self.pending: dict[int, Pending] = {}
         self.by_index: dict[int, list[Pending]] = {}
@@ -112,8 +112,8 @@
         self.last_retry = 0.0
         self.nodes: dict[str, tuple[float, dict[str, Any]]] = {}  # what nodes said of themselves, and when
         member.machine.watchers.append(self._changed)
-        self.stats.gauge("store_pending", lambda: len(self.pending))
-        self.stats.gauge("store_watches", lambda: len(self.watching))
+        self.metrics.gauge("store_pending", lambda: len(self.pending))
+        self.metrics.gauge("store_watches", lambda: len(self.watching))
 
     # From links
 
@@ -133,13 +133,13 @@
     def request(self, wish: wire.Wish, done: Done, left: float = 5.0, relayed: bool = False) -> None:
         """`done` with one answer, at the latest after `left` seconds."""
         if len(self.pending) >= MOST_PENDING:
-            self.stats.count("store_busy")
+            self.metrics.count("store_busy")
             done(wire.Answer(0, "no", "busy: too many wishes are under way"))
             return
         try:
             wish = self._checked(wish)
         except BadCommand as error:
-            self.stats.count(f"store_refused_{str(error).split(':')[0]}")
+            self.metrics.count(f"store_refused_{str(error).split(':')[0]}")
             done(wire.Answer(0, "no", str(error)))
             return
         self.serial += 1
@@ -299,7 +299,7 @@
         except RequestRejectedError as error:
             self.reading.pop(p.serial, None)
             reason = str(error).split(":")[0].split(" ")[0]
-            self.stats.count(f"store_refused_{reason}")
+            self.metrics.count(f"store_refused_{reason}")
             if reason in TRANSIENT and not p.relayed:
                 p.waits_for = "leader"
             else:
@@ -394,7 +394,7 @@
         self.reading.pop(p.serial, None)
         if isinstance(p.wish, wire.Write) and p.wish.client in self.seqs:
             self.free.append(p.wish.client)
-        self.stats.count(f"store_answers_{answer.outcome}")
+        self.metrics.count(f"store_answers_{answer.outcome}")
         p.done(msgspec.structs.replace(answer, clock=self.log_clock()))
 
     def answered(self, link: Link, answer: wire.Answer) -> None:
@@ -503,7 +503,7 @@
             if old.id == m.identity.id or (progress is not None and now - progress.last_response_at < ALIVE):
                 raise RequestRejectedError(f"alive: another daemon is {member.name} and answers")
             raft.remove_member(now, old.id)
-            self.stats.count("store_lives_replaced")
+            self.metrics.count("store_lives_replaced")
             log.warning("an earlier life of a member is removed", member=member.name, id=old.id)
             invite = Op(INVITED + member.name, {"address": member.address})
             m.propose(Command(f"again-{member.id}", 1, m.log_clock() + LIFE, "store", (), (invite,)))
@@ -520,7 +520,7 @@
     def _watch(self, link: Link, serial: int, wish: wire.Watch) -> None:
         machine = self.member.machine
         if len(self.watching) >= MOST_WATCHES:
-            self.stats.count("store_busy")
+            self.metrics.count("store_busy")
             link.send(wire.Answer(serial, "no", "busy: too many watches"))
             return
         try:
--- a/gradegap/store/snapshot.py
+++ b/gradegap/store/snapshot.py
@@ -22,9 +22,9 @@
     """Servers with when they were taken out, at a path. Written beside it and renamed into place, so that
     half a file is never read."""
 
-    def __init__(self, path: Path | None, stats: Metrics) -> None:
+    def __init__(self, path: Path | None, metrics: Metrics) -> None:
         self.path = path
-        self.stats = stats
+        self.metrics = metrics
 
     def write(self, out: Mapping[str, float]) -> None:
         if self.path is None:
@@ -36,7 +36,7 @@
             os.replace(beside, self.path)
         except OSError as error:
             # The state is in force all the same, and a process that finds this one is told it.
-            self.stats.count("snapshots_failed")
+            self.metrics.count("snapshots_failed")
             log.error("snapshot not written", error=str(error))
 
     def read(self) -> dict[str, float]:
@@ -50,7 +50,7 @@
                 raise ValueError("its checksum is wrong")
             out = msgspec.msgpack.decode(raw[SUM:], type=dict[str, float])
         except (OSError, ValueError) as error:
-            self.stats.count("snapshots_damaged")
+            self.metrics.count("snapshots_damaged")
             log.error("snapshot not used", error=str(error)[:200])
             return {}
         return out
--- a/gradegap/transport/descriptors.py
+++ b/gradegap/transport/descriptors.py
@@ -38,16 +38,16 @@
 
 
 class Descriptors:
-    def __init__(self, limit: int, stats: Metrics) -> None:
+    def __init__(self, limit: int, metrics: Metrics) -> None:
         self.limit = limit
-        self.stats = stats
+        self.metrics = metrics
         self.held = 0
         self.base = BASE
         self.beside = 0  # what another process of this node holds: both have one limit
         # Each with the number of its last word. The oldest is the first, in a dictionary's own order.
         self.ranks: tuple[dict[Evictable, int], ...] = tuple({} for _ in Rank)
         self.words = count()
-        stats.gauge("sockets", lambda: f"{self.held}/{self.limit}")
+        metrics.gauge("sockets", lambda: f"{self.held}/{self.limit}")
 
     def reserve(self, count: int) -> None:
         """Some more that only their owner uses, so that no client's flood shuts them out."""
@@ -71,7 +71,7 @@
         if self.held - len(self.ranks[Rank.ANSWERED]) > most - self.limit // TOLD:
             rank, oldest = self._oldest(Rank.PINGED, Rank.UNOPENED)
             if oldest is not None and oldest is not channel:
-                self.stats.count(f"evicted_{rank.name.lower()}")
+                self.metrics.count(f"evicted_{rank.name.lower()}")
                 oldest.dismiss()
         self._make_way(most)
 
@@ -99,7 +99,7 @@
             rank, channel = self._oldest(Rank.PINGED, Rank.UNOPENED)
         if channel is not None:
             self.rank(channel, None)
-            self.stats.count(f"evicted_{rank.name.lower()}")
+            self.metrics.count(f"evicted_{rank.name.lower()}")
             channel.evict()
 
     def _oldest(self, *ranks: Rank) -> tuple[Rank, Evictable | None]:
--- a/gradegap/upstream/connections.py
+++ b/gradegap/upstream/connections.py
@@ -52,7 +52,7 @@
         no_delay(self.transport)
         if self.up:
             return  # taken over: it stands already
-        left = self.wait - (self.attempt.req.core.now() - self.attempt.began)
+        left = self.wait - (self.attempt.req.proxy.now() - self.attempt.began)
         self.sent = True
         self.attempt.wrote()
         self.transport.write(self.session.opening.with_wait(left))
@@ -162,7 +162,7 @@
         self.eof_sent = True
         if not transport.is_closing():
             transport.write_eof()
-        self.session.core.loop.call_later(END_WAIT, end, transport)
+        self.session.proxy.loop.call_later(END_WAIT, end, transport)
 
     def reset(self) -> None:
         if self.transport is not None:
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -420,12 +420,12 @@
 
 def recorded(folder: Path, day: Day, held: bool = False, **changes: Any) -> Metrics:
     """A day under a recorder; `held`: twice the disk takes nothing until batches were dropped."""
-    stats = Metrics()
+    metrics = Metrics()
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
         set_up = CaptureSettings(str(folder), state_s=1.0, **changes)
-        made = Recorder(set_up, day.balancer, day.settings, day.seed, stats, loop, lambda: day.now, "n")
+        made = Recorder(set_up, day.balancer, day.settings, day.seed, metrics, loop, lambda: day.now, "n")
         disk = HeldDisk(made) if held else None
         day.balancer = Tap(day.balancer, made)  # type: ignore[assignment]
         made.begin()
@@ -446,35 +446,35 @@
             await asyncio.sleep(0.01)
 
     asyncio.run(main())
-    return stats
+    return metrics
 
 
 def test_a_recording_replays_to_the_same_decisions(tmp_path: Path) -> None:
-    stats = recorded(tmp_path, Day(5))
+    metrics = recorded(tmp_path, Day(5))
     (path,) = tmp_path.iterdir()
     found = again(path.read_bytes())
     assert found.difference is None and not found.gaps and found.steps > 15_000
-    assert "capture_dropped" not in stats.counts
+    assert "capture_dropped" not in metrics.counts
 
 
 def test_a_slow_disk_costs_whole_batches_marked_as_gaps_and_no_decision(tmp_path: Path) -> None:
-    stats = recorded(tmp_path, Day(6), held=True)
+    metrics = recorded(tmp_path, Day(6), held=True)
     (path,) = tmp_path.iterdir()
     found = again(path.read_bytes())
     read = [f for f in frames.read(path.read_bytes()) if not isinstance(f, Damage)]
     gaps = [f.records for f in read if f.kind is Kind.GAP]
-    assert len(gaps) >= 2 and sum(gaps) == stats.counts["capture_dropped"] > 512
+    assert len(gaps) >= 2 and sum(gaps) == metrics.counts["capture_dropped"] > 512
     assert found.gaps and found.difference is None and not found.state_differs and found.steps > 0
 
 
 def test_a_reload_in_a_batch_that_was_dropped_is_in_the_next_state(tmp_path: Path) -> None:
-    day, stats = Day(61), Metrics()
+    day, metrics = Day(61), Metrics()
     changed = settings(connection_groups=True, max_attempts=1, drain_grace=3.0)
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
         set_up = CaptureSettings(str(tmp_path), state_s=1.0)
-        made = Recorder(set_up, day.balancer, day.settings, day.seed, stats, loop, lambda: day.now, "n")
+        made = Recorder(set_up, day.balancer, day.settings, day.seed, metrics, loop, lambda: day.now, "n")
         tap = Tap(day.balancer, made)
         day.balancer = tap  # type: ignore[assignment]
         made.begin()
@@ -494,7 +494,7 @@
             await asyncio.sleep(0.01)
 
     asyncio.run(main())
-    assert stats.counts["capture_dropped"] > 0
+    assert metrics.counts["capture_dropped"] > 0
     (path,) = tmp_path.iterdir()
     found = again(path.read_bytes())
     assert found.gaps and found.difference is None and not found.state_differs
@@ -513,10 +513,10 @@
 
     Recorder._put = full  # type: ignore[method-assign]
     try:
-        stats = recorded(tmp_path, day)
+        metrics = recorded(tmp_path, day)
     finally:
         Recorder._put = before  # type: ignore[method-assign]
-    assert stats.counts["capture_failed"] == 1 and len(day.steps) > 15_000
+    assert metrics.counts["capture_failed"] == 1 and len(day.steps) > 15_000
 
 
 def test_the_ring_keeps_its_limits(tmp_path: Path) -> None:
--- a/tests/test_capture_index.py
+++ b/tests/test_capture_index.py
@@ -165,11 +165,11 @@
 
 def test_a_recording_of_a_large_module_replays_across_forked_states(tmp_path: Path) -> None:
     day = large(1200)
-    stats = recorded(tmp_path, day)
+    metrics = recorded(tmp_path, day)
     (path,) = tmp_path.iterdir()
     found = again(path.read_bytes())
     assert found.difference is None and not found.state_differs and not found.gaps and found.steps > 10_000
-    assert "capture_states_lost" not in stats.counts and "capture_failed" not in stats.counts
+    assert "capture_states_lost" not in metrics.counts and "capture_failed" not in metrics.counts
 
 
 def test_where_no_process_can_be_had_a_state_is_lost_and_the_node_goes_on(
@@ -179,8 +179,8 @@
         raise OSError(11, "Resource temporarily unavailable")
 
     monkeypatch.setattr(os, "fork", none)
-    stats = recorded(tmp_path, large(1200))
-    assert stats.counts["capture_states_lost"] >= 1 and "capture_failed" not in stats.counts
+    metrics = recorded(tmp_path, large(1200))
+    assert metrics.counts["capture_states_lost"] >= 1 and "capture_failed" not in metrics.counts
 
 
 # Pictures and paces
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -26,9 +26,9 @@
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
-        self.stats = Metrics()
-        self.descriptors = Descriptors(1000, self.stats)
-        self.core = Proxy(settings(), 1, cast(Any, None), self.stats, self.loop)
+        self.metrics = Metrics()
+        self.descriptors = Descriptors(1000, self.metrics)
+        self.proxy = Proxy(settings(), 1, cast(Any, None), self.metrics, self.loop)
         self.live: set[TcpChannel] = set()
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.setblocking(False)
@@ -37,7 +37,7 @@
         await self.loop.create_server(self._made, sock=self.listener)
 
     def _made(self) -> TcpChannel:
-        return TcpChannel(self.core, self.stats, lambda: True, self.live, self.descriptors)
+        return TcpChannel(self.proxy, self.metrics, lambda: True, self.live, self.descriptors)
 
     async def client(self, small: bool = False) -> tuple[socket.socket, TcpChannel]:
         sock = socket.socket()
@@ -185,7 +185,7 @@
         channel.evict()
         assert (await read_to_end(sock)).startswith(b"BUSY ")
         await door.until(lambda: door.descriptors.held == 0, 2.0)
-        assert not was_reset(sock) and not door.core.reqs
+        assert not was_reset(sock) and not door.proxy.reqs
 
     in_loop(test)
 
@@ -202,6 +202,6 @@
         await door.until(lambda: door.descriptors.held == 1 and len(door.live) == 1, 2.0)
         sock.close()
         await door.until(lambda: door.descriptors.held == 0, 2.0)
-        assert not door.core.reqs
+        assert not door.proxy.reqs
 
     in_loop(test)
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -143,14 +143,14 @@
 
 @pytest.mark.parametrize("damage", [b"", b"\0\0\0\0junk", None])
 def test_a_snapshot_is_read_whole_or_not_at_all(tmp_path: Path, damage: bytes | None) -> None:
-    stats, path = Metrics(), tmp_path / "s.snapshot"
-    assert Snapshot(path, stats).read() == {}
-    Snapshot(path, stats).write({"s-a": 17.0})
+    metrics, path = Metrics(), tmp_path / "s.snapshot"
+    assert Snapshot(path, metrics).read() == {}
+    Snapshot(path, metrics).write({"s-a": 17.0})
     if damage is None:
-        assert Snapshot(path, stats).read() == {"s-a": 17.0}
+        assert Snapshot(path, metrics).read() == {"s-a": 17.0}
     else:
         path.write_bytes(damage)
-        assert Snapshot(path, stats).read() == {} and stats.counts["snapshots_damaged"] == 1
+        assert Snapshot(path, metrics).read() == {} and metrics.counts["snapshots_damaged"] == 1
     assert os.listdir(tmp_path) == ["s.snapshot"]
 
 
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -75,8 +75,8 @@
         self.settings = helpers.settings(polls_endpoints=not pushed, poll_within=10.0, drain_grace=2.0)
         self.calls: list[tuple[Call, Transport]] = []
         self.lists: list[tuple[EndpointListKind, list[Entry]]] = []
-        self.stats = Metrics()
-        self.director = HttpDiscovery(cast(Proxy, self), cast(Dialer, self), "discovery:1", self.stats)
+        self.metrics = Metrics()
+        self.director = HttpDiscovery(cast(Proxy, self), cast(Dialer, self), "discovery:1", self.metrics)
         if not pushed:
             self.director.clock.known(7)
         self.director.start()
--- a/tests/test_observer_server.py
+++ b/tests/test_observer_server.py
@@ -138,7 +138,7 @@
 
     @property
     def counts(self) -> dict[str, int]:
-        return dict(self.daemon.stats.counts)
+        return dict(self.daemon.metrics.counts)
 
     def client(self, name: str, **more: Any) -> ObserverClient:
         """A node's subscription that remembers what it was given in `keys`."""
@@ -332,7 +332,7 @@
         node = w.client("node")
         await w.until(node.fresh)
         node.bucket.tokens = -1e9
-        await w.until(lambda: node.stats.counts["observer_left_out"] >= 2)
+        await w.until(lambda: node.metrics.counts["observer_left_out"] >= 2)
         before = node.traffic.sent["Renew"].messages
         await w.until(lambda: not node.fresh())  # no renewal, no lease
         assert node.traffic.sent["Renew"].messages == before
--- a/tests/test_quic_fuzz.py
+++ b/tests/test_quic_fuzz.py
@@ -50,10 +50,10 @@
     """A front without a socket, and a client of aioquic's own that speaks to it."""
 
     def __init__(self, folder: Path, loop: asyncio.AbstractEventLoop) -> None:
-        self.stats, self.wire = Metrics(), Wire()
-        core = Proxy(settings(), 1, cast(Any, NoPort()), self.stats, loop)
+        self.metrics, self.wire = Metrics(), Wire()
+        proxy = Proxy(settings(), 1, cast(Any, NoPort()), self.metrics, loop)
         listen = QuicSettings("", f"{folder}/cert.pem", f"{folder}/key.pem")
-        self.front = QuicFront(core, self.stats, lambda: True, listen, "n", lambda: None)
+        self.front = QuicFront(proxy, self.metrics, lambda: True, listen, "n", lambda: None)
         self.front.transport = cast(Any, self.wire)
         self.heard = b""
 
@@ -163,7 +163,7 @@
             if channel.address == FUZZER:
                 channel._handshake_late()
         assert len(pair.front.channels) == 1  # the bystander's
-        assert "quic_migrations" not in pair.stats.counts
+        assert "quic_migrations" not in pair.metrics.counts
 
 
 def test_a_flood_of_first_packets_is_bounded_and_the_others_are_served(folder: Path) -> None:
@@ -172,7 +172,7 @@
             quic = pair.client()
             for data, _ in quic.datagrams_to_send(now=time.time()):
                 pair.front.datagram_received(data, (f"127.0.{k // 250}.{k % 250 + 1}", 5000))
-        counts = pair.stats.counts
+        counts = pair.metrics.counts
         assert len(pair.front.channels) <= 1 + pair.front.retry_from
         assert counts["quic_retries"] >= 1900
         # Each is told to prove itself by less than it sent: forged addresses gain nothing.
--- a/tests/test_quic_parts.py
+++ b/tests/test_quic_parts.py
@@ -224,20 +224,20 @@
 def test_a_way_to_another_process_is_bounded_and_its_end_is_seen() -> None:
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        stats, came = Metrics(), list[tuple[bytes, object]]()
+        metrics, came = Metrics(), list[tuple[bytes, object]]()
         reads, writes = pair()
-        relay = Relay(writes, stats)
+        relay = Relay(writes, metrics)
         for k in range(5000):  # nobody reads
             assert relay.send(b"%04d" % k + b"x" * 1200, HERE)
-        full = stats.counts["quic_forward_full"]
-        assert full > 0 and stats.counts["quic_forwarded"] == 5000 - full
-        inlet = Inlet(loop, reads, stats, lambda data, addr: came.append((data, addr)))
+        full = metrics.counts["quic_forward_full"]
+        assert full > 0 and metrics.counts["quic_forwarded"] == 5000 - full
+        inlet = Inlet(loop, reads, metrics, lambda data, addr: came.append((data, addr)))
         while len(came) < 5000 - full:
             await asyncio.sleep(0)
         assert [data[:4] for data, _ in came] == [b"%04d" % k for k in range(5000 - full)]
         assert came[0][1] == HERE
         writes.send(b"\xc1 another version's")
-        while not stats.counts["quic_forward_malformed"]:
+        while not metrics.counts["quic_forward_malformed"]:
             await asyncio.sleep(0)
         inlet.close()
         assert not relay.send(b"x", HERE) and relay.gone
--- a/tests/test_store_node.py
+++ b/tests/test_store_node.py
@@ -202,20 +202,20 @@
 
 def test_reports_of_siblings_reach_the_module_with_their_age() -> None:
     loop = asyncio.new_event_loop()
-    core = Proxy(settings(), 1, NoPort(), Metrics(), loop)  # type: ignore[arg-type]
+    proxy = Proxy(settings(), 1, NoPort(), Metrics(), loop)  # type: ignore[arg-type]
     entries = [(EndpointEntry(f"s{k}"), f"127.0.0.1:{k}") for k in (1, 2)]
-    core.listing(EndpointListKind.CACHED, entries)
+    proxy.listing(EndpointListKind.CACHED, entries)
     heard: list[tuple[float, str]] = []
-    plain = core.balancer.handle
+    plain = proxy.balancer.handle
 
     def handle(now: float, event: Event) -> list[Action]:
         if isinstance(event, HealthCheckEnded):
-            heard.append((core.now() - now, event.endpoint))
+            heard.append((proxy.now() - now, event.endpoint))
         return plain(now, event)
 
-    core.balancer.handle = handle  # type: ignore[method-assign]
+    proxy.balancer.handle = handle  # type: ignore[method-assign]
     told = False
-    learner = Learner("me", core, core.stats, lambda: told)
+    learner = Learner("me", proxy, proxy.metrics, lambda: told)
     good = Learned("s1", "report", 2.0, {"x0": 0.5})
     unfit = [
         Learned("s2", "report", 1.0, {"x0": float("nan")}),
@@ -226,29 +226,29 @@
     old, strange = Learned("s2", "report", 60.0, {"x0": 0.5}), Learned("s9", "report", 1.0, {"x0": 0.5})
     learner.hear(Gossip("other", {}, [good, *unfit, old, strange]))
     assert [server for _, server in heard] == ["s1"] and 1.9 < heard[0][0] < 2.1
-    assert core.stats.counts["gossip_unfit"] == len(unfit)
+    assert proxy.metrics.counts["gossip_unfit"] == len(unfit)
     learner.hear(Gossip("other", {}, [Learned("s1", "report", 1.95, {"x0": 0.4})]))  # no newer to speak of
     assert len(heard) == 1
     # What it was told is not told on; what it saw itself is.
     assert learner.tell({}).learned == []
-    core.backends["s2"].report, core.backends["s2"].report_at = {"x0": 0.1}, core.now()
+    proxy.backends["s2"].report, proxy.backends["s2"].report_at = {"x0": 0.1}, proxy.now()
     assert [x.server for x in learner.tell({}).learned] == ["s2"]
     # Who is silent at a sibling is heard of as a probe without an answer, once, and not told on twice.
     del heard[:]
     learner.hear(Gossip("other", {}, [Learned("s1", "silent", 3.0)]))  # s1 has answered since
     assert not heard
-    core.backends["s1"].report_at = core.now() - 9.0
+    proxy.backends["s1"].report_at = proxy.now() - 9.0
     learner.hear(Gossip("other", {}, [Learned("s1", "silent", 1.0)]))
     learner.hear(Gossip("third", {}, [Learned("s1", "silent", 1.0)]))
-    assert [server for _, server in heard] == ["s1"] and core.stats.counts["gossip_silent"] == 1
+    assert [server for _, server in heard] == ["s1"] and proxy.metrics.counts["gossip_silent"] == 1
     # A list that may be out of date is mended by what siblings were told, until discovery has told one.
     drains = Learned("s1", "listed", 0.0, None, int(EndpointPhase.DRAINING), 77.0)
     learner.hear(Gossip("other", {}, [drains]))
-    s1 = core.backends["s1"]
+    s1 = proxy.backends["s1"]
     assert s1.phase is EndpointPhase.DRAINING and s1.told_at > 0 and s1.started_at == 77.0
     told = True
     learner.hear(Gossip("other", {}, [Learned("s2", "listed", 0.0, None, int(EndpointPhase.REMOVED), 0.0)]))
-    assert core.backends["s2"].phase is EndpointPhase.READY
+    assert proxy.backends["s2"].phase is EndpointPhase.READY
     assert {x.server for x in learner.tell({}).learned if x.kind == "listed"} == {"s1", "s2"}
     loop.close()
 
--- a/tests/test_store_service.py
+++ b/tests/test_store_service.py
@@ -19,7 +19,7 @@
     raft = SimpleNamespace(is_leader=True, term=1, leader_id="m1", transferee="", status=lambda now: {})
     member = SimpleNamespace(
         loop=cast(asyncio.AbstractEventLoop, None),
-        stats=Metrics(),
+        metrics=Metrics(),
         machine=Machine(),
         raft=raft,
         granter=None,
