--- a/gradegap/check/explore.py
+++ b/gradegap/check/explore.py
@@ -27,6 +27,7 @@
     RequestRejectedError,
     initial_snapshot,
 )
+from gradegap.raft.progress import ProgressState
 
 Action = tuple[str, object]
 
@@ -163,7 +164,7 @@
                 [(e.term, e.data) for e in r.log.entries],
                 sorted(r.election.votes.items()) if not r.is_leader else [],
                 [
-                    (n, p.next_index, p.match_index, p.streaming, p.awaiting_response)
+                    (n, p.next_index, p.match_index, p.state is ProgressState.REPLICATE, p.awaiting_response)
                     for n, p in sorted(r.peers.items())
                 ]
                 if r.is_leader
--- a/gradegap/raft/membership.py
+++ b/gradegap/raft/membership.py
@@ -19,6 +19,7 @@
     TransferInProgressError,
     UnknownMemberError,
 )
+from gradegap.raft.progress import ProgressState
 
 
 class Membership:
@@ -77,7 +78,11 @@
 
     def _caught_up(self, member: str) -> bool:
         progress = self.raft.replication.peers.get(member)
-        return progress is not None and progress.match_index >= self.raft.commit_index and progress.streaming
+        return (
+            progress is not None
+            and progress.match_index >= self.raft.commit_index
+            and progress.state is ProgressState.REPLICATE
+        )
 
     def remove(self, now: float, member: str) -> int:
         """Remove a member, this one too; the index of the change."""
--- a/gradegap/raft/progress.py
+++ b/gradegap/raft/progress.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import enum
 from collections import deque
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -9,34 +10,46 @@
 NEVER = -1e18  # a time before every other
 
 
+class ProgressState(enum.Enum):
+    """How a leader replicates to a member; the states of etcd's progress."""
+
+    PROBE = enum.auto()  # where the logs agree is not known: one message at a time
+    REPLICATE = enum.auto()  # the member's log fits: entries are sent ahead of its responses
+    SNAPSHOT = enum.auto()  # it is behind the log: it is sent a snapshot, chunk by chunk
+
+
 @dataclass(slots=True)
 class Progress:
     """What a leader knows of one other member."""
 
     next_index: int  # index of the first entry to send
     match_index: int = 0  # last index at which its log is known to be the leader's
-    streaming: bool = False  # its log is known to fit: entries are sent ahead of its answers
-    awaiting_response: bool = False  # not streaming: one message is out, and the next waits for its answer
-    inflight: deque[int] = field(default_factory=deque)  # last indexes of the messages sent ahead
-    heartbeat_round: int = 0  # the latest round of heartbeats that it answered
+    state: ProgressState = ProgressState.PROBE
+    awaiting_response: bool = False  # unless replicating: one message is out, the next waits for the response
+    inflight: deque[int] = field(default_factory=deque)  # replicating: last indexes of messages sent ahead
+    heartbeat_round: int = 0  # the latest round of heartbeats that it has responded to
     last_response_at: float = NEVER
-    snapshot_index: int = 0  # index of the snapshot that it is being sent; 0: none
-    snapshot_offset: int = 0  # where the next chunk of that snapshot begins
+    snapshot_index: int = 0  # of the snapshot that it is being sent; 0 in the other states
+    snapshot_offset: int = 0  # in bytes: where the next chunk of that snapshot begins
 
-    def stop_streaming(self) -> None:
-        """Forget what was sent ahead: its log must be probed again, or it gets a snapshot."""
-        self.streaming = False
+    def become_probe(self) -> None:
+        """Forget what was sent ahead: where the logs agree must be found again."""
+        self.state = ProgressState.PROBE
         self.inflight.clear()
+        self.snapshot_index = self.snapshot_offset = 0
 
-    def stream_after(self, match_index: int) -> None:
-        """Its log fits up to `match_index`, and takes all entries after it."""
+    def become_replicate(self, match_index: int) -> None:
+        """The log fits up to `match_index`, and takes all entries after it."""
+        self.state = ProgressState.REPLICATE
         self.match_index = match_index
         self.next_index = match_index + 1
-        self.streaming = True
+        self.snapshot_index = self.snapshot_offset = 0
 
-    def end_snapshot(self) -> None:
-        """No snapshot is being sent to it any more."""
-        self.snapshot_index = 0
+    def become_snapshot(self, index: int) -> None:
+        """Begin to send the snapshot at `index`."""
+        self.state = ProgressState.SNAPSHOT
+        self.inflight.clear()
+        self.snapshot_index = index
         self.snapshot_offset = 0
 
 
--- a/gradegap/raft/replication.py
+++ b/gradegap/raft/replication.py
@@ -11,7 +11,7 @@
 from gradegap.raft.errors import NotLeaderError, TooMuchUncommittedError, TransferInProgressError
 from gradegap.raft.log import UNBOUNDED_BYTES
 from gradegap.raft.messages import AppendEntries, AppendEntriesResponse
-from gradegap.raft.progress import Progress, majority_value
+from gradegap.raft.progress import Progress, ProgressState, majority_value
 
 PROBE_BYTES = 4096  # of entries sent along while it is not known whether they fit
 
@@ -84,11 +84,11 @@
     def send_to(self, peer: str, progress: Progress, always: bool = False) -> None:
         """Send a member the entries or the chunk that it is due; with `always`, one message at least."""
         raft = self.raft
-        if progress.snapshot_index or progress.next_index <= raft.log.base.index:
+        if progress.state is ProgressState.SNAPSHOT or progress.next_index <= raft.log.base.index:
             raft.snapshot_sender.send_chunk(peer, progress, again=always)
             return
         sent = self._stream(peer, progress)
-        if not progress.streaming and not progress.awaiting_response:
+        if progress.state is not ProgressState.REPLICATE and not progress.awaiting_response:
             progress.awaiting_response = sent = True
             self._send_entries(
                 peer,
@@ -103,7 +103,7 @@
         raft = self.raft
         sent = False
         while (
-            progress.streaming
+            progress.state is ProgressState.REPLICATE
             and len(progress.inflight) < raft.settings.max_inflight_messages
             and progress.next_index <= raft.log.last_index
         ):
@@ -122,7 +122,7 @@
             raft.term, previous, term, raft.commit_index, raft.heartbeats.current_round, tuple(entries)
         )
         raft.pending.immediate_messages.append((peer, message))
-        if entries and progress.streaming:
+        if entries and progress.state is ProgressState.REPLICATE:
             last = entries[-1].index
             progress.next_index = last + 1
             progress.inflight.append(last)
@@ -142,10 +142,11 @@
     def _on_mismatch(self, sender: str, progress: Progress, response: AppendEntriesResponse) -> None:
         # Guards against a late refusal of something that was since sent again and taken.
         if response.prev_log_index <= progress.match_index or (
-            progress.streaming and response.prev_log_index >= progress.next_index
+            progress.state is ProgressState.REPLICATE and response.prev_log_index >= progress.next_index
         ):
             return
-        progress.stop_streaming()
+        if progress.state is ProgressState.REPLICATE:
+            progress.become_probe()
         hint = min(response.match_index, response.prev_log_index - 1)
         progress.next_index = (
             max(progress.match_index, self.raft.log.last_index_up_to_term(hint, response.hint_term)) + 1
@@ -155,11 +156,11 @@
     def _on_match(self, now: float, sender: str, progress: Progress, response: AppendEntriesResponse) -> None:
         while progress.inflight and progress.inflight[0] <= response.match_index:
             progress.inflight.popleft()
-        if progress.snapshot_index:
-            progress.end_snapshot()
+        if progress.state is ProgressState.SNAPSHOT:
+            progress.become_probe()
         if response.match_index >= progress.match_index:
-            sent_up_to = progress.next_index if progress.streaming else 0
-            progress.stream_after(response.match_index)
+            sent_up_to = progress.next_index if progress.state is ProgressState.REPLICATE else 0
+            progress.become_replicate(response.match_index)
             progress.next_index = max(sent_up_to, progress.next_index)
         self.advance_commit(now)
         if self.raft.is_leader:
@@ -196,7 +197,7 @@
             entry.size_bytes for entry in raft.log.slice(first, UNBOUNDED_BYTES, index)
         )
         for peer, progress in self.peers.items():
-            if progress.streaming and progress.next_index > raft.log.last_index:
+            if progress.state is ProgressState.REPLICATE and progress.next_index > raft.log.last_index:
                 self._send_entries(peer, progress, [])  # so that they apply it before the next heartbeat
         if (
             raft.log.configuration_index <= raft.commit_index
--- a/gradegap/raft/snapshots.py
+++ b/gradegap/raft/snapshots.py
@@ -9,7 +9,7 @@
 from gradegap.raft.entries import SnapshotMetadata
 from gradegap.raft.errors import SnapshotTooOldError
 from gradegap.raft.messages import InstallSnapshot, InstallSnapshotResponse
-from gradegap.raft.progress import Progress
+from gradegap.raft.progress import Progress, ProgressState
 
 
 @dataclass(slots=True, frozen=True)
@@ -56,9 +56,7 @@
             raft.pending.snapshot_wanted = True
             return
         if progress.snapshot_index != snapshot.meta.index:
-            progress.snapshot_index = snapshot.meta.index
-            progress.snapshot_offset = 0
-            progress.stop_streaming()
+            progress.become_snapshot(snapshot.meta.index)
         elif not again and progress.awaiting_response:
             return
         progress.awaiting_response = True
@@ -77,13 +75,12 @@
     ) -> None:
         """A member answers a chunk: where the next begins, or that it has the whole."""
         raft = self.raft
-        if not progress.snapshot_index or response.snapshot_index != progress.snapshot_index:
+        if progress.state is not ProgressState.SNAPSHOT or response.snapshot_index != progress.snapshot_index:
             return
         progress.awaiting_response = False
         if response.done:
-            progress.end_snapshot()
-            progress.stream_after(max(progress.match_index, response.snapshot_index))
-            if not any(other.snapshot_index for other in raft.replication.peers.values()):
+            progress.become_replicate(max(progress.match_index, response.snapshot_index))
+            if not any(other.state is ProgressState.SNAPSHOT for other in raft.replication.peers.values()):
                 self.outgoing = None
             raft.replication.advance_commit(now)
         else:
