--- a/gradegap/check/bugs.py
+++ b/gradegap/check/bugs.py
@@ -21,6 +21,7 @@
     Progress,
     Raft,
     RaftSettings,
+    ReadState,
     Ready,
     RequestVote,
     RequestVoteResponse,
@@ -203,7 +204,7 @@
         def read(self, now: float, number: int) -> None:
             if not self.raft.is_leader:
                 raise NotLeaderError
-            self.raft.pending.read_states.append((number, self.raft.commit_index))
+            self.raft.pending.read_states.append(ReadState(number, self.raft.commit_index))
 
     read_index_queue_type = _Reads
 
--- a/gradegap/check/sim.py
+++ b/gradegap/check/sim.py
@@ -47,7 +47,7 @@
     def write(self, ready: Ready) -> None:
         """Make durable what the core asked for."""
         if ready.snapshot is not None:
-            self.base, self.state = ready.snapshot[0], ready.snapshot[1]
+            self.base, self.state = ready.snapshot
             self.entries = []
         if ready.hard_state is not None:
             self.hard = ready.hard_state
@@ -150,8 +150,8 @@
         for to, message in ready.immediate_messages:
             self.sim.send(self.name, to, message)
         if ready.snapshot is not None:
-            self.state = ready.snapshot[1]
-            self.states = {ready.snapshot[0].index: self.state}
+            self.state = ready.snapshot.data
+            self.states = {ready.snapshot.metadata.index: self.state}
         for entry in ready.committed_entries:
             self.state = chain(self.state, entry)
             self.states[entry.index] = self.state
--- a/gradegap/raft/__init__.py
+++ b/gradegap/raft/__init__.py
@@ -36,7 +36,7 @@
     TimeoutNow,
 )
 from gradegap.raft.progress import NEVER, Progress
-from gradegap.raft.ready import Ready
+from gradegap.raft.ready import OutgoingMessage, RaftStatus, ReadState, Ready, Snapshot
 from gradegap.raft.role import Role
 from gradegap.raft.settings import RaftSettings
 
@@ -60,15 +60,19 @@
     "MemberRoleError",
     "Message",
     "NotLeaderError",
+    "OutgoingMessage",
     "Progress",
     "Raft",
     "RaftError",
     "RaftSettings",
+    "RaftStatus",
+    "ReadState",
     "Ready",
     "RequestRejectedError",
     "RequestVote",
     "RequestVoteResponse",
     "Role",
+    "Snapshot",
     "SnapshotMetadata",
     "SnapshotTooOldError",
     "TimeoutNow",
--- a/gradegap/raft/core.py
+++ b/gradegap/raft/core.py
@@ -36,7 +36,7 @@
     TimeoutNow,
 )
 from gradegap.raft.read_index import ReadIndexQueue
-from gradegap.raft.ready import Ready
+from gradegap.raft.ready import RaftStatus, Ready
 from gradegap.raft.replication import Replication
 from gradegap.raft.role import Role
 from gradegap.raft.settings import RaftSettings
@@ -126,19 +126,20 @@
         """Whether the latest committed configuration, as far as the leader told, leaves this member out."""
         return self.membership.was_removed()
 
-    def status(self, now: float) -> dict[str, object]:
+    def status(self, now: float) -> RaftStatus:
         """What an operator is shown of this member."""
-        return {
-            "id": self.member_id,
-            "role": self.role.value,
-            "term": self.term,
-            "leader": self.leader_id,
-            "commit": self.commit_index,
-            "applied": self.applied_index,
-            "last_index": self.log.last_index,
-            "first_index": self.log.base.index + 1,
-            "lease_ms": max(0, round((self.lease_until(now) - now) * 1000)) if self.is_leader else 0,
-        }
+        lease_ms = max(0, round((self.lease_until(now) - now) * 1000)) if self.is_leader else 0
+        return RaftStatus(
+            id=self.member_id,
+            role=self.role.value,
+            term=self.term,
+            leader=self.leader_id,
+            commit=self.commit_index,
+            applied=self.applied_index,
+            last_index=self.log.last_index,
+            first_index=self.log.base.index + 1,
+            lease_ms=lease_ms,
+        )
 
     # What a driver tells
 
--- a/gradegap/raft/node_state.py
+++ b/gradegap/raft/node_state.py
@@ -8,7 +8,7 @@
 from gradegap.raft.entries import Entry, HardState
 from gradegap.raft.log import Log
 from gradegap.raft.messages import Message
-from gradegap.raft.ready import Ready
+from gradegap.raft.ready import OutgoingMessage, Ready
 from gradegap.raft.role import Role
 from gradegap.raft.settings import RaftSettings
 
@@ -50,7 +50,11 @@
 
     def send(self, recipient: str, message: Message) -> None:
         """Send a message once all that was gathered before it is on this member's disk."""
-        self.pending.messages.append((recipient, message))
+        self.pending.messages.append(OutgoingMessage(recipient, message))
+
+    def send_immediately(self, recipient: str, message: Message) -> None:
+        """Send a message that rests on nothing that is not on disk yet."""
+        self.pending.immediate_messages.append(OutgoingMessage(recipient, message))
 
     def append_entry(self, entry: Entry) -> None:
         """Add an entry to the log, and have it written."""
--- a/gradegap/raft/read_index.py
+++ b/gradegap/raft/read_index.py
@@ -6,6 +6,7 @@
 
 from gradegap.raft.context import RaftContext
 from gradegap.raft.errors import LeaderNotReadyError, NotLeaderError
+from gradegap.raft.ready import ReadState
 
 
 @dataclass(slots=True, frozen=True)
@@ -32,7 +33,7 @@
         if not raft.commits_own_term():
             raise LeaderNotReadyError
         if now < raft.heartbeats.lease_until(now):
-            raft.pending.read_states.append((number, raft.commit_index))
+            raft.pending.read_states.append(ReadState(number, raft.commit_index))
             return
         if raft.heartbeats.sent_at < now:
             raft.heartbeats.send(now)
@@ -44,7 +45,7 @@
         if not self.pending:
             return
         answered = self.raft.heartbeats.acknowledged_round()
-        confirmed = [(read.number, read.index) for read in self.pending if read.round <= answered]
+        confirmed = [ReadState(read.number, read.index) for read in self.pending if read.round <= answered]
         self.raft.pending.read_states += confirmed
         self.pending = [read for read in self.pending if read.round > answered]
 
--- a/gradegap/raft/replication.py
+++ b/gradegap/raft/replication.py
@@ -121,7 +121,7 @@
         message = AppendEntries(
             raft.term, previous, term, raft.commit_index, raft.heartbeats.current_round, tuple(entries)
         )
-        raft.pending.immediate_messages.append((peer, message))
+        raft.send_immediately(peer, message)
         if entries and progress.state is ProgressState.REPLICATE:
             last = entries[-1].index
             progress.next_index = last + 1
--- a/gradegap/raft/snapshots.py
+++ b/gradegap/raft/snapshots.py
@@ -10,6 +10,7 @@
 from gradegap.raft.errors import SnapshotTooOldError
 from gradegap.raft.messages import InstallSnapshot, InstallSnapshotResponse
 from gradegap.raft.progress import Progress, ProgressState
+from gradegap.raft.ready import Snapshot
 
 
 @dataclass(slots=True, frozen=True)
@@ -60,7 +61,7 @@
         elif not again and progress.awaiting_response:
             return
         progress.awaiting_response = True
-        raft.pending.immediate_messages.append((peer, self._chunk(snapshot, progress.snapshot_offset)))
+        raft.send_immediately(peer, self._chunk(snapshot, progress.snapshot_offset))
 
     def _chunk(self, snapshot: OutgoingSnapshot, offset: int) -> InstallSnapshot:
         raft = self.raft
@@ -127,7 +128,7 @@
         raft.log.reset(meta)
         raft.commit_index = raft.applied_index = raft.stable_index = meta.index
         raft.pending.entries = []
-        raft.pending.snapshot = (meta, data)
+        raft.pending.snapshot = Snapshot(meta, data)
         raft.pending.committed_entries = []
 
     def _respond(self, sender: str, chunk: InstallSnapshot, offset: int, done: bool = False) -> None:
--- a/gradegap/store/daemon.py
+++ b/gradegap/store/daemon.py
@@ -277,7 +277,7 @@
             self._send(to, message)
         if out.snapshot is not None:
             try:
-                state = unpack(out.snapshot[1])
+                state = unpack(out.snapshot.data)
             except ValueError as error:
                 self._fail(BadFolder(f"a snapshot that came can't be read: {error}"))
                 return
@@ -451,7 +451,7 @@
             if out.hard_state is not None:
                 batch.hard = out.hard_state
             if out.snapshot is not None:
-                batch.base = out.snapshot[0]
+                batch.base = out.snapshot.metadata
                 batch.entries = []
                 batch.whole = self.loaded
             for entry in out.entries:
--- a/gradegap/store/service.py
+++ b/gradegap/store/service.py
@@ -615,7 +615,8 @@
                 row |= {"match": p.match_index, "silent_ms": max(0, round((now - p.last_response_at) * 1000))}
             members.append(row)
         leader = raft.configuration.get(raft.leader_id)
-        state = raft.status(now) | {"leader": leader.name if leader is not None else ""}
+        state: dict[str, Any] = msgspec.to_builtins(raft.status(now))
+        state["leader"] = leader.name if leader is not None else ""
         if m.granter is not None:
             state["leases"] = len(m.granter.grants)
         return known | state | {"members": members}
