--- a/gradegap/node/node.py
+++ b/gradegap/node/node.py
@@ -18,7 +18,8 @@
 from gradegap.balancing.settings import Settings
 from gradegap.discovery.http_discovery import HttpDiscovery
 from gradegap.downstream.session import Resuming, TcpChannel
-from gradegap.hot_restart.handover import Handover, close_all
+from gradegap.hot_restart.handover import Handover
+from gradegap.hot_restart.link import close_descriptors
 from gradegap.metrics import Metrics
 from gradegap.node.configuration import ConfigurationError, Setup, private_file, reload
 from gradegap.node.operator_file import OperatorFileError, OperatorSettings, read_secret
@@ -385,7 +386,7 @@
         except ValueError as error:
             self.metrics.count("quic_ports_refused")
             log.error("QUIC's port was not taken over", error=str(error))
-            close_all(fds)
+            close_descriptors(fds)
             return
         self.late.append(self.loop.create_task(self.quic.take(handed, fds)))
 
--- a/tests/compatibility/present.py
+++ b/tests/compatibility/present.py
@@ -18,7 +18,7 @@
 from gradegap.check import sessions as checked_sessions
 from gradegap.discovery import http_discovery
 from gradegap.discovery import settings as discovery_settings
-from gradegap.hot_restart import handover
+from gradegap.hot_restart import messages as hot_restart
 from gradegap.node import configuration, operator_file
 from gradegap.observer import inforce, selection
 from gradegap.observer import messages as subscription
@@ -163,21 +163,21 @@
     | _in(
         "restart",
         _one_of(
-            handover.Message,
-            offer=handover.Offer,
-            listed=handover.Listed,
-            begin=handover.Begin,
-            ready=handover.Ready,
-            door=handover.Door,
-            standing=handover.Standing,
-            taken=handover.Taken,
-            order=handover.Order,
-            obeyed=handover.Obeyed,
-            held=handover.Held,
-            lease=handover.Lease,
-            port=handover.Port,
+            hot_restart.Message,
+            offer=hot_restart.Offer,
+            listed=hot_restart.EndpointBatch,
+            begin=hot_restart.StateComplete,
+            ready=hot_restart.SuccessorReady,
+            door=hot_restart.IdleSession,
+            standing=hot_restart.EstablishedSession,
+            taken=hot_restart.SessionResult,
+            order=hot_restart.AdminCommand,
+            obeyed=hot_restart.AdminCommandDone,
+            held=hot_restart.DescriptorCount,
+            lease=hot_restart.StoreLease,
+            port=hot_restart.QuicPort,
         ),
-        _own(known=handover.Known, ask=proxy.ConnectionRequest, handed=front.Handed),
+        _own(known=hot_restart.EndpointState, ask=proxy.ConnectionRequest, handed=front.Handed),
     )
     | _in("resume", _own(place=token.Place, key=token.Key, ring=token.Ring, claim=claims.Claim))
     | _in(
--- a/tests/test_capture_index.py
+++ b/tests/test_capture_index.py
@@ -23,7 +23,7 @@
 from gradegap.capture.plot import draw, series
 from tests.test_capture import Day, again, cli, recorded, taken
 from tests.test_console import call, served
-from tests.test_handover import ready, second
+from tests.test_hot_restart import ready, second
 from tests.world import Backend, wait_for
 
 NUMBERS = st.integers(-(2**63), 2**63)
--- a/tests/test_handover_steps.py
+++ b/tests/test_hot_restart_steps.py
@@ -14,17 +14,15 @@
 import msgspec
 import pytest
 
-from gradegap.hot_restart.handover import (
-    LARGEST,
-    MOST_FDS,
-    Begin,
-    Door,
+from gradegap.hot_restart.link import MAX_MESSAGE_BYTES, MAX_MESSAGE_DESCRIPTORS, close_descriptors
+from gradegap.hot_restart.messages import (
+    EstablishedSession,
+    IdleSession,
     Message,
     Offer,
-    Ready,
-    Standing,
-    Taken,
-    close_all,
+    SessionResult,
+    StateComplete,
+    SuccessorReady,
 )
 from tests.test_console import call, served
 from tests.world import BUSY_MACHINE, Backend, Client, World, wait_for
@@ -45,17 +43,17 @@
         self.decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
         self.fds: dict[int, list[int]] = {}  # of each session, by its serial
         self.offer = self.until(Offer)
-        self.until(Begin)
+        self.until(StateComplete)
 
     def next(self) -> Message:
-        body, fds, _, _ = socket.recv_fds(self.sock, LARGEST, MOST_FDS)
+        body, fds, _, _ = socket.recv_fds(self.sock, MAX_MESSAGE_BYTES, MAX_MESSAGE_DESCRIPTORS)
         if not body:
             raise EOFError
         message = self.decoder.decode(body)
-        if isinstance(message, Door | Standing):
+        if isinstance(message, IdleSession | EstablishedSession):
             self.fds[message.serial] = list(fds)
         else:
-            close_all(list(fds))
+            close_descriptors(list(fds))
         return message
 
     def until(self, kind: type[Expected]) -> Expected:
@@ -68,17 +66,17 @@
     def send(self, message: Message) -> None:
         self.sock.send(msgspec.msgpack.encode(message))
 
-    def take(self, message: Door | Standing, good: bool) -> list[int]:
+    def take(self, message: IdleSession | EstablishedSession, good: bool) -> list[int]:
         """Answer for a session; its descriptors, which are closed where it was not taken."""
         fds = self.fds.pop(message.serial)
         if not good:
-            close_all(fds)
-        self.send(Taken(message.serial, good))
+            close_descriptors(fds)
+        self.send(SessionResult(message.serial, good))
         return fds
 
     def die(self) -> None:
         for fds in self.fds.values():
-            close_all(fds)
+            close_descriptors(fds)
         self.fds.clear()
         self.sock.close()
 
@@ -117,8 +115,8 @@
         successor.die()
         assert echoes(client, "here") and w.client().ask() == "UP a"
         again = wait_for(lambda: next_successor(tmp_path))
-        again.send(Ready())
-        assert again.until(Standing).backend == "s-a"
+        again.send(SuccessorReady())
+        assert again.until(EstablishedSession).endpoint == "s-a"
         again.die()
         assert echoes(client, "still here")
 
@@ -129,13 +127,13 @@
     with followed(tmp_path, [a]) as (w, _, successor):
         client = w.client()
         stands(w, client)
-        successor.send(Ready())
-        given = successor.until(Standing)
+        successor.send(SuccessorReady())
+        given = successor.until(EstablishedSession)
         client.send("said in between")
         assert client.quiet(HELD)  # neither process may pass it on before the other has let go
         if how == "refused":
             successor.take(given, good=False)
-            successor.until(Standing)  # it is offered again
+            successor.until(EstablishedSession)  # it is offered again
         successor.die()
         assert client.line() == "said in between"
         assert echoes(client, "after")
@@ -148,8 +146,8 @@
         client = w.client()
         client.send("PING")
         assert client.line() == "PONG"
-        successor.send(Ready())
-        successor.until(Door)
+        successor.send(SuccessorReady())
+        successor.until(IdleSession)
         client.send("OPEN one 7f3a c=live,d=1500,g=1")
         assert client.quiet(HELD) and not a.opens
         successor.die()
@@ -163,8 +161,8 @@
         client = w.client()
         client.send("PING")
         assert client.line() == "PONG"
-        successor.send(Ready())
-        given = successor.until(Door)
+        successor.send(SuccessorReady())
+        given = successor.until(IdleSession)
         client.file.close()
         client.sock.close()
         if taken:
@@ -183,11 +181,11 @@
         client = w.client()
         client.send("OPEN one 7f3a c=live,d=1500,g=1")
         wait_for(lambda: a.opens)
-        successor.send(Ready())
+        successor.send(SuccessorReady())
         wait_for(lambda: w.counters().get("handovers") == "1")
         a.hold.set()
         assert client.line() == "UP a"
-        given = successor.until(Standing)
+        given = successor.until(EstablishedSession)
         client_fd, server_fd = successor.take(given, good=True)
         wait_for(lambda: w.counters()["open_sessions"] == "0")
         # Both sockets live on in the successor, and the first has cut neither.
@@ -204,8 +202,8 @@
     with followed(tmp_path, [a]) as (w, console, successor):
         client = w.client()
         stands(w, client)
-        successor.send(Ready())
-        successor.until(Standing)
+        successor.send(SuccessorReady())
+        successor.until(EstablishedSession)
         call(console, "save-servers/s-a/offline")
         successor.die()
         began = time.monotonic()
@@ -221,15 +219,15 @@
     with followed(tmp_path, [a]) as (w, _, successor):
         client = w.client()
         stands(w, client)
-        successor.send(Ready())
-        given = successor.until(Standing)
+        successor.send(SuccessorReady())
+        given = successor.until(EstablishedSession)
         w.process.send_signal(signal.SIGTERM)
         wait_for(lambda: "event=leaving" in w.log.read_text())
         if answer == "taken":
             fds = successor.take(given, good=True)
             assert w.process.wait(6) == 0
             assert client.quiet(HELD)
-            close_all(fds)
+            close_descriptors(fds)
         else:
             if answer == "died":
                 successor.die()
@@ -242,8 +240,8 @@
     with followed(tmp_path, [a]) as (w, _, successor):
         client = w.client()
         stands(w, client)
-        successor.send(Ready())
-        successor.until(Standing)
+        successor.send(SuccessorReady())
+        successor.until(EstablishedSession)
         a.standing[-1].sendall(b"BYE\r\n")
         a.standing[-1].shutdown(socket.SHUT_RDWR)
         assert client.quiet(HELD)
@@ -255,8 +253,8 @@
     with followed(tmp_path, [Backend("a")]) as (w, _, successor):
         client = w.client()
         stands(w, client)
-        successor.send(Ready())
-        successor.until(Standing)
+        successor.send(SuccessorReady())
+        successor.until(EstablishedSession)
         successor.sock.send(b"\xc1 no message")
         assert echoes(client, "here")
         wait_for(lambda: w.counters().get("handovers_undone") == "1")
--- a/tests/test_resume_nodes.py
+++ b/tests/test_resume_nodes.py
@@ -15,7 +15,7 @@
 from gradegap.resume.token import RING, Place, Ring, opened
 from gradegap.store.remote import Remote
 from tests.resume_world import ResumeBackend, SaveStore
-from tests.test_handover import second
+from tests.test_hot_restart import second
 from tests.test_resume import ON, returned, run, token_of
 from tests.test_resume import opened as opening
 from tests.test_store_node import Nodes, nodes
