--- a/gradegap/check/observer_bugs.py
+++ b/gradegap/check/observer_bugs.py
@@ -9,10 +9,10 @@
 from gradegap.check.observer_model import Faults, Model
 from gradegap.check.rules import Breach
 from gradegap.observer.grants import Grant
-from gradegap.observer.inforce import MachineReport
 from gradegap.observer.messages import Change, Delta, Heartbeat, Renew, SnapshotPart, Subscribe
 from gradegap.observer.publisher import Publisher, Subscription
 from gradegap.observer.subscriber import Apply, Send, Subscriber
+from gradegap.store.in_force import MachineReport
 
 # Mistakes of a subscriber
 
--- a/gradegap/check/observer_model.py
+++ b/gradegap/check/observer_model.py
@@ -17,13 +17,13 @@
 from gradegap.check.schedule import Schedule
 from gradegap.observer import publisher as publishing
 from gradegap.observer import subscriber as subscribing
-from gradegap.observer.inforce import InForce, Verdict
 from gradegap.observer.limits import Limits
 from gradegap.observer.messages import FromPublisher, FromSubscriber, Subscribe
 from gradegap.observer.publisher import Publisher
 from gradegap.observer.selection import Machine as MachineAddress
 from gradegap.observer.source import MachineSource
 from gradegap.observer.subscriber import Subscriber
+from gradegap.store.in_force import InForceTally, InForceVerdict
 from gradegap.store.leases import Granter, Holder
 from gradegap.store.machine import Command, Logged, Machine, Op, encode
 
@@ -577,9 +577,9 @@
 
     # Whether it is in force
 
-    def in_force(self, revision: int) -> Verdict:
+    def in_force(self, revision: int) -> InForceVerdict:
         """Ask all machines that can be asked, at one moment."""
-        gathering = InForce(revision, [machine.name for machine in self.machines])
+        gathering = InForceTally(revision, [machine.name for machine in self.machines])
         for machine in self.machines:
             if machine.runs and not machine.paused and not machine.cut_off:
                 gathering.reported(machine.publisher.report(machine.now, revision))
--- a/gradegap/observer/publisher.py
+++ b/gradegap/observer/publisher.py
@@ -15,7 +15,6 @@
 from gradegap.observer.budget import Budget
 from gradegap.observer.grants import Grant, GrantBook
 from gradegap.observer.history import Source
-from gradegap.observer.inforce import MachineReport
 from gradegap.observer.limits import Limits
 from gradegap.observer.messages import (
     VERSION,
@@ -31,6 +30,7 @@
     Subscribe,
 )
 from gradegap.observer.snapshots import Snapshot, Transfer
+from gradegap.store.in_force import MachineReport
 
 NEVER = -1e18
 DELAYED_S = 0.1  # between two looks whose bucket has filled again
--- a/gradegap/observer/server.py
+++ b/gradegap/observer/server.py
@@ -18,7 +18,6 @@
 import structlog
 
 from gradegap.metrics import Metrics
-from gradegap.observer.inforce import MachineReport
 from gradegap.observer.limits import Limits
 from gradegap.observer.link import EncodedOnce, publisher_channel
 from gradegap.observer.messages import Code, Delta, Rejected, SnapshotPart, Subscribe
@@ -26,6 +25,7 @@
 from gradegap.observer.source import MachineSource
 from gradegap.store import wire
 from gradegap.store.disk import Identity
+from gradegap.store.in_force import MachineReport
 from gradegap.store.machine import Machine
 from gradegap.store.settings import StoreSettings
 from gradegap.transport.addresses import split_address
--- a/gradegap/store/daemon.py
+++ b/gradegap/store/daemon.py
@@ -41,8 +41,8 @@
 from gradegap.store.settings import StoreSettings
 
 if TYPE_CHECKING:
-    from gradegap.observer.inforce import MachineReport
     from gradegap.observer.server import PublisherServer
+    from gradegap.store.in_force import MachineReport
 
 log = structlog.get_logger()
 
@@ -629,7 +629,7 @@
         """Which nodes that subscribe here lack a revision."""
         if self.publisher is not None:
             return self.publisher.report(revision)
-        from gradegap.observer.inforce import MachineReport
+        from gradegap.store.in_force import MachineReport
 
         return MachineReport(self.settings.name, min(self.machine.revision, revision), 0)
 
--- a/gradegap/store/gather.py
+++ b/gradegap/store/gather.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     import asyncio
 
-    from gradegap.observer.inforce import InForce, MachineReport, Verdict
+    from gradegap.store.in_force import InForceTally, InForceVerdict, MachineReport
 
 PERIOD = 0.1  # s between two rounds
 ROUND_WAIT = 1.0  # s in which a member has to answer
@@ -52,15 +52,15 @@
         """`me` is this member's id; `until` the steady time at which whoever asks gives up."""
         self.asker, self.me, self.revision, self.done = asker, me, revision, done
         self.until = until - MARGIN
-        self.round: InForce | None = None
+        self.round: InForceTally | None = None
         self.waiting = 0
 
     def start(self) -> None:
         """Ask all members."""
-        from gradegap.observer.inforce import InForce
+        from gradegap.store.in_force import InForceTally
 
         members = self.asker.members()
-        self.round = current = InForce(self.revision, [member.name for member in members])
+        self.round = current = InForceTally(self.revision, [member.name for member in members])
         self.waiting = len(members)
         left = min(ROUND_WAIT, max(0.01, self.until - time.monotonic()))
         for member in members:
@@ -69,8 +69,8 @@
             else:
                 self._ask(current, member, left)
 
-    def _ask(self, current: InForce, member: Member, left: float) -> None:
-        from gradegap.observer.inforce import MachineReport
+    def _ask(self, current: InForceTally, member: Member, left: float) -> None:
+        from gradegap.store.in_force import MachineReport
 
         def answered(answer: wire.Answer) -> None:
             report = None
@@ -80,14 +80,14 @@
 
         self.asker.ask_member(member, wire.InForce(self.revision), answered, left)
 
-    def _reported(self, current: InForce, report: MachineReport | None) -> None:
+    def _reported(self, current: InForceTally, report: MachineReport | None) -> None:
         if report is not None:
             current.reported(report)
         self.waiting -= 1
         if self.waiting == 0:
             self._look(current.verdict())
 
-    def _look(self, verdict: Verdict) -> None:
+    def _look(self, verdict: InForceVerdict) -> None:
         if verdict.in_force:
             text = f"in force at {verdict.subscribers} nodes"
             self.done(wire.Answer(0, text=text, revision=self.revision, status=_status(verdict)))
@@ -98,7 +98,7 @@
             self.asker.loop.call_later(PERIOD, self.start)
 
 
-def _status(verdict: Verdict) -> dict[str, object]:
+def _status(verdict: InForceVerdict) -> dict[str, object]:
     return {
         "subscribers": verdict.subscribers,
         "missing": list(verdict.missing[:MOST_NAMED]),
@@ -108,7 +108,7 @@
     }
 
 
-def describe(verdict: Verdict) -> str:
+def describe(verdict: InForceVerdict) -> str:
     """Who is missing, and what is unknown, in one line."""
     parts = []
     if verdict.missing:
--- a/gradegap/observer/inforce.py
+++ b/gradegap/store/in_force.py
@@ -19,7 +19,7 @@
     restarted: bool = False  # lately: nodes of its earlier life that are not back are unknown
 
 
-class Verdict(msgspec.Struct, frozen=True):
+class InForceVerdict(msgspec.Struct, frozen=True):
     """The answer to whether a revision is in force."""
 
     revision: int
@@ -34,7 +34,7 @@
         return not self.missing and not self.unasked and not self.restarted
 
 
-class InForce:
+class InForceTally:
     """Gathers the reports of all members about one revision."""
 
     def __init__(self, revision: int, machines: Iterable[str]) -> None:
@@ -47,13 +47,13 @@
         if report.machine in self.machines:
             self.reports[report.machine] = report
 
-    def verdict(self) -> Verdict:
+    def verdict(self) -> InForceVerdict:
         """What is known by now."""
         reports = self.reports.values()
         behind = {node for report in reports for node in report.behind}
         arrived = {node for report in reports for node in report.arrived}
         lost = {node for report in reports for node in report.lost}
-        return Verdict(
+        return InForceVerdict(
             self.revision,
             sum(report.subscribers for report in reports),
             tuple(sorted(behind | (lost - arrived))),
--- a/gradegap/store/service.py
+++ b/gradegap/store/service.py
@@ -28,7 +28,7 @@
 from gradegap.store.settings import StoreSettings
 
 if TYPE_CHECKING:
-    from gradegap.observer.inforce import MachineReport
+    from gradegap.store.in_force import MachineReport
 
 log = structlog.get_logger()
 
--- a/tests/compatibility/present.py
+++ b/tests/compatibility/present.py
@@ -20,15 +20,15 @@
 from gradegap.discovery import settings as discovery_settings
 from gradegap.hot_restart import messages as hot_restart
 from gradegap.node import configuration, operator_file
-from gradegap.observer import inforce, selection
 from gradegap.observer import messages as subscription
+from gradegap.observer import selection
 from gradegap.observer import settings as observer_settings
 from gradegap.proxy import proxy
 from gradegap.quic import front, keys, relay, tokens
 from gradegap.quic import settings as quic_settings
 from gradegap.resume import claims, token
 from gradegap.resume import settings as resume_settings
-from gradegap.store import disk, machine, schema, wire
+from gradegap.store import disk, in_force, machine, schema, wire
 from gradegap.store import settings as store_settings
 
 
@@ -113,7 +113,7 @@
             at=wire.At,
             in_force=wire.InForce,
         ),
-        _own(machine_report=inforce.MachineReport),
+        _own(machine_report=in_force.MachineReport),
     )
     | _in(
         "store",
@@ -201,7 +201,7 @@
 # Structs that no other process and no later version reads. Tables of the operator's file are held by name.
 NOT_STORED: frozenset[type] = frozenset(
     {
-        inforce.Verdict,  # its answer's map is written by hand
+        in_force.InForceVerdict,  # its answer's map is written by hand
         selection.Machine,  # made from the operator's file
         checked_sessions.Record,  # of the model checker's save store
         checked_sessions._Ran,
--- a/tests/test_observer_core.py
+++ b/tests/test_observer_core.py
@@ -11,7 +11,6 @@
 from gradegap.observer import subscriber as subscriber_module
 from gradegap.observer.errors import REMEDIES, ObserverError
 from gradegap.observer.history import is_subscribed, size
-from gradegap.observer.inforce import InForce, MachineReport
 from gradegap.observer.limits import Limits
 from gradegap.observer.messages import (
     VERSION,
@@ -33,6 +32,7 @@
 from gradegap.observer.source import MachineSource
 from gradegap.observer.subscriber import Apply, Connect, Disconnect, LeaseChanged, Subscriber
 from gradegap.store import machine as store
+from gradegap.store.in_force import InForceTally, MachineReport
 
 LIMITS = Limits()
 MACHINES = [Machine(f"m{number}", f"127.0.0.1:{7500 + number}", f"r{number % 3}") for number in range(6)]
@@ -421,7 +421,7 @@
 
 
 def test_a_revision_is_in_force_when_all_machines_say_so() -> None:
-    gathering = InForce(9, ["m0", "m1"])
+    gathering = InForceTally(9, ["m0", "m1"])
     gathering.reported(MachineReport("m0", 9, 2, behind=("n1",), lost=("n7", "n8")))
     gathering.reported(MachineReport("m9", 9, 2, behind=("n5",)))
     verdict = gathering.verdict()
--- a/tests/test_observer_server.py
+++ b/tests/test_observer_server.py
@@ -22,7 +22,6 @@
 from gradegap.node.operator_file import OperatorFileError, load_operator
 from gradegap.observer import server as server_module
 from gradegap.observer.client import ObserverClient
-from gradegap.observer.inforce import InForce
 from gradegap.observer.limits import Limits
 from gradegap.observer.link import EncodedOnce, TokenBucket, publisher_channel, subscriber_channel
 from gradegap.observer.messages import (
@@ -43,6 +42,7 @@
 from gradegap.observer.subscriber import Phase, Subscriber
 from gradegap.store import wire
 from gradegap.store.daemon import Daemon
+from gradegap.store.in_force import InForceTally
 from gradegap.store.machine import Op
 from gradegap.store.settings import Peer, StoreSettings
 from gradegap.transport.addresses import split_address
@@ -620,7 +620,7 @@
         daemon = Daemon(settings, SECRET, tmp_path / "c1", loop, Metrics(), lambda error: None)
         await daemon.start()
         try:
-            gathered = InForce(1, ["c1"])
+            gathered = InForceTally(1, ["c1"])
             gathered.reported(daemon.report(1))
             assert not gathered.verdict().in_force
             assert gathered.verdict().restarted == ("c1",)
