--- a/gradegap/cli.py
+++ b/gradegap/cli.py
@@ -4,18 +4,18 @@
 
 import typer
 
-from gradegap.capture import commands as capture_commands
+from gradegap.commands import capture as capture_commands
+from gradegap.commands import quic as quic_commands
+from gradegap.commands import resume as resume_commands
+from gradegap.commands import store as store_commands
 from gradegap.node.process import configure_log, load_both
 from gradegap.node.process import serve as run_serve
-from gradegap.quic import commands as quic_commands
-from gradegap.resume import commands as resume_commands
-from gradegap.store import commands
 
 app = typer.Typer(add_completion=False, help="gradegap places player connections on save servers.")
 
 
-app.add_typer(commands.store, name="store")
-app.add_typer(commands.config, name="config")
+app.add_typer(store_commands.store, name="store")
+app.add_typer(store_commands.config, name="config")
 app.add_typer(resume_commands.keys, name="keys")
 app.add_typer(resume_commands.token, name="token")
 app.add_typer(capture_commands.capture, name="capture")
--- a/gradegap/resume/commands.py
+++ b/gradegap/commands/resume.py
@@ -9,10 +9,10 @@
 import msgspec
 import typer
 
+from gradegap.commands.store import JSON, NODE, SECRET, WAIT, author, remote, say, stop
 from gradegap.quic.keys import RING as QUIC_RING
 from gradegap.quic.keys import QuicRing
 from gradegap.resume.token import RING, BadToken, Ring, digest, opened
-from gradegap.store.commands import JSON, NODE, SECRET, WAIT, author, remote, say, stop
 from gradegap.store.machine import Compare, Item, Op
 from gradegap.store.remote import Remote
 from gradegap.store.wire import Write
--- a/gradegap/store/commands.py
+++ b/gradegap/commands/store.py
@@ -110,7 +110,7 @@
 @store.command("serve")
 def store_serve(operator: str = OPERATOR) -> None:
     """Run a member alone, without a node, until SIGTERM."""
-    from gradegap.store.serve import serve
+    from gradegap.commands.store_server import serve
 
     try:
         serve(load_operator(operator))
@@ -335,7 +335,7 @@
 @store.command("restore")
 def store_restore(file: Path, operator: str = OPERATOR, json: bool = JSON) -> None:
     """Make a new, empty folder from a backup: a cluster of this member, which its peers can join."""
-    from gradegap.store.serve import restore
+    from gradegap.store.restore import restore
 
     try:
         settings = load_operator(operator).store
--- /dev/null
+++ b/gradegap/commands/store_server.py
@@ -0,0 +1,71 @@
+"""`gradegap store serve`: a member of the store as a process of its own."""
+
+from __future__ import annotations
+
+import asyncio
+import signal
+
+import structlog
+
+from gradegap.metrics import Metrics
+from gradegap.node.operator_file import OperatorFileError, OperatorSettings, read_secret
+from gradegap.node.subscriptions import subscription_server_factory
+from gradegap.store.daemon import Daemon
+from gradegap.store.disk import BadFolder, data_folder
+
+log = structlog.get_logger()
+
+HAND_OVER_WAIT_S = 0.6  # s that a leader which ends waits for its successor
+
+
+def serve(operator: OperatorSettings) -> None:
+    """Run one member until SIGTERM; `BadFolder` or `OperatorFileError` where it can't go on."""
+    import uvloop
+
+    settings = operator.store
+    if settings is None:
+        raise OperatorFileError("the operator's file has no [store] table")
+    secret = read_secret(settings)
+    metrics = Metrics()
+
+    async def main() -> None:
+        loop = asyncio.get_running_loop()
+        done: asyncio.Future[BadFolder | None] = loop.create_future()
+
+        def end(error: BadFolder | None = None) -> None:
+            if not done.done():
+                done.set_result(error)
+
+        daemon = Daemon(
+            settings,
+            secret,
+            data_folder(settings),
+            loop,
+            metrics,
+            end,
+            make_subscription_server=subscription_server_factory(settings),
+        )
+
+        def stop() -> None:
+            loop.call_later(HAND_OVER_WAIT_S if daemon.hand_over() else 0.0, end)
+
+        def print_counters() -> None:
+            log.info("counters", **metrics.snapshot())
+
+        loop.add_signal_handler(signal.SIGTERM, stop)
+        loop.add_signal_handler(signal.SIGINT, stop)
+        loop.add_signal_handler(signal.SIGUSR1, print_counters)
+        try:
+            await daemon.start()
+        except OSError as error:
+            daemon.close()
+            raise OperatorFileError(
+                f"store.listen: can't listen on {settings.listen}: {error.strerror}"
+            ) from None
+        failed = await done
+        daemon.close()
+        print_counters()
+        if failed is not None:
+            raise failed
+
+    uvloop.run(main())
--- a/gradegap/node/node.py
+++ b/gradegap/node/node.py
@@ -23,6 +23,7 @@
 from gradegap.metrics import Metrics
 from gradegap.node.configuration import ConfigurationError, Setup, private_file, reload
 from gradegap.node.operator_file import OperatorFileError, OperatorSettings, read_secret
+from gradegap.node.subscriptions import subscription_server_factory
 from gradegap.observer.settings import ObserverSettings
 from gradegap.proxy.proxy import Proxy
 from gradegap.quic.settings import QuicSettings
@@ -423,14 +424,13 @@
     async def _start_store(self, settings: StoreSettings) -> None:
         # Loaded here: a node without a store does without its libraries' memory.
         from gradegap.store.attached import Attached
-        from gradegap.store.disk import BadFolder
-        from gradegap.store.serve import folder
+        from gradegap.store.disk import BadFolder, data_folder
 
         try:
-            secret, place = read_secret(settings), folder(settings)
+            secret, place = read_secret(settings), data_folder(settings)
             told = lambda: self.director.told  # noqa: E731
             parts = self.proxy, self.live, self.metrics, self.loop, self._state, told
-            made = Attached(settings, secret, place, *parts)
+            made = Attached(settings, secret, place, *parts, subscription_server_factory(settings))
         except (BadFolder, OperatorFileError) as error:
             raise ConfigurationError(str(error)) from None
         try:
--- a/gradegap/observer/server.py
+++ b/gradegap/observer/server.py
@@ -11,23 +11,19 @@
 import random
 import socket
 import time
-from collections.abc import Callable
-from typing import Protocol, cast
+from typing import cast
 
 import msgspec
 import structlog
 
-from gradegap.metrics import Metrics
 from gradegap.observer.limits import Limits
 from gradegap.observer.link import EncodedOnce, publisher_channel
 from gradegap.observer.messages import Code, Delta, Rejected, SnapshotPart, Subscribe
 from gradegap.observer.publisher import Close, Publisher, Send
 from gradegap.observer.source import MachineSource
 from gradegap.store import wire
-from gradegap.store.disk import Identity
 from gradegap.store.in_force import MachineReport
-from gradegap.store.machine import Machine
-from gradegap.store.settings import StoreSettings
+from gradegap.store.subscriptions import SubscriptionHost
 from gradegap.transport.addresses import split_address
 from gradegap.transport.descriptors import raise_descriptor_limit
 
@@ -46,35 +42,6 @@
 )  # what a node may ask for
 
 
-class Requests(Protocol):
-    """The member's service."""
-
-    def request(
-        self, wish: wire.Wish, done: Callable[[wire.Answer], None], left: float = 5.0, relayed: bool = False
-    ) -> None:
-        """`done` with one answer, at the latest after `left` seconds."""
-
-
-class Host(Protocol):
-    """The member that publishes."""
-
-    loop: asyncio.AbstractEventLoop
-    metrics: Metrics
-    settings: StoreSettings
-    machine: Machine
-
-    @property
-    def identity(self) -> Identity:
-        """Who the member is, and its cluster once it has one."""
-
-    @property
-    def requests(self) -> Requests:
-        """Who answers what nodes ask."""
-
-    def report_applied(self) -> None:
-        """Tell the leader of a `safe_index` that has risen."""
-
-
 class Connection(asyncio.Protocol):
     """A node's connection, or that of somebody who has not said who it is."""
 
@@ -182,7 +149,7 @@
 class PublisherServer:
     """All connections of a control machine's `publish` port, and the publisher that serves them."""
 
-    def __init__(self, host: Host, secret: bytes, limits: Limits | None = None) -> None:
+    def __init__(self, host: SubscriptionHost, secret: bytes, limits: Limits | None = None) -> None:
         self.host, self.loop, self.metrics, self.secret = host, host.loop, host.metrics, secret
         self.limits = limits or Limits().for_lease(host.settings.lease_s)
         self.publisher: Publisher | None = None  # once the member belongs to a cluster
--- a/gradegap/store/attached.py
+++ b/gradegap/store/attached.py
@@ -28,6 +28,7 @@
 from gradegap.store.machine import Event, Machine, Op
 from gradegap.store.service import Service
 from gradegap.store.settings import StoreSettings
+from gradegap.store.subscriptions import SubscriptionServerFactory
 
 log = structlog.get_logger()
 
@@ -46,11 +47,20 @@
         loop: asyncio.AbstractEventLoop,
         state: Callable[[], dict[str, object]],
         told: Callable[[], bool],
+        make_subscription_server: SubscriptionServerFactory | None = None,
     ) -> None:
         self.settings, self.proxy, self.live, self.metrics, self.loop = settings, proxy, live, metrics, loop
         self.state = state
         self.committed = CommittedState(proxy, live)
-        self.daemon = Daemon(settings, secret, folder, loop, metrics, self._failed)
+        self.daemon = Daemon(
+            settings,
+            secret,
+            folder,
+            loop,
+            metrics,
+            self._failed,
+            make_subscription_server=make_subscription_server,
+        )
         self.daemon.want_lease = True
         self.daemon.lease_changed = self._look
         self.daemon.gossiped = self._gossiped
@@ -158,10 +168,8 @@
     def leave(self) -> float:
         """Give the folder and the port up, for the next process; s of the lease that are left. Nothing
         more is said of what this node has applied, so no write is acknowledged that it does not know."""
-        from gradegap.store.serve import hand_over
-
         left = max(0.0, self.daemon.holder.until - time.monotonic())
-        hand_over(self.daemon)
+        self.daemon.hand_over()
         self.daemon.want_lease = False
         return left
 
--- a/gradegap/store/daemon.py
+++ b/gradegap/store/daemon.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from concurrent.futures import Future, ThreadPoolExecutor
 from pathlib import Path
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import structlog
 
@@ -34,15 +34,13 @@
 from gradegap.store import wire
 from gradegap.store.disk import BadFolder, Batch, Disk, Found, Identity
 from gradegap.store.forming import Forming, promotable
+from gradegap.store.in_force import MachineReport
 from gradegap.store.leases import Granter, Holder
 from gradegap.store.links import Dial, Link, Network
 from gradegap.store.machine import Command, Expire, Logged, Machine, Result, State, encode, pack, unpack
 from gradegap.store.service import Service
 from gradegap.store.settings import StoreSettings
-
-if TYPE_CHECKING:
-    from gradegap.observer.server import PublisherServer
-    from gradegap.store.in_force import MachineReport
+from gradegap.store.subscriptions import SubscriptionServer, SubscriptionServerFactory
 
 log = structlog.get_logger()
 
@@ -65,7 +63,9 @@
         metrics: Metrics,
         failed: Callable[[BadFolder], None],
         raft_settings: RaftSettings | None = None,
+        make_subscription_server: SubscriptionServerFactory | None = None,
     ) -> None:
+        """`make_subscription_server` is needed where the settings have `publish`, and used only then."""
         self.settings, self.loop, self.metrics, self.failed = settings, loop, metrics, failed
         self.raft_settings = raft_settings or RaftSettings()
         self.disk = Disk(folder)
@@ -104,7 +104,7 @@
         self.joined_at = 0.0
         self.timer: asyncio.TimerHandle | None = None
         self.want_lease = False
-        self.publisher = self._make_publisher(secret)
+        self.publisher = self._make_publisher(secret, make_subscription_server)
         metrics.gauge("store_keys", lambda: len(self.machine.items))
         metrics.gauge("store_revision", lambda: self.machine.revision)
         metrics.gauge("store_links", lambda: len(self.net.all))
@@ -117,14 +117,15 @@
         name = f"{self.settings.name}.{self.identity.id[:6]}"
         return f"{name}.{secrets.token_hex(4)}" if self.settings.publish else name
 
-    def _make_publisher(self, secret: bytes) -> PublisherServer | None:
+    def _make_publisher(
+        self, secret: bytes, make: SubscriptionServerFactory | None
+    ) -> SubscriptionServer | None:
         if not self.settings.publish:
             return None
-        # Loaded here: a member without subscriptions does without them.
-        from gradegap.observer.server import PublisherServer
-
+        if make is None:
+            raise ValueError("a member with `publish` needs a server of subscriptions")
         self.want_lease = True
-        return PublisherServer(self, secret)
+        return make(self, secret)
 
     @property
     def requests(self) -> Service:
@@ -192,6 +193,24 @@
         self.thread.shutdown(wait=True)
         self.disk.close()
 
+    def hand_over(self) -> bool:
+        """Have another voter lead, where this member does; whether one was told to.
+
+        Guards against the time without a leader that a planned end would cost.
+        """
+        raft = self.raft
+        if raft is None or not raft.is_leader:
+            return False
+        voters = [v for v in raft.configuration.voters if v != raft.member_id and v in raft.peers]
+        if not voters:
+            return False
+        try:
+            raft.transfer_leadership(time.monotonic(), max(voters, key=lambda v: raft.peers[v].match_index))
+            self.settle()
+        except RequestRejectedError:
+            return False
+        return True
+
     def _fail(self, error: BadFolder) -> None:
         """Guards against going on with what is not on disk: the member is as good as dead."""
         if not self.closed:
@@ -629,8 +648,6 @@
         """Which nodes that subscribe here lack a revision."""
         if self.publisher is not None:
             return self.publisher.report(revision)
-        from gradegap.store.in_force import MachineReport
-
         return MachineReport(self.settings.name, min(self.machine.revision, revision), 0)
 
     def to_all(self, word: wire.Word) -> None:
--- a/gradegap/store/disk.py
+++ b/gradegap/store/disk.py
@@ -22,6 +22,7 @@
 
 from gradegap.raft import ClusterConfiguration, Entry, HardState, SnapshotMetadata
 from gradegap.store.machine import Dirty, Event, Item, Session, State
+from gradegap.store.settings import StoreSettings
 
 T = TypeVar("T")
 Put = Callable[[Any, bytes, object], None]
@@ -35,6 +36,16 @@
     """A folder that a member can't start with, or write to; its text is one plain line."""
 
 
+def data_folder(settings: StoreSettings) -> Path:
+    """Where a member keeps what it must not forget; in `$TMPDIR` it comes back empty, as a new member."""
+    if settings.data:
+        return Path(settings.data)
+    place = os.environ.get("TMPDIR")
+    if not place:
+        raise BadFolder("store.data names no folder, and there is no TMPDIR")
+    return Path(place) / f"gradegap-store-{settings.name}"
+
+
 class Identity(msgspec.Struct, frozen=True, array_like=True):
     """Who this member is, for the life of its folder."""
 
--- a/gradegap/store/gather.py
+++ b/gradegap/store/gather.py
@@ -14,12 +14,11 @@
 
 from gradegap.raft import Member
 from gradegap.store import wire
+from gradegap.store.in_force import InForceTally, InForceVerdict, MachineReport
 
 if TYPE_CHECKING:
     import asyncio
 
-    from gradegap.store.in_force import InForceTally, InForceVerdict, MachineReport
-
 PERIOD = 0.1  # s between two rounds
 ROUND_WAIT = 1.0  # s in which a member has to answer
 MARGIN = 0.2  # s before whoever asks gives up
@@ -57,8 +56,6 @@
 
     def start(self) -> None:
         """Ask all members."""
-        from gradegap.store.in_force import InForceTally
-
         members = self.asker.members()
         self.round = current = InForceTally(self.revision, [member.name for member in members])
         self.waiting = len(members)
@@ -70,8 +67,6 @@
                 self._ask(current, member, left)
 
     def _ask(self, current: InForceTally, member: Member, left: float) -> None:
-        from gradegap.store.in_force import MachineReport
-
         def answered(answer: wire.Answer) -> None:
             report = None
             if answer.outcome == "ok":
--- /dev/null
+++ b/gradegap/store/restore.py
@@ -0,0 +1,43 @@
+"""A new folder made from a backup."""
+
+from __future__ import annotations
+
+import os
+
+import msgspec
+
+from gradegap.raft import ClusterConfiguration, HardState, Member, SnapshotMetadata
+from gradegap.store.disk import BadFolder, Batch, Disk, Identity, data_folder
+from gradegap.store.machine import Item, unpack
+from gradegap.store.service import INVITED
+from gradegap.store.settings import StoreSettings
+
+
+def restore(data: bytes, settings: StoreSettings) -> SnapshotMetadata:
+    """Make a new folder from a backup: a cluster of this member alone, which the other peers may join.
+
+    `ValueError` where it is no backup, `BadFolder` where the folder is not empty.
+    """
+    state = unpack(data)
+    place = data_folder(settings)
+    if place.exists() and any(place.iterdir()):
+        raise BadFolder(f"{place} is not empty; a backup makes a new folder, and replaces none")
+    disk = Disk(place)
+    try:
+        found = disk.start()
+        me = Member(found.identity.id, settings.name, settings.advertise or settings.listen)
+        base = SnapshotMetadata(state.index, 1, ClusterConfiguration((me,)))
+        invited = [
+            Item(INVITED + p.name, {"address": p.address}, state.revision, state.revision, author="restore")
+            for p in settings.peers
+            if p.name != settings.name
+        ]
+        names = {i.key for i in invited}
+        kept = [i for i in state.items if i.key not in names and not i.key.startswith(INVITED)]
+        state = msgspec.structs.replace(state, items=kept + invited, sessions=[])
+        identity = Identity(found.identity.id, os.urandom(8).hex())
+        applied = (state.index, state.revision, state.clock)
+        disk.write(Batch(HardState(1, ""), identity, base, state, applied=applied))
+    finally:
+        disk.close()
+    return base
--- a/gradegap/store/service.py
+++ b/gradegap/store/service.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from concurrent.futures import Future, ThreadPoolExecutor
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import Any, Protocol
 
 import msgspec
 import structlog
@@ -23,13 +23,11 @@
 from gradegap.store import leases, schema, wire
 from gradegap.store.disk import Identity
 from gradegap.store.gather import Gathering
+from gradegap.store.in_force import MachineReport
 from gradegap.store.links import Link
 from gradegap.store.machine import BadCommand, Command, Event, Machine, Op, Result, check_op, pack
 from gradegap.store.settings import StoreSettings
 
-if TYPE_CHECKING:
-    from gradegap.store.in_force import MachineReport
-
 log = structlog.get_logger()
 
 MOST_PENDING = 4096
--- /dev/null
+++ b/gradegap/store/subscriptions.py
@@ -0,0 +1,73 @@
+"""What a member expects of a server of subscriptions, which whoever assembles the process gives it.
+
+The server itself is `gradegap.observer.server.PublisherServer`. The store imports nothing of
+`gradegap.observer`, so a member that serves no subscriptions runs without it.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import Protocol
+
+from gradegap.metrics import Metrics
+from gradegap.store import wire
+from gradegap.store.disk import Identity
+from gradegap.store.in_force import MachineReport
+from gradegap.store.machine import Machine
+from gradegap.store.settings import StoreSettings
+
+
+class RequestHandler(Protocol):
+    """Answers requests to the store."""
+
+    def request(
+        self, wish: wire.Wish, done: Callable[[wire.Answer], None], left: float = 5.0, relayed: bool = False
+    ) -> None:
+        """`done` with one answer, at the latest after `left` seconds."""
+
+
+class SubscriptionHost(Protocol):
+    """The member as a server of subscriptions sees it."""
+
+    loop: asyncio.AbstractEventLoop
+    metrics: Metrics
+    settings: StoreSettings
+    machine: Machine
+
+    @property
+    def identity(self) -> Identity:
+        """Who the member is, and its cluster once it has one."""
+
+    @property
+    def requests(self) -> RequestHandler:
+        """Who answers what subscribers request of the store."""
+
+    def report_applied(self) -> None:
+        """Report a `SubscriptionServer.safe_index` that has risen to the leader."""
+
+
+class SubscriptionServer(Protocol):
+    """Serves subscriptions of nodes on behalf of one member."""
+
+    async def start(self) -> None:
+        """Listen; `OSError` where the address can't be had."""
+
+    def stop(self) -> None:
+        """Serve no more."""
+
+    def committed(self) -> None:
+        """The member has applied more of the log."""
+
+    def lease(self, until: float) -> None:
+        """The member's own lease is good until `until` (steady time, s)."""
+
+    def safe_index(self) -> int:
+        """The index that the member and every node that still decides by it have applied."""
+
+    def report(self, revision: int) -> MachineReport:
+        """Which subscribed nodes lack a revision."""
+
+
+SubscriptionServerFactory = Callable[[SubscriptionHost, bytes], SubscriptionServer]
+"""Makes the server of a member's subscriptions; the bytes are the cluster's secret."""
--- a/tests/test_lint_rules.py
+++ b/tests/test_lint_rules.py
@@ -33,6 +33,8 @@
 gradegap/balancing/rates.py: D
 gradegap/balancing/settings_reader.py: D
 gradegap/client.py: D N
+gradegap/commands/resume.py: D
+gradegap/commands/store.py: D
 gradegap/discovery/dns_sd_discovery.py: D N
 gradegap/discovery/http_discovery.py: D
 gradegap/discovery/watch_schedule.py: D
@@ -58,7 +60,6 @@
 gradegap/quic/tokens.py: D N
 gradegap/quic/trace.py: D
 gradegap/resume/claims.py: D N
-gradegap/resume/commands.py: D
 gradegap/resume/lines.py: N
 gradegap/resume/move.py: D
 gradegap/resume/part.py: D
@@ -68,7 +69,6 @@
 gradegap/resume/window.py: D N
 gradegap/simulator_adapter.py: C90 D N
 gradegap/store/attached.py: D
-gradegap/store/commands.py: D
 gradegap/store/daemon.py: C90 D
 gradegap/store/disk.py: C90 D N
 gradegap/store/dynamic_configuration.py: D
@@ -79,7 +79,6 @@
 gradegap/store/machine.py: D N
 gradegap/store/remote.py: D
 gradegap/store/schema.py: D
-gradegap/store/serve.py: D
 gradegap/store/service.py: D
 gradegap/store/snapshot.py: D
 gradegap/store/wire.py: D N
--- a/tests/test_observer_server.py
+++ b/tests/test_observer_server.py
@@ -38,6 +38,7 @@
     Subscribe,
 )
 from gradegap.observer.selection import Machine
+from gradegap.observer.server import PublisherServer
 from gradegap.observer.settings import ObserverMachine, ObserverSettings
 from gradegap.observer.subscriber import Phase, Subscriber
 from gradegap.store import wire
@@ -129,8 +130,16 @@
         (folder / "secret").write_bytes(SECRET)
         listen = f"127.0.0.1:{free_port()}"
         settings = StoreSettings("c1", listen, publish=self.publish, lease_s=lease_s)
-        self.daemon = Daemon(settings, SECRET, folder / "c1", loop, Metrics(), lambda error: None)
-        assert self.daemon.publisher is not None
+        self.daemon = Daemon(
+            settings,
+            SECRET,
+            folder / "c1",
+            loop,
+            Metrics(),
+            lambda error: None,
+            make_subscription_server=PublisherServer,
+        )
+        assert isinstance(self.daemon.publisher, PublisherServer)
         self.server = self.daemon.publisher
         if limits is not None:
             self.server.limits = limits
@@ -592,7 +601,8 @@
 
 def test_nothing_of_subscriptions_is_imported_without_their_tables() -> None:
     program = (
-        "import sys, gradegap.node.process, gradegap.cli, gradegap.store.serve, gradegap.store.attached\n"
+        "import sys, gradegap.node.process, gradegap.cli\n"
+        "import gradegap.commands.store_server, gradegap.store.attached\n"
         "assert not [name for name in sys.modules if name.startswith('gradegap.observer')]\n"
     )
     done = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, cwd=ROOT)
@@ -617,7 +627,15 @@
         publish = f"127.0.0.1:{free_port()}"
         settings = StoreSettings("c1", f"127.0.0.1:{free_port()}", peers=peers, publish=publish)
         loop = asyncio.get_running_loop()
-        daemon = Daemon(settings, SECRET, tmp_path / "c1", loop, Metrics(), lambda error: None)
+        daemon = Daemon(
+            settings,
+            SECRET,
+            tmp_path / "c1",
+            loop,
+            Metrics(),
+            lambda error: None,
+            make_subscription_server=PublisherServer,
+        )
         await daemon.start()
         try:
             gathered = InForceTally(1, ["c1"])
