--- a/bench/observer.py
+++ b/bench/observer.py
@@ -38,7 +38,7 @@
 SIZES = (100, 500, 1000, 2000, 4000)
 SERVERS = 600  # keys under out/
 LEASE_S = 3.0
-LIMITS = Limits(most_subscribers=5000, subscribe_rate=1e9, subscribe_burst=1_000_000).for_lease(LEASE_S)
+LIMITS = Limits(max_subscribers=5000, subscribe_rate=1e9, subscribe_burst=1_000_000).for_lease(LEASE_S)
 
 _encode = msgspec.msgpack.Encoder().encode
 _of_node: msgspec.msgpack.Decoder[FromSubscriber] = msgspec.msgpack.Decoder(FromSubscriber)
@@ -55,7 +55,7 @@
         self.now = 1000.0
         source = MachineSource(self.machine)
         self.publisher = Publisher("cluster", "m0", source, LIMITS, self.now, random.Random(1))
-        self.publisher.lease(self.now, self.now + LEASE_S)
+        self.publisher.renew_lease(self.now, self.now + LEASE_S)
         self.serial = 0
         for number in range(subscribers):
             hello = Subscribe(VERSION, f"node{number}", f"i{number}", "r", "", self.machine.revision)
@@ -71,7 +71,7 @@
 
     def publish(self) -> None:
         """Send what is committed to all."""
-        self.publisher.committed(self.now)
+        self.publisher.source_advanced(self.now)
         self.drain()
 
     def drain(self) -> int:
@@ -112,9 +112,9 @@
     while rounds < 3 or sum(total.values()) < seconds:
         rounds += 1
         bench.put("config/weight", rounds)
-        bench.publisher.lease(bench.now, bench.now + LEASE_S)
+        bench.publisher.renew_lease(bench.now, bench.now + LEASE_S)
         total["change"] += spent(bench.publish)
-        total["behind"] += spent(lambda: bench.publisher.behind(bench.now, bench.machine.revision))
+        total["behind"] += spent(lambda: bench.publisher.nodes_behind(bench.now, bench.machine.revision))
         total["renew"] += spent(lambda: bench.renew_all(subscribers))
         total["level_renew"] += spent(lambda: bench.renew_all(subscribers))
         bench.now += 0.5
@@ -135,7 +135,7 @@
     node = Subscriber("node", "i", "r", [Address("m0", "")], LIMITS, 0.0, random.Random(1))
     node.tick(0.0)
     node.connected(0.0)
-    node.receive(0.0, Accepted(VERSION, "c", "m0", LIMITS.renew_s))
+    node.receive(0.0, Accepted(VERSION, "c", "m0", LIMITS.renew_interval_s))
 
     def run() -> None:
         now = 0.0
@@ -161,7 +161,7 @@
     print(" ".join(f"{name:>22}" for name in rows[0]))
     for row in rows:
         print(" ".join(f"{value:>22}" for value in row.values()))
-    print(f"an idle subscriber, a Renew every {LIMITS.renew_s:.1f} s at most: {idle} us a second")
+    print(f"an idle subscriber, a Renew every {LIMITS.renew_interval_s:.1f} s at most: {idle} us a second")
     if json_file is not None:
         json_file.write_text(json.dumps({"publisher": rows, "idle_subscriber_us_s": idle}, indent=1))
 
--- a/bench/scale/limits_met.py
+++ b/bench/scale/limits_met.py
@@ -38,7 +38,7 @@
 def _store_limits(book: SlopeBook) -> list[Met]:
     gossip = book.at("gossip_bytes", t.SERVERS)
     siblings = t.CONTROL_BYTES_PER_S / gossip.value
-    subscribers = Limits().most_subscribers
+    subscribers = Limits().max_subscribers
     return [
         Met(
             siblings / (t.NODES - 1),
--- a/bench/scale/slopes_observer.py
+++ b/bench/scale/slopes_observer.py
@@ -71,7 +71,7 @@
         limits = Limits(subscribe_rate=1e9, subscribe_burst=1_000_000)
         source = MachineSource(self.machine)
         self.publisher = Publisher("cluster", "m1", source, limits, self.now, Random(seed))
-        self.publisher.lease(self.now, self.now + LEASE_S)
+        self.publisher.renew_lease(self.now, self.now + LEASE_S)
         machine = Machine("m1", "127.0.0.1:7500", "region-1")
         self.nodes = [
             Subscriber(f"node-{k:04d}", f"life-{k:08x}", "region-1", [machine], limits, self.now, Random(k))
@@ -124,7 +124,7 @@
                     frame = self.link.frame(encoded[id(output.message)][1])
                     self.publisher_s += time.process_time() - began
                     self._count(output.message, frame)
-                    self._to_subscriber(output.subscriber, frame)
+                    self._to_subscriber(output.connection_id, frame)
             sent = True
 
     def _flush_subscribers(self) -> bool:
@@ -151,8 +151,8 @@
 
     def acknowledge(self) -> None:
         """All renew once."""
-        self.now += self.publisher.limits.renew_s
-        self.publisher.lease(self.now, self.now + LEASE_S)
+        self.now += self.publisher.limits.renew_interval_s
+        self.publisher.renew_lease(self.now, self.now + LEASE_S)
         for node in self.nodes:
             began = time.process_time()
             node.tick(self.now)
@@ -167,7 +167,7 @@
         self.machine.apply(index, logged(index, ops))
         self.machine.drain()
         began = time.process_time()
-        self.publisher.committed(self.now)
+        self.publisher.source_advanced(self.now)
         self.publisher_s += time.process_time() - began
         self.flush()
 
--- a/bench/scale/verdicts.py
+++ b/bench/scale/verdicts.py
@@ -66,7 +66,7 @@
         Verdict(
             "1,600 nodes",
             FULL_SIZE if ordinary_day(runs) else BY_SLOPE,
-            f"over subscriptions, {Limits().most_subscribers:,} of which a control machine takes; as "
+            f"over subscriptions, {Limits().max_subscribers:,} of which a control machine takes; as "
             "members of the "
             f"store {MOST_HOLDERS} hold a lease at most: short by {figure(t.NODES / MOST_HOLDERS)} times",
         ),
--- a/bench/scale/worked.py
+++ b/bench/scale/worked.py
@@ -42,7 +42,7 @@
 def renewals_per_s() -> float:
     """Of one node: the period is drawn from a part of its length up to all of it."""
     limits = Limits()
-    return 1.0 / (limits.renew_s * (1.0 - limits.jitter / 2))
+    return 1.0 / (limits.renew_interval_s * (1.0 - limits.jitter / 2))
 
 
 def probes_per_s(servers: float, arrivals: float, period: float) -> float:
--- a/gradegap/check/observer_bugs.py
+++ b/gradegap/check/observer_bugs.py
@@ -8,7 +8,7 @@
 
 from gradegap.check.observer_model import Faults, Model
 from gradegap.check.rules import Breach
-from gradegap.observer.grants import Grant
+from gradegap.observer.grants import LeaseGrant
 from gradegap.observer.messages import Change, Delta, Heartbeat, Renew, SnapshotPart, Subscribe
 from gradegap.observer.publisher import Publisher, Subscription
 from gradegap.observer.subscriber import Apply, Send, Subscriber
@@ -61,7 +61,7 @@
     """The lease is as long as granted, whatever the clocks do."""
 
     def _heartbeat(self, now: float, heartbeat: Heartbeat) -> None:
-        longer = heartbeat.lease_s / (1.0 - self.limits.drift)
+        longer = heartbeat.lease_s / (1.0 - self.limits.max_clock_drift)
         super()._heartbeat(now, Heartbeat(heartbeat.serial, heartbeat.revision, longer))
 
 
@@ -90,41 +90,41 @@
 class ForgetsLostGrants(Publisher):
     """A node whose connection is lost is taken to decide no more."""
 
-    def lost(self, now: float, subscriber: int) -> None:
+    def disconnected(self, now: float, connection_id: int) -> None:
         """Forget the lease along with the connection."""
-        subscription = self.subscriptions.get(subscriber)
+        subscription = self.subscriptions.get(connection_id)
         if subscription is not None:
-            self.grants.release(subscription.grant)
-        super().lost(now, subscriber)
+            self.lease_grants.release(subscription.lease_grant)
+        super().disconnected(now, connection_id)
 
 
 class ForgetsDisplacedGrants(Publisher):
     """The lease of a node's earlier life ends with the subscription of the next."""
 
-    def _displace(self, now: float, message: Subscribe) -> None:
+    def _displace_earlier_connection(self, now: float, message: Subscribe) -> None:
         old = self.by_node.get(message.node)
         if old is not None:
-            self.grants.release(old.grant)
-        super()._displace(now, message)
+            self.lease_grants.release(old.lease_grant)
+        super()._displace_earlier_connection(now, message)
 
 
 class ForgetsTheGrantOfAnEarlierConnection(Publisher):
     """A node that comes back begins with no lease, and that of its last connection is dropped."""
 
-    def _grant_of_earlier_connection(self, message: Subscribe) -> Grant:
-        lost = self.lost_nodes.pop((message.node, message.instance), None)
+    def _resume_lease_grant(self, message: Subscribe) -> LeaseGrant:
+        lost = self.disconnected_nodes.pop((message.node, message.instance), None)
         if lost is not None:
-            self.grants.release(lost.grant)
-        return Grant(message.revision)
+            self.lease_grants.release(lost.grant)
+        return LeaseGrant(message.revision)
 
 
 class MergesMarksUnsafely(Publisher):
     """When the book of grants is full, changes that are merged take the index of the newest."""
 
-    def _advance(self, now: float) -> None:
-        marks, index = self.grants.marks, self.grants.index
-        newest = marks[-1].revision if len(marks) == self.limits.most_marks else 0
-        super()._advance(now)
+    def _follow_source(self, now: float) -> None:
+        marks, index = self.lease_grants.pending_changes, self.lease_grants.index
+        newest = marks[-1].revision if len(marks) == self.limits.max_pending_changes else 0
+        super()._follow_source(now)
         if newest and marks and marks[-1].revision > newest:
             marks[-1].index_before = index
 
@@ -140,37 +140,37 @@
 class GrantsToNodesBehind(Publisher):
     """A node is granted a lease whatever it lacks."""
 
-    def _grant(self, now: float, grant: Grant) -> float:
-        self.grants.floor = 0
-        return super()._grant(now, grant)
+    def _grant_lease(self, now: float, grant: LeaseGrant) -> float:
+        self.lease_grants.required_revision = 0
+        return super()._grant_lease(now, grant)
 
 
 class GrantsLongerThanItHas(Publisher):
     """A lease of full length, however soon the machine's own ends."""
 
-    def _grant(self, now: float, grant: Grant) -> float:
-        lease_s = super()._grant(now, grant)
+    def _grant_lease(self, now: float, grant: LeaseGrant) -> float:
+        lease_s = super()._grant_lease(now, grant)
         return max(lease_s, 0.9) if lease_s > 0.0 else 0.0
 
 
 class ConfirmsWhatWasNotSent(Publisher):
     """The answer to a Renew carries the machine's revision, also to a reader that was not sent all."""
 
-    def _answer(self, now: float, subscription: Subscription, renew: Renew) -> None:
-        subscription.sent = self.revision
-        super()._answer(now, subscription, renew)
+    def _answer_renewal(self, now: float, subscription: Subscription, renew: Renew) -> None:
+        subscription.sent_revision = self.revision
+        super()._answer_renewal(now, subscription, renew)
 
 
 class AcceptsNodesAhead(Publisher):
     """A machine behind the node's revision accepts it, and serves what it has."""
 
-    def subscribe(self, now: float, subscriber: int, message: Subscribe) -> None:
+    def subscribe(self, now: float, connection_id: int, message: Subscribe) -> None:
         """Take the node for one at this machine's own revision."""
         revision = min(message.revision, self.revision)
         capped = Subscribe(
             message.version, message.node, message.instance, message.region, message.cluster, revision
         )
-        super().subscribe(now, subscriber, capped)
+        super().subscribe(now, connection_id, capped)
 
 
 class ForgetsLostNodes(Publisher):
@@ -192,7 +192,7 @@
 class QueuesWithoutBound(Publisher):
     """Whether the transport has room is not looked at."""
 
-    def blocked(self, now: float, subscriber: int) -> None:
+    def pause_writing(self, now: float, connection_id: int) -> None:
         """Go on sending."""
 
 
--- a/gradegap/check/observer_model.py
+++ b/gradegap/check/observer_model.py
@@ -38,27 +38,27 @@
 
 # Small, so that everything is cut in pieces, refused and waited for.
 LIMITS = Limits(
-    renew_s=0.3 * LEASE,
-    drift=DRIFT,
-    most_snapshots=2,
+    renew_interval_s=0.3 * LEASE,
+    max_clock_drift=DRIFT,
+    max_snapshot_transfers=2,
     subscribe_rate=20.0,
     subscribe_burst=3,
-    longest_retry_s=1.0,
-    subscriber_silent_s=2.0,
-    stall_s=1.5,
-    lost_s=3.0,
-    part_bytes=120,
-    largest_delta=250,
-    most_marks=4,
-    most_deltas=2,
-    node_bytes_s=600.0,
-    node_burst_bytes=300,
-    longest_delay_s=1.0,
-    connect_s=0.5,
-    silent_s=1.0,
-    stale_move_s=1.5,
+    max_retry_after_s=1.0,
+    subscriber_timeout_s=2.0,
+    write_stall_timeout_s=1.5,
+    disconnected_node_retention_s=3.0,
+    snapshot_part_bytes=120,
+    max_delta_bytes=250,
+    max_pending_changes=4,
+    max_cached_deltas=2,
+    subscriber_bytes_per_s=600.0,
+    subscriber_burst_bytes=300,
+    max_delta_delay_s=1.0,
+    connect_timeout_s=0.5,
+    publisher_timeout_s=1.0,
+    stale_timeout_s=1.5,
     backoff_cap_s=1.0,
-    avoid_s=2.0,
+    machine_avoidance_s=2.0,
 )
 
 
@@ -172,7 +172,7 @@
         self.model.rules.bounded("messages to one node", self.queued, MOST_QUEUED)
         if self.queued >= HIGH_WATER and not self.blocked:
             self.blocked = True
-            self.machine.publisher.blocked(self.machine.now, self.number)
+            self.machine.publisher.pause_writing(self.machine.now, self.number)
         self._carry(self.node, self._at_node, message)
 
     def to_machine(self, message: FromSubscriber) -> None:
@@ -367,8 +367,8 @@
     def _has_applied(self) -> None:
         self.applied = self.machine.index
         self.holder.applied(self.machine.index)
-        self.publisher.committed(self.now)
-        self.publisher.lease(self.now, self.holder.until)
+        self.publisher.source_advanced(self.now)
+        self.publisher.renew_lease(self.now, self.holder.until)
         self.settle()
 
     def install(self) -> None:
@@ -389,7 +389,7 @@
     def granted(self, serial: int, term: int, index: int, duration: float) -> None:
         """The leader's answer."""
         self.holder.granted(self.now, serial, term, index, duration, self.machine.index)
-        self.publisher.lease(self.now, self.holder.until)
+        self.publisher.renew_lease(self.now, self.holder.until)
         self.settle()
 
     def _report(self, now: float) -> None:
@@ -410,19 +410,19 @@
 
     def writable(self, connection: Connection) -> None:
         """A node has read."""
-        self.publisher.writable(self.now, connection.number)
+        self.publisher.resume_writing(self.now, connection.number)
         self.settle()
 
     def connection_lost(self, connection: Connection) -> None:
         """A connection ended."""
-        self.publisher.lost(self.now, connection.number)
+        self.publisher.disconnected(self.now, connection.number)
         self.settle()
 
     def settle(self) -> None:
         """Carry out what the publisher wants, in its order."""
         while outputs := self.publisher.take():
             for output in outputs:
-                connection = self.model.connections.get(output.subscriber)
+                connection = self.model.connections.get(output.connection_id)
                 if connection is None:
                     continue
                 if isinstance(output, publishing.Send):
@@ -431,8 +431,12 @@
                     self.model.counts[f"closed {output.code.value}"] += 1
                     self.model.after(0.05, connection.break_off)
         publisher = self.publisher
-        self.model.rules.bounded("snapshots at once", len(publisher.transferring), LIMITS.most_snapshots)
-        self.model.rules.bounded("marks", len(publisher.grants.marks), LIMITS.most_marks)
+        self.model.rules.bounded(
+            "snapshots at once", len(publisher.snapshot_transfers), LIMITS.max_snapshot_transfers
+        )
+        self.model.rules.bounded(
+            "marks", len(publisher.lease_grants.pending_changes), LIMITS.max_pending_changes
+        )
 
 
 class Leader(Process):
@@ -595,7 +599,7 @@
         verdict = self.in_force(revision)
         if verdict.in_force:
             self.counts["in force"] += 1
-            since = self.now - LIMITS.lost_s * (1.0 - DRIFT)
+            since = self.now - LIMITS.disconnected_node_retention_s * (1.0 - DRIFT)
             twinned = {twin.name for twin in self.twins}
             twinned |= {name for name, until in self.twinned_until.items() if until > self.now}
             asked = [n for n in self.nodes if n.subscribed_at > since and n.name not in twinned]
@@ -701,7 +705,7 @@
             self.twins.remove(twin)
             self.rules.ended(twin)
             # Two processes under one name count as one, as long as machines remember either.
-            self.twinned_until[twin.name] = self.now + 2 * LIMITS.lost_s
+            self.twinned_until[twin.name] = self.now + 2 * LIMITS.disconnected_node_retention_s
 
     def _leave(self) -> None:
         node = self.rng.choice(self.nodes)
--- a/gradegap/observer/admission.py
+++ b/gradegap/observer/admission.py
@@ -15,7 +15,7 @@
     def __init__(self, limits: Limits, now: float, random: random_module.Random) -> None:
         self.rate = limits.subscribe_rate
         self.burst = float(limits.subscribe_burst)
-        self.longest = limits.longest_retry_s
+        self.max_wait_s = limits.max_retry_after_s
         self.random = random
         self.tokens = self.burst
         self.promised = 0.0  # nodes that were told to come again and have not had the time to
@@ -34,7 +34,7 @@
         self._advance(now)
         self.promised += 1.0
         wait = self.promised / self.rate
-        return min(self.longest, wait) * (1.0 + SPREAD * self.random.random())
+        return min(self.max_wait_s, wait) * (1.0 + SPREAD * self.random.random())
 
     def _advance(self, now: float) -> None:
         gained = max(0.0, now - self.at) * self.rate
--- a/gradegap/observer/client.py
+++ b/gradegap/observer/client.py
@@ -24,7 +24,7 @@
 from gradegap.observer.errors import REMEDIES
 from gradegap.observer.limits import Limits
 from gradegap.observer.link import FRAME_OVERHEAD, TokenBucket, decode_to_subscriber, subscriber_channel
-from gradegap.observer.messages import Change, Code, Renew
+from gradegap.observer.messages import Change, CloseCode, Renew
 from gradegap.observer.selection import Machine
 from gradegap.observer.settings import ObserverSettings
 from gradegap.observer.subscriber import Apply, Connect, Disconnect, LeaseChanged, Phase, Send, Subscriber
@@ -414,12 +414,12 @@
         except (OSError, TimeoutError) as error:
             self.lost(connection, f"can't be reached: {error or 'no answer'}")
 
-    def _disconnect(self, code: Code) -> None:
+    def _disconnect(self, code: CloseCode) -> None:
         connection, self.connection = self.connection, None
         if connection is not None:
             connection.close()
         self.metrics.count(f"observer_ended_{code}")
-        if connection is not None and code is not Code.LEAVING:
+        if connection is not None and code is not CloseCode.LEAVING:
             remedy = REMEDIES[code]
             log.warning("machine left", machine=connection.machine.name, reason=str(code), remedy=remedy)
 
--- a/gradegap/observer/grants.py
+++ b/gradegap/observer/grants.py
@@ -17,67 +17,67 @@
 
 
 @dataclass(slots=True, eq=False)
-class Grant:
+class LeaseGrant:
     """The lease of one life of a node; it counts up to `until`, whether or not the node is connected."""
 
     acknowledged: int  # revision
-    until: float = NEVER
+    expires_at: float = NEVER
     counted: bool = False
-    queued: bool = False  # in the book's heap of ends
+    awaits_expiry: bool = False  # in the book's heap of ends
 
 
 @dataclass(slots=True)
-class Mark:
+class PendingChange:
     """A change, and the grants whose holders lack it but have all before it."""
 
     revision: int
     index_before: int  # the last applied index at which this change was certainly not applied
-    holders: int = 0
+    holders_without: int = 0
 
 
-class GrantBook:
+class LeaseGrants:
     """All grants of a publisher, counted by the first change that their holders lack."""
 
     def __init__(self, limits: Limits, index: int, revision: int) -> None:
         self.limits = limits
         self.index = index
         self.last_change = revision  # of subscribed keys, or a later revision
-        self.floor = revision  # no lease for a node that has not acknowledged this
-        self.marks: list[Mark] = []
-        self.level = 0  # grants whose holders have all changes
-        self.ends: list[tuple[float, int, Grant]] = []
-        self.serial = 0
+        self.required_revision = revision  # no lease for a node that has not acknowledged this
+        self.pending_changes: list[PendingChange] = []
+        self.holders_up_to_date = 0  # grants whose holders have all changes
+        self.expiries: list[tuple[float, int, LeaseGrant]] = []
+        self.expiry_sequence = 0
 
     def advance(self, index: int, changed: int | None) -> None:
         """Entries up to `index` are applied; `changed`: the last revision of a subscribed key among them."""
         if changed is not None:
-            if len(self.marks) < self.limits.most_marks:
-                self.marks.append(Mark(changed, self.index))
+            if len(self.pending_changes) < self.limits.max_pending_changes:
+                self.pending_changes.append(PendingChange(changed, self.index))
             else:
-                self.marks[-1].revision = changed
-            self.marks[-1].holders += self.level
-            self.level = 0
+                self.pending_changes[-1].revision = changed
+            self.pending_changes[-1].holders_without += self.holders_up_to_date
+            self.holders_up_to_date = 0
             self.last_change = changed
         self.index = index
 
-    def raise_floor(self) -> None:
+    def require_latest(self) -> None:
         """The machine's lease was renewed: from now on a grant needs all that is applied here."""
-        self.floor = self.last_change
+        self.required_revision = self.last_change
 
     def allows(self, revision: int) -> bool:
         """Whether a node that has applied `revision` may be granted a lease."""
-        return revision >= self.floor
+        return revision >= self.required_revision
 
-    def grant(self, grant: Grant, until: float) -> None:
+    def grant(self, grant: LeaseGrant, until: float) -> None:
         """Count this grant up to `until`; an earlier end of it is never shortened."""
-        grant.until = max(grant.until, until)
+        grant.expires_at = max(grant.expires_at, until)
         if not grant.counted:
             grant.counted = True
             self._count(grant.acknowledged, 1)
-        if not grant.queued:
+        if not grant.awaits_expiry:
             self._queue(grant)
 
-    def acknowledge(self, grant: Grant, revision: int) -> None:
+    def acknowledge(self, grant: LeaseGrant, revision: int) -> None:
         """The holder has applied all up to `revision`."""
         if revision <= grant.acknowledged:
             return
@@ -86,19 +86,19 @@
             self._count(revision, 1)
         grant.acknowledged = revision
 
-    def release(self, grant: Grant) -> None:
+    def release(self, grant: LeaseGrant) -> None:
         """The holder decides by this grant no more."""
-        grant.until = NEVER
+        grant.expires_at = NEVER
         if grant.counted:
             grant.counted = False
             self._count(grant.acknowledged, -1)
 
     def expire(self, now: float) -> None:
         """Forget the grants that have ended."""
-        while self.ends and self.ends[0][0] <= now:
-            grant = heapq.heappop(self.ends)[2]
-            grant.queued = False
-            if grant.until > now:
+        while self.expiries and self.expiries[0][0] <= now:
+            grant = heapq.heappop(self.expiries)[2]
+            grant.awaits_expiry = False
+            if grant.expires_at > now:
                 self._queue(grant)
             else:
                 self.release(grant)
@@ -107,24 +107,24 @@
         """The index that holders of all unexpired grants have applied. What is told is never taken back."""
         self.expire(now)
         met = 0
-        while met < len(self.marks) and not self.marks[met].holders:
-            self.floor = max(self.floor, self.marks[met].revision)
+        while met < len(self.pending_changes) and not self.pending_changes[met].holders_without:
+            self.required_revision = max(self.required_revision, self.pending_changes[met].revision)
             met += 1
-        del self.marks[:met]
-        return self.marks[0].index_before if self.marks else self.index
+        del self.pending_changes[:met]
+        return self.pending_changes[0].index_before if self.pending_changes else self.index
 
-    def next_end(self) -> float | None:
+    def next_expiry(self) -> float | None:
         """When `safe_index` may rise without an acknowledgement."""
-        return self.ends[0][0] if self.ends and self.marks else None
+        return self.expiries[0][0] if self.expiries and self.pending_changes else None
 
-    def _queue(self, grant: Grant) -> None:
-        grant.queued = True
-        self.serial += 1
-        heapq.heappush(self.ends, (grant.until, self.serial, grant))
+    def _queue(self, grant: LeaseGrant) -> None:
+        grant.awaits_expiry = True
+        self.expiry_sequence += 1
+        heapq.heappush(self.expiries, (grant.expires_at, self.expiry_sequence, grant))
 
     def _count(self, acknowledged: int, difference: int) -> None:
-        position = bisect_right(self.marks, acknowledged, key=lambda mark: mark.revision)
-        if position == len(self.marks):
-            self.level += difference
+        position = bisect_right(self.pending_changes, acknowledged, key=lambda mark: mark.revision)
+        if position == len(self.pending_changes):
+            self.holders_up_to_date += difference
         else:
-            self.marks[position].holders += difference
+            self.pending_changes[position].holders_without += difference
--- a/gradegap/observer/messages.py
+++ b/gradegap/observer/messages.py
@@ -21,7 +21,7 @@
 Seconds = Annotated[float, msgspec.Meta(ge=0.0)]
 
 
-class Code(enum.StrEnum):
+class CloseCode(enum.StrEnum):
     """Why a subscription is rejected or closed."""
 
     VERSION = "version"  # the other side speaks another version of this protocol
@@ -86,7 +86,7 @@
 class Rejected(msgspec.Struct, frozen=True, array_like=True, tag=12):
     """The subscription is refused or ended."""
 
-    code: Code
+    code: CloseCode
     text: str = ""
     retry_after_s: Seconds = 0.0
 
--- a/gradegap/observer/publisher.py
+++ b/gradegap/observer/publisher.py
@@ -13,13 +13,13 @@
 from gradegap.observer import history
 from gradegap.observer.admission import Admission
 from gradegap.observer.budget import Budget
-from gradegap.observer.grants import Grant, GrantBook
+from gradegap.observer.grants import LeaseGrant, LeaseGrants
 from gradegap.observer.history import Source
 from gradegap.observer.limits import Limits
 from gradegap.observer.messages import (
     VERSION,
     Accepted,
-    Code,
+    CloseCode,
     Delta,
     FromPublisher,
     FromSubscriber,
@@ -44,7 +44,7 @@
 class Send:
     """Send this message to this connection."""
 
-    subscriber: int
+    connection_id: int
     message: FromPublisher
 
 
@@ -52,8 +52,8 @@
 class Close:
     """End this connection once what was sent before is written; the publisher has forgotten it."""
 
-    subscriber: int
-    code: Code
+    connection_id: int
+    code: CloseCode
 
 
 Output = Send | Close
@@ -63,18 +63,18 @@
 class Subscription:
     """One connection's subscription."""
 
-    subscriber: int
+    connection_id: int
     node: str
     instance: str
-    sent: int  # the revision up to which all was sent
-    grant: Grant
-    since: float
-    heard: float
+    sent_revision: int  # the revision up to which all was sent
+    lease_grant: LeaseGrant
+    subscribed_at: float
+    last_received_at: float
     budget: Budget
-    blocked_since: float | None = None
+    writing_paused_at: float | None = None
     transfer: Transfer | None = None
-    waits_for_snapshot: bool = False
-    pending: Renew | None = None  # the latest that could not be answered while the transport was full
+    awaits_snapshot: bool = False
+    deferred_renewal: Renew | None = None  # the latest that came while writing was paused
 
 
 @dataclass(slots=True)
@@ -83,7 +83,7 @@
 
     node: str
     instance: str
-    grant: Grant
+    grant: LeaseGrant
     at: float
 
 
@@ -111,16 +111,17 @@
         self.counts: Counter[str] = Counter()
         self.subscriptions: dict[int, Subscription] = {}
         self.by_node: dict[str, Subscription] = {}
-        self.lost_nodes: dict[tuple[str, str], Lost] = {}  # by node and instance, oldest first
+        self.disconnected_nodes: dict[tuple[str, str], Lost] = {}  # by node and instance, oldest first
         self.admission = Admission(limits, now, random)
         self.lease_until = NEVER
         self.revision = source.revision
-        self.grants = GrantBook(limits, source.index, source.revision)
-        self.sweep_at = now + SWEEP_S
-        self.settled_at = now + limits.lost_s  # by then nodes of an earlier life have come back or are lost
+        self.lease_grants = LeaseGrants(limits, source.index, source.revision)
+        self.next_sweep_at = now + SWEEP_S
+        # By then nodes of an earlier life have come back or are lost.
+        self.restart_settled_at = now + limits.disconnected_node_retention_s
         self.snapshot: Snapshot | None = None
-        self.transferring: dict[int, Subscription] = {}
-        self.waiting: deque[Subscription] = deque()  # for a transfer to end
+        self.snapshot_transfers: dict[int, Subscription] = {}
+        self.awaiting_snapshot: deque[Subscription] = deque()  # for a transfer to end
         self.deltas: dict[int, SizedDelta | None] = {}  # since the last change, by `after`; None: a snapshot
         self.delayed: dict[int, Subscription] = {}  # whose bucket is empty
         self.now = now  # as of the last call
@@ -128,268 +129,274 @@
 
     # What the driver tells
 
-    def subscribe(self, now: float, subscriber: int, message: Subscribe) -> None:
+    def subscribe(self, now: float, connection_id: int, message: Subscribe) -> None:
         """A connection's first message."""
-        self._advance(now)
-        if subscriber in self.subscriptions:
-            self._close(now, self.subscriptions[subscriber], Code.GARBLED, "a second Subscribe")
+        self._follow_source(now)
+        if connection_id in self.subscriptions:
+            self._close(now, self.subscriptions[connection_id], CloseCode.GARBLED, "a second Subscribe")
             return
-        refusal = self._refusal(now, message)
+        refusal = self._rejection(now, message)
         if refusal is not None:
             self.counts[f"rejected_{refusal.code}"] += 1
-            self._send(subscriber, refusal)
-            self.outputs.append(Close(subscriber, refusal.code))
+            self._send(connection_id, refusal)
+            self.outputs.append(Close(connection_id, refusal.code))
             return
-        self._displace(now, message)
-        grant = self._grant_of_earlier_connection(message)
+        self._displace_earlier_connection(now, message)
+        grant = self._resume_lease_grant(message)
         budget = Budget(self.limits, now)
         new = Subscription(
-            subscriber, message.node, message.instance, message.revision, grant, now, now, budget
+            connection_id, message.node, message.instance, message.revision, grant, now, now, budget
         )
-        self.subscriptions[subscriber] = self.by_node[message.node] = new
+        self.subscriptions[connection_id] = self.by_node[message.node] = new
         self.counts["accepted"] += 1
-        self._send(subscriber, Accepted(VERSION, self.cluster, self.machine, self.limits.renew_s))
-        self._bring_level(new)
+        self._send(connection_id, Accepted(VERSION, self.cluster, self.machine, self.limits.renew_interval_s))
+        self._send_missing_changes(new)
 
-    def receive(self, now: float, subscriber: int, message: FromSubscriber) -> None:
+    def receive(self, now: float, connection_id: int, message: FromSubscriber) -> None:
         """Any later message."""
-        subscription = self.subscriptions.get(subscriber)
+        subscription = self.subscriptions.get(connection_id)
         if subscription is None:
             return
-        subscription.heard = now
+        subscription.last_received_at = now
         match message:
             case Renew():
                 self._renew(now, subscription, message)
             case Leave():
-                self.grants.release(subscription.grant)
+                self.lease_grants.release(subscription.lease_grant)
                 self._forget(subscription)
-                self.outputs.append(Close(subscriber, Code.LEAVING))
+                self.outputs.append(Close(connection_id, CloseCode.LEAVING))
             case Subscribe():
-                self._close(now, subscription, Code.GARBLED, "a second Subscribe")
+                self._close(now, subscription, CloseCode.GARBLED, "a second Subscribe")
 
-    def blocked(self, now: float, subscriber: int) -> None:
+    def pause_writing(self, now: float, connection_id: int) -> None:
         """The transport has more to write than its high-water mark: nothing more is sent until `writable`."""
-        subscription = self.subscriptions.get(subscriber)
-        if subscription is not None and subscription.blocked_since is None:
-            subscription.blocked_since = now
+        subscription = self.subscriptions.get(connection_id)
+        if subscription is not None and subscription.writing_paused_at is None:
+            subscription.writing_paused_at = now
 
-    def writable(self, now: float, subscriber: int) -> None:
+    def resume_writing(self, now: float, connection_id: int) -> None:
         """The transport has room again."""
-        subscription = self.subscriptions.get(subscriber)
-        if subscription is None or subscription.blocked_since is None:
+        subscription = self.subscriptions.get(connection_id)
+        if subscription is None or subscription.writing_paused_at is None:
             return
         self.now = now
-        subscription.blocked_since = None
-        self._bring_level(subscription)
-        if subscription.pending is not None:
-            pending, subscription.pending = subscription.pending, None
-            self._answer(now, subscription, pending)
+        subscription.writing_paused_at = None
+        self._send_missing_changes(subscription)
+        if subscription.deferred_renewal is not None:
+            pending, subscription.deferred_renewal = subscription.deferred_renewal, None
+            self._answer_renewal(now, subscription, pending)
 
-    def lost(self, now: float, subscriber: int) -> None:
+    def disconnected(self, now: float, connection_id: int) -> None:
         """The connection ended. The node's lease counts until it is over."""
-        subscription = self.subscriptions.get(subscriber)
+        subscription = self.subscriptions.get(connection_id)
         if subscription is not None:
-            self._remember_lost(now, subscription)
+            self._remember_disconnected(now, subscription)
             self._forget(subscription)
 
-    def committed(self, now: float) -> None:
+    def source_advanced(self, now: float) -> None:
         """The source has applied more."""
-        self._advance(now)
+        self._follow_source(now)
 
-    def lease(self, now: float, until: float) -> None:
+    def renew_lease(self, now: float, until: float) -> None:
         """This machine's own lease is good until `until`, by all that the source has applied now."""
-        self._advance(now)
+        self._follow_source(now)
         if until > self.lease_until:
-            self.grants.raise_floor()
+            self.lease_grants.require_latest()
         self.lease_until = until
 
     def stop(self, now: float) -> None:
         """A planned stop: all nodes are told to move on."""
         for subscription in list(self.subscriptions.values()):
-            self._close(now, subscription, Code.LEAVING, "this machine is stopping")
+            self._close(now, subscription, CloseCode.LEAVING, "this machine is stopping")
 
     def tick(self, now: float) -> None:
         """Look at what time has brought."""
         self.now = now
-        self.grants.expire(now)
-        self._look_at_delayed()
-        if now >= self.sweep_at:
-            self.sweep_at = now + SWEEP_S
-            self._sweep(now)
+        self.lease_grants.expire(now)
+        self._send_delayed()
+        if now >= self.next_sweep_at:
+            self.next_sweep_at = now + SWEEP_S
+            self._close_unresponsive(now)
 
     # What the driver asks
 
     def deadline(self) -> float | None:
         """When `tick` is wanted next."""
-        if not self.subscriptions and not self.lost_nodes:
+        if not self.subscriptions and not self.disconnected_nodes:
             return None
-        end = self.grants.next_end()
-        soonest = self.sweep_at if end is None else min(end, self.sweep_at)
+        end = self.lease_grants.next_expiry()
+        soonest = self.next_sweep_at if end is None else min(end, self.next_sweep_at)
         return min(soonest, self.now + DELAYED_S) if self.delayed else soonest
 
     def safe_index(self, now: float) -> int:
         """The index of the log that every node which may still decide by this machine has applied."""
-        return self.grants.safe_index(now)
+        return self.lease_grants.safe_index(now)
 
-    def behind(self, now: float, revision: int) -> list[str]:
+    def nodes_behind(self, now: float, revision: int) -> list[str]:
         """Nodes, connected or lately lost, that have not acknowledged all up to `revision`."""
         report = self.report(now, revision)
         return sorted({*report.behind, *report.lost})
 
     def report(self, now: float, revision: int) -> MachineReport:
         """Who has not acknowledged `revision` here, and who came or went lately."""
-        self._advance(now)
-        self._forget_lost(now)
-        needed = self._needed(revision)
+        self._follow_source(now)
+        self._forget_disconnected(now)
+        needed = self._revision_to_acknowledge(revision)
         connected = self.subscriptions.values()
-        recent = now - self.limits.lost_s
+        recent = now - self.limits.disconnected_node_retention_s
         return MachineReport(
             self.machine,
             min(self.revision, revision),
             len(self.subscriptions),
-            tuple(s.node for s in connected if s.grant.acknowledged < needed),
+            tuple(s.node for s in connected if s.lease_grant.acknowledged < needed),
             tuple(
                 lost.node
-                for lost in self.lost_nodes.values()
+                for lost in self.disconnected_nodes.values()
                 if lost.grant.acknowledged < needed and lost.node not in self.by_node
             ),
-            tuple(s.node for s in connected if s.since >= recent and s.grant.acknowledged >= needed),
-            restarted=now < self.settled_at,
+            tuple(
+                s.node
+                for s in connected
+                if s.subscribed_at >= recent and s.lease_grant.acknowledged >= needed
+            ),
+            restarted=now < self.restart_settled_at,
         )
 
     def take(self) -> list[Output]:
         """What is to be done, in this order. Call until it is empty: a snapshot goes one part at a time."""
-        self._send_parts()
+        self._send_snapshot_parts()
         outputs, self.outputs = self.outputs, []
         return outputs
 
     # Admission
 
-    def _refusal(self, now: float, message: Subscribe) -> Rejected | None:
+    def _rejection(self, now: float, message: Subscribe) -> Rejected | None:
         if message.version != VERSION:
-            return Rejected(Code.VERSION, f"this machine speaks version {VERSION}, not {message.version}")
+            return Rejected(
+                CloseCode.VERSION, f"this machine speaks version {VERSION}, not {message.version}"
+            )
         if message.cluster and message.cluster != self.cluster:
-            return Rejected(Code.CLUSTER, f"this machine belongs to cluster {self.cluster}")
+            return Rejected(CloseCode.CLUSTER, f"this machine belongs to cluster {self.cluster}")
         if not message.node or not message.instance:
-            return Rejected(Code.GARBLED, "a node and an instance have to be named")
+            return Rejected(CloseCode.GARBLED, "a node and an instance have to be named")
         if message.revision > self.revision:
             text = f"this machine is at revision {self.revision}, the node at {message.revision}"
-            return Rejected(Code.BEHIND, text, self.limits.renew_s)
-        full = len(self.subscriptions) >= self.limits.most_subscribers and message.node not in self.by_node
+            return Rejected(CloseCode.BEHIND, text, self.limits.renew_interval_s)
+        full = len(self.subscriptions) >= self.limits.max_subscribers and message.node not in self.by_node
         if full or not self.admission.admit(now):
             text = "too many subscriptions" if full else "too many new subscriptions a second"
-            return Rejected(Code.BUSY, text, self.admission.retry_after(now))
+            return Rejected(CloseCode.BUSY, text, self.admission.retry_after(now))
         return None
 
-    def _displace(self, now: float, message: Subscribe) -> None:
+    def _displace_earlier_connection(self, now: float, message: Subscribe) -> None:
         """One connection a node: the newer one stands."""
         old = self.by_node.get(message.node)
         if old is None:
             return
         if old.instance != message.instance:
             self.counts["duplicates"] += 1
-        self._close(now, old, Code.DUPLICATE, "another subscription came under this node name")
+        self._close(now, old, CloseCode.DUPLICATE, "another subscription came under this node name")
 
-    def _grant_of_earlier_connection(self, message: Subscribe) -> Grant:
+    def _resume_lease_grant(self, message: Subscribe) -> LeaseGrant:
         """The same life of a node goes on with its grant; a new one has none, and the old one's counts."""
-        lost = self.lost_nodes.pop((message.node, message.instance), None)
-        grant = lost.grant if lost is not None else Grant(message.revision)
-        self.grants.acknowledge(grant, message.revision)
+        lost = self.disconnected_nodes.pop((message.node, message.instance), None)
+        grant = lost.grant if lost is not None else LeaseGrant(message.revision)
+        self.lease_grants.acknowledge(grant, message.revision)
         return grant
 
     # Renewals
 
     def _renew(self, now: float, subscription: Subscription, renew: Renew) -> None:
-        if renew.revision > subscription.sent or renew.revision < 0:
-            text = f"acknowledges revision {renew.revision}, was sent {subscription.sent}"
-            self._close(now, subscription, Code.GARBLED, text)
+        if renew.revision > subscription.sent_revision or renew.revision < 0:
+            text = f"acknowledges revision {renew.revision}, was sent {subscription.sent_revision}"
+            self._close(now, subscription, CloseCode.GARBLED, text)
             return
-        self.grants.acknowledge(subscription.grant, renew.revision)
-        if subscription.blocked_since is not None:
-            subscription.pending = renew
+        self.lease_grants.acknowledge(subscription.lease_grant, renew.revision)
+        if subscription.writing_paused_at is not None:
+            subscription.deferred_renewal = renew
         else:
-            self._answer(now, subscription, renew)
+            self._answer_renewal(now, subscription, renew)
 
-    def _answer(self, now: float, subscription: Subscription, renew: Renew) -> None:
-        self._advance(now)
-        if self._has_last_change(subscription):
-            subscription.sent = self.revision
-        lease_s = self._grant(now, subscription.grant)
+    def _answer_renewal(self, now: float, subscription: Subscription, renew: Renew) -> None:
+        self._follow_source(now)
+        if self._is_up_to_date(subscription):
+            subscription.sent_revision = self.revision
+        lease_s = self._grant_lease(now, subscription.lease_grant)
         subscription.budget.spend(now, HEARTBEAT_BYTES + FRAME_BYTES)
-        self._send(subscription.subscriber, Heartbeat(renew.serial, subscription.sent, lease_s))
+        self._send(subscription.connection_id, Heartbeat(renew.serial, subscription.sent_revision, lease_s))
 
-    def _grant(self, now: float, grant: Grant) -> float:
+    def _grant_lease(self, now: float, grant: LeaseGrant) -> float:
         """The lease that this node is given now: never longer than the machine's own."""
         lease_s = self.lease_until - now
-        if lease_s <= 0.0 or not self.grants.allows(grant.acknowledged):
+        if lease_s <= 0.0 or not self.lease_grants.allows(grant.acknowledged):
             self.counts["leases_refused"] += 1
             return 0.0
-        self.grants.grant(grant, self.lease_until)
+        self.lease_grants.grant(grant, self.lease_until)
         return lease_s
 
     # Changes
 
-    def _advance(self, now: float) -> None:
+    def _follow_source(self, now: float) -> None:
         """Take notice of what the source has applied since the last time."""
         self.now = now
         index, revision = self.source.index, self.source.revision
         if revision == self.revision:
-            if index != self.grants.index:
-                self.grants.advance(index, None)
+            if index != self.lease_grants.index:
+                self.lease_grants.advance(index, None)
             return
-        after = self.grants.last_change
+        after = self.lease_grants.last_change
         changes = self.source.changes_since(self.revision)
         self.revision = revision
         if changes is not None and not changes:
-            self.grants.advance(index, None)
+            self.lease_grants.advance(index, None)
             return
         changed = revision if changes is None else changes[-1].revision
-        self.grants.advance(index, changed)
+        self.lease_grants.advance(index, changed)
         self.deltas = {}
-        self._publish(after)
+        self._publish_changes(after)
 
-    def _publish(self, after: int) -> None:
+    def _publish_changes(self, after: int) -> None:
         """Send the newest change to all that have the one before it: to each the same object."""
         for subscription in self.subscriptions.values():
-            if subscription.blocked_since is None and subscription.transfer is None:
-                self._bring_level(subscription, after)
+            if subscription.writing_paused_at is None and subscription.transfer is None:
+                self._send_missing_changes(subscription, after)
 
-    def _bring_level(self, subscription: Subscription, previous_change: int | None = None) -> None:
+    def _send_missing_changes(self, subscription: Subscription, previous_change: int | None = None) -> None:
         """Send what this subscriber lacks: nothing, a delta, or a snapshot."""
-        busy = subscription.transfer is not None or subscription.waits_for_snapshot
-        if busy or subscription.blocked_since is not None or self._has_last_change(subscription):
+        busy = subscription.transfer is not None or subscription.awaits_snapshot
+        if busy or subscription.writing_paused_at is not None or self._is_up_to_date(subscription):
             return
-        after = subscription.sent
+        after = subscription.sent_revision
         if previous_change is not None and after >= previous_change:
             after = previous_change
         if subscription.budget.wait(self.now) > 0.0:
-            if subscription.subscriber not in self.delayed:
+            if subscription.connection_id not in self.delayed:
                 self.counts["delayed"] += 1
-                self.delayed[subscription.subscriber] = subscription
+                self.delayed[subscription.connection_id] = subscription
             return
         sized = self._delta(after)
         if sized is None:
-            self._want_snapshot(subscription)
+            self._start_snapshot(subscription)
             return
-        self.delayed.pop(subscription.subscriber, None)
-        subscription.sent = sized.delta.revision
+        self.delayed.pop(subscription.connection_id, None)
+        subscription.sent_revision = sized.delta.revision
         subscription.budget.spend(self.now, sized.size)
         self.counts["deltas"] += 1
-        self._send(subscription.subscriber, sized.delta)
+        self._send(subscription.connection_id, sized.delta)
 
-    def _look_at_delayed(self) -> None:
+    def _send_delayed(self) -> None:
         """Send what has changed meanwhile, coalesced, to those whose bucket has filled again."""
         for subscription in [s for s in self.delayed.values() if s.budget.wait(self.now) <= 0.0]:
-            del self.delayed[subscription.subscriber]
-            self._bring_level(subscription)
+            del self.delayed[subscription.connection_id]
+            self._send_missing_changes(subscription)
 
-    def _has_last_change(self, subscription: Subscription) -> bool:
-        return subscription.sent >= self.grants.last_change
+    def _is_up_to_date(self, subscription: Subscription) -> bool:
+        return subscription.sent_revision >= self.lease_grants.last_change
 
     def _delta(self, after: int) -> SizedDelta | None:
         """The difference, coalesced by key; None: a snapshot has to go. Made once for all that need it."""
         if after not in self.deltas:
-            if len(self.deltas) >= self.limits.most_deltas:
+            if len(self.deltas) >= self.limits.max_cached_deltas:
                 del self.deltas[next(iter(self.deltas))]
             self.deltas[after] = self._make_delta(after)
         return self.deltas[after]
@@ -400,98 +407,100 @@
             return None
         coalesced = history.coalesce(changes)
         bytes_of_changes = history.size(coalesced)
-        if bytes_of_changes > self.limits.largest_delta:
+        if bytes_of_changes > self.limits.max_delta_bytes:
             return None
         return SizedDelta(Delta(after, self.revision, coalesced), bytes_of_changes + FRAME_BYTES)
 
-    def _needed(self, revision: int) -> int:
+    def _revision_to_acknowledge(self, revision: int) -> int:
         """What a node has to acknowledge so that it certainly has all changes up to `revision`."""
-        return min(revision, self.grants.last_change) if revision <= self.revision else revision
+        return min(revision, self.lease_grants.last_change) if revision <= self.revision else revision
 
     # Snapshots
 
-    def _want_snapshot(self, subscription: Subscription) -> None:
-        if len(self.transferring) >= self.limits.most_snapshots:
-            subscription.waits_for_snapshot = True
-            self.waiting.append(subscription)
+    def _start_snapshot(self, subscription: Subscription) -> None:
+        if len(self.snapshot_transfers) >= self.limits.max_snapshot_transfers:
+            subscription.awaits_snapshot = True
+            self.awaiting_snapshot.append(subscription)
             return
-        if self.snapshot is None or self.snapshot.revision < self.grants.last_change:
-            self.snapshot = Snapshot(self.revision, self.source.items(), self.limits.part_bytes)
+        if self.snapshot is None or self.snapshot.revision < self.lease_grants.last_change:
+            self.snapshot = Snapshot(self.revision, self.source.items(), self.limits.snapshot_part_bytes)
             self.counts["snapshots_made"] += 1
         subscription.transfer = Transfer(self.snapshot)
-        self.transferring[subscription.subscriber] = subscription
+        self.snapshot_transfers[subscription.connection_id] = subscription
 
-    def _send_parts(self) -> None:
+    def _send_snapshot_parts(self) -> None:
         """One part for each transfer whose transport has room."""
-        for subscription in list(self.transferring.values()):
+        for subscription in list(self.snapshot_transfers.values()):
             transfer = subscription.transfer
-            if transfer is None or subscription.blocked_since is not None:
+            if transfer is None or subscription.writing_paused_at is not None:
                 continue
             part = transfer.take()
-            self._send(subscription.subscriber, part)
+            self._send(subscription.connection_id, part)
             if part.last:
-                subscription.sent = part.revision
+                subscription.sent_revision = part.revision
                 subscription.transfer = None
                 subscription.budget.use_up(self.now, transfer.snapshot.size)
                 self.counts["snapshots_sent"] += 1
-                self._transfer_over(subscription)
-                self._bring_level(subscription)
+                self._finish_transfer(subscription)
+                self._send_missing_changes(subscription)
 
-    def _transfer_over(self, subscription: Subscription) -> None:
+    def _finish_transfer(self, subscription: Subscription) -> None:
         """Make room for the next one that waits."""
-        self.transferring.pop(subscription.subscriber, None)
-        while self.waiting and len(self.transferring) < self.limits.most_snapshots:
-            following = self.waiting.popleft()
-            if following.waits_for_snapshot:
-                following.waits_for_snapshot = False
-                self._bring_level(following)
-        if not self.transferring:
+        self.snapshot_transfers.pop(subscription.connection_id, None)
+        while self.awaiting_snapshot and len(self.snapshot_transfers) < self.limits.max_snapshot_transfers:
+            following = self.awaiting_snapshot.popleft()
+            if following.awaits_snapshot:
+                following.awaits_snapshot = False
+                self._send_missing_changes(following)
+        if not self.snapshot_transfers:
             self.snapshot = None
 
     # The end of subscriptions
 
-    def _close(self, now: float, subscription: Subscription, code: Code, text: str) -> None:
+    def _close(self, now: float, subscription: Subscription, code: CloseCode, text: str) -> None:
         self.counts[f"closed_{code}"] += 1
-        self._remember_lost(now, subscription)
+        self._remember_disconnected(now, subscription)
         self._forget(subscription)
-        if subscription.blocked_since is None:
-            self._send(subscription.subscriber, Rejected(code, text))
-        self.outputs.append(Close(subscription.subscriber, code))
+        if subscription.writing_paused_at is None:
+            self._send(subscription.connection_id, Rejected(code, text))
+        self.outputs.append(Close(subscription.connection_id, code))
 
     def _forget(self, subscription: Subscription) -> None:
-        self.subscriptions.pop(subscription.subscriber, None)
-        self.delayed.pop(subscription.subscriber, None)
+        self.subscriptions.pop(subscription.connection_id, None)
+        self.delayed.pop(subscription.connection_id, None)
         if self.by_node.get(subscription.node) is subscription:
             del self.by_node[subscription.node]
-        subscription.waits_for_snapshot = False
+        subscription.awaits_snapshot = False
         if subscription.transfer is not None:
             subscription.transfer = None
-            self._transfer_over(subscription)
+            self._finish_transfer(subscription)
 
-    def _remember_lost(self, now: float, subscription: Subscription) -> None:
+    def _remember_disconnected(self, now: float, subscription: Subscription) -> None:
         key = (subscription.node, subscription.instance)
-        self.lost_nodes.pop(key, None)
-        self.lost_nodes[key] = Lost(subscription.node, subscription.instance, subscription.grant, now)
-        if len(self.lost_nodes) > MOST_LOST:
-            del self.lost_nodes[next(iter(self.lost_nodes))]
+        self.disconnected_nodes.pop(key, None)
+        self.disconnected_nodes[key] = Lost(
+            subscription.node, subscription.instance, subscription.lease_grant, now
+        )
+        if len(self.disconnected_nodes) > MOST_LOST:
+            del self.disconnected_nodes[next(iter(self.disconnected_nodes))]
 
-    def _forget_lost(self, now: float) -> None:
+    def _forget_disconnected(self, now: float) -> None:
         """Their grants stay in the book until they end."""
-        while self.lost_nodes:
-            key, lost = next(iter(self.lost_nodes.items()))
-            if lost.at + self.limits.lost_s > now:
+        while self.disconnected_nodes:
+            key, lost = next(iter(self.disconnected_nodes.items()))
+            if lost.at + self.limits.disconnected_node_retention_s > now:
                 return
-            del self.lost_nodes[key]
+            del self.disconnected_nodes[key]
 
-    def _sweep(self, now: float) -> None:
-        self._forget_lost(now)
-        silent = now - self.limits.subscriber_silent_s
-        stalled = now - self.limits.stall_s
+    def _close_unresponsive(self, now: float) -> None:
+        self._forget_disconnected(now)
+        silent = now - self.limits.subscriber_timeout_s
+        stalled = now - self.limits.write_stall_timeout_s
         for subscription in list(self.subscriptions.values()):
-            if subscription.heard < silent:
-                self._close(now, subscription, Code.SILENT, "nothing was heard for too long")
-            elif subscription.blocked_since is not None and subscription.blocked_since < stalled:
-                self._close(now, subscription, Code.SLOW, "nothing was read for too long")
+            if subscription.last_received_at < silent:
+                self._close(now, subscription, CloseCode.SILENT, "nothing was heard for too long")
+            elif subscription.writing_paused_at is not None and subscription.writing_paused_at < stalled:
+                self._close(now, subscription, CloseCode.SLOW, "nothing was read for too long")
 
-    def _send(self, subscriber: int, message: FromPublisher) -> None:
-        self.outputs.append(Send(subscriber, message))
+    def _send(self, connection_id: int, message: FromPublisher) -> None:
+        self.outputs.append(Send(connection_id, message))
--- a/gradegap/observer/selection.py
+++ b/gradegap/observer/selection.py
@@ -39,13 +39,13 @@
         if not machines:
             raise ValueError("no control machines: name at least one under [observer] machines")
         self.order = rendezvous_order(node, region, machines)
-        self.avoid_s = limits.avoid_s
+        self.avoidance_s = limits.machine_avoidance_s
         self.failed_at: dict[str, float] = {}
 
     def pick(self, now: float) -> Machine:
         """The best machine; where all failed lately, the one whose failure is the longest ago."""
         for machine in self.order:
-            if now - self.failed_at.get(machine.name, NEVER) >= self.avoid_s:
+            if now - self.failed_at.get(machine.name, NEVER) >= self.avoidance_s:
                 return machine
         return min(self.order, key=lambda machine: self.failed_at[machine.name])
 
--- a/gradegap/observer/server.py
+++ b/gradegap/observer/server.py
@@ -18,7 +18,7 @@
 
 from gradegap.observer.limits import Limits
 from gradegap.observer.link import EncodedOnce, publisher_channel
-from gradegap.observer.messages import Code, Delta, Rejected, SnapshotPart, Subscribe
+from gradegap.observer.messages import CloseCode, Delta, Rejected, SnapshotPart, Subscribe
 from gradegap.observer.publisher import Close, Publisher, Send
 from gradegap.observer.source import MachineSource
 from gradegap.store import wire
@@ -60,7 +60,7 @@
         self.transport.set_write_buffer_limits(high=HIGH_WATER, low=LOW_WATER)
         accepted: socket.socket = self.transport.get_extra_info("socket")
         accepted.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, KERNEL_BUFFER)
-        self.guard = self.server.loop.call_later(SUBSCRIBE_WAIT, self.end, Code.SILENT)
+        self.guard = self.server.loop.call_later(SUBSCRIBE_WAIT, self.end, CloseCode.SILENT)
         self.server.opened(self)
 
     def data_received(self, data: bytes) -> None:
@@ -105,7 +105,7 @@
             body = msgspec.msgpack.encode(wire.Answer(answer.serial, "no", text))
         self.send(body)
         if self.transport.get_write_buffer_size() > MOST_UNSENT:
-            self.end(Code.SLOW)
+            self.end(CloseCode.SLOW)
 
     def pause_writing(self) -> None:
         """The write buffer is over its high-water mark."""
@@ -171,7 +171,7 @@
 
     async def start(self) -> None:
         """Listen; `OSError` where the address can't be had."""
-        raise_descriptor_limit(self.limits.most_subscribers + MOST_UNPROVEN + OTHER_DESCRIPTORS)
+        raise_descriptor_limit(self.limits.max_subscribers + MOST_UNPROVEN + OTHER_DESCRIPTORS)
         address = self.host.settings.publish
         host, port = split_address(address)
         self.listening = await self.loop.create_server(
@@ -185,14 +185,14 @@
         """The member has applied more of the log."""
         publisher = self._publisher()
         if publisher is not None:
-            publisher.committed(time.monotonic())
+            publisher.source_advanced(time.monotonic())
             self._soon()
 
     def lease(self, until: float) -> None:
         """The member's own lease is good until `until`."""
         publisher = self._publisher()
         if publisher is not None:
-            publisher.lease(time.monotonic(), until)
+            publisher.renew_lease(time.monotonic(), until)
             self._soon()
 
     def safe_index(self) -> int:
@@ -219,7 +219,7 @@
             self.listening.close()
         if self.timer is not None:
             self.timer.cancel()
-        last_word = msgspec.msgpack.encode(Rejected(Code.LEAVING, "this machine is stopping"))
+        last_word = msgspec.msgpack.encode(Rejected(CloseCode.LEAVING, "this machine is stopping"))
         for connection in list(self.connections.values()):
             connection.send(last_word)
             connection.close()
@@ -263,7 +263,7 @@
                 self._ask(connection, message)
                 return
             case wire.Ask():
-                connection.end(Code.GARBLED, "a request before it has subscribed")
+                connection.end(CloseCode.GARBLED, "a request before it has subscribed")
                 return
             case _:
                 publisher.receive(now, connection.number, message)  # type: ignore[arg-type]
@@ -285,12 +285,12 @@
     def blocked(self, connection: Connection) -> None:
         """Its node reads too slowly."""
         if self.publisher is not None:
-            self.publisher.blocked(time.monotonic(), connection.number)
+            self.publisher.pause_writing(time.monotonic(), connection.number)
 
     def writable(self, connection: Connection) -> None:
         """Its node has read on."""
         if self.publisher is not None:
-            self.publisher.writable(time.monotonic(), connection.number)
+            self.publisher.resume_writing(time.monotonic(), connection.number)
             self._soon()
 
     def closed(self, connection: Connection) -> None:
@@ -298,7 +298,7 @@
         self.connections.pop(connection.number, None)
         self.newcomers.pop(connection.number, None)
         if self.publisher is not None and connection.node:
-            self.publisher.lost(time.monotonic(), connection.number)
+            self.publisher.disconnected(time.monotonic(), connection.number)
             self._soon()
 
     # What the publisher wants
@@ -322,7 +322,7 @@
         self._arm(publisher)
 
     def _carry_out(self, output: Send | Close) -> None:
-        connection = self.connections.get(output.subscriber)
+        connection = self.connections.get(output.connection_id)
         if connection is None:
             return
         if isinstance(output, Close):
--- a/gradegap/observer/subscriber.py
+++ b/gradegap/observer/subscriber.py
@@ -18,7 +18,7 @@
     VERSION,
     Accepted,
     Change,
-    Code,
+    CloseCode,
     Delta,
     FromPublisher,
     FromSubscriber,
@@ -49,7 +49,7 @@
 class Disconnect:
     """Drop the connection, or the attempt. No `disconnected` is expected in answer."""
 
-    code: Code
+    code: CloseCode
 
 
 @dataclass(frozen=True, slots=True)
@@ -117,8 +117,8 @@
         self.lease_until = NEVER
         self.machine: Machine | None = None
         self.phase = Phase.WAITING
-        self.renew_s = limits.renew_s
-        self.silent_s = limits.silent_s
+        self.renew_s = limits.renew_interval_s
+        self.silent_s = limits.publisher_timeout_s
         self.serial = 0
         self.asked: dict[int, float] = {}  # by serial, when
         self.parts: list[SnapshotPart] = []
@@ -127,7 +127,7 @@
         self.renew_at = FAR
         self.heard = now
         self.stale_since = now
-        self.stale_wait = self._jittered(limits.stale_move_s)
+        self.stale_wait = self._jittered(limits.stale_timeout_s)
         self.was_fresh = False
         self.outputs: list[Output] = []
 
@@ -159,7 +159,7 @@
             case Rejected():
                 self._rejected(now, message)
             case _ if self.phase is Phase.SUBSCRIBING:
-                self._drop(now, Code.GARBLED)
+                self._drop(now, CloseCode.GARBLED)
             case Delta():
                 self._delta(now, message)
             case SnapshotPart():
@@ -173,8 +173,8 @@
         match self.phase:
             case Phase.WAITING if now >= self.connect_at:
                 self._connect(now)
-            case Phase.CONNECTING | Phase.SUBSCRIBING if now >= self.heard + self.limits.connect_s:
-                self._drop(now, Code.SILENT)
+            case Phase.CONNECTING | Phase.SUBSCRIBING if now >= self.heard + self.limits.connect_timeout_s:
+                self._drop(now, CloseCode.SILENT)
             case Phase.SUBSCRIBED:
                 self._tick_subscribed(now)
 
@@ -185,7 +185,7 @@
         if self.phase is Phase.SUBSCRIBED:
             self.outputs.append(Send(Leave()))
         if self.phase not in (Phase.WAITING, Phase.LEFT):
-            self.outputs.append(Disconnect(Code.LEAVING))
+            self.outputs.append(Disconnect(CloseCode.LEAVING))
         self.phase = Phase.LEFT
 
     # What the driver asks
@@ -197,7 +197,7 @@
             case Phase.WAITING:
                 return min(self.connect_at, lease_end)
             case Phase.CONNECTING | Phase.SUBSCRIBING:
-                return min(self.heard + self.limits.connect_s, lease_end)
+                return min(self.heard + self.limits.connect_timeout_s, lease_end)
             case Phase.SUBSCRIBED:
                 silent_at = self.heard + self.silent_s
                 stale_at = FAR if self.was_fresh else self.stale_since + self.stale_wait
@@ -230,29 +230,29 @@
     def _accepted(self, now: float, message: Accepted) -> None:
         fits = message.version == VERSION and (not self.cluster or message.cluster == self.cluster)
         if self.phase is not Phase.SUBSCRIBING or not fits:
-            self._drop(now, Code.GARBLED if message.version == VERSION else Code.VERSION)
+            self._drop(now, CloseCode.GARBLED if message.version == VERSION else CloseCode.VERSION)
             return
         self.cluster = message.cluster
         self.phase = Phase.SUBSCRIBED
         self.renew_s = min(max(message.renew_s, SHORTEST_RENEW_S), LONGEST_RENEW_S)
-        self.silent_s = max(self.limits.silent_s, RENEWALS_MISSED * self.renew_s)
+        self.silent_s = max(self.limits.publisher_timeout_s, RENEWALS_MISSED * self.renew_s)
         self.stale_since = max(self.stale_since, now)
-        self.stale_wait = self._jittered(self.limits.stale_move_s)
+        self.stale_wait = self._jittered(self.limits.stale_timeout_s)
         self._renew(now)
 
     def _rejected(self, now: float, message: Rejected) -> None:
         self.counts[f"rejected_{message.code}"] += 1
         self.outputs.append(Disconnect(message.code))
-        least_wait = min(message.retry_after_s, 2 * self.limits.longest_retry_s)
-        if message.code is Code.DUPLICATE:
+        least_wait = min(message.retry_after_s, 2 * self.limits.max_retry_after_s)
+        if message.code is CloseCode.DUPLICATE:
             least_wait = self.limits.backoff_cap_s  # guards against two processes that displace each other
-        self._move_on(now, least_wait, failed=message.code is not Code.BUSY)
+        self._move_on(now, least_wait, failed=message.code is not CloseCode.BUSY)
 
-    def _drop(self, now: float, code: Code) -> None:
+    def _drop(self, now: float, code: CloseCode) -> None:
         """End the connection for a fault that this side found."""
         self.counts[f"dropped_{code}"] += 1
         self.outputs.append(Disconnect(code))
-        self._move_on(now, 0.0, failed=code is not Code.GAP)
+        self._move_on(now, 0.0, failed=code is not CloseCode.GAP)
 
     def _move_on(self, now: float, least_wait: float, failed: bool = True) -> None:
         if failed and self.machine is not None:
@@ -267,7 +267,7 @@
 
     def _delta(self, now: float, delta: Delta) -> None:
         if self.parts or delta.after > self.revision:
-            self._drop(now, Code.GAP)
+            self._drop(now, CloseCode.GAP)
             return
         if delta.revision <= self.revision:
             self.counts["old_deltas"] += 1
@@ -277,15 +277,15 @@
 
     def _snapshot_part(self, now: float, part: SnapshotPart) -> None:
         if part.revision < self.revision:
-            self._drop(now, Code.BACKWARDS)
+            self._drop(now, CloseCode.BACKWARDS)
             return
         if part.part != len(self.parts) or (self.parts and part.revision != self.parts[0].revision):
-            self._drop(now, Code.GAP)
+            self._drop(now, CloseCode.GAP)
             return
         self.parts.append(part)
         self.parts_bytes += history.size(part.items)
-        if self.parts_bytes > self.limits.most_snapshot_bytes:
-            self._drop(now, Code.GARBLED)
+        if self.parts_bytes > self.limits.max_snapshot_bytes:
+            self._drop(now, CloseCode.GARBLED)
         elif part.last:
             items = tuple(item for gathered in self.parts for item in gathered.items)
             self._clear_parts()
@@ -298,7 +298,7 @@
         self.revision = revision
         self.counts["snapshots_applied" if whole else "deltas_applied"] += 1
         self.outputs.append(Apply(revision, changes, whole))
-        self.renew_at = min(self.renew_at, now + self.limits.batch_s)
+        self.renew_at = min(self.renew_at, now + self.limits.acknowledge_delay_s)
 
     # The lease
 
@@ -318,11 +318,11 @@
             return
         if not self.parts and heartbeat.revision >= self.revision:
             self.revision = heartbeat.revision
-        lease_s = min(heartbeat.lease_s, self.limits.longest_lease_s)
+        lease_s = min(heartbeat.lease_s, self.limits.max_lease_s)
         if lease_s > 0.0:
             # Without a lease the machine itself may be cut off: it confirms nothing.
             self.confirmed = max(self.confirmed, asked)
-            self.lease_until = max(self.lease_until, asked + lease_s * (1.0 - self.limits.drift))
+            self.lease_until = max(self.lease_until, asked + lease_s * (1.0 - self.limits.max_clock_drift))
             self._look_at_lease(now)
 
     def _look_at_lease(self, now: float) -> None:
@@ -340,10 +340,10 @@
 
     def _tick_subscribed(self, now: float) -> None:
         if now >= self.heard + self.silent_s:
-            self._drop(now, Code.SILENT)
+            self._drop(now, CloseCode.SILENT)
         elif not self.was_fresh and now >= self.stale_since + self.stale_wait:
             self.counts["moved_stale"] += 1
-            self._drop(now, Code.SILENT)
+            self._drop(now, CloseCode.SILENT)
         elif now >= self.renew_at:
             self._renew(now)
 
--- a/tests/test_observer_core.py
+++ b/tests/test_observer_core.py
@@ -16,7 +16,7 @@
     VERSION,
     Accepted,
     Change,
-    Code,
+    CloseCode,
     Delta,
     FromPublisher,
     FromSubscriber,
@@ -70,7 +70,7 @@
         self.states: dict[int, dict[str, object]] = {}
         self.received: dict[int, list[FromPublisher]] = {}
         self.sent: dict[int, list[FromSubscriber]] = {}
-        self.closed: dict[int, Code] = {}
+        self.closed: dict[int, CloseCode] = {}
         self.blocked: set[int] = set()
 
     def node(self, name: str, instance: str = "") -> int:
@@ -91,7 +91,7 @@
         while self.now < end:
             self.now += 0.01
             if lease:
-                self.publisher.lease(self.now, self.now + 0.9)
+                self.publisher.renew_lease(self.now, self.now + 0.9)
             self.publisher.tick(self.now)
             for node in self.nodes.values():
                 if self.now >= node.deadline():
@@ -108,12 +108,12 @@
     def _from_publisher(self) -> bool:
         outputs = self.publisher.take()
         for output in outputs:
-            node = self.nodes[output.subscriber]
+            node = self.nodes[output.connection_id]
             if isinstance(output, publisher_module.Send):
-                self.received[output.subscriber].append(output.message)
+                self.received[output.connection_id].append(output.message)
                 node.receive(self.now, output.message)
             else:
-                self.closed[output.subscriber] = output.code
+                self.closed[output.connection_id] = output.code
                 node.disconnected(self.now, output.code)
         return bool(outputs)
 
@@ -125,7 +125,7 @@
                 case Connect():
                     node.connected(self.now)
                 case Disconnect():
-                    self.publisher.lost(self.now, number)
+                    self.publisher.disconnected(self.now, number)
                 case subscriber_module.Send():
                     self.sent[number].append(output.message)
                     if isinstance(output.message, Subscribe):
@@ -189,11 +189,11 @@
     assert node.fresh(pair.now) and node.age(pair.now) < 0.5 and node.cluster == "cluster"
     pair.log.put("out/s1", {"at_ms": 1})
     pair.log.put("config/a", 2)
-    pair.publisher.committed(pair.now)
+    pair.publisher.source_advanced(pair.now)
     pair.settle()
     assert pair.states[number] == pair.expected() and node.revision == 4
     pair.run(0.1)
-    assert pair.publisher.behind(pair.now, 4) == []
+    assert pair.publisher.nodes_behind(pair.now, 4) == []
 
 
 def test_a_revision_without_subscribed_keys_comes_with_a_heartbeat_only() -> None:
@@ -203,7 +203,7 @@
     pair.run(1.0)
     pair.received[number].clear()
     revision = pair.log.put("notes/x", 2)
-    pair.publisher.committed(pair.now)
+    pair.publisher.source_advanced(pair.now)
     pair.run(1.0)
     assert set(pair.kinds(number)) == {"Heartbeat"} and pair.nodes[number].revision == revision
 
@@ -214,13 +214,13 @@
     pair.run(0.5)
     node = pair.nodes[number]
     revision = pair.log.put("config/a", 1)
-    pair.publisher.committed(pair.now)
+    pair.publisher.source_advanced(pair.now)
     for output in drained(pair.publisher):
         assert isinstance(output, publisher_module.Send)
         node.receive(pair.now, output.message)
     kinds = [type(output) for output in node.take()]
     assert kinds == [Apply]
-    node.tick(pair.now + LIMITS.batch_s)
+    node.tick(pair.now + LIMITS.acknowledge_delay_s)
     assert [o.message for o in node.take() if isinstance(o, subscriber_module.Send)] == [
         Renew(node.serial, revision)
     ]
@@ -231,7 +231,7 @@
     pair.log.put("config/a", 1)
     number = pair.node("n1")
     pair.run(0.5)
-    pair.publisher.lost(pair.now, number)
+    pair.publisher.disconnected(pair.now, number)
     pair.nodes[number].disconnected(pair.now, "reset")
     pair.log.put("config/a", 2)
     pair.log.put("config/b", 1)
@@ -266,7 +266,7 @@
     pair = Pair()
     subscribed(pair.publisher, 100.0, 1, 0)
     assert renewed(pair.publisher, 100.0, 1, 0) == [Heartbeat(1, 0, 0.0)]
-    pair.publisher.lease(100.0, 100.75)
+    pair.publisher.renew_lease(100.0, 100.75)
     assert renewed(pair.publisher, 100.25, 1, 0) == [Heartbeat(1, 0, 0.5)]
     assert renewed(pair.publisher, 100.75, 1, 0) == [Heartbeat(1, 0, 0.0)]
 
@@ -275,22 +275,22 @@
     pair = Pair()
     publisher = pair.publisher
     revision = pair.log.put("config/a", 1)
-    publisher.committed(100.0)
+    publisher.source_advanced(100.0)
     for number in (1, 2, 3):
         subscribed(publisher, 100.0, number, revision)
-    publisher.lease(100.0, 101.0)
+    publisher.renew_lease(100.0, 101.0)
     for number in (1, 2):  # the third has no lease
         renewed(publisher, 100.0, number, revision)
     assert publisher.safe_index(100.0) == 1
     later = pair.log.put("out/s", {"at_ms": 1})
-    publisher.committed(100.1)
+    publisher.source_advanced(100.1)
     drained(publisher)
     assert publisher.safe_index(100.1) == 1
     renewed(publisher, 100.2, 1, later)
     assert publisher.safe_index(100.2) == 1
-    publisher.lost(100.3, 2)  # it may still decide
+    publisher.disconnected(100.3, 2)  # it may still decide
     assert publisher.safe_index(100.9) == 1
-    assert publisher.behind(100.9, later) == ["n2", "n3"]
+    assert publisher.nodes_behind(100.9, later) == ["n2", "n3"]
     assert publisher.safe_index(101.0) == 2
 
 
@@ -298,22 +298,22 @@
     pair = Pair()
     publisher = pair.publisher
     subscribed(publisher, 100.0, 1, 0)
-    publisher.lease(100.0, 101.0)
+    publisher.renew_lease(100.0, 101.0)
     renewed(publisher, 100.0, 1, 0)
     pair.log.put("out/s", {"at_ms": 1})
-    publisher.committed(100.1)
+    publisher.source_advanced(100.1)
     assert publisher.safe_index(100.1) == 0
     publisher.receive(100.2, 1, Leave())
-    assert publisher.safe_index(100.2) == 1 and publisher.behind(100.2, 1) == []
+    assert publisher.safe_index(100.2) == 1 and publisher.nodes_behind(100.2, 1) == []
 
 
 def test_no_lease_for_a_node_that_lacks_what_was_told_as_safe() -> None:
     pair = Pair()
     publisher = pair.publisher
     subscribed(publisher, 100.0, 1, 0)
-    publisher.lease(100.0, 101.0)
+    publisher.renew_lease(100.0, 101.0)
     pair.log.put("out/s", {"at_ms": 1})
-    publisher.committed(100.1)
+    publisher.source_advanced(100.1)
     drained(publisher)
     assert publisher.safe_index(100.1) == 1  # nobody holds a lease
     assert renewed(publisher, 100.2, 1, 0, serial=2) == [Heartbeat(2, 1, 0.0)]
@@ -327,10 +327,10 @@
     publisher = pair.publisher
     subscribed(publisher, 100.0, 1, 0)
     pair.log.put("out/s", {"at_ms": 1})
-    publisher.lease(100.0, 101.0)
+    publisher.renew_lease(100.0, 101.0)
     drained(publisher)
     assert renewed(publisher, 100.1, 1, 0, serial=2) == [Heartbeat(2, 1, 0.0)]
-    publisher.lease(100.2, 101.0)  # the same lease again
+    publisher.renew_lease(100.2, 101.0)  # the same lease again
     answer = renewed(publisher, 100.2, 1, 1, serial=3)[0]
     assert isinstance(answer, Heartbeat) and answer.lease_s == pytest.approx(0.8)
 
@@ -339,10 +339,10 @@
     pair = Pair()
     publisher = pair.publisher
     subscribed(publisher, 100.0, 1, 0, node="n")
-    publisher.lease(100.0, 101.0)
+    publisher.renew_lease(100.0, 101.0)
     renewed(publisher, 100.0, 1, 0)
     pair.log.put("out/s", {"at_ms": 1})
-    publisher.committed(100.1)
+    publisher.source_advanced(100.1)
     drained(publisher)
     subscribed(publisher, 100.2, 2, 0, node="n")
     renewed(publisher, 100.2, 2, 1)
@@ -369,13 +369,15 @@
 @pytest.mark.parametrize(
     ("message", "code"),
     [
-        (Subscribe(VERSION + 1, "n", "i"), Code.VERSION),
-        (Subscribe(VERSION, "n", "i", "r", "another"), Code.CLUSTER),
-        (Subscribe(VERSION, "n", "i", "r", "cluster", 7), Code.BEHIND),
-        (Subscribe(VERSION, "", "i"), Code.GARBLED),
+        (Subscribe(VERSION + 1, "n", "i"), CloseCode.VERSION),
+        (Subscribe(VERSION, "n", "i", "r", "another"), CloseCode.CLUSTER),
+        (Subscribe(VERSION, "n", "i", "r", "cluster", 7), CloseCode.BEHIND),
+        (Subscribe(VERSION, "", "i"), CloseCode.GARBLED),
     ],
 )
-def test_a_subscription_that_does_not_fit_is_rejected_and_counted(message: Subscribe, code: Code) -> None:
+def test_a_subscription_that_does_not_fit_is_rejected_and_counted(
+    message: Subscribe, code: CloseCode
+) -> None:
     pair = Pair()
     pair.publisher.subscribe(100.0, 1, message)
     send, close = drained(pair.publisher)
@@ -385,9 +387,11 @@
 
 
 def test_every_code_says_what_an_operator_can_do() -> None:
-    assert set(REMEDIES) == set(Code)
-    error = ObserverError(Code.CLUSTER, "m1 is of cluster x")
-    assert error.code is Code.CLUSTER and "m1 is of cluster x" in str(error) and error.remedy in str(error)
+    assert set(REMEDIES) == set(CloseCode)
+    error = ObserverError(CloseCode.CLUSTER, "m1 is of cluster x")
+    assert (
+        error.code is CloseCode.CLUSTER and "m1 is of cluster x" in str(error) and error.remedy in str(error)
+    )
 
 
 # Selection
@@ -411,7 +415,7 @@
     assert selection.pick(0.0) == best
     selection.failed(0.0, best)
     assert selection.pick(1.0) == second
-    assert selection.pick(LIMITS.avoid_s) == best
+    assert selection.pick(LIMITS.machine_avoidance_s) == best
     for number, machine in enumerate(selection.order):
         selection.failed(50.0 - number, machine)
     assert selection.pick(51.0) == selection.order[-1]
@@ -439,15 +443,15 @@
     pair = Pair()
     publisher, log = pair.publisher, pair.log
     first = log.put("config/a", 0)
-    publisher.committed(100.0)
+    publisher.source_advanced(100.0)
     subscribed(publisher, 100.0, 1, first)
-    publisher.blocked(100.0, 1)
+    publisher.pause_writing(100.0, 1)
     for value in range(100):
         log.put("config/a", value)
         log.put("config/b", -value)
-        publisher.committed(100.0)
+        publisher.source_advanced(100.0)
     assert renewed(publisher, 100.1, 1, first) == []
-    publisher.writable(100.2, 1)
+    publisher.resume_writing(100.2, 1)
     delta, heartbeat = [o.message for o in drained(publisher) if isinstance(o, publisher_module.Send)]
     assert isinstance(delta, Delta) and [(c.key, c.value) for c in delta.changes] == [
         ("config/a", 99),
@@ -461,12 +465,12 @@
     pair = Pair()
     publisher, log = pair.publisher, pair.log
     subscribed(publisher, 100.0, 1, 0)
-    publisher.blocked(100.0, 1)
+    publisher.pause_writing(100.0, 1)
     log.put("config/a", 1)
-    publisher.committed(100.0)
+    publisher.source_advanced(100.0)
     publisher.receive(100.0, 1, Renew(1, 0))
     assert drained(publisher) == []
-    publisher.writable(100.0, 1)
+    publisher.resume_writing(100.0, 1)
     heartbeat, part = [o.message for o in drained(publisher) if isinstance(o, publisher_module.Send)]
     assert heartbeat == Heartbeat(1, 0, 0.0) and isinstance(part, SnapshotPart) and part.revision == 1
 
@@ -475,21 +479,21 @@
     pair = Pair()
     publisher, log = pair.publisher, pair.log
     first = log.put("config/a", 0)
-    publisher.committed(100.0)
+    publisher.source_advanced(100.0)
     subscribed(publisher, 100.0, 1, first)
     subscribed(publisher, 100.0, 2, first)
-    publisher.blocked(100.0, 1)
+    publisher.pause_writing(100.0, 1)
     for number in range(5):
         log.put(f"config/{number}", "x" * 30_000)
-    publisher.committed(100.0)
+    publisher.source_advanced(100.0)
     kinds = [type(o.message).__name__ for o in drained(publisher) if isinstance(o, publisher_module.Send)]
     assert kinds == ["SnapshotPart"] * 3  # to the second only
     log.machine.events.clear()
     log.put("config/9", 1)
-    publisher.committed(100.1)
-    publisher.writable(100.2, 1)
+    publisher.source_advanced(100.1)
+    publisher.resume_writing(100.2, 1)
     parts = [
-        o.message for o in drained(publisher) if isinstance(o, publisher_module.Send) and o.subscriber == 1
+        o.message for o in drained(publisher) if isinstance(o, publisher_module.Send) and o.connection_id == 1
     ]
     assert {type(part) for part in parts} == {SnapshotPart}
     assert sum(len(part.items) for part in parts if isinstance(part, SnapshotPart)) == 7
@@ -500,18 +504,18 @@
     publisher, log = pair.publisher, pair.log
     for number in range(6):
         log.put(f"config/{number}", "x" * 40_000)
-    publisher.committed(100.0)
+    publisher.source_advanced(100.0)
     publisher.subscribe(100.0, 1, Subscribe(VERSION, "n1", "i1"))
     subscribed_at = log.machine.revision
     assert len(publisher.take()) == 2  # accepted, and one part
-    publisher.blocked(100.0, 1)
+    publisher.pause_writing(100.0, 1)
     assert publisher.take() == []
     subscribed(publisher, 100.0, 2, subscribed_at)
     log.put("config/0", "y")
-    publisher.committed(100.0)
+    publisher.source_advanced(100.0)
     (only,) = publisher.take()
-    assert only.subscriber == 2
-    publisher.writable(100.1, 1)
+    assert only.connection_id == 2
+    publisher.resume_writing(100.1, 1)
     messages = [o.message for o in drained(publisher) if isinstance(o, publisher_module.Send)]
     assert [type(m).__name__ for m in messages] == ["SnapshotPart"] * 5 + ["Delta"]
     assert {m.revision for m in messages if isinstance(m, SnapshotPart)} == {subscribed_at}
@@ -522,7 +526,7 @@
     publisher, log = pair.publisher, pair.log
     log.put("config/a", "x" * 40_000)
     log.put("config/b", "x" * 40_000)
-    publisher.committed(100.0)
+    publisher.source_advanced(100.0)
     for number in range(1, 11):
         publisher.subscribe(100.0, number, Subscribe(VERSION, f"n{number}", f"i{number}"))
     parts = [o.message for o in drained(publisher) if isinstance(o, publisher_module.Send)]
@@ -531,52 +535,59 @@
     revision = log.machine.revision
     renewed(publisher, 100.0, 1, revision)
     log.put("notes/x", 1)  # some are moved up by a heartbeat, some are not
-    publisher.committed(100.0)
+    publisher.source_advanced(100.0)
     renewed(publisher, 100.0, 1, revision)
     log.put("config/a", 1)
-    publisher.committed(100.0)
+    publisher.source_advanced(100.0)
     deltas = [o.message for o in drained(publisher) if isinstance(o, publisher_module.Send)]
     assert len(deltas) == 10 and len({id(delta) for delta in deltas}) == 1
 
 
 def test_so_many_snapshots_at_once_and_the_others_wait_in_turn() -> None:
-    limits = replace(LIMITS, most_snapshots=2, subscriber_silent_s=60.0)
+    limits = replace(LIMITS, max_snapshot_transfers=2, subscriber_timeout_s=60.0)
     pair = Pair(limits)
     publisher, log = pair.publisher, pair.log
     log.put("config/a", "x" * 40_000)
     log.put("config/b", "x" * 40_000)
-    publisher.committed(100.0)
+    publisher.source_advanced(100.0)
     for number in range(1, 6):
         publisher.subscribe(100.0, number, Subscribe(VERSION, f"n{number}", f"i{number}"))
     publisher.take()
     for number in (1, 2):
-        publisher.blocked(100.0, number)
-    assert publisher.take() == [] and len(publisher.transferring) == 2 and len(publisher.waiting) == 3
-    publisher.lost(100.0, 3)  # one that waited is gone
-    publisher.tick(100.0 + limits.stall_s + 1.0)  # those that don't read lose their place
+        publisher.pause_writing(100.0, number)
+    assert (
+        publisher.take() == []
+        and len(publisher.snapshot_transfers) == 2
+        and len(publisher.awaiting_snapshot) == 3
+    )
+    publisher.disconnected(100.0, 3)  # one that waited is gone
+    publisher.tick(100.0 + limits.write_stall_timeout_s + 1.0)  # those that don't read lose their place
     outputs = drained(publisher)
-    assert [o.code for o in outputs if isinstance(o, publisher_module.Close)] == [Code.SLOW, Code.SLOW]
-    served = [o.subscriber for o in outputs if isinstance(o, publisher_module.Send)]
+    assert [o.code for o in outputs if isinstance(o, publisher_module.Close)] == [
+        CloseCode.SLOW,
+        CloseCode.SLOW,
+    ]
+    served = [o.connection_id for o in outputs if isinstance(o, publisher_module.Send)]
     assert sorted(set(served)) == [4, 5] and publisher.counts["snapshots_sent"] == 2
-    assert publisher.snapshot is None and not publisher.waiting
+    assert publisher.snapshot is None and not publisher.awaiting_snapshot
 
 
 def test_a_reader_that_never_reads_costs_no_memory_and_is_closed() -> None:
     pair = Pair()
     publisher, log = pair.publisher, pair.log
     subscribed(publisher, 100.0, 1, 0)
-    publisher.blocked(100.0, 1)
+    publisher.pause_writing(100.0, 1)
     now = 100.0
     while publisher.subscriptions:
         now += 0.1
         log.put("config/a", now)
-        publisher.committed(now)
+        publisher.source_advanced(now)
         publisher.receive(now, 1, Renew(1, 0))
         publisher.tick(now)
         assert len(publisher.outputs) <= 1
-    assert now < 100.0 + LIMITS.stall_s + 1.0
-    assert drained(publisher) == [publisher_module.Close(1, Code.SLOW)]
-    assert publisher.counts[f"closed_{Code.SLOW}"] == 1
+    assert now < 100.0 + LIMITS.write_stall_timeout_s + 1.0
+    assert drained(publisher) == [publisher_module.Close(1, CloseCode.SLOW)]
+    assert publisher.counts[f"closed_{CloseCode.SLOW}"] == 1
 
 
 # Bad input
@@ -586,9 +597,9 @@
     pair = Pair()
     publisher = pair.publisher
     subscribed(publisher, 100.0, 1, 0)
-    publisher.lease(100.0, 101.0)
+    publisher.renew_lease(100.0, 101.0)
     (rejected,) = renewed(publisher, 100.0, 1, 5)
-    assert isinstance(rejected, Rejected) and rejected.code is Code.GARBLED
+    assert isinstance(rejected, Rejected) and rejected.code is CloseCode.GARBLED
     assert not publisher.subscriptions and publisher.safe_index(100.0) == 0
 
 
@@ -596,13 +607,13 @@
     pair = Pair()
     publisher = pair.publisher
     publisher.receive(100.0, 9, Renew(1, 0))  # never subscribed
-    publisher.blocked(100.0, 9)
-    publisher.writable(100.0, 9)
-    publisher.lost(100.0, 9)
+    publisher.pause_writing(100.0, 9)
+    publisher.resume_writing(100.0, 9)
+    publisher.disconnected(100.0, 9)
     assert drained(publisher) == []
     subscribed(publisher, 100.0, 1, 0)
     publisher.subscribe(100.0, 1, Subscribe(VERSION, "n2", "i2"))
-    assert publisher_module.Close(1, Code.GARBLED) in drained(publisher) and not publisher.subscriptions
+    assert publisher_module.Close(1, CloseCode.GARBLED) in drained(publisher) and not publisher.subscriptions
 
 
 def test_a_silent_node_is_closed_and_remembered_as_behind_for_a_time() -> None:
@@ -610,15 +621,15 @@
     publisher, log = pair.publisher, pair.log
     subscribed(publisher, 100.0, 1, 0)
     revision = log.put("config/a", 1)
-    publisher.committed(100.0)
+    publisher.source_advanced(100.0)
     drained(publisher)
-    closed_at = 100.0 + LIMITS.subscriber_silent_s + 1.0
+    closed_at = 100.0 + LIMITS.subscriber_timeout_s + 1.0
     publisher.tick(closed_at)
-    assert publisher_module.Close(1, Code.SILENT) in drained(publisher)
-    assert publisher.behind(closed_at + 1.0, revision) == ["n1"]
+    assert publisher_module.Close(1, CloseCode.SILENT) in drained(publisher)
+    assert publisher.nodes_behind(closed_at + 1.0, revision) == ["n1"]
     report = publisher.report(closed_at + 1.0, revision)
     assert report.lost == ("n1",) and report.behind == () and report.subscribers == 0
-    assert publisher.behind(closed_at + LIMITS.lost_s, revision) == []
+    assert publisher.nodes_behind(closed_at + LIMITS.disconnected_node_retention_s, revision) == []
 
 
 def test_over_the_rate_nodes_are_told_to_come_again_each_later_than_the_last() -> None:
@@ -629,7 +640,7 @@
         pair.publisher.subscribe(100.0, number, Subscribe(VERSION, f"n{number}", "i"))
         for output in drained(pair.publisher):
             if isinstance(output, publisher_module.Send) and isinstance(output.message, Rejected):
-                assert output.message.code is Code.BUSY
+                assert output.message.code is CloseCode.BUSY
                 waits.append(output.message.retry_after_s)
     assert len(waits) == 25 and len(pair.publisher.subscriptions) == 5
     assert all(0.1 * (n + 1) <= wait <= 0.15 * (n + 1) for n, wait in enumerate(waits))
@@ -638,7 +649,7 @@
 
 
 def test_a_full_machine_admits_no_more_but_nodes_that_it_has() -> None:
-    limits = replace(LIMITS, most_subscribers=2)
+    limits = replace(LIMITS, max_subscribers=2)
     pair = Pair(limits)
     for number in (1, 2, 3):
         subscribed(pair.publisher, 100.0, number, 0)
@@ -648,18 +659,18 @@
 
 
 def test_the_book_of_grants_is_bounded_and_errs_to_the_safe_side() -> None:
-    limits = replace(LIMITS, most_marks=4)
+    limits = replace(LIMITS, max_pending_changes=4)
     pair = Pair(limits)
     publisher, log = pair.publisher, pair.log
     for number in (1, 2):
         subscribed(publisher, 100.0, number, 0)
-        publisher.lease(100.0, 101.0)
+        publisher.renew_lease(100.0, 101.0)
         renewed(publisher, 100.0, number, 0)
     for value in range(10):
         log.put("config/a", value)
-        publisher.committed(100.0)
+        publisher.source_advanced(100.0)
     drained(publisher)
-    assert len(publisher.grants.marks) == 4 and publisher.safe_index(100.0) == 0
+    assert len(publisher.lease_grants.pending_changes) == 4 and publisher.safe_index(100.0) == 0
     renewed(publisher, 100.0, 1, 10)
     renewed(publisher, 100.0, 2, 6)  # within what the last mark stands for
     assert publisher.safe_index(100.0) == 3
@@ -682,7 +693,7 @@
     return node
 
 
-def codes(node: Subscriber) -> list[Code]:
+def codes(node: Subscriber) -> list[CloseCode]:
     """The codes of the disconnections that the node asks for."""
     return [output.code for output in node.take() if isinstance(output, Disconnect)]
 
@@ -691,7 +702,7 @@
     node = accepted_node(5)
     machine = node.machine
     node.receive(0.1, Delta(6, 7, (Change(7, "config/a", 1),)))
-    assert codes(node) == [Code.GAP] and node.revision == 5
+    assert codes(node) == [CloseCode.GAP] and node.revision == 5
     node.tick(node.deadline())
     assert node.take() == [Connect(machine)] if machine else False
 
@@ -707,7 +718,7 @@
 def test_a_snapshot_older_than_what_was_applied_is_an_error() -> None:
     node = accepted_node(5)
     node.receive(0.1, SnapshotPart(4, 0, True, ()))
-    assert codes(node) == [Code.BACKWARDS] and node.revision == 5
+    assert codes(node) == [CloseCode.BACKWARDS] and node.revision == 5
 
 
 @pytest.mark.parametrize(
@@ -723,45 +734,45 @@
     node = accepted_node(5)
     for part in parts:
         node.receive(0.1, part)
-    assert codes(node) == [Code.GAP] and node.revision == 5 and node.parts == []
+    assert codes(node) == [CloseCode.GAP] and node.revision == 5 and node.parts == []
 
 
 def test_a_snapshot_without_end_is_cut_off() -> None:
     node = accepted_node()
-    node.limits = replace(LIMITS, most_snapshot_bytes=100_000)
+    node.limits = replace(LIMITS, max_snapshot_bytes=100_000)
     for number in range(100):
         node.receive(0.1, SnapshotPart(7, number, False, (Change(7, f"config/{number}", "x" * 30_000),)))
-    assert codes(node) == [Code.GARBLED] and node.parts == []
+    assert codes(node) == [CloseCode.GARBLED] and node.parts == []
 
 
 def test_what_comes_before_accepted_or_twice_is_garbled() -> None:
     node = accepted_node()
     node.receive(0.1, Accepted(VERSION, "c", "m0", 0.3))
-    assert codes(node) == [Code.GARBLED]
+    assert codes(node) == [CloseCode.GARBLED]
     other = Subscriber("n", "i", "r0", MACHINES, LIMITS, 0.0, random.Random(1))
     other.tick(0.0)
     other.connected(0.0)
     other.receive(0.0, Heartbeat(1, 9, 1.0))
-    assert codes(other) == [Code.GARBLED] and not other.fresh(0.0) and other.revision == 0
+    assert codes(other) == [CloseCode.GARBLED] and not other.fresh(0.0) and other.revision == 0
 
 
 def test_a_lease_without_end_is_not_believed_nor_another_cluster() -> None:
     node = accepted_node()
     node.receive(0.1, Heartbeat(1, 0, 1e9))
-    assert node.lease_until <= LIMITS.longest_lease_s
+    assert node.lease_until <= LIMITS.max_lease_s
     node.disconnected(0.2, "reset")
     node.take()
     node.tick(node.deadline())
     node.connected(0.3)
     node.receive(0.3, Accepted(VERSION, "another", "m0", 0.3))
-    assert Code.GARBLED in codes(node)
+    assert CloseCode.GARBLED in codes(node)
 
 
 def test_a_node_moves_on_when_its_machine_is_silent() -> None:
     node = accepted_node()
     first = node.machine
-    node.tick(LIMITS.silent_s)
-    assert codes(node) == [Code.SILENT]
+    node.tick(LIMITS.publisher_timeout_s)
+    assert codes(node) == [CloseCode.SILENT]
     node.tick(node.deadline())
     assert first is not None and node.machine is not None and node.machine.name != first.name
 
@@ -775,15 +786,15 @@
         for output in node.take():
             if isinstance(output, subscriber_module.Send) and isinstance(output.message, Renew):
                 node.receive(now, Heartbeat(output.message.serial, 0, 0.0))
-    assert LIMITS.stale_move_s * (1 - LIMITS.jitter) <= now <= LIMITS.stale_move_s + 0.5
+    assert LIMITS.stale_timeout_s * (1 - LIMITS.jitter) <= now <= LIMITS.stale_timeout_s + 0.5
     assert node.counts["moved_stale"] == 1 and not node.fresh(now)
 
 
 def test_busy_is_a_lower_bound_of_the_wait_and_the_machine_stays_the_first_choice() -> None:
     node = accepted_node()
     first = node.machine
-    node.receive(0.1, Rejected(Code.BUSY, "", 2.0))
-    assert codes(node) == [Code.BUSY] and 2.1 <= node.deadline() <= 2.2
+    node.receive(0.1, Rejected(CloseCode.BUSY, "", 2.0))
+    assert codes(node) == [CloseCode.BUSY] and 2.1 <= node.deadline() <= 2.2
     node.tick(node.deadline())
     assert node.machine is first
 
@@ -791,14 +802,14 @@
 def test_a_machine_that_is_behind_is_left_for_the_next() -> None:
     node = accepted_node(5)
     first = node.machine
-    node.receive(0.1, Rejected(Code.BEHIND, "", 0.3))
+    node.receive(0.1, Rejected(CloseCode.BEHIND, "", 0.3))
     node.tick(node.deadline())
     assert node.machine is not first and node.revision == 5
 
 
 def test_two_processes_of_one_name_do_not_displace_each_other_at_once() -> None:
     node = accepted_node()
-    node.receive(0.1, Rejected(Code.DUPLICATE))
+    node.receive(0.1, Rejected(CloseCode.DUPLICATE))
     assert node.deadline() >= 0.1 + LIMITS.backoff_cap_s
 
 
@@ -817,7 +828,7 @@
     pair = Pair()
     publisher, log = pair.publisher, pair.log
     first = log.put("config/a", 1)
-    publisher.committed(100.0)
+    publisher.source_advanced(100.0)
     subscribed(publisher, 100.0, 1, first)
     other = Log()
     for value in range(5):
@@ -825,7 +836,7 @@
     state = other.machine.state()
     log.machine.load(store.State(state.index, state.revision, state.clock, state.items, [], []))
     assert log.source.changes_since(first) is None
-    publisher.committed(100.1)
+    publisher.source_advanced(100.1)
     kinds = [type(o.message).__name__ for o in drained(publisher) if isinstance(o, publisher_module.Send)]
     assert kinds == ["SnapshotPart"]
     assert publisher.safe_index(100.1) == 5
@@ -850,17 +861,19 @@
 
 
 def test_what_a_node_is_sent_is_capped_and_what_waits_is_coalesced() -> None:
-    limits = replace(LIMITS, node_bytes_s=1000.0, node_burst_bytes=2000, subscriber_silent_s=60.0)
+    limits = replace(
+        LIMITS, subscriber_bytes_per_s=1000.0, subscriber_burst_bytes=2000, subscriber_timeout_s=60.0
+    )
     pair = Pair(limits)
     publisher, log = pair.publisher, pair.log
     first = log.put("config/a", "x")
-    publisher.committed(100.0)
+    publisher.source_advanced(100.0)
     subscribed(publisher, 100.0, 1, first)
     now, sent, last = 100.0, 0, first
     for step in range(1000):  # 10 s with 5 KB a second of changes to one key
         now = 100.0 + 0.01 * (step + 1)
         last = log.put("config/a", f"{step:04}" * 12)
-        publisher.committed(now)
+        publisher.source_advanced(now)
         publisher.tick(now)
         for output in drained(publisher):
             assert isinstance(output, publisher_module.Send) and isinstance(output.message, Delta)
@@ -868,24 +881,26 @@
             assert len(output.message.changes) == 1
     assert 9_000 <= sent <= 2_000 + 10_000 + 200
     assert publisher.counts["delayed"] > 50
-    publisher.tick(now + limits.longest_delay_s)
+    publisher.tick(now + limits.max_delta_delay_s)
     *_, final = drained(publisher)
     assert isinstance(final, publisher_module.Send) and isinstance(final.message, Delta)
     assert final.message.revision == last and publisher.delayed == {}
 
 
 def test_a_debt_is_bounded_and_a_lost_node_waits_no_more() -> None:
-    limits = replace(LIMITS, node_bytes_s=1000.0, node_burst_bytes=2000, longest_delay_s=4.0)
+    limits = replace(
+        LIMITS, subscriber_bytes_per_s=1000.0, subscriber_burst_bytes=2000, max_delta_delay_s=4.0
+    )
     pair = Pair(limits)
     publisher, log = pair.publisher, pair.log
     log.put("config/a", "x" * 50_000)
-    publisher.committed(100.0)
+    publisher.source_advanced(100.0)
     assert subscribed(publisher, 100.0, 1, 0) == ["Accepted", "SnapshotPart"]  # never delayed
     log.put("config/a", "y" * 50_000)
-    publisher.committed(100.0)
+    publisher.source_advanced(100.0)
     assert len(drained(publisher)) == 1  # a snapshot leaves no debt, this delta does
     log.put("config/b", 1)
-    publisher.committed(100.0)
+    publisher.source_advanced(100.0)
     assert drained(publisher) == [] and publisher.deadline() == pytest.approx(100.1)
     publisher.tick(103.9)
     assert drained(publisher) == []
@@ -893,26 +908,26 @@
     (send,) = drained(publisher)
     assert isinstance(send, publisher_module.Send) and isinstance(send.message, Delta)
     log.put("config/a", "x" * 50_000)
-    publisher.committed(110.0)
+    publisher.source_advanced(110.0)
     log.put("config/b", 2)
-    publisher.committed(110.0)
+    publisher.source_advanced(110.0)
     drained(publisher)
     assert list(publisher.delayed) == [1]
-    publisher.lost(110.0, 1)
+    publisher.disconnected(110.0, 1)
     assert publisher.delayed == {}
 
 
 def test_deltas_for_readers_at_many_revisions_are_not_all_kept() -> None:
-    limits = replace(LIMITS, most_deltas=4)
+    limits = replace(LIMITS, max_cached_deltas=4)
     pair = Pair(limits)
     publisher, log = pair.publisher, pair.log
     for value in range(1, 21):
         log.put("config/a", value)
-        publisher.committed(100.0)
+        publisher.source_advanced(100.0)
         subscribed(publisher, 100.0, value, value)
-        publisher.blocked(100.0, value)
+        publisher.pause_writing(100.0, value)
     for number in range(1, 21):
-        publisher.writable(100.0, number)
+        publisher.resume_writing(100.0, number)
         assert len(publisher.deltas) <= 4
     sends = [o for o in drained(publisher) if isinstance(o, publisher_module.Send)]
     assert len(sends) == 19 and {type(send.message) for send in sends} == {Delta}
--- a/tests/test_observer_server.py
+++ b/tests/test_observer_server.py
@@ -29,7 +29,7 @@
     VERSION,
     Accepted,
     Change,
-    Code,
+    CloseCode,
     Delta,
     Heartbeat,
     Rejected,
@@ -366,13 +366,13 @@
             assert isinstance(answer, Rejected)
             return answer
 
-        assert (await rejected(Subscribe(VERSION + 1, "a", "i"))).code is Code.VERSION
-        assert (await rejected(Subscribe(VERSION, "a", "i", cluster="another"))).code is Code.CLUSTER
+        assert (await rejected(Subscribe(VERSION + 1, "a", "i"))).code is CloseCode.VERSION
+        assert (await rejected(Subscribe(VERSION, "a", "i", cluster="another"))).code is CloseCode.CLUSTER
         assert (
             await rejected(Subscribe(VERSION, "a", "i", cluster=cluster, revision=99))
-        ).code is Code.BEHIND
-        assert (await rejected(Subscribe(VERSION, "", ""))).code is Code.GARBLED
-        for code in (Code.VERSION, Code.CLUSTER, Code.BEHIND, Code.GARBLED):
+        ).code is CloseCode.BEHIND
+        assert (await rejected(Subscribe(VERSION, "", ""))).code is CloseCode.GARBLED
+        for code in (CloseCode.VERSION, CloseCode.CLUSTER, CloseCode.BEHIND, CloseCode.GARBLED):
             assert w.counts[f"observer_rejected_{code}"] == 1, w.counts
 
         # Frames: a wrong sum, a length that is none, a body that is no message, a second beginning.
@@ -410,7 +410,7 @@
         raw.send(Subscribe(VERSION, "node", "first"))
         await raw.next(Accepted)
         node = w.client("node")
-        assert (await raw.next(Rejected)).code is Code.DUPLICATE
+        assert (await raw.next(Rejected)).code is CloseCode.DUPLICATE
         await raw.ended()
         await w.until(node.fresh)
 
@@ -502,7 +502,11 @@
         assert w.counts["observer_deltas"] < 2 * 100  # those that it did not read are not all sent
 
     # No budget of bytes: it would keep so much from ever being sent.
-    play(tmp_path, part, replace(Limits().for_lease(1.0), node_bytes_s=1e9, node_burst_bytes=10**9))
+    play(
+        tmp_path,
+        part,
+        replace(Limits().for_lease(1.0), subscriber_bytes_per_s=1e9, subscriber_burst_bytes=10**9),
+    )
 
 
 def test_a_machine_that_stops_says_so(tmp_path: Path) -> None:
@@ -514,7 +518,7 @@
         raw.send(Renew(1, 0))
         assert (await raw.next(Heartbeat)).lease_s > 0
         w.server.stop()
-        assert (await raw.next(Rejected)).code is Code.LEAVING
+        assert (await raw.next(Rejected)).code is CloseCode.LEAVING
         await raw.ended()
 
     play(tmp_path, part)
@@ -574,10 +578,10 @@
     node = Subscriber("n", "i", "", [Machine("c1", "a")], limits, 0.0, random.Random(1))
     node.tick(0.0)
     node.connected(0.0)
-    node.receive(0.0, Accepted(VERSION, "cluster", "c1", renew_s=limits.silent_s))
-    node.tick(1.5 * limits.silent_s)  # its own renewal is sent, and the answer takes its time
+    node.receive(0.0, Accepted(VERSION, "cluster", "c1", renew_s=limits.publisher_timeout_s))
+    node.tick(1.5 * limits.publisher_timeout_s)  # its own renewal is sent, and the answer takes its time
     phases = [node.phase]
-    node.tick(4.1 * limits.silent_s)
+    node.tick(4.1 * limits.publisher_timeout_s)
     phases.append(node.phase)
     assert phases == [Phase.SUBSCRIBED, Phase.WAITING]
 
@@ -596,7 +600,7 @@
         assert w.counts["observer_delayed"] >= 1
         assert node.traffic.received["Delta"].messages < 20
 
-    play(tmp_path, part, replace(Limits().for_lease(1.0), node_burst_bytes=6000, longest_delay_s=1.0))
+    play(tmp_path, part, replace(Limits().for_lease(1.0), subscriber_burst_bytes=6000, max_delta_delay_s=1.0))
 
 
 def test_nothing_of_subscriptions_is_imported_without_their_tables() -> None:
