--- a/gradegap/check/bugs.py
+++ b/gradegap/check/bugs.py
@@ -201,10 +201,10 @@
     """A leader answers reads because it was one a moment ago."""
 
     class _Reads(ReadIndexQueue):
-        def read(self, now: float, number: int) -> None:
+        def request(self, now: float, request_id: int) -> None:
             if not self.raft.is_leader:
                 raise NotLeaderError
-            self.raft.pending.read_states.append(ReadState(number, self.raft.commit_index))
+            self.raft.pending.read_states.append(ReadState(request_id, self.raft.commit_index))
 
     read_index_queue_type = _Reads
 
--- a/gradegap/raft/cluster.py
+++ b/gradegap/raft/cluster.py
@@ -15,7 +15,7 @@
 
 
 class ClusterConfiguration(msgspec.Struct, frozen=True, array_like=True):
-    """Who belongs to the cluster. A learner is sent the log, and counts for nothing."""
+    """Who belongs to the cluster. A learner is sent the log, and is in no quorum."""
 
     members: tuple[Member, ...] = ()
 
@@ -24,17 +24,17 @@
         """The identities of the members that vote."""
         return tuple(m.id for m in self.members if m.voter)
 
-    def get(self, member: str) -> Member | None:
+    def get(self, member_id: str) -> Member | None:
         """The member of this identity."""
-        return next((m for m in self.members if m.id == member), None)
+        return next((m for m in self.members if m.id == member_id), None)
 
     def find_by_name(self, name: str) -> Member | None:
         """The member of this name."""
         return next((m for m in self.members if m.name == name), None)
 
-    def without_member(self, member: str) -> ClusterConfiguration:
+    def without_member(self, member_id: str) -> ClusterConfiguration:
         """This configuration without the member of this identity."""
-        return ClusterConfiguration(tuple(m for m in self.members if m.id != member))
+        return ClusterConfiguration(tuple(m for m in self.members if m.id != member_id))
 
     def with_member(self, member: Member) -> ClusterConfiguration:
         """This configuration with a member that is new, or takes the place of itself."""
--- a/gradegap/raft/context.py
+++ b/gradegap/raft/context.py
@@ -113,6 +113,14 @@
     def become_follower(self, now: float, term: int, leader_id: str) -> None:
         """Follow `leader_id`, or nobody known yet where it is empty, in `term`."""
 
+    @abstractmethod
+    def become_pre_candidate(self) -> None:
+        """Ask whether votes would be granted; nothing that is on disk changes."""
+
+    @abstractmethod
+    def become_candidate(self) -> None:
+        """Begin a new term, with this member's own vote."""
+
     @abstractmethod
     def become_leader(self, now: float) -> None:
         """Lead this term."""
--- a/gradegap/raft/core.py
+++ b/gradegap/raft/core.py
@@ -92,16 +92,16 @@
         self.membership = self.membership_type(self)
         self.leadership_transfer = self.leadership_transfer_type(self)
 
-    # What a driver asks
+    # Output and state, for the driver
 
     def take_ready(self) -> Ready:
-        """All that is to be done by now; the next call begins anew."""
+        """All that has gathered since the last call, and the entries to apply."""
         ready, self.pending = self.pending, Ready()
         ready.committed_entries = self.take_committed_entries()
         return ready
 
     def take_committed_entries(self) -> list[Entry]:
-        """The entries to apply now: committed, on this disk, and not handed out before."""
+        """The entries to apply now: committed, on this disk, and not returned before."""
         last = min(self.commit_index, self.stable_index)
         if last <= self.applied_index:
             return []
@@ -110,12 +110,12 @@
         return entries
 
     def next_tick_at(self) -> float:
-        """When `tick` is wanted at the latest."""
+        """When `tick` is due at the latest."""
         return self.heartbeats.next_at() if self.is_leader else self.election.timeout_at
 
     @property
     def transferee(self) -> str:
-        """The voter that leadership is being handed over to; empty without a transfer."""
+        """The voter that leadership is being transferred to; empty without a transfer."""
         return self.leadership_transfer.target
 
     def lease_until(self, now: float) -> float:
@@ -123,11 +123,11 @@
         return self.heartbeats.lease_until(now)
 
     def was_removed(self) -> bool:
-        """Whether the latest committed configuration, as far as the leader told, leaves this member out."""
+        """Whether the latest committed configuration, as far as it is known here, leaves this member out."""
         return self.membership.was_removed()
 
     def status(self, now: float) -> RaftStatus:
-        """What an operator is shown of this member."""
+        """This member's state, for operators."""
         lease_ms = max(0, round((self.lease_until(now) - now) * 1000)) if self.is_leader else 0
         return RaftStatus(
             id=self.member_id,
@@ -141,10 +141,10 @@
             lease_ms=lease_ms,
         )
 
-    # What a driver tells
+    # Events, from the driver
 
     def tick(self, now: float) -> None:
-        """Time has passed: elections, heartbeats and transfers that are due."""
+        """Do what is due by now: elections, heartbeats, the end of a transfer."""
         if not self.is_leader:
             self.election.tick(now)
             return
@@ -156,7 +156,7 @@
             self.heartbeats.send(now)
 
     def persisted(self, now: float, index: int, term: int) -> None:
-        """The driver has synced all entries up to this one."""
+        """The driver has synced all entries up to this one, and this one with this term."""
         if self.log.term_at(index) != term:
             return
         self.stable_index = max(self.stable_index, index)
@@ -164,44 +164,68 @@
             self.replication.advance_commit(now)
 
     def compact(self, index: int) -> None:
-        """The driver keeps the state up to here on its disk."""
+        """Drop the log up to here: the driver has the state on its disk."""
         self.log.compact(min(index, self.applied_index))
 
-    def offer_snapshot(self, now: float, meta: SnapshotMetadata, data: bytes) -> None:
-        """The state at `meta`, for members that are behind the log."""
-        self.snapshot_sender.offer(meta, data)
+    def offer_snapshot(self, now: float, metadata: SnapshotMetadata, data: bytes) -> None:
+        """The state at `metadata`, for members behind the log; after `Ready.snapshot_wanted`.
 
-    # What clients and operators ask, through the driver
+        Raises:
+            SnapshotTooOldError: The log begins after it.
+        """
+        self.snapshot_sender.offer(metadata, data)
+
+    # Requests of clients and operators, through the driver
 
     def propose(self, now: float, data: bytes, kind: EntryKind = EntryKind.COMMAND) -> int:
-        """The index at which `data` is committed, if the entry there is still of this term then."""
+        """Append an entry; its index, where `data` is committed if the entry there is still of this term then.
+
+        Raises:
+            NotLeaderError, TransferInProgressError, TooMuchUncommittedError: Nothing was appended.
+        """
         return self.replication.propose(data, kind)
 
     def flush(self, now: float) -> None:
-        """Send what was proposed; once for all that came together."""
+        """Send what was proposed: once for all proposals that came together."""
         if self.is_leader:
             self.replication.flush(now)
 
     def read_index(self, now: float, request_id: int) -> None:
-        """Ask for the index that a linearizable read must see; it comes in `Ready.read_states`."""
-        self.read_index_queue.read(now, request_id)
+        """Request the index that a linearizable read must see; it comes in `Ready.read_states`.
+
+        Raises:
+            NotLeaderError, LeaderNotReadyError: No read state will come.
+        """
+        self.read_index_queue.request(now, request_id)
 
     def add_member(self, now: float, member: Member) -> int:
-        """Add a learner, or make a learner that has caught up a voter; the index of the change."""
+        """Add a learner, or make a learner that has caught up a voter; the index of the change.
+
+        Raises:
+            RequestRejectedError: The change is not safe now, or makes no sense; see its subclasses.
+        """
         return self.membership.add(now, member)
 
     def remove_member(self, now: float, member_id: str) -> int:
-        """Remove a member, this one too; the index of the change."""
+        """Remove a member, this one too; the index of the change.
+
+        Raises:
+            RequestRejectedError: The change is not safe now, or makes no sense; see its subclasses.
+        """
         return self.membership.remove(now, member_id)
 
     def transfer_leadership(self, now: float, target: str) -> None:
-        """Hand over to a voter, as soon as it has all entries; given up after an election's time."""
+        """Have a voter lead, as soon as it has all entries; given up after an election timeout.
+
+        Raises:
+            NotLeaderError, MemberRoleError, UnknownMemberError, TransferInProgressError: Nothing was begun.
+        """
         self.leadership_transfer.start(now, target)
 
     # Messages
 
     def step(self, now: float, sender: str, message: Message) -> None:
-        """A message from another member, told apart by who its link belongs to."""
+        """Handle a message; `sender` is the identity that its link is authenticated for."""
         match message:
             case AppendEntries() | InstallSnapshot():
                 self._on_leader_message(now, sender, message)
@@ -227,7 +251,7 @@
             self.snapshot_receiver.on_install_snapshot(now, sender, message)
 
     def _reject_stale_leader(self, sender: str, message: AppendEntries | InstallSnapshot) -> None:
-        """It learns of the newer term, and that it leads no more."""
+        """Let the sender learn of the newer term, in which it does not lead."""
         previous = message.prev_log_index if isinstance(message, AppendEntries) else message.metadata.index
         self.send(sender, AppendEntriesResponse(self.term, False, self.log.last_index, previous, 0))
 
@@ -258,13 +282,26 @@
             self.voted_for = ""
             self.persist_hard_state()
         if self.role is not Role.FOLLOWER:
-            self.read_index_queue.abandon()
+            self.read_index_queue.abort()
             self.election.reset_timeout(now)
         self.role = Role.FOLLOWER
         self.leader_id = leader_id
         self.leadership_transfer.reset()
         self.snapshot_sender.outgoing = None
 
+    def become_pre_candidate(self) -> None:
+        """Ask whether votes would be granted; nothing that is on disk changes."""
+        self.leader_id = ""
+        self.role = Role.PRE_CANDIDATE
+
+    def become_candidate(self) -> None:
+        """Begin a new term, with this member's own vote."""
+        self.leader_id = ""
+        self.role = Role.CANDIDATE
+        self.term += 1
+        self.voted_for = self.member_id
+        self.persist_hard_state()
+
     def become_leader(self, now: float) -> None:
         """Lead this term, and begin it with an entry of its own."""
         self.role = Role.LEADER
--- a/gradegap/raft/election.py
+++ b/gradegap/raft/election.py
@@ -8,14 +8,14 @@
 
 
 class Election:
-    """One member's timeouts, its campaigns and the votes that it gives."""
+    """One member's election timeout, its campaigns and the votes that it grants."""
 
     def __init__(self, raft: RaftContext, now: float) -> None:
         self.raft = raft
-        # As if a leader had just been heard: the promise not to vote that an earlier life of this process
-        # may have given must have run out before it votes again, or leases would not hold.
+        # As if a leader had just been in contact: the promise not to vote that an earlier incarnation of this
+        # process may have given must have run out before it votes again, or leases would not hold.
         self.last_leader_contact_at = now
-        self.votes: dict[str, bool] = {}
+        self.votes: dict[str, bool] = {}  # of this campaign, by voter: whether it was granted
         self.timeout_at = now
         self.reset_timeout(now)
 
@@ -25,12 +25,12 @@
         self.timeout_at = now + raft.settings.election_timeout_s * raft.random.uniform(1.0, 2.0)
 
     def on_leader_contact(self, now: float) -> None:
-        """A leader of this term was heard: its followers wait, and give no votes."""
+        """A message of this term's leader: followers wait, and grant no votes."""
         self.last_leader_contact_at = now
         self.reset_timeout(now)
 
     def tick(self, now: float) -> None:
-        """Call an election if no leader was heard for too long."""
+        """Call an election if no leader has been in contact for too long."""
         if now < self.timeout_at:
             return
         self.reset_timeout(now)
@@ -40,8 +40,8 @@
     def can_campaign(self) -> bool:
         """Whether this member is a voter, or is one until its own removal is committed (thesis, 4.2.2).
 
-        Guards against a cluster without a leader for good: who is removed may alone have the log to be
-        elected with.
+        Guards against a cluster without a leader for good: a member that is being removed may be the only one
+        whose log is complete enough to be elected with.
         """
         raft, log = self.raft, self.raft.log
         if raft.member_id in log.configuration.voters:
@@ -52,18 +52,14 @@
         )
 
     def campaign(self, now: float, pre_vote: bool, leadership_transfer: bool = False) -> None:
-        """Ask all voters for their votes; with `pre_vote`, only whether they would give them."""
+        """Request the votes of all voters; with `pre_vote`, only whether they would grant them."""
         raft, log = self.raft, self.raft.log
         self.reset_timeout(now)
         self.votes = {raft.member_id: True}
-        raft.leader_id = ""
         if pre_vote:
-            raft.role = Role.PRE_CANDIDATE
+            raft.become_pre_candidate()
         else:
-            raft.role = Role.CANDIDATE
-            raft.term += 1
-            raft.voted_for = raft.member_id
-            raft.persist_hard_state()
+            raft.become_candidate()
         request = RequestVote(
             raft.term + pre_vote, log.last_index, log.last_term, pre_vote, leadership_transfer
         )
@@ -73,30 +69,30 @@
         self.count_votes(now)
 
     def count_votes(self, now: float) -> None:
-        """Go on with a majority of votes; step back when a majority has refused."""
+        """Proceed with a majority of votes; step back when a majority has denied them."""
         raft = self.raft
         voters = raft.configuration.voters
         granted = sum(self.votes.get(voter, False) for voter in voters)
-        refused = sum(not self.votes.get(voter, True) for voter in voters)
+        denied = sum(not self.votes.get(voter, True) for voter in voters)
         if granted > len(voters) // 2:
             if raft.role is Role.PRE_CANDIDATE:
                 self.campaign(now, pre_vote=False)
             else:
                 raft.become_leader(now)
-        elif refused > len(voters) // 2:
+        elif denied > len(voters) // 2:
             raft.become_follower(now, raft.term, "")
 
     def is_leader_alive(self, now: float) -> bool:
         """Whether a leader may count on this member not to vote yet (thesis, 4.2.3 and 6.4.1)."""
         raft = self.raft
-        heard_at = raft.heartbeats.followed_since(now) if raft.is_leader else self.last_leader_contact_at
-        return now - heard_at < raft.settings.election_timeout_s
+        contact_at = raft.heartbeats.followed_since(now) if raft.is_leader else self.last_leader_contact_at
+        return now - contact_at < raft.settings.election_timeout_s
 
     def on_request_vote(self, now: float, sender: str, request: RequestVote) -> None:
-        """A candidate asks for this member's vote."""
+        """A candidate requests this member's vote."""
         raft = self.raft
         if not request.leadership_transfer and self.is_leader_alive(now):
-            return  # guards against a removed or cut-off member that keeps calling elections
+            return  # guards against a removed or partitioned member that keeps calling elections
         if request.pre_vote:
             granted = request.term > raft.term and self._is_log_up_to_date(request)
             raft.send(sender, RequestVoteResponse(request.term if granted else raft.term, granted, True))
@@ -123,13 +119,13 @@
         )
 
     def on_request_vote_response(self, now: float, sender: str, response: RequestVoteResponse) -> None:
-        """A voter answers this member's campaign."""
+        """A voter responds to this member's campaign."""
         raft = self.raft
         if not response.granted and response.term > raft.term:
             raft.become_follower(now, response.term, "")
             return
-        asked_in = raft.term + 1 if response.pre_vote else raft.term
-        asking = raft.role is (Role.PRE_CANDIDATE if response.pre_vote else Role.CANDIDATE)
-        if asking and (not response.granted or response.term == asked_in):
+        campaign_term = raft.term + 1 if response.pre_vote else raft.term
+        campaigning = raft.role is (Role.PRE_CANDIDATE if response.pre_vote else Role.CANDIDATE)
+        if campaigning and (not response.granted or response.term == campaign_term):
             self.votes[sender] = response.granted
             self.count_votes(now)
--- a/gradegap/raft/entries.py
+++ b/gradegap/raft/entries.py
@@ -1,4 +1,4 @@
-"""What a member keeps on disk: entries, the hard state, and where a snapshot stands.
+"""What a member keeps on disk: entries, the hard state, and where in the log its snapshot is.
 
 The types are arrays on disk and on links: the order of fields is the format.
 """
@@ -44,7 +44,7 @@
 
 
 class SnapshotMetadata(msgspec.Struct, frozen=True, array_like=True):
-    """Where a snapshot of the state stands in the log, and who were the members there."""
+    """Where in the log a snapshot of the state was taken, and who were the members there."""
 
     index: int
     term: int
--- a/gradegap/raft/follower.py
+++ b/gradegap/raft/follower.py
@@ -1,4 +1,4 @@
-"""A follower's side of replication: entries that the leader sends are taken into the log."""
+"""A follower's side of replication: entries that the leader sends are appended to the log."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class Follower:
-    """Takes the leader's entries, and tells it where the logs differ (Raft paper, 5.3)."""
+    """Appends the leader's entries, or responds with where the logs differ (Raft paper, 5.3)."""
 
     def __init__(self, raft: RaftContext) -> None:
         self.raft = raft
-        self.leader_commit = 0  # the most that a leader has said to be committed, held here or not
+        self.leader_commit = 0  # the highest index that a leader has said to be committed, stored here or not
 
     def on_append_entries(self, now: float, sender: str, request: AppendEntries) -> None:
         """The leader sends entries, or a heartbeat without any."""
@@ -26,13 +26,15 @@
         elif log.term_at(previous) != request.prev_log_term:
             self._reject_mismatch(sender, request)
             return
-        self._take(entries)
+        self._append(entries)
         self.leader_commit = max(self.leader_commit, request.leader_commit)
-        match = previous + len(entries)
-        raft.commit_index = max(raft.commit_index, min(request.leader_commit, match))
+        match_index = previous + len(entries)
+        raft.commit_index = max(raft.commit_index, min(request.leader_commit, match_index))
         raft.send(
             sender,
-            AppendEntriesResponse(raft.term, True, match, request.prev_log_index, request.heartbeat_round),
+            AppendEntriesResponse(
+                raft.term, True, match_index, request.prev_log_index, request.heartbeat_round
+            ),
         )
 
     def _reject_mismatch(self, sender: str, request: AppendEntries) -> None:
@@ -45,8 +47,8 @@
             ),
         )
 
-    def _take(self, entries: tuple[Entry, ...]) -> None:
-        """Append what is not there yet; an entry of another term gives way, with all that follow it."""
+    def _append(self, entries: tuple[Entry, ...]) -> None:
+        """Append what is not there yet; an entry of another term is replaced, with all that follow it."""
         raft, log = self.raft, self.raft.log
         for entry in entries:
             known_term = log.term_at(entry.index)
--- a/gradegap/raft/leadership_transfer.py
+++ b/gradegap/raft/leadership_transfer.py
@@ -14,7 +14,7 @@
     def __init__(self, raft: RaftContext) -> None:
         self.raft = raft
         self.target = ""  # the voter that is to lead
-        self.give_up_at = NEVER
+        self.deadline = NEVER
         self.timeout_sent = False  # TimeoutNow is out in this term: no lease holds any more
 
     def reset(self) -> None:
@@ -22,26 +22,26 @@
         self.target = ""
         self.timeout_sent = False
 
-    def start(self, now: float, to: str) -> None:
-        """Hand over to a voter, as soon as it has all entries; given up after an election's time."""
+    def start(self, now: float, target: str) -> None:
+        """Have a voter lead, as soon as it has all entries; given up after an election timeout."""
         raft = self.raft
         peers = raft.replication.peers
         if not raft.is_leader:
             raise NotLeaderError
-        if to == raft.member_id:
+        if target == raft.member_id:
             raise MemberRoleError("leads")
-        if to not in raft.configuration.voters or to not in peers:
+        if target not in raft.configuration.voters or target not in peers:
             raise UnknownMemberError
         if self.target:
             raise TransferInProgressError
-        self.target = to
-        self.give_up_at = now + raft.settings.election_timeout_s
+        self.target = target
+        self.deadline = now + raft.settings.election_timeout_s
         self.proceed()
         if not self.timeout_sent:
-            raft.replication.send_to(to, peers[to], always=True)
+            raft.replication.send_to(target, peers[target], always=True)
 
     def proceed(self) -> None:
-        """Tell the target to lead, once it has all entries."""
+        """Have the target call its election, once it has all entries."""
         raft = self.raft
         progress = raft.replication.peers.get(self.target)
         if progress is not None and not self.timeout_sent and progress.match_index == raft.log.last_index:
@@ -50,16 +50,16 @@
 
     def tick(self, now: float) -> None:
         """Give the transfer up when its time has run out."""
-        if not self.target or now < self.give_up_at:
+        if not self.target or now < self.deadline:
             return
         self.target = ""
         if self.timeout_sent:
-            # It may still come, late, and its election would be no breach of anybody's promise: a new term
-            # is the only thing that makes it void.
+            # The message may still arrive, and the election it calls would break no promise: only a new term
+            # makes it void.
             self.raft.become_follower(now, self.raft.term, "")
 
     def on_timeout_now(self, now: float, request: TimeoutNow) -> None:
-        """The leader wants this member to lead."""
+        """The leader transfers its leadership to this member."""
         raft = self.raft
         if request.term == raft.term and raft.member_id in raft.configuration.voters and not raft.is_leader:
             raft.election.campaign(now, pre_vote=False, leadership_transfer=True)
--- a/gradegap/raft/log.py
+++ b/gradegap/raft/log.py
@@ -6,7 +6,7 @@
 from gradegap.raft.entries import Entry, EntryKind, SnapshotMetadata, decode_configuration
 from gradegap.raft.errors import LogGapError
 
-UNBOUNDED_BYTES = 1 << 40  # bytes: no bound on a slice of the log
+UNBOUNDED_BYTES = 1 << 40  # no bound on a slice of the log
 
 
 class Log:
@@ -15,7 +15,7 @@
     def __init__(self, base: SnapshotMetadata, entries: list[Entry]) -> None:
         self.base = base
         self.entries: list[Entry] = []
-        self.size_bytes = 0  # bytes of entries
+        self.size_bytes = 0  # of entries
         self.configurations: list[tuple[int, ClusterConfiguration]] = [(base.index, base.configuration)]
         for entry in entries:
             self.append(entry)
@@ -41,14 +41,18 @@
         return self.configurations[-1][0]
 
     def term_at(self, index: int) -> int | None:
-        """None for what is compacted away or not there."""
+        """The term of the entry at `index`; None for one that is compacted away or not there."""
         if index == self.base.index:
             return self.base.term
-        at = index - self.base.index - 1
-        return self.entries[at].term if 0 <= at < len(self.entries) else None
+        position = index - self.base.index - 1
+        return self.entries[position].term if 0 <= position < len(self.entries) else None
 
     def append(self, entry: Entry) -> None:
-        """Add the entry that follows the last one."""
+        """Add the entry that follows the last one.
+
+        Raises:
+            LogGapError: It does not follow the last one.
+        """
         if entry.index != self.last_index + 1:
             raise LogGapError(entry.index, self.last_index)
         self.entries.append(entry)
@@ -57,41 +61,44 @@
             self.configurations.append((entry.index, decode_configuration(entry)))
 
     def truncate(self, index: int) -> None:
-        """Drop what stands from `index` on."""
-        at = max(0, index - self.base.index - 1)
-        self.size_bytes -= sum(e.size_bytes for e in self.entries[at:])
-        del self.entries[at:]
+        """Drop the entries from `index` on."""
+        position = max(0, index - self.base.index - 1)
+        self.size_bytes -= sum(entry.size_bytes for entry in self.entries[position:])
+        del self.entries[position:]
         while len(self.configurations) > 1 and self.configurations[-1][0] >= index:
             self.configurations.pop()
 
-    def slice(self, first: int, most: int, last: int | None = None) -> list[Entry]:
-        """Entries from `first`, about `most` bytes of them and one at the least."""
+    def slice(self, first: int, max_bytes: int, last: int | None = None) -> list[Entry]:
+        """Entries from `first` to `last`, up to `max_bytes` of them and one at the least."""
         start = first - self.base.index - 1
         end = len(self.entries) if last is None else last - self.base.index
-        size, at = 0, start
-        while at < end and (at == start or size + self.entries[at].size_bytes <= most):
-            size += self.entries[at].size_bytes
-            at += 1
-        return self.entries[start:at]
+        size_bytes, stop = 0, start
+        while stop < end and (stop == start or size_bytes + self.entries[stop].size_bytes <= max_bytes):
+            size_bytes += self.entries[stop].size_bytes
+            stop += 1
+        return self.entries[start:stop]
 
     def configuration_at(self, index: int) -> ClusterConfiguration:
         """The configuration in force after the entry at `index`."""
-        return next(c for i, c in reversed(self.configurations) if i <= index)
+        return next(configuration for at, configuration in reversed(self.configurations) if at <= index)
 
     def compact(self, index: int) -> None:
-        """Forget what stands up to `index`, which is applied everywhere that matters here."""
+        """Drop the entries up to `index`, which the state on this member's disk covers."""
         term = self.term_at(index)
         if index <= self.base.index or term is None:
             return
         configuration = self.configuration_at(index)
-        gone = index - self.base.index
-        self.size_bytes -= sum(e.size_bytes for e in self.entries[:gone])
-        del self.entries[:gone]
+        count = index - self.base.index
+        self.size_bytes -= sum(entry.size_bytes for entry in self.entries[:count])
+        del self.entries[:count]
         self.base = SnapshotMetadata(index, term, configuration)
-        self.configurations = [(index, configuration), *[c for c in self.configurations if c[0] > index]]
+        self.configurations = [
+            (index, configuration),
+            *[later for later in self.configurations if later[0] > index],
+        ]
 
     def reset(self, base: SnapshotMetadata) -> None:
-        """A snapshot took the place of all of it."""
+        """Begin anew after a snapshot that takes the place of all entries."""
         self.base, self.entries, self.size_bytes = base, [], 0
         self.configurations = [(base.index, base.configuration)]
 
@@ -99,22 +106,22 @@
         """Whether a log that ends so has all that this one may have committed (Raft paper, 5.4.1)."""
         return (last_term, last_index) >= (self.last_term, self.last_index)
 
-    def find_conflict_hint(self, prev: int) -> tuple[int, int]:
-        """Where the leader should try next, and the term there, after `prev` did not fit (Raft paper, 5.3).
+    def find_conflict_hint(self, prev_log_index: int) -> tuple[int, int]:
+        """Where the leader should try next, and the term there, after a mismatch (Raft paper, 5.3).
 
-        It is the end of the log, or the last entry before the run of one term that `prev` is in.
+        It is the end of the log, or the last entry before the run of one term that `prev_log_index` is in.
         """
-        if prev > self.last_index:
+        if prev_log_index > self.last_index:
             return self.last_index, self.last_term
-        term = self.term_at(prev)
-        at = prev
-        while at > self.base.index and self.term_at(at) == term:
-            at -= 1
-        return at, self.term_at(at) or 0
+        term = self.term_at(prev_log_index)
+        index = prev_log_index
+        while index > self.base.index and self.term_at(index) == term:
+            index -= 1
+        return index, self.term_at(index) or 0
 
     def last_index_up_to_term(self, index: int, term: int) -> int:
         """The last entry up to `index` with a term of at most `term`."""
-        at = min(index, self.last_index)
-        while at > self.base.index and (self.term_at(at) or 0) > term:
-            at -= 1
-        return at
+        index = min(index, self.last_index)
+        while index > self.base.index and (self.term_at(index) or 0) > term:
+            index -= 1
+        return index
--- a/gradegap/raft/membership.py
+++ b/gradegap/raft/membership.py
@@ -28,22 +28,22 @@
     def __init__(self, raft: RaftContext) -> None:
         self.raft = raft
 
-    def settled(self) -> bool:
+    def is_change_committed(self) -> bool:
         """Whether the latest configuration is committed: no change is under way."""
         return self.raft.log.configuration_index <= self.raft.commit_index
 
     def was_removed(self) -> bool:
         """Whether the latest committed configuration leaves this member out.
 
-        Guards a member that was just taken in: its log replays configurations from before it was added, and
+        Guards a member that was just added: its log replays configurations from before it was added, and
         each of them is the latest that it has until it has all that its leader said to be committed.
         """
         raft = self.raft
         caught_up = raft.is_leader or raft.follower.leader_commit <= raft.commit_index
-        return raft.configuration.get(raft.member_id) is None and self.settled() and caught_up
+        return raft.configuration.get(raft.member_id) is None and self.is_change_committed() and caught_up
 
     def check_can_change(self) -> None:
-        """Refuse a change that would not be safe now."""
+        """Raise where a change would not be safe now."""
         raft = self.raft
         if not raft.is_leader:
             raise NotLeaderError
@@ -51,7 +51,7 @@
             raise TransferInProgressError
         if not raft.commits_own_term():
             raise LeaderNotReadyError
-        if not self.settled():
+        if not self.is_change_committed():
             raise ChangePendingError
 
     def change(self, now: float, configuration: ClusterConfiguration) -> int:
@@ -76,20 +76,20 @@
             raise MemberRoleError("is a learner")
         return self.change(now, configuration.with_member(member))
 
-    def _caught_up(self, member: str) -> bool:
-        progress = self.raft.replication.peers.get(member)
+    def _caught_up(self, member_id: str) -> bool:
+        progress = self.raft.replication.peers.get(member_id)
         return (
             progress is not None
             and progress.match_index >= self.raft.commit_index
             and progress.state is ProgressState.REPLICATE
         )
 
-    def remove(self, now: float, member: str) -> int:
+    def remove(self, now: float, member_id: str) -> int:
         """Remove a member, this one too; the index of the change."""
         self.check_can_change()
         configuration = self.raft.configuration
-        if configuration.get(member) is None:
+        if configuration.get(member_id) is None:
             raise UnknownMemberError
-        if configuration.voters == (member,):
+        if configuration.voters == (member_id,):
             raise LastVoterError
-        return self.change(now, configuration.without_member(member))
+        return self.change(now, configuration.without_member(member_id))
--- a/gradegap/raft/read_index.py
+++ b/gradegap/raft/read_index.py
@@ -13,19 +13,19 @@
 class PendingRead:
     """A read that waits until a quorum has confirmed that this member still leads."""
 
-    number: int
-    index: int  # what it must see
-    round: int  # the round of heartbeats that must be answered
+    request_id: int
+    commit_index: int  # what it must see
+    heartbeat_round: int  # that a quorum must respond to
 
 
 class ReadIndexQueue:
-    """The reads that a leader was asked for and has not confirmed yet."""
+    """The reads that were requested of this leader and are not confirmed yet."""
 
     def __init__(self, raft: RaftContext) -> None:
         self.raft = raft
-        self.pending: list[PendingRead] = []
+        self.waiting: list[PendingRead] = []
 
-    def read(self, now: float, number: int) -> None:
+    def request(self, now: float, request_id: int) -> None:
         """Find the index that a read must see, under the lease or by a round of heartbeats."""
         raft = self.raft
         if not raft.is_leader:
@@ -33,23 +33,23 @@
         if not raft.commits_own_term():
             raise LeaderNotReadyError
         if now < raft.heartbeats.lease_until(now):
-            raft.pending.read_states.append(ReadState(number, raft.commit_index))
+            raft.pending.read_states.append(ReadState(request_id, raft.commit_index))
             return
         if raft.heartbeats.sent_at < now:
             raft.heartbeats.send(now)
-        self.pending.append(PendingRead(number, raft.commit_index, raft.heartbeats.current_round))
+        self.waiting.append(PendingRead(request_id, raft.commit_index, raft.heartbeats.current_round))
         self.confirm()
 
     def confirm(self) -> None:
-        """Hand over the reads whose round a quorum has answered."""
-        if not self.pending:
+        """Hand over the reads whose round a quorum has responded to."""
+        if not self.waiting:
             return
-        answered = self.raft.heartbeats.acknowledged_round()
-        confirmed = [ReadState(read.number, read.index) for read in self.pending if read.round <= answered]
-        self.raft.pending.read_states += confirmed
-        self.pending = [read for read in self.pending if read.round > answered]
-
-    def abandon(self) -> None:
-        """This member leads no more: the reads must be asked for elsewhere."""
-        self.raft.pending.aborted_reads += [read.number for read in self.pending]
-        self.pending = []
+        acknowledged = self.raft.heartbeats.acknowledged_round()
+        confirmed = [read for read in self.waiting if read.heartbeat_round <= acknowledged]
+        self.raft.pending.read_states += [ReadState(read.request_id, read.commit_index) for read in confirmed]
+        self.waiting = [read for read in self.waiting if read.heartbeat_round > acknowledged]
+
+    def abort(self) -> None:
+        """This member is no longer the leader: the reads must be requested elsewhere."""
+        self.raft.pending.aborted_reads += [read.request_id for read in self.waiting]
+        self.waiting = []
--- a/gradegap/raft/ready.py
+++ b/gradegap/raft/ready.py
@@ -49,7 +49,7 @@
 class Ready:
     """What the driver is to do, in this order.
 
-    Install `snapshot`; write `hard_state` and `entries` (an entry replaces what stands from its index on) and
+    Install `snapshot`; write `hard_state` and `entries` (an entry replaces all from its index on) and
     sync; then send `messages`. `immediate_messages` may go before.
     """
 
--- a/gradegap/raft/replication.py
+++ b/gradegap/raft/replication.py
@@ -1,7 +1,7 @@
 """The leader's side of replication: entries are proposed, sent to each member, and committed by a majority.
 
 A member's log is probed with one message at a time until it is known to fit; then entries are sent ahead of
-its answers, up to a window of messages.
+its responses, up to a window of messages.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from gradegap.raft.messages import AppendEntries, AppendEntriesResponse
 from gradegap.raft.progress import Progress, ProgressState, majority_value
 
-PROBE_BYTES = 4096  # of entries sent along while it is not known whether they fit
+PROBE_BYTES = 4096  # of entries in a message while it is not known where the logs agree
 
 
 class Replication:
@@ -22,7 +22,7 @@
     def __init__(self, raft: RaftContext) -> None:
         self.raft = raft
         self.peers: dict[str, Progress] = {}
-        self.uncommitted_bytes = 0  # bytes of entries that are not committed
+        self.uncommitted_bytes = 0  # of entries
 
     def start(self, now: float) -> None:
         """This member became leader: nothing is known of the others yet."""
@@ -99,7 +99,7 @@
             self._send_entries(peer, progress, [])
 
     def _stream(self, peer: str, progress: Progress) -> bool:
-        """Send entries ahead of the member's answers, as far as the window allows; whether any went."""
+        """Send entries ahead of the member's responses, as far as the window allows; whether any were."""
         raft = self.raft
         sent = False
         while (
@@ -127,12 +127,12 @@
             progress.next_index = last + 1
             progress.inflight.append(last)
 
-    # Answers
+    # Responses
 
     def on_append_entries_response(
         self, now: float, sender: str, progress: Progress, response: AppendEntriesResponse
     ) -> None:
-        """A member answers: its log fits up to an index, or differs."""
+        """A member responds: its log agrees up to an index, or differs."""
         progress.awaiting_response = False
         if response.success:
             self._on_match(now, sender, progress, response)
@@ -140,7 +140,7 @@
             self._on_mismatch(sender, progress, response)
 
     def _on_mismatch(self, sender: str, progress: Progress, response: AppendEntriesResponse) -> None:
-        # Guards against a late refusal of something that was since sent again and taken.
+        # Guards against a late rejection of entries that were since sent again and appended.
         if response.prev_log_index <= progress.match_index or (
             progress.state is ProgressState.REPLICATE and response.prev_log_index >= progress.next_index
         ):
@@ -170,7 +170,7 @@
     # Commits
 
     def can_commit(self, index: int) -> bool:
-        """Whether answers for this entry count: only for one of the leader's own term (Raft paper, 5.4.2)."""
+        """Whether responses for this entry count: only in the leader's own term (Raft paper, 5.4.2)."""
         return self.raft.log.term_at(index) == self.raft.term
 
     def _stored_by_majority(self) -> int:
@@ -186,7 +186,7 @@
         )
 
     def advance_commit(self, now: float) -> None:
-        """Commit what a majority holds, and tell the members that have all entries."""
+        """Commit what a majority stores, and notify the members that have all entries."""
         raft = self.raft
         index = self._stored_by_majority()
         if index <= raft.commit_index or not self.can_commit(index):
@@ -203,4 +203,4 @@
             raft.log.configuration_index <= raft.commit_index
             and raft.member_id not in raft.configuration.voters
         ):
-            raft.become_follower(now, raft.term, "")  # it has led its own removal to the end (thesis, 4.2.2)
+            raft.become_follower(now, raft.term, "")  # its own removal is committed (thesis, 4.2.2)
--- a/gradegap/raft/snapshots.py
+++ b/gradegap/raft/snapshots.py
@@ -17,7 +17,7 @@
 class OutgoingSnapshot:
     """The state that a leader sends, and its checksum."""
 
-    meta: SnapshotMetadata
+    metadata: SnapshotMetadata
     data: bytes
     checksum: int
 
@@ -26,7 +26,7 @@
 class IncomingSnapshot:
     """The chunks of a snapshot that have arrived so far."""
 
-    meta: SnapshotMetadata
+    metadata: SnapshotMetadata
     data: bytearray = field(default_factory=bytearray)
 
 
@@ -37,27 +37,27 @@
         self.raft = raft
         self.outgoing: OutgoingSnapshot | None = None
 
-    def offer(self, meta: SnapshotMetadata, data: bytes) -> None:
-        """The driver hands over the state at `meta`, for members that are behind the log."""
+    def offer(self, metadata: SnapshotMetadata, data: bytes) -> None:
+        """The driver hands over the state at `metadata`, for members that are behind the log."""
         raft = self.raft
         if not raft.is_leader:
             return
-        if meta.index < raft.log.base.index:
+        if metadata.index < raft.log.base.index:
             raise SnapshotTooOldError
-        self.outgoing = OutgoingSnapshot(meta, data, zlib.crc32(data))
+        self.outgoing = OutgoingSnapshot(metadata, data, zlib.crc32(data))
         for peer, progress in raft.replication.peers.items():
             if progress.next_index <= raft.log.base.index:
                 raft.replication.send_to(peer, progress, always=True)
 
     def send_chunk(self, peer: str, progress: Progress, again: bool) -> None:
-        """Send the chunk that the member wants next; with `again`, also while its answer is awaited."""
+        """Send the chunk that the member wants next; with `again`, also while its response is awaited."""
         raft = self.raft
         snapshot = self.outgoing
-        if snapshot is None or snapshot.meta.index < raft.log.base.index:
+        if snapshot is None or snapshot.metadata.index < raft.log.base.index:
             raft.pending.snapshot_wanted = True
             return
-        if progress.snapshot_index != snapshot.meta.index:
-            progress.become_snapshot(snapshot.meta.index)
+        if progress.snapshot_index != snapshot.metadata.index:
+            progress.become_snapshot(snapshot.metadata.index)
         elif not again and progress.awaiting_response:
             return
         progress.awaiting_response = True
@@ -68,13 +68,13 @@
         data = snapshot.data[offset : offset + raft.settings.snapshot_chunk_bytes]
         done = offset + len(data) >= len(snapshot.data)
         return InstallSnapshot(
-            raft.term, snapshot.meta, offset, data, done, snapshot.checksum, raft.heartbeats.current_round
+            raft.term, snapshot.metadata, offset, data, done, snapshot.checksum, raft.heartbeats.current_round
         )
 
     def on_install_snapshot_response(
         self, now: float, sender: str, progress: Progress, response: InstallSnapshotResponse
     ) -> None:
-        """A member answers a chunk: where the next begins, or that it has the whole."""
+        """A member responds to a chunk: where the next begins, or that it has the whole."""
         raft = self.raft
         if progress.state is not ProgressState.SNAPSHOT or response.snapshot_index != progress.snapshot_index:
             return
@@ -91,7 +91,7 @@
 
 
 class SnapshotReceiver:
-    """A follower's side: chunks are gathered, and the whole takes the place of the log."""
+    """A follower's side: chunks are collected, and the whole takes the place of the log."""
 
     def __init__(self, raft: RaftContext) -> None:
         self.raft = raft
@@ -103,17 +103,19 @@
             self.incoming = None
             self._respond(sender, chunk, 0, done=True)
             return
-        if self.incoming is None or self.incoming.meta != chunk.metadata:
+        if self.incoming is None or self.incoming.metadata != chunk.metadata:
             self.incoming = IncomingSnapshot(chunk.metadata)
-        held = self.incoming.data
-        if chunk.offset != len(held):
-            self._respond(sender, chunk, len(held))  # guards against chunks that come twice or out of order
+        received = self.incoming.data
+        if chunk.offset != len(received):
+            self._respond(
+                sender, chunk, len(received)
+            )  # guards against chunks that arrive twice or out of order
             return
-        held += chunk.data
+        received += chunk.data
         if chunk.done:
-            self._finish(sender, chunk, bytes(held))
+            self._finish(sender, chunk, bytes(received))
         else:
-            self._respond(sender, chunk, len(held))
+            self._respond(sender, chunk, len(received))
 
     def _finish(self, sender: str, chunk: InstallSnapshot, data: bytes) -> None:
         self.incoming = None
@@ -123,12 +125,12 @@
         self._install(chunk.metadata, data)
         self._respond(sender, chunk, len(data), done=True)
 
-    def _install(self, meta: SnapshotMetadata, data: bytes) -> None:
+    def _install(self, metadata: SnapshotMetadata, data: bytes) -> None:
         raft = self.raft
-        raft.log.reset(meta)
-        raft.commit_index = raft.applied_index = raft.stable_index = meta.index
+        raft.log.reset(metadata)
+        raft.commit_index = raft.applied_index = raft.stable_index = metadata.index
         raft.pending.entries = []
-        raft.pending.snapshot = Snapshot(meta, data)
+        raft.pending.snapshot = Snapshot(metadata, data)
         raft.pending.committed_entries = []
 
     def _respond(self, sender: str, chunk: InstallSnapshot, offset: int, done: bool = False) -> None:
