--- a/gradegap/capture/replay.py
+++ b/gradegap/capture/replay.py
@@ -20,6 +20,7 @@
 from gradegap.capture import decision_module, frames, records, state
 from gradegap.capture.errors import BadStateError, DecisionVersion, LaterStateError, OtherAlgorithmError
 from gradegap.capture.frames import BadCaptureError, Damage, Frame, Kind
+from gradegap.capture.schema import BALANCER, ENDPOINT, REQUEST
 
 LAST = 8  # events told of in front of a difference
 RECENT = 2000  # events among which these are looked for
@@ -175,30 +176,39 @@
 
 
 def about(balancer: Any, now: float, actions: Iterable[Any]) -> list[str]:
-    """The state behind decisions, in words: the servers and reqs that they name."""
-    said = []
-    wanted = sorted({n for a in actions for n in records.names(a)}, key=str)
-    for name in wanted:
-        server = getattr(balancer, "servers", {}).get(name)
-        if server is not None:
-            age = now - server.seen_at if server.seen_at > 0 else None
-            said.append(
-                f"{name}: {server.phase.name.lower()}, load "
-                f"{'unknown' if server.load is None else round(server.load, 4)}"
-                f"{'' if age is None else f', seen {age:.3f} s ago'}, {len(server.held)} held, "
-                f"{server.failed} failed in a row, {server.silent} silent"
-            )
-        req = getattr(balancer, "reqs", {}).get(name)
-        if req is not None:
-            pair = " and ".join(s.name for s in req.pair) if req.pair else "none"
-            said.append(
-                f"req {name}: {req.cls.name}, {req.attempts} attempts, {req.deadline - now:.3f} s left, "
-                f"pair {pair}, {req.redraws} redraws"
-            )
-    stood = getattr(balancer, "stood", None)
-    if stood is not None:
-        said.append(f"{len(balancer.ready)} ready, {stood.get(now):.2f} connections a second stood up here")
-    return said
+    """The state behind decisions, in words: the endpoints and requests that they name."""
+    lines = []
+    endpoints, requests = BALANCER.get(balancer, "endpoints"), BALANCER.get(balancer, "requests")
+    for name in sorted({n for a in actions for n in records.names(a)}, key=str):
+        if name in endpoints:
+            lines.append(_endpoint_line(endpoints[name], now))
+        if name in requests:
+            lines.append(_request_line(requests[name], now))
+    ready = len(BALANCER.get(balancer, "ready_endpoints"))
+    rate = BALANCER.owner(balancer, "established_rate.slow").get(now)
+    lines.append(f"{ready} ready, {rate:.2f} connections a second stood up here")
+    return lines
+
+
+def _endpoint_line(endpoint: Any, now: float) -> str:
+    held = {stored: ENDPOINT.get(endpoint, stored) for stored in ENDPOINT.fields}
+    load = "unknown" if held["load"] is None else round(held["load"], 4)
+    seen_at = held["report_changed_at"]
+    age = f", seen {now - seen_at:.3f} s ago" if seen_at > 0 else ""
+    return (
+        f"{held['name']}: {held['phase'].name.lower()}, load {load}{age}, {len(held['connections'])} held, "
+        f"{held['consecutive_failures']} failed in a row, {held['unanswered_probes']} silent"
+    )
+
+
+def _request_line(request: Any, now: float) -> str:
+    held = {stored: REQUEST.get(request, stored) for stored in REQUEST.fields}
+    pair = " and ".join(ENDPOINT.get(each, "name") for each in held["candidates"] or ()) or "none"
+    left = held["deadline_at"] - now
+    return (
+        f"req {held['id']}: {held['class'].name}, {held['attempts']} attempts, {left:.3f} s left, "
+        f"pair {pair}, {held['redraws']} redraws"
+    )
 
 
 def replay(
--- a/gradegap/capture/schema.py
+++ b/gradegap/capture/schema.py
@@ -38,6 +38,15 @@
     def __post_init__(self) -> None:
         object.__setattr__(self, "values", attrgetter(*self.fields.values()))
 
+    def get(self, obj: Any, stored: str) -> Any:
+        """A field of an object, by its stored name."""
+        return attrgetter(self.fields[stored])(obj)
+
+    def owner(self, obj: Any, stored: str) -> Any:
+        """The component that has a field: the object itself, or the one that the path leads to."""
+        inner = self.fields[stored].rpartition(".")[0]
+        return attrgetter(inner)(obj) if inner else obj
+
 
 BALANCER = Form(
     "Balancer",
--- a/gradegap/capture/snapshot.py
+++ b/gradegap/capture/snapshot.py
@@ -18,6 +18,7 @@
 import msgspec
 
 from gradegap.capture import frames, state
+from gradegap.capture.schema import BALANCER
 
 SMALL = 400  # objects that are walked in place
 WAIT = 20.0  # s that a child may take
@@ -26,7 +27,7 @@
 
 def size(balancer: Any) -> int:
     """About how many objects a walk would meet, without one."""
-    return sum(len(getattr(balancer, name, ())) for name in ("reqs", "servers"))
+    return sum(len(BALANCER.get(balancer, name)) for name in ("requests", "endpoints"))
 
 
 def begin(balancer: Any) -> tuple[int, int]:
--- a/gradegap/commands/capture.py
+++ b/gradegap/commands/capture.py
@@ -14,8 +14,8 @@
 import typer
 
 from gradegap.capture import decision_module, frames, index, records, replay
-from gradegap.capture import explain as explaining
 from gradegap.capture.errors import BadModuleError, BadStateError, LaterStateError
+from gradegap.capture.explain import explain, in_one_line
 from gradegap.capture.frames import BadCaptureError, Damage, Kind
 
 capture = typer.Typer(help="Files of what the module was told and did.", no_args_is_help=True)
@@ -282,13 +282,13 @@
         if found.state_differs:
             typer.echo(found.state_differs)
         if (d := found.difference) is not None:
-            typer.echo(f"step {d.step.seq} at {d.step.at:.6f} differs: {explaining.told(d.step.event)}")
-            typer.echo(f"  recorded: {'; '.join(explaining.told(a) for a in d.step.actions) or 'nothing'}")
-            typer.echo(f"  replayed: {'; '.join(explaining.told(a) for a in d.did) or 'nothing'}")
+            typer.echo(f"step {d.step.seq} at {d.step.at:.6f} differs: {in_one_line(d.step.event)}")
+            typer.echo(f"  recorded: {'; '.join(in_one_line(a) for a in d.step.actions) or 'nothing'}")
+            typer.echo(f"  replayed: {'; '.join(in_one_line(a) for a in d.did) or 'nothing'}")
             for line in d.about:
                 typer.echo(f"  {line}")
             for before in d.before:
-                typer.echo(f"  before: {before.at:.6f} {explaining.told(before.event)}")
+                typer.echo(f"  before: {before.at:.6f} {in_one_line(before.event)}")
             typer.echo(
                 "  what follows in the record is no evidence for this module: its outcomes are another's"
             )
@@ -308,8 +308,8 @@
         what = "is told otherwise" if found.event else "decides otherwise"
         typer.echo(f"step {a.seq} at {a.at:.6f} {what}")
         for path, step in ((file, a), (other, b)):
-            did = "; ".join(explaining.told(x) for x in step.actions) or "nothing"
-            typer.echo(f"  {path}: {explaining.told(step.event)} -> {did}")
+            did = "; ".join(in_one_line(x) for x in step.actions) or "nothing"
+            typer.echo(f"  {path}: {in_one_line(step.event)} -> {did}")
     if found.first is not None or not found.steps:
         raise typer.Exit(1)
 
@@ -318,7 +318,7 @@
     """Why a req went where it went."""
     part = index.seek(whole(file), req=req)
     try:
-        lines = list(explaining.explain(replay.items(part), _module(None), req)) if part else []
+        lines = list(explain(replay.items(part), _module(None), req)) if part else []
     except (BadCaptureError, BadStateError, records.BadRecordError) as error:
         raise stop(error) from None
     if not lines:
