--- a/gradegap/commands/store.py
+++ b/gradegap/commands/store.py
@@ -17,12 +17,13 @@
 import msgspec
 import typer
 
-from gradegap.node.operator_file import OperatorFileError, load_operator, read_secret
+from gradegap.errors import OperatorFileError
+from gradegap.node.operator_file import load_operator
+from gradegap.setting_checks import read_secret
 from gradegap.store import schema, wire
 from gradegap.store.disk import BadFolder
 from gradegap.store.machine import Compare, Event, Item, Op
 from gradegap.store.remote import Remote, StoreError
-from gradegap.store.settings import StoreSettings
 
 CODES = {"no": 1, "unreachable": 2, "unknown": 3, "no_quorum": 4}
 
@@ -44,7 +45,7 @@
 
 @contextmanager
 def remote_or_error(node: str, secret: str, wait: float) -> Iterator[Remote]:
-    known = read_secret(StoreSettings("client", node, secret=secret))
+    known = read_secret(secret, "store.secret")
     with Remote(node, known, wait) as made:
         yield made
 
--- a/gradegap/commands/store_server.py
+++ b/gradegap/commands/store_server.py
@@ -7,9 +7,11 @@
 
 import structlog
 
+from gradegap.errors import OperatorFileError
 from gradegap.metrics import Metrics
-from gradegap.node.operator_file import OperatorFileError, OperatorSettings, read_secret
+from gradegap.node.operator_file import OperatorSettings
 from gradegap.node.subscriptions import subscription_server_factory
+from gradegap.setting_checks import read_secret
 from gradegap.store.daemon import Daemon
 from gradegap.store.disk import BadFolder, data_folder
 
@@ -25,7 +27,7 @@
     settings = operator.store
     if settings is None:
         raise OperatorFileError("the operator's file has no [store] table")
-    secret = read_secret(settings)
+    secret = read_secret(settings.secret, "store.secret")
     metrics = Metrics()
 
     async def main() -> None:
--- a/gradegap/discovery/settings.py
+++ b/gradegap/discovery/settings.py
@@ -4,9 +4,19 @@
 
 import msgspec
 
+from gradegap.setting_checks import check_loopback
+
 
 class DnsSdSettings(msgspec.Struct):
     """The `[dnssd]` table: backends from DNS-SD records instead of discovery's HTTP."""
 
     server: str
     service: str
+
+    def check(self) -> None:
+        """What single keys don't show.
+
+        Raises:
+            OperatorFileError: where the resolver can be reached by strangers, who could forge its answers.
+        """
+        check_loopback(self.server, "dnssd.server")
--- a/gradegap/node/configuration.py
+++ b/gradegap/node/configuration.py
@@ -14,6 +14,7 @@
 from gradegap.balancing import settings_reader as reader
 from gradegap.balancing.settings import Settings
 from gradegap.discovery.http_discovery import Listing
+from gradegap.errors import ConfigurationError
 from gradegap.transport.addresses import split_address
 
 log = structlog.get_logger()
@@ -22,10 +23,6 @@
 FIXED = ("name", "listen", "seed", "console")  # what lasts for the life of a process
 
 
-class ConfigurationError(ValueError):
-    """A configuration that the node can't start with; its text is one plain line."""
-
-
 class Limits(msgspec.Struct):
     cores: float = 1.0
     memory_mb: float = 0.0
--- a/gradegap/node/node.py
+++ b/gradegap/node/node.py
@@ -18,15 +18,17 @@
 from gradegap.balancing.settings import Settings
 from gradegap.discovery.http_discovery import HttpDiscovery
 from gradegap.downstream.session import Resuming, TcpChannel
+from gradegap.errors import ConfigurationError, OperatorFileError
 from gradegap.hot_restart.handover import Handover
 from gradegap.hot_restart.link import close_descriptors
 from gradegap.metrics import Metrics
-from gradegap.node.configuration import ConfigurationError, Setup, private_file, reload
-from gradegap.node.operator_file import OperatorFileError, OperatorSettings, read_secret
+from gradegap.node.configuration import Setup, private_file, reload
+from gradegap.node.operator_file import OperatorSettings
 from gradegap.node.subscriptions import subscription_server_factory
 from gradegap.observer.settings import ObserverSettings
 from gradegap.proxy.proxy import Proxy
 from gradegap.quic.settings import QuicSettings
+from gradegap.setting_checks import read_secret
 from gradegap.store.dynamic_configuration import DynamicConfiguration, set_log_level
 from gradegap.store.settings import StoreSettings
 from gradegap.store.snapshot import Snapshot
@@ -427,7 +429,7 @@
         from gradegap.store.disk import BadFolder, data_folder
 
         try:
-            secret, place = read_secret(settings), data_folder(settings)
+            secret, place = read_secret(settings.secret, "store.secret"), data_folder(settings)
             told = lambda: self.director.told  # noqa: E731
             parts = self.proxy, self.live, self.metrics, self.loop, self._state, told
             made = Attached(settings, secret, place, *parts, subscription_server_factory(settings))
--- a/gradegap/node/process.py
+++ b/gradegap/node/process.py
@@ -10,9 +10,10 @@
 
 import structlog
 
-from gradegap.node.configuration import ConfigurationError, Setup, load
+from gradegap.errors import ConfigurationError
+from gradegap.node.configuration import Setup, load
 from gradegap.node.node import Node
-from gradegap.node.operator_file import OperatorFileError, OperatorSettings, load_operator
+from gradegap.node.operator_file import OperatorSettings, load_operator
 
 log = structlog.get_logger()
 
@@ -71,7 +72,7 @@
 def load_both(config: str | None, operator: str | None) -> tuple[Setup, OperatorSettings]:
     try:
         return load(config), load_operator(operator or os.environ.get("GRADEGAP_OPERATOR"))
-    except (ConfigurationError, OperatorFileError) as error:
+    except ConfigurationError as error:
         raise stop_line(error) from None
 
 
--- a/gradegap/observer/client.py
+++ b/gradegap/observer/client.py
@@ -20,7 +20,6 @@
 import structlog
 
 from gradegap.metrics import Metrics
-from gradegap.node.operator_file import read_secret
 from gradegap.observer.errors import REMEDIES
 from gradegap.observer.limits import Limits
 from gradegap.observer.link import FRAME_OVERHEAD, TokenBucket, decode_to_subscriber, subscriber_channel
@@ -28,6 +27,7 @@
 from gradegap.observer.selection import Machine
 from gradegap.observer.settings import ObserverSettings
 from gradegap.observer.subscriber import Apply, Connect, Disconnect, LeaseChanged, Phase, Send, Subscriber
+from gradegap.setting_checks import read_secret
 from gradegap.store import wire
 from gradegap.transport.addresses import split_address
 
@@ -171,11 +171,11 @@
         on_lease: Callable[[bool], None],
         limits: Limits | None = None,
     ) -> None:
-        """`settings.name` is the node's. `BadOperatorFile` where the secret can't be read."""
+        """`settings.name` is the node's. `OperatorFileError` where the secret can't be read."""
         assert settings.name, "a subscription needs its node's name"
         self.settings, self.loop, self.metrics = settings, loop, metrics
         self.on_apply, self.on_lease = on_apply, on_lease
-        self.secret = read_secret(settings)
+        self.secret = read_secret(settings.secret, "observer.secret")
         self.instance = secrets.token_hex(8)
         now = time.monotonic()
         self.bucket = TokenBucket(settings.bytes_per_s, settings.bytes_per_s * BURST_S, now)
--- a/gradegap/observer/settings.py
+++ b/gradegap/observer/settings.py
@@ -6,6 +6,9 @@
 
 import msgspec
 
+from gradegap.errors import OperatorFileError
+from gradegap.setting_checks import check_loopback, check_name, has_duplicates
+
 
 class ObserverMachine(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A control machine that serves subscriptions."""
@@ -24,3 +27,19 @@
     secret: str = ""  # a file with the cluster's secret
     when_stale: Literal["refuse", "serve"] = "refuse"  # what the node does without a lease
     bytes_per_s: Annotated[int, msgspec.Meta(ge=500, le=1_000_000)] = 3000  # that the node may send
+
+    def check(self) -> None:
+        """What single keys don't show.
+
+        Raises:
+            OperatorFileError: for the first setting that can't be used.
+        """
+        if self.name:
+            check_name(self.name, "observer.name is")
+        for machine in self.machines:
+            check_name(machine.name, "observer.machines:")
+            check_loopback(machine.address, f"observer.machines: the address of {machine.name}")
+        if has_duplicates(machine.name for machine in self.machines):
+            raise OperatorFileError("observer.machines: two machines have the same name")
+        if has_duplicates(machine.address for machine in self.machines):
+            raise OperatorFileError("observer.machines: two machines have the same address")
--- a/tests/test_lint_rules.py
+++ b/tests/test_lint_rules.py
@@ -45,7 +45,6 @@
 gradegap/node/configuration.py: D
 gradegap/node/decision_trace.py: D
 gradegap/node/node.py: D
-gradegap/node/operator_file.py: D
 gradegap/node/process.py: D
 gradegap/proxy/proxy.py: D
 gradegap/quic/channel.py: D
--- a/tests/test_observer_server.py
+++ b/tests/test_observer_server.py
@@ -18,8 +18,9 @@
 import pytest
 import uvloop
 
+from gradegap.errors import OperatorFileError
 from gradegap.metrics import Metrics
-from gradegap.node.operator_file import OperatorFileError, load_operator
+from gradegap.node.operator_file import load_operator
 from gradegap.observer import server as server_module
 from gradegap.observer.client import ObserverClient
 from gradegap.observer.limits import Limits
--- a/tests/test_store_parts.py
+++ b/tests/test_store_parts.py
@@ -13,7 +13,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from gradegap.check.linear import FOREVER, Did, explain
-from gradegap.node.operator_file import OperatorFileError, load_operator
+from gradegap.errors import OperatorFileError
+from gradegap.node.operator_file import load_operator
 from gradegap.raft import ClusterConfiguration, Entry, EntryKind, HardState, Member, SnapshotMetadata
 from gradegap.store import schema, wire
 from gradegap.store.disk import BadFolder, Batch, Disk
--- a/tests/test_store_voters.py
+++ b/tests/test_store_voters.py
@@ -8,7 +8,8 @@
 import msgspec
 import pytest
 
-from gradegap.node.operator_file import OperatorFileError, load_operator
+from gradegap.errors import OperatorFileError
+from gradegap.node.operator_file import load_operator
 from gradegap.raft import ClusterConfiguration, Member
 from gradegap.store import wire
 from gradegap.store.forming import Forming, promotable
