--- a/gradegap/raft/core.py
+++ b/gradegap/raft/core.py
@@ -178,7 +178,7 @@
     # Requests of clients and operators, through the driver
 
     def propose(self, now: float, data: bytes, kind: EntryKind = EntryKind.COMMAND) -> int:
-        """Append an entry; its index, where `data` is committed if the entry there is still of this term then.
+        """Append an entry: `data` is committed at its index if the entry there is still of this term then.
 
         Raises:
             NotLeaderError, TransferInProgressError, TooMuchUncommittedError: Nothing was appended.
