--- a/bench/scale/measure.py
+++ b/bench/scale/measure.py
@@ -47,7 +47,7 @@
         return self.sent.total() + self.received.total()
 
 
-class CountedChannel(wire.Channel):
+class CountedChannel(wire.LinkChannel):
     """One end of a link that counts what goes over it, by the type of the message."""
 
     traffic: Traffic
@@ -64,7 +64,7 @@
         self.traffic.sent[kind] += len(data)
         return data
 
-    def receive(self, data: bytes) -> tuple[list[wire.Word], bytes]:
+    def receive(self, data: bytes) -> tuple[list[wire.LinkMessage], bytes]:
         """Messages that are whole by now, counted."""
         self.sizes: list[int] = []
         words, reply = super().receive(data)
@@ -77,7 +77,7 @@
         return words, reply
 
     def _frame(self) -> bytes | None:
-        head = wire.HEAD + (wire.SUM if self.proven else 0)
+        head = wire.LENGTH_BYTES + (wire.CHECKSUM_BYTES if self.proven else 0)
         body = super()._frame()
         if body is not None:
             self.sizes.append(head + len(body))
@@ -86,7 +86,7 @@
 
 def kind_of(word: Any) -> str:
     """The name that a message is counted by."""
-    if isinstance(word, wire.Raft):
+    if isinstance(word, wire.RaftMessage):
         return f"raft.{type(word.message).__name__}"
     return type(word).__name__
 
--- a/bench/scale/sessions.py
+++ b/bench/scale/sessions.py
@@ -17,7 +17,7 @@
 from gradegap.store.dynamic_configuration import DynamicConfiguration
 from gradegap.store.machine import Event
 from gradegap.store.settings import Peer, StoreSettings
-from gradegap.store.wire import Channel
+from gradegap.store.wire import LinkChannel
 
 
 class MachineSpec(msgspec.Struct):
@@ -98,7 +98,7 @@
         network.channel = self._channel  # type: ignore[method-assign]
         self.attached.machine.watchers.append(self._changed)
 
-    def _channel(self, dials: bool) -> Channel:
+    def _channel(self, dials: bool) -> LinkChannel:
         network = self.attached.daemon.net
         channel = CountedChannel.open(network.secret, "member", dials, network.me, network.cluster)
         assert isinstance(channel, CountedChannel)
--- a/bench/scale/slopes_module.py
+++ b/bench/scale/slopes_module.py
@@ -29,7 +29,7 @@
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Attempt, ConnectPort, Endpoint, HealthCheckDone, Proxy
 from gradegap.store.gossip import Learner
-from gradegap.store.wire import Channel, Gossip
+from gradegap.store.wire import Gossip, LinkChannel
 from gradegap.transport.dialer import Dialer
 from tests.helpers import settings
 
@@ -274,10 +274,10 @@
     ]
 
 
-def proven_pair() -> tuple[Channel, Channel]:
+def proven_pair() -> tuple[LinkChannel, LinkChannel]:
     """Two ends of a link of the store, proven."""
-    dialer = Channel.open(b"secret", "member", True)
-    acceptor = Channel.open(b"secret", "member", False)
+    dialer = LinkChannel.open(b"secret", "member", True)
+    acceptor = LinkChannel.open(b"secret", "member", False)
     to_acceptor, to_dialer = dialer.begin(), b""
     while not (dialer.proven and acceptor.proven):
         _, to_dialer = acceptor.receive(to_acceptor)
--- a/bench/scale/slopes_observer.py
+++ b/bench/scale/slopes_observer.py
@@ -33,7 +33,7 @@
 ROUNDS = 10  # renewals of each subscriber in one repeat
 REPEATS = 5
 SUM_KEY = b"k" * 32
-FRAME = wire.HEAD + wire.SUM
+FRAME = wire.LENGTH_BYTES + wire.CHECKSUM_BYTES
 LEASE_S = 1.0
 
 _encode = msgspec.msgpack.Encoder().encode
@@ -45,18 +45,22 @@
     """The frames of one direction, with their sums, as `store/wire.py` makes them."""
 
     def __init__(self) -> None:
-        self.channel = wire.Channel.open(b"secret", "client", dials=True)
+        self.channel = wire.LinkChannel.open(b"secret", "client", dials=True)
         self.number = 0
 
     def frame(self, body: bytes) -> bytes:
         """A body with its length and its sum."""
         self.number += 1
-        return len(body).to_bytes(wire.HEAD, "big") + self.channel._sum(SUM_KEY, self.number, body) + body
+        return (
+            len(body).to_bytes(wire.LENGTH_BYTES, "big")
+            + self.channel._sum(SUM_KEY, self.number, body)
+            + body
+        )
 
     def body(self, frame: bytes) -> bytes:
         """The body of a frame, its sum checked."""
         body = frame[FRAME:]
-        if self.channel._sum(SUM_KEY, self.number, body) != frame[wire.HEAD : FRAME]:
+        if self.channel._sum(SUM_KEY, self.number, body) != frame[wire.LENGTH_BYTES : FRAME]:
             raise ValueError("the sum of a frame is wrong")
         return body
 
--- a/bench/scale/slopes_store.py
+++ b/bench/scale/slopes_store.py
@@ -117,11 +117,11 @@
         """Each holder asks once; the leader's processor time and both ends' bytes are counted."""
         for name in self.names:
             self.serial += 1
-            frame = self.dialer.send(wire.LeaseAsk(name, self.serial, applied))
+            frame = self.dialer.send(wire.LeaseRequest(name, self.serial, applied))
             began = time.process_time()
             words, _ = self.acceptor.receive(frame)
             for ask in words:
-                assert isinstance(ask, wire.LeaseAsk)
+                assert isinstance(ask, wire.LeaseRequest)
                 length = self.granter.grant(self.now, ask.holder, ask.applied, self.now + 1.0)
                 answer = self.acceptor.send(wire.LeaseGrant(ask.holder, ask.serial, 1, ask.applied, length))
             self.spent += time.process_time() - began
--- a/bench/scale/storeclient.py
+++ b/bench/scale/storeclient.py
@@ -36,10 +36,10 @@
     """A client's link to one machine."""
 
     def __init__(self, secret: bytes) -> None:
-        self.channel = wire.Channel.open(secret, "client", dials=True)
+        self.channel = wire.LinkChannel.open(secret, "client", dials=True)
         self.loop = asyncio.get_running_loop()
         self.proven: asyncio.Future[None] = self.loop.create_future()
-        self.waiting: dict[int, asyncio.Future[wire.Answer]] = {}
+        self.waiting: dict[int, asyncio.Future[wire.Response]] = {}
         self.serial = 0
         self.transport: asyncio.Transport | None = None
 
@@ -57,8 +57,8 @@
         if self.channel.proven and not self.proven.done():
             self.proven.set_result(None)
         for word in words:
-            waits = self.waiting.pop(word.serial, None) if isinstance(word, wire.Answer) else None
-            if waits is not None and isinstance(word, wire.Answer) and not waits.done():
+            waits = self.waiting.pop(word.serial, None) if isinstance(word, wire.Response) else None
+            if waits is not None and isinstance(word, wire.Response) and not waits.done():
                 waits.set_result(word)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -71,13 +71,13 @@
                 waits.exception()  # nobody may be waiting any more
         self.waiting.clear()
 
-    async def ask(self, wish: wire.Wish, within: float) -> wire.Answer:
+    async def ask(self, wish: wire.RequestBody, within: float) -> wire.Response:
         """The answer to one wish."""
         if self.transport is None:
             raise ConnectionError("the machine ended the link")
         self.serial += 1
         waits = self.waiting[self.serial] = self.loop.create_future()
-        self.transport.write(self.channel.send(wire.Ask(self.serial, wish, within)))
+        self.transport.write(self.channel.send(wire.Request(self.serial, wish, within)))
         return await asyncio.wait_for(waits, within + MARGIN_S)
 
 
@@ -111,8 +111,8 @@
             tried = self.at
             try:
                 link = await self._connected()
-                answer = await link.ask(wire.Write((op,), author=author), min(TRY_S, left))
-            except (OSError, TimeoutError, wire.BadLink):
+                answer = await link.ask(wire.Transaction((op,), author=author), min(TRY_S, left))
+            except (OSError, TimeoutError, wire.LinkError):
                 record.outcome = "lost"
             else:
                 record.outcome, record.text, record.revision = answer.outcome, answer.text, answer.revision
@@ -146,7 +146,7 @@
 
 async def status(address: str, secret: bytes, within: float = 1.0) -> dict[str, Any]:
     """What one machine says of itself; empty where it can't be asked."""
-    with contextlib.suppress(OSError, TimeoutError, wire.BadLink):
+    with contextlib.suppress(OSError, TimeoutError, wire.LinkError):
         link = await connect(address, secret)
         try:
             return (await link.ask(wire.Status(), within)).status
--- a/bench/store.py
+++ b/bench/store.py
@@ -93,7 +93,7 @@
     """Writes one key after another over a link, each once the one before is committed."""
 
     def __init__(self, number: int, histogram: HdrHistogram, until: float) -> None:
-        self.channel = wire.Channel.open(SECRET, "client", dials=True)
+        self.channel = wire.LinkChannel.open(SECRET, "client", dials=True)
         self.number, self.histogram, self.until = number, histogram, until
         self.serial = 0
         self.began = 0
@@ -114,7 +114,7 @@
         if self.channel.proven and not was:
             self.next()
         for word in words:
-            assert isinstance(word, wire.Answer)
+            assert isinstance(word, wire.Response)
             if word.outcome == "ok":
                 self.histogram.record_value((time.perf_counter_ns() - self.began) // 1000)
             else:
@@ -130,7 +130,7 @@
         self.serial += 1
         self.began = time.perf_counter_ns()
         op = Op(f"bench/{self.number}/{self.serial % 50}", "x" * 100)
-        self.transport.write(self.channel.send(wire.Ask(self.serial, wire.Write((op,)), 10.0)))
+        self.transport.write(self.channel.send(wire.Request(self.serial, wire.Transaction((op,)), 10.0)))
 
 
 async def commits(address: str, writers: int) -> dict[str, Any]:
@@ -194,7 +194,7 @@
         empty = rss(c.processes["n1"].pid)
         with c.remote("n1", 30.0) as r:
             for k in range(0, KEYS, 100):
-                r.one(wire.Write(tuple(Op(f"key/{i:08}", i) for i in range(k, k + 100))))
+                r.one(wire.Transaction(tuple(Op(f"key/{i:08}", i) for i in range(k, k + 100))))
         full = rss(c.processes["n1"].pid)
         c.processes["n1"].terminate()
         c.processes["n1"].wait(10)
--- a/gradegap/commands/resume.py
+++ b/gradegap/commands/resume.py
@@ -15,7 +15,7 @@
 from gradegap.resume.token import RING, BadToken, Ring, digest, opened
 from gradegap.store.machine import Compare, Item, Op
 from gradegap.store.remote import Remote
-from gradegap.store.wire import Write
+from gradegap.store.wire import Transaction
 
 keys = typer.Typer(help="Rings of keys that nodes share.", no_args_is_help=True)
 token = typer.Typer(help="Tokens of sessions.", no_args_is_help=True)
@@ -52,7 +52,9 @@
     """Only over the ring that was read: of two who rotate at once, one is told."""
     key = KINDS[which][0]
     op = Op(key, msgspec.to_builtins(ring))
-    answer = r.one(Write((op,), (Compare(key, old.changed if old is not None else 0),), author=author()))
+    answer = r.one(
+        Transaction((op,), (Compare(key, old.changed if old is not None else 0),), author=author())
+    )
     if not answer.succeeded:
         raise stop("somebody changed the ring at this moment; nothing was done", 1)
     return answer.revision
--- a/gradegap/commands/store.py
+++ b/gradegap/commands/store.py
@@ -283,7 +283,7 @@
 ) -> None:
     """Have another member lead."""
     with remote(node, secret, wait) as r:
-        r.one(wire.Transfer(name))
+        r.one(wire.TransferLeadership(name))
     say({"leader": name}, json, f"{name} leads")
 
 
@@ -392,8 +392,10 @@
 ) -> None:
     """Print what changed between two revisions."""
     with remote(node, secret, wait) as r:
-        old = r.one(wire.At(revision, "config/")).status
-        new = r.one(wire.At(to, "config/")).status if to else {i.key: i.value for i in r.list("config/")}
+        old = r.one(wire.ValuesAt(revision, "config/")).status
+        new = (
+            r.one(wire.ValuesAt(to, "config/")).status if to else {i.key: i.value for i in r.list("config/")}
+        )
     say({"old": old, "new": new}, json, "\n".join(difference(old, new)))
 
 
@@ -403,7 +405,7 @@
 ) -> None:
     """Bring configuration back to what it was after a revision, as a new one; all keys or none."""
     with remote(node, secret, wait) as r:
-        then = r.one(wire.At(revision, "config/")).status
+        then = r.one(wire.ValuesAt(revision, "config/")).status
         now = {i.key: i for i in r.list("config/")}
         ops = [Op(k, v) for k, v in then.items() if k not in now or now[k].value != v]
         ops += [Op(k, delete=True) for k in now if k not in then]
@@ -412,7 +414,7 @@
             return
         # Guards against a change between the look and the write: then nothing is rolled back.
         compares = tuple(Compare(op.key, now[op.key].changed if op.key in now else 0) for op in ops)
-        answer = r.one(wire.Write(tuple(ops), compares, author=author()))
+        answer = r.one(wire.Transaction(tuple(ops), compares, author=author()))
     if not answer.succeeded:
         raise stop("somebody changed configuration at this moment; nothing was rolled back", 1)
     say({"revision": answer.revision, "changed": len(ops)}, json, str(answer.revision))
--- a/gradegap/observer/attached.py
+++ b/gradegap/observer/attached.py
@@ -60,7 +60,9 @@
     def __init__(self, client: ObserverClient) -> None:
         self.client = client
 
-    def request(self, wish: wire.Wish, done: Callable[[wire.Answer], None], left: float = 5.0) -> None:
+    def request(
+        self, wish: wire.RequestBody, done: Callable[[wire.Response], None], left: float = 5.0
+    ) -> None:
         """`done` with one answer."""
         self.client.request(wish, done, left)
 
@@ -161,14 +163,14 @@
         self._write(self.committed.back_by_hand(server), done)
 
     def _write(self, op: Op, done: Done) -> None:
-        def answered(answer: wire.Answer) -> None:
+        def answered(answer: wire.Response) -> None:
             if answer.outcome == "ok":
                 done(DONE)
             else:
                 remedy = "" if self.fresh() else f"; {REMEDY}"
                 done(Verdict(HTTPStatus.SERVICE_UNAVAILABLE, f"{answer.text}{remedy}"))
 
-        self.client.request(wire.Write((op,), author="console"), answered, CALL_WAIT)
+        self.client.request(wire.Transaction((op,), author="console"), answered, CALL_WAIT)
 
     def describe(self) -> Verdict:
         """Which revision is in force here, how old that is, and who serves it, for the console."""
@@ -185,7 +187,7 @@
         """Yes, once all nodes have the revision that this one has; else who is missing."""
         revision = self.client.revision
 
-        def answered(answer: wire.Answer) -> None:
+        def answered(answer: wire.Response) -> None:
             if answer.outcome == "ok":
                 done(Verdict(HTTPStatus.OK, f"revision {revision} is {answer.text}"))
             else:
--- a/gradegap/observer/client.py
+++ b/gradegap/observer/client.py
@@ -39,7 +39,7 @@
 MOST_REQUESTS = 256  # under way or waiting
 ANSWER_MARGIN = 0.5  # s that an answer may take beyond the time that the machine was given
 
-Done = Callable[[wire.Answer], None]
+Done = Callable[[wire.Response], None]
 
 
 @dataclass(slots=True)
@@ -86,7 +86,7 @@
     """A request to the store that is not answered yet."""
 
     serial: int
-    wish: wire.Wish
+    wish: wire.RequestBody
     done: Done
     until: float  # steady time at which whoever asks gives up
     name: str = ""  # of a write, while it is under way
@@ -126,7 +126,7 @@
         was_proven = self.channel.proven
         try:
             messages, reply = self.channel.receive(data)
-        except wire.BadLink as error:
+        except wire.LinkError as error:
             self.close()
             self.client.lost(self, str(error))
             return
@@ -253,23 +253,23 @@
 
     # Requests to the store
 
-    def request(self, wish: wire.Wish, done: Done, left: float = 5.0, relayed: bool = False) -> None:
+    def request(self, wish: wire.RequestBody, done: Done, left: float = 5.0, relayed: bool = False) -> None:
         """`done` with one answer, at the latest after `left` seconds and a margin."""
         if self.closed or len(self.requests) >= MOST_REQUESTS:
             self.metrics.count("observer_requests_refused")
             why = "this process is leaving" if self.closed else "too many requests are under way"
-            done(wire.Answer(0, "no", f"busy: {why}"))
+            done(wire.Response(0, "no", f"busy: {why}"))
             return
         self.serial += 1
         request = Request(self.serial, wish, done, time.monotonic() + left)
-        if isinstance(wish, wire.Write) and not wish.client:
+        if isinstance(wish, wire.Transaction) and not wish.client:
             self._name(request, wish)
         self.requests[request.serial] = request
         self.loop.call_later(left + ANSWER_MARGIN, self._late, request)
         if self._ready():
             self._send_request(request)
 
-    def _name(self, request: Request, wish: wire.Write) -> None:
+    def _name(self, request: Request, wish: wire.Transaction) -> None:
         """A name that no other write under way has, with a number that only grows: see `machine.Command`."""
         if self.names:
             name = self.names.popleft()
@@ -289,11 +289,11 @@
         left = request.until - now
         if request.serial not in self.requests or left <= 0 or self.connection is None:
             return
-        body = msgspec.msgpack.encode(wire.Ask(request.serial, request.wish, left))
+        body = msgspec.msgpack.encode(wire.Request(request.serial, request.wish, left))
         size = len(body) + FRAME_OVERHEAD
         if size + RESERVE > self.bucket.burst or len(body) > self.connection.channel.largest:
             text = f"too_large: a request of {size} bytes; ask a member of the store at its own address"
-            self._answer(request, wire.Answer(0, "no", text))
+            self._answer(request, wire.Response(0, "no", text))
         elif self.bucket.allows(now, size, RESERVE):
             request.sent = True
             self.connection.send("Ask", body)
@@ -305,7 +305,7 @@
         if self._ready():
             self._send_request(request)
 
-    def _answered(self, answer: wire.Answer) -> None:
+    def _answered(self, answer: wire.Response) -> None:
         request = self.requests.get(answer.serial)
         if request is not None:
             self._answer(request, answer)
@@ -315,15 +315,15 @@
             self._give_up(request, "no control machine answered in time")
 
     def _give_up(self, request: Request, why: str) -> None:
-        if request.sent and isinstance(request.wish, wire.Write):
+        if request.sent and isinstance(request.wish, wire.Transaction):
             text = f"unknown: {why}; it may be committed or not: ask again, it does no harm twice"
-            self._answer(request, wire.Answer(0, "unknown", text))
+            self._answer(request, wire.Response(0, "unknown", text))
             return
         age = f"the last was heard {self.age:.1f} s ago" if self.revision else "none was ever heard"
         text = f"no_quorum: {why} ({age}); nothing was changed: ask again once the node is ready"
-        self._answer(request, wire.Answer(0, "no_quorum", text))
+        self._answer(request, wire.Response(0, "no_quorum", text))
 
-    def _answer(self, request: Request, answer: wire.Answer) -> None:
+    def _answer(self, request: Request, answer: wire.Response) -> None:
         del self.requests[request.serial]
         if request.name:
             self.names.append(request.name)
@@ -341,7 +341,7 @@
         """A message of the machine."""
         if connection is not self.connection:
             return
-        if isinstance(message, wire.Answer):
+        if isinstance(message, wire.Response):
             self._answered(message)
             return
         was_ready = self._ready()
--- a/gradegap/observer/link.py
+++ b/gradegap/observer/link.py
@@ -13,15 +13,15 @@
 from gradegap.observer.messages import LARGEST_FRAME, FromPublisher, FromSubscriber
 from gradegap.store import wire
 
-FRAME_OVERHEAD = wire.HEAD + wire.SUM  # bytes of a frame beside its body
+FRAME_OVERHEAD = wire.LENGTH_BYTES + wire.CHECKSUM_BYTES  # bytes of a frame beside its body
 
-ToPublisher = FromSubscriber | wire.Ask
-ToSubscriber = FromPublisher | wire.Answer
+ToPublisher = FromSubscriber | wire.Request
+ToSubscriber = FromPublisher | wire.Response
 
 _from_subscriber: msgspec.msgpack.Decoder[FromSubscriber] = msgspec.msgpack.Decoder(FromSubscriber)
 _from_publisher: msgspec.msgpack.Decoder[FromPublisher] = msgspec.msgpack.Decoder(FromPublisher)
-_ask: msgspec.msgpack.Decoder[wire.Ask] = msgspec.msgpack.Decoder(wire.Ask)
-_answer: msgspec.msgpack.Decoder[wire.Answer] = msgspec.msgpack.Decoder(wire.Answer)
+_ask: msgspec.msgpack.Decoder[wire.Request] = msgspec.msgpack.Decoder(wire.Request)
+_answer: msgspec.msgpack.Decoder[wire.Response] = msgspec.msgpack.Decoder(wire.Response)
 _encoder = msgspec.msgpack.Encoder()
 
 
@@ -40,14 +40,18 @@
     return _from_publisher.decode(body) if _is_array(body) else _answer.decode(body)
 
 
-def publisher_channel(secret: bytes) -> wire.Channel:
+def publisher_channel(secret: bytes) -> wire.LinkChannel:
     """The control machine's end of a connection."""
-    return wire.Channel.open(secret, "client", dials=False, decode=decode_to_publisher, largest=LARGEST_FRAME)
+    return wire.LinkChannel.open(
+        secret, "client", dials=False, decode=decode_to_publisher, largest=LARGEST_FRAME
+    )
 
 
-def subscriber_channel(secret: bytes) -> wire.Channel:
+def subscriber_channel(secret: bytes) -> wire.LinkChannel:
     """The node's end of a connection."""
-    return wire.Channel.open(secret, "client", dials=True, decode=decode_to_subscriber, largest=LARGEST_FRAME)
+    return wire.LinkChannel.open(
+        secret, "client", dials=True, decode=decode_to_subscriber, largest=LARGEST_FRAME
+    )
 
 
 class EncodedOnce:
--- a/gradegap/observer/server.py
+++ b/gradegap/observer/server.py
@@ -38,7 +38,7 @@
 OTHER_DESCRIPTORS = 1024  # that the process needs beside its subscribers'
 BACKLOG = 1024
 ASKED = (
-    wire.Get | wire.List | wire.Write | wire.Status | wire.Digest | wire.InForce
+    wire.Get | wire.List | wire.Transaction | wire.Status | wire.Digest | wire.InForce
 )  # what a node may ask for
 
 
@@ -67,7 +67,7 @@
         """Bytes of the other side."""
         try:
             messages, reply = self.channel.receive(data)
-        except wire.BadLink as error:
+        except wire.LinkError as error:
             reason = str(error).partition(":")[0]
             if self.transport is not None and reason != "turned":
                 self.transport.write(self.channel.turn(str(error)))
@@ -94,7 +94,7 @@
             return
         transport.write(self.channel.send_encoded(body))
 
-    def answer(self, answer: wire.Answer) -> None:
+    def answer(self, answer: wire.Response) -> None:
         """To one request. A node that asks and never reads is cut off."""
         self.asked -= 1
         if self.transport is None:
@@ -102,7 +102,7 @@
         body = msgspec.msgpack.encode(answer)
         if len(body) > self.channel.largest:
             text = f"too_large: the answer has {len(body)} bytes; ask for fewer keys at once"
-            body = msgspec.msgpack.encode(wire.Answer(answer.serial, "no", text))
+            body = msgspec.msgpack.encode(wire.Response(answer.serial, "no", text))
         self.send(body)
         if self.transport.get_write_buffer_size() > MOST_UNSENT:
             self.end(CloseCode.SLOW)
@@ -259,26 +259,26 @@
                 self.newcomers.pop(connection.number, None)
                 connection.subscribed(message.node)
                 publisher.subscribe(now, connection.number, message)
-            case wire.Ask() if connection.node:
+            case wire.Request() if connection.node:
                 self._ask(connection, message)
                 return
-            case wire.Ask():
+            case wire.Request():
                 connection.end(CloseCode.GARBLED, "a request before it has subscribed")
                 return
             case _:
                 publisher.receive(now, connection.number, message)  # type: ignore[arg-type]
         self._soon()
 
-    def _ask(self, connection: Connection, ask: wire.Ask) -> None:
+    def _ask(self, connection: Connection, ask: wire.Request) -> None:
         connection.asked += 1
 
-        def done(answer: wire.Answer) -> None:
+        def done(answer: wire.Response) -> None:
             connection.answer(msgspec.structs.replace(answer, serial=ask.serial))
 
         if connection.asked > MOST_ASKED:
-            done(wire.Answer(0, "no", f"busy: more than {MOST_ASKED} requests at once"))
+            done(wire.Response(0, "no", f"busy: more than {MOST_ASKED} requests at once"))
         elif not isinstance(ask.wish, ASKED):
-            done(wire.Answer(0, "no", "not_here: ask a member of the store at its own address"))
+            done(wire.Response(0, "no", "not_here: ask a member of the store at its own address"))
         else:
             self.host.requests.request(ask.wish, done, ask.left)
 
--- a/gradegap/resume/part.py
+++ b/gradegap/resume/part.py
@@ -43,7 +43,9 @@
 
 
 class Service(Protocol):
-    def request(self, wish: wire.Wish, done: Callable[[wire.Answer], None], left: float = 5.0) -> None: ...
+    def request(
+        self, wish: wire.RequestBody, done: Callable[[wire.Response], None], left: float = 5.0
+    ) -> None: ...
 
 
 class Store(Protocol):
@@ -263,7 +265,7 @@
             return
         began = time.monotonic()
 
-        def found(answer: wire.Answer) -> None:
+        def found(answer: wire.Response) -> None:
             if answer.outcome != "ok":
                 later(answer.text)
                 return
@@ -274,7 +276,7 @@
                 claimed(error)
                 return
 
-            def written(answer: wire.Answer) -> None:
+            def written(answer: wire.Response) -> None:
                 if answer.outcome != "ok":
                     later(answer.text)
                 elif not answer.succeeded:
@@ -283,7 +285,7 @@
                     won(epoch)
 
             again = max(0.05, left - (time.monotonic() - began))
-            store.service.request(wire.Write((op,), (compare,), author=self.node), written, again)
+            store.service.request(wire.Transaction((op,), (compare,), author=self.node), written, again)
 
         store.service.request(wire.Get(CLAIMS + place.session), found, left)
 
--- a/gradegap/store/attached.py
+++ b/gradegap/store/attached.py
@@ -140,13 +140,13 @@
         self._write(self.committed.back_by_hand(server), done)
 
     def _write(self, op: Op, done: Done) -> None:
-        def answered(answer: wire.Answer) -> None:
+        def answered(answer: wire.Response) -> None:
             if answer.outcome == "ok":
                 done(DONE)
             else:
                 done(Verdict(HTTPStatus.SERVICE_UNAVAILABLE, answer.text))
 
-        self.daemon.service.request(wire.Write((op,), author="console"), answered, CALL_WAIT)
+        self.daemon.service.request(wire.Transaction((op,), author="console"), answered, CALL_WAIT)
 
     # What nodes tell each other
 
--- a/gradegap/store/daemon.py
+++ b/gradegap/store/daemon.py
@@ -180,7 +180,7 @@
         self._run(self.found)
         for member in config.members:
             if member.id != self.identity.id:
-                self.net.send(member.id, member.address, wire.Form(cluster, config))
+                self.net.send(member.id, member.address, wire.ClusterFormed(cluster, config))
 
     def close(self) -> None:
         self.closed = True
@@ -371,7 +371,7 @@
             if raft.is_leader and link.dial is not None and theirs is not None and link.channel.proven:
                 gone = raft.configuration.get(theirs.id) is None
                 if gone and theirs.cluster and link.dial.address not in old:
-                    link.send(wire.Turned("removed"))
+                    link.send(wire.LinkRejected("removed"))
         self._want_links()
 
     def _stop_as_removed(self) -> None:
@@ -528,9 +528,9 @@
             # Somebody who is not a member, or not yet: answered on whichever link we have to it.
             for dial in self.net.dials.values():
                 if dial.link is not None and dial.link.id == to:
-                    dial.link.send(wire.Raft(message))
+                    dial.link.send(wire.RaftMessage(message))
             return
-        self.net.send(to, member.address, wire.Raft(message))
+        self.net.send(to, member.address, wire.RaftMessage(message))
 
     def _want_links(self) -> None:
         addresses = {p.address for p in self.settings.peers if p.name != self.settings.name}
@@ -550,7 +550,7 @@
             if formed is not None:
                 self._form(*formed)
         elif not theirs.cluster and self.raft is not None and self.raft.configuration.get(theirs.id):
-            link.send(wire.Form(self.identity.cluster, self.raft.configuration))
+            link.send(wire.ClusterFormed(self.identity.cluster, self.raft.configuration))
         link.closing.append(lambda: self.service.link_lost(theirs.id))
         self.service.leader_changed()
         self.met(link)
@@ -564,23 +564,23 @@
             elif dial.link is not None and dial.link.transport is not None and self.forming.waits_for(theirs):
                 dial.link.transport.close()  # asked again who it is: it may have formed since
 
-    def _heard(self, link: Link, word: wire.Word) -> None:
+    def _heard(self, link: Link, word: wire.LinkMessage) -> None:
         raft = self.raft
         match word:
-            case wire.Ask():
+            case wire.Request():
                 self.service.asked(link, word)
-            case wire.Answer():
+            case wire.Response():
                 self.service.answered(link, word)
-            case wire.Raft() if link.id and raft is not None and not self.removed:
+            case wire.RaftMessage() if link.id and raft is not None and not self.removed:
                 raft.step(time.monotonic(), link.id, word.message)
                 self.settle()
-            case wire.Form() if link.id and not self.identity.cluster:
+            case wire.ClusterFormed() if link.id and not self.identity.cluster:
                 if word.config.get(self.identity.id) is not None:
                     self._form(word.cluster, word.config)
                     self._want_links()
             case wire.Join() if link.id == word.member.id and raft is not None:
                 self.service.take_in(link, word.member)
-            case wire.LeaseAsk() if link.id:
+            case wire.LeaseRequest() if link.id:
                 link.send(self._lease(word))
             case wire.LeaseGrant() if link.id:
                 self._granted(word)
@@ -590,7 +590,7 @@
                     self.granter.look(time.monotonic())
             case wire.Gossip() if link.id:
                 self.gossiped(word)
-            case wire.Turned() if link.id and word.reason == "removed":
+            case wire.LinkRejected() if link.id and word.reason == "removed":
                 if raft is not None and not self.removed:
                     self._now_removed()
             case _:
@@ -598,7 +598,7 @@
 
     # Leases
 
-    def _lease(self, ask: wire.LeaseAsk) -> wire.LeaseGrant:
+    def _lease(self, ask: wire.LeaseRequest) -> wire.LeaseGrant:
         """A lease for a node, where this member leads for certain; else one of no length."""
         raft, now = self.raft, time.monotonic()
         if raft is None or self.granter is None or self.removed:
@@ -612,7 +612,7 @@
         if self.want_lease and self.holder.wants(now, self.settings.lease_s):
             last = max(self.holder.asked.values(), default=NEVER)
             if now - last >= 0.1:
-                ask = wire.LeaseAsk(self.holder.name, self.holder.ask(now), self.safe_index())
+                ask = wire.LeaseRequest(self.holder.name, self.holder.ask(now), self.safe_index())
                 if self.raft is not None and self.raft.is_leader:
                     self._granted(self._lease(ask))
                 else:
@@ -631,16 +631,16 @@
         """Whether a decision made now is by committed state."""
         return self.holder.fresh(time.monotonic())
 
-    def to_leader(self, word: wire.Word) -> bool:
+    def to_leader(self, word: wire.LinkMessage) -> bool:
         raft = self.raft
         leader = raft.configuration.get(raft.leader_id) if raft is not None and raft.leader_id else None
         return leader is not None and self.net.send(leader.id, leader.address, word)
 
-    def to_member(self, member: Member, ask: wire.Ask) -> bool:
+    def to_member(self, member: Member, ask: wire.Request) -> bool:
         """Ask a member, whoever leads; no where it is away, or of a release that can't read it."""
         dial = self.net.dials.get(member.address)
         theirs = dial.link.channel.theirs if dial is not None and dial.link is not None else None
-        if theirs is None or wire.IN_FORCE not in theirs.reads:
+        if theirs is None or wire.IN_FORCE_TAG not in theirs.reads:
             return False
         return self.net.send(member.id, member.address, ask)
 
@@ -650,7 +650,7 @@
             return self.publisher.report(revision)
         return MachineReport(self.settings.name, min(self.machine.revision, revision), 0)
 
-    def to_all(self, word: wire.Word) -> None:
+    def to_all(self, word: wire.LinkMessage) -> None:
         for dial in self.net.dials.values():
             if dial.link is not None:
                 dial.link.send(word)
--- a/gradegap/store/gather.py
+++ b/gradegap/store/gather.py
@@ -24,7 +24,7 @@
 MARGIN = 0.2  # s before whoever asks gives up
 MOST_NAMED = 20  # nodes that an answer names
 
-Done = Callable[[wire.Answer], None]
+Done = Callable[[wire.Response], None]
 
 
 class Asker(Protocol):
@@ -40,7 +40,7 @@
     def local_report(self, revision: int) -> MachineReport:
         """What this member knows itself."""
 
-    def ask_member(self, member: Member, wish: wire.Wish, done: Done, left: float) -> None:
+    def ask_member(self, member: Member, wish: wire.RequestBody, done: Done, left: float) -> None:
         """`done` with the member's answer, or with a no."""
 
 
@@ -67,7 +67,7 @@
                 self._ask(current, member, left)
 
     def _ask(self, current: InForceTally, member: Member, left: float) -> None:
-        def answered(answer: wire.Answer) -> None:
+        def answered(answer: wire.Response) -> None:
             report = None
             if answer.outcome == "ok":
                 report = msgspec.msgpack.decode(answer.data, type=MachineReport)
@@ -85,10 +85,10 @@
     def _look(self, verdict: InForceVerdict) -> None:
         if verdict.in_force:
             text = f"in force at {verdict.subscribers} nodes"
-            self.done(wire.Answer(0, text=text, revision=self.revision, status=_status(verdict)))
+            self.done(wire.Response(0, text=text, revision=self.revision, status=_status(verdict)))
         elif time.monotonic() + PERIOD >= self.until:
             text = f"not_in_force: {describe(verdict)}"
-            self.done(wire.Answer(0, "no", text, self.revision, status=_status(verdict)))
+            self.done(wire.Response(0, "no", text, self.revision, status=_status(verdict)))
         else:
             self.asker.loop.call_later(PERIOD, self.start)
 
--- a/gradegap/store/gossip.py
+++ b/gradegap/store/gossip.py
@@ -20,7 +20,7 @@
 )
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import HEALTH_CHECK_TIMEOUT_S, Endpoint, Proxy
-from gradegap.store.wire import Gossip, Learned
+from gradegap.store.wire import Gossip, GossipReport
 
 PERIOD = 1.0  # s between two words
 OLDEST = 5.0  # s; older reports say nothing any more
@@ -42,18 +42,18 @@
         """Only what this node saw itself: what it was told is not told on, so nothing goes in circles."""
         now = self.proxy.now()
         seen = [
-            Learned(b.id, "report", now - b.report_at, dict(b.report))
+            GossipReport(b.id, "report", now - b.report_at, dict(b.report))
             for b in self.proxy.backends.values()
             if b.report is not None and not b.told_by_peer and now - b.report_at < OLDEST
         ]
         seen += [
-            Learned(b.id, "silent", now - b.silent_at)
+            GossipReport(b.id, "silent", now - b.silent_at)
             for b in self.proxy.backends.values()
             if now - b.silent_at < OLDEST
         ]
         if self.told():
             seen += [
-                Learned(b.id, "listed", 0.0, None, int(b.told.phase), b.told.started_at)
+                GossipReport(b.id, "listed", 0.0, None, int(b.told.phase), b.told.started_at)
                 for b in self.proxy.backends.values()
                 if b.told is not None
             ]
@@ -91,7 +91,7 @@
             self.metrics.count("gossip_listed", len(changed))
             self.proxy.listing(EndpointListKind.DELTA, changed)
 
-    def _silent(self, learned: Learned, b: Endpoint, now: float) -> None:
+    def _silent(self, learned: GossipReport, b: Endpoint, now: float) -> None:
         """A sibling's probe was left unanswered: the module hears of it as of one of its own, and no more
         often than of its own, where this node has no later answer."""
         at = now - learned.age
@@ -103,7 +103,7 @@
         self.metrics.count("gossip_silent")
         self.proxy.feed(HealthCheckEnded(b.id, AttemptResult.TIMEOUT, HEALTH_CHECK_TIMEOUT_S, None))
 
-    def _fit(self, learned: Learned) -> bool:
+    def _fit(self, learned: GossipReport) -> bool:
         """Guards the module against figures that no probe could have brought."""
         report = learned.report or {}
         if learned.kind == "silent":
--- a/gradegap/store/links.py
+++ b/gradegap/store/links.py
@@ -17,7 +17,7 @@
 from gradegap.metrics import Metrics
 from gradegap.raft import Member
 from gradegap.store.leases import LENGTH
-from gradegap.store.wire import BadLink, Channel, Word
+from gradegap.store.wire import LinkChannel, LinkError, LinkMessage
 from gradegap.transport.addresses import split_address
 
 log = structlog.get_logger()
@@ -32,7 +32,7 @@
 class Link(asyncio.Protocol):
     """A connection, whichever side opened it."""
 
-    def __init__(self, net: Network, channel: Channel, dial: Dial | None = None) -> None:
+    def __init__(self, net: Network, channel: LinkChannel, dial: Dial | None = None) -> None:
         self.net, self.channel, self.dial = net, channel, dial
         self.transport: asyncio.Transport | None = None
         self.guard: asyncio.TimerHandle | None = None
@@ -66,7 +66,7 @@
         was_proven = self.channel.proven
         try:
             words, reply = self.channel.receive(data)
-        except BadLink as error:
+        except LinkError as error:
             reason, _, text = str(error).partition(": ")
             if self.transport is not None and reason != "turned":
                 self.transport.write(self.channel.turn(str(error)))
@@ -84,7 +84,7 @@
                 return
             self.net.heard(self, word)
 
-    def send(self, word: Word) -> bool:
+    def send(self, word: LinkMessage) -> bool:
         t = self.transport
         if t is None or t.is_closing() or not self.channel.proven:
             return False
@@ -177,7 +177,7 @@
         loop: asyncio.AbstractEventLoop,
         metrics: Metrics,
         secret: bytes,
-        heard: Callable[[Link, Word], None],
+        heard: Callable[[Link, LinkMessage], None],
         linked: Callable[[Dial, Link], None],
     ) -> None:
         self.loop, self.metrics, self.secret = loop, metrics, secret
@@ -191,8 +191,8 @@
         self.server: asyncio.Server | None = None
         self.began = time.monotonic()
 
-    def channel(self, dials: bool) -> Channel:
-        return Channel.open(self.secret, "member", dials, self.me, self.cluster, self.lease_s)
+    def channel(self, dials: bool) -> LinkChannel:
+        return LinkChannel.open(self.secret, "member", dials, self.me, self.cluster, self.lease_s)
 
     async def listen(self, address: str) -> None:
         host, port = split_address(address)
@@ -207,7 +207,7 @@
         for address in self.dials.keys() - addresses:
             self.dials.pop(address).stop()
 
-    def send(self, member: str, address: str, word: Word) -> bool:
+    def send(self, member: str, address: str, word: LinkMessage) -> bool:
         """Over the link dialed to a member; False where there is none, or it is another life of it."""
         dial = self.dials.get(address)
         if dial is None or dial.link is None or dial.link.id != member:
--- a/gradegap/store/remote.py
+++ b/gradegap/store/remote.py
@@ -27,9 +27,9 @@
 
     def __init__(self, address: str, secret: bytes = b"", wait: float = 5.0) -> None:
         self.address, self.wait = address, wait
-        self.channel = wire.Channel.open(secret, "client", dials=True)
+        self.channel = wire.LinkChannel.open(secret, "client", dials=True)
         self.serial = 0
-        self.words: list[wire.Word] = []
+        self.words: list[wire.LinkMessage] = []
         try:
             self.sock = socket.create_connection(split_address(address), timeout=min(wait, 2.0))
             self.sock.sendall(self.channel.begin())
@@ -47,13 +47,15 @@
             self.sock.sendall(reply)
         self.words += words
 
-    def ask(self, wish: wire.Wish) -> Iterator[wire.Answer]:
+    def ask(self, wish: wire.RequestBody) -> Iterator[wire.Response]:
         """The answers to one wish; `StoreError` where it is not done."""
         self.serial += 1
-        writes = isinstance(wish, wire.Write | wire.AddMember | wire.RemoveMember | wire.Transfer)
+        writes = isinstance(
+            wish, wire.Transaction | wire.AddMember | wire.RemoveMember | wire.TransferLeadership
+        )
         end = time.monotonic() + self.wait + MARGIN
         try:
-            self.sock.sendall(self.channel.send(wire.Ask(self.serial, wish, self.wait)))
+            self.sock.sendall(self.channel.send(wire.Request(self.serial, wish, self.wait)))
             while True:
                 while not self.words:
                     left = end - time.monotonic()
@@ -62,7 +64,7 @@
                     self.sock.settimeout(None if isinstance(wish, wire.Watch) else left)
                     self._read()
                 word = self.words.pop(0)
-                if not isinstance(word, wire.Answer) or word.serial != self.serial:
+                if not isinstance(word, wire.Response) or word.serial != self.serial:
                     continue
                 if word.outcome != "ok":
                     raise StoreError(word.outcome, word.text)
@@ -73,7 +75,7 @@
             kind, what = ("unknown", "unknown: ") if writes else ("no_quorum", "")
             raise StoreError(kind, f"{what}the store at {self.address}: {error}") from None
 
-    def one(self, wish: wire.Wish) -> wire.Answer:
+    def one(self, wish: wire.RequestBody) -> wire.Response:
         (answer,) = self.ask(wish)
         return answer
 
@@ -88,14 +90,14 @@
         return None if item is None else item.value
 
     def set(self, key: str, value: Any, ttl_ms: int = 0, author: str = "") -> int:
-        return self.one(wire.Write((Op(key, value, ttl_ms=ttl_ms),), author=author)).revision
+        return self.one(wire.Transaction((Op(key, value, ttl_ms=ttl_ms),), author=author)).revision
 
     def delete(self, key: str, author: str = "") -> int:
-        return self.one(wire.Write((Op(key, delete=True),), author=author)).revision
+        return self.one(wire.Transaction((Op(key, delete=True),), author=author)).revision
 
-    def cas(self, key: str, revision: int, value: Any, author: str = "") -> wire.Answer:
+    def cas(self, key: str, revision: int, value: Any, author: str = "") -> wire.Response:
         """Set it only where it was last changed at `revision`; 0: only where it is not there."""
-        return self.one(wire.Write((Op(key, value),), (Compare(key, revision),), author=author))
+        return self.one(wire.Transaction((Op(key, value),), (Compare(key, revision),), author=author))
 
     def list(self, prefix: str = "", stale: bool = False) -> list[Item]:
         return self.one(wire.List(prefix, stale)).items
@@ -104,7 +106,7 @@
         for answer in self.ask(wire.Watch(prefix, revision)):
             yield from answer.events
 
-    def in_force(self, revision: int) -> wire.Answer:
+    def in_force(self, revision: int) -> wire.Response:
         """Once all nodes that subscribe have it; `StoreError` "no", which says who is missing, where not."""
         return self.one(wire.InForce(revision))
 
--- a/gradegap/store/service.py
+++ b/gradegap/store/service.py
@@ -42,7 +42,7 @@
 
 TRANSIENT = ("not_leader", "transferring", "not_ready")  # reasons that another try may not meet
 
-Done = Callable[[wire.Answer], None]
+Done = Callable[[wire.Response], None]
 
 
 @dataclass(slots=True, eq=False)
@@ -50,7 +50,7 @@
     """A wish under way."""
 
     serial: int
-    wish: wire.Wish
+    wish: wire.RequestBody
     done: Done
     until: float  # steady time at which whoever asks gives up
     relayed: bool  # it came from a member, which tries again itself
@@ -87,8 +87,8 @@
     def settle(self) -> None: ...
     def flush(self) -> None: ...
     def report(self, revision: int) -> MachineReport: ...
-    def to_member(self, member: Member, ask: wire.Ask) -> bool: ...
-    def to_leader(self, word: wire.Word) -> bool: ...
+    def to_member(self, member: Member, ask: wire.Request) -> bool: ...
+    def to_leader(self, word: wire.LinkMessage) -> bool: ...
     def in_thread(self, work: Future[Any], done: Callable[[Any], None]) -> None: ...
 
 
@@ -115,12 +115,12 @@
 
     # From links
 
-    def asked(self, link: Link, ask: wire.Ask) -> None:
+    def asked(self, link: Link, ask: wire.Request) -> None:
         if isinstance(ask.wish, wire.Watch):
             self._watch(link, ask.serial, ask.wish)
             return
 
-        def done(answer: wire.Answer) -> None:
+        def done(answer: wire.Response) -> None:
             link.send(msgspec.structs.replace(answer, serial=ask.serial))
 
         if isinstance(ask.wish, wire.Snapshot):
@@ -128,17 +128,17 @@
         else:
             self.request(ask.wish, done, ask.left, relayed=bool(link.id))
 
-    def request(self, wish: wire.Wish, done: Done, left: float = 5.0, relayed: bool = False) -> None:
+    def request(self, wish: wire.RequestBody, done: Done, left: float = 5.0, relayed: bool = False) -> None:
         """`done` with one answer, at the latest after `left` seconds."""
         if len(self.pending) >= MOST_PENDING:
             self.metrics.count("store_busy")
-            done(wire.Answer(0, "no", "busy: too many wishes are under way"))
+            done(wire.Response(0, "no", "busy: too many wishes are under way"))
             return
         try:
             wish = self._checked(wish)
         except BadCommand as error:
             self.metrics.count(f"store_refused_{str(error).split(':')[0]}")
-            done(wire.Answer(0, "no", str(error)))
+            done(wire.Response(0, "no", str(error)))
             return
         self.serial += 1
         until = time.monotonic() + min(left, MOST_LEFT)
@@ -146,9 +146,9 @@
         self.pending[p.serial] = p
         self._try(p)
 
-    def _checked(self, wish: wire.Wish) -> wire.Wish:
+    def _checked(self, wish: wire.RequestBody) -> wire.RequestBody:
         """Turn down what no member would apply, and give a write its name."""
-        if not isinstance(wish, wire.Write):
+        if not isinstance(wish, wire.Transaction):
             return wish
         for op in (*wish.then, *wish.otherwise):
             check_op(op)
@@ -180,9 +180,9 @@
         m = self.member
         raft = m.raft
         if isinstance(p.wish, wire.Status):
-            self._answer(p, wire.Answer(0, status=self.status()))
+            self._answer(p, wire.Response(0, status=self.status()))
         elif isinstance(p.wish, wire.Digest):
-            self._answer(p, wire.Answer(0, text=m.machine.digest(), revision=m.machine.revision))
+            self._answer(p, wire.Response(0, text=m.machine.digest(), revision=m.machine.revision))
         elif isinstance(p.wish, wire.InForce):
             self._in_force(p, p.wish)
         elif isinstance(p.wish, wire.Get | wire.List) and p.wish.stale:
@@ -192,18 +192,18 @@
             if m.removed and asked_to_go and raft is not None:
                 # What was asked is what ended this member: it is committed, or it would not be removed. (One
                 # whose disk failed has no core any more, and can't say so.)
-                self._answer(p, wire.Answer(0))
+                self._answer(p, wire.Response(0))
             elif m.removed and self._doubtful(p):
                 text = "unknown: this member has ended with it under way; it may be committed or not"
-                self._answer(p, wire.Answer(0, "unknown", text))
+                self._answer(p, wire.Response(0, "unknown", text))
             elif m.removed:
-                self._answer(p, wire.Answer(0, "no", "removed: this member belongs to no cluster"))
+                self._answer(p, wire.Response(0, "no", "removed: this member belongs to no cluster"))
             else:
                 p.waits_for = "leader"
         elif raft.is_leader:
             self._lead(p)
         elif p.relayed:
-            self._answer(p, wire.Answer(0, "no", "not_leader: ask again"))
+            self._answer(p, wire.Response(0, "no", "not_leader: ask again"))
         else:
             self._pass_on(p)
 
@@ -212,9 +212,9 @@
     def _in_force(self, p: Pending, wish: wire.InForce) -> None:
         m = self.member
         if p.relayed:
-            self._answer(p, wire.Answer(0, data=msgspec.msgpack.encode(m.report(wish.revision))))
+            self._answer(p, wire.Response(0, data=msgspec.msgpack.encode(m.report(wish.revision))))
         elif m.raft is None or m.removed:
-            self._answer(p, wire.Answer(0, "no", "removed: this member belongs to no cluster"))
+            self._answer(p, wire.Response(0, "no", "removed: this member belongs to no cluster"))
         else:
             p.waits_for = "gathering"
             done = lambda answer: self._answer(p, answer)  # noqa: E731
@@ -234,12 +234,12 @@
         """What this member knows of the nodes that subscribe here."""
         return self.member.report(revision)
 
-    def ask_member(self, member: Member, wish: wire.Wish, done: Done, left: float) -> None:
+    def ask_member(self, member: Member, wish: wire.RequestBody, done: Done, left: float) -> None:
         """`done` with the member's answer, or with a no, after `left` seconds at the latest."""
         self.serial += 1
-        asked = wire.Ask(self.serial, wish, left)
+        asked = wire.Request(self.serial, wish, left)
         if not self.member.to_member(member, asked):
-            done(wire.Answer(0, "no", f"unreachable: {member.name}"))
+            done(wire.Response(0, "no", f"unreachable: {member.name}"))
             return
         until = time.monotonic() + left
         self.pending[self.serial] = Pending(self.serial, wish, done, until, True, waits_for=member.id)
@@ -248,9 +248,9 @@
         m, raft = self.member, self.member.raft
         assert raft is not None
         left = p.until - time.monotonic()
-        if raft.leader_id and left > 0 and m.to_leader(wire.Ask(p.serial, p.wish, left)):
+        if raft.leader_id and left > 0 and m.to_leader(wire.Request(p.serial, p.wish, left)):
             p.waits_for, p.taken = raft.leader_id, True
-            if isinstance(p.wish, wire.Write):
+            if isinstance(p.wish, wire.Transaction):
                 p.wish = msgspec.structs.replace(p.wish, tries=p.wish.tries + 1)
         else:
             p.waits_for = "leader"
@@ -261,14 +261,14 @@
         w = p.wish
         try:
             match w:
-                case wire.Write():
+                case wire.Transaction():
                     if p.relayed and not w.tries and w.until < m.log_clock() + LIFE // 2:
                         raise RequestRejectedError("restamp: it bears a time that is over")
                     body = Command(w.client, w.seq, w.until, w.author, w.compares, w.then, w.otherwise)
                     self._wait_for(p, m.propose(body))
                 case wire.AddMember():
                     op = Op(INVITED + w.name, {"address": w.address})
-                    p.wish = self._checked(wire.Write((op,), author="operator"))
+                    p.wish = self._checked(wire.Transaction((op,), author="operator"))
                     self._lead(p)
                 case wire.RemoveMember():
                     found = raft.configuration.find_by_name(w.name)
@@ -276,15 +276,15 @@
                         raise RequestRejectedError(f"no_such_member: {w.name}")
                     self._wait_for(p, raft.remove_member(now, found.id))
                     m.flush()
-                case wire.TakeIn():
+                case wire.AdmitMember():
                     self._take_in(p, w.member)
                     m.flush()
-                case wire.Transfer():
+                case wire.TransferLeadership():
                     found = raft.configuration.find_by_name(w.name)
                     if found is None:
                         raise RequestRejectedError(f"no_such_member: {w.name}")
                     if found.id == raft.member_id:
-                        self._answer(p, wire.Answer(0))  # it was asked before, and has taken over
+                        self._answer(p, wire.Response(0))  # it was asked before, and has taken over
                     else:
                         p.waits_for = "transfer"
                         raft.transfer_leadership(now, found.id)
@@ -301,7 +301,7 @@
             if reason in TRANSIENT and not p.relayed:
                 p.waits_for = "leader"
             else:
-                self._answer(p, wire.Answer(0, "no", str(error)))
+                self._answer(p, wire.Response(0, "no", str(error)))
 
     def _wait_for(self, p: Pending, index: int) -> None:
         raft = self.member.raft
@@ -325,11 +325,11 @@
         if result.error:
             reason = result.error.split(":")[0]
             outcome = "unknown" if reason in ("stale", "too_old") else "no"
-            self._answer(p, wire.Answer(0, outcome, result.error))
+            self._answer(p, wire.Response(0, outcome, result.error))
             return
-        answer = wire.Answer(0, revision=result.revision, succeeded=result.succeeded)
+        answer = wire.Response(0, revision=result.revision, succeeded=result.succeeded)
         m = self.member
-        if isinstance(p.wish, wire.Write) and m.granter is not None:
+        if isinstance(p.wish, wire.Transaction) and m.granter is not None:
             ops = (*p.wish.then, *p.wish.otherwise)
             if leases.binds([op.key for op in ops]):
                 # Nobody may decide by what stood before, once it is said to be replaced.
@@ -337,8 +337,8 @@
                 now = time.monotonic()
                 m.granter.when_seen(now, entry.index, lambda: self._answer(p, answer))
                 return
-        if entry.kind is EntryKind.CONFIGURATION and isinstance(p.wish, wire.TakeIn):
-            answer = wire.Answer(0, text="taken in", revision=result.revision)
+        if entry.kind is EntryKind.CONFIGURATION and isinstance(p.wish, wire.AdmitMember):
+            answer = wire.Response(0, text="taken in", revision=result.revision)
         self._answer(p, answer)
 
     def read_at(self, number: int, index: int) -> None:
@@ -364,38 +364,38 @@
         if p is not None:
             p.waits_for = "leader"
 
-    def _read(self, wish: wire.Wish) -> wire.Answer:
+    def _read(self, wish: wire.RequestBody) -> wire.Response:
         m = self.member.machine
         try:
             match wish:
                 case wire.Get():
                     item = m.get(wish.key)
-                    return wire.Answer(0, revision=m.revision, items=[item] if item is not None else [])
+                    return wire.Response(0, revision=m.revision, items=[item] if item is not None else [])
                 case wire.List():
-                    return wire.Answer(0, revision=m.revision, items=m.list(wish.prefix))
+                    return wire.Response(0, revision=m.revision, items=m.list(wish.prefix))
                 case wire.History():
                     since = max(wish.least, m.first_watchable)
-                    return wire.Answer(0, revision=m.revision, events=list(m.since(since, wish.prefix)))
-                case wire.At():
+                    return wire.Response(0, revision=m.revision, events=list(m.since(since, wish.prefix)))
+                case wire.ValuesAt():
                     then = m.at(wish.revision, wish.prefix)
-                    return wire.Answer(0, revision=m.revision, status=then)
+                    return wire.Response(0, revision=m.revision, status=then)
                 case _:
-                    return wire.Answer(0, "no", "bad_wish: nothing to read")
+                    return wire.Response(0, "no", "bad_wish: nothing to read")
         except BadCommand as error:
-            return wire.Answer(0, "no", str(error))
+            return wire.Response(0, "no", str(error))
 
-    def _answer(self, p: Pending, answer: wire.Answer) -> None:
+    def _answer(self, p: Pending, answer: wire.Response) -> None:
         if p.over:
             return
         p.over = True
         self.pending.pop(p.serial, None)
         self.reading.pop(p.serial, None)
-        if isinstance(p.wish, wire.Write) and p.wish.client in self.seqs:
+        if isinstance(p.wish, wire.Transaction) and p.wish.client in self.seqs:
             self.free.append(p.wish.client)
         self.metrics.count(f"store_answers_{answer.outcome}")
         p.done(msgspec.structs.replace(answer, clock=self.log_clock()))
 
-    def answered(self, link: Link, answer: wire.Answer) -> None:
+    def answered(self, link: Link, answer: wire.Response) -> None:
         """By the leader, to a wish that was passed on."""
         p = self.pending.get(answer.serial)
         if p is None or p.over or p.waits_for != link.id:
@@ -403,7 +403,7 @@
         if answer.clock:
             self.clock = (time.monotonic(), answer.clock)
         reason = answer.text.split(":")[0].split(" ")[0]
-        if reason == "restamp" and isinstance(p.wish, wire.Write):
+        if reason == "restamp" and isinstance(p.wish, wire.Transaction):
             # Nobody took it: it only bore a time that this member had not kept up with.
             p.wish = msgspec.structs.replace(p.wish, until=self.log_clock() + LIFE, tries=0)
             p.taken, p.waits_for = False, "leader"
@@ -447,7 +447,7 @@
             for p in list(self.pending.values()):
                 if p.waits_for == "leader" and not p.over:
                     if p.relayed:
-                        self._answer(p, wire.Answer(0, "no", "not_leader: ask again"))
+                        self._answer(p, wire.Response(0, "no", "not_leader: ask again"))
                     else:
                         self._try(p)
                 elif p.waits_for == "transfer":
@@ -455,45 +455,54 @@
 
     def _doubtful(self, p: Pending) -> bool:
         """Whether a leader had it and it would change something: nobody can say here what came of it."""
-        writes = isinstance(p.wish, wire.Write | wire.AddMember | wire.RemoveMember | wire.Transfer)
+        writes = isinstance(
+            p.wish, wire.Transaction | wire.AddMember | wire.RemoveMember | wire.TransferLeadership
+        )
         return writes and p.taken
 
     def _late(self, p: Pending) -> None:
         if self._doubtful(p):
             text = "unknown: it may be committed or not; nobody could say in time"
-            self._answer(p, wire.Answer(0, "unknown", text))
+            self._answer(p, wire.Response(0, "unknown", text))
         else:
             text = "no_quorum: no leader with a quorum answered in time"
-            self._answer(p, wire.Answer(0, "no_quorum", text))
+            self._answer(p, wire.Response(0, "no_quorum", text))
 
     def _look_at_transfer(self, p: Pending) -> None:
         raft = self.member.raft
-        if raft is not None and raft.is_leader and not raft.transferee and isinstance(p.wish, wire.Transfer):
-            self._answer(p, wire.Answer(0, "no", "failed: it did not take over in time"))
+        if (
+            raft is not None
+            and raft.is_leader
+            and not raft.transferee
+            and isinstance(p.wish, wire.TransferLeadership)
+        ):
+            self._answer(p, wire.Response(0, "no", "failed: it did not take over in time"))
 
     # Members that come
 
     def take_in(self, link: Link, member: Member) -> None:
-        def done(answer: wire.Answer) -> None:
+        def done(answer: wire.Response) -> None:
             raft = self.member.raft
             if answer.outcome == "ok" and raft is not None:
                 config = raft.configuration
                 if config.get(member.id) is None:
                     config = config.with_member(msgspec.structs.replace(member, voter=False))
-                link.send(wire.Form(self.member.identity.cluster, config))
+                link.send(wire.ClusterFormed(self.member.identity.cluster, config))
             elif answer.outcome == "no":
                 log.info("member not taken in", member=member.name, reason=answer.text)
 
-        if any(isinstance(p.wish, wire.TakeIn) and p.wish.member == member for p in self.pending.values()):
+        if any(
+            isinstance(p.wish, wire.AdmitMember) and p.wish.member == member for p in self.pending.values()
+        ):
             return
-        self.request(wire.TakeIn(member), done, 2.0)
+        self.request(wire.AdmitMember(member), done, 2.0)
 
     def _take_in(self, p: Pending, member: Member) -> None:
         """An earlier life of a member is removed first; then the new one is added, and asks once more."""
         m, raft, now = self.member, self.member.raft, time.monotonic()
         assert raft is not None
         if raft.configuration.get(member.id) is not None:
-            self._answer(p, wire.Answer(0, text="taken in"))
+            self._answer(p, wire.Response(0, text="taken in"))
             return
         old = raft.configuration.find_by_name(member.name)
         if old is not None:
@@ -505,7 +514,7 @@
             log.warning("an earlier life of a member is removed", member=member.name, id=old.id)
             invite = Op(INVITED + member.name, {"address": member.address})
             m.propose(Command(f"again-{member.id}", 1, m.log_clock() + LIFE, "store", (), (invite,)))
-            self._answer(p, wire.Answer(0, "no", "again: its earlier life is removed first"))
+            self._answer(p, wire.Response(0, "no", "again: its earlier life is removed first"))
             return
         item = m.machine.get(INVITED + member.name)
         if item is None:
@@ -519,19 +528,19 @@
         machine = self.member.machine
         if len(self.watching) >= MOST_WATCHES:
             self.metrics.count("store_busy")
-            link.send(wire.Answer(serial, "no", "busy: too many watches"))
+            link.send(wire.Response(serial, "no", "busy: too many watches"))
             return
         try:
             since = list(machine.since(wish.revision, wish.prefix)) if wish.revision else []
         except BadCommand as error:
-            link.send(wire.Answer(serial, "no", str(error)))
+            link.send(wire.Response(serial, "no", str(error)))
             return
         for k in range(0, len(since), 200):
-            link.send(wire.Answer(serial, revision=machine.revision, events=since[k : k + 200], more=True))
+            link.send(wire.Response(serial, revision=machine.revision, events=since[k : k + 200], more=True))
         watching = Watching(link, serial, wish.prefix)
         self.watching.add(watching)
         link.closing.append(lambda: self.watching.discard(watching))
-        link.send(wire.Answer(serial, text="watching", revision=machine.revision, more=True))
+        link.send(wire.Response(serial, text="watching", revision=machine.revision, more=True))
 
     def _changed(self, events: list[Event]) -> None:
         for w in list(self.watching):
@@ -543,15 +552,15 @@
                 w.link.end("slow_watcher")
                 continue
             revision = max(e.revision for e in mine)
-            w.link.send(wire.Answer(w.serial, revision=revision, events=mine, more=True))
+            w.link.send(wire.Response(w.serial, revision=revision, events=mine, more=True))
 
     # Whole
 
-    def _snapshot(self, ask: wire.Ask, done: Done) -> None:
+    def _snapshot(self, ask: wire.Request, done: Done) -> None:
         """Read linearizably, then packed in a thread, then sent in pieces."""
         m = self.member
 
-        def read(answer: wire.Answer) -> None:
+        def read(answer: wire.Response) -> None:
             if answer.outcome != "ok":
                 done(answer)
                 return
@@ -561,7 +570,7 @@
             revision = m.machine.revision
             for k in range(0, len(data), PIECE):
                 more = k + PIECE < len(data)
-                done(wire.Answer(0, revision=revision, data=data[k : k + PIECE], more=more))
+                done(wire.Response(0, revision=revision, data=data[k : k + PIECE], more=more))
 
         if m.raft is not None and not m.raft.is_leader:
             # The state is read here: this member first waits until it has what the leader had committed.
@@ -570,17 +579,17 @@
             self.request(wire.List("\0"), read, ask.left)
 
     def _when_as_far_as_the_leader(self, then: Done, left: float) -> None:
-        def read(answer: wire.Answer) -> None:
+        def read(answer: wire.Response) -> None:
             self._when_revision(answer, then, time.monotonic() + left)
 
         self.request(wire.List("\0"), read, left)
 
-    def _when_revision(self, answer: wire.Answer, then: Done, until: float) -> None:
+    def _when_revision(self, answer: wire.Response, then: Done, until: float) -> None:
         m = self.member
         if answer.outcome != "ok" or m.machine.revision >= answer.revision:
             then(answer)
         elif time.monotonic() > until:
-            then(wire.Answer(0, "no_quorum", "no_quorum: this member is behind"))
+            then(wire.Response(0, "no_quorum", "no_quorum: this member is behind"))
         else:
             m.loop.call_later(RETRY, self._when_revision, answer, then, until)
 
@@ -622,4 +631,4 @@
     def close(self) -> None:
         for p in list(self.pending.values()):
             outcome = "unknown" if self._doubtful(p) else "no"
-            self._answer(p, wire.Answer(0, outcome, f"{outcome}: this member ends"))
+            self._answer(p, wire.Response(0, outcome, f"{outcome}: this member ends"))
--- a/gradegap/store/subscriptions.py
+++ b/gradegap/store/subscriptions.py
@@ -22,7 +22,11 @@
     """Answers requests to the store."""
 
     def request(
-        self, wish: wire.Wish, done: Callable[[wire.Answer], None], left: float = 5.0, relayed: bool = False
+        self,
+        wish: wire.RequestBody,
+        done: Callable[[wire.Response], None],
+        left: float = 5.0,
+        relayed: bool = False,
     ) -> None:
         """`done` with one answer, at the latest after `left` seconds."""
 
--- a/gradegap/store/wire.py
+++ b/gradegap/store/wire.py
@@ -24,16 +24,16 @@
 from gradegap.store.leases import LENGTH
 from gradegap.store.machine import Compare, Event, Item, Op
 
-VERSION = 1
-HEAD = 4
-SUM = 16
-LARGEST_HELLO = 2048
-IN_FORCE = "in_force"  # the tag of `InForce`
-LARGEST = 2 * 1024 * 1024  # bytes of a frame
-NONCE = 16
+PROTOCOL_VERSION = 1
+LENGTH_BYTES = 4
+CHECKSUM_BYTES = 16
+MAX_HELLO_BYTES = 2048
+IN_FORCE_TAG = "in_force"  # the tag of `InForce`
+MAX_FRAME_BYTES = 2 * 1024 * 1024  # bytes of a frame
+NONCE_BYTES = 16
 
 
-class BadLink(ValueError):
+class LinkError(ValueError):
     """Why a link ends; its first word is the reason that is counted."""
 
 
@@ -56,7 +56,7 @@
     mac: bytes
 
 
-class Turned(msgspec.Struct, frozen=True, tag="turned"):
+class LinkRejected(msgspec.Struct, frozen=True, tag="turned"):
     """The last word on a link that is turned away."""
 
     reason: str
@@ -65,11 +65,11 @@
 # Between members
 
 
-class Raft(msgspec.Struct, frozen=True, tag="raft"):
+class RaftMessage(msgspec.Struct, frozen=True, tag="raft"):
     message: Message
 
 
-class Form(msgspec.Struct, frozen=True, tag="form"):
+class ClusterFormed(msgspec.Struct, frozen=True, tag="form"):
     """To a member without a cluster: this is the one you belong to."""
 
     cluster: str
@@ -82,7 +82,7 @@
     member: Member
 
 
-class LeaseAsk(msgspec.Struct, frozen=True, tag="lease_ask"):
+class LeaseRequest(msgspec.Struct, frozen=True, tag="lease_ask"):
     """A node asks for a lease, or for a longer one, and says what it has applied."""
 
     holder: str
@@ -105,7 +105,7 @@
     applied: int
 
 
-class Learned(msgspec.Struct, frozen=True, array_like=True):
+class GossipReport(msgspec.Struct, frozen=True, array_like=True):
     """Something that a node has seen of a save server, with its age in seconds."""
 
     server: str
@@ -119,7 +119,7 @@
 class Gossip(msgspec.Struct, frozen=True, tag="gossip"):
     node: str
     state: dict[str, Any]
-    learned: list[Learned]
+    learned: list[GossipReport]
 
 
 # From clients, and from members for their clients
@@ -135,7 +135,7 @@
     stale: bool = False
 
 
-class Write(msgspec.Struct, frozen=True, tag="write"):
+class Transaction(msgspec.Struct, frozen=True, tag="write"):
     """A transaction. `client` and `seq` name it for good; none: the member names it."""
 
     then: tuple[Op, ...]
@@ -170,11 +170,11 @@
     name: str
 
 
-class TakeIn(msgspec.Struct, frozen=True, tag="take_in"):
+class AdmitMember(msgspec.Struct, frozen=True, tag="take_in"):
     member: Member
 
 
-class Transfer(msgspec.Struct, frozen=True, tag="transfer"):
+class TransferLeadership(msgspec.Struct, frozen=True, tag="transfer"):
     name: str
 
 
@@ -187,14 +187,14 @@
     least: int = 0  # revision
 
 
-class At(msgspec.Struct, frozen=True, tag="at"):
+class ValuesAt(msgspec.Struct, frozen=True, tag="at"):
     """The values of keys as they were after a revision."""
 
     revision: int
     prefix: str
 
 
-class InForce(msgspec.Struct, frozen=True, tag=IN_FORCE):
+class InForce(msgspec.Struct, frozen=True, tag=IN_FORCE_TAG):
     """Whether all nodes that subscribe have acknowledged a revision.
 
     A client's is answered once they have, or it is late; a member's at once, with a `MachineReport` as data.
@@ -203,32 +203,32 @@
     revision: int
 
 
-Wish = (
+RequestBody = (
     Get
     | List
-    | Write
+    | Transaction
     | Watch
     | Status
     | Digest
     | AddMember
     | RemoveMember
-    | TakeIn
-    | Transfer
+    | AdmitMember
+    | TransferLeadership
     | Snapshot
     | History
-    | At
+    | ValuesAt
     | InForce
 )
 
 
-class Ask(msgspec.Struct, frozen=True, tag="ask"):
+class Request(msgspec.Struct, frozen=True, tag="ask"):
     serial: int
-    wish: Wish
+    wish: RequestBody
     left: float = 5.0  # s until whoever asks gives up
 
 
-class Answer(msgspec.Struct, frozen=True, tag="answer"):
-    """To one `Ask`. `outcome`: "ok"; "no" (refused, nothing was done); "unknown"; "no_quorum"."""
+class Response(msgspec.Struct, frozen=True, tag="answer"):
+    """To one `Request`. `outcome`: "ok"; "no" (refused, nothing was done); "unknown"; "no_quorum"."""
 
     serial: int
     outcome: str = "ok"
@@ -243,14 +243,25 @@
     status: dict[str, Any] = {}
 
 
-Word = (
-    Hello | Proof | Turned | Raft | Form | Join | LeaseAsk | LeaseGrant | LeaseApplied | Gossip | Ask | Answer
+LinkMessage = (
+    Hello
+    | Proof
+    | LinkRejected
+    | RaftMessage
+    | ClusterFormed
+    | Join
+    | LeaseRequest
+    | LeaseGrant
+    | LeaseApplied
+    | Gossip
+    | Request
+    | Response
 )
-_decoder: msgspec.msgpack.Decoder[Word] = msgspec.msgpack.Decoder(Word)
+_decoder: msgspec.msgpack.Decoder[LinkMessage] = msgspec.msgpack.Decoder(LinkMessage)
 _encoder = msgspec.msgpack.Encoder()
 
 
-def mac(secret: bytes, *parts: bytes) -> bytes:
+def mac_of_parts(secret: bytes, *parts: bytes) -> bytes:
     """HMAC-SHA256 over parts, each with its length, so that no two lists of parts look alike."""
     from cryptography.hazmat.primitives import hashes
     from cryptography.hazmat.primitives.hmac import HMAC
@@ -261,7 +272,7 @@
     return made.finalize()
 
 
-class Channel:
+class LinkChannel:
     """One end of a link: bytes in, words out; words in, bytes out.
 
     `hello` is this end's; `theirs` the other's once it came, and `proven` once its proof was good.
@@ -273,7 +284,7 @@
         hello: Hello,
         dials: bool,
         decode: Callable[[bytes], Any] = _decoder.decode,
-        largest: int = LARGEST,
+        largest: int = MAX_FRAME_BYTES,
     ) -> None:
         """`decode` reads the bodies of a proven link, and `largest` bounds them, either way."""
         self.secret = secret
@@ -298,10 +309,10 @@
         cluster: str = "",
         lease_s: float = LENGTH,
         decode: Callable[[bytes], Any] = _decoder.decode,
-        largest: int = LARGEST,
-    ) -> Channel:
+        largest: int = MAX_FRAME_BYTES,
+    ) -> LinkChannel:
         """A channel with a new nonce. A client has no identity: `me` is none."""
-        hello = Hello(VERSION, kind, secrets.token_bytes(NONCE))
+        hello = Hello(PROTOCOL_VERSION, kind, secrets.token_bytes(NONCE_BYTES))
         if me is not None:
             hello = msgspec.structs.replace(
                 hello,
@@ -310,7 +321,7 @@
                 address=me.address,
                 cluster=cluster,
                 lease_s=lease_s,
-                reads=(IN_FORCE,),
+                reads=(IN_FORCE_TAG,),
             )
         return cls(secret, hello, dials, decode, largest)
 
@@ -319,7 +330,7 @@
         return self._plain(self._raw[0])
 
     def _plain(self, body: bytes) -> bytes:
-        return len(body).to_bytes(HEAD, "big") + body
+        return len(body).to_bytes(LENGTH_BYTES, "big") + body
 
     def _hellos(self) -> tuple[bytes, bytes]:
         mine, theirs = self._raw
@@ -335,15 +346,15 @@
             raise ValueError(f"a frame of {len(body)} bytes")
         tag = self._sum(self.keys[0], self.sent, body)
         self.sent += 1
-        return len(body).to_bytes(HEAD, "big") + tag + body
+        return len(body).to_bytes(LENGTH_BYTES, "big") + tag + body
 
     def _sum(self, key: bytes, number: int, body: bytes) -> bytes:
-        made = hashlib.blake2b(number.to_bytes(8, "big"), digest_size=SUM, key=key)
+        made = hashlib.blake2b(number.to_bytes(8, "big"), digest_size=CHECKSUM_BYTES, key=key)
         made.update(body)
         return made.digest()
 
     def receive(self, data: bytes) -> tuple[list[Any], bytes]:
-        """The words that are whole by now, and what has to be said at once; `BadLink` ends the link."""
+        """The words that are whole by now, and what has to be said at once; `LinkError` ends the link."""
         self.buffer += data
         words: list[Any] = []
         reply = b""
@@ -351,68 +362,68 @@
             try:
                 word = self.decode(body) if self.proven else _decoder.decode(body)
             except (msgspec.MsgspecError, RecursionError) as error:
-                raise BadLink(f"garbled: {error}") from None
+                raise LinkError(f"garbled: {error}") from None
             if self.proven:
                 if isinstance(word, Hello | Proof):
-                    raise BadLink("garbled: a second beginning")
+                    raise LinkError("garbled: a second beginning")
                 words.append(word)
             else:
                 reply += self._begun(word, body)
         return words, reply
 
     def _frame(self) -> bytes | None:
-        head = HEAD + (SUM if self.proven else 0)
+        head = LENGTH_BYTES + (CHECKSUM_BYTES if self.proven else 0)
         if len(self.buffer) < head:
             return None
-        size = int.from_bytes(self.buffer[:HEAD], "big")
-        if size > (self.largest if self.proven else LARGEST_HELLO):
+        size = int.from_bytes(self.buffer[:LENGTH_BYTES], "big")
+        if size > (self.largest if self.proven else MAX_HELLO_BYTES):
             # Guards memory against a length that is none: nothing of it is waited for.
-            raise BadLink(f"garbled: a frame of {size} bytes")
+            raise LinkError(f"garbled: a frame of {size} bytes")
         if len(self.buffer) < head + size:
             return None
         body = bytes(self.buffer[head : head + size])
         if self.proven:
-            tag = bytes(self.buffer[HEAD:head])
+            tag = bytes(self.buffer[LENGTH_BYTES:head])
             if not hmac.compare_digest(tag, self._sum(self.keys[1], self.taken, body)):
-                raise BadLink("garbled: the sum of a frame is wrong")
+                raise LinkError("garbled: the sum of a frame is wrong")
             self.taken += 1
         del self.buffer[: head + size]
         return body
 
-    def _begun(self, word: Word, body: bytes) -> bytes:
-        if isinstance(word, Turned):
-            raise BadLink(f"turned: {word.reason}")
+    def _begun(self, word: LinkMessage, body: bytes) -> bytes:
+        if isinstance(word, LinkRejected):
+            raise LinkError(f"turned: {word.reason}")
         if isinstance(word, Hello) and self.theirs is None:
-            if word.version != VERSION:
-                raise BadLink(f"version: the other side speaks {word.version}, this one {VERSION}")
-            if len(word.nonce) != NONCE or word.nonce == self.hello.nonce:
-                raise BadLink("garbled: no fit nonce")  # guards against one's own words sent back
+            if word.version != PROTOCOL_VERSION:
+                raise LinkError(f"version: the other side speaks {word.version}, this one {PROTOCOL_VERSION}")
+            if len(word.nonce) != NONCE_BYTES or word.nonce == self.hello.nonce:
+                raise LinkError("garbled: no fit nonce")  # guards against one's own words sent back
             self.theirs = word
             self._raw = (self._raw[0], body)
-            proof = self._plain(_encoder.encode(Proof(mac(self.secret, b"dialer", *self._hellos()))))
+            proof = self._plain(_encoder.encode(Proof(mac_of_parts(self.secret, b"dialer", *self._hellos()))))
             # Who accepts proves nothing before it was proven something: a stray learns nothing, and is seen.
             return proof if self.dials else self.begin()
         if isinstance(word, Proof) and self.theirs is not None:
             role = b"acceptor" if self.dials else b"dialer"
-            if not hmac.compare_digest(word.mac, mac(self.secret, role, *self._hellos())):
-                raise BadLink("secret: the other side does not know the cluster's secret")
+            if not hmac.compare_digest(word.mac, mac_of_parts(self.secret, role, *self._hellos())):
+                raise LinkError("secret: the other side does not know the cluster's secret")
             mine, theirs = self.hello.cluster, self.theirs.cluster
             if mine and theirs and mine != theirs and self.theirs.kind == "member":
-                raise BadLink("cluster: the other side belongs to another cluster")
+                raise LinkError("cluster: the other side belongs to another cluster")
             if self.hello.kind == self.theirs.kind == "member" and self.hello.lease_s != self.theirs.lease_s:
                 # Guards against a leader that takes leases of another length for over too early.
-                raise BadLink(
+                raise LinkError(
                     f"lease: the other member has lease_s = {self.theirs.lease_s:g}, this one "
                     f"{self.hello.lease_s:g}; give all members the same"
                 )
-            out = mac(self.secret, b"keys dialer", *self._hellos())
-            back = mac(self.secret, b"keys acceptor", *self._hellos())
+            out = mac_of_parts(self.secret, b"keys dialer", *self._hellos())
+            back = mac_of_parts(self.secret, b"keys acceptor", *self._hellos())
             self.keys = (out, back) if self.dials else (back, out)
             self.proven = True
-            mine_proof = Proof(mac(self.secret, b"acceptor", *self._hellos()))
+            mine_proof = Proof(mac_of_parts(self.secret, b"acceptor", *self._hellos()))
             return b"" if self.dials else self._plain(_encoder.encode(mine_proof))
-        raise BadLink("garbled: it begins with something else")
+        raise LinkError("garbled: it begins with something else")
 
     def turn(self, reason: str) -> bytes:
         """The last word on a link that was not proven."""
-        return b"" if self.proven else self._plain(_encoder.encode(Turned(reason)))
+        return b"" if self.proven else self._plain(_encoder.encode(LinkRejected(reason)))
--- a/tests/compatibility/readers.py
+++ b/tests/compatibility/readers.py
@@ -220,7 +220,7 @@
     """One end of a link that begins with a given hello."""
 
     def __init__(self, secret: bytes, hello: Any, dials: bool) -> None:
-        self.channel = wire.Channel(secret, msgspec.convert(hello, wire.Hello), dials)
+        self.channel = wire.LinkChannel(secret, msgspec.convert(hello, wire.Hello), dials)
 
     def begin(self) -> bytes:
         """What this end sends first."""
--- a/tests/test_observer_server.py
+++ b/tests/test_observer_server.py
@@ -168,12 +168,12 @@
         made.start()
         return made
 
-    async def write(self, key: str, value: Any) -> wire.Answer:
+    async def write(self, key: str, value: Any) -> wire.Response:
         return await self.transact(Op(key, value))
 
-    async def transact(self, *ops: Op) -> wire.Answer:
-        told: asyncio.Future[wire.Answer] = self.loop.create_future()
-        self.daemon.service.request(wire.Write(ops), told.set_result, WITHIN)
+    async def transact(self, *ops: Op) -> wire.Response:
+        told: asyncio.Future[wire.Response] = self.loop.create_future()
+        self.daemon.service.request(wire.Transaction(ops), told.set_result, WITHIN)
         return await told
 
     async def until(self, true: Callable[[], Any], within: float = WITHIN) -> Any:
@@ -302,18 +302,18 @@
         node = w.client("node")
         await w.until(node.fresh)
 
-        async def ask(wish: wire.Wish) -> wire.Answer:
-            told: asyncio.Future[wire.Answer] = w.loop.create_future()
+        async def ask(wish: wire.RequestBody) -> wire.Response:
+            told: asyncio.Future[wire.Response] = w.loop.create_future()
             node.request(wish, told.set_result, WITHIN)
             return await told
 
         for k in range(3):
-            assert (await ask(wire.Write((Op("out/s-b", {"at_ms": k}),)))).outcome == "ok"
+            assert (await ask(wire.Transaction((Op("out/s-b", {"at_ms": k}),)))).outcome == "ok"
         assert "out/s-b" in node.keys  # type: ignore[attr-defined]
         assert (await ask(wire.Get("out/s-b"))).items[0].value == {"at_ms": 2}
         assert (await ask(wire.Snapshot())).text.startswith("not_here")
-        assert (await ask(wire.Write((Op("config/none", 1),)))).text.startswith("invalid")
-        large = await ask(wire.Write((Op("notes", "x" * 10_000),)))
+        assert (await ask(wire.Transaction((Op("config/none", 1),)))).text.startswith("invalid")
+        large = await ask(wire.Transaction((Op("notes", "x" * 10_000),)))
         assert large.outcome == "no" and large.text.startswith("too_large")
         assert not node.requests
 
@@ -323,11 +323,11 @@
 def test_a_request_that_no_machine_answers_says_what_is_known(tmp_path: Path) -> None:
     async def part(w: World) -> None:
         node = w.client("node")
-        told: list[wire.Answer] = []
+        told: list[wire.Response] = []
         await w.until(node.fresh)
         w.server.stop()
         await w.until(lambda: node.connection is None)
-        node.request(wire.Write((Op("out/s-b", {}),)), told.append, 0.3)
+        node.request(wire.Transaction((Op("out/s-b", {}),)), told.append, 0.3)
         await w.until(lambda: told)
         assert told[0].outcome == "no_quorum" and "nothing was changed" in told[0].text
         node.leave()
@@ -389,14 +389,14 @@
             lambda raw: raw.channel.send_encoded(b"\xc1 no message"),
             lambda raw: raw.channel.send_encoded(b"\x91" * 100_000),
             lambda raw: raw.channel.send_encoded(msgspec.msgpack.encode([2, 1, -5])),
-            lambda raw: raw.channel.send(wire.Ask(1, wire.Status())),
+            lambda raw: raw.channel.send(wire.Request(1, wire.Status())),
         ]
         for k, spoil in enumerate(frames, 1):
             await garbled(spoil)
             await w.until(lambda k=k: w.counts.get("observer_link_garbled") == k)  # type: ignore[misc]
         other = await w.dial()
         other.channel = subscriber_channel(b"another secret of sixteen bytes")
-        with pytest.raises(wire.BadLink, match="turned: secret"):
+        with pytest.raises(wire.LinkError, match="turned: secret"):
             await other.prove()
         assert w.counts["observer_link_secret"] == 1
         assert node.fresh() and len(w.server.connections) == 1
@@ -530,7 +530,7 @@
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        spoils: list[Callable[[wire.Channel], bytes]] = [
+        spoils: list[Callable[[wire.LinkChannel], bytes]] = [
             lambda channel: (100 * 1024 * 1024).to_bytes(4, "big") + bytes(16) + b"x" * 65536,
             lambda channel: channel.send_encoded(b"\xc1"),
             lambda channel: channel.send(Subscribe(VERSION, "a", "i")),
--- a/tests/test_store_cluster.py
+++ b/tests/test_store_cluster.py
@@ -94,7 +94,7 @@
         if who == "leader":
             try:
                 with c.remote(c.leader()) as r:
-                    r.one(wire.Transfer(victim))
+                    r.one(wire.TransferLeadership(victim))
             except StoreError:
                 pass  # it died on the way
         acked, unknown = {}, set()
@@ -177,12 +177,12 @@
             wait_for(lambda: c.leader(rest), 5.0)
             put(c, rest[0], "k", 2)
             # Asked while it is stopped: it reads the question before anything that deposes it.
-            r.sock.sendall(r.channel.send(wire.Ask(1, wire.Get("k"), 6.0)))
+            r.sock.sendall(r.channel.send(wire.Request(1, wire.Get("k"), 6.0)))
             c.thaw(old)
             while not r.words:
                 r._read()
             answer = r.words[0]
-        assert isinstance(answer, wire.Answer) and answer.items[0].value == 2
+        assert isinstance(answer, wire.Response) and answer.items[0].value == 2
         wait_for(c.same_everywhere, 10.0)
 
 
@@ -346,13 +346,15 @@
         with c.remote(leader, 1.0) as r:
             big = "x" * 30_000
             for k in range(6000):
-                r.sock.sendall(r.channel.send(wire.Ask(k + 10, wire.Write((Op(f"f{k % 9}", big),)), 3.0)))
+                r.sock.sendall(
+                    r.channel.send(wire.Request(k + 10, wire.Transaction((Op(f"f{k % 9}", big),)), 3.0))
+                )
             outcomes: dict[str, int] = {}
             r.sock.settimeout(15.0)
             while sum(outcomes.values()) < 6000:
                 r._read()
                 for word in r.words:
-                    assert isinstance(word, wire.Answer)
+                    assert isinstance(word, wire.Response)
                     outcomes[word.text.split(":")[0] if word.outcome == "no" else word.outcome] = (
                         outcomes.get(word.text.split(":")[0] if word.outcome == "no" else word.outcome, 0) + 1
                     )
@@ -435,7 +437,7 @@
         for name in c.names:
             with c.remote(c.leader()) as r:
                 if c.leader() != name:
-                    r.one(wire.Transfer(name))
+                    r.one(wire.TransferLeadership(name))
             wait_for(lambda name=name: c.leader() == name, 5.0)  # type: ignore[misc]
             put(c, name, "k", name)
         began = time.monotonic()
--- a/tests/test_store_node.py
+++ b/tests/test_store_node.py
@@ -20,7 +20,7 @@
 from gradegap.proxy.proxy import Proxy
 from gradegap.store.gossip import Learner
 from gradegap.store.remote import Remote, StoreError
-from gradegap.store.wire import Gossip, Learned
+from gradegap.store.wire import Gossip, GossipReport
 from tests.helpers import settings
 from tests.relay import Relay
 from tests.test_console import call as plain_call
@@ -216,18 +216,23 @@
     proxy.balancer.handle = handle  # type: ignore[method-assign]
     told = False
     learner = Learner("me", proxy, proxy.metrics, lambda: told)
-    good = Learned("s1", "report", 2.0, {"x0": 0.5})
+    good = GossipReport("s1", "report", 2.0, {"x0": 0.5})
     unfit = [
-        Learned("s2", "report", 1.0, {"x0": float("nan")}),
-        Learned("s2", "report", -1.0, {"x0": 0.5}),
-        Learned("s2", "report", 1.0, {f"f{k}": 1.0 for k in range(50)}),
-        Learned("s2", "rumour", 1.0, {"x0": 0.5}),
+        GossipReport("s2", "report", 1.0, {"x0": float("nan")}),
+        GossipReport("s2", "report", -1.0, {"x0": 0.5}),
+        GossipReport("s2", "report", 1.0, {f"f{k}": 1.0 for k in range(50)}),
+        GossipReport("s2", "rumour", 1.0, {"x0": 0.5}),
     ]
-    old, strange = Learned("s2", "report", 60.0, {"x0": 0.5}), Learned("s9", "report", 1.0, {"x0": 0.5})
+    old, strange = (
+        GossipReport("s2", "report", 60.0, {"x0": 0.5}),
+        GossipReport("s9", "report", 1.0, {"x0": 0.5}),
+    )
     learner.hear(Gossip("other", {}, [good, *unfit, old, strange]))
     assert [server for _, server in heard] == ["s1"] and 1.9 < heard[0][0] < 2.1
     assert proxy.metrics.counts["gossip_unfit"] == len(unfit)
-    learner.hear(Gossip("other", {}, [Learned("s1", "report", 1.95, {"x0": 0.4})]))  # no newer to speak of
+    learner.hear(
+        Gossip("other", {}, [GossipReport("s1", "report", 1.95, {"x0": 0.4})])
+    )  # no newer to speak of
     assert len(heard) == 1
     # What it was told is not told on; what it saw itself is.
     assert learner.tell({}).learned == []
@@ -235,19 +240,21 @@
     assert [x.server for x in learner.tell({}).learned] == ["s2"]
     # Who is silent at a sibling is heard of as a probe without an answer, once, and not told on twice.
     del heard[:]
-    learner.hear(Gossip("other", {}, [Learned("s1", "silent", 3.0)]))  # s1 has answered since
+    learner.hear(Gossip("other", {}, [GossipReport("s1", "silent", 3.0)]))  # s1 has answered since
     assert not heard
     proxy.backends["s1"].report_at = proxy.now() - 9.0
-    learner.hear(Gossip("other", {}, [Learned("s1", "silent", 1.0)]))
-    learner.hear(Gossip("third", {}, [Learned("s1", "silent", 1.0)]))
+    learner.hear(Gossip("other", {}, [GossipReport("s1", "silent", 1.0)]))
+    learner.hear(Gossip("third", {}, [GossipReport("s1", "silent", 1.0)]))
     assert [server for _, server in heard] == ["s1"] and proxy.metrics.counts["gossip_silent"] == 1
     # A list that may be out of date is mended by what siblings were told, until discovery has told one.
-    drains = Learned("s1", "listed", 0.0, None, int(EndpointPhase.DRAINING), 77.0)
+    drains = GossipReport("s1", "listed", 0.0, None, int(EndpointPhase.DRAINING), 77.0)
     learner.hear(Gossip("other", {}, [drains]))
     s1 = proxy.backends["s1"]
     assert s1.phase is EndpointPhase.DRAINING and s1.told_at > 0 and s1.started_at == 77.0
     told = True
-    learner.hear(Gossip("other", {}, [Learned("s2", "listed", 0.0, None, int(EndpointPhase.REMOVED), 0.0)]))
+    learner.hear(
+        Gossip("other", {}, [GossipReport("s2", "listed", 0.0, None, int(EndpointPhase.REMOVED), 0.0)])
+    )
     assert proxy.backends["s2"].phase is EndpointPhase.READY
     assert {x.server for x in learner.tell({}).learned if x.kind == "listed"} == {"s1", "s2"}
     loop.close()
--- a/tests/test_store_parts.py
+++ b/tests/test_store_parts.py
@@ -189,13 +189,13 @@
 # Frames
 
 
-def pair(secrets: tuple[bytes, bytes] = (b"s" * 16, b"s" * 16)) -> tuple[wire.Channel, wire.Channel]:
-    a = wire.Channel.open(secrets[0], "member", True, Member("1", "n1", "x"), "c")
-    b = wire.Channel.open(secrets[1], "member", False, Member("2", "n2", "y"), "c")
+def pair(secrets: tuple[bytes, bytes] = (b"s" * 16, b"s" * 16)) -> tuple[wire.LinkChannel, wire.LinkChannel]:
+    a = wire.LinkChannel.open(secrets[0], "member", True, Member("1", "n1", "x"), "c")
+    b = wire.LinkChannel.open(secrets[1], "member", False, Member("2", "n2", "y"), "c")
     return a, b
 
 
-def shake(a: wire.Channel, b: wire.Channel) -> None:
+def shake(a: wire.LinkChannel, b: wire.LinkChannel) -> None:
     to_b, to_a = a.begin(), b""
     while to_a or to_b:
         _, to_a = b.receive(to_b)
@@ -203,12 +203,12 @@
     assert a.proven and b.proven
 
 
-WORDS = [wire.Join(Member("1", "n", "a")), wire.LeaseApplied("h", 7), wire.Turned("why")]
+WORDS = [wire.Join(Member("1", "n", "a")), wire.LeaseApplied("h", 7), wire.LinkRejected("why")]
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.lists(st.sampled_from(WORDS), max_size=5), st.lists(st.integers(1, 40), min_size=1))
-def test_words_come_whole_however_they_are_cut(words: list[wire.Word], cuts: list[int]) -> None:
+def test_words_come_whole_however_they_are_cut(words: list[wire.LinkMessage], cuts: list[int]) -> None:
     a, b = pair()
     shake(a, b)
     data = b"".join(a.send(w) for w in words)
@@ -241,11 +241,13 @@
         c, d = pair()
         shake(c, d)
         frames[1] = c.send(wire.LeaseApplied("holder", 1))
-    got: list[wire.Word] = []
-    with pytest.raises(wire.BadLink, match="^garbled"):
+    got: list[wire.LinkMessage] = []
+    with pytest.raises(wire.LinkError, match="^garbled"):
         for frame in frames:
             got += b.receive(frame)[0]
-        b.receive(b"\0" * wire.LARGEST)  # a longer length only waits for more: what comes is none of it
+        b.receive(
+            b"\0" * wire.MAX_FRAME_BYTES
+        )  # a longer length only waits for more: what comes is none of it
     assert got == [wire.LeaseApplied("holder", 0)]
 
 
@@ -258,9 +260,9 @@
     ],
 )
 def test_strays_are_turned_away(mine: bytes, theirs: bytes, clusters: tuple[str, str], reason: str) -> None:
-    a = wire.Channel.open(mine, "member", True, Member("1", "n1", "x"), clusters[0])
-    b = wire.Channel.open(theirs, "member", False, Member("2", "n2", "y"), clusters[1])
-    with pytest.raises(wire.BadLink, match=f"^{reason}"):
+    a = wire.LinkChannel.open(mine, "member", True, Member("1", "n1", "x"), clusters[0])
+    b = wire.LinkChannel.open(theirs, "member", False, Member("2", "n2", "y"), clusters[1])
+    with pytest.raises(wire.LinkError, match=f"^{reason}"):
         shake(a, b)
     assert not b.proven
 
@@ -268,12 +270,12 @@
 def test_a_proof_can_t_be_sent_back() -> None:
     a, _ = pair()
     begin = a.begin()
-    with pytest.raises(wire.BadLink):
+    with pytest.raises(wire.LinkError):
         a.receive(begin)
-    b = wire.Channel.open(b"s" * 16, "member", False, Member("2", "n2", "y"), "c")
+    b = wire.LinkChannel.open(b"s" * 16, "member", False, Member("2", "n2", "y"), "c")
     b.receive(begin)
-    with pytest.raises(wire.BadLink):
-        b.receive(wire.Channel.open(b"s" * 16, "member", True).begin())
+    with pytest.raises(wire.LinkError):
+        b.receive(wire.LinkChannel.open(b"s" * 16, "member", True).begin())
 
 
 @settings(max_examples=100, deadline=None)
@@ -282,8 +284,8 @@
     _, b = pair()
     try:
         words, _ = b.receive(noise)
-        assert not words and not b.proven and len(b.buffer) <= wire.LARGEST_HELLO + 4
-    except wire.BadLink:
+        assert not words and not b.proven and len(b.buffer) <= wire.MAX_HELLO_BYTES + 4
+    except wire.LinkError:
         pass
 
 
--- a/tests/test_store_service.py
+++ b/tests/test_store_service.py
@@ -40,13 +40,13 @@
 def test_a_write_that_was_taken_is_unknown_once_its_member_is_removed() -> None:
     """It was answered "no", and could be committed all the same: a no is tried again, and runs twice."""
     s, member = service()
-    told: list[wire.Answer] = []
-    s.request(wire.Write((Op("a", 1),)), told.append)
+    told: list[wire.Response] = []
+    s.request(wire.Transaction((Op("a", 1),)), told.append)
     s.request(wire.Get("a"), told.append)
     member.removed, member.raft.is_leader = True, False
     s.lost_leader()
     s.tick(time.monotonic())
-    s.request(wire.Write((Op("b", 1),)), told.append)
+    s.request(wire.Transaction((Op("b", 1),)), told.append)
     assert [a.outcome for a in told] == ["unknown", "no", "no"]
     assert told[0].text.startswith("unknown: this member has ended")
     assert not s.pending
@@ -55,7 +55,7 @@
 def test_a_leader_that_removed_itself_says_that_it_is_done() -> None:
     """It steps down before it has applied its removal; that was a "no", or unknown, now and then."""
     s, member = service()
-    told: list[wire.Answer] = []
+    told: list[wire.Response] = []
     s.request(wire.RemoveMember("n1"), told.append)
     s.request(wire.RemoveMember("n2"), told.append)
     member.removed, member.raft.is_leader = True, False
@@ -67,7 +67,7 @@
 
 def test_a_leader_whose_disk_failed_does_not_take_that_for_its_removal() -> None:
     s, member = service()
-    told: list[wire.Answer] = []
+    told: list[wire.Response] = []
     s.request(wire.RemoveMember("n1"), told.append)
     member.removed, member.raft = True, None
     s.lost_leader()
@@ -77,8 +77,8 @@
 
 def test_what_is_under_way_when_a_member_ends_is_unknown_only_where_it_writes() -> None:
     s, _ = service()
-    told: list[wire.Answer] = []
-    s.request(wire.Write((Op("a", 1),)), told.append)
+    told: list[wire.Response] = []
+    s.request(wire.Transaction((Op("a", 1),)), told.append)
     s.request(wire.Get("a"), told.append)
     s.close()
     assert [a.outcome for a in told] == ["unknown", "no"]
--- a/tests/test_store_voters.py
+++ b/tests/test_store_voters.py
@@ -101,11 +101,11 @@
 
 def test_members_with_leases_of_different_length_turn_each_other_away() -> None:
     me, other = member("n1"), member("n2")
-    dialer = wire.Channel.open(SECRET, "member", True, me, lease_s=1.0)
-    acceptor = wire.Channel.open(SECRET, "member", False, other, lease_s=3.0)
+    dialer = wire.LinkChannel.open(SECRET, "member", True, me, lease_s=1.0)
+    acceptor = wire.LinkChannel.open(SECRET, "member", False, other, lease_s=3.0)
     _, hello = acceptor.receive(dialer.begin())
     _, proof = dialer.receive(hello)
-    with pytest.raises(wire.BadLink, match=r"lease: the other member has lease_s = 1, this one 3"):
+    with pytest.raises(wire.LinkError, match=r"lease: the other member has lease_s = 1, this one 3"):
         acceptor.receive(proof)
 
 
