--- a/gradegap/hot_restart/handover.py
+++ b/gradegap/hot_restart/handover.py
@@ -263,7 +263,7 @@
             return
         standing = EstablishedSession(
             self.serial,
-            req.ask,
+            req.connection_request,
             session.opening.before,
             session.opening.after,
             req.attempt.backend.id,
--- a/gradegap/proxy/proxy.py
+++ b/gradegap/proxy/proxy.py
@@ -16,6 +16,7 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
+import msgspec
 import structlog
 
 from gradegap.balancing.actions import (
@@ -70,20 +71,19 @@
 NEVER = -1e9
 
 
-@dataclass(slots=True, frozen=True)
-class ConnectionRequest:
-    """What a client session asks for."""
+class ConnectionRequest(msgspec.Struct, frozen=True):
+    """What a client asks for with its first line; a hot restart carries it under the stored field names."""
 
-    cls: str
-    wait: float | None = None  # s the client waits for its connection; None: its class's limit
+    class_name: str = msgspec.field(name="cls")
+    wait: float | None = None  # s that the client waits for its connection; None: its class's time limit
     key: str = ""
-    team: str = ""
-    load: float = 0.0
+    group: str = msgspec.field(default="", name="team")
+    load: float = 0.0  # expected load; 0: not known
     retry: bool = False
     reconnect: bool = False
-    at: str = ""  # the backend that holds this connection from before the run
-    id: str = ""  # the client's name for this connection, of which there is one at a time; none: unnamed
-    tenant: str = ""  # the customer that it belongs to, as the settings name it
+    inherited_from: str = msgspec.field(default="", name="at")  # endpoint of a connection from before the run
+    id: str = ""  # the client's name for this connection, unique among open ones; empty: unnamed
+    tenant: str = ""
 
 
 class InvalidRequestError(ValueError):
@@ -141,7 +141,7 @@
 
     proxy: Proxy
     id: int
-    ask: ConnectionRequest
+    connection_request: ConnectionRequest
     session: SessionPort
     deadline: float
     most: int = 1  # attempts; like the deadline, by the settings that it came under
@@ -354,7 +354,7 @@
         """Guards against a first line written to a backend that leaves: when this node hears of it, the word
         may be as old as its grace. What is connecting is given up unsent, and goes elsewhere."""
         for attempt in list(b.connecting):
-            if not attempt.req.ask.at:
+            if not attempt.req.connection_request.inherited_from:
                 self._give_up_unsent(attempt)
 
     def _give_up_unsent(self, attempt: Attempt) -> None:
@@ -376,7 +376,7 @@
     def _may_begin(self, attempt: Attempt) -> bool:
         # A connection from before the run stands at its backend already, for as long as the grace allows.
         b = attempt.backend
-        return b.told_at == NEVER or bool(attempt.req.ask.at and self.in_grace(b))
+        return b.told_at == NEVER or bool(attempt.req.connection_request.inherited_from and self.in_grace(b))
 
     def in_grace(self, b: Endpoint) -> bool:
         return b.told_at == NEVER or self.now() < b.told_at + send_for(self.settings)
@@ -385,7 +385,7 @@
 
     def take(self, session: SessionPort, ask: ConnectionRequest) -> Request:
         """A client session's req; `Unfit` where it can't be taken."""
-        cls = self.settings.classes.get(ask.cls)
+        cls = self.settings.classes.get(ask.class_name)
         if cls is None:
             raise InvalidRequestError("unknown class")
         if ask.id in self.open_ids:
@@ -401,7 +401,7 @@
         self.reqs[req.id] = req
         # Guards against a module that never answers: the answer is given here, still within the slack.
         req.guard = self.loop.call_later(max(0.0, wait), self._overdue, req)
-        if ask.at:
+        if ask.inherited_from:
             self._inherit(req)
         elif not self._held_back(req):
             self.feed(self._request(req))
@@ -419,9 +419,9 @@
         return True
 
     def _request(self, req: Request) -> RequestArrived:
-        a = req.ask
+        a = req.connection_request
         return RequestArrived(
-            req.id, a.cls, req.deadline, a.tenant, a.key, a.team, a.load, a.retry, False, a.reconnect
+            req.id, a.class_name, req.deadline, a.tenant, a.key, a.group, a.load, a.retry, False, a.reconnect
         )
 
     def client_gone(self, req: Request) -> None:
@@ -438,7 +438,7 @@
         req.answered = True
         self.metrics.count("client_gone")
         self._unguard(req)
-        if not req.ask.at:
+        if not req.connection_request.inherited_from:
             self.feed(ClientDisconnected(req.id))
         if attempt is not None:
             self._abandon(attempt)
@@ -456,7 +456,7 @@
             self.metrics.count("overdue")
             self._answer(req, "failed")
             req.session.fail()
-            if not req.ask.at:
+            if not req.connection_request.inherited_from:
                 self.feed(ClientDisconnected(req.id))
             self._drop(req)
 
@@ -562,7 +562,7 @@
         req.standing = True
         req.heard_at = self.now()
         req.session.stand()
-        if req.ask.at:
+        if req.connection_request.inherited_from:
             self.feed(ConnectionInherited(self._request(req), attempt.backend.id))
         else:
             spent = self.now() - attempt.began
@@ -583,7 +583,7 @@
         self.metrics.count(f"{'ended' if req.standing else 'fetch'}_{result.name.lower()}")
         if req.standing and not req.moved:
             req.session.end()
-        if req.ask.at and not req.standing:
+        if req.connection_request.inherited_from and not req.standing:
             self._inherit_over(req, result)
             return
         settled = req.answered
@@ -610,7 +610,7 @@
     def _drop(self, req: Request) -> None:
         self._unguard(req)
         if self.reqs.pop(req.id, None) is not None:
-            self.open_ids.discard(req.ask.id)
+            self.open_ids.discard(req.connection_request.id)
         if not self.reqs and self.emptied is not None:
             self.emptied()
 
@@ -618,7 +618,7 @@
 
     def _inherit(self, req: Request) -> None:
         """No decision: the backend is named by the client, and the connection already stands there."""
-        b = self.backends.get(req.ask.at)
+        b = self.backends.get(req.connection_request.inherited_from)
         if req.answered or req.id not in self.reqs:
             return
         wait = req.deadline - EARLY - self.now()
--- a/gradegap/resume/part.py
+++ b/gradegap/resume/part.py
@@ -167,7 +167,7 @@
             if ring.sealing is None or seen != "0":
                 self.metrics.count("resume_not_offered")
                 return False  # plain lines, as the server does without the node's word
-            made = Offer(secrets.token_hex(8), 1, 0, opening.ask.key, opening.ask.cls, by)
+            made = Offer(secrets.token_hex(8), 1, 0, opening.ask.key, opening.ask.class_name, by)
             self._go_on(session, head, values, made, 0.0)
             return True
         session.opening = opening
@@ -179,7 +179,7 @@
             return True
         try:
             place = opened(ring, self.cluster(), token, time.time())
-            if place.client != opening.ask.key or place.cls != opening.ask.cls:
+            if place.client != opening.ask.key or place.cls != opening.ask.class_name:
                 raise BadToken("stranger: it is another client's or class's")
             if not seen.isdecimal() or not place.position <= int(seen) < MOST:
                 raise BadToken("position: the client was further when it got its token")
@@ -205,7 +205,7 @@
         line = f"{head} {','.join(f'{k}={v}' for k, v in values.items())}\r\n"
         opening = parse_opening(line.encode())
         if spent and opening.ask.wait is not None:
-            ask = dataclasses.replace(opening.ask, wait=max(LEAST_WAIT, opening.ask.wait - spent))
+            ask = msgspec.structs.replace(opening.ask, wait=max(LEAST_WAIT, opening.ask.wait - spent))
             opening = dataclasses.replace(opening, ask=ask)
         session.offer = offer
         self.metrics.count("resume_offered" if offer.epoch == 1 else "resume_returns")
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -163,7 +163,7 @@
 
     def take(self, wait: float = 2.0, at: str = "") -> tuple[Session, Request]:
         session = Session(self.clock)
-        req = self.proxy.take(session, ConnectionRequest("live", wait, at=at))
+        req = self.proxy.take(session, ConnectionRequest("live", wait, inherited_from=at))
         assert req is not None
         return session, req
 
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -12,8 +12,8 @@
     opening = framing.parse_opening(line)
     assert opening.with_wait(0.7315) == line.replace(b"d=2000", b"d=731")
     ask = opening.ask
-    assert (ask.cls, ask.wait, ask.key, ask.team) == ("chat", 2.0, "7f3a", "5c0f")
-    assert ask.retry and ask.reconnect and ask.at == ""
+    assert (ask.class_name, ask.wait, ask.key, ask.group) == ("chat", 2.0, "7f3a", "5c0f")
+    assert ask.retry and ask.reconnect and ask.inherited_from == ""
 
 
 @pytest.mark.parametrize("fields", ["d=%s,c=chat", "c=chat,x=d=7,d=%s,dd=9", "z=d=1,c=chat,g=,n=-4.5e3,d=%s"])
@@ -28,8 +28,8 @@
 def test_connections_from_before_the_run_may_wait_for_hours() -> None:
     """Waits over an hour were once read as bad lines, and every such connection was lost."""
     ask = framing.parse_opening(b"OPEN 1 2 c=chat,d=4294967,at=s-1\r\n").ask
-    assert framing.parse_opening(b"OPEN 1 2 c=chat,d=4294967295,at=s-1\r\n").ask.at == "s-1"
-    assert ask.at == "s-1" and ask.wait == 4294.967
+    assert framing.parse_opening(b"OPEN 1 2 c=chat,d=4294967295,at=s-1\r\n").ask.inherited_from == "s-1"
+    assert ask.inherited_from == "s-1" and ask.wait == 4294.967
 
 
 @pytest.mark.parametrize(
