--- a/gradegap/downstream/session.py
+++ b/gradegap/downstream/session.py
@@ -158,7 +158,7 @@
         if self.standing and self.pipe is not None:
             # Whole lines only: nothing comes back for a part of one, from a client that writes slowly.
             if self.req is not None and b"\n" in data:
-                self.req.asked()
+                self.req.on_client_line()
             self.pipe.write(data)
             return
         if self.opening is None:
@@ -175,7 +175,7 @@
             if self._asks_more() and self.req is not None:
                 req = self.req
                 self._bad("more than a first line", "early_bytes")
-                req.gone()
+                req.on_disconnect()
 
     def eof(self) -> None:
         """The client has ended its side."""
@@ -197,7 +197,7 @@
         if self.standing and pipe is not None and reset:
             pipe.reset()
         if req is not None:
-            req.gone()
+            req.on_disconnect()
 
     def drained(self, full: bool) -> None:
         """Whether the channel takes more: flow control towards the backend."""
@@ -298,7 +298,7 @@
         if passed.to_server and self.pipe is not None:
             self.pipe.write(passed.to_server)
             if self.req is not None and self.passing is not None and self.passing.asks:
-                self.req.asked()
+                self.req.on_client_line()
         if passed.to_client:
             for line in passed.others:
                 self._passed(line)
@@ -310,7 +310,7 @@
             if pipe is not None:
                 pipe.write_eof()
             if req is not None:
-                req.gone()
+                req.on_disconnect()
         elif passed.read_client is self.held:
             self.held = not passed.read_client
             # Held back through to the client's TCP, until an answer makes room.
@@ -403,7 +403,7 @@
                 req = self.req
                 self.turn("server")
                 if req is not None:
-                    req.gone()
+                    req.on_disconnect()
                 return
             first = told
         if self.passing is not None:
@@ -418,7 +418,7 @@
         if self.passing is not None:
             self.take(self.passing.from_server(data, self.passing.line))
             if self.req is not None:
-                self.req.heard(b"\n" in data)
+                self.req.on_endpoint_data(b"\n" in data)
             return
         if self.moving:
             end = data.find(b"\n") + 1
@@ -431,7 +431,7 @@
         self.watch.feed(data)
         self.channel.write(data)
         if self.req is not None:
-            self.req.heard(b"\n" in data)
+            self.req.on_endpoint_data(b"\n" in data)
 
     def _passed(self, line: bytes) -> None:
         if self.pipe is not None:
--- a/gradegap/hot_restart/handover.py
+++ b/gradegap/hot_restart/handover.py
@@ -258,7 +258,7 @@
         fetch, req = session.pipe, session.req
         if not isinstance(fetch, Fetch) or req is None or req.attempt is None or fetch.transport is None:
             return
-        fit = req.standing and not req.moved and not session.moving and fetch.at_rest()
+        fit = req.established and not req.migrated and not session.moving and fetch.at_rest()
         if not fit or req.attempt.backend.phase is not EndpointPhase.READY:
             return
         standing = EstablishedSession(
@@ -268,8 +268,8 @@
             session.opening.after,
             req.attempt.backend.id,
             session.watch.part,
-            req.heard_at,
-            req.asked_at,
+            req.last_response_at,
+            req.unanswered_since,
             None if fetch.said is None else int(fetch.said),
             fetch.report,
         )
--- a/gradegap/proxy/proxy.py
+++ b/gradegap/proxy/proxy.py
@@ -144,27 +144,27 @@
     connection_request: ConnectionRequest
     session: SessionPort
     deadline: float
-    most: int = 1  # attempts; like the deadline, by the settings that it came under
-    attempts: int = 0
+    max_attempts: int = 1  # attempts; like the deadline, by the settings that it came under
+    attempt_count: int = 0
     attempt: Attempt | None = None  # the one attempt out, or the one that stands
-    standing: bool = False
+    established: bool = False
     answered: bool = False
-    moved: bool = False
-    guard: asyncio.TimerHandle | None = None
-    heard_at: float = 0.0  # standing: when the backend last sent something
-    asked_at: float | None = None  # standing: the client's oldest line that nothing came back for
+    migrated: bool = False
+    deadline_timer: asyncio.TimerHandle | None = None
+    last_response_at: float = 0.0  # standing: when the backend last sent something
+    unanswered_since: float | None = None  # standing: the client's oldest line that nothing came back for
 
-    def gone(self) -> None:
+    def on_disconnect(self) -> None:
         """The client has left."""
         self.proxy.client_gone(self)
 
-    def asked(self) -> None:
-        if self.asked_at is None:
-            self.asked_at = self.proxy.now()
+    def on_client_line(self) -> None:
+        if self.unanswered_since is None:
+            self.unanswered_since = self.proxy.now()
 
-    def heard(self, line: bool = True) -> None:
+    def on_endpoint_data(self, line: bool = True) -> None:
         """Something came back; a whole line of it, or a part."""
-        self.heard_at = self.proxy.now()
+        self.last_response_at = self.proxy.now()
         if line:
             self.proxy.heard(self)
 
@@ -400,7 +400,7 @@
         self.next_id += 1
         self.reqs[req.id] = req
         # Guards against a module that never answers: the answer is given here, still within the slack.
-        req.guard = self.loop.call_later(max(0.0, wait), self._overdue, req)
+        req.deadline_timer = self.loop.call_later(max(0.0, wait), self._overdue, req)
         if ask.inherited_from:
             self._inherit(req)
         elif not self._held_back(req):
@@ -428,7 +428,7 @@
         if req.id not in self.reqs:
             return
         attempt = req.attempt
-        if req.standing:
+        if req.established:
             if attempt is not None:
                 self._abandon(attempt)
                 self.over(attempt, AttemptResult.CANCELLED)
@@ -447,7 +447,7 @@
             self._drop(req)
 
     def _overdue(self, req: Request) -> None:
-        if req.answered or req.standing:
+        if req.answered or req.established:
             return
         attempt = req.attempt
         if attempt is not None:
@@ -465,17 +465,17 @@
     def _send(self, a: Forward) -> None:
         req, b = self.reqs.get(a.request_id), self.backends.get(a.endpoint)
         wait = 0.0 if req is None else min(a.timeout, req.deadline - EARLY - self.now())
-        if req is None or req.answered or req.attempt is not None or req.standing:
+        if req is None or req.answered or req.attempt is not None or req.established:
             # Guards against two attempts at once, or one after the answer.
             self.metrics.count("moot")
             return
         begin_by = self.now() + a.begin_within
-        attempt = Attempt(req, b or Endpoint(a.endpoint), req.attempts, self.now(), wait, begin_by)
-        req.attempts += 1
+        attempt = Attempt(req, b or Endpoint(a.endpoint), req.attempt_count, self.now(), wait, begin_by)
+        req.attempt_count += 1
         req.attempt = attempt
         if self._held_back(req):
             self.over(attempt, AttemptResult.NOT_SENT)
-        elif b is None or not self._may_begin(attempt) or attempt.number >= req.most or wait <= 0:
+        elif b is None or not self._may_begin(attempt) or attempt.number >= req.max_attempts or wait <= 0:
             self.loop.call_soon(attempt.over, AttemptResult.NOT_SENT)
         elif self.begins(attempt):
             self._fetch(attempt)
@@ -520,8 +520,8 @@
     def move(self, req: Request) -> None:
         """End a standing session politely; the session says MOVE between two lines."""
         attempt = req.attempt
-        if req.standing and not req.moved and attempt is not None:
-            req.moved = True
+        if req.established and not req.migrated and attempt is not None:
+            req.migrated = True
             self.metrics.count("moved")
             req.session.move()
             self.loop.call_soon(attempt.over, AttemptResult.CANCELLED)
@@ -559,8 +559,8 @@
         if attempt.timer is not None:
             attempt.timer.cancel()
         self._answer(req, "served")
-        req.standing = True
-        req.heard_at = self.now()
+        req.established = True
+        req.last_response_at = self.now()
         req.session.stand()
         if req.connection_request.inherited_from:
             self.feed(ConnectionInherited(self._request(req), attempt.backend.id))
@@ -580,10 +580,10 @@
             attempt.timer.cancel()
         req = attempt.req
         req.attempt = None
-        self.metrics.count(f"{'ended' if req.standing else 'fetch'}_{result.name.lower()}")
-        if req.standing and not req.moved:
+        self.metrics.count(f"{'ended' if req.established else 'fetch'}_{result.name.lower()}")
+        if req.established and not req.migrated:
             req.session.end()
-        if req.connection_request.inherited_from and not req.standing:
+        if req.connection_request.inherited_from and not req.established:
             self._inherit_over(req, result)
             return
         settled = req.answered
@@ -593,7 +593,7 @@
         self.feed(AttemptEnded(req.id, attempt.number, attempt.backend.id, result, spent, settled, report))
 
     def _time_out(self, attempt: Attempt) -> None:
-        if attempt.live and not attempt.req.standing:
+        if attempt.live and not attempt.req.established:
             sent = attempt.fetch is not None and attempt.fetch.sent
             self._abandon(attempt)
             self.over(attempt, AttemptResult.TIMEOUT if sent else AttemptResult.CONNECT_FAILED)
@@ -603,9 +603,9 @@
             attempt.fetch.abandon()
 
     def _unguard(self, req: Request) -> None:
-        if req.guard is not None:
-            req.guard.cancel()
-            req.guard = None
+        if req.deadline_timer is not None:
+            req.deadline_timer.cancel()
+            req.deadline_timer = None
 
     def _drop(self, req: Request) -> None:
         self._unguard(req)
@@ -670,9 +670,9 @@
         if b is None or b.phase is EndpointPhase.REMOVED or (ask.id and ask.id in self.open_ids):
             return None
         now = self.now()
-        req = Request(self, self.next_id, ask, session, now, standing=True, answered=True)
-        req.heard_at = min(heard_at, now)
-        req.asked_at = asked_at
+        req = Request(self, self.next_id, ask, session, now, established=True, answered=True)
+        req.last_response_at = min(heard_at, now)
+        req.unanswered_since = asked_at
         req.attempt = Attempt(req, b, 0, now, 0.0)
         self.next_id += 1
         self.reqs[req.id] = req
@@ -688,7 +688,7 @@
         if attempt is not None:
             attempt.live = False
             req.attempt = None
-            req.standing = False
+            req.established = False
             self._drop(req)
             spent = self.now() - attempt.began
             result = AttemptResult.CANCELLED
@@ -723,14 +723,14 @@
         """Guards against reqs that outlive this process: a class may wait longer than the platform does
         between SIGTERM and SIGKILL. What is still out has timed out, and its client has its answer now."""
         for req in list(self.reqs.values()):
-            if not req.standing and not req.answered:
+            if not req.established and not req.answered:
                 self._overdue(req)
 
     # Standing sessions
 
     def heard(self, req: Request) -> None:
         now = self.now()
-        asked, req.asked_at = req.asked_at, None
+        asked, req.unanswered_since = req.unanswered_since, None
         if asked is None or req.attempt is None:
             return
         b = req.attempt.backend
@@ -742,7 +742,7 @@
             self.note(req, b, delay=slow)
 
     def note(self, req: Request, b: Endpoint, load: float | None = None, delay: float | None = None) -> None:
-        if req.standing and not req.moved:
+        if req.established and not req.migrated:
             self.feed(ConnectionObserved(req.id, b.id, load, delay))
 
     def _sweep(self) -> None:
@@ -753,6 +753,10 @@
         if self.drained_by is not None and now > self.drained_by:
             self.move_all()
         for req in list(self.reqs.values()):
-            if req.standing and req.asked_at is not None and now - req.heard_at > UNRESPONSIVE_AFTER_S:
+            if (
+                req.established
+                and req.unanswered_since is not None
+                and now - req.last_response_at > UNRESPONSIVE_AFTER_S
+            ):
                 self.metrics.count("silent")
                 self.move(req)
--- a/gradegap/resume/move.py
+++ b/gradegap/resume/move.py
@@ -136,11 +136,11 @@
             session.tell(session.passing.token(self.token(session, self.offer)))
             session.say_move()
         if self.req is not None:
-            self.req.gone()
+            self.req.on_disconnect()
 
     def stop(self) -> None:
         """The client has gone."""
         if not self.over:
             self.over = True
             if self.req is not None:
-                self.req.gone()
+                self.req.on_disconnect()
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -212,7 +212,7 @@
     attempt.up()
     attempt.over(AttemptResult.OK)
     attempt.load(0.5)
-    req.gone()
+    req.on_disconnect()
     rig.clock.run(1.0)
     assert session.words == ["busy"] and len(rig.script.outcomes()) == 1
 
@@ -318,7 +318,7 @@
 def test_a_client_that_leaves_abandons_its_fetch_and_is_not_answered() -> None:
     rig = Rig()
     session, req = rig.take()
-    req.gone()
+    req.on_disconnect()
     rig.clock.run(3.0)
     assert rig.ports.fetches[0].abandoned and not session.said and not rig.proxy.reqs
 
@@ -327,7 +327,7 @@
     rig = Rig()
     session, req, _ = rig.standing()
     rig.clock.run(2.0)
-    req.asked()
+    req.on_client_line()
     rig.clock.run(UNRESPONSIVE_AFTER_S)
     assert session.words == ["up", "move"] and rig.clock.now - session.said[0][1] <= 7.0
 
@@ -336,8 +336,8 @@
     rig = Rig()
     session, req, _ = rig.standing()
     rig.clock.run(20.0)
-    req.asked()
-    req.heard()
+    req.on_client_line()
+    req.on_endpoint_data()
     rig.clock.run(20.0)
     assert session.words == ["up"]
 
@@ -346,9 +346,9 @@
     rig = Rig()
     _, req, _ = rig.standing()
     for k in range(10):
-        req.asked()
+        req.on_client_line()
         rig.clock.run(0.01 if k == 0 else 0.4)
-        req.heard()
+        req.on_endpoint_data()
     notes = [e for e in rig.script.events if isinstance(e, ConnectionObserved)]
     assert 2 <= len(notes) <= 4 and all(n.message_delay == pytest.approx(0.39) for n in notes)
 
