--- a/gradegap/hot_restart/handover.py
+++ b/gradegap/hot_restart/handover.py
@@ -180,7 +180,7 @@
         fetch.sent = fetch.up = True
         fetch.said = None if message.announced_result is None else AttemptResult(message.announced_result)
         fetch.report = message.report
-        req.attempt.fetch = fetch
+        req.attempt.connection = fetch
         session.req, session.pipe, session.standing = req, fetch, True
         session.watch.part = message.partial_line
         backend = DialedSocket(node.descriptors, client.family, fds[1])
@@ -204,9 +204,9 @@
         link.send(Offer(dict(node.proxy.out), node.descriptors.own(), ring), node.listening.fileno())
         known = []
         for b in node.proxy.backends.values():
-            if (e := b.told) is not None:
+            if (e := b.entry) is not None:
                 k = EndpointState(b.id, b.address, e.zone, e.cell, int(e.phase), e.weight, e.started_at)
-                k.drain_notified_at = b.told_at if b.phase is not EndpointPhase.READY else None
+                k.drain_notified_at = b.drain_notified_at if b.phase is not EndpointPhase.READY else None
                 k.report, k.report_at = dict(b.report) if b.report is not None else None, b.report_at
                 known.append(k)
         for start in range(0, len(known), ENDPOINTS_PER_MESSAGE):
@@ -259,14 +259,14 @@
         if not isinstance(fetch, Fetch) or req is None or req.attempt is None or fetch.transport is None:
             return
         fit = req.established and not req.migrated and not session.moving and fetch.at_rest()
-        if not fit or req.attempt.backend.phase is not EndpointPhase.READY:
+        if not fit or req.attempt.endpoint.phase is not EndpointPhase.READY:
             return
         standing = EstablishedSession(
             self.serial,
             req.connection_request,
             session.opening.before,
             session.opening.after,
-            req.attempt.backend.id,
+            req.attempt.endpoint.id,
             session.watch.part,
             req.last_response_at,
             req.unanswered_since,
@@ -310,7 +310,7 @@
             if req is None or req.attempt is None:
                 session.lost()
                 return
-            fetch.attempt, req.attempt.fetch = req.attempt, fetch
+            fetch.attempt, req.attempt.connection = req.attempt, fetch
         for each in (fetch, channel):
             if each is not None and each.transport is not None:
                 each.transport.resume_reading()
--- a/gradegap/node/node.py
+++ b/gradegap/node/node.py
@@ -293,7 +293,7 @@
 
     def _by_hand(self, what: str, server: str, done: Done) -> None:
         b = self.proxy.backends.get(server)
-        if b is None or b.told is None:
+        if b is None or b.entry is None:
             done(UNKNOWN)
         elif self.store is not None:
             # In force here as at every other node: once it is committed, and not before.
--- a/gradegap/proxy/proxy.py
+++ b/gradegap/proxy/proxy.py
@@ -124,14 +124,15 @@
     address: str = ""
     phase: EndpointPhase = EndpointPhase.REMOVED
     started_at: float = 0.0
-    told: EndpointEntry | None = None  # the last that a director said of it, whatever is laid over that
-    told_at: float = NEVER  # when this node was told that it drains or is gone
+    entry: EndpointEntry | None = None  # the last that a director said of it, whatever is laid over that
+    drain_notified_at: float = NEVER  # when this node was told that it drains or is gone
     report: Mapping[str, float] | None = None  # the last that a probe brought, and when
     report_at: float = NEVER
-    told_by_peer: bool = False  # the report is another node's
-    silent_at: float = NEVER  # when a probe of this node's was last left unanswered, and none answered since
-    least_delay: float = 9.0  # s, the shortest a message took: the way there and back
-    noted_at: float = NEVER
+    report_from_peer: bool = False  # the report is another node's
+    # When a health check of this node's own was last left unanswered, while none was answered since.
+    unanswered_at: float = NEVER
+    min_message_delay: float = 9.0  # s, the shortest a message took: the way there and back
+    slow_message_reported_at: float = NEVER
     connecting: set[Attempt] = field(default_factory=set)  # nothing written yet
 
 
@@ -173,35 +174,35 @@
 class Attempt:
     """One attempt; what its fetch tells comes here, and counts only while the attempt is live."""
 
-    req: Request
-    backend: Endpoint
+    request: Request
+    endpoint: Endpoint
     number: int
-    began: float
-    wait: float
-    begin_by: float = math.inf  # it may not be written after this
-    live: bool = True
-    fetch: ConnectPort | None = None
+    started_at: float
+    timeout: float
+    send_by: float = math.inf  # it may not be written after this
+    active: bool = True
+    connection: ConnectPort | None = None
     timer: asyncio.TimerHandle | None = None
 
-    def begins(self) -> bool:
+    def may_send(self) -> bool:
         """Its connection is up: whether the first line may be written."""
-        return self.live and self.req.proxy.begins(self)
+        return self.active and self.request.proxy.begins(self)
 
-    def wrote(self) -> None:
+    def on_sent(self) -> None:
         """The first line is out."""
-        self.backend.connecting.discard(self)
+        self.endpoint.connecting.discard(self)
 
-    def up(self) -> None:
-        if self.live:
-            self.req.proxy.up(self)
+    def on_established(self) -> None:
+        if self.active:
+            self.request.proxy.up(self)
 
-    def over(self, result: AttemptResult, report: Mapping[str, float] | None = None) -> None:
-        if self.live:
-            self.req.proxy.over(self, result, report)
+    def on_ended(self, result: AttemptResult, report: Mapping[str, float] | None = None) -> None:
+        if self.active:
+            self.request.proxy.over(self, result, report)
 
-    def load(self, value: float) -> None:
-        if self.live:
-            self.req.proxy.note(self.req, self.backend, load=value)
+    def on_load(self, value: float) -> None:
+        if self.active:
+            self.request.proxy.note(self.request, self.endpoint, load=value)
 
 
 def send_for(settings: Settings) -> float:
@@ -280,15 +281,15 @@
         if kind is not EndpointListKind.DELTA:
             named = {e.name for e, _ in known}
             for b in self.backends.values():
-                if b.id not in named and b.told is not None and b.told.phase is not EndpointPhase.REMOVED:
-                    known.append((b.told._replace(phase=EndpointPhase.REMOVED), ""))
+                if b.id not in named and b.entry is not None and b.entry.phase is not EndpointPhase.REMOVED:
+                    known.append((b.entry._replace(phase=EndpointPhase.REMOVED), ""))
         for e, address in known:
             b = self.backends.setdefault(e.name, Endpoint(e.name))
-            b.told = e
+            b.entry = e
             if (address and address != b.address) or e.started_at > b.started_at:
                 # Guards against a probe connection to the process that ran there before.
                 self.port.forget(b)
-                b.least_delay, b.report = 9.0, None
+                b.min_message_delay, b.report = 9.0, None
             b.address = address or b.address
             b.started_at = e.started_at
         self._lay(kind, [e for e, _ in known])
@@ -309,9 +310,9 @@
             b = self.backends[e.name]
             was, b.phase = b.phase, e.phase
             if e.phase is EndpointPhase.READY:
-                b.told_at = NEVER
-            elif was is EndpointPhase.READY or b.told_at == NEVER:
-                b.told_at = self.out.get(e.name, now)
+                b.drain_notified_at = NEVER
+            elif was is EndpointPhase.READY or b.drain_notified_at == NEVER:
+                b.drain_notified_at = self.out.get(e.name, now)
                 told.append(b)
             if e.phase is EndpointPhase.REMOVED and was is not EndpointPhase.REMOVED:
                 self.port.forget(b)
@@ -324,25 +325,25 @@
         Whether there is such a backend. `at` names when it was taken out, by a process before this one."""
         if at is not None and server not in self.backends:
             # Guards against a held backend that is not on the list now: it must not come back in service.
-            self.backends[server] = Endpoint(server, told=EndpointEntry(server, phase=EndpointPhase.REMOVED))
+            self.backends[server] = Endpoint(server, entry=EndpointEntry(server, phase=EndpointPhase.REMOVED))
         b = self.backends.get(server)
-        if b is None or b.told is None:
+        if b is None or b.entry is None:
             return False
         if server not in self.out:
             self.out[server] = self.now() if at is None else at
             self.metrics.count("taken_out")
-            self._lay(EndpointListKind.DELTA, [b.told])
+            self._lay(EndpointListKind.DELTA, [b.entry])
             self._out_changed()
         return True
 
     def call_back(self, server: str) -> bool:
         """The backend is as it was last told again."""
         b = self.backends.get(server)
-        if b is None or b.told is None:
+        if b is None or b.entry is None:
             return False
         if self.out.pop(server, None) is not None:
             self.metrics.count("called_back")
-            self._lay(EndpointListKind.DELTA, [b.told])
+            self._lay(EndpointListKind.DELTA, [b.entry])
             self._out_changed()
         return True
 
@@ -354,7 +355,7 @@
         """Guards against a first line written to a backend that leaves: when this node hears of it, the word
         may be as old as its grace. What is connecting is given up unsent, and goes elsewhere."""
         for attempt in list(b.connecting):
-            if not attempt.req.connection_request.inherited_from:
+            if not attempt.request.connection_request.inherited_from:
                 self._give_up_unsent(attempt)
 
     def _give_up_unsent(self, attempt: Attempt) -> None:
@@ -365,21 +366,23 @@
         """Whether a first line may be written now. Guards against what came since the module chose: the
         client's end, which the loop has not read yet, the word that the backend leaves, the end of the time
         in which a repeat is dropped there."""
-        if attempt.req.session.left():
+        if attempt.request.session.left():
             self.metrics.count("left_unseen")
-            self.client_gone(attempt.req)
-        elif not self._may_begin(attempt) or self.now() >= attempt.begin_by:
+            self.client_gone(attempt.request)
+        elif not self._may_begin(attempt) or self.now() >= attempt.send_by:
             self.metrics.count("begun_too_late")
             self._give_up_unsent(attempt)
-        return attempt.live
+        return attempt.active
 
     def _may_begin(self, attempt: Attempt) -> bool:
         # A connection from before the run stands at its backend already, for as long as the grace allows.
-        b = attempt.backend
-        return b.told_at == NEVER or bool(attempt.req.connection_request.inherited_from and self.in_grace(b))
+        b = attempt.endpoint
+        return b.drain_notified_at == NEVER or bool(
+            attempt.request.connection_request.inherited_from and self.in_grace(b)
+        )
 
     def in_grace(self, b: Endpoint) -> bool:
-        return b.told_at == NEVER or self.now() < b.told_at + send_for(self.settings)
+        return b.drain_notified_at == NEVER or self.now() < b.drain_notified_at + send_for(self.settings)
 
     # Client sessions
 
@@ -476,15 +479,17 @@
         if self._held_back(req):
             self.over(attempt, AttemptResult.NOT_SENT)
         elif b is None or not self._may_begin(attempt) or attempt.number >= req.max_attempts or wait <= 0:
-            self.loop.call_soon(attempt.over, AttemptResult.NOT_SENT)
+            self.loop.call_soon(attempt.on_ended, AttemptResult.NOT_SENT)
         elif self.begins(attempt):
             self._fetch(attempt)
 
     def _fetch(self, attempt: Attempt) -> None:
         self.metrics.count("sent")
-        attempt.backend.connecting.add(attempt)
-        attempt.timer = self.loop.call_later(attempt.wait, self._time_out, attempt)
-        attempt.fetch = self.port.fetch(attempt.req.session, attempt.backend, attempt.wait, attempt)
+        attempt.endpoint.connecting.add(attempt)
+        attempt.timer = self.loop.call_later(attempt.timeout, self._time_out, attempt)
+        attempt.connection = self.port.fetch(
+            attempt.request.session, attempt.endpoint, attempt.timeout, attempt
+        )
 
     def _answer(self, req: Request, kind: str) -> None:
         req.answered = True
@@ -510,7 +515,7 @@
             self._drop(req)
         else:
             self._abandon(req.attempt)
-            self.loop.call_soon(req.attempt.over, AttemptResult.CANCELLED)
+            self.loop.call_soon(req.attempt.on_ended, AttemptResult.CANCELLED)
 
     def _move(self, a: Migrate) -> None:
         req = self.reqs.get(a.request_id)
@@ -524,7 +529,7 @@
             req.migrated = True
             self.metrics.count("moved")
             req.session.move()
-            self.loop.call_soon(attempt.over, AttemptResult.CANCELLED)
+            self.loop.call_soon(attempt.on_ended, AttemptResult.CANCELLED)
 
     def _set_timer(self, a: SetTimer) -> None:
         self.loop.call_later(max(0.0, a.delay), self.feed, TimerFired(a.token))
@@ -537,10 +542,10 @@
         def done(result: AttemptResult, report: Mapping[str, float] | None) -> None:
             self.metrics.count(f"probe_{result.name.lower()}")
             if b is not None and report is not None:
-                b.report, b.report_at, b.told_by_peer = report, self.now(), False
-                b.silent_at = NEVER
+                b.report, b.report_at, b.report_from_peer = report, self.now(), False
+                b.unanswered_at = NEVER
             elif b is not None and result is AttemptResult.TIMEOUT:
-                b.silent_at = self.now()
+                b.unanswered_at = self.now()
             if result in (AttemptResult.OK, AttemptResult.TIMEOUT):
                 self.probing.took(self.now() - began)
             self.feed(HealthCheckEnded(a.endpoint, result, self.now() - began, report))
@@ -555,7 +560,7 @@
     # What attempts come to
 
     def up(self, attempt: Attempt) -> None:
-        req = attempt.req
+        req = attempt.request
         if attempt.timer is not None:
             attempt.timer.cancel()
         self._answer(req, "served")
@@ -563,22 +568,22 @@
         req.last_response_at = self.now()
         req.session.stand()
         if req.connection_request.inherited_from:
-            self.feed(ConnectionInherited(self._request(req), attempt.backend.id))
+            self.feed(ConnectionInherited(self._request(req), attempt.endpoint.id))
         else:
-            spent = self.now() - attempt.began
-            self.feed(ConnectionEstablished(req.id, attempt.number, attempt.backend.id, spent))
+            spent = self.now() - attempt.started_at
+            self.feed(ConnectionEstablished(req.id, attempt.number, attempt.endpoint.id, spent))
 
     def over(
         self, attempt: Attempt, result: AttemptResult, report: Mapping[str, float] | None = None
     ) -> None:
         """The one outcome of an attempt; whatever its fetch says later is not heard."""
-        if not attempt.live:
+        if not attempt.active:
             return
-        attempt.live = False
-        attempt.backend.connecting.discard(attempt)
+        attempt.active = False
+        attempt.endpoint.connecting.discard(attempt)
         if attempt.timer is not None:
             attempt.timer.cancel()
-        req = attempt.req
+        req = attempt.request
         req.attempt = None
         self.metrics.count(f"{'ended' if req.established else 'fetch'}_{result.name.lower()}")
         if req.established and not req.migrated:
@@ -587,20 +592,20 @@
             self._inherit_over(req, result)
             return
         settled = req.answered
-        spent = self.now() - attempt.began
+        spent = self.now() - attempt.started_at
         if settled:
             self._drop(req)
-        self.feed(AttemptEnded(req.id, attempt.number, attempt.backend.id, result, spent, settled, report))
+        self.feed(AttemptEnded(req.id, attempt.number, attempt.endpoint.id, result, spent, settled, report))
 
     def _time_out(self, attempt: Attempt) -> None:
-        if attempt.live and not attempt.req.established:
-            sent = attempt.fetch is not None and attempt.fetch.sent
+        if attempt.active and not attempt.request.established:
+            sent = attempt.connection is not None and attempt.connection.sent
             self._abandon(attempt)
             self.over(attempt, AttemptResult.TIMEOUT if sent else AttemptResult.CONNECT_FAILED)
 
     def _abandon(self, attempt: Attempt) -> None:
-        if attempt.fetch is not None:
-            attempt.fetch.abandon()
+        if attempt.connection is not None:
+            attempt.connection.abandon()
 
     def _unguard(self, req: Request) -> None:
         if req.deadline_timer is not None:
@@ -646,8 +651,8 @@
         """When backends that drain or are gone were told to: a grace doesn't begin again."""
         for server, at in told.items():
             b = self.backends[server]
-            if b.told_at != NEVER:
-                b.told_at = min(b.told_at, at)
+            if b.drain_notified_at != NEVER:
+                b.drain_notified_at = min(b.drain_notified_at, at)
 
     def recall(self, at: float, server: str, report: Mapping[str, float]) -> None:
         """A report that came at `at`; the module hears of it with its age."""
@@ -686,13 +691,13 @@
         """A standing session is another process's from now on."""
         attempt = req.attempt
         if attempt is not None:
-            attempt.live = False
+            attempt.active = False
             req.attempt = None
             req.established = False
             self._drop(req)
-            spent = self.now() - attempt.began
+            spent = self.now() - attempt.started_at
             result = AttemptResult.CANCELLED
-            self.feed(AttemptEnded(req.id, attempt.number, attempt.backend.id, result, spent, True))
+            self.feed(AttemptEnded(req.id, attempt.number, attempt.endpoint.id, result, spent, True))
 
     # Leaving
 
@@ -733,12 +738,12 @@
         asked, req.unanswered_since = req.unanswered_since, None
         if asked is None or req.attempt is None:
             return
-        b = req.attempt.backend
+        b = req.attempt.endpoint
         delay = now - asked
-        b.least_delay = min(b.least_delay, delay)
-        slow = delay - b.least_delay
-        if slow > self.slow_message and now - b.noted_at > 1.0:
-            b.noted_at = now
+        b.min_message_delay = min(b.min_message_delay, delay)
+        slow = delay - b.min_message_delay
+        if slow > self.slow_message and now - b.slow_message_reported_at > 1.0:
+            b.slow_message_reported_at = now
             self.note(req, b, delay=slow)
 
     def note(self, req: Request, b: Endpoint, load: float | None = None, delay: float | None = None) -> None:
--- a/gradegap/resume/part.py
+++ b/gradegap/resume/part.py
@@ -386,7 +386,7 @@
 
     def _token(self, session: ClientSession, offer: Offer) -> str:
         req = session.req
-        server = req.attempt.backend.id if req is not None and req.attempt is not None else ""
+        server = req.attempt.endpoint.id if req is not None and req.attempt is not None else ""
         until = int(time.time()) + self.settings.life_s
         place = Place(offer.session, offer.client, offer.cls, server, offer.seen, offer.epoch, until)
         ring = self.ring()
--- a/gradegap/store/gossip.py
+++ b/gradegap/store/gossip.py
@@ -44,18 +44,18 @@
         seen = [
             GossipReport(b.id, "report", now - b.report_at, dict(b.report))
             for b in self.proxy.backends.values()
-            if b.report is not None and not b.told_by_peer and now - b.report_at < OLDEST
+            if b.report is not None and not b.report_from_peer and now - b.report_at < OLDEST
         ]
         seen += [
-            GossipReport(b.id, "silent", now - b.silent_at)
+            GossipReport(b.id, "silent", now - b.unanswered_at)
             for b in self.proxy.backends.values()
-            if now - b.silent_at < OLDEST
+            if now - b.unanswered_at < OLDEST
         ]
         if self.told():
             seen += [
-                GossipReport(b.id, "listed", 0.0, None, int(b.told.phase), b.told.started_at)
+                GossipReport(b.id, "listed", 0.0, None, int(b.entry.phase), b.entry.started_at)
                 for b in self.proxy.backends.values()
-                if b.told is not None
+                if b.entry is not None
             ]
         return Gossip(self.node, state, seen[:MOST])
 
@@ -70,22 +70,24 @@
                 self.metrics.count("gossip_unfit")
                 continue
             b = self.proxy.backends.get(learned.server)
-            if b is None or b.told is None:
+            if b is None or b.entry is None:
                 self.metrics.count("gossip_unknown_server")
             elif learned.kind == "silent":
                 self._silent(learned, b, now)
             elif learned.report is None:
                 if not self.told() and (learned.phase, learned.started_at) != (
-                    b.told.phase,
-                    b.told.started_at,
+                    b.entry.phase,
+                    b.entry.started_at,
                 ):
-                    entry = b.told._replace(phase=EndpointPhase(learned.phase), started_at=learned.started_at)
+                    entry = b.entry._replace(
+                        phase=EndpointPhase(learned.phase), started_at=learned.started_at
+                    )
                     changed.append((entry, ""))
             elif learned.age > OLDEST or now - learned.age < b.report_at + NEWER:
                 self.metrics.count("gossip_old")
             else:
                 self.metrics.count("gossip_taken")
-                b.told_by_peer = True
+                b.report_from_peer = True
                 self.proxy.recall(now - learned.age, b.id, learned.report)
         if changed:
             self.metrics.count("gossip_listed", len(changed))
@@ -95,7 +97,7 @@
         """A sibling's probe was left unanswered: the module hears of it as of one of its own, and no more
         often than of its own, where this node has no later answer."""
         at = now - learned.age
-        known = max(b.silent_at, self.silent.get(b.id, -1e9)) + NEWER
+        known = max(b.unanswered_at, self.silent.get(b.id, -1e9)) + NEWER
         if at <= max(b.report_at, known) or learned.age > OLDEST:
             self.metrics.count("gossip_old")
             return
--- a/gradegap/upstream/connections.py
+++ b/gradegap/upstream/connections.py
@@ -44,7 +44,7 @@
         self.transport = cast(asyncio.Transport, transport)
         # Guards against a first line for an attempt given up while it was connecting, or as of now.
         fit = not self.over and self.session.opening is not None
-        if not (fit and (self.attempt.live if self.up else self.attempt.begins())):
+        if not (fit and (self.attempt.active if self.up else self.attempt.may_send())):
             self.transport.close() if self.up else self.transport.abort()
             return
         assert self.session.opening is not None
@@ -52,9 +52,9 @@
         no_delay(self.transport)
         if self.up:
             return  # taken over: it stands already
-        left = self.wait - (self.attempt.req.proxy.now() - self.attempt.began)
+        left = self.wait - (self.attempt.request.proxy.now() - self.attempt.started_at)
         self.sent = True
-        self.attempt.wrote()
+        self.attempt.on_sent()
         self.transport.write(self.session.opening.with_wait(left))
 
     def data_received(self, data: bytes) -> None:
@@ -75,7 +75,7 @@
         if self.up:
             self.session.join(self, self.buffer)
             self.buffer = b""
-            self.attempt.up()
+            self.attempt.on_established()
         else:
             self._read_word(word)
             self._answer(self.said or AttemptResult.ERROR)
@@ -84,7 +84,7 @@
         """A line that went by on a standing connection."""
         if line.startswith(b"LOAD "):
             with contextlib.suppress(ValueError):
-                self.attempt.load(figure(line[5:].decode()) * 1e-6)
+                self.attempt.on_load(figure(line[5:].decode()) * 1e-6)
         else:
             self.said = None
             self._read_word(line)
@@ -133,7 +133,7 @@
     def _finish(self, result: AttemptResult, report: dict[str, float] | None = None) -> None:
         if not self.over:
             self.over = True
-            self.attempt.over(result, report)
+            self.attempt.on_ended(result, report)
 
     def abandon(self) -> None:
         """Give the attempt up by closing its connection."""
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -106,7 +106,7 @@
 
     def write(self) -> None:
         self.sent = True
-        self.attempt.wrote()
+        self.attempt.on_sent()
 
     def abandon(self) -> None:
         self.abandoned = True
@@ -171,7 +171,7 @@
         session, req = self.take()
         fetch = self.ports.fetches[-1]
         fetch.write()
-        fetch.attempt.up()
+        fetch.attempt.on_established()
         return session, req, fetch
 
 
@@ -209,9 +209,9 @@
     session, req = rig.take(wait=1.0)
     attempt = rig.ports.fetches[0].attempt
     rig.clock.run(1.2)
-    attempt.up()
-    attempt.over(AttemptResult.OK)
-    attempt.load(0.5)
+    attempt.on_established()
+    attempt.on_ended(AttemptResult.OK)
+    attempt.on_load(0.5)
     req.on_disconnect()
     rig.clock.run(1.0)
     assert session.words == ["busy"] and len(rig.script.outcomes()) == 1
@@ -240,9 +240,9 @@
     rig = Rig()
     rig.take(wait=40.0, at="a")
     rig.tell("a", phase=EndpointPhase.DRAINING)
-    assert not rig.ports.fetches[0].abandoned and rig.ports.fetches[0].attempt.begins()
+    assert not rig.ports.fetches[0].abandoned and rig.ports.fetches[0].attempt.may_send()
     rig.clock.run(1.95)
-    assert not rig.ports.fetches[0].attempt.begins() and rig.ports.fetches[0].abandoned
+    assert not rig.ports.fetches[0].attempt.may_send() and rig.ports.fetches[0].abandoned
 
 
 def test_a_client_that_left_unseen_while_it_waited_is_not_sent_on() -> None:
@@ -262,7 +262,7 @@
     rig = Rig()
     session, _ = rig.take()
     session.gone = True
-    assert not rig.ports.fetches[0].attempt.begins()
+    assert not rig.ports.fetches[0].attempt.may_send()
     rig.clock.run(3.0)
     assert rig.ports.fetches[0].abandoned and not session.said and not rig.proxy.reqs
 
@@ -274,9 +274,9 @@
     rig.take()
     rig.take()
     rig.clock.run(0.09)
-    assert rig.ports.fetches[0].attempt.begins()
+    assert rig.ports.fetches[0].attempt.may_send()
     rig.clock.run(0.02)
-    assert not rig.ports.fetches[1].attempt.begins()
+    assert not rig.ports.fetches[1].attempt.may_send()
     assert rig.script.outcomes() == [AttemptResult.CONNECT_FAILED]
 
 
@@ -356,10 +356,10 @@
 def test_a_connection_from_before_the_run_is_tried_again_where_it_could_not_be_made() -> None:
     rig = Rig()
     session, _ = rig.take(wait=40.0, at="a")
-    rig.ports.fetches[0].attempt.over(AttemptResult.CONNECT_FAILED)
+    rig.ports.fetches[0].attempt.on_ended(AttemptResult.CONNECT_FAILED)
     rig.clock.run(0.5)
     rig.ports.fetches[1].write()
-    rig.ports.fetches[1].attempt.up()
+    rig.ports.fetches[1].attempt.on_established()
     assert session.words == ["up"]
     assert [type(e) for e in rig.script.events[1:]] == [ConnectionInherited]
 
--- a/tests/test_store_node.py
+++ b/tests/test_store_node.py
@@ -250,7 +250,7 @@
     drains = GossipReport("s1", "listed", 0.0, None, int(EndpointPhase.DRAINING), 77.0)
     learner.hear(Gossip("other", {}, [drains]))
     s1 = proxy.backends["s1"]
-    assert s1.phase is EndpointPhase.DRAINING and s1.told_at > 0 and s1.started_at == 77.0
+    assert s1.phase is EndpointPhase.DRAINING and s1.drain_notified_at > 0 and s1.started_at == 77.0
     told = True
     learner.hear(
         Gossip("other", {}, [GossipReport("s2", "listed", 0.0, None, int(EndpointPhase.REMOVED), 0.0)])
