--- a/gradegap/discovery/dns_sd_discovery.py
+++ b/gradegap/discovery/dns_sd_discovery.py
@@ -24,7 +24,8 @@
 import structlog
 
 from gradegap.balancing.events import EndpointEntry, EndpointListKind
-from gradegap.discovery.http_discovery import STATES
+from gradegap.discovery.endpoint_list import PHASES_BY_STATE
+from gradegap.discovery.errors import DnsLookupError, InvalidEndpointError
 from gradegap.discovery.settings import DnsSdSettings
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
@@ -41,14 +42,6 @@
 Key = tuple[dns.name.Name, dns.rdatatype.RdataType]
 
 
-class LookupFailed(Exception):
-    """A name that could not be resolved now."""
-
-
-class BadRecord(ValueError):
-    """A record that says nothing of use."""
-
-
 def read_txt(strings: tuple[bytes, ...]) -> dict[str, str]:
     """The pairs of a TXT record; of a key given twice the first counts, and keys have no case."""
     pairs: dict[str, str] = {}
@@ -60,17 +53,19 @@
 
 
 def read_entry(server: str, pairs: dict[str, str]) -> EndpointEntry:
-    if pairs.get("state") not in STATES:
-        raise BadRecord(f"state {pairs.get('state')!r}")
+    if pairs.get("state") not in PHASES_BY_STATE:
+        raise InvalidEndpointError(f"state {pairs.get('state')!r}")
     try:
         weight = float(pairs.get("weight", 1.0))
         started = float(pairs.get("started_ms", 0.0)) / 1000
         cell = int(pairs.get("cell", 0))
     except ValueError:
-        raise BadRecord("a figure that is no number") from None
+        raise InvalidEndpointError("a figure that is no number") from None
     if not 0.0 < weight < math.inf or not 0.0 <= started < math.inf:
-        raise BadRecord("a figure out of range")
-    return EndpointEntry(server, pairs.get("zone", ""), cell, STATES[pairs["state"]], weight, started)
+        raise InvalidEndpointError("a figure out of range")
+    return EndpointEntry(
+        server, pairs.get("zone", ""), cell, PHASES_BY_STATE[pairs["state"]], weight, started
+    )
 
 
 class DnsSdDiscovery:
@@ -100,7 +95,7 @@
                 await self._round()
                 self.failures = 0
                 wait = self._next_expiry()
-            except LookupFailed as error:
+            except DnsLookupError as error:
                 # The last list is kept.
                 self.failures += 1
                 self.metrics.count("dns_failures")
@@ -123,7 +118,7 @@
             ident = name.labels[0].decode("utf-8", "replace")
             try:
                 listed[ident] = await self._instance(ident, name)
-            except (BadRecord, LookupFailed) as error:
+            except (InvalidEndpointError, DnsLookupError) as error:
                 # Guards against one bad record: its instance stays as it was last, the others count.
                 self.metrics.count("dns_bad_instances")
                 log.warning("DNS-SD instance unreadable", instance=ident, error=str(error))
@@ -144,7 +139,7 @@
         entry = read_entry(ident, read_txt(txt.strings))
         try:
             host = (await self._lookup(srv.target, dns.rdatatype.A))[0].address
-        except LookupFailed:
+        except DnsLookupError:
             host = f"[{(await self._lookup(srv.target, dns.rdatatype.AAAA))[0].address}]"
         return entry, f"{host}:{srv.port}"
 
@@ -159,9 +154,9 @@
                 query, self.where, timeout=QUERY_WAIT, port=self.port, ignore_unexpected=True
             )
         except (dns.exception.DNSException, OSError, EOFError) as error:
-            raise LookupFailed(f"{name} {kind.name}: {type(error).__name__}") from None
+            raise DnsLookupError(f"{name} {kind.name}: {type(error).__name__}") from None
         if answer.rcode() != dns.rcode.NOERROR:
-            raise LookupFailed(f"{name} {kind.name}: {dns.rcode.to_text(answer.rcode())}")
+            raise DnsLookupError(f"{name} {kind.name}: {dns.rcode.to_text(answer.rcode())}")
         now = self.proxy.loop.time()
         # What is sent along (RFC 6763, section 12) is kept as well, each for its own life.
         for rrset in [*answer.answer, *answer.additional]:
@@ -169,5 +164,5 @@
                 self.cache[rrset.name, rrset.rdtype] = (now + rrset.ttl, rrset)
         found = next((r for r in answer.answer if r.name == name and r.rdtype == kind), None)
         if found is None:
-            raise LookupFailed(f"{name} {kind.name}: no record")
+            raise DnsLookupError(f"{name} {kind.name}: no record")
         return list(found)
--- a/gradegap/discovery/http_discovery.py
+++ b/gradegap/discovery/http_discovery.py
@@ -6,22 +6,19 @@
 from __future__ import annotations
 
 import asyncio
-import contextlib
-import math
 import random
 from collections.abc import Callable
-from ipaddress import ip_address
 from typing import cast
 
 import httptools
 import msgspec
 import structlog
 
-from gradegap.balancing.events import EndpointEntry, EndpointListKind, EndpointPhase
+from gradegap.balancing.events import EndpointListKind
+from gradegap.discovery.endpoint_list import UNREADABLE_JSON, AddressedEntry, EndpointListDocument
 from gradegap.discovery.watch_schedule import DIAL, UNFIT, Ask, WatchSchedule
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
-from gradegap.transport.addresses import split_address
 from gradegap.transport.dialer import Dialer
 
 log = structlog.get_logger()
@@ -33,68 +30,6 @@
     3  # calls out at once: a watch that is overdue, one for the changes since, one for the whole list
 )
 LARGEST = 8 * 1024 * 1024  # bytes of one answer
-# What the parser raises; nesting without end is an error of its own.
-UNREADABLE = (msgspec.MsgspecError, RecursionError)
-STATES = {"Ready": EndpointPhase.READY, "Terminating": EndpointPhase.DRAINING, "Gone": EndpointPhase.REMOVED}
-
-
-class Item(msgspec.Struct):
-    id: str
-    addr: str = ""
-    zone: str = ""
-    kind: str = ""
-    cell: int = 0
-    state: str = "Ready"
-    weight: float = 1.0
-    started_ms: float = 0.0
-
-    def entry(self) -> Entry:
-        """Guards against an entry that nothing can be done with, by a ValueError."""
-        if not self.id.isprintable() or not self.id:
-            raise ValueError("no id")
-        if not 0.0 <= self.weight < math.inf or not self.started_ms < math.inf:
-            raise ValueError("a figure out of range")
-        if self.addr:
-            ip_address(split_address(self.addr)[0])  # numbers only: there is no DNS to wait for
-        elif self.state == "Ready":
-            raise ValueError("no address")
-        # A state of a later protocol takes nothing new: it is not Ready.
-        phase = STATES.get(self.state, EndpointPhase.DRAINING)
-        entry = EndpointEntry(
-            self.id, self.zone, self.cell, phase, self.weight, max(0.0, self.started_ms) / 1000
-        )
-        return entry, self.addr
-
-
-Entry = tuple[EndpointEntry, str]
-
-
-class Named(msgspec.Struct):
-    id: str
-
-
-class Listing(msgspec.Struct):
-    version: int = 0
-    full: bool = True
-    servers: list[msgspec.Raw] = []
-
-    def entries(self, last: dict[str, Entry], metrics: Metrics) -> list[Entry]:
-        """What the list tells, one by one. Guards against one bad entry that takes the whole list with it:
-        of such a server, what was told last is still true."""
-        told: list[Entry] = []
-        for raw in self.servers:
-            try:
-                told.append(msgspec.json.decode(raw, type=Item).entry())
-            except (ValueError, *UNREADABLE) as error:
-                metrics.count("list_items_bad")
-                log.warning("entry of the list ignored", error=str(error)[:200])
-                with contextlib.suppress(*UNREADABLE):
-                    name = msgspec.json.decode(raw, type=Named).id
-                    told += [last[name]] if self.full and name in last else []
-        if self.full:
-            last.clear()
-        last.update((entry.name, (entry, address)) for entry, address in told)
-        return told
 
 
 class HttpDiscovery:
@@ -110,8 +45,8 @@
         self.first: Callable[[], None] | None = None
         self.calls: list[Call] = []  # all that are out, the latest last; those before it are overdue
         self.again: asyncio.TimerHandle | None = None  # the next call, after one that failed
-        self.last: dict[str, Entry] = {}  # what was told of each
-        self.decoder = msgspec.json.Decoder(Listing)
+        self.last: dict[str, AddressedEntry] = {}  # what was told of each
+        self.decoder = msgspec.json.Decoder(EndpointListDocument)
         metrics.gauge("watch", lambda: {"version": self.clock.version, "told": self.told})
 
     def start(self) -> None:
@@ -151,7 +86,7 @@
         """An answer to a call that is out; empty: it was taken, else why it was not."""
         try:
             listing = self.decoder.decode(body)
-        except UNREADABLE as error:
+        except UNREADABLE_JSON as error:
             log.warning("list malformed", error=str(error))
             return "malformed"
         if why := self.clock.fits(ask, self.proxy.loop.time(), listing.full, listing.version):
@@ -161,7 +96,7 @@
         self._only(call)
         if listing.full or listing.servers:
             kind = EndpointListKind.FULL if listing.full else EndpointListKind.DELTA
-            self.proxy.listing(kind, listing.entries(self.last, self.metrics))
+            self.proxy.listing(kind, listing.read_entries(self.last, self.metrics))
         if not self.told:
             self.told = True
             if self.first is not None:
--- a/gradegap/node/configuration.py
+++ b/gradegap/node/configuration.py
@@ -13,7 +13,7 @@
 
 from gradegap.balancing import settings_reader as reader
 from gradegap.balancing.settings import Settings
-from gradegap.discovery.http_discovery import Listing
+from gradegap.discovery.endpoint_list import EndpointListDocument
 from gradegap.errors import ConfigurationError
 from gradegap.transport.addresses import split_address
 
@@ -39,7 +39,7 @@
     console: str = ""  # where operators call; none: nobody does
     seed: str = "0"
     limits: Limits = msgspec.field(default_factory=Limits)
-    known: Listing = msgspec.field(default_factory=Listing)
+    known: EndpointListDocument = msgspec.field(default_factory=EndpointListDocument)
 
 
 @dataclass(slots=True)
--- a/gradegap/node/node.py
+++ b/gradegap/node/node.py
@@ -345,7 +345,7 @@
 
     def _take_known(self) -> None:
         """The list of the configuration, to serve with until discovery has told one."""
-        known = self.setup.config.known.entries({}, self.metrics)
+        known = self.setup.config.known.read_entries({}, self.metrics)
         self.proxy.listing(EndpointListKind.CACHED, known)
         if known and isinstance(self.director, HttpDiscovery):
             self.director.clock.known(self.setup.config.known.version)
--- a/tests/compatibility/present.py
+++ b/tests/compatibility/present.py
@@ -16,7 +16,7 @@
 from gradegap import raft
 from gradegap.capture import settings as capture_settings
 from gradegap.check import sessions as checked_sessions
-from gradegap.discovery import http_discovery
+from gradegap.discovery import endpoint_list
 from gradegap.discovery import settings as discovery_settings
 from gradegap.hot_restart import messages as hot_restart
 from gradegap.node import configuration, operator_file
@@ -187,7 +187,11 @@
     )
     | _in(
         "discovery",
-        _own(item=http_discovery.Item, named=http_discovery.Named, listing=http_discovery.Listing),
+        _own(
+            item=endpoint_list.EndpointDocument,
+            named=endpoint_list.EndpointIdDocument,
+            listing=endpoint_list.EndpointListDocument,
+        ),
     )
     | _in("node", _own(config=configuration.Config, limits=configuration.Limits))
 )
--- a/tests/test_capture_index.py
+++ b/tests/test_capture_index.py
@@ -21,8 +21,8 @@
 from gradegap.capture import explain, frames, index, records, replay, snapshot, state
 from gradegap.capture.frames import Kind
 from gradegap.capture.plot import draw, series
+from tests.test_admin_api import call, served
 from tests.test_capture import Day, again, cli, recorded, taken
-from tests.test_console import call, served
 from tests.test_hot_restart import ready, second
 from tests.world import Backend, wait_for
 
--- a/tests/test_dnssd.py
+++ b/tests/test_dns_sd_discovery.py
@@ -15,7 +15,8 @@
 import pytest
 
 from gradegap.balancing.events import EndpointEntry, EndpointPhase
-from gradegap.discovery.dns_sd_discovery import BadRecord, read_entry, read_txt
+from gradegap.discovery.dns_sd_discovery import read_entry, read_txt
+from gradegap.discovery.errors import InvalidEndpointError
 from tests.world import Backend, World, wait_for, world
 
 SERVICE = "_saves._tcp.prairie.example."
@@ -180,5 +181,5 @@
     "text", ["", "state=", "state=Ready;weight=0", "state=Ready;weight=nan", "state=Ready;started_ms=x"]
 )
 def test_bad_txt_is_told(text: str) -> None:
-    with pytest.raises(BadRecord):
+    with pytest.raises(InvalidEndpointError):
         read_entry("s", read_txt(tuple(text.encode().split(b";"))))
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.test_console import call, served
+from tests.test_admin_api import call, served
 from tests.world import BUSY_MACHINE, Backend, World, free_port, wait_for, world
 
 
--- a/tests/test_hot_restart_steps.py
+++ b/tests/test_hot_restart_steps.py
@@ -24,7 +24,7 @@
     StateComplete,
     SuccessorReady,
 )
-from tests.test_console import call, served
+from tests.test_admin_api import call, served
 from tests.world import BUSY_MACHINE, Backend, Client, World, wait_for
 
 Expected = TypeVar("Expected", bound=msgspec.Struct)
--- a/tests/test_director.py
+++ b/tests/test_http_discovery.py
@@ -10,7 +10,8 @@
 import pytest
 
 from gradegap.balancing.events import EndpointListKind
-from gradegap.discovery.http_discovery import CALLS_MOST, Call, Entry, HttpDiscovery
+from gradegap.discovery.endpoint_list import AddressedEntry
+from gradegap.discovery.http_discovery import CALLS_MOST, Call, HttpDiscovery
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
 from gradegap.transport.dialer import Dialer
@@ -74,14 +75,14 @@
         self.loop = Loop()
         self.settings = helpers.settings(polls_endpoints=not pushed, poll_within=10.0, drain_grace=2.0)
         self.calls: list[tuple[Call, Transport]] = []
-        self.lists: list[tuple[EndpointListKind, list[Entry]]] = []
+        self.lists: list[tuple[EndpointListKind, list[AddressedEntry]]] = []
         self.metrics = Metrics()
         self.director = HttpDiscovery(cast(Proxy, self), cast(Dialer, self), "discovery:1", self.metrics)
         if not pushed:
             self.director.clock.known(7)
         self.director.start()
 
-    def listing(self, kind: EndpointListKind, entries: Iterable[Entry]) -> None:
+    def listing(self, kind: EndpointListKind, entries: Iterable[AddressedEntry]) -> None:
         self.lists.append((kind, list(entries)))
 
     def dial(
--- a/tests/test_lint_rules.py
+++ b/tests/test_lint_rules.py
@@ -35,7 +35,7 @@
 gradegap/client.py: D N
 gradegap/commands/resume.py: D
 gradegap/commands/store.py: D
-gradegap/discovery/dns_sd_discovery.py: D N
+gradegap/discovery/dns_sd_discovery.py: D
 gradegap/discovery/http_discovery.py: D
 gradegap/discovery/watch_schedule.py: D
 gradegap/downstream/framing.py: D
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from tests.test_console import call
+from tests.test_admin_api import call
 from tests.world import BUSY_MACHINE, ROOT, SETTINGS, Backend, free_port, hard_reset, wait_for, world
 
 
--- a/tests/test_observer_cluster.py
+++ b/tests/test_observer_cluster.py
@@ -18,8 +18,8 @@
 from gradegap.store.machine import Op
 from tests.cluster import Cluster
 from tests.resume_world import ResumeBackend, SaveStore
-from tests.test_console import answer
-from tests.test_console import call as plain_call
+from tests.test_admin_api import answer
+from tests.test_admin_api import call as plain_call
 from tests.test_resume import ON as RESUME
 from tests.test_resume import opened, returned, token_of
 from tests.world import BUSY_MACHINE, Backend, World, free_port, wait_for
--- a/tests/test_resume_many.py
+++ b/tests/test_resume_many.py
@@ -22,7 +22,7 @@
 from gradegap.resume.token import RING, Ring
 from gradegap.store.remote import Remote
 from tests.resume_world import ResumeBackend, SaveStore
-from tests.test_console import call
+from tests.test_admin_api import call
 from tests.test_store_node import Nodes, nodes
 from tests.world import World, free_port, world
 
--- a/tests/test_store_node.py
+++ b/tests/test_store_node.py
@@ -23,7 +23,7 @@
 from gradegap.store.wire import Gossip, GossipReport
 from tests.helpers import settings
 from tests.relay import Relay
-from tests.test_console import call as plain_call
+from tests.test_admin_api import call as plain_call
 from tests.world import BUSY_MACHINE, Backend, World, free_port, wait_for, world
 
 
