--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -168,9 +168,9 @@
 
     def _probe(self) -> None:
         """Probe some server, as a node with clients there would now and then."""
-        known = [name for name, b in self.proxy.backends.items() if b.address]
+        known = [name for name, b in self.proxy.endpoints.items() if b.address]
         if known and not self.ended:
-            self.proxy.act[CheckHealth](CheckHealth(self.process.rng.choice(known)))
+            self.proxy.action_handlers[CheckHealth](CheckHealth(self.process.rng.choice(known)))
         self._probe_later()
 
     def stop(self) -> None:
--- a/bench/scale/sessions.py
+++ b/bench/scale/sessions.py
@@ -115,7 +115,7 @@
             "state": "ready" if self.parts.told() else "starting",
             "listen": self.node.member_address,
             "quic": None,
-            "started_ms": round(proxy.anchor_ms),
+            "started_ms": round(proxy.started_at_ms),
         }
 
     async def start(self) -> None:
--- a/bench/scale/slopes_module.py
+++ b/bench/scale/slopes_module.py
@@ -294,7 +294,7 @@
         rng = Random(seed)
         for each in (reader, other):
             each.take(answer(range(servers), 1, True), True)
-        for backend in reader.proxy.backends.values():
+        for backend in reader.proxy.endpoints.values():
             backend.report = {"x0": rng.uniform(0.05, 0.9), "inflight": float(rng.randrange(60))}
             backend.report_at = reader.proxy.now()
         tells = Learner("node-0001", reader.proxy, Metrics(), lambda: True)
--- a/bench/scale/slopes_probes.py
+++ b/bench/scale/slopes_probes.py
@@ -57,11 +57,11 @@
 
 async def ask(proxy: Proxy, names: list[str]) -> None:
     """One probe of each, all answered."""
-    before = {name: proxy.backends[name].report for name in names}
+    before = {name: proxy.endpoints[name].report for name in names}
     for name in names:
-        proxy.act[CheckHealth](CheckHealth(name))
+        proxy.action_handlers[CheckHealth](CheckHealth(name))
     until = time.monotonic() + ANSWER_S
-    while any(proxy.backends[name].report is before[name] for name in names):
+    while any(proxy.endpoints[name].report is before[name] for name in names):
         if time.monotonic() > until:
             raise RuntimeError(f"a probe was not answered: {proxy.metrics.snapshot()}")
         await asyncio.sleep(STEP)
@@ -82,11 +82,11 @@
     backends = Backends(loop, 1.0, Descriptors(DESCRIPTORS, metrics))
     proxy = Proxy(settings(), seed, backends, metrics, loop)
     names = [server_name(k) for k in range(servers)]
-    proxy.listing(EndpointListKind.FULL, [(EndpointEntry(name), address) for name in names])
+    proxy.update_endpoints(EndpointListKind.FULL, [(EndpointEntry(name), address) for name in names])
     await rounds(proxy, names)  # connects
     found = [await rounds(proxy, names) for _ in range(REPEATS)]
     for name in names:
-        backends.forget(proxy.backends[name])
+        backends.forget(proxy.endpoints[name])
     backends.dialer.task.cancel()
     return found
 
--- a/gradegap/discovery/dns_sd_discovery.py
+++ b/gradegap/discovery/dns_sd_discovery.py
@@ -127,7 +127,7 @@
         if not self.told or listed != self.known:
             self.known = listed
             self.metrics.count("lists_full")
-            self.proxy.listing(EndpointListKind.FULL, listed.values())
+            self.proxy.update_endpoints(EndpointListKind.FULL, listed.values())
         if not self.told:
             self.told = True
             if self.first is not None:
--- a/gradegap/discovery/http_discovery.py
+++ b/gradegap/discovery/http_discovery.py
@@ -96,7 +96,7 @@
         self._only(call)
         if listing.full or listing.servers:
             kind = EndpointListKind.FULL if listing.full else EndpointListKind.DELTA
-            self.proxy.listing(kind, listing.read_entries(self.last, self.metrics))
+            self.proxy.update_endpoints(kind, listing.read_entries(self.last, self.metrics))
         if not self.told:
             self.told = True
             if self.first is not None:
--- a/gradegap/downstream/session.py
+++ b/gradegap/downstream/session.py
@@ -265,7 +265,7 @@
                     raise InvalidLineError("more than a first line")
                 if self.resuming is not None and self.resuming.begin(self, line, opening):
                     return
-                self.req = self.proxy.take(self, opening.ask)
+                self.req = self.proxy.open_request(self, opening.ask)
             except (InvalidLineError, InvalidRequestError) as error:
                 self._bad(str(error))
                 return
@@ -279,7 +279,7 @@
             return
         self.opening = opening
         try:
-            self.req = self.proxy.take(self, opening.ask)
+            self.req = self.proxy.open_request(self, opening.ask)
         except InvalidRequestError as error:
             self._bad(str(error))
             return
--- a/gradegap/hot_restart/handover.py
+++ b/gradegap/hot_restart/handover.py
@@ -122,13 +122,15 @@
             phase = EndpointPhase(k.phase)
             entry = EndpointEntry(k.id, k.zone, k.cell, phase, k.weight, k.started_at)
             entries.append((entry, k.address))
-        proxy.listing(EndpointListKind.CACHED, entries)
-        proxy.told_before({k.id: k.drain_notified_at for k in self.listed if k.drain_notified_at is not None})
+        proxy.update_endpoints(EndpointListKind.CACHED, entries)
+        proxy.restore_drain_times(
+            {k.id: k.drain_notified_at for k in self.listed if k.drain_notified_at is not None}
+        )
         for server, at in (self.offer.disabled_endpoints if self.offer is not None else {}).items():
-            proxy.take_out(server, at)
+            proxy.disable_endpoint(server, at)
         reports = sorted((k.report_at, k.id, k.report) for k in self.listed if k.report is not None)
         for at, server, report in reports:
-            proxy.recall(at, server, report)
+            proxy.record_report(at, server, report)
         self.listed = []
         if self.begun is not None and not self.begun.done():
             self.begun.set_result(True)
@@ -169,7 +171,7 @@
             return True
         session.unwait()
         session.opening = Opening(message.request, message.opening_before_wait, message.opening_after_wait)
-        req = node.proxy.adopt(
+        req = node.proxy.adopt_connection(
             session, message.request, message.endpoint, message.last_response_at, message.unanswered_since
         )
         if req is None or req.attempt is None:
@@ -201,9 +203,9 @@
         self.link = link = Link(self.loop, sock, self._heard, self._lost)
         node.metrics.count("handovers_begun")
         ring = node.resuming.handed() if node.resuming is not None else b""
-        link.send(Offer(dict(node.proxy.out), node.descriptors.own(), ring), node.listening.fileno())
+        link.send(Offer(dict(node.proxy.disabled), node.descriptors.own(), ring), node.listening.fileno())
         known = []
-        for b in node.proxy.backends.values():
+        for b in node.proxy.endpoints.values():
             if (e := b.entry) is not None:
                 k = EndpointState(b.id, b.address, e.zone, e.cell, int(e.phase), e.weight, e.started_at)
                 k.drain_notified_at = b.drain_notified_at if b.phase is not EndpointPhase.READY else None
@@ -220,7 +222,7 @@
         self.gave_way = True
         self.node.stop_accepting()
         if self.link is not None and (left := self.node.leave_store()) > 0:
-            self.link.send(StoreLease(left, dict(self.node.proxy.out)))
+            self.link.send(StoreLease(left, dict(self.node.proxy.disabled)))
         port = self.node.give_port()
         if self.link is not None and port is not None:
             self.link.send(QuicPort(port[0]), *port[1])
@@ -277,7 +279,7 @@
         transport.pause_reading()
         fetch.transport.pause_reading()
         session.closed = fetch.over = True
-        self.node.proxy.gave(req)
+        self.node.proxy.release_connection(req)
         link.send(standing, fd, fetch.transport.get_extra_info("socket").fileno())
 
     def _taken(self, serial: int, good: bool) -> None:
@@ -306,7 +308,7 @@
         else:
             fetch.over = False
             args = (standing.request, standing.endpoint, standing.last_response_at, standing.unanswered_since)
-            session.req = req = self.node.proxy.adopt(session, *args)
+            session.req = req = self.node.proxy.adopt_connection(session, *args)
             if req is None or req.attempt is None:
                 session.lost()
                 return
--- a/gradegap/node/node.py
+++ b/gradegap/node/node.py
@@ -118,15 +118,15 @@
             trace = DecisionTrace(self.proxy.balancer)
             trace.settings(setup.settings)
             self.proxy.balancer = cast(Any, trace)  # the core knows no difference
-        self.proxy.out_changed = self._keep_out
+        self.proxy.on_disabled_changed = self._keep_out
         if self.operator.decides_by is not None:
-            self.proxy.gate = self._gate
+            self.proxy.admission_gate = self._gate
         self.handover = Handover(self, private_file(setup.config, "sock"))
         self.listening: socket.socket | None = None  # kept beside the one accepted from, to pass on
         self.done: asyncio.Future[None] = loop.create_future()
         self.server: asyncio.Server | None = None
         self.metrics.gauge("open_sessions", lambda: len(self.channels))
-        self.metrics.gauge("reqs", lambda: len(self.proxy.reqs))
+        self.metrics.gauge("reqs", lambda: len(self.proxy.requests))
 
     def _make_director(self) -> HttpDiscovery | DnsSdDiscovery:
         if self.operator.dnssd is None:
@@ -261,7 +261,7 @@
 
     def admits(self) -> bool:
         """What PING is told: whether new clients are to come here."""
-        return self.ready and self.proxy.drained_by is None and self._store_allows()
+        return self.ready and self.proxy.drain_deadline is None and self._store_allows()
 
     def ask_ready(self, done: Done) -> None:
         done(DONE if self.ready else Verdict(HTTPStatus.SERVICE_UNAVAILABLE, "takes no clients"))
@@ -283,7 +283,7 @@
         return cast("ObservedStore", self.store) if self.operator.observer is not None else None
 
     def take_out(self, server: str, done: Done) -> None:
-        if len(self.proxy.out) >= MOST_OUT and server not in self.proxy.out:
+        if len(self.proxy.disabled) >= MOST_OUT and server not in self.proxy.disabled:
             done(Verdict(HTTPStatus.SERVICE_UNAVAILABLE, f"{MOST_OUT} save servers are out already"))
         else:
             self._by_hand("out", server, done)
@@ -292,7 +292,7 @@
         self._by_hand("back", server, done)
 
     def _by_hand(self, what: str, server: str, done: Done) -> None:
-        b = self.proxy.backends.get(server)
+        b = self.proxy.endpoints.get(server)
         if b is None or b.entry is None:
             done(UNKNOWN)
         elif self.store is not None:
@@ -310,43 +310,43 @@
         """A call that the other process was asked for."""
         match what:
             case "out":
-                self.proxy.take_out(server)
+                self.proxy.disable_endpoint(server)
             case "back":
-                self.proxy.call_back(server)
+                self.proxy.enable_endpoint(server)
             case "drain":
-                self.proxy.drain(DRAIN_MOVES)
+                self.proxy.start_draining(DRAIN_MOVES)
             case "stay":
-                self.proxy.stay()
+                self.proxy.stop_draining()
 
     def out_of_service(self, done: Done) -> None:
-        self.proxy.drain(DRAIN_MOVES)
+        self.proxy.start_draining(DRAIN_MOVES)
         self._state_changed("drain", done)
 
     def in_service(self, done: Done) -> None:
-        self.proxy.stay()
+        self.proxy.stop_draining()
         self._state_changed("stay", done)
 
     def _state_changed(self, what: str, done: Done) -> None:
         if self.leaving and self.handover.link is None:
             done(Verdict(HTTPStatus.SERVICE_UNAVAILABLE, "this process is leaving"))
             return
-        out = self.proxy.drained_by is not None
+        out = self.proxy.drain_deadline is not None
         self.metrics.count("calls_out_of_service" if out else "calls_in_service")
         self._both(what, "", done)
 
     def _keep_out(self) -> None:
         """The save servers out by hand, for the next process of this node."""
-        self.snapshot.write(self.proxy.out)
+        self.snapshot.write(self.proxy.disabled)
 
     def _take_snapshot(self) -> None:
         """What a process of this node before this one was told by hand."""
         for server, at in self.snapshot.read().items():
-            self.proxy.take_out(server, at)
+            self.proxy.disable_endpoint(server, at)
 
     def _take_known(self) -> None:
         """The list of the configuration, to serve with until discovery has told one."""
         known = self.setup.config.known.read_entries({}, self.metrics)
-        self.proxy.listing(EndpointListKind.CACHED, known)
+        self.proxy.update_endpoints(EndpointListKind.CACHED, known)
         if known and isinstance(self.director, HttpDiscovery):
             self.director.clock.known(self.setup.config.known.version)
         if known:
@@ -418,10 +418,10 @@
     def inherit(self, left: float, out: Mapping[str, float]) -> None:
         """The process before this one had a lease for so long yet, and told of all that it had applied."""
         self.store_until = time.monotonic() + left
-        for server in list(self.proxy.out.keys() - out.keys()):
-            self.proxy.call_back(server)
+        for server in list(self.proxy.disabled.keys() - out.keys()):
+            self.proxy.enable_endpoint(server)
         for server, at in out.items():
-            self.proxy.take_out(server, at)
+            self.proxy.disable_endpoint(server, at)
 
     async def _start_store(self, settings: StoreSettings) -> None:
         # Loaded here: a node without a store does without its libraries' memory.
@@ -472,7 +472,7 @@
 
     def _state(self) -> dict[str, object]:
         """What this node is doing, for its siblings and its operator; never load or choices."""
-        out = self.proxy.drained_by is not None
+        out = self.proxy.drain_deadline is not None
         state = (
             "leaving" if self.leaving else "out of service" if out else "ready" if self.ready else "starting"
         )
@@ -480,7 +480,7 @@
             "state": state,
             "listen": self.setup.config.listen,
             "quic": self.operator.quic.listen if self.operator.quic is not None else None,
-            "started_ms": round(self.proxy.anchor_ms),
+            "started_ms": round(self.proxy.started_at_ms),
         }
 
     def _get_ready(self) -> None:
@@ -517,11 +517,11 @@
         """Leave: clients still come for a while, all are answered, all that stands is moved; then end."""
         if self.leaving:
             return
-        log.info("leaving", reqs=len(self.proxy.reqs))
+        log.info("leaving", reqs=len(self.proxy.requests))
         self.leaving = True
         self.ready = False
         killed = killed_from(self.proxy.settings)
-        self.proxy.leave(max(killed - LEAVE_MOVES[0], killed * LEAVE_MOVES[1]))
+        self.proxy.begin_shutdown(max(killed - LEAVE_MOVES[0], killed * LEAVE_MOVES[1]))
         at_least = 0.0 if self.handover.gave_way else LEAVE_AT_LEAST
         self.loop.call_later(at_least, self._look_empty)
         last = max(killed - LEAVE_LAST[0], killed * LEAVE_LAST[1])
@@ -533,7 +533,7 @@
 
         Guards against a successor that hangs: a session on its way to it is taken back, and moved here."""
         self.handover.close()
-        self.proxy.move_all()
+        self.proxy.migrate_all()
         self.proxy.answer_all()
 
     def _look_empty(self, was_empty: bool = False) -> None:
@@ -545,7 +545,7 @@
             for channel in list(self.channels):
                 channel.end_rest(after)
         answering = self.quic is not None and self.quic.answering()
-        empty = not (self.proxy.reqs or self.channels or answering)
+        empty = not (self.proxy.requests or self.channels or answering)
         if empty and was_empty:
             self._end()
         else:
--- a/gradegap/observer/attached.py
+++ b/gradegap/observer/attached.py
@@ -138,9 +138,9 @@
         if not self.synced:
             # What was in force before this subscription is so no more, unless the store has it.
             self.synced = True
-            for server in list(self.proxy.out):
+            for server in list(self.proxy.disabled):
                 if OUT + server not in kept:
-                    self.proxy.call_back(server)
+                    self.proxy.enable_endpoint(server)
             for name in list(self.live.set):
                 if CONFIG + name not in kept:
                     self.live.reset(name)
--- a/gradegap/proxy/proxy.py
+++ b/gradegap/proxy/proxy.py
@@ -229,25 +229,27 @@
         self.settings = settings
         self.slow_message = slow_message(settings)
         self.balancer = Balancer(settings, seed)
-        self.port = backends
+        self.upstream = backends
         self.metrics = metrics
         self.loop = loop
-        self.anchor = time.time() - loop.time()  # once: the clock never jumps, yet compares with started_ms
-        self.anchor_ms = time.time() * 1000  # when this node started, in Unix time
-        self.backends: dict[str, Endpoint] = {}
-        self.reqs: dict[int, Request] = {}
-        self.probing = LatencyEstimate()  # what probes take here
-        self.open_ids: set[str] = set()  # the clients' names of these
+        self.clock_offset = (
+            time.time() - loop.time()
+        )  # once: the clock never jumps, yet compares with started_ms
+        self.started_at_ms = time.time() * 1000  # when this node started, in Unix time
+        self.endpoints: dict[str, Endpoint] = {}
+        self.requests: dict[int, Request] = {}
+        self.health_check_latency = LatencyEstimate()  # what probes take here
+        self.connection_ids: set[str] = set()  # the clients' names of these
         self.next_id = 1
         self.rng = random.Random(seed ^ 0x5EED)
-        self.leaving = False
-        self.out: dict[str, float] = {}  # backends taken out by hand, with when
-        self.out_changed: Callable[[], None] | None = None
+        self.shutting_down = False
+        self.disabled: dict[str, float] = {}  # backends taken out by hand, with when
+        self.on_disabled_changed: Callable[[], None] | None = None
         # None where a decision may be made now; else the s after which a client that is refused may return.
-        self.gate: Callable[[], float | None] | None = None
-        self.drained_by: float | None = None  # out of service: nothing stands here after this
-        self.emptied: Callable[[], None] | None = None
-        self.act: dict[type, Callable[[Any], None]] = {
+        self.admission_gate: Callable[[], float | None] | None = None
+        self.drain_deadline: float | None = None  # out of service: nothing stands here after this
+        self.on_idle: Callable[[], None] | None = None
+        self.action_handlers: dict[type, Callable[[Any], None]] = {
             Forward: self._send,
             Reject: self._refuse,
             Fail: self._fail,
@@ -260,7 +262,7 @@
         loop.call_later(SWEEP, self._sweep)
 
     def now(self) -> float:
-        return self.loop.time() + self.anchor
+        return self.loop.time() + self.clock_offset
 
     def reconfigure(self, settings: Settings) -> None:
         """Settings that hold from now on; a req that is under way keeps its class as it was."""
@@ -271,24 +273,24 @@
     def feed(self, event: Event) -> None:
         """One event to the module; its actions are carried out in order."""
         for action in self.balancer.handle(self.now(), event):
-            self.act[type(action)](action)
+            self.action_handlers[type(action)](action)
 
     # The list of backends
 
-    def listing(self, kind: EndpointListKind, entries: Iterable[tuple[EndpointEntry, str]]) -> None:
+    def update_endpoints(self, kind: EndpointListKind, entries: Iterable[tuple[EndpointEntry, str]]) -> None:
         """The director's list: entries with the address of each backend."""
         known = list(entries)
         if kind is not EndpointListKind.DELTA:
             named = {e.name for e, _ in known}
-            for b in self.backends.values():
+            for b in self.endpoints.values():
                 if b.id not in named and b.entry is not None and b.entry.phase is not EndpointPhase.REMOVED:
                     known.append((b.entry._replace(phase=EndpointPhase.REMOVED), ""))
         for e, address in known:
-            b = self.backends.setdefault(e.name, Endpoint(e.name))
+            b = self.endpoints.setdefault(e.name, Endpoint(e.name))
             b.entry = e
             if (address and address != b.address) or e.started_at > b.started_at:
                 # Guards against a probe connection to the process that ran there before.
-                self.port.forget(b)
+                self.upstream.forget(b)
                 b.min_message_delay, b.report = 9.0, None
             b.address = address or b.address
             b.started_at = e.started_at
@@ -300,56 +302,58 @@
         laid = []
         told = []  # who leaves, by this word
         for e in entries:
-            if e.phase is EndpointPhase.READY and e.name in self.out:
+            if e.phase is EndpointPhase.READY and e.name in self.disabled:
                 # It may be stopped soon after nothing new goes to it. Guards against all its clients sent
                 # away at once, where the grace is short.
                 e = e._replace(
                     phase=EndpointPhase.DRAINING, stops_within=max(OUT_STAYS, self.settings.drain_grace)
                 )
             laid.append(e)
-            b = self.backends[e.name]
+            b = self.endpoints[e.name]
             was, b.phase = b.phase, e.phase
             if e.phase is EndpointPhase.READY:
                 b.drain_notified_at = NEVER
             elif was is EndpointPhase.READY or b.drain_notified_at == NEVER:
-                b.drain_notified_at = self.out.get(e.name, now)
+                b.drain_notified_at = self.disabled.get(e.name, now)
                 told.append(b)
             if e.phase is EndpointPhase.REMOVED and was is not EndpointPhase.REMOVED:
-                self.port.forget(b)
+                self.upstream.forget(b)
         self.feed(EndpointList(kind, tuple(laid)))
         for b in told:
             self._end_connecting(b)
 
-    def take_out(self, server: str, at: float | None = None) -> bool:
+    def disable_endpoint(self, server: str, at: float | None = None) -> bool:
         """Nothing more to this backend until the call back, whatever a director says of it in between.
         Whether there is such a backend. `at` names when it was taken out, by a process before this one."""
-        if at is not None and server not in self.backends:
+        if at is not None and server not in self.endpoints:
             # Guards against a held backend that is not on the list now: it must not come back in service.
-            self.backends[server] = Endpoint(server, entry=EndpointEntry(server, phase=EndpointPhase.REMOVED))
-        b = self.backends.get(server)
+            self.endpoints[server] = Endpoint(
+                server, entry=EndpointEntry(server, phase=EndpointPhase.REMOVED)
+            )
+        b = self.endpoints.get(server)
         if b is None or b.entry is None:
             return False
-        if server not in self.out:
-            self.out[server] = self.now() if at is None else at
+        if server not in self.disabled:
+            self.disabled[server] = self.now() if at is None else at
             self.metrics.count("taken_out")
             self._lay(EndpointListKind.DELTA, [b.entry])
             self._out_changed()
         return True
 
-    def call_back(self, server: str) -> bool:
+    def enable_endpoint(self, server: str) -> bool:
         """The backend is as it was last told again."""
-        b = self.backends.get(server)
+        b = self.endpoints.get(server)
         if b is None or b.entry is None:
             return False
-        if self.out.pop(server, None) is not None:
+        if self.disabled.pop(server, None) is not None:
             self.metrics.count("called_back")
             self._lay(EndpointListKind.DELTA, [b.entry])
             self._out_changed()
         return True
 
     def _out_changed(self) -> None:
-        if self.out_changed is not None:
-            self.out_changed()
+        if self.on_disabled_changed is not None:
+            self.on_disabled_changed()
 
     def _end_connecting(self, b: Endpoint) -> None:
         """Guards against a first line written to a backend that leaves: when this node hears of it, the word
@@ -378,30 +382,30 @@
         # A connection from before the run stands at its backend already, for as long as the grace allows.
         b = attempt.endpoint
         return b.drain_notified_at == NEVER or bool(
-            attempt.request.connection_request.inherited_from and self.in_grace(b)
+            attempt.request.connection_request.inherited_from and self.within_drain_grace(b)
         )
 
-    def in_grace(self, b: Endpoint) -> bool:
+    def within_drain_grace(self, b: Endpoint) -> bool:
         return b.drain_notified_at == NEVER or self.now() < b.drain_notified_at + send_for(self.settings)
 
     # Client sessions
 
-    def take(self, session: SessionPort, ask: ConnectionRequest) -> Request:
+    def open_request(self, session: SessionPort, ask: ConnectionRequest) -> Request:
         """A client session's req; `Unfit` where it can't be taken."""
         cls = self.settings.classes.get(ask.class_name)
         if cls is None:
             raise InvalidRequestError("unknown class")
-        if ask.id in self.open_ids:
+        if ask.id in self.connection_ids:
             # Guards against two connections under one id, of which a backend could serve but one.
             raise InvalidRequestError("the id of another client's req")
         if ask.id:
-            self.open_ids.add(ask.id)
+            self.connection_ids.add(ask.id)
         self.metrics.count("taken")
         now = self.now()
         wait = cls.time_limit if ask.wait is None else ask.wait
         req = Request(self, self.next_id, ask, session, now + wait, self.settings.max_attempts)
         self.next_id += 1
-        self.reqs[req.id] = req
+        self.requests[req.id] = req
         # Guards against a module that never answers: the answer is given here, still within the slack.
         req.deadline_timer = self.loop.call_later(max(0.0, wait), self._overdue, req)
         if ask.inherited_from:
@@ -412,7 +416,7 @@
 
     def _held_back(self, req: Request) -> bool:
         """Refuse at once what could only be decided by state that others may have replaced."""
-        wait = self.gate() if self.gate is not None else None
+        wait = self.admission_gate() if self.admission_gate is not None else None
         if wait is None:
             return False
         self.metrics.count("refused_stale")
@@ -428,7 +432,7 @@
         )
 
     def client_gone(self, req: Request) -> None:
-        if req.id not in self.reqs:
+        if req.id not in self.requests:
             return
         attempt = req.attempt
         if req.established:
@@ -466,7 +470,7 @@
     # What the module decides
 
     def _send(self, a: Forward) -> None:
-        req, b = self.reqs.get(a.request_id), self.backends.get(a.endpoint)
+        req, b = self.requests.get(a.request_id), self.endpoints.get(a.endpoint)
         wait = 0.0 if req is None else min(a.timeout, req.deadline - EARLY - self.now())
         if req is None or req.answered or req.attempt is not None or req.established:
             # Guards against two attempts at once, or one after the answer.
@@ -487,7 +491,7 @@
         self.metrics.count("sent")
         attempt.endpoint.connecting.add(attempt)
         attempt.timer = self.loop.call_later(attempt.timeout, self._time_out, attempt)
-        attempt.connection = self.port.fetch(
+        attempt.connection = self.upstream.fetch(
             attempt.request.session, attempt.endpoint, attempt.timeout, attempt
         )
 
@@ -497,14 +501,14 @@
         self.metrics.count(f"answered_{kind}")
 
     def _refuse(self, a: Reject) -> None:
-        req = self.reqs.get(a.request_id)
+        req = self.requests.get(a.request_id)
         if req is not None and not req.answered:
             self._answer(req, "refused")
             req.session.refuse(a.retry_after)
             self._finish(req)
 
     def _fail(self, a: Fail) -> None:
-        req = self.reqs.get(a.request_id)
+        req = self.requests.get(a.request_id)
         if req is not None and not req.answered:
             self._answer(req, "failed")
             req.session.fail()
@@ -518,11 +522,11 @@
             self.loop.call_soon(req.attempt.on_ended, AttemptResult.CANCELLED)
 
     def _move(self, a: Migrate) -> None:
-        req = self.reqs.get(a.request_id)
+        req = self.requests.get(a.request_id)
         if req is not None:
-            self.move(req)
+            self.migrate(req)
 
-    def move(self, req: Request) -> None:
+    def migrate(self, req: Request) -> None:
         """End a standing session politely; the session says MOVE between two lines."""
         attempt = req.attempt
         if req.established and not req.migrated and attempt is not None:
@@ -535,7 +539,7 @@
         self.loop.call_later(max(0.0, a.delay), self.feed, TimerFired(a.token))
 
     def _probe(self, a: CheckHealth) -> None:
-        b = self.backends.get(a.endpoint)
+        b = self.endpoints.get(a.endpoint)
         began = self.now()
         self.metrics.count("probes")
 
@@ -547,15 +551,17 @@
             elif b is not None and result is AttemptResult.TIMEOUT:
                 b.unanswered_at = self.now()
             if result in (AttemptResult.OK, AttemptResult.TIMEOUT):
-                self.probing.took(self.now() - began)
+                self.health_check_latency.took(self.now() - began)
             self.feed(HealthCheckEnded(a.endpoint, result, self.now() - began, report))
 
-        if b is None or not self.in_grace(b):
+        if b is None or not self.within_drain_grace(b):
             # A backend that drains past its grace gets nothing new, probes included. Guards against that
             # being taken for its silence, on which the module would move all at once: FULL says nothing.
             self.loop.call_soon(done, AttemptResult.FULL, None)
         else:
-            self.port.probe(b, self.probing.late(HEALTH_CHECK_TIMEOUT_S, HEALTH_CHECK_TIMEOUT_MAX_S), done)
+            self.upstream.probe(
+                b, self.health_check_latency.late(HEALTH_CHECK_TIMEOUT_S, HEALTH_CHECK_TIMEOUT_MAX_S), done
+            )
 
     # What attempts come to
 
@@ -614,20 +620,20 @@
 
     def _drop(self, req: Request) -> None:
         self._unguard(req)
-        if self.reqs.pop(req.id, None) is not None:
-            self.open_ids.discard(req.connection_request.id)
-        if not self.reqs and self.emptied is not None:
-            self.emptied()
+        if self.requests.pop(req.id, None) is not None:
+            self.connection_ids.discard(req.connection_request.id)
+        if not self.requests and self.on_idle is not None:
+            self.on_idle()
 
     # Connections from before the run
 
     def _inherit(self, req: Request) -> None:
         """No decision: the backend is named by the client, and the connection already stands there."""
-        b = self.backends.get(req.connection_request.inherited_from)
-        if req.answered or req.id not in self.reqs:
+        b = self.endpoints.get(req.connection_request.inherited_from)
+        if req.answered or req.id not in self.requests:
             return
         wait = req.deadline - EARLY - self.now()
-        if b is None or not b.address or not self.in_grace(b) or wait <= 0:
+        if b is None or not b.address or not self.within_drain_grace(b) or wait <= 0:
             self._answer(req, "failed")
             req.session.fail()
             self._drop(req)
@@ -647,22 +653,22 @@
 
     # What another process of this node has passed on
 
-    def told_before(self, told: Mapping[str, float]) -> None:
+    def restore_drain_times(self, told: Mapping[str, float]) -> None:
         """When backends that drain or are gone were told to: a grace doesn't begin again."""
         for server, at in told.items():
-            b = self.backends[server]
+            b = self.endpoints[server]
             if b.drain_notified_at != NEVER:
                 b.drain_notified_at = min(b.drain_notified_at, at)
 
-    def recall(self, at: float, server: str, report: Mapping[str, float]) -> None:
+    def record_report(self, at: float, server: str, report: Mapping[str, float]) -> None:
         """A report that came at `at`; the module hears of it with its age."""
-        b = self.backends[server]
+        b = self.endpoints[server]
         b.report, b.report_at = report, at
         event = HealthCheckEnded(server, AttemptResult.OK, 0.0, report)
         for action in self.balancer.handle(min(at, self.now()), event):
-            self.act[type(action)](action)
+            self.action_handlers[type(action)](action)
 
-    def adopt(
+    def adopt_connection(
         self,
         session: SessionPort,
         ask: ConnectionRequest,
@@ -671,8 +677,8 @@
         asked_at: float | None,
     ) -> Request | None:
         """A session that stands already at a backend of the list; None where it can't stand here."""
-        b = self.backends.get(server)
-        if b is None or b.phase is EndpointPhase.REMOVED or (ask.id and ask.id in self.open_ids):
+        b = self.endpoints.get(server)
+        if b is None or b.phase is EndpointPhase.REMOVED or (ask.id and ask.id in self.connection_ids):
             return None
         now = self.now()
         req = Request(self, self.next_id, ask, session, now, established=True, answered=True)
@@ -680,14 +686,14 @@
         req.unanswered_since = asked_at
         req.attempt = Attempt(req, b, 0, now, 0.0)
         self.next_id += 1
-        self.reqs[req.id] = req
+        self.requests[req.id] = req
         if ask.id:
-            self.open_ids.add(ask.id)
+            self.connection_ids.add(ask.id)
         self.metrics.count("adopted")
         self.feed(ConnectionInherited(self._request(req), b.id))
         return req
 
-    def gave(self, req: Request) -> None:
+    def release_connection(self, req: Request) -> None:
         """A standing session is another process's from now on."""
         attempt = req.attempt
         if attempt is not None:
@@ -701,33 +707,33 @@
 
     # Leaving
 
-    def leave(self, within: float) -> None:
+    def begin_shutdown(self, within: float) -> None:
         """This node stops: the module moves all that stands, in its own pace, within that time."""
-        if not self.leaving:
-            self.leaving = True
+        if not self.shutting_down:
+            self.shutting_down = True
             self.feed(ProxyDraining(self.now() + within, process_ends=True))
 
-    def drain(self, within: float) -> None:
+    def start_draining(self, within: float) -> None:
         """This node is out of service: all that stands, or comes to, is moved, and it stays."""
-        if self.drained_by is None and not self.leaving:
-            self.drained_by = self.now() + within
-            self.feed(ProxyDraining(self.drained_by))
+        if self.drain_deadline is None and not self.shutting_down:
+            self.drain_deadline = self.now() + within
+            self.feed(ProxyDraining(self.drain_deadline))
 
-    def stay(self) -> None:
+    def stop_draining(self) -> None:
         """It is in service again."""
-        if self.drained_by is not None and not self.leaving:
-            self.drained_by = None
+        if self.drain_deadline is not None and not self.shutting_down:
+            self.drain_deadline = None
             self.feed(ProxyResumed())
 
-    def move_all(self) -> None:
+    def migrate_all(self) -> None:
         """Guards against connections that still stand when the time to leave is over."""
-        for req in list(self.reqs.values()):
-            self.move(req)
+        for req in list(self.requests.values()):
+            self.migrate(req)
 
     def answer_all(self) -> None:
         """Guards against reqs that outlive this process: a class may wait longer than the platform does
         between SIGTERM and SIGKILL. What is still out has timed out, and its client has its answer now."""
-        for req in list(self.reqs.values()):
+        for req in list(self.requests.values()):
             if not req.established and not req.answered:
                 self._overdue(req)
 
@@ -755,13 +761,13 @@
         before the silence has lasted the seven seconds that the protocol allows."""
         self.loop.call_later(SWEEP, self._sweep)
         now = self.now()
-        if self.drained_by is not None and now > self.drained_by:
-            self.move_all()
-        for req in list(self.reqs.values()):
+        if self.drain_deadline is not None and now > self.drain_deadline:
+            self.migrate_all()
+        for req in list(self.requests.values()):
             if (
                 req.established
                 and req.unanswered_since is not None
                 and now - req.last_response_at > UNRESPONSIVE_AFTER_S
             ):
                 self.metrics.count("silent")
-                self.move(req)
+                self.migrate(req)
--- a/gradegap/resume/move.py
+++ b/gradegap/resume/move.py
@@ -63,7 +63,7 @@
             self.stop()
             return
         try:
-            self.req = self.proxy.take(self, self.opening.ask)
+            self.req = self.proxy.open_request(self, self.opening.ask)
         except InvalidRequestError as error:
             log.warning("a session could not be moved in place", reason=str(error))
             self.give_up("unfit")
--- a/gradegap/resume/part.py
+++ b/gradegap/resume/part.py
@@ -330,7 +330,7 @@
         offer, passing, opening = session.offer, session.passing, session.opening
         proxy = session.proxy
         good = isinstance(offer, Offer) and isinstance(passing, Passing) and passing.state is not State.OVER
-        if not good or proxy.leaving or proxy.drained_by is not None or opening is None:
+        if not good or proxy.shutting_down or proxy.drain_deadline is not None or opening is None:
             return False
         assert isinstance(offer, Offer) and isinstance(passing, Passing)
         # Guards against a request that ends every server it comes to: without an answer in between, a session
--- a/gradegap/store/attached.py
+++ b/gradegap/store/attached.py
@@ -121,8 +121,8 @@
         held = {i.key.removeprefix(OUT): i.value for i in machine.list(OUT)}
         for server, value in held.items():
             self.committed.apply(OUT + server, value, deleted=False)
-        for server in list(self.proxy.out.keys() - held.keys()):
-            self.proxy.call_back(server)
+        for server in list(self.proxy.disabled.keys() - held.keys()):
+            self.proxy.enable_endpoint(server)
         for item in machine.list(CONFIG):
             self.live.apply(item.key.removeprefix(CONFIG), item.value)
 
--- a/gradegap/store/committed.py
+++ b/gradegap/store/committed.py
@@ -29,13 +29,13 @@
 
     def _apply_out(self, server: str, value: object, deleted: bool) -> None:
         if deleted:
-            self.proxy.call_back(server)
+            self.proxy.enable_endpoint(server)
             return
         try:
             since = msgspec.convert(value, schema.Out).at_ms / 1000
         except msgspec.ValidationError:
             since = 0.0  # long ago where nobody said when: no grace is left, then
-        self.proxy.take_out(server, min(since, self.proxy.now()))
+        self.proxy.disable_endpoint(server, min(since, self.proxy.now()))
 
     def _apply_config(self, name: str, value: object, deleted: bool) -> None:
         if deleted:
--- a/gradegap/store/gossip.py
+++ b/gradegap/store/gossip.py
@@ -43,18 +43,18 @@
         now = self.proxy.now()
         seen = [
             GossipReport(b.id, "report", now - b.report_at, dict(b.report))
-            for b in self.proxy.backends.values()
+            for b in self.proxy.endpoints.values()
             if b.report is not None and not b.report_from_peer and now - b.report_at < OLDEST
         ]
         seen += [
             GossipReport(b.id, "silent", now - b.unanswered_at)
-            for b in self.proxy.backends.values()
+            for b in self.proxy.endpoints.values()
             if now - b.unanswered_at < OLDEST
         ]
         if self.told():
             seen += [
                 GossipReport(b.id, "listed", 0.0, None, int(b.entry.phase), b.entry.started_at)
-                for b in self.proxy.backends.values()
+                for b in self.proxy.endpoints.values()
                 if b.entry is not None
             ]
         return Gossip(self.node, state, seen[:MOST])
@@ -69,7 +69,7 @@
             if not self._fit(learned):
                 self.metrics.count("gossip_unfit")
                 continue
-            b = self.proxy.backends.get(learned.server)
+            b = self.proxy.endpoints.get(learned.server)
             if b is None or b.entry is None:
                 self.metrics.count("gossip_unknown_server")
             elif learned.kind == "silent":
@@ -88,10 +88,10 @@
             else:
                 self.metrics.count("gossip_taken")
                 b.report_from_peer = True
-                self.proxy.recall(now - learned.age, b.id, learned.report)
+                self.proxy.record_report(now - learned.age, b.id, learned.report)
         if changed:
             self.metrics.count("gossip_listed", len(changed))
-            self.proxy.listing(EndpointListKind.DELTA, changed)
+            self.proxy.update_endpoints(EndpointListKind.DELTA, changed)
 
     def _silent(self, learned: GossipReport, b: Endpoint, now: float) -> None:
         """A sibling's probe was left unanswered: the module hears of it as of one of its own, and no more
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -185,7 +185,7 @@
         channel.evict()
         assert (await read_to_end(sock)).startswith(b"BUSY ")
         await door.until(lambda: door.descriptors.held == 0, 2.0)
-        assert not was_reset(sock) and not door.proxy.reqs
+        assert not was_reset(sock) and not door.proxy.requests
 
     in_loop(test)
 
@@ -202,6 +202,6 @@
         await door.until(lambda: door.descriptors.held == 1 and len(door.live) == 1, 2.0)
         sock.close()
         await door.until(lambda: door.descriptors.held == 0, 2.0)
-        assert not door.proxy.reqs
+        assert not door.proxy.requests
 
     in_loop(test)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -159,11 +159,11 @@
         self.script.answers[RequestArrived] = lambda e: [Forward(e.request_id, "a", 5.0)]
 
     def tell(self, name: str, kind: EndpointListKind = EndpointListKind.DELTA, **fields: Any) -> None:
-        self.proxy.listing(kind, [(EndpointEntry(name, **fields), f"{name}:1")])
+        self.proxy.update_endpoints(kind, [(EndpointEntry(name, **fields), f"{name}:1")])
 
     def take(self, wait: float = 2.0, at: str = "") -> tuple[Session, Request]:
         session = Session(self.clock)
-        req = self.proxy.take(session, ConnectionRequest("live", wait, inherited_from=at))
+        req = self.proxy.open_request(session, ConnectionRequest("live", wait, inherited_from=at))
         assert req is not None
         return session, req
 
@@ -188,7 +188,7 @@
     began = rig.clock.now
     session, _ = rig.take(wait=1.5)
     rig.clock.run(5.0)
-    assert session.said == [("fail", began + 1.5)] and not rig.proxy.reqs
+    assert session.said == [("fail", began + 1.5)] and not rig.proxy.requests
 
 
 def test_an_attempt_ends_before_the_deadline_so_that_the_answer_is_in_time() -> None:
@@ -253,7 +253,7 @@
     session.gone = True
     rig.proxy.feed(TimerFired("h1"))
     rig.clock.run(3.0)
-    assert not rig.ports.fetches and not session.said and not rig.proxy.reqs
+    assert not rig.ports.fetches and not session.said and not rig.proxy.requests
     gone, outcome = rig.script.events[-2:]
     assert isinstance(gone, ClientDisconnected) and isinstance(outcome, AttemptEnded) and outcome.settled
 
@@ -264,7 +264,7 @@
     session.gone = True
     assert not rig.ports.fetches[0].attempt.may_send()
     rig.clock.run(3.0)
-    assert rig.ports.fetches[0].abandoned and not session.said and not rig.proxy.reqs
+    assert rig.ports.fetches[0].abandoned and not session.said and not rig.proxy.requests
 
 
 def test_a_repeat_that_could_not_be_written_within_its_window_is_not_written_after_it() -> None:
@@ -285,9 +285,9 @@
     rig = Rig()
     rig.script.answers = {TimerFired: lambda e: [Forward(1, "a", 1.0)]}
     session, _ = rig.take()
-    rig.proxy.gate = lambda: 0.5
+    rig.proxy.admission_gate = lambda: 0.5
     rig.proxy.feed(TimerFired("h1"))
-    assert session.words == ["busy"] and not rig.proxy.reqs
+    assert session.words == ["busy"] and not rig.proxy.requests
     assert isinstance(rig.script.events[-1], AttemptEnded) and rig.script.events[-1].settled
 
 
@@ -295,12 +295,12 @@
     """Its drain is over, its report and its probe connection are the old process's."""
     rig = Rig()
     rig.tell("a", phase=EndpointPhase.DRAINING)
-    rig.proxy.recall(rig.proxy.now(), "a", {"x0": 0.9})
+    rig.proxy.record_report(rig.proxy.now(), "a", {"x0": 0.9})
     rig.clock.run(5.0)
     rig.ports.forgotten.clear()
     rig.tell("a", started_at=rig.proxy.now())
-    b = rig.proxy.backends["a"]
-    assert rig.ports.forgotten == ["a"] and b.report is None and rig.proxy.in_grace(b)
+    b = rig.proxy.endpoints["a"]
+    assert rig.ports.forgotten == ["a"] and b.report is None and rig.proxy.within_drain_grace(b)
     rig.take()
     assert [f.backend.id for f in rig.ports.fetches] == ["a"]
 
@@ -320,7 +320,7 @@
     session, req = rig.take()
     req.on_disconnect()
     rig.clock.run(3.0)
-    assert rig.ports.fetches[0].abandoned and not session.said and not rig.proxy.reqs
+    assert rig.ports.fetches[0].abandoned and not session.said and not rig.proxy.requests
 
 
 def test_a_standing_session_without_a_line_back_is_moved_before_seven_seconds() -> None:
@@ -384,7 +384,7 @@
     """With a grace of 250 ms all its clients were told to move within a fifth of a second."""
     rig = Rig()
     rig.proxy.settings = settings(drain_grace=grace)
-    assert rig.proxy.take_out("a")
+    assert rig.proxy.disable_endpoint("a")
     (told,) = [e for e in rig.script.events if isinstance(e, EndpointList)][-1].entries
     assert told.phase is EndpointPhase.DRAINING and told.stops_within == stays
 
@@ -394,8 +394,8 @@
     rig = Rig()
     rig.proxy.settings = settings(drain_grace=grace)
     rig.tell("a", phase=EndpointPhase.DRAINING)
-    b = rig.proxy.backends["a"]
+    b = rig.proxy.endpoints["a"]
     rig.clock.run(sends_for - 0.001)
-    assert rig.proxy.in_grace(b)
+    assert rig.proxy.within_drain_grace(b)
     rig.clock.run(0.002)
-    assert not rig.proxy.in_grace(b)
+    assert not rig.proxy.within_drain_grace(b)
--- a/tests/test_scale_settings.py
+++ b/tests/test_scale_settings.py
@@ -221,7 +221,7 @@
         second = await until_told(process)
         assert second is not first
         assert [bool(life.end) for life in process.records[0].lives] == [True, False]
-        assert list(second.proxy.backends) == ["s-1"]
+        assert list(second.proxy.endpoints) == ["s-1"]
         assert len(servers.waiting) <= 1
         second.stop()
         discovery.close()
--- a/tests/test_store_node.py
+++ b/tests/test_store_node.py
@@ -204,7 +204,7 @@
     loop = asyncio.new_event_loop()
     proxy = Proxy(settings(), 1, NoPort(), Metrics(), loop)  # type: ignore[arg-type]
     entries = [(EndpointEntry(f"s{k}"), f"127.0.0.1:{k}") for k in (1, 2)]
-    proxy.listing(EndpointListKind.CACHED, entries)
+    proxy.update_endpoints(EndpointListKind.CACHED, entries)
     heard: list[tuple[float, str]] = []
     plain = proxy.balancer.handle
 
@@ -236,26 +236,26 @@
     assert len(heard) == 1
     # What it was told is not told on; what it saw itself is.
     assert learner.tell({}).learned == []
-    proxy.backends["s2"].report, proxy.backends["s2"].report_at = {"x0": 0.1}, proxy.now()
+    proxy.endpoints["s2"].report, proxy.endpoints["s2"].report_at = {"x0": 0.1}, proxy.now()
     assert [x.server for x in learner.tell({}).learned] == ["s2"]
     # Who is silent at a sibling is heard of as a probe without an answer, once, and not told on twice.
     del heard[:]
     learner.hear(Gossip("other", {}, [GossipReport("s1", "silent", 3.0)]))  # s1 has answered since
     assert not heard
-    proxy.backends["s1"].report_at = proxy.now() - 9.0
+    proxy.endpoints["s1"].report_at = proxy.now() - 9.0
     learner.hear(Gossip("other", {}, [GossipReport("s1", "silent", 1.0)]))
     learner.hear(Gossip("third", {}, [GossipReport("s1", "silent", 1.0)]))
     assert [server for _, server in heard] == ["s1"] and proxy.metrics.counts["gossip_silent"] == 1
     # A list that may be out of date is mended by what siblings were told, until discovery has told one.
     drains = GossipReport("s1", "listed", 0.0, None, int(EndpointPhase.DRAINING), 77.0)
     learner.hear(Gossip("other", {}, [drains]))
-    s1 = proxy.backends["s1"]
+    s1 = proxy.endpoints["s1"]
     assert s1.phase is EndpointPhase.DRAINING and s1.drain_notified_at > 0 and s1.started_at == 77.0
     told = True
     learner.hear(
         Gossip("other", {}, [GossipReport("s2", "listed", 0.0, None, int(EndpointPhase.REMOVED), 0.0)])
     )
-    assert proxy.backends["s2"].phase is EndpointPhase.READY
+    assert proxy.endpoints["s2"].phase is EndpointPhase.READY
     assert {x.server for x in learner.tell({}).learned if x.kind == "listed"} == {"s1", "s2"}
     loop.close()
 
