--- a/gradegap/raft/__init__.py
+++ b/gradegap/raft/__init__.py
@@ -3,7 +3,7 @@
 The package owns a member's view of the log: its term and vote, its role, which entries are committed, and
 what a leader knows of the other members. It keeps nothing itself: `Raft` is given the time and messages, and
 hands back a `Ready` with what to write, to send and to apply. `gradegap.store` drives it with a disk and
-links, `gradegap.check` with simulated ones.
+links, `gradegap.verification` with simulated ones.
 """
 
 from gradegap.raft.cluster import ClusterConfiguration, Member
--- a/gradegap/raft/core.py
+++ b/gradegap/raft/core.py
@@ -2,7 +2,7 @@
 
 It is given the time (seconds, any steady clock) with every call, and what it wants done gathers in a `Ready`
 that `take_ready` hands over. The driver persists, then sends, then calls `persisted`. Nothing here reads a
-clock, a socket or a file, so that the simulator in `gradegap.check` can run the very same code.
+clock, a socket or a file, so that the simulator in `gradegap.verification` can run the very same code.
 
 `Raft` gives each call and message to the part whose job it is: elections, heartbeats, replication, snapshots,
 reads, membership, leadership transfer. The parts share a `NodeState`, and reach each other by the interfaces
--- a/gradegap/check/explore.py
+++ b/gradegap/verification/model_explorer.py
@@ -15,8 +15,6 @@
 
 import msgspec
 
-from gradegap.check.rules import Rules, chain
-from gradegap.check.sim import EMPTY, Disk
 from gradegap.raft import (
     AppendEntries,
     AppendEntriesResponse,
@@ -28,6 +26,8 @@
     initial_snapshot,
 )
 from gradegap.raft.progress import ProgressState
+from gradegap.verification.invariants import Rules, chain
+from gradegap.verification.simulator import EMPTY, Disk
 
 Action = tuple[str, object]
 
--- a/gradegap/check/bugs.py
+++ b/gradegap/verification/mutations.py
@@ -8,7 +8,6 @@
 
 import msgspec
 
-from gradegap.check.sim import Faults, Sim
 from gradegap.raft import (
     NEVER,
     AppendEntries,
@@ -35,6 +34,7 @@
 from gradegap.raft.membership import Membership
 from gradegap.raft.read_index import ReadIndexQueue
 from gradegap.raft.replication import Replication
+from gradegap.verification.simulator import Faults, Sim
 
 
 class VoteNotSynced(Raft):
--- a/gradegap/check/observer_rules.py
+++ b/gradegap/verification/observer_invariants.py
@@ -6,14 +6,14 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING
 
-from gradegap.check.rules import Breach
 from gradegap.observer.history import is_subscribed
 from gradegap.observer.messages import FromSubscriber, Renew
 from gradegap.store.machine import Machine
+from gradegap.verification.invariants import Breach
 
 if TYPE_CHECKING:
-    from gradegap.check.observer_model import Node
     from gradegap.observer.subscriber import Apply
+    from gradegap.verification.observer_model import Node
 
 
 def subscribed_values(machine: Machine) -> dict[str, object]:
--- a/gradegap/check/observer_model.py
+++ b/gradegap/verification/observer_model.py
@@ -1,7 +1,7 @@
 """Observer subscriptions in virtual time: one log, a leader, publishers and subscribers, under faults.
 
 One seed gives one run. Publishers, subscribers, the leader's book of leases and the replicated state are the
-classes that processes run, driven as the drivers do. The consensus core is left out (`sim.py` has it): the
+classes that processes run, driven as the drivers do. The consensus core is left out (`simulator` has it): the
 log is a list, and a leader that goes is followed by one that knows of no leases.
 """
 
@@ -12,9 +12,6 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from gradegap.check.observer_rules import ObserverRules, subscribed_values
-from gradegap.check.rules import Breach
-from gradegap.check.schedule import Schedule
 from gradegap.observer import publisher as publishing
 from gradegap.observer import subscriber as subscribing
 from gradegap.observer.limits import Limits
@@ -26,6 +23,9 @@
 from gradegap.store.in_force import InForceTally, InForceVerdict
 from gradegap.store.leases import Granter, Holder
 from gradegap.store.machine import Command, Logged, Machine, Op, encode
+from gradegap.verification.invariants import Breach
+from gradegap.verification.observer_invariants import ObserverRules, subscribed_values
+from gradegap.verification.schedule import Schedule
 
 TICK = 0.02  # s of virtual time between two looks of a process at its clock
 LEASE = 1.0  # s, of a machine from the leader
--- a/gradegap/check/observer_bugs.py
+++ b/gradegap/verification/observer_mutations.py
@@ -6,13 +6,13 @@
 
 import msgspec
 
-from gradegap.check.observer_model import Faults, Model
-from gradegap.check.rules import Breach
 from gradegap.observer.grants import LeaseGrant
 from gradegap.observer.messages import Change, Delta, Heartbeat, Renew, SnapshotPart, Subscribe
 from gradegap.observer.publisher import Publisher, Subscription
 from gradegap.observer.subscriber import Apply, Send, Subscriber
 from gradegap.store.in_force import MachineReport
+from gradegap.verification.invariants import Breach
+from gradegap.verification.observer_model import Faults, Model
 
 # Mistakes of a subscriber
 
--- a/gradegap/check/sessions.py
+++ b/gradegap/verification/sessions.py
@@ -1,6 +1,6 @@
 """Whether what clients, nodes and servers logged of resumable sessions keeps the rules.
 
-    python -m gradegap.check.sessions LOG [LOG ...]
+    python -m gradegap.verification.sessions LOG [LOG ...]
 
 A log is one JSON object a line, each a `Record`; the order of a file is the order in which its writer saw
 things. Servers log through the save store that they share, so theirs is one file in one order. Nodes' own
--- a/gradegap/check/sim.py
+++ b/gradegap/verification/simulator.py
@@ -13,8 +13,6 @@
 
 import msgspec
 
-from gradegap.check.rules import Rules, chain
-from gradegap.check.schedule import Schedule
 from gradegap.raft import (
     Entry,
     EntryKind,
@@ -28,6 +26,8 @@
     SnapshotMetadata,
     initial_snapshot,
 )
+from gradegap.verification.invariants import Rules, chain
+from gradegap.verification.schedule import Schedule
 
 TICK = 0.02
 # So that entries and snapshots are cut in pieces.
--- a/tests/compatibility/present.py
+++ b/tests/compatibility/present.py
@@ -15,7 +15,6 @@
 
 from gradegap import raft
 from gradegap.capture import settings as capture_settings
-from gradegap.check import sessions as checked_sessions
 from gradegap.discovery import endpoint_list
 from gradegap.discovery import settings as discovery_settings
 from gradegap.hot_restart import messages as hot_restart
@@ -30,6 +29,7 @@
 from gradegap.resume import settings as resume_settings
 from gradegap.store import disk, in_force, machine, schema, wire
 from gradegap.store import settings as store_settings
+from gradegap.verification import sessions as checked_sessions
 
 
 @dataclass(frozen=True)
--- a/tests/resume_world.py
+++ b/tests/resume_world.py
@@ -7,10 +7,10 @@
 import threading
 from collections import defaultdict
 
-from gradegap.check.sessions import Record
 from gradegap.resume import lines
 from gradegap.resume.lines import Request, Seen
 from gradegap.resume.window import ServerWindow
+from gradegap.verification.sessions import Record
 from tests.world import Backend, hard_reset, reset_from_outside
 
 
--- a/tests/test_observer_model.py
+++ b/tests/test_observer_model.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from gradegap.check.observer_bugs import BORNE, LOSSES, PLANTED, REPEATS, RESTARTS, find
-from gradegap.check.observer_model import Faults, Model
-from gradegap.check.rules import Breach
+from gradegap.verification.invariants import Breach
+from gradegap.verification.observer_model import Faults, Model
+from gradegap.verification.observer_mutations import BORNE, LOSSES, PLANTED, REPEATS, RESTARTS, find
 
 RUNS = 24  # seeds in one run of the tests
 SECONDS = 15.0
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -7,10 +7,6 @@
 import pytest
 from msgspec.structs import replace
 
-from gradegap.check.bugs import BUGS, BY_WALKS, CommitsEarlierTerms, PromiseForgottenAtRestart, find
-from gradegap.check.explore import ELECTIONS, Bounds, Case, explore, find_by_walks, walk
-from gradegap.check.rules import Breach
-from gradegap.check.sim import Faults, Sim
 from gradegap.raft import (
     AppendEntries,
     ClusterConfiguration,
@@ -26,6 +22,16 @@
 )
 from gradegap.raft.entries import encode_configuration
 from gradegap.raft.log import Log
+from gradegap.verification.invariants import Breach
+from gradegap.verification.model_explorer import ELECTIONS, Bounds, Case, explore, find_by_walks, walk
+from gradegap.verification.mutations import (
+    BUGS,
+    BY_WALKS,
+    CommitsEarlierTerms,
+    PromiseForgottenAtRestart,
+    find,
+)
+from gradegap.verification.simulator import Faults, Sim
 
 RUNS = 40  # seeds of the simulator in one run of the tests
 SECONDS = 15.0
@@ -86,7 +92,7 @@
     seen = explore(bounds=Bounds(term=1, commands=1, crashes=0, beats=0, timeouts=1, flying=3))
     assert seen.whole and seen.states > 2000, seen
     more = explore(bounds=Bounds(term=2, commands=1, crashes=1, beats=1, flying=5), most=2500)
-    assert more.states == 2500  # bench/explore.py goes on from here
+    assert more.states == 2500
 
 
 def elect(case: Case, who: str, among: set[str]) -> None:
--- a/tests/test_resume_many.py
+++ b/tests/test_resume_many.py
@@ -3,7 +3,7 @@
     RESUME_SESSIONS=500 pytest -s tests/test_resume_many.py
 
 Three nodes as processes, each with a member of the store; what clients, nodes and the save store logged is
-read by `gradegap.check.sessions`. CI runs fewer sessions than a measurement does.
+read by `gradegap.verification.sessions`. CI runs fewer sessions than a measurement does.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 import msgspec
 
-from gradegap.check.sessions import Record, from_node, violations
 from gradegap.client import Session
 from gradegap.resume.token import RING, Ring
 from gradegap.store.remote import Remote
+from gradegap.verification.sessions import Record, from_node, violations
 from tests.resume_world import ResumeBackend, SaveStore
 from tests.test_admin_api import call
 from tests.test_store_node import Nodes, nodes
--- a/tests/test_resume_nodes.py
+++ b/tests/test_resume_nodes.py
@@ -9,11 +9,11 @@
 
 import msgspec
 
-from gradegap.check.sessions import Record, from_node, violations
 from gradegap.client import Session
 from gradegap.resume.renew import Renewals
 from gradegap.resume.token import RING, Place, Ring, opened
 from gradegap.store.remote import Remote
+from gradegap.verification.sessions import Record, from_node, violations
 from tests.resume_world import ResumeBackend, SaveStore
 from tests.test_hot_restart import second
 from tests.test_resume import ON, returned, run, token_of
--- a/tests/test_check_sessions.py
+++ b/tests/test_session_checker.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from gradegap.check.sessions import Record, from_node, main, violations
+from gradegap.verification.sessions import Record, from_node, main, violations
 
 
 def sound() -> list[Record]:
--- a/tests/test_store_cluster.py
+++ b/tests/test_store_cluster.py
@@ -14,10 +14,10 @@
 
 import pytest
 
-from gradegap.check.linear import FOREVER, Did, explain
 from gradegap.store import wire
 from gradegap.store.machine import Event, Op
 from gradegap.store.remote import Remote, StoreError
+from gradegap.verification.linearizability import FOREVER, Did, explain
 from tests.cluster import SECRET, Cluster, cluster
 from tests.world import wait_for
 
--- a/tests/test_store_parts.py
+++ b/tests/test_store_parts.py
@@ -12,7 +12,6 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from gradegap.check.linear import FOREVER, Did, explain
 from gradegap.errors import OperatorFileError
 from gradegap.node.operator_file import load_operator
 from gradegap.raft import ClusterConfiguration, Entry, EntryKind, HardState, Member, SnapshotMetadata
@@ -36,6 +35,7 @@
     unpack,
 )
 from gradegap.store.settings import Peer, StoreSettings
+from gradegap.verification.linearizability import FOREVER, Did, explain
 
 # The state machine
 
