--- a/bench/capture.py
+++ b/bench/capture.py
@@ -23,7 +23,7 @@
 from bench.store import cpu
 from gradegap.balancing.balancer import Balancer
 from gradegap.balancing.events import ConnectionInherited, RequestArrived
-from gradegap.capture import records, replay, snapshot, state
+from gradegap.capture import recording, records, replay, snapshot, state
 from gradegap.capture.recorder import Recorder, Tap
 from gradegap.capture.settings import CaptureSettings
 from gradegap.metrics import Metrics
@@ -84,7 +84,7 @@
             (path,) = Path(name).iterdir()
             data = path.read_bytes()
         size = len(data)
-        items = list(replay.items(data))
+        items = list(recording.read(data))
         began = time.process_time()
         found = replay.replay(items, gradegap.balancing.balancer)
         again.append(time.process_time() - began)
--- a/gradegap/capture/errors.py
+++ b/gradegap/capture/errors.py
@@ -12,6 +12,18 @@
     """The base of this package's errors; each is one plain line for whoever runs a command."""
 
 
+class BadRecordingError(CaptureError):
+    """A file that is no recording, can't be had, or is of a version that this program does not read."""
+
+
+class BadRecordError(CaptureError):
+    """An event, action or settings of a recording that this version does not know."""
+
+
+class BadWhatIfError(CaptureError):
+    """A setting that there is not, or a recording that nothing can be played from."""
+
+
 class BadStateError(CaptureError):
     """A state that does not fit the decision module."""
 
--- a/gradegap/capture/evidence.py
+++ b/gradegap/capture/evidence.py
@@ -27,7 +27,7 @@
     RequestArrived,
 )
 from gradegap.balancing.settings import Settings
-from gradegap.capture.replay import Gap, Item, SettingsChange, State, Step
+from gradegap.capture.recording import Gap, Item, SettingsChange, State, Step
 
 RETURN = 0.4  # s from a MOVE or a break to the client's return, where the record shows none
 PROBE_WAIT = 0.25  # s until a probe counts as unanswered, as in the core
--- a/gradegap/capture/explain.py
+++ b/gradegap/capture/explain.py
@@ -32,7 +32,8 @@
 
 from gradegap.balancing.actions import LogMessage
 from gradegap.capture import records
-from gradegap.capture.replay import Gap, Item, SettingsChange, State, Step, begin
+from gradegap.capture.recording import Gap, Item, SettingsChange, State, Step
+from gradegap.capture.replay import begin
 from gradegap.capture.schema import BALANCER, ENDPOINT, REQUEST
 
 OBSERVED_STEPS = ("_draw", "_pick", "_decide", "_has_room", "beta", "_send", "_wait", "_give_up")
--- a/gradegap/capture/frames.py
+++ b/gradegap/capture/frames.py
@@ -18,6 +18,8 @@
 
 import msgspec
 
+from gradegap.capture.errors import BadRecordingError
+
 VERSION = 1
 MAGIC = b"gradegap capture %d\n" % VERSION
 MARK = b"\xf5ggF"
@@ -37,10 +39,6 @@
     TAIL = 6  # the last frame of a file that was ended in order: where its index is
 
 
-class BadCaptureError(ValueError):
-    """A file that is no capture, or not one of this version; one plain line."""
-
-
 @dataclass(slots=True, frozen=True)
 class Frame:
     """A sound frame."""
@@ -78,18 +76,18 @@
 
 
 def check(data: bytes) -> None:
-    """`BadCaptureError` for another kind of file, or a version that this one can't read."""
+    """`BadRecordingError` for another kind of file, or a version that this one can't read."""
     if not data.startswith(b"gradegap capture "):
-        raise BadCaptureError("this is no capture")
+        raise BadRecordingError("this is no capture")
     if not data.startswith(MAGIC):
         said = data[17:27].split(b"\n")[0].decode("ascii", "replace")
-        raise BadCaptureError(f"a capture of version {said}; this program reads version {VERSION}")
+        raise BadRecordingError(f"a capture of version {said}; this program reads version {VERSION}")
 
 
 def read(data: bytes) -> Iterator[Frame | Damage]:
     """All that is sound in a file, in order, and where something was not, without its index.
 
-    `BadCaptureError` for what is no capture.
+    `BadRecordingError` for what is no capture.
     """
     for _, found in located(data):
         if isinstance(found, Damage) or found.kind not in (Kind.INDEX, Kind.TAIL):
--- a/gradegap/capture/index.py
+++ b/gradegap/capture/index.py
@@ -16,6 +16,7 @@
 from typing import Any
 
 from gradegap.capture import frames, records
+from gradegap.capture.errors import BadRecordError
 from gradegap.capture.frames import Damage, Frame, Kind
 
 
@@ -120,7 +121,7 @@
         try:
             found = list(about(frame.body))
             adopts = any(row[0] == "a" for row in frame.body)
-        except (records.BadRecordError, LookupError, TypeError):
+        except (BadRecordError, LookupError, TypeError):
             found = ()  # whoever reads that frame is told
     made.add(offset, frame.kind, frame.first, frame.records, frame.at, frame.until, adopts, found)
 
@@ -154,7 +155,7 @@
 
 
 def load(data: bytes) -> list[Entry]:
-    """The index of a file, from its end where it has one that fits; `BadCaptureError` for no capture."""
+    """The index of a file, from its end where it has one that fits; `BadRecordingError` for no capture."""
     frames.check(data)
     last = frames.frame_at(data, len(data) - TAIL_SIZE)
     if last is not None and last.kind is Kind.TAIL:
--- a/gradegap/capture/plot.py
+++ b/gradegap/capture/plot.py
@@ -14,7 +14,7 @@
     HealthCheckEnded,
     RequestArrived,
 )
-from gradegap.capture.replay import Item, Step
+from gradegap.capture.recording import Item, Step
 
 BIN = 0.25  # s
 
--- a/gradegap/capture/records.py
+++ b/gradegap/capture/records.py
@@ -43,6 +43,7 @@
     TimerFired,
 )
 from gradegap.balancing.settings import ClassSettings, Settings, TenantSettings
+from gradegap.capture.errors import BadRecordError
 
 # Stored name -> class. The left column is the file format and never changes.
 EVENTS: dict[str, type] = {
@@ -71,10 +72,6 @@
 _STORED_NAMES: dict[type, str] = {kind: name for name, kind in (*EVENTS.items(), *ACTIONS.items())}
 
 
-class BadRecordError(ValueError):
-    """What a file holds is no record."""
-
-
 @dataclass(slots=True, frozen=True)
 class StoredFields:
     """How a class of settings is stored: its stored field names, and the attributes that they stand for."""
--- a/gradegap/capture/replay.py
+++ b/gradegap/capture/replay.py
@@ -1,4 +1,4 @@
-"""The same decisions again: a capture's events, under its clock, fed to a module. No I/O but reading files.
+"""The same decisions again: a recording's events, under its clock, fed to a module. No I/O.
 
 A replay begins at a state, goes through every later one and holds its own against it, and stops being
 evidence where the record has a gap, until the next state.
@@ -8,130 +8,23 @@
 
 import hashlib
 from collections import deque
-from collections.abc import Iterable, Iterator
+from collections.abc import Iterable
 from dataclasses import dataclass, field
-from pathlib import Path
 from types import ModuleType
 from typing import Any
 
 import msgspec
 
 from gradegap import VERSION
-from gradegap.capture import decision_module, frames, records, state
+from gradegap.capture import decision_module, records, state
 from gradegap.capture.errors import BadStateError, DecisionVersion, LaterStateError, OtherAlgorithmError
-from gradegap.capture.frames import BadCaptureError, Damage, Frame, Kind
+from gradegap.capture.recording import Gap, Item, SettingsChange, State, Step
 from gradegap.capture.schema import BALANCER, ENDPOINT, REQUEST
 
 LAST = 8  # events told of in front of a difference
 RECENT = 2000  # events among which these are looked for
 
 
-@dataclass(slots=True, frozen=True)
-class Step:
-    """One event with what was done, as recorded."""
-
-    seq: int
-    at: float
-    event: Any
-    actions: list[Any]
-
-
-@dataclass(slots=True, frozen=True)
-class SettingsChange:
-    """New settings that the module was given."""
-
-    seq: int
-    at: float
-    settings: Any
-
-
-@dataclass(slots=True, frozen=True)
-class State:
-    """The module's state, and the start that it belongs to."""
-
-    seq: int
-    at: float
-    held: Any
-    start: dict[str, Any]
-
-
-@dataclass(slots=True, frozen=True)
-class Gap:
-    """From here to the next state nothing can be replayed."""
-
-    why: str
-
-
-Item = Step | SettingsChange | State | Gap
-
-
-def items(data: bytes) -> Iterator[Item]:
-    """All that a file says, in order. `BadCaptureError` where it is none."""
-    reader = _Reader()
-    for frame in frames.read(data):
-        if isinstance(frame, Damage):
-            yield reader.gap(f"{frame.length} bytes at {frame.offset}: {frame.why}")
-            continue
-        try:
-            yield from reader.read(frame)
-        except records.BadRecordError as error:
-            yield reader.gap(str(error))
-
-
-class _Reader:
-    """Goes through a file's frames, and sees where one is missing."""
-
-    def __init__(self) -> None:
-        self.start: dict[str, Any] | None = None
-        self.following = -1  # number of the step that comes next; -1: unknown, until the next state
-
-    def gap(self, why: str) -> Gap:
-        self.following = -1
-        return Gap(why)
-
-    def read(self, frame: Frame) -> Iterator[Item]:
-        match frame.kind:
-            case Kind.START:
-                self._begin(frame.body)
-            case Kind.STATE:
-                if self.start is None:
-                    raise records.BadRecordError("a state without a start")
-                self.following = frame.first
-                yield State(frame.first, frame.at, frame.body, self.start)
-            case Kind.GAP:
-                yield self.gap(f"{frame.records} steps were dropped, from {frame.first} on")
-            case Kind.STEPS:
-                yield from self._steps(frame)
-
-    def _begin(self, body: Any) -> None:
-        if not isinstance(body, dict) or not isinstance(body.get("settings"), dict):
-            raise records.BadRecordError("a start without settings")
-        self.start = body
-        records.settings(body["settings"])
-
-    def _steps(self, frame: Frame) -> Iterator[Item]:
-        if self.following >= 0 and frame.first != self.following:
-            yield Gap(f"steps {self.following} to {frame.first - 1} are not there")
-        for step in _steps(frame):
-            if isinstance(step, SettingsChange) and self.start is not None:
-                self.start = self.start | {"settings": records.plain_settings(step.settings)}
-            yield step
-        self.following = frame.first + frame.records
-
-
-def _steps(frame: Frame) -> Iterator[Step | SettingsChange]:
-    if not isinstance(frame.body, list):
-        raise records.BadRecordError("steps that are no list")
-    for row in frame.body:
-        match row:
-            case ["s", int(seq), float(at), list(event), list(actions)]:
-                yield Step(seq, at, records.event(event), [records.action(a) for a in actions])
-            case ["a", int(seq), float(at), dict(raw)]:
-                yield SettingsChange(seq, at, records.settings(raw))
-            case _:
-                raise records.BadRecordError("a step of no kind")
-
-
 def begin(module: ModuleType, recorded: State) -> Any:
     """A `Balancer` of the module in a recorded state.
 
@@ -297,50 +190,3 @@
         before = [s for s in self.recent if known & records.names(s.event)][-LAST:]
         words = about(self.balancer, step.at, (*did, *step.actions))
         return Difference(step, did, before, words)
-
-
-@dataclass(slots=True)
-class Comparison:
-    """Two captures of the same events, step by step."""
-
-    steps: int = 0
-    gaps: list[str] = field(default_factory=list)
-    first: tuple[Step, Step] | None = None  # the first two that differ
-    event: bool = False  # what was told differs already, and not only what was done
-
-
-def compare(one: Iterable[Item], other: Iterable[Item]) -> Comparison:
-    """Steps of both that bear one number; what only one has is passed over."""
-    found = Comparison()
-
-    def steps(source: Iterable[Item]) -> Iterator[Step]:
-        for item in source:
-            if isinstance(item, Gap):
-                found.gaps.append(item.why)
-            elif isinstance(item, Step):
-                yield item
-
-    left, right = steps(one), steps(other)
-    a, b = next(left, None), next(right, None)
-    while a is not None and b is not None:
-        if a.seq < b.seq:
-            a = next(left, None)
-            continue
-        if b.seq < a.seq:
-            b = next(right, None)
-            continue
-        found.steps += 1
-        found.event = a.at != b.at or encoded([a.event]) != encoded([b.event])
-        if found.event or encoded(a.actions) != encoded(b.actions):
-            found.first = a, b
-            break
-        a, b = next(left, None), next(right, None)
-    return found
-
-
-def load(path: str) -> bytes:
-    """A file's bytes; `BadCaptureError` where they can't be had."""
-    try:
-        return Path(path).read_bytes()
-    except OSError as error:
-        raise BadCaptureError(f"{path} can't be read: {error.strerror}") from None
--- a/gradegap/capture/whatif.py
+++ b/gradegap/capture/whatif.py
@@ -34,9 +34,10 @@
 )
 from gradegap.balancing.settings import Settings
 from gradegap.capture import records
+from gradegap.capture.errors import BadRecordError, BadWhatIfError
 from gradegap.capture.evidence import PROBE_WAIT, Client, Evidence, Word, gathered
 from gradegap.capture.judge import Figures, Judge
-from gradegap.capture.replay import Item, SettingsChange, Step
+from gradegap.capture.recording import Item, SettingsChange, Step
 
 NEAR, FAR = 1.0, 5.0  # s
 TRIES = 3  # that a client makes which the record did not show to come more often
@@ -45,10 +46,6 @@
 MOST_EVENTS = 20_000_000
 
 
-class BadWishError(ValueError):
-    """A setting that there is not, or a capture that nothing can be played from."""
-
-
 @dataclass(slots=True)
 class Result:
     """How clients were served as recorded, and how as played."""
@@ -63,33 +60,36 @@
 
 
 def changed(settings: Settings, wishes: Iterable[str]) -> Settings:
-    """Settings with `name=value` in the place of some; `BadWishError` for what there is not, or can't be."""
+    """Settings with `name=value` in the place of some.
+
+    Raises `BadWhatIfError` for a setting that there is not, or a value that it can't have.
+    """
     raw = records.plain_settings(settings)
     for wish in wishes:
         name, equals, value = wish.partition("=")
         if not equals or name not in raw or isinstance(raw[name], dict | list | tuple):
             plain = sorted(k for k, v in raw.items() if not isinstance(v, dict | list | tuple))
-            raise BadWishError(f"{name!r} is no setting; there are {', '.join(plain)}")
+            raise BadWhatIfError(f"{name!r} is no setting; there are {', '.join(plain)}")
         try:
             raw[name] = msgspec.convert(value, type(raw[name]), strict=False)
         except msgspec.ValidationError as error:
-            raise BadWishError(f"{wish!r}: {str(error)[:120]}") from None
+            raise BadWhatIfError(f"{wish!r}: {str(error)[:120]}") from None
     try:
         return records.settings(raw)
-    except records.BadRecordError as error:
-        raise BadWishError(str(error)) from None
+    except BadRecordError as error:
+        raise BadWhatIfError(str(error)) from None
 
 
 def whatif(source: Iterable[Item], module: ModuleType, wishes: Iterable[str] = ()) -> Result:
     """A capture's day played with `module`, under its settings with `wishes` in the place of some.
 
-    It begins with a new module, so a capture should begin where its node did. `BadWishError` where there is
+    It begins with a new module, so a capture should begin where its node did. `BadWhatIfError` where there is
     nothing to play.
     """
     items = list(source)
     evidence = gathered(items)
     if not evidence.start or not evidence.lists:
-        raise BadWishError("it has no state or no list of servers to begin with")
+        raise BadWhatIfError("it has no state or no list of servers to begin with")
     settings = records.settings(evidence.start["settings"])
     judge = Judge(settings)
     for item in items:
--- a/gradegap/commands/capture.py
+++ b/gradegap/commands/capture.py
@@ -13,10 +13,17 @@
 import msgspec
 import typer
 
-from gradegap.capture import decision_module, frames, index, records, replay
-from gradegap.capture.errors import BadModuleError, BadStateError, LaterStateError
+from gradegap.capture import comparison, decision_module, frames, index, recording, records, replay
+from gradegap.capture.errors import (
+    BadModuleError,
+    BadRecordError,
+    BadRecordingError,
+    BadStateError,
+    BadWhatIfError,
+    LaterStateError,
+)
 from gradegap.capture.explain import explain, in_one_line
-from gradegap.capture.frames import BadCaptureError, Damage, Kind
+from gradegap.capture.frames import Damage, Kind
 
 capture = typer.Typer(help="Files of what the module was told and did.", no_args_is_help=True)
 
@@ -38,9 +45,9 @@
 
 def whole(path: str) -> bytes:
     try:
-        data = replay.load(path)
+        data = recording.read_file(path)
         next(iter(frames.read(data)), None)
-    except BadCaptureError as error:
+    except BadRecordingError as error:
         raise stop(error) from None
     return data
 
@@ -155,7 +162,7 @@
     if Path(out).exists():
         raise stop(f"{out} is there already")
     try:
-        draw(replay.items(data), out, Path(file).name)
+        draw(recording.read(data), out, Path(file).name)
     except ModuleNotFoundError:
         raise stop("a plot needs matplotlib: pip install gradegap[plot]") from None
     except (OSError, ValueError) as error:
@@ -168,18 +175,18 @@
     _lines(file, lambda step: True)
 
 
-def _line(step: replay.Step, at: float, **more: str) -> bytes:
+def _line(step: recording.Step, at: float, **more: str) -> bytes:
     """A step as a line of JSON, with its clock as told."""
     actions = [records.plain(a) for a in step.actions]
     row = {"seq": step.seq, "at": at, "event": records.plain(step.event), "actions": actions}
     return msgspec.json.encode(more | row)
 
 
-def _lines(file: str, wanted: Callable[[replay.Step], bool]) -> None:
-    for item in replay.items(whole(file)):
-        if isinstance(item, replay.Gap):
+def _lines(file: str, wanted: Callable[[recording.Step], bool]) -> None:
+    for item in recording.read(whole(file)):
+        if isinstance(item, recording.Gap):
             typer.echo(msgspec.json.encode({"gap": item.why}))
-        elif isinstance(item, replay.Step) and wanted(item):
+        elif isinstance(item, recording.Step) and wanted(item):
             typer.echo(_line(item, item.at))
 
 
@@ -195,10 +202,10 @@
         raise stop(f"{key} can't be read: {error.strerror}") from None
     try:
         data = redacted(whole(file), hide.word)
-    except (records.BadRecordError, KeyError, TypeError, ValueError) as error:
+    except (BadRecordError, KeyError, TypeError, ValueError) as error:
         raise stop(f"it can't be redacted: {error}") from None
     write(out, index.sealed(data))
-    found = replay.replay(replay.items(data), _module(None))
+    found = replay.replay(recording.read(data), _module(None))
     if found.difference is not None or found.state_differs:
         typer.echo("it explains, and replays no more: this node placed groups by their names")
 
@@ -218,7 +225,9 @@
             if not isinstance(frame, Damage) and frame.kind is Kind.START:
                 name = frame.body.get("node", path)
         plus = shift[k] if shift else 0.0
-        rows += [(i.at + plus, k, i.seq, name, i) for i in replay.items(data) if isinstance(i, replay.Step)]
+        rows += [
+            (i.at + plus, k, i.seq, name, i) for i in recording.read(data) if isinstance(i, recording.Step)
+        ]
     for at, _, _, name, item in sorted(rows, key=lambda row: row[:3]):
         typer.echo(_line(item, at, node=name))
 
@@ -230,11 +239,11 @@
         raise stop(error) from None
 
 
-def paced(source: Iterator[replay.Item], pace: float) -> Iterator[replay.Item]:
+def paced(source: Iterator[recording.Item], pace: float) -> Iterator[recording.Item]:
     """Each item when its clock, run at that pace from the first on, comes to it."""
     began, first = time.monotonic(), None
     for item in source:
-        if isinstance(item, replay.Step):
+        if isinstance(item, recording.Step):
             first = item.at if first is None else first
             time.sleep(max(0.0, began + (item.at - first) / pace - time.monotonic()))
         yield item
@@ -258,9 +267,9 @@
         data = whole(file)
         if since > -1e18:
             data = index.seek(data, since) or data
-        source = replay.items(data)
+        source = recording.read(data)
         found = replay.replay(paced(source, pace) if pace else source, made, since, until_differs)
-    except (BadCaptureError, LaterStateError) as error:
+    except (BadRecordingError, LaterStateError) as error:
         raise stop(error) from None
     if json:
         typer.echo(
@@ -299,7 +308,7 @@
 
 
 def _against(file: str, other: str) -> None:
-    found = replay.compare(replay.items(whole(file)), replay.items(whole(other)))
+    found = comparison.compare(recording.read(whole(file)), recording.read(whole(other)))
     typer.echo(f"{found.steps} steps compared")
     for gap in found.gaps:
         typer.echo(f"gap: {gap}")
@@ -318,8 +327,8 @@
     """Why a req went where it went."""
     part = index.seek(whole(file), req=req)
     try:
-        lines = list(explain(replay.items(part), _module(None), req)) if part else []
-    except (BadCaptureError, BadStateError, records.BadRecordError) as error:
+        lines = list(explain(recording.read(part), _module(None), req)) if part else []
+    except (BadRecordingError, BadStateError, BadRecordError) as error:
         raise stop(error) from None
     if not lines:
         raise stop(f"req {req} is not in this capture", 1)
@@ -342,8 +351,8 @@
     from gradegap.capture import whatif
 
     try:
-        found = whatif.whatif(replay.items(whole(file)), _module(module), wishes)
-    except (BadCaptureError, whatif.BadWishError, records.BadRecordError) as error:
+        found = whatif.whatif(recording.read(whole(file)), _module(module), wishes)
+    except (BadRecordingError, BadWhatIfError, BadRecordError) as error:
         raise stop(error) from None
     if json:
         typer.echo(msgspec.json.encode(found).decode())
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -41,9 +41,9 @@
     RequestArrived,
     TimerFired,
 )
-from gradegap.capture import frames, records, replay, state
-from gradegap.capture.errors import BadStateError
-from gradegap.capture.frames import BadCaptureError, Damage, Kind
+from gradegap.capture import comparison, frames, recording, records, replay, state
+from gradegap.capture.errors import BadRecordError, BadRecordingError, BadStateError
+from gradegap.capture.frames import Damage, Kind
 from gradegap.capture.recorder import MOST_BATCHES, Hide, Recorder, Tap
 from gradegap.capture.redact import redact
 from gradegap.capture.settings import CaptureSettings
@@ -159,7 +159,7 @@
 def again(
     data: bytes, module: ModuleType = gradegap.balancing.balancer, since: float = -1e18
 ) -> replay.Report:
-    return replay.replay(replay.items(data), module, since)
+    return replay.replay(recording.read(data), module, since)
 
 
 def test_a_hundred_replays_give_one_digest_and_each_state_is_met() -> None:
@@ -232,8 +232,8 @@
         first = next(
             (
                 i.seq
-                for i in replay.items(data)
-                if isinstance(i, replay.Step)
+                for i in recording.read(data)
+                if isinstance(i, recording.Step)
                 and replay.encoded(plain.handle(i.at, i.event)) != replay.encoded(other.handle(i.at, i.event))
             ),
             None,
@@ -298,9 +298,9 @@
 
 
 def test_another_kind_of_file_and_a_later_version_are_one_plain_error() -> None:
-    with pytest.raises(BadCaptureError, match="no capture"):
+    with pytest.raises(BadRecordingError, match="no capture"):
         list(frames.read(b"{}"))
-    with pytest.raises(BadCaptureError, match="version 9"):
+    with pytest.raises(BadRecordingError, match="version 9"):
         list(frames.read(b"gradegap capture 9\nxyz"))
 
 
@@ -361,15 +361,15 @@
     ):
         raw = msgspec.msgpack.decode(msgspec.msgpack.encode(records.plain(action)))
         assert records.action(raw) == action
-    with pytest.raises(records.BadRecordError):
+    with pytest.raises(BadRecordError):
         records.event(["Send", [1, "s", 0.5]])
 
 
 def test_two_captures_are_compared_step_by_step() -> None:
     one, other = taken(12, 200, 2), taken(13, 200, 2)
-    same = replay.compare(replay.items(one), replay.items(one))
+    same = comparison.compare(recording.read(one), recording.read(one))
     assert same.first is None and same.steps > 200 and not same.gaps
-    told = replay.compare(replay.items(one), replay.items(other))
+    told = comparison.compare(recording.read(one), recording.read(other))
     assert told.first is not None and told.event
     day = Day(12).live(100)
     rows = list(day.steps)
@@ -377,7 +377,7 @@
     rows[k] = [*rows[k][:4], []]
     plain = day.start() + frames.pack(Kind.STEPS, day.steps, len(rows), 0)
     changed = day.start() + frames.pack(Kind.STEPS, rows, len(rows), 0)
-    did = replay.compare(replay.items(plain), replay.items(changed))
+    did = comparison.compare(recording.read(plain), recording.read(changed))
     assert did.first is not None and not did.event and did.first[0].seq == k
 
 
@@ -498,7 +498,7 @@
     (path,) = tmp_path.iterdir()
     found = again(path.read_bytes())
     assert found.gaps and found.difference is None and not found.state_differs
-    states = [i for i in replay.items(path.read_bytes()) if isinstance(i, replay.State)]
+    states = [i for i in recording.read(path.read_bytes()) if isinstance(i, recording.State)]
     assert records.settings(states[-1].start["settings"]) == changed
 
 
@@ -562,7 +562,7 @@
         assert w.client().ask().startswith("UP")
         wait_for(lambda: len(list(folder.iterdir())) == 2)
         second = max(folder.iterdir())
-        wait_for(lambda: any(isinstance(i, replay.Step) for i in replay.items(second.read_bytes())))
+        wait_for(lambda: any(isinstance(i, recording.Step) for i in recording.read(second.read_bytes())))
         w.process.kill()  # while it writes
         w.process.wait()
         w.process.returncode = 0
--- a/tests/test_capture_days.py
+++ b/tests/test_capture_days.py
@@ -27,10 +27,11 @@
     RequestArrived,
     TimerFired,
 )
-from gradegap.capture import decision_module, frames, records, replay
+from gradegap.capture import decision_module, frames, recording, records, replay
+from gradegap.capture.errors import BadWhatIfError
 from gradegap.capture.frames import Damage, Kind
 from gradegap.capture.judge import Judge
-from gradegap.capture.whatif import BadWishError, Result, changed, whatif
+from gradegap.capture.whatif import Result, changed, whatif
 from tests.helpers import settings
 from tests.mutants import mutant
 from tests.test_capture import cli, taken
@@ -51,7 +52,7 @@
 
 def played(name: str, module: object = gradegap.balancing.balancer, *wishes: str) -> Result:
     data = (FOLDER / f"{name}.ggc").read_bytes()
-    return whatif(replay.items(data), module, wishes)  # type: ignore[arg-type]
+    return whatif(recording.read(data), module, wishes)  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize("name", DAYS)
@@ -67,7 +68,7 @@
 
 
 def test_a_hundred_replays_of_a_real_node_s_day_give_one_digest() -> None:
-    items = list(replay.items((FOLDER / "rolling_deploy.ggc").read_bytes()))
+    items = list(recording.read((FOLDER / "rolling_deploy.ggc").read_bytes()))
     module = gradegap.balancing.balancer
     found = [replay.replay(items, module, until_differs=False) for _ in range(100)]
     assert len({each.digest for each in found}) == 1
@@ -100,8 +101,8 @@
     assert done.stderr == "gradegap: nothing could be replayed\n"
     (request,) = next(
         records.names(item.event)
-        for item in replay.items(path.read_bytes())
-        if isinstance(item, replay.Step) and isinstance(item.event, RequestArrived)
+        for item in recording.read(path.read_bytes())
+        if isinstance(item, recording.Step) and isinstance(item.event, RequestArrived)
     )
     done = cli("explain", str(path), str(request))
     assert done.returncode == 2 and done.stderr.startswith(f"gradegap: {line}")
@@ -175,9 +176,9 @@
     found = played("jump", gradegap.balancing.balancer, "max_attempts=1", "drain_grace=0.5")
     assert found.played.attempts <= found.recorded.attempts * 1.1
     for wish in ("max_attempts=0", "max_attempts=x", "nothing=1", "classes=1", "drain_grace"):
-        with pytest.raises(BadWishError):
+        with pytest.raises(BadWhatIfError):
             changed(settings(), [wish])
-    with pytest.raises(BadWishError, match="no state"):
+    with pytest.raises(BadWhatIfError, match="no state"):
         whatif([], gradegap.balancing.balancer)
     # Servers that the record never heard of: their answers are the model's, and said to be.
     day = taken(21, 400, 2)
@@ -188,7 +189,7 @@
         if f.kind is Kind.STEPS:
             body = [r for r in body if r[3][0] not in ("ProbeResult", "Established", "Outcome")]
         cut.append(frames.pack(f.kind, body, f.records, f.first, f.at, f.until))
-    unheard = whatif(replay.items(b"".join(cut)), gradegap.balancing.balancer)
+    unheard = whatif(recording.read(b"".join(cut)), gradegap.balancing.balancer)
     assert unheard.answers["modelled"] == unheard.answers.total() > 0
     assert unheard.evidence_ends is not None and unheard.evidence_ends < 1010.0
 
--- a/tests/test_capture_index.py
+++ b/tests/test_capture_index.py
@@ -18,7 +18,7 @@
 
 import gradegap.balancing.balancer
 from gradegap.balancing.events import ConnectionInherited, EndpointList, EndpointPhase, RequestArrived
-from gradegap.capture import explain, frames, index, records, replay, snapshot, state
+from gradegap.capture import explain, frames, index, recording, records, snapshot, state
 from gradegap.capture.frames import Kind
 from gradegap.capture.plot import draw, series
 from tests.test_admin_api import call, served
@@ -31,14 +31,14 @@
 
 
 def told(data: bytes, req: int) -> list[str]:
-    return list(explain.explain(replay.items(data), gradegap.balancing.balancer, req))
+    return list(explain.explain(recording.read(data), gradegap.balancing.balancer, req))
 
 
 def test_the_index_of_a_file_is_what_reading_it_finds(tmp_path: Path) -> None:
     plain = FILE[: index._end(FILE)]
     assert index.indexed(FILE) and not index.indexed(plain)
     assert index.load(FILE) == index.load(plain)
-    assert list(replay.items(FILE)) == list(replay.items(plain))
+    assert list(recording.read(FILE)) == list(recording.read(plain))
     recorded(tmp_path, Day(32))
     (path,) = tmp_path.iterdir()
     data = path.read_bytes()
@@ -64,7 +64,7 @@
         part = index.seek(FILE, since=e.at + 0.001)
         found = again(part)
         assert found.steps > 0 and found.difference is None and not found.state_differs and not found.gaps
-        first = next(i for i in replay.items(part) if isinstance(i, replay.State))
+        first = next(i for i in recording.read(part) if isinstance(i, recording.State))
         assert first.at <= e.at + 0.001
     assert len(index.seek(FILE, since=states[-2].at)) < len(FILE) / 3
 
@@ -187,9 +187,9 @@
 
 
 def test_a_capture_is_drawn(tmp_path: Path) -> None:
-    found = series(replay.items(FILE))
+    found = series(recording.read(FILE))
     assert sum(found["rates"]["reqs"].values()) > 200 and len(found["loads"]) == 8
-    draw(replay.items(FILE), str(tmp_path / "day.png"), "a day")
+    draw(recording.read(FILE), str(tmp_path / "day.png"), "a day")
     head = (tmp_path / "day.png").read_bytes()[:24]
     assert head[:8] == b"\x89PNG\r\n\x1a\n" and struct.unpack(">I", head[16:20])[0] > 800
     path = tmp_path / "day.ggc"
@@ -201,7 +201,7 @@
 def test_a_slow_replay_decides_the_same(tmp_path: Path) -> None:
     path = tmp_path / "day.ggc"
     path.write_bytes(index.sealed(taken(34, 120, 2)))
-    span = [i.at for i in replay.items(path.read_bytes()) if isinstance(i, replay.Step)]
+    span = [i.at for i in recording.read(path.read_bytes()) if isinstance(i, recording.Step)]
     began = time.monotonic()
     done = cli("replay", str(path), "--pace", "0.5")
     assert done.returncode == 0, done.stdout
@@ -247,15 +247,15 @@
         assert index.indexed(data)  # it ended in order
     lists = [
         i.event
-        for i in replay.items(next(folders[0].iterdir()).read_bytes())
-        if isinstance(i, replay.Step) and isinstance(i.event, EndpointList)
+        for i in recording.read(next(folders[0].iterdir()).read_bytes())
+        if isinstance(i, recording.Step) and isinstance(i.event, EndpointList)
     ]
     phases = [e.phase for listed in lists for e in listed.entries if e.name == "s-a"]
     drained = phases.index(EndpointPhase.DRAINING)
     assert EndpointPhase.READY in phases[drained:]
     events = [
         records.stored_name(i.event)
-        for i in replay.items(next(folders[1].iterdir()).read_bytes())
-        if isinstance(i, replay.Step)
+        for i in recording.read(next(folders[1].iterdir()).read_bytes())
+        if isinstance(i, recording.Step)
     ]
     assert events.count("Inherited") >= 6
--- a/tests/test_capture_records.py
+++ b/tests/test_capture_records.py
@@ -38,6 +38,7 @@
 )
 from gradegap.balancing.settings import ClassSettings, DeduplicationScope, Idempotency, TenantSettings
 from gradegap.capture import records
+from gradegap.capture.errors import BadRecordError
 from tests.helpers import settings
 
 # As files of version 1 have them. These lists are the format: they only grow.
@@ -125,7 +126,7 @@
     ],
 )
 def test_what_is_no_settings_is_refused(raw: dict[str, Any]) -> None:
-    with pytest.raises(records.BadRecordError, match="settings"):
+    with pytest.raises(BadRecordError, match="settings"):
         records.settings(raw)
 
 
