--- a/bench/scale/slopes_module.py
+++ b/bench/scale/slopes_module.py
@@ -179,14 +179,14 @@
 class NoBackends:
     """A backend port that reaches nobody."""
 
-    def fetch(self, session: Any, backend: Endpoint, wait: float, attempt: Attempt) -> ConnectPort:
+    def connect(self, session: Any, backend: Endpoint, wait: float, attempt: Attempt) -> ConnectPort:
         """Nothing is fetched without requests."""
         raise AssertionError("nothing is fetched here")
 
-    def probe(self, backend: Endpoint, wait: float, done: HealthCheckDone) -> None:
+    def check_health(self, backend: Endpoint, wait: float, done: HealthCheckDone) -> None:
         """Left unanswered."""
 
-    def forget(self, backend: Endpoint) -> None:
+    def close_health_check(self, backend: Endpoint) -> None:
         """There is nothing to forget."""
 
 
--- a/bench/scale/slopes_probes.py
+++ b/bench/scale/slopes_probes.py
@@ -86,7 +86,7 @@
     await rounds(proxy, names)  # connects
     found = [await rounds(proxy, names) for _ in range(REPEATS)]
     for name in names:
-        backends.forget(proxy.endpoints[name])
+        backends.close_health_check(proxy.endpoints[name])
     backends.dialer.task.cancel()
     return found
 
--- a/gradegap/downstream/session.py
+++ b/gradegap/downstream/session.py
@@ -210,7 +210,7 @@
     def evict(self, after: float) -> None:
         """The channel is needed for others: this session has not asked for anything yet."""
         if not self.closed:
-            self.refuse(after)
+            self.reject(after)
 
     def wait(self, length: float) -> None:
         self.unwait()
@@ -328,11 +328,11 @@
 
     # From the core
 
-    def left(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Whether the client's end has come and waits to be read."""
         return self.channel.left()
 
-    def stand(self) -> None:
+    def on_established(self) -> None:
         self.standing = True
         assert self.pipe is not None
         if self.buffer:
@@ -345,7 +345,7 @@
                 self.pipe.write(early)
         self.channel.resume()
 
-    def refuse(self, after: float) -> None:
+    def reject(self, after: float) -> None:
         self.channel.write(b"BUSY %d\r\n" % round(after * 1000) if after > 0 else b"BUSY\r\n")
         self._shut(Ending.REFUSED)
 
@@ -353,7 +353,7 @@
         self.channel.write(b"ERR\r\n")
         self._shut(Ending.FAILED)
 
-    def move(self) -> None:
+    def migrate(self) -> None:
         if self._moves_in_place():
             return
         if self.watch.between:
@@ -363,7 +363,7 @@
             self.moving = True
             self.proxy.loop.call_later(LINE_END_WAIT, self._line_never_ended)
 
-    def end(self) -> None:
+    def on_endpoint_closed(self) -> None:
         """The backend's side has ended."""
         if not self.closed and not self._moves_in_place():
             self._shut(Ending.RESET if self.reset else Ending.SERVED)
--- a/gradegap/proxy/proxy.py
+++ b/gradegap/proxy/proxy.py
@@ -93,12 +93,12 @@
 class SessionPort(Protocol):
     """A client session, as the core sees it."""
 
-    def left(self) -> bool: ...
-    def stand(self) -> None: ...
-    def refuse(self, after: float) -> None: ...
+    def is_disconnected(self) -> bool: ...
+    def on_established(self) -> None: ...
+    def reject(self, after: float) -> None: ...
     def fail(self) -> None: ...
-    def move(self) -> None: ...
-    def end(self) -> None: ...
+    def migrate(self) -> None: ...
+    def on_endpoint_closed(self) -> None: ...
 
 
 class ConnectPort(Protocol):
@@ -106,13 +106,13 @@
 
     @property
     def sent(self) -> bool: ...
-    def abandon(self) -> None: ...
+    def cancel(self) -> None: ...
 
 
 class UpstreamPort(Protocol):
-    def fetch(self, session: Any, backend: Endpoint, wait: float, attempt: Attempt) -> ConnectPort: ...
-    def probe(self, backend: Endpoint, wait: float, done: HealthCheckDone) -> None: ...
-    def forget(self, backend: Endpoint) -> None: ...
+    def connect(self, session: Any, backend: Endpoint, wait: float, attempt: Attempt) -> ConnectPort: ...
+    def check_health(self, backend: Endpoint, wait: float, done: HealthCheckDone) -> None: ...
+    def close_health_check(self, backend: Endpoint) -> None: ...
 
 
 HealthCheckDone = Callable[[AttemptResult, Mapping[str, float] | None], None]
@@ -290,7 +290,7 @@
             b.entry = e
             if (address and address != b.address) or e.started_at > b.started_at:
                 # Guards against a probe connection to the process that ran there before.
-                self.upstream.forget(b)
+                self.upstream.close_health_check(b)
                 b.min_message_delay, b.report = 9.0, None
             b.address = address or b.address
             b.started_at = e.started_at
@@ -317,7 +317,7 @@
                 b.drain_notified_at = self.disabled.get(e.name, now)
                 told.append(b)
             if e.phase is EndpointPhase.REMOVED and was is not EndpointPhase.REMOVED:
-                self.upstream.forget(b)
+                self.upstream.close_health_check(b)
         self.feed(EndpointList(kind, tuple(laid)))
         for b in told:
             self._end_connecting(b)
@@ -370,7 +370,7 @@
         """Whether a first line may be written now. Guards against what came since the module chose: the
         client's end, which the loop has not read yet, the word that the backend leaves, the end of the time
         in which a repeat is dropped there."""
-        if attempt.request.session.left():
+        if attempt.request.session.is_disconnected():
             self.metrics.count("left_unseen")
             self.client_gone(attempt.request)
         elif not self._may_begin(attempt) or self.now() >= attempt.send_by:
@@ -421,7 +421,7 @@
             return False
         self.metrics.count("refused_stale")
         self._answer(req, "refused")
-        req.session.refuse(min(wait, self.settings.max_retry_after))
+        req.session.reject(min(wait, self.settings.max_retry_after))
         self._drop(req)
         return True
 
@@ -491,7 +491,7 @@
         self.metrics.count("sent")
         attempt.endpoint.connecting.add(attempt)
         attempt.timer = self.loop.call_later(attempt.timeout, self._time_out, attempt)
-        attempt.connection = self.upstream.fetch(
+        attempt.connection = self.upstream.connect(
             attempt.request.session, attempt.endpoint, attempt.timeout, attempt
         )
 
@@ -504,7 +504,7 @@
         req = self.requests.get(a.request_id)
         if req is not None and not req.answered:
             self._answer(req, "refused")
-            req.session.refuse(a.retry_after)
+            req.session.reject(a.retry_after)
             self._finish(req)
 
     def _fail(self, a: Fail) -> None:
@@ -532,7 +532,7 @@
         if req.established and not req.migrated and attempt is not None:
             req.migrated = True
             self.metrics.count("moved")
-            req.session.move()
+            req.session.migrate()
             self.loop.call_soon(attempt.on_ended, AttemptResult.CANCELLED)
 
     def _set_timer(self, a: SetTimer) -> None:
@@ -559,7 +559,7 @@
             # being taken for its silence, on which the module would move all at once: FULL says nothing.
             self.loop.call_soon(done, AttemptResult.FULL, None)
         else:
-            self.upstream.probe(
+            self.upstream.check_health(
                 b, self.health_check_latency.late(HEALTH_CHECK_TIMEOUT_S, HEALTH_CHECK_TIMEOUT_MAX_S), done
             )
 
@@ -572,7 +572,7 @@
         self._answer(req, "served")
         req.established = True
         req.last_response_at = self.now()
-        req.session.stand()
+        req.session.on_established()
         if req.connection_request.inherited_from:
             self.feed(ConnectionInherited(self._request(req), attempt.endpoint.id))
         else:
@@ -593,7 +593,7 @@
         req.attempt = None
         self.metrics.count(f"{'ended' if req.established else 'fetch'}_{result.name.lower()}")
         if req.established and not req.migrated:
-            req.session.end()
+            req.session.on_endpoint_closed()
         if req.connection_request.inherited_from and not req.established:
             self._inherit_over(req, result)
             return
@@ -611,7 +611,7 @@
 
     def _abandon(self, attempt: Attempt) -> None:
         if attempt.connection is not None:
-            attempt.connection.abandon()
+            attempt.connection.cancel()
 
     def _unguard(self, req: Request) -> None:
         if req.deadline_timer is not None:
--- a/gradegap/resume/move.py
+++ b/gradegap/resume/move.py
@@ -105,22 +105,22 @@
 
     # As the core sees it
 
-    def left(self) -> bool:
-        return self.session.left()
+    def is_disconnected(self) -> bool:
+        return self.session.is_disconnected()
 
-    def stand(self) -> None:
-        self.session.stand()
+    def on_established(self) -> None:
+        self.session.on_established()
 
-    def refuse(self, after: float) -> None:
+    def reject(self, after: float) -> None:
         self.give_up("refused")
 
     def fail(self) -> None:
         self.give_up("failed")
 
-    def move(self) -> None:
+    def migrate(self) -> None:
         self.give_up("moved")
 
-    def end(self) -> None:
+    def on_endpoint_closed(self) -> None:
         self.give_up("ended")
 
     def give_up(self, reason: str) -> None:
--- a/gradegap/resume/part.py
+++ b/gradegap/resume/part.py
@@ -294,7 +294,7 @@
         self.metrics.count("resume_not_claimed")
         log.warning("a token could not be claimed", why=why)
         if not session.closed:
-            session.refuse(AGAIN)
+            session.reject(AGAIN)
 
     # The server's word
 
--- a/gradegap/upstream/connections.py
+++ b/gradegap/upstream/connections.py
@@ -122,7 +122,7 @@
             return
         self.session.reset = exc is not None
         if self.session.moving:
-            self.session.end()  # the line that it was to be moved behind never ends
+            self.session.on_endpoint_closed()  # the line that it was to be moved behind never ends
         if self.said is not None:
             self._finish(self.said, self.report)
         elif self.eof_sent:
@@ -135,7 +135,7 @@
             self.over = True
             self.attempt.on_ended(result, report)
 
-    def abandon(self) -> None:
+    def cancel(self) -> None:
         """Give the attempt up by closing its connection."""
         self.over = True
         if self.stop is not None:
@@ -272,13 +272,13 @@
         self.connect_wait = connect_wait
         self.probers: dict[str, Prober] = {}
 
-    def fetch(self, session: Any, backend: Endpoint, wait: float, attempt: Attempt) -> Fetch:
+    def connect(self, session: Any, backend: Endpoint, wait: float, attempt: Attempt) -> Fetch:
         fetch = Fetch(session, attempt, wait)
         limit = min(wait, self.connect_wait)
         fetch.stop = self.dialer.dial(backend.address, limit, fetch, fetch.dial_failed)
         return fetch
 
-    def probe(self, backend: Endpoint, wait: float, done: HealthCheckDone) -> None:
+    def check_health(self, backend: Endpoint, wait: float, done: HealthCheckDone) -> None:
         prober = self.probers.get(backend.id)
         if prober is not None and prober.waiting is not None:
             self.loop.call_soon(done, AttemptResult.FULL, None)
@@ -296,7 +296,7 @@
         if self.probers.get(name) is prober:
             del self.probers[name]
 
-    def forget(self, backend: Endpoint) -> None:
+    def close_health_check(self, backend: Endpoint) -> None:
         prober = self.probers.get(backend.id)
         if prober is not None:
             prober.close()
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -73,25 +73,25 @@
         self.said: list[tuple[str, float]] = []
         self.gone = False  # its client's end has come, and was not read yet
 
-    def left(self) -> bool:
+    def is_disconnected(self) -> bool:
         return self.gone
 
     def _say(self, word: str) -> None:
         self.said.append((word, self.clock.now))
 
-    def stand(self) -> None:
+    def on_established(self) -> None:
         self._say("up")
 
-    def refuse(self, after: float) -> None:
+    def reject(self, after: float) -> None:
         self._say("busy")
 
     def fail(self) -> None:
         self._say("fail")
 
-    def move(self) -> None:
+    def migrate(self) -> None:
         self._say("move")
 
-    def end(self) -> None:
+    def on_endpoint_closed(self) -> None:
         self._say("end")
 
     @property
@@ -108,7 +108,7 @@
         self.sent = True
         self.attempt.on_sent()
 
-    def abandon(self) -> None:
+    def cancel(self) -> None:
         self.abandoned = True
 
 
@@ -118,11 +118,11 @@
         self.probed: list[str] = []
         self.forgotten: list[str] = []
 
-    def fetch(self, session: Any, backend: Endpoint, wait: float, attempt: Attempt) -> Fetch:
+    def connect(self, session: Any, backend: Endpoint, wait: float, attempt: Attempt) -> Fetch:
         self.fetches.append(Fetch(attempt, backend))
         return self.fetches[-1]
 
-    def probe(
+    def check_health(
         self,
         backend: Endpoint,
         wait: float,
@@ -130,7 +130,7 @@
     ) -> None:
         self.probed.append(backend.id)
 
-    def forget(self, backend: Endpoint) -> None:
+    def close_health_check(self, backend: Endpoint) -> None:
         self.forgotten.append(backend.id)
 
 
