--- a/bench/observer.py
+++ b/bench/observer.py
@@ -33,7 +33,7 @@
 from gradegap.observer.source import MachineSource
 from gradegap.observer.subscriber import Send as NodeSend
 from gradegap.observer.subscriber import Subscriber
-from gradegap.store.machine import Command, Logged, Machine, Op, encode
+from gradegap.store.machine import Command, KeyUpdate, LogRecord, StateMachine, encode
 
 SIZES = (100, 500, 1000, 2000, 4000)
 SERVERS = 600  # keys under out/
@@ -49,7 +49,7 @@
     """A publisher with level subscribers that all hold a lease."""
 
     def __init__(self, subscribers: int) -> None:
-        self.machine = Machine()
+        self.machine = StateMachine()
         for number in range(SERVERS):
             self.put(f"out/server{number}", {"at_ms": number, "by": "bench"})
         self.now = 1000.0
@@ -66,8 +66,8 @@
     def put(self, key: str, value: object) -> None:
         """Commit a change."""
         index = self.machine.index + 1
-        command = Command(f"c{index}", 1, 10**12, "bench", (), (Op(key, value),))
-        self.machine.apply(index, encode(Logged(0, 0, command)))
+        command = Command(f"c{index}", 1, 10**12, "bench", (), (KeyUpdate(key, value),))
+        self.machine.apply(index, encode(LogRecord(0, 0, command)))
 
     def publish(self) -> None:
         """Send what is committed to all."""
--- a/bench/scale/faults.py
+++ b/bench/scale/faults.py
@@ -12,7 +12,7 @@
 from bench.scale.processes import Child
 from bench.scale.sessions import steady
 from bench.scale.storeclient import StoreClient
-from gradegap.store.machine import Op
+from gradegap.store.machine import KeyUpdate
 
 if TYPE_CHECKING:
     from bench.scale.control import ControlRun
@@ -122,6 +122,6 @@
     """A write at a machine that is cut off is refused, and the refusal says what to do."""
     cut = next(m for m in run.machines.specs if m.region == region)
     client = StoreClient([cut.listen_address], SECRET.encode())
-    record = await client.write(Op("config/motd", "from the cut side"), REFUSED_S)
+    record = await client.write(KeyUpdate("config/motd", "from the cut side"), REFUSED_S)
     client.close()
     run.notes.append(f"a write at the cut side came to {record.outcome!r}: {record.text}")
--- a/bench/scale/limits_met.py
+++ b/bench/scale/limits_met.py
@@ -13,7 +13,7 @@
 from gradegap.observer.limits import Limits
 from gradegap.store.leases import MOST_HOLDERS
 from gradegap.store.links import MOST_LINKS
-from gradegap.store.machine import MOST_KEYS
+from gradegap.store.machine import MAX_KEYS
 from gradegap.store.service import MOST_WATCHES
 
 DESCRIPTORS = 20_000  # hard limit of a process where the runs were made
@@ -73,9 +73,9 @@
             "observer/limits.py",
         ),
         Met(
-            MOST_KEYS / t.KEYS,
+            MAX_KEYS / t.KEYS,
             "keys of the store",
-            f"{MOST_KEYS:,}",
+            f"{MAX_KEYS:,}",
             f"a fixed bound; {t.KEYS:,} assumed",
             "store/machine.py",
         ),
--- a/bench/scale/load.py
+++ b/bench/scale/load.py
@@ -9,7 +9,7 @@
 
 from bench.scale.sessions import steady
 from bench.scale.storeclient import StoreClient, WriteRecord
-from gradegap.store.machine import Op
+from gradegap.store.machine import KeyUpdate
 
 WRITE_S = 15.0  # within which a change must be acknowledged
 MOST_OUT = 20  # servers out by hand at once
@@ -26,23 +26,23 @@
         self.serial = 0
         self.under_way: set[asyncio.Task[None]] = set()
 
-    def next_change(self) -> Op:
+    def next_change(self) -> KeyUpdate:
         """A setting, a server taken out by hand, or one called back."""
         self.serial += 1
         if self.rng.random() < PART_OF_SETTINGS:
-            return Op("config/motd", f"change {self.serial}")
+            return KeyUpdate("config/motd", f"change {self.serial}")
         if self.out and (len(self.out) >= MOST_OUT or self.rng.random() < 0.5):
-            return Op(self.out.pop(self.rng.randrange(len(self.out))), delete=True)
+            return KeyUpdate(self.out.pop(self.rng.randrange(len(self.out))), delete=True)
         key = f"out/s-{self.rng.randrange(self.servers):04}"
         if key not in self.out:
             self.out.append(key)
-        return Op(key, {"at_ms": round(time.time() * 1000), "by": "scale"})
+        return KeyUpdate(key, {"at_ms": round(time.time() * 1000), "by": "scale"})
 
-    async def change(self, op: Op) -> None:
+    async def change(self, op: KeyUpdate) -> None:
         """One change, until its outcome is known."""
         self.writes.append(await self.client.write(op, WRITE_S))
 
-    def begin(self, op: Op) -> None:
+    def begin(self, op: KeyUpdate) -> None:
         """A change that nobody waits for here."""
         task = asyncio.ensure_future(self.change(op))
         self.under_way.add(task)
@@ -59,7 +59,7 @@
         """Some changes of keys of their own, all at once."""
         at_ms = round(time.time() * 1000)
         keys = [f"out/s-burst-{number:04}" for number in range(count)]
-        await asyncio.gather(*(self.change(Op(key, {"at_ms": at_ms, "by": "scale"})) for key in keys))
+        await asyncio.gather(*(self.change(KeyUpdate(key, {"at_ms": at_ms, "by": "scale"})) for key in keys))
 
     async def finished(self) -> None:
         """Once all that was begun has come to something."""
--- a/bench/scale/sessions.py
+++ b/bench/scale/sessions.py
@@ -96,7 +96,7 @@
         )
         network = self.attached.daemon.net
         network.channel = self._channel  # type: ignore[method-assign]
-        self.attached.machine.watchers.append(self._changed)
+        self.attached.machine.listeners.append(self._changed)
 
     def _channel(self, dials: bool) -> LinkChannel:
         network = self.attached.daemon.net
--- a/bench/scale/slopes_observer.py
+++ b/bench/scale/slopes_observer.py
@@ -25,7 +25,7 @@
 from gradegap.observer.source import MachineSource
 from gradegap.observer.subscriber import Subscriber
 from gradegap.store import wire
-from gradegap.store.machine import Op
+from gradegap.store.machine import KeyUpdate
 
 SUBSCRIBERS = (267, 800, 1_600)  # a sixth of all nodes, half of them, all
 KEYS = (200, 2_000, 12_000)
@@ -167,9 +167,9 @@
         """So many keys change in one transaction; all are told."""
         index = self.machine.index + 1
         first = self.rng.randrange(100)
-        ops = tuple(Op(f"config/key-{100 + first + k:08d}", value(self.rng)) for k in range(count))
+        ops = tuple(KeyUpdate(f"config/key-{100 + first + k:08d}", value(self.rng)) for k in range(count))
         self.machine.apply(index, logged(index, ops))
-        self.machine.drain()
+        self.machine.take_unsaved()
         began = time.process_time()
         self.publisher.source_advanced(self.now)
         self.publisher_s += time.process_time() - began
--- a/bench/scale/slopes_store.py
+++ b/bench/scale/slopes_store.py
@@ -13,7 +13,7 @@
 from bench.scale.slopes_module import proven_pair
 from gradegap.store import machine, wire
 from gradegap.store.leases import Granter
-from gradegap.store.machine import Command, Logged, Machine, Op
+from gradegap.store.machine import Command, KeyUpdate, LogRecord, StateMachine
 
 KEYS = (12_000, 24_000, 48_000)  # more than the history keeps, so that it is full at each size
 VALUE_BYTES = (100, 1_000, 10_000)
@@ -25,11 +25,11 @@
 DRIFT = 0.1
 
 
-def logged(number: int, ops: tuple[Op, ...]) -> bytes:
+def logged(number: int, ops: tuple[KeyUpdate, ...]) -> bytes:
     """An entry as the leader logs it; each comes a second after the one before."""
     time_ms = number * 1_000
     command = Command(f"client-{number:08d}", 1, time_ms + 1_000, "operator", (), ops)
-    return machine.encode(Logged(time_ms, time_ms, command))
+    return machine.encode(LogRecord(time_ms, time_ms, command))
 
 
 def value(rng: Random, size: int = 48) -> dict[str, object]:
@@ -37,14 +37,14 @@
     return {"reason": rng.randbytes(max(1, size // 2 - 12)).hex(), "limit": rng.randrange(1_000)}
 
 
-def filled(keys: int, seed: int) -> Machine:
+def filled(keys: int, seed: int) -> StateMachine:
     """A machine with so many keys, and its full history of changes."""
-    made, rng = Machine(), Random(seed)
+    made, rng = StateMachine(), Random(seed)
     for number in range(1, keys // BATCH + 1):
         first = number * BATCH
-        ops = tuple(Op(f"config/key-{k:08d}", value(rng)) for k in range(first, first + BATCH))
+        ops = tuple(KeyUpdate(f"config/key-{k:08d}", value(rng)) for k in range(first, first + BATCH))
         made.apply(number, logged(number, ops))
-        made.drain()
+        made.take_unsaved()
     return made
 
 
@@ -61,7 +61,7 @@
         spent, size = [], 0
         for _ in range(REPEATS):
             began = time.process_time()
-            size = len(machine.pack(held.state()))
+            size = len(machine.encode_snapshot(held.export_state()))
             spent.append((time.process_time() - began) * 1e3)
         packed.append(point(keys, [float(size)]))
         packing.append(point(keys, spent))
@@ -73,7 +73,7 @@
     ]
 
 
-def applied(held: Machine, seed: int, size: int) -> list[float]:
+def applied(held: StateMachine, seed: int, size: int) -> list[float]:
     """µs of processor time an entry of one key, repeat after repeat."""
     rng, spent, number = Random(seed), [], held.index
     for _ in range(REPEATS):
@@ -81,12 +81,15 @@
         for _ in range(ENTRIES):
             number += 1
             batch.append(
-                (number, logged(number, (Op(f"config/key-{rng.randrange(1000):08d}", value(rng, size)),)))
+                (
+                    number,
+                    logged(number, (KeyUpdate(f"config/key-{rng.randrange(1000):08d}", value(rng, size)),)),
+                )
             )
         began = time.process_time()
         for index, data in batch:
             held.apply(index, data)
-            held.drain()
+            held.take_unsaved()
         spent.append((time.process_time() - began) / ENTRIES * 1e6)
     return spent
 
--- a/bench/scale/storeclient.py
+++ b/bench/scale/storeclient.py
@@ -10,7 +10,7 @@
 
 from bench.scale.sessions import steady
 from gradegap.store import wire
-from gradegap.store.machine import Op
+from gradegap.store.machine import KeyUpdate
 from gradegap.transport.addresses import split_address
 
 CONNECT_S = 1.0
@@ -102,7 +102,7 @@
             self.close()
             self.at += 1
 
-    async def write(self, op: Op, within: float, author: str = "scale") -> WriteRecord:
+    async def write(self, op: KeyUpdate, within: float, author: str = "scale") -> WriteRecord:
         """Write until a machine says yes, or the time is over: then `outcome` says what was last heard."""
         record = WriteRecord(op.key, steady(), steady())
         end = record.first_proposed + within
--- a/bench/scale/worked.py
+++ b/bench/scale/worked.py
@@ -10,7 +10,7 @@
 from gradegap.balancing.balancer import LOOK_FAST, LOOK_SLOW, PROBES_PER_REQUEST, RING_WALK
 from gradegap.discovery.watch_schedule import ASKED_WAIT
 from gradegap.observer.limits import Limits
-from gradegap.store.machine import MOST_KEYS
+from gradegap.store.machine import MAX_KEYS
 
 PROBE_BYTES = len(b"STATS\r\n") + len(b"PONG x0=0.123456,inflight=12345\r\n")
 RETURN_BYTES = (
@@ -296,7 +296,7 @@
     subscribers = t.NODES / t.CONTROL_MACHINES
     spent = book.at("publisher_renewal", subscribers)
     held = book.at("publisher_memory", subscribers)
-    state, state_2 = book.at("store_state_bytes", t.KEYS), book.at("store_state_bytes", MOST_KEYS)
+    state, state_2 = book.at("store_state_bytes", t.KEYS), book.at("store_state_bytes", MAX_KEYS)
     one, burst = book.at("publisher_delta", 1), book.at("publisher_delta", 50)
     snapshot, size = book.at("publisher_snapshot", t.KEYS), book.at("snapshot_bytes", t.KEYS)
     lease, lease_all = book.at("lease_renewal", t.CONTROL_MACHINES), book.at("lease_renewal", t.NODES)
@@ -308,7 +308,7 @@
             "ordinary hour",
             "state",
             in_bytes(state.value),
-            f"{state.how}; {in_bytes(state_2.value)} with all {MOST_KEYS:,} keys that it takes",
+            f"{state.how}; {in_bytes(state_2.value)} with all {MAX_KEYS:,} keys that it takes",
             "store/machine.py",
         ),
         Row(
--- a/bench/store.py
+++ b/bench/store.py
@@ -26,7 +26,7 @@
 from hdrh.histogram import HdrHistogram
 
 from gradegap.store import wire
-from gradegap.store.machine import Op
+from gradegap.store.machine import KeyUpdate
 from gradegap.store.remote import StoreError
 from tests.cluster import SECRET, Cluster
 from tests.world import Backend, World, free_port, wait_for
@@ -129,7 +129,7 @@
             return
         self.serial += 1
         self.began = time.perf_counter_ns()
-        op = Op(f"bench/{self.number}/{self.serial % 50}", "x" * 100)
+        op = KeyUpdate(f"bench/{self.number}/{self.serial % 50}", "x" * 100)
         self.transport.write(self.channel.send(wire.Request(self.serial, wire.Transaction((op,)), 10.0)))
 
 
@@ -194,7 +194,7 @@
         empty = rss(c.processes["n1"].pid)
         with c.remote("n1", 30.0) as r:
             for k in range(0, KEYS, 100):
-                r.one(wire.Transaction(tuple(Op(f"key/{i:08}", i) for i in range(k, k + 100))))
+                r.one(wire.Transaction(tuple(KeyUpdate(f"key/{i:08}", i) for i in range(k, k + 100))))
         full = rss(c.processes["n1"].pid)
         c.processes["n1"].terminate()
         c.processes["n1"].wait(10)
--- a/gradegap/commands/resume.py
+++ b/gradegap/commands/resume.py
@@ -13,7 +13,7 @@
 from gradegap.quic.keys import RING as QUIC_RING
 from gradegap.quic.keys import QuicRing
 from gradegap.resume.token import RING, BadToken, Ring, digest, opened
-from gradegap.store.machine import Compare, Item, Op
+from gradegap.store.machine import Compare, Item, KeyUpdate
 from gradegap.store.remote import Remote
 from gradegap.store.wire import Transaction
 
@@ -51,9 +51,9 @@
 def write(r: Remote, which: Which, ring: Ring | QuicRing, old: Item | None) -> int:
     """Only over the ring that was read: of two who rotate at once, one is told."""
     key = KINDS[which][0]
-    op = Op(key, msgspec.to_builtins(ring))
+    op = KeyUpdate(key, msgspec.to_builtins(ring))
     answer = r.one(
-        Transaction((op,), (Compare(key, old.changed if old is not None else 0),), author=author())
+        Transaction((op,), (Compare(key, old.modified_revision if old is not None else 0),), author=author())
     )
     if not answer.succeeded:
         raise stop("somebody changed the ring at this moment; nothing was done", 1)
--- a/gradegap/commands/store.py
+++ b/gradegap/commands/store.py
@@ -22,7 +22,7 @@
 from gradegap.setting_checks import read_secret
 from gradegap.store import schema, wire
 from gradegap.store.disk import BadFolder
-from gradegap.store.machine import Compare, Event, Item, Op
+from gradegap.store.machine import Compare, Event, Item, KeyUpdate
 from gradegap.store.remote import Remote, StoreError
 
 CODES = {"no": 1, "unreachable": 2, "unknown": 3, "no_quorum": 4}
@@ -77,8 +77,8 @@
     return {
         "key": item.key,
         "value": item.value,
-        "created": item.created,
-        "revision": item.changed,
+        "created": item.created_revision,
+        "revision": item.modified_revision,
         "version": item.version,
         "author": item.author,
         "wall_ms": item.wall_ms,
@@ -407,13 +407,13 @@
     with remote(node, secret, wait) as r:
         then = r.one(wire.ValuesAt(revision, "config/")).status
         now = {i.key: i for i in r.list("config/")}
-        ops = [Op(k, v) for k, v in then.items() if k not in now or now[k].value != v]
-        ops += [Op(k, delete=True) for k in now if k not in then]
+        ops = [KeyUpdate(k, v) for k, v in then.items() if k not in now or now[k].value != v]
+        ops += [KeyUpdate(k, delete=True) for k in now if k not in then]
         if not ops:
             say({"revision": revision, "changed": 0}, json, "nothing has changed since")
             return
         # Guards against a change between the look and the write: then nothing is rolled back.
-        compares = tuple(Compare(op.key, now[op.key].changed if op.key in now else 0) for op in ops)
+        compares = tuple(Compare(op.key, now[op.key].modified_revision if op.key in now else 0) for op in ops)
         answer = r.one(wire.Transaction(tuple(ops), compares, author=author()))
     if not answer.succeeded:
         raise stop("somebody changed configuration at this moment; nothing was rolled back", 1)
--- a/gradegap/node/node.py
+++ b/gradegap/node/node.py
@@ -42,7 +42,7 @@
     from gradegap.observer.attached import ObservedStore
     from gradegap.quic.front import QuicFront
     from gradegap.store.attached import Attached
-    from gradegap.store.machine import Machine
+    from gradegap.store.machine import StateMachine
 
 log = structlog.get_logger()
 
@@ -397,8 +397,8 @@
         if self.quic is not None:
             self.quic.alone()
 
-    def _machine(self) -> Machine | None:
-        return cast("Machine", self.store.machine) if self.store is not None else None
+    def _machine(self) -> StateMachine | None:
+        return cast("StateMachine", self.store.machine) if self.store is not None else None
 
     def _store_allows(self) -> bool:
         """Whether decisions may be made by what is known of the store here."""
--- a/gradegap/observer/attached.py
+++ b/gradegap/observer/attached.py
@@ -22,7 +22,7 @@
 from gradegap.store import wire
 from gradegap.store.committed import CALL_WAIT, CONFIG, OUT, CommittedState
 from gradegap.store.dynamic_configuration import DynamicConfiguration
-from gradegap.store.machine import Item, Op
+from gradegap.store.machine import Item, KeyUpdate
 
 log = structlog.get_logger()
 
@@ -162,7 +162,7 @@
         """Yes, once it is committed and in force at every node that decides."""
         self._write(self.committed.back_by_hand(server), done)
 
-    def _write(self, op: Op, done: Done) -> None:
+    def _write(self, op: KeyUpdate, done: Done) -> None:
         def answered(answer: wire.Response) -> None:
             if answer.outcome == "ok":
                 done(DONE)
--- a/gradegap/observer/server.py
+++ b/gradegap/observer/server.py
@@ -284,10 +284,10 @@
 
         if connection.requests_in_flight > MAX_REQUESTS_IN_FLIGHT:
             done(wire.Response(0, "no", f"busy: more than {MAX_REQUESTS_IN_FLIGHT} requests at once"))
-        elif not isinstance(ask.wish, ALLOWED_REQUESTS):
+        elif not isinstance(ask.body, ALLOWED_REQUESTS):
             done(wire.Response(0, "no", "not_here: ask a member of the store at its own address"))
         else:
-            self.host.requests.request(ask.wish, done, ask.left)
+            self.host.requests.request(ask.body, done, ask.timeout_s)
 
     def writing_paused(self, connection: Connection) -> None:
         """Its node reads too slowly."""
--- a/gradegap/observer/source.py
+++ b/gradegap/observer/source.py
@@ -6,17 +6,17 @@
 
 from gradegap.observer.history import is_subscribed
 from gradegap.observer.messages import Change
-from gradegap.store.machine import Machine
+from gradegap.store.machine import StateMachine
 
 
 class MachineSource:
     """A `history.Source` over the applied state of a member of the store.
 
-    It keeps nothing of its own, so it follows `Machine.load` of a snapshot as it is: the machine's history
+    It keeps nothing of its own, so it follows `StateMachine.load_state` of a snapshot as it is: the history
     then begins at that snapshot, and what is older counts as compacted.
     """
 
-    def __init__(self, machine: Machine) -> None:
+    def __init__(self, machine: StateMachine) -> None:
         self.machine = machine
 
     @property
@@ -33,7 +33,7 @@
         """All changes of subscribed keys after `revision`, in order; None where they are compacted."""
         if revision >= self.machine.revision:
             return []
-        if revision + 1 < self.machine.first_watchable:
+        if revision + 1 < self.machine.first_retained_revision:
             return None
         # From the newest backwards: what is asked for is nearly always the last few of ten thousand.
         newer = takewhile(lambda event: event.revision > revision, reversed(self.machine.events))
@@ -48,7 +48,7 @@
     def items(self) -> list[Change]:
         """All subscribed keys with their values."""
         return [
-            Change(item.changed, item.key, item.value)
+            Change(item.modified_revision, item.key, item.value)
             for item in self.machine.items.values()
             if is_subscribed(item.key)
         ]
--- a/gradegap/quic/front.py
+++ b/gradegap/quic/front.py
@@ -37,7 +37,7 @@
 from gradegap.quic.trace import Traces
 
 if TYPE_CHECKING:
-    from gradegap.store.machine import Machine
+    from gradegap.store.machine import StateMachine
 
 log = structlog.get_logger()
 
@@ -71,7 +71,7 @@
         ready: Callable[[], bool],
         settings: QuicSettings,
         name: str,
-        machine: Callable[[], Machine | None],
+        machine: Callable[[], StateMachine | None],
     ) -> None:
         """`name` is the node's; `machine` the store's, where there is one by now."""
         self.proxy = proxy
@@ -235,9 +235,9 @@
         """The store's ring, as soon as it has one, and whenever it has turned."""
         machine = self.machine()
         item = machine.get(RING) if machine is not None else None
-        if item is None or item.changed == self.ring_at:
+        if item is None or item.modified_revision == self.ring_at:
             return
-        self.ring_at = item.changed
+        self.ring_at = item.modified_revision
         try:
             keys = Keys(msgspec.convert(item.value, QuicRing))
         except ValueError as error:
--- a/gradegap/resume/claims.py
+++ b/gradegap/resume/claims.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from gradegap.resume.token import LIFE, SKEW, Place
-from gradegap.store.machine import Compare, Item, Op
+from gradegap.store.machine import Compare, Item, KeyUpdate
 
 CLAIMS = "claims/"
 MOST_LOCAL = 20_000
@@ -62,7 +62,7 @@
 
 def claim(
     place: Place, node: str, found: Item | None, by: str = "", now: float = 0.0, returns: bool = True
-) -> tuple[int, Compare, Op]:
+) -> tuple[int, Compare, KeyUpdate]:
     """The new life, and the write that takes the session over from the one that the token names, given what
     the store has. It holds only where nobody else was first; `Claimed` where somebody was already.
 
@@ -76,8 +76,8 @@
         except msgspec.ValidationError:
             raise Claimed("claimed: what holds it can't be read") from None
     made = following(place, node, held, by, now, returns)
-    op = Op(key, msgspec.to_builtins(made), ttl_ms=(LIFE + 2 * SKEW) * 1000)
-    return made.epoch, Compare(key, found.changed if found is not None else 0), op
+    op = KeyUpdate(key, msgspec.to_builtins(made), ttl_ms=(LIFE + 2 * SKEW) * 1000)
+    return made.epoch, Compare(key, found.modified_revision if found is not None else 0), op
 
 
 class LocalClaims:
--- a/gradegap/resume/part.py
+++ b/gradegap/resume/part.py
@@ -28,7 +28,7 @@
 from gradegap.resume.token import RING, BadToken, Place, Ring, digest, opened, seal
 from gradegap.resume.window import WINDOW
 from gradegap.store import wire
-from gradegap.store.machine import Machine
+from gradegap.store.machine import StateMachine
 
 log = structlog.get_logger()
 
@@ -52,7 +52,7 @@
     """The node's store, as far as it is needed here."""
 
     @property
-    def machine(self) -> Machine: ...
+    def machine(self) -> StateMachine: ...
     @property
     def service(self) -> Service: ...
     @property
--- a/gradegap/store/attached.py
+++ b/gradegap/store/attached.py
@@ -25,7 +25,7 @@
 from gradegap.store.dynamic_configuration import DynamicConfiguration
 from gradegap.store.gossip import PERIOD, Learner
 from gradegap.store.links import Link
-from gradegap.store.machine import Event, Machine, Op
+from gradegap.store.machine import Event, KeyUpdate, StateMachine
 from gradegap.store.service import Service
 from gradegap.store.settings import StoreSettings
 from gradegap.store.subscriptions import SubscriptionServerFactory
@@ -65,7 +65,7 @@
         self.daemon.lease_changed = self._look
         self.daemon.gossiped = self._gossiped
         self.daemon.met = self._met
-        self.daemon.machine.watchers.append(self._events)
+        self.daemon.machine.listeners.append(self._events)
         self.learner = Learner(settings.name, proxy, metrics, told)
         self.was_fresh: bool | None = None
         self.synced = False
@@ -73,7 +73,7 @@
         metrics.gauge("store_fresh", lambda: int(self.fresh()))
 
     @property
-    def machine(self) -> Machine:
+    def machine(self) -> StateMachine:
         return self.daemon.machine
 
     @property
@@ -139,7 +139,7 @@
     def call_back(self, server: str, done: Done) -> None:
         self._write(self.committed.back_by_hand(server), done)
 
-    def _write(self, op: Op, done: Done) -> None:
+    def _write(self, op: KeyUpdate, done: Done) -> None:
         def answered(answer: wire.Response) -> None:
             if answer.outcome == "ok":
                 done(DONE)
--- a/gradegap/store/committed.py
+++ b/gradegap/store/committed.py
@@ -7,7 +7,7 @@
 from gradegap.proxy.proxy import Proxy
 from gradegap.store import schema
 from gradegap.store.dynamic_configuration import DynamicConfiguration
-from gradegap.store.machine import Op
+from gradegap.store.machine import KeyUpdate
 
 OUT = "out/"
 CONFIG = "config/"
@@ -43,10 +43,10 @@
         else:
             self.live.apply(name, value)
 
-    def out_by_hand(self, server: str, author: str) -> Op:
+    def out_by_hand(self, server: str, author: str) -> KeyUpdate:
         """The write that takes a save server out from now on."""
-        return Op(OUT + server, {"at_ms": round(self.proxy.now() * 1000), "by": author})
+        return KeyUpdate(OUT + server, {"at_ms": round(self.proxy.now() * 1000), "by": author})
 
-    def back_by_hand(self, server: str) -> Op:
+    def back_by_hand(self, server: str) -> KeyUpdate:
         """The write that calls a save server back."""
-        return Op(OUT + server, delete=True)
+        return KeyUpdate(OUT + server, delete=True)
--- a/gradegap/store/daemon.py
+++ b/gradegap/store/daemon.py
@@ -37,7 +37,17 @@
 from gradegap.store.in_force import MachineReport
 from gradegap.store.leases import Granter, Holder
 from gradegap.store.links import Dial, Link, Network
-from gradegap.store.machine import Command, Expire, Logged, Machine, Result, State, encode, pack, unpack
+from gradegap.store.machine import (
+    Command,
+    Expire,
+    LogRecord,
+    Result,
+    StateMachine,
+    StoreState,
+    decode_snapshot,
+    encode,
+    encode_snapshot,
+)
 from gradegap.store.service import Service
 from gradegap.store.settings import StoreSettings
 from gradegap.store.subscriptions import SubscriptionServer, SubscriptionServerFactory
@@ -79,8 +89,8 @@
         self.net.me = me = Member(self.identity.id, settings.name, settings.advertise or settings.listen)
         self.net.cluster = self.identity.cluster
         self.net.lease_s = settings.lease_s
-        self.machine = Machine()
-        self.machine.load(self.found.state)
+        self.machine = StateMachine()
+        self.machine.load_state(self.found.state)
         self.raft: Raft | None = None
         self.service = Service(self)
         self.forming = Forming(settings, me)
@@ -94,7 +104,7 @@
         self.writing = False
         self.compacting = 0
         self.packing = False
-        self.loaded: State | None = None  # the latest snapshot that came, until it is written
+        self.loaded: StoreState | None = None  # the latest snapshot that came, until it is written
         self.removed = False
         self.closed = False
         self.led = False
@@ -270,12 +280,12 @@
     def log_clock(self) -> int:
         """The time of the log, as the leader has it: steady, and never behind what was logged."""
         at, base = self.clock_base
-        return max(self.machine.clock, base + int((time.monotonic() - at) * 1000))
+        return max(self.machine.clock_ms, base + int((time.monotonic() - at) * 1000))
 
     def propose(self, body: Command | Expire) -> int:
         """`RequestRejectedError` where it can't be; else the index to wait for. `settle` has to follow."""
         assert self.raft is not None
-        logged = Logged(self.log_clock(), time.time_ns() // 1_000_000, body)
+        logged = LogRecord(self.log_clock(), time.time_ns() // 1_000_000, body)
         index = self.raft.propose(time.monotonic(), encode(logged))
         self.loop.call_soon(self.flush)
         return index
@@ -296,12 +306,12 @@
             self._send(to, message)
         if out.snapshot is not None:
             try:
-                state = unpack(out.snapshot.data)
+                state = decode_snapshot(out.snapshot.data)
             except ValueError as error:
                 self._fail(BadFolder(f"a snapshot that came can't be read: {error}"))
                 return
             self.metrics.count("store_snapshots_taken")
-            self.machine.load(state)
+            self.machine.load_state(state)
             self.loaded = state
         for entry in out.committed_entries:
             self._apply(entry)
@@ -395,7 +405,7 @@
             now = time.monotonic()
             if raft.is_leader:
                 self.metrics.count("store_elected")
-                self.clock_base = (now, self.machine.clock)
+                self.clock_base = (now, self.machine.clock_ms)
                 self.granter = Granter(now, self.raft_settings.max_clock_drift, self.settings.lease_s)
                 log.info("leads", term=raft.term)
             else:
@@ -417,9 +427,9 @@
             self.packing = False
             return
         meta = SnapshotMetadata(index, term, raft.log.configuration_at(index))
-        state = self.machine.state()
+        state = self.machine.export_state()
         self.metrics.count("store_snapshots_made")
-        self.in_thread(self.thread.submit(pack, state), lambda data: self._packed(meta, data))
+        self.in_thread(self.thread.submit(encode_snapshot, state), lambda data: self._packed(meta, data))
 
     def _packed(self, meta: SnapshotMetadata, data: bytes) -> None:
         self.packing = False
@@ -478,10 +488,10 @@
                     batch.entries = [e for e in batch.entries if e.index < entry.index]
                 batch.entries.append(entry)
         if batch.whole is None or self.machine.index >= batch.whole.index:
-            batch.dirty = self.machine.drain()
+            batch.dirty = self.machine.take_unsaved()
         self.loaded = None
         m = self.machine
-        batch.applied = (m.index, m.revision, m.clock)
+        batch.applied = (m.index, m.revision, m.clock_ms)
         if raft.log.size_bytes > COMPACT_BYTES or len(raft.log.entries) > COMPACT_ENTRIES:
             self._compact_with(batch, raft)
         return batch
@@ -575,8 +585,8 @@
                 raft.step(time.monotonic(), link.id, word.message)
                 self.settle()
             case wire.ClusterFormed() if link.id and not self.identity.cluster:
-                if word.config.get(self.identity.id) is not None:
-                    self._form(word.cluster, word.config)
+                if word.configuration.get(self.identity.id) is not None:
+                    self._form(word.cluster, word.configuration)
                     self._want_links()
             case wire.Join() if link.id == word.member.id and raft is not None:
                 self.service.take_in(link, word.member)
@@ -622,7 +632,7 @@
 
     def _granted(self, g: wire.LeaseGrant) -> None:
         now = time.monotonic()
-        self.holder.granted(now, g.serial, g.term, g.index, g.duration, self.machine.index)
+        self.holder.granted(now, g.serial, g.term, g.index, g.duration_s, self.machine.index)
         if self.publisher is not None:
             self.publisher.lease(self.holder.until)
         self.lease_changed()
@@ -640,7 +650,7 @@
         """Ask a member, whoever leads; no where it is away, or of a release that can't read it."""
         dial = self.net.dials.get(member.address)
         theirs = dial.link.channel.theirs if dial is not None and dial.link is not None else None
-        if theirs is None or wire.IN_FORCE_TAG not in theirs.reads:
+        if theirs is None or wire.IN_FORCE_TAG not in theirs.readable_requests:
             return False
         return self.net.send(member.id, member.address, ask)
 
--- a/gradegap/store/disk.py
+++ b/gradegap/store/disk.py
@@ -21,7 +21,7 @@
 import msgspec
 
 from gradegap.raft import ClusterConfiguration, Entry, HardState, SnapshotMetadata
-from gradegap.store.machine import Dirty, Event, Item, Session, State
+from gradegap.store.machine import Event, Item, Session, StoreState, UnsavedChanges
 from gradegap.store.settings import StoreSettings
 
 T = TypeVar("T")
@@ -60,9 +60,9 @@
     hard: HardState | None = None
     identity: Identity | None = None
     base: SnapshotMetadata | None = None  # entries up to here can go
-    whole: State | None = None  # in place of all state and log
+    whole: StoreState | None = None  # in place of all state and log
     entries: list[Entry] = field(default_factory=list)
-    dirty: Dirty | None = None
+    dirty: UnsavedChanges | None = None
     applied: tuple[int, int, int] | None = None  # index, revision, clock of the state with `dirty`
 
 
@@ -74,7 +74,7 @@
     hard: HardState
     base: SnapshotMetadata
     entries: list[Entry]
-    state: State
+    state: StoreState
 
 
 def seal(key: bytes, body: bytes) -> bytes:
@@ -195,7 +195,7 @@
         if not base.index <= index <= base.index + len(entries):
             raise ValueError(f"its state is of entry {index}, its log ends at {base.index + len(entries)}")
         items, events = every(self.keys, Item), every(self.history, Event)
-        state = State(index, revision, clock, items, events, every(self.sessions, Session))
+        state = StoreState(index, revision, clock, items, events, every(self.sessions, Session))
         return Found(one(b"identity", Identity), one(b"hard", HardState), base, entries, state)
 
     @contextmanager
@@ -230,7 +230,7 @@
             for item in b.whole.items:
                 put(self.keys, item.key.encode(), item)
             for event in b.whole.events:
-                put(self.history, place(event.revision) + place(event.order), event)
+                put(self.history, place(event.revision) + place(event.position), event)
             for session in b.whole.sessions:
                 put(self.sessions, session.client.encode(), session)
             self.point("whole")
@@ -252,16 +252,16 @@
             put(self.meta, b"base", b.base)
             self._cut(txn, self.log, None, place(b.base.index + 1))
 
-    def _put_dirty(self, txn: lmdb.Transaction, dirty: Dirty, put: Put) -> None:
+    def _put_dirty(self, txn: lmdb.Transaction, dirty: UnsavedChanges, put: Put) -> None:
         for key, item in dirty.items.items():
             if item is None:
                 txn.delete(key.encode(), db=self.keys)
             else:
                 put(self.keys, key.encode(), item)
         for event in dirty.events:
-            put(self.history, place(event.revision) + place(event.order), event)
-        if dirty.events_from:
-            self._cut(txn, self.history, None, place(dirty.events_from))
+            put(self.history, place(event.revision) + place(event.position), event)
+        if dirty.first_kept_revision:
+            self._cut(txn, self.history, None, place(dirty.first_kept_revision))
         for client, session in dirty.sessions.items():
             if session is None:
                 txn.delete(client.encode(), db=self.sessions)
--- a/gradegap/store/gossip.py
+++ b/gradegap/store/gossip.py
@@ -65,11 +65,11 @@
         self.metrics.count("gossip_heard")
         now = self.proxy.now()
         changed: list[tuple[EndpointEntry, str]] = []
-        for learned in gossip.learned[:MOST]:
+        for learned in gossip.reports[:MOST]:
             if not self._fit(learned):
                 self.metrics.count("gossip_unfit")
                 continue
-            b = self.proxy.endpoints.get(learned.server)
+            b = self.proxy.endpoints.get(learned.endpoint_id)
             if b is None or b.entry is None:
                 self.metrics.count("gossip_unknown_server")
             elif learned.kind == "silent":
@@ -83,12 +83,12 @@
                         phase=EndpointPhase(learned.phase), started_at=learned.started_at
                     )
                     changed.append((entry, ""))
-            elif learned.age > OLDEST or now - learned.age < b.report_at + NEWER:
+            elif learned.age_s > OLDEST or now - learned.age_s < b.report_at + NEWER:
                 self.metrics.count("gossip_old")
             else:
                 self.metrics.count("gossip_taken")
                 b.report_from_peer = True
-                self.proxy.record_report(now - learned.age, b.id, learned.report)
+                self.proxy.record_report(now - learned.age_s, b.id, learned.report)
         if changed:
             self.metrics.count("gossip_listed", len(changed))
             self.proxy.update_endpoints(EndpointListKind.DELTA, changed)
@@ -96,9 +96,9 @@
     def _silent(self, learned: GossipReport, b: Endpoint, now: float) -> None:
         """A sibling's probe was left unanswered: the module hears of it as of one of its own, and no more
         often than of its own, where this node has no later answer."""
-        at = now - learned.age
+        at = now - learned.age_s
         known = max(b.unanswered_at, self.silent.get(b.id, -1e9)) + NEWER
-        if at <= max(b.report_at, known) or learned.age > OLDEST:
+        if at <= max(b.report_at, known) or learned.age_s > OLDEST:
             self.metrics.count("gossip_old")
             return
         self.silent[b.id] = at  # apart from what this node saw itself, which alone it tells on
@@ -109,13 +109,13 @@
         """Guards the module against figures that no probe could have brought."""
         report = learned.report or {}
         if learned.kind == "silent":
-            return learned.report is None and 0.0 <= learned.age < 3600.0
+            return learned.report is None and 0.0 <= learned.age_s < 3600.0
         if learned.kind == "listed":
             return learned.report is None and learned.phase in PHASES and 0 <= learned.started_at < 1e11
         return (
             learned.kind == "report"
             and learned.report is not None
-            and 0.0 <= learned.age < 3600.0
+            and 0.0 <= learned.age_s < 3600.0
             and len(report) <= MOST_FIELDS
             and all(math.isfinite(v) and v >= 0.0 for v in report.values())
         )
--- a/gradegap/store/machine.py
+++ b/gradegap/store/machine.py
@@ -15,15 +15,15 @@
 
 import msgspec
 
-LONGEST_KEY = 480  # bytes: what LMDB takes
-LARGEST_VALUE = 64 * 1024  # bytes, as msgpack
-MOST_KEYS = 200_000
-MOST_BYTES = 128 * 1024 * 1024  # of keys and values together
-MOST_OPS = 128  # in a transaction
-MOST_SESSIONS = 50_000  # of writes at once at all members, and of clients that name themselves
-HISTORY = 10_000  # events that can be watched from, and rolled back
-HISTORY_BYTES = 16 * 1024 * 1024
-LONGEST_TTL = 366 * 86_400_000  # ms
+MAX_KEY_BYTES = 480  # bytes: what LMDB takes
+MAX_VALUE_BYTES = 64 * 1024  # bytes, as msgpack
+MAX_KEYS = 200_000
+MAX_STATE_BYTES = 128 * 1024 * 1024  # of keys and values together
+MAX_TRANSACTION_UPDATES = 128  # in a transaction
+MAX_SESSIONS = 50_000  # of writes at once at all members, and of clients that name themselves
+MAX_HISTORY_EVENTS = 10_000  # events that can be watched from, and rolled back
+MAX_HISTORY_BYTES = 16 * 1024 * 1024
+MAX_TTL_MS = 366 * 86_400_000  # ms
 
 
 class Item(msgspec.Struct, frozen=True, array_like=True):
@@ -31,10 +31,10 @@
 
     key: str
     value: Any
-    created: int
-    changed: int
+    created_revision: int
+    modified_revision: int
     version: int = 1  # how often it was written since it was made
-    expires: int = 0  # log time in ms; 0: never
+    expires_at_ms: int = 0  # log time in ms; 0: never
     author: str = ""
     wall_ms: int = 0  # when, by the wall clock of the leader of then
 
@@ -46,12 +46,12 @@
     key: str
     value: Any
     deleted: bool
-    before: Any
-    existed: bool
+    previous_value: Any
+    existed_before: bool
     author: str
     wall_ms: int
     cause: str = "write"  # or "expired"
-    order: int = 0  # within the revision
+    position: int = 0  # within the revision
 
 
 class Compare(msgspec.Struct, frozen=True, array_like=True):
@@ -62,7 +62,7 @@
     value: Any = None
 
 
-class Op(msgspec.Struct, frozen=True, array_like=True):
+class KeyUpdate(msgspec.Struct, frozen=True, array_like=True):
     """A put, or a delete; `ttl_ms` after which the leader ends the key."""
 
     key: str
@@ -80,18 +80,18 @@
 
     client: str
     seq: int
-    until: int
+    deadline_ms: int
     author: str
     compares: tuple[Compare, ...] = ()
-    then: tuple[Op, ...] = ()
-    otherwise: tuple[Op, ...] = ()
+    then: tuple[KeyUpdate, ...] = ()
+    otherwise: tuple[KeyUpdate, ...] = ()
 
 
 class Expire(msgspec.Struct, frozen=True, array_like=True, tag="expire"):
     """Ends the keys whose time is over by the time of this entry."""
 
 
-class Logged(msgspec.Struct, frozen=True, array_like=True):
+class LogRecord(msgspec.Struct, frozen=True, array_like=True):
     """An entry's data: the leader's log time and wall clock, and what is to be done."""
 
     time_ms: int
@@ -110,64 +110,64 @@
 class Session(msgspec.Struct, frozen=True, array_like=True):
     client: str
     seq: int
-    until: int
+    remembered_until_ms: int
     result: Result
 
 
-class State(msgspec.Struct, frozen=True, array_like=True):
+class StoreState(msgspec.Struct, frozen=True, array_like=True):
     """All of it, as a snapshot has it."""
 
     index: int
     revision: int
-    clock: int
+    clock_ms: int
     items: list[Item]
     events: list[Event]
     sessions: list[Session]
 
 
-_logged: msgspec.msgpack.Decoder[Logged] = msgspec.msgpack.Decoder(Logged)
-_state: msgspec.msgpack.Decoder[State] = msgspec.msgpack.Decoder(State)
+_logged: msgspec.msgpack.Decoder[LogRecord] = msgspec.msgpack.Decoder(LogRecord)
+_state: msgspec.msgpack.Decoder[StoreState] = msgspec.msgpack.Decoder(StoreState)
 encode = msgspec.msgpack.Encoder().encode
 
 
-class BadCommand(ValueError):
+class CommandError(ValueError):
     """A command that no member applies; its text begins with the reason."""
 
 
-def check_op(op: Op) -> None:
+def check_update(op: KeyUpdate) -> None:
     """Guards the state against keys and values that would fill it; the same rule at every member."""
-    if not 0 < len(op.key.encode()) <= LONGEST_KEY or not op.key.isprintable() or " " in op.key:
-        raise BadCommand("bad_key: a key has 1 to 480 bytes of printable characters and no space")
-    if not op.delete and len(encode(op.value)) > LARGEST_VALUE:
-        raise BadCommand(f"too_large: a value has at most {LARGEST_VALUE} bytes")
-    if not 0 <= op.ttl_ms <= LONGEST_TTL:
-        raise BadCommand("bad_ttl: a time to live is 0 to 366 days")
+    if not 0 < len(op.key.encode()) <= MAX_KEY_BYTES or not op.key.isprintable() or " " in op.key:
+        raise CommandError("bad_key: a key has 1 to 480 bytes of printable characters and no space")
+    if not op.delete and len(encode(op.value)) > MAX_VALUE_BYTES:
+        raise CommandError(f"too_large: a value has at most {MAX_VALUE_BYTES} bytes")
+    if not 0 <= op.ttl_ms <= MAX_TTL_MS:
+        raise CommandError("bad_ttl: a time to live is 0 to 366 days")
 
 
 @dataclass(slots=True)
-class Dirty:
+class UnsavedChanges:
     """What is to be written since the last time."""
 
     items: dict[str, Item | None] = field(default_factory=dict)
     events: list[Event] = field(default_factory=list)
-    events_from: int = 0  # those of earlier revisions can go
+    first_kept_revision: int = 0  # those of earlier revisions can go
     sessions: dict[str, Session | None] = field(default_factory=dict)
 
 
-class Machine:
+class StateMachine:
     def __init__(self) -> None:
         self.index = 0  # of the last entry that was applied
         self.revision = 0
-        self.clock = 0  # log time, ms
+        self.clock_ms = 0  # log time, ms
         self.items: dict[str, Item] = {}
-        self.size = 0
+        self.size_bytes = 0
         self.events: deque[Event] = deque()
-        self.event_bytes = 0
+        self.history_bytes = 0
         self.sessions: dict[str, Session] = {}
-        self.dirty = Dirty()
-        self.watchers: list[Callable[[list[Event]], None]] = []
-        self._ending: list[tuple[int, str]] = []
-        self._forgetting: list[tuple[int, str]] = []
+        self.unsaved = UnsavedChanges()
+        self.listeners: list[Callable[[list[Event]], None]] = []
+        self._expiry_queue: list[tuple[int, str]] = []
+        self._session_queue: list[tuple[int, str]] = []
 
     # What an entry does
 
@@ -175,7 +175,7 @@
         """An entry of the log, in order. It never raises for what a client said: that is its result."""
         self.index = index
         logged = _logged.decode(data)
-        self.clock = max(self.clock, logged.time_ms)
+        self.clock_ms = max(self.clock_ms, logged.time_ms)
         self._forget_sessions()
         if isinstance(logged.body, Expire):
             return self._expire(logged.wall_ms)
@@ -191,52 +191,54 @@
             if known.seq == c.seq:
                 return known.result
             return Result(self.revision, False, "stale: a later command of this client is applied")
-        if c.until < self.clock:
+        if c.deadline_ms < self.clock_ms:
             return Result(self.revision, False, "too_old: it came after its time")
-        if known is None and len(self.sessions) >= MOST_SESSIONS:
+        if known is None and len(self.sessions) >= MAX_SESSIONS:
             return Result(self.revision, False, "busy: too many clients wrote within the last minute")
         result = self._transact(c, wall_ms)
-        until = max(c.until, known.until if known is not None else 0)
+        until = max(c.deadline_ms, known.remembered_until_ms if known is not None else 0)
         session = self.sessions[c.client] = Session(c.client, c.seq, until, result)
-        self.dirty.sessions[c.client] = session
-        heapq.heappush(self._forgetting, (until, c.client))
+        self.unsaved.sessions[c.client] = session
+        heapq.heappush(self._session_queue, (until, c.client))
         return result
 
     def _transact(self, c: Command, wall_ms: int) -> Result:
-        held = all(self._holds(compare) for compare in c.compares)
+        held = all(self._compare_holds(compare) for compare in c.compares)
         ops = c.then if held else c.otherwise
         try:
-            self._check(ops)
-        except BadCommand as error:
+            self._check_transaction(ops)
+        except CommandError as error:
             return Result(self.revision, False, str(error))
         events: list[Event] = []
         for op in ops:
-            self._do(op, c.author, wall_ms, events)
-        self._commit(events)
+            self._update(op, c.author, wall_ms, events)
+        self._commit_events(events)
         return Result(self.revision, held)
 
-    def _check(self, ops: tuple[Op, ...]) -> None:
+    def _check_transaction(self, ops: tuple[KeyUpdate, ...]) -> None:
         """All of a transaction, or none of it."""
-        if len(ops) > MOST_OPS:
-            raise BadCommand(f"too_large: a transaction has at most {MOST_OPS} parts")
+        if len(ops) > MAX_TRANSACTION_UPDATES:
+            raise CommandError(f"too_large: a transaction has at most {MAX_TRANSACTION_UPDATES} parts")
         if len({op.key for op in ops}) != len(ops):
-            raise BadCommand("twice: a transaction names each key once")
+            raise CommandError("twice: a transaction names each key once")
         new, grown = 0, 0
         for op in ops:
-            check_op(op)
+            check_update(op)
             if not op.delete:
                 new += op.key not in self.items
                 grown += len(op.key) + len(encode(op.value))
-        if len(self.items) + new > MOST_KEYS or self.size + grown > MOST_BYTES:
-            raise BadCommand("full: the store has no room for more")
+        if len(self.items) + new > MAX_KEYS or self.size_bytes + grown > MAX_STATE_BYTES:
+            raise CommandError("full: the store has no room for more")
 
-    def _holds(self, compare: Compare) -> bool:
+    def _compare_holds(self, compare: Compare) -> bool:
         item = self.items.get(compare.key)
         if compare.revision is not None:
-            return (0 if item is None else item.changed) == compare.revision
+            return (0 if item is None else item.modified_revision) == compare.revision
         return item is not None and bool(item.value == compare.value)
 
-    def _do(self, op: Op, author: str, wall_ms: int, events: list[Event], cause: str = "write") -> None:
+    def _update(
+        self, op: KeyUpdate, author: str, wall_ms: int, events: list[Event], cause: str = "write"
+    ) -> None:
         old = self.items.get(op.key)
         if op.delete and old is None:
             return
@@ -246,70 +248,74 @@
             Event(revision, op.key, op.value, op.delete, before, existed, author, wall_ms, cause, len(events))
         )
         if old is not None:
-            self.size -= len(old.key) + len(encode(old.value))
+            self.size_bytes -= len(old.key) + len(encode(old.value))
         if op.delete:
             del self.items[op.key]
-            self.dirty.items[op.key] = None
+            self.unsaved.items[op.key] = None
             return
-        made, version = (revision, 1) if old is None else (old.created, old.version + 1)
-        expires = self.clock + op.ttl_ms if op.ttl_ms else 0
+        made, version = (revision, 1) if old is None else (old.created_revision, old.version + 1)
+        expires = self.clock_ms + op.ttl_ms if op.ttl_ms else 0
         item = Item(op.key, op.value, made, revision, version, expires, author, wall_ms)
-        self._put(item)
-        self.dirty.items[op.key] = item
+        self._insert(item)
+        self.unsaved.items[op.key] = item
 
-    def _put(self, item: Item) -> None:
+    def _insert(self, item: Item) -> None:
         self.items[item.key] = item
-        self.size += len(item.key) + len(encode(item.value))
-        if item.expires:
-            heapq.heappush(self._ending, (item.expires, item.key))
+        self.size_bytes += len(item.key) + len(encode(item.value))
+        if item.expires_at_ms:
+            heapq.heappush(self._expiry_queue, (item.expires_at_ms, item.key))
 
-    def _commit(self, events: list[Event]) -> None:
+    def _commit_events(self, events: list[Event]) -> None:
         if not events:
             return
         self.revision += 1
-        self.dirty.events += events
+        self.unsaved.events += events
         for event in events:
-            self._remember(event)
-        while len(self.events) > HISTORY or self.event_bytes > HISTORY_BYTES:
-            self.event_bytes -= event_size(self.events.popleft())
+            self._append_history(event)
+        while len(self.events) > MAX_HISTORY_EVENTS or self.history_bytes > MAX_HISTORY_BYTES:
+            self.history_bytes -= event_size(self.events.popleft())
         # A revision is remembered whole or not at all.
-        while self.events and self.events[0].order:
-            self.event_bytes -= event_size(self.events.popleft())
-        self.dirty.events_from = self.events[0].revision if self.events else self.revision + 1
-        for watcher in list(self.watchers):
+        while self.events and self.events[0].position:
+            self.history_bytes -= event_size(self.events.popleft())
+        self.unsaved.first_kept_revision = self.events[0].revision if self.events else self.revision + 1
+        for watcher in list(self.listeners):
             watcher(events)
 
-    def _remember(self, event: Event) -> None:
+    def _append_history(self, event: Event) -> None:
         self.events.append(event)
-        self.event_bytes += event_size(event)
+        self.history_bytes += event_size(event)
 
     def _expire(self, wall_ms: int) -> Result:
         events: list[Event] = []
-        while self._ending and self._ending[0][0] <= self.clock and len(events) < MOST_OPS:
-            expires, key = heapq.heappop(self._ending)
+        while (
+            self._expiry_queue
+            and self._expiry_queue[0][0] <= self.clock_ms
+            and len(events) < MAX_TRANSACTION_UPDATES
+        ):
+            expires, key = heapq.heappop(self._expiry_queue)
             item = self.items.get(key)
-            if item is not None and item.expires == expires:
-                self._do(Op(key, delete=True), item.author, wall_ms, events, "expired")
-        self._commit(events)
+            if item is not None and item.expires_at_ms == expires:
+                self._update(KeyUpdate(key, delete=True), item.author, wall_ms, events, "expired")
+        self._commit_events(events)
         return Result(self.revision)
 
     def next_expiry(self) -> int | None:
         """The log time at which the next key ends."""
-        while self._ending:
-            expires, key = self._ending[0]
+        while self._expiry_queue:
+            expires, key = self._expiry_queue[0]
             item = self.items.get(key)
-            if item is not None and item.expires == expires:
+            if item is not None and item.expires_at_ms == expires:
                 return expires
-            heapq.heappop(self._ending)
+            heapq.heappop(self._expiry_queue)
         return None
 
     def _forget_sessions(self) -> None:
-        while self._forgetting and self._forgetting[0][0] < self.clock:
-            until, client = heapq.heappop(self._forgetting)
+        while self._session_queue and self._session_queue[0][0] < self.clock_ms:
+            until, client = heapq.heappop(self._session_queue)
             session = self.sessions.get(client)
-            if session is not None and session.until == until:
+            if session is not None and session.remembered_until_ms == until:
                 del self.sessions[client]
-                self.dirty.sessions[client] = None
+                self.unsaved.sessions[client] = None
 
     # What is read
 
@@ -320,28 +326,28 @@
         return [self.items[k] for k in sorted(self.items) if k.startswith(prefix)]
 
     @property
-    def first_watchable(self) -> int:
+    def first_retained_revision(self) -> int:
         return self.events[0].revision if self.events else self.revision + 1
 
-    def since(self, revision: int, prefix: str = "") -> Iterator[Event]:
-        """Changes from `revision` on; `BadCommand` where they are forgotten."""
-        if revision < self.first_watchable:
-            raise BadCommand(f"compacted: changes are kept from revision {self.first_watchable}")
+    def events_since(self, revision: int, prefix: str = "") -> Iterator[Event]:
+        """Changes from `revision` on; `CommandError` where they are forgotten."""
+        if revision < self.first_retained_revision:
+            raise CommandError(f"compacted: changes are kept from revision {self.first_retained_revision}")
         return (e for e in self.events if e.revision >= revision and e.key.startswith(prefix))
 
-    def at(self, revision: int, prefix: str) -> dict[str, Any]:
-        """The values as they were after `revision`; `BadCommand` where that is forgotten."""
+    def values_at(self, revision: int, prefix: str) -> dict[str, Any]:
+        """The values as they were after `revision`; `CommandError` where that is forgotten."""
         if not 0 <= revision <= self.revision:
-            raise BadCommand(f"no_such_revision: the store is at {self.revision}")
-        if revision + 1 < self.first_watchable:
-            raise BadCommand(f"compacted: changes are kept from revision {self.first_watchable}")
+            raise CommandError(f"no_such_revision: the store is at {self.revision}")
+        if revision + 1 < self.first_retained_revision:
+            raise CommandError(f"compacted: changes are kept from revision {self.first_retained_revision}")
         then = {i.key: i.value for i in self.list(prefix)}
         for event in reversed(self.events):
             if event.revision <= revision:
                 break
             if event.key.startswith(prefix):
-                if event.existed:
-                    then[event.key] = event.before
+                if event.existed_before:
+                    then[event.key] = event.previous_value
                 else:
                     then.pop(event.key, None)
         return then
@@ -355,34 +361,44 @@
             made.update(encode(self.items[key]))
         return made.hexdigest()
 
-    def state(self) -> State:
-        return State(
+    def export_state(self) -> StoreState:
+        return StoreState(
             self.index,
             self.revision,
-            self.clock,
+            self.clock_ms,
             list(self.items.values()),
             list(self.events),
             list(self.sessions.values()),
         )
 
-    def load(self, state: State) -> None:
+    def load_state(self, state: StoreState) -> None:
         """Take a state in place of this one. Watchers see the difference as changes of its revision."""
         old, self.items = self.items, {}
-        self.index, self.revision, self.clock = state.index, state.revision, state.clock
-        self.size, self._ending, self._forgetting = 0, [], []
+        self.index, self.revision, self.clock_ms = state.index, state.revision, state.clock_ms
+        self.size_bytes, self._expiry_queue, self._session_queue = 0, [], []
         for item in state.items:
-            self._put(item)
-        self.events, self.event_bytes = deque(), 0
+            self._insert(item)
+        self.events, self.history_bytes = deque(), 0
         for event in state.events:
-            self._remember(event)
+            self._append_history(event)
         self.sessions = {s.client: s for s in state.sessions}
-        self._forgetting = [(s.until, s.client) for s in state.sessions]
-        heapq.heapify(self._forgetting)
-        self.dirty = Dirty()
+        self._session_queue = [(s.remembered_until_ms, s.client) for s in state.sessions]
+        heapq.heapify(self._session_queue)
+        self.unsaved = UnsavedChanges()
         jumped = [
-            Event(i.changed, i.key, i.value, False, None, i.key in old, i.author, i.wall_ms, "snapshot")
+            Event(
+                i.modified_revision,
+                i.key,
+                i.value,
+                False,
+                None,
+                i.key in old,
+                i.author,
+                i.wall_ms,
+                "snapshot",
+            )
             for i in self.items.values()
-            if i.key not in old or old[i.key].changed != i.changed
+            if i.key not in old or old[i.key].modified_revision != i.modified_revision
         ]
         jumped += [
             Event(self.revision, key, None, True, item.value, True, "", 0, "snapshot")
@@ -390,32 +406,35 @@
             if key not in self.items
         ]
         if jumped:
-            for watcher in list(self.watchers):
+            for watcher in list(self.listeners):
                 watcher(jumped)
 
-    def drain(self) -> Dirty:
+    def take_unsaved(self) -> UnsavedChanges:
         """What changed since the last call, to be written."""
-        dirty, self.dirty = self.dirty, Dirty(events_from=self.dirty.events_from)
+        dirty, self.unsaved = (
+            self.unsaved,
+            UnsavedChanges(first_kept_revision=self.unsaved.first_kept_revision),
+        )
         return dirty
 
 
 def event_size(event: Event) -> int:
-    return len(event.key) + len(encode(event.value)) + len(encode(event.before)) + 64
+    return len(event.key) + len(encode(event.value)) + len(encode(event.previous_value)) + 64
 
 
-def pack(state: State) -> bytes:
+def encode_snapshot(state: StoreState) -> bytes:
     """A snapshot: msgpack, compressed."""
     import zstandard
 
     return zstandard.ZstdCompressor(level=3).compress(encode(state))
 
 
-def unpack(data: bytes) -> State:
+def decode_snapshot(data: bytes) -> StoreState:
     """`ValueError` where it is none."""
     import zstandard
 
     try:
-        raw = zstandard.ZstdDecompressor().decompress(data, max_output_size=4 * MOST_BYTES)
+        raw = zstandard.ZstdDecompressor().decompress(data, max_output_size=4 * MAX_STATE_BYTES)
         return _state.decode(raw)
     except (zstandard.ZstdError, msgspec.MsgspecError) as error:
         raise ValueError(f"no snapshot: {error}") from None
--- a/gradegap/store/remote.py
+++ b/gradegap/store/remote.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from gradegap.store import wire
-from gradegap.store.machine import Compare, Event, Item, Op
+from gradegap.store.machine import Compare, Event, Item, KeyUpdate
 from gradegap.transport.addresses import split_address
 
 MARGIN = 1.0  # s that an answer may take beyond the time that the member was given
@@ -90,14 +90,14 @@
         return None if item is None else item.value
 
     def set(self, key: str, value: Any, ttl_ms: int = 0, author: str = "") -> int:
-        return self.one(wire.Transaction((Op(key, value, ttl_ms=ttl_ms),), author=author)).revision
+        return self.one(wire.Transaction((KeyUpdate(key, value, ttl_ms=ttl_ms),), author=author)).revision
 
     def delete(self, key: str, author: str = "") -> int:
-        return self.one(wire.Transaction((Op(key, delete=True),), author=author)).revision
+        return self.one(wire.Transaction((KeyUpdate(key, delete=True),), author=author)).revision
 
     def cas(self, key: str, revision: int, value: Any, author: str = "") -> wire.Response:
         """Set it only where it was last changed at `revision`; 0: only where it is not there."""
-        return self.one(wire.Transaction((Op(key, value),), (Compare(key, revision),), author=author))
+        return self.one(wire.Transaction((KeyUpdate(key, value),), (Compare(key, revision),), author=author))
 
     def list(self, prefix: str = "", stale: bool = False) -> list[Item]:
         return self.one(wire.List(prefix, stale)).items
--- a/gradegap/store/restore.py
+++ b/gradegap/store/restore.py
@@ -8,7 +8,7 @@
 
 from gradegap.raft import ClusterConfiguration, HardState, Member, SnapshotMetadata
 from gradegap.store.disk import BadFolder, Batch, Disk, Identity, data_folder
-from gradegap.store.machine import Item, unpack
+from gradegap.store.machine import Item, decode_snapshot
 from gradegap.store.service import INVITED
 from gradegap.store.settings import StoreSettings
 
@@ -18,7 +18,7 @@
 
     `ValueError` where it is no backup, `BadFolder` where the folder is not empty.
     """
-    state = unpack(data)
+    state = decode_snapshot(data)
     place = data_folder(settings)
     if place.exists() and any(place.iterdir()):
         raise BadFolder(f"{place} is not empty; a backup makes a new folder, and replaces none")
@@ -36,7 +36,7 @@
         kept = [i for i in state.items if i.key not in names and not i.key.startswith(INVITED)]
         state = msgspec.structs.replace(state, items=kept + invited, sessions=[])
         identity = Identity(found.identity.id, os.urandom(8).hex())
-        applied = (state.index, state.revision, state.clock)
+        applied = (state.index, state.revision, state.clock_ms)
         disk.write(Batch(HardState(1, ""), identity, base, state, applied=applied))
     finally:
         disk.close()
--- a/gradegap/store/schema.py
+++ b/gradegap/store/schema.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from gradegap.store.machine import BadCommand, Op
+from gradegap.store.machine import CommandError, KeyUpdate
 
 LogLevel = Literal["debug", "info", "warning", "error"]
 Count = Annotated[int, msgspec.Meta(ge=0, le=1_000_000)]
@@ -97,13 +97,13 @@
     return value
 
 
-def check(op: Op) -> None:
-    """`BadCommand` where a write doesn't fit its key."""
+def check(op: KeyUpdate) -> None:
+    """`CommandError` where a write doesn't fit its key."""
     if not op.delete:
         try:
             check_value(op.key, op.value)
         except ValueError as error:
-            raise BadCommand(f"invalid: {error}") from None
+            raise CommandError(f"invalid: {error}") from None
 
 
 def default(name: str) -> Any:
--- a/gradegap/store/service.py
+++ b/gradegap/store/service.py
@@ -25,7 +25,16 @@
 from gradegap.store.gather import Gathering
 from gradegap.store.in_force import MachineReport
 from gradegap.store.links import Link
-from gradegap.store.machine import BadCommand, Command, Event, Machine, Op, Result, check_op, pack
+from gradegap.store.machine import (
+    Command,
+    CommandError,
+    Event,
+    KeyUpdate,
+    Result,
+    StateMachine,
+    check_update,
+    encode_snapshot,
+)
 from gradegap.store.settings import StoreSettings
 
 log = structlog.get_logger()
@@ -75,7 +84,7 @@
     metrics: Metrics
     settings: StoreSettings
     identity: Identity
-    machine: Machine
+    machine: StateMachine
     raft: Raft | None
     granter: leases.Granter | None
     holder: leases.Holder
@@ -109,24 +118,24 @@
         self.clock = (0.0, 0)  # steady time, and the leader's log time then
         self.last_retry = 0.0
         self.nodes: dict[str, tuple[float, dict[str, Any]]] = {}  # what nodes said of themselves, and when
-        member.machine.watchers.append(self._changed)
+        member.machine.listeners.append(self._changed)
         self.metrics.gauge("store_pending", lambda: len(self.pending))
         self.metrics.gauge("store_watches", lambda: len(self.watching))
 
     # From links
 
     def asked(self, link: Link, ask: wire.Request) -> None:
-        if isinstance(ask.wish, wire.Watch):
-            self._watch(link, ask.serial, ask.wish)
+        if isinstance(ask.body, wire.Watch):
+            self._watch(link, ask.serial, ask.body)
             return
 
         def done(answer: wire.Response) -> None:
             link.send(msgspec.structs.replace(answer, serial=ask.serial))
 
-        if isinstance(ask.wish, wire.Snapshot):
+        if isinstance(ask.body, wire.Snapshot):
             self._snapshot(ask, done)
         else:
-            self.request(ask.wish, done, ask.left, relayed=bool(link.id))
+            self.request(ask.body, done, ask.timeout_s, relayed=bool(link.id))
 
     def request(self, wish: wire.RequestBody, done: Done, left: float = 5.0, relayed: bool = False) -> None:
         """`done` with one answer, at the latest after `left` seconds."""
@@ -136,7 +145,7 @@
             return
         try:
             wish = self._checked(wish)
-        except BadCommand as error:
+        except CommandError as error:
             self.metrics.count(f"store_refused_{str(error).split(':')[0]}")
             done(wire.Response(0, "no", str(error)))
             return
@@ -151,11 +160,11 @@
         if not isinstance(wish, wire.Transaction):
             return wish
         for op in (*wish.then, *wish.otherwise):
-            check_op(op)
+            check_update(op)
             schema.check(op)
         if len(wish.client) > 64 or len(wish.author) > 128:
-            raise BadCommand("bad_name: a client's or author's name is too long")
-        if wish.client and wish.until:
+            raise CommandError("bad_name: a client's or author's name is too long")
+        if wish.client and wish.deadline_ms:
             return wish
         if wish.client:
             client, seq = wish.client, wish.seq or 1
@@ -172,7 +181,7 @@
         if raft is not None and raft.is_leader:
             return self.member.log_clock()
         at, base = self.clock
-        return max(self.member.machine.clock, base + int((time.monotonic() - at) * 1000) if base else 0)
+        return max(self.member.machine.clock_ms, base + int((time.monotonic() - at) * 1000) if base else 0)
 
     # One try
 
@@ -251,7 +260,7 @@
         if raft.leader_id and left > 0 and m.to_leader(wire.Request(p.serial, p.wish, left)):
             p.waits_for, p.taken = raft.leader_id, True
             if isinstance(p.wish, wire.Transaction):
-                p.wish = msgspec.structs.replace(p.wish, tries=p.wish.tries + 1)
+                p.wish = msgspec.structs.replace(p.wish, tries=p.wish.attempts + 1)
         else:
             p.waits_for = "leader"
 
@@ -262,12 +271,12 @@
         try:
             match w:
                 case wire.Transaction():
-                    if p.relayed and not w.tries and w.until < m.log_clock() + LIFE // 2:
+                    if p.relayed and not w.attempts and w.deadline_ms < m.log_clock() + LIFE // 2:
                         raise RequestRejectedError("restamp: it bears a time that is over")
-                    body = Command(w.client, w.seq, w.until, w.author, w.compares, w.then, w.otherwise)
+                    body = Command(w.client, w.seq, w.deadline_ms, w.author, w.compares, w.then, w.otherwise)
                     self._wait_for(p, m.propose(body))
                 case wire.AddMember():
-                    op = Op(INVITED + w.name, {"address": w.address})
+                    op = KeyUpdate(INVITED + w.name, {"address": w.address})
                     p.wish = self._checked(wire.Transaction((op,), author="operator"))
                     self._lead(p)
                 case wire.RemoveMember():
@@ -374,14 +383,16 @@
                 case wire.List():
                     return wire.Response(0, revision=m.revision, items=m.list(wish.prefix))
                 case wire.History():
-                    since = max(wish.least, m.first_watchable)
-                    return wire.Response(0, revision=m.revision, events=list(m.since(since, wish.prefix)))
+                    since = max(wish.first_revision, m.first_retained_revision)
+                    return wire.Response(
+                        0, revision=m.revision, events=list(m.events_since(since, wish.prefix))
+                    )
                 case wire.ValuesAt():
-                    then = m.at(wish.revision, wish.prefix)
+                    then = m.values_at(wish.revision, wish.prefix)
                     return wire.Response(0, revision=m.revision, status=then)
                 case _:
                     return wire.Response(0, "no", "bad_wish: nothing to read")
-        except BadCommand as error:
+        except CommandError as error:
             return wire.Response(0, "no", str(error))
 
     def _answer(self, p: Pending, answer: wire.Response) -> None:
@@ -400,8 +411,8 @@
         p = self.pending.get(answer.serial)
         if p is None or p.over or p.waits_for != link.id:
             return
-        if answer.clock:
-            self.clock = (time.monotonic(), answer.clock)
+        if answer.clock_ms:
+            self.clock = (time.monotonic(), answer.clock_ms)
         reason = answer.text.split(":")[0].split(" ")[0]
         if reason == "restamp" and isinstance(p.wish, wire.Transaction):
             # Nobody took it: it only bore a time that this member had not kept up with.
@@ -512,7 +523,7 @@
             raft.remove_member(now, old.id)
             self.metrics.count("store_lives_replaced")
             log.warning("an earlier life of a member is removed", member=member.name, id=old.id)
-            invite = Op(INVITED + member.name, {"address": member.address})
+            invite = KeyUpdate(INVITED + member.name, {"address": member.address})
             m.propose(Command(f"again-{member.id}", 1, m.log_clock() + LIFE, "store", (), (invite,)))
             self._answer(p, wire.Response(0, "no", "again: its earlier life is removed first"))
             return
@@ -531,8 +542,8 @@
             link.send(wire.Response(serial, "no", "busy: too many watches"))
             return
         try:
-            since = list(machine.since(wish.revision, wish.prefix)) if wish.revision else []
-        except BadCommand as error:
+            since = list(machine.events_since(wish.revision, wish.prefix)) if wish.revision else []
+        except CommandError as error:
             link.send(wire.Response(serial, "no", str(error)))
             return
         for k in range(0, len(since), 200):
@@ -564,7 +575,7 @@
             if answer.outcome != "ok":
                 done(answer)
                 return
-            m.in_thread(m.thread.submit(pack, m.machine.state()), packed)
+            m.in_thread(m.thread.submit(encode_snapshot, m.machine.export_state()), packed)
 
         def packed(data: bytes) -> None:
             revision = m.machine.revision
@@ -574,9 +585,9 @@
 
         if m.raft is not None and not m.raft.is_leader:
             # The state is read here: this member first waits until it has what the leader had committed.
-            self._when_as_far_as_the_leader(read, ask.left)
+            self._when_as_far_as_the_leader(read, ask.timeout_s)
         else:
-            self.request(wire.List("\0"), read, ask.left)
+            self.request(wire.List("\0"), read, ask.timeout_s)
 
     def _when_as_far_as_the_leader(self, then: Done, left: float) -> None:
         def read(answer: wire.Response) -> None:
--- a/gradegap/store/subscriptions.py
+++ b/gradegap/store/subscriptions.py
@@ -14,7 +14,7 @@
 from gradegap.store import wire
 from gradegap.store.disk import Identity
 from gradegap.store.in_force import MachineReport
-from gradegap.store.machine import Machine
+from gradegap.store.machine import StateMachine
 from gradegap.store.settings import StoreSettings
 
 
@@ -37,7 +37,7 @@
     loop: asyncio.AbstractEventLoop
     metrics: Metrics
     settings: StoreSettings
-    machine: Machine
+    machine: StateMachine
 
     @property
     def identity(self) -> Identity:
--- a/gradegap/store/wire.py
+++ b/gradegap/store/wire.py
@@ -22,7 +22,7 @@
 
 from gradegap.raft import ClusterConfiguration, Member, Message
 from gradegap.store.leases import LENGTH
-from gradegap.store.machine import Compare, Event, Item, Op
+from gradegap.store.machine import Compare, Event, Item, KeyUpdate
 
 PROTOCOL_VERSION = 1
 LENGTH_BYTES = 4
@@ -49,7 +49,9 @@
     address: str = ""
     cluster: str = ""  # none: not formed yet
     lease_s: float = LENGTH  # of a member; the same in all of a cluster
-    reads: tuple[str, ...] = ()  # tags of wishes that this end can read and an earlier release can't
+    readable_requests: tuple[str, ...] = msgspec.field(
+        default=(), name="reads"
+    )  # tags of wishes that this end can read and an earlier release can't
 
 
 class Proof(msgspec.Struct, frozen=True, tag="proof"):
@@ -73,7 +75,7 @@
     """To a member without a cluster: this is the one you belong to."""
 
     cluster: str
-    config: ClusterConfiguration
+    configuration: ClusterConfiguration = msgspec.field(name="config")
 
 
 class Join(msgspec.Struct, frozen=True, tag="join"):
@@ -95,7 +97,7 @@
     serial: int
     term: int
     index: int  # what must be applied before the lease is good
-    duration: float  # s, from when it was asked for; 0: none is given
+    duration_s: float = msgspec.field(name="duration")  # s, from when it was asked for; 0: none is given
 
 
 class LeaseApplied(msgspec.Struct, frozen=True, tag="lease_applied"):
@@ -108,9 +110,9 @@
 class GossipReport(msgspec.Struct, frozen=True, array_like=True):
     """Something that a node has seen of a save server, with its age in seconds."""
 
-    server: str
+    endpoint_id: str
     kind: str  # "report"; "silent": a probe had no answer; "listed": what its list says of it
-    age: float
+    age_s: float
     report: dict[str, float] | None = None
     phase: int = 0
     started_at: float = 0.0  # Unix time, s
@@ -119,7 +121,7 @@
 class Gossip(msgspec.Struct, frozen=True, tag="gossip"):
     node: str
     state: dict[str, Any]
-    learned: list[GossipReport]
+    reports: list[GossipReport] = msgspec.field(name="learned")
 
 
 # From clients, and from members for their clients
@@ -138,14 +140,14 @@
 class Transaction(msgspec.Struct, frozen=True, tag="write"):
     """A transaction. `client` and `seq` name it for good; none: the member names it."""
 
-    then: tuple[Op, ...]
+    then: tuple[KeyUpdate, ...]
     compares: tuple[Compare, ...] = ()
-    otherwise: tuple[Op, ...] = ()
+    otherwise: tuple[KeyUpdate, ...] = ()
     author: str = ""
     client: str = ""
     seq: int = 0
-    until: int = 0
-    tries: int = 0  # how often it was passed on before
+    deadline_ms: int = msgspec.field(default=0, name="until")
+    attempts: int = msgspec.field(default=0, name="tries")  # how often it was passed on before
 
 
 class Watch(msgspec.Struct, frozen=True, tag="watch"):
@@ -184,7 +186,7 @@
 
 class History(msgspec.Struct, frozen=True, tag="history"):
     prefix: str
-    least: int = 0  # revision
+    first_revision: int = msgspec.field(default=0, name="least")  # revision
 
 
 class ValuesAt(msgspec.Struct, frozen=True, tag="at"):
@@ -223,8 +225,8 @@
 
 class Request(msgspec.Struct, frozen=True, tag="ask"):
     serial: int
-    wish: RequestBody
-    left: float = 5.0  # s until whoever asks gives up
+    body: RequestBody = msgspec.field(name="wish")
+    timeout_s: float = msgspec.field(default=5.0, name="left")  # s until whoever asks gives up
 
 
 class Response(msgspec.Struct, frozen=True, tag="answer"):
@@ -234,7 +236,7 @@
     outcome: str = "ok"
     text: str = ""
     revision: int = 0
-    clock: int = 0  # log time of whoever answers
+    clock_ms: int = msgspec.field(default=0, name="clock")  # log time of whoever answers
     succeeded: bool = True
     items: list[Item] = []
     events: list[Event] = []
--- a/gradegap/verification/observer_invariants.py
+++ b/gradegap/verification/observer_invariants.py
@@ -8,7 +8,7 @@
 
 from gradegap.observer.history import is_subscribed
 from gradegap.observer.messages import FromSubscriber, Renew
-from gradegap.store.machine import Machine
+from gradegap.store.machine import StateMachine
 from gradegap.verification.invariants import Breach
 
 if TYPE_CHECKING:
@@ -16,7 +16,7 @@
     from gradegap.verification.observer_model import Node
 
 
-def subscribed_values(machine: Machine) -> dict[str, object]:
+def subscribed_values(machine: StateMachine) -> dict[str, object]:
     """What nodes are to have of this state."""
     return {key: item.value for key, item in machine.items.items() if is_subscribed(key)}
 
--- a/gradegap/verification/observer_model.py
+++ b/gradegap/verification/observer_model.py
@@ -22,7 +22,7 @@
 from gradegap.observer.subscriber import Subscriber
 from gradegap.store.in_force import InForceTally, InForceVerdict
 from gradegap.store.leases import Granter, Holder
-from gradegap.store.machine import Command, Logged, Machine, Op, encode
+from gradegap.store.machine import Command, KeyUpdate, LogRecord, StateMachine, encode
 from gradegap.verification.invariants import Breach
 from gradegap.verification.observer_invariants import ObserverRules, subscribed_values
 from gradegap.verification.schedule import Schedule
@@ -328,14 +328,14 @@
         self.cut_off = False
         self.applied = 0  # entries, as the disk has them
         self.told_safe = 0
-        self.machine: Machine
+        self.machine: StateMachine
         self.holder: Holder
         self.publisher: Publisher
 
     def start(self) -> None:
         """Begin from what the disk has, which may be less than was applied."""
         super().start()
-        self.machine = Machine()
+        self.machine = StateMachine()
         self.applied = max(0, self.applied - self.model.rng.choice([0, 0, 1, 5, 20]))
         for index in range(self.applied):
             self.machine.apply(index + 1, self.model.log[index])
@@ -376,7 +376,7 @@
         donor = max(self.model.machines, key=lambda other: other.machine.index)
         if donor.machine.index > self.machine.index:
             self.model.counts["installs"] += 1
-            self.machine.load(donor.machine.state())
+            self.machine.load_state(donor.machine.export_state())
             self._has_applied()
 
     def _ask_for_lease(self, now: float) -> None:
@@ -491,7 +491,7 @@
         self.publisher_class, self.subscriber_class = publisher_class, subscriber_class
         self.same_holder_name = same_holder_name
         self.log: list[bytes] = []
-        self.reference = Machine()
+        self.reference = StateMachine()
         self.rules = ObserverRules()
         self.rules.committed(0, {})
         self.connections: dict[int, Connection] = {}
@@ -568,12 +568,12 @@
         )
         number = len(self.log) + 1
         ops = tuple(
-            Op(key, delete=True)
+            KeyUpdate(key, delete=True)
             if self.rng.random() < 0.2
-            else Op(key, f"{number}" * self.rng.randint(1, 20))
+            else KeyUpdate(key, f"{number}" * self.rng.randint(1, 20))
             for key in keys[: self.rng.choice([1, 1, 2])]
         )
-        entry = encode(Logged(0, 0, Command(f"c{number}", 1, 10**12, "model", (), ops)))
+        entry = encode(LogRecord(0, 0, Command(f"c{number}", 1, 10**12, "model", (), ops)))
         self.log.append(entry)
         self.reference.apply(number, entry)
         self.rules.committed(self.reference.revision, subscribed_values(self.reference))
@@ -683,7 +683,7 @@
         events = self.rng.choice(self.machines).machine.events
         for _ in range(self.rng.randint(0, len(events))):
             events.popleft()
-        while events and events[0].order:
+        while events and events[0].position:
             events.popleft()
 
     def _install(self) -> None:
--- a/tests/compatibility/present.py
+++ b/tests/compatibility/present.py
@@ -121,11 +121,11 @@
             item=machine.Item,
             event=machine.Event,
             compare=machine.Compare,
-            op=machine.Op,
-            logged=machine.Logged,
+            op=machine.KeyUpdate,
+            logged=machine.LogRecord,
             result=machine.Result,
             session=machine.Session,
-            state=machine.State,
+            state=machine.StoreState,
             identity=disk.Identity,
         ),
         _one_of(machine.Command | machine.Expire, command=machine.Command, expire=machine.Expire),
@@ -199,6 +199,12 @@
 # By label: the stored name of an attribute that is called otherwise now, where the class does not say it
 # itself by `msgspec.field(name=...)`. Order is the format of array-like classes: this must not change it.
 STORED_NAMES: dict[str, dict[str, str]] = {
+    "store.state": {"clock_ms": "clock"},
+    "store.session": {"remembered_until_ms": "until"},
+    "store.command": {"deadline_ms": "until"},
+    "store.event": {"previous_value": "before", "existed_before": "existed", "position": "order"},
+    "store.item": {"created_revision": "created", "modified_revision": "changed", "expires_at_ms": "expires"},
+    "link.learned": {"endpoint_id": "server", "age_s": "age"},
     "raft.snap_meta": {"configuration": "config"},
 }
 
--- a/tests/compatibility/readers.py
+++ b/tests/compatibility/readers.py
@@ -33,7 +33,7 @@
 
     contents: dict[str, Any]
     entries: list[raft.Entry]
-    machine: machine.Machine
+    machine: machine.StateMachine
 
     def digest(self) -> str:
         """Of all keys, as members compare it."""
@@ -41,15 +41,15 @@
 
     def state(self) -> Any:
         """All of the state, plain."""
-        return plain(self.machine.state())
+        return plain(self.machine.export_state())
 
     def at(self, revision: int) -> Any:
         """The values as they were after a revision, plain."""
-        return plain(self.machine.at(revision, ""))
+        return plain(self.machine.values_at(revision, ""))
 
     def revisions_of_the_last(self, revisions: int) -> list[int]:
         """Of the changes that a watch from so many revisions back is sent."""
-        return [event.revision for event in self.machine.since(self.machine.revision - revisions)]
+        return [event.revision for event in self.machine.events_since(self.machine.revision - revisions)]
 
     def apply_the_rest(self) -> list[Any]:
         """Apply the entries that the stored state does not have yet; their results by index."""
@@ -71,8 +71,8 @@
         found = opened.start()
     finally:
         opened.close()
-    made = machine.Machine()
-    made.load(found.state)
+    made = machine.StateMachine()
+    made.load_state(found.state)
     contents = {
         "identity": plain(found.identity),
         "hard": plain(found.hard),
@@ -87,7 +87,7 @@
     """An entry of the log with what it carries."""
     row: dict[str, Any] = plain(entry)
     if entry.kind is raft.EntryKind.COMMAND:
-        row["logged"] = plain(msgspec.msgpack.decode(entry.data, type=machine.Logged))
+        row["logged"] = plain(msgspec.msgpack.decode(entry.data, type=machine.LogRecord))
     if entry.kind is raft.EntryKind.CONFIGURATION:
         row["config"] = plain(msgspec.msgpack.decode(entry.data, type=raft.ClusterConfiguration))
     return row
@@ -108,7 +108,7 @@
             base=found.base,
             whole=state,
             entries=found.entries,
-            applied=(state.index, state.revision, state.clock),
+            applied=(state.index, state.revision, state.clock_ms),
         )
     )
     made.close()
@@ -116,12 +116,12 @@
 
 def unpack_snapshot(data: bytes) -> Any:
     """The state that a packed snapshot holds, plain."""
-    return plain(machine.unpack(data))
+    return plain(machine.decode_snapshot(data))
 
 
 def repack_snapshot(data: bytes) -> bytes:
     """A snapshot read and packed again."""
-    return machine.pack(machine.unpack(data))
+    return machine.encode_snapshot(machine.decode_snapshot(data))
 
 
 def open_session_token(ring: dict[str, Any], cluster: str, sealed: str, now: float) -> Any:
--- a/tests/test_observer_cluster.py
+++ b/tests/test_observer_cluster.py
@@ -15,7 +15,7 @@
 
 from gradegap.resume.token import RING, Ring
 from gradegap.store import wire
-from gradegap.store.machine import Op
+from gradegap.store.machine import KeyUpdate
 from tests.cluster import Cluster
 from tests.resume_world import ResumeBackend, SaveStore
 from tests.test_admin_api import answer
@@ -94,7 +94,7 @@
     def served_by(self, name: str, times: int = 8) -> set[str]:
         return {self.nodes[name].client().ask(f"c=live,d=900,g={k}") for k in range(times)}
 
-    def put(self, *ops: Op, among: list[str] | None = None) -> int:
+    def put(self, *ops: KeyUpdate, among: list[str] | None = None) -> int:
         """Write through the leader; the revision, once no node decides without it."""
         leader = wait_for(lambda: self.machines.leader(among), 15.0)
         with self.machines.remote(leader, 10.0) as r:
@@ -114,7 +114,9 @@
 
 def test_a_committed_key_is_in_force_at_all_nodes(fleet: Fleet) -> None:
     fleet.start_all()
-    revision = fleet.put(Op("config/log_level", "debug"), Op("out/s-a", {"at_ms": 1, "by": "operator"}))
+    revision = fleet.put(
+        KeyUpdate("config/log_level", "debug"), KeyUpdate("out/s-a", {"at_ms": 1, "by": "operator"})
+    )
     wait_for(lambda: fleet.level(revision), LEVEL_WITHIN)
     for name in fleet.nodes:
         assert fleet.served_by(name) == {"UP b"}
@@ -166,13 +168,13 @@
     victim = fleet.machine_of("node1")
     fleet.machines.kill(victim)
     began = time.monotonic()
-    revision = fleet.put(Op("config/motd", "after the death"))
+    revision = fleet.put(KeyUpdate("config/motd", "after the death"))
     wait_for(lambda: fleet.level(revision), LEVEL_WITHIN)
     print(f"level {time.monotonic() - began:.2f} s after the death of a machine, with a new leader if it led")
     assert all(fleet.machine_of(name) != victim for name in fleet.nodes)
     # It comes back, and takes part: what nodes were granted under its earlier life is over.
     fleet.machines.start(victim)
-    revision = fleet.put(Op("out/s-a", {"at_ms": 1}))
+    revision = fleet.put(KeyUpdate("out/s-a", {"at_ms": 1}))
     wait_for(lambda: fleet.level(revision), LEVEL_WITHIN)
 
 
@@ -202,7 +204,7 @@
     said = node.client().ask("c=live,d=1500,g=1")
     assert re.fullmatch(r"BUSY \d+", said) and time.monotonic() - began < 0.3 + BUSY_MACHINE
     # A write on the larger side waits for nobody who can't decide.
-    revision = fleet.put(Op("out/s-a", {"at_ms": 1}), among=others)
+    revision = fleet.put(KeyUpdate("out/s-a", {"at_ms": 1}), among=others)
     status, text = answer(
         fleet.consoles["node1"], b"PUT /control/save-servers/s-b/offline HTTP/1.1\r\nHost: x\r\n\r\n"
     )
@@ -219,7 +221,7 @@
 def test_with_when_stale_serve_a_node_that_is_cut_off_goes_on_by_its_last_revision(fleet: Fleet) -> None:
     fleet.start_all(1, 'when_stale = "serve"\n')
     node = fleet.nodes["node1"]
-    revision = fleet.put(Op("out/s-a", {"at_ms": 1}))
+    revision = fleet.put(KeyUpdate("out/s-a", {"at_ms": 1}))
     wait_for(lambda: fleet.level(revision), LEVEL_WITHIN)
     cut_from_quorum(fleet, "node1")
     wait_for(lambda: node.counters()["store_fresh"] == "0", 6.0)
@@ -252,7 +254,7 @@
     node.process.send_signal(signal.SIGSTOP)
     fleet.machines.kill(machine)
     fleet.machines.start(machine)
-    fleet.put(Op("out/s-a", {"at_ms": 1}), among=fleet.machines.others(machine))
+    fleet.put(KeyUpdate("out/s-a", {"at_ms": 1}), among=fleet.machines.others(machine))
     opens = len(fleet.backends[0].opens)
     late = [node.client() for _ in range(3)]
     for client in late:
@@ -307,7 +309,7 @@
     saves = SaveStore()
     fleet.backends = [ResumeBackend(name, saves) for name in "ab"]
     fleet.machines.start_all()
-    fleet.put(Op(RING, msgspec.to_builtins(Ring().rotated(1))))
+    fleet.put(KeyUpdate(RING, msgspec.to_builtins(Ring().rotated(1))))
     for name in ("node1", "node2"):
         fleet.start(name, RESUME)
     for made in fleet.nodes.values():
@@ -361,7 +363,7 @@
     second.process.kill()
     second.process.wait()
     fleet.nodes["node1"] = first
-    revision = fleet.put(Op("out/s-a", {"at_ms": 1}))
+    revision = fleet.put(KeyUpdate("out/s-a", {"at_ms": 1}))
     wait_for(lambda: fleet.level(revision), LEVEL_WITHIN)
     wait_for(first.ready, 10.0)
     assert fleet.served_by("node1") == {"UP b"}
@@ -377,5 +379,5 @@
     for name in mine:
         counters = fleet.nodes[name].counters()
         assert counters["observer_ended_leaving"] == "1", counters
-    revision = fleet.put(Op("config/motd", "on"))
+    revision = fleet.put(KeyUpdate("config/motd", "on"))
     wait_for(lambda: fleet.level(revision), LEVEL_WITHIN)
--- a/tests/test_observer_core.py
+++ b/tests/test_observer_core.py
@@ -44,18 +44,18 @@
     """A member's state, with entries written straight into it."""
 
     def __init__(self) -> None:
-        self.machine = store.Machine()
+        self.machine = store.StateMachine()
         self.source = MachineSource(self.machine)
         self.seq = 0
 
     def put(self, key: str, value: object, delete: bool = False) -> int:
         """Commit one change; its revision."""
-        return self.transact(store.Op(key, value, delete))
+        return self.transact(store.KeyUpdate(key, value, delete))
 
-    def transact(self, *ops: store.Op) -> int:
+    def transact(self, *ops: store.KeyUpdate) -> int:
         self.seq += 1
         command = store.Command(f"c{self.seq}", 1, 10**12, "test", (), ops)
-        logged = store.Logged(0, 0, command)
+        logged = store.LogRecord(0, 0, command)
         self.machine.apply(self.machine.index + 1, store.encode(logged))
         return self.machine.revision
 
@@ -835,8 +835,8 @@
     other = Log()
     for value in range(5):
         other.put("config/a", value)
-    state = other.machine.state()
-    log.machine.load(store.State(state.index, state.revision, state.clock, state.items, [], []))
+    state = other.machine.export_state()
+    log.machine.load_state(store.StoreState(state.index, state.revision, state.clock_ms, state.items, [], []))
     assert log.source.changes_since(first) is None
     publisher.source_advanced(100.1)
     kinds = [type(o.message).__name__ for o in drained(publisher) if isinstance(o, publisher_module.Send)]
@@ -846,7 +846,7 @@
 
 def test_changes_since_are_those_of_subscribed_keys_in_order() -> None:
     log = Log()
-    log.transact(store.Op("config/a", 1), store.Op("notes/x", 1), store.Op("out/s", 2))
+    log.transact(store.KeyUpdate("config/a", 1), store.KeyUpdate("notes/x", 1), store.KeyUpdate("out/s", 2))
     log.put("notes/x", 2)
     log.put("config/a", None, delete=True)
     changes = log.source.changes_since(0)
--- a/tests/test_observer_server.py
+++ b/tests/test_observer_server.py
@@ -45,7 +45,7 @@
 from gradegap.store import wire
 from gradegap.store.daemon import Daemon
 from gradegap.store.in_force import InForceTally
-from gradegap.store.machine import Op
+from gradegap.store.machine import KeyUpdate
 from gradegap.store.settings import Peer, StoreSettings
 from gradegap.transport.addresses import split_address
 from tests.world import ROOT, SETTINGS, free_port
@@ -169,9 +169,9 @@
         return made
 
     async def write(self, key: str, value: Any) -> wire.Response:
-        return await self.transact(Op(key, value))
+        return await self.transact(KeyUpdate(key, value))
 
-    async def transact(self, *ops: Op) -> wire.Response:
+    async def transact(self, *ops: KeyUpdate) -> wire.Response:
         told: asyncio.Future[wire.Response] = self.loop.create_future()
         self.daemon.service.request(wire.Transaction(ops), told.set_result, WITHIN)
         return await told
@@ -308,12 +308,12 @@
             return await told
 
         for k in range(3):
-            assert (await ask(wire.Transaction((Op("out/s-b", {"at_ms": k}),)))).outcome == "ok"
+            assert (await ask(wire.Transaction((KeyUpdate("out/s-b", {"at_ms": k}),)))).outcome == "ok"
         assert "out/s-b" in node.keys  # type: ignore[attr-defined]
         assert (await ask(wire.Get("out/s-b"))).items[0].value == {"at_ms": 2}
         assert (await ask(wire.Snapshot())).text.startswith("not_here")
-        assert (await ask(wire.Transaction((Op("config/none", 1),)))).text.startswith("invalid")
-        large = await ask(wire.Transaction((Op("notes", "x" * 10_000),)))
+        assert (await ask(wire.Transaction((KeyUpdate("config/none", 1),)))).text.startswith("invalid")
+        large = await ask(wire.Transaction((KeyUpdate("notes", "x" * 10_000),)))
         assert large.outcome == "no" and large.text.startswith("too_large")
         assert not node.requests
 
@@ -327,7 +327,7 @@
         await w.until(node.fresh)
         w.server.stop()
         await w.until(lambda: node.connection is None)
-        node.request(wire.Transaction((Op("out/s-b", {}),)), told.append, 0.3)
+        node.request(wire.Transaction((KeyUpdate("out/s-b", {}),)), told.append, 0.3)
         await w.until(lambda: told)
         assert told[0].outcome == "no_quorum" and "nothing was changed" in told[0].text
         node.leave()
@@ -480,7 +480,7 @@
         for k in range(100):
             raw.send(Renew(k, 0))  # it speaks, and reads nothing
             value = {"at_ms": k, "why": "x" * 180, "by": "y" * 120}
-            answer = await w.transact(*(Op(f"out/s-{j}", value) for j in range(120)))
+            answer = await w.transact(*(KeyUpdate(f"out/s-{j}", value) for j in range(120)))
             assert answer.outcome == "ok"
             if connection.transport is not None:
                 largest = max(largest, connection.transport.get_write_buffer_size())
@@ -595,7 +595,7 @@
         await w.until(node.fresh)
         for k in range(20):
             value = {"at_ms": k, "why": "x" * 180, "by": "y" * 120}
-            answer = await w.transact(*(Op(f"out/s-{j}", value) for j in range(10)))
+            answer = await w.transact(*(KeyUpdate(f"out/s-{j}", value) for j in range(10)))
         await w.until(lambda: node.revision >= answer.revision)
         assert node.keys["out/s-9"]["at_ms"] == 19  # type: ignore[attr-defined]
         assert w.counts["observer_delayed"] >= 1
--- a/tests/test_resume_parts.py
+++ b/tests/test_resume_parts.py
@@ -16,7 +16,7 @@
 from gradegap.resume.lines import Answer, BadLine, NewToken, Over, Request, Seen
 from gradegap.resume.token import LIFE, LONGEST, SKEW, BadToken, Place, Ring, digest, opened, seal
 from gradegap.resume.window import ANSWERS, WINDOW, ClientWindow, Full, NodeWindow, ServerWindow
-from gradegap.store.machine import Command, Logged, Machine, encode
+from gradegap.store.machine import Command, LogRecord, StateMachine, encode
 
 # Lines
 
@@ -195,7 +195,7 @@
 
 
 def test_of_two_nodes_with_one_token_one_wins() -> None:
-    machine, index = Machine(), 0
+    machine, index = StateMachine(), 0
 
     def write(node: str, place: Place, found_now: bool = True) -> bool:
         nonlocal index
@@ -207,7 +207,7 @@
         nonlocal index
         index += 1
         body = Command(f"c{index}", 1, 99_000, "n", (compare,), (op,))  # type: ignore[arg-type]
-        return machine.apply(index, encode(Logged(0, 0, body))).succeeded
+        return machine.apply(index, encode(LogRecord(0, 0, body))).succeeded
 
     first = [claim(PLACE, n, machine.get(CLAIMS + PLACE.session)) for n in ("n1", "n2")]
     assert [commit(*each[1:]) for each in first] == [True, False]  # at the same moment
@@ -218,7 +218,7 @@
     assert [commit(*each[1:]) for each in second] == [True, False]
     held = msgspec.convert(machine.items[CLAIMS + PLACE.session].value, Claim)
     assert (held.epoch, held.node, held.of) == (5, "n1", 4)
-    assert machine.items[CLAIMS + PLACE.session].expires > LIFE * 1000
+    assert machine.items[CLAIMS + PLACE.session].expires_at_ms > LIFE * 1000
 
 
 def test_a_node_alone_takes_a_token_once() -> None:
--- a/tests/test_store_cluster.py
+++ b/tests/test_store_cluster.py
@@ -15,7 +15,7 @@
 import pytest
 
 from gradegap.store import wire
-from gradegap.store.machine import Event, Op
+from gradegap.store.machine import Event, KeyUpdate
 from gradegap.store.remote import Remote, StoreError
 from gradegap.verification.linearizability import FOREVER, Did, explain
 from tests.cluster import SECRET, Cluster, cluster
@@ -347,7 +347,9 @@
             big = "x" * 30_000
             for k in range(6000):
                 r.sock.sendall(
-                    r.channel.send(wire.Request(k + 10, wire.Transaction((Op(f"f{k % 9}", big),)), 3.0))
+                    r.channel.send(
+                        wire.Request(k + 10, wire.Transaction((KeyUpdate(f"f{k % 9}", big),)), 3.0)
+                    )
                 )
             outcomes: dict[str, int] = {}
             r.sock.settimeout(15.0)
@@ -486,7 +488,7 @@
                     item = remote.get(key)
                     self.keep(key, Did("read", item and item.value, began, time.monotonic()))
                     began = time.monotonic()
-                    answer = remote.cas(key, item.changed if item else 0, mine)
+                    answer = remote.cas(key, item.modified_revision if item else 0, mine)
                     if item is not None:
                         expected = item.value  # values are never written twice
                         done = answer.succeeded
--- a/tests/test_store_node.py
+++ b/tests/test_store_node.py
@@ -235,9 +235,9 @@
     )  # no newer to speak of
     assert len(heard) == 1
     # What it was told is not told on; what it saw itself is.
-    assert learner.tell({}).learned == []
+    assert learner.tell({}).reports == []
     proxy.endpoints["s2"].report, proxy.endpoints["s2"].report_at = {"x0": 0.1}, proxy.now()
-    assert [x.server for x in learner.tell({}).learned] == ["s2"]
+    assert [x.endpoint_id for x in learner.tell({}).reports] == ["s2"]
     # Who is silent at a sibling is heard of as a probe without an answer, once, and not told on twice.
     del heard[:]
     learner.hear(Gossip("other", {}, [GossipReport("s1", "silent", 3.0)]))  # s1 has answered since
@@ -256,7 +256,7 @@
         Gossip("other", {}, [GossipReport("s2", "listed", 0.0, None, int(EndpointPhase.REMOVED), 0.0)])
     )
     assert proxy.endpoints["s2"].phase is EndpointPhase.READY
-    assert {x.server for x in learner.tell({}).learned if x.kind == "listed"} == {"s1", "s2"}
+    assert {x.endpoint_id for x in learner.tell({}).reports if x.kind == "listed"} == {"s1", "s2"}
     loop.close()
 
 
--- a/tests/test_store_parts.py
+++ b/tests/test_store_parts.py
@@ -20,19 +20,19 @@
 from gradegap.store.forming import Forming
 from gradegap.store.leases import LENGTH, Granter, Holder
 from gradegap.store.machine import (
-    HISTORY,
-    BadCommand,
+    MAX_HISTORY_EVENTS,
     Command,
+    CommandError,
     Compare,
     Event,
     Expire,
-    Logged,
-    Machine,
-    Op,
+    KeyUpdate,
+    LogRecord,
     Result,
+    StateMachine,
+    decode_snapshot,
     encode,
-    pack,
-    unpack,
+    encode_snapshot,
 )
 from gradegap.store.settings import Peer, StoreSettings
 from gradegap.verification.linearizability import FOREVER, Did, explain
@@ -44,16 +44,18 @@
     """Feeds a machine, and counts the entries."""
 
     def __init__(self) -> None:
-        self.machine = Machine()
+        self.machine = StateMachine()
         self.entries: list[bytes] = []
         self.client = 0
 
     def add(self, body: Command | Expire, time_ms: int = 1000) -> Result:
-        data = encode(Logged(time_ms, 0, body))
+        data = encode(LogRecord(time_ms, 0, body))
         self.entries.append(data)
         return self.machine.apply(len(self.entries), data)
 
-    def write(self, *ops: Op, compares: tuple[Compare, ...] = (), at: int = 1000, **more: Any) -> Result:
+    def write(
+        self, *ops: KeyUpdate, compares: tuple[Compare, ...] = (), at: int = 1000, **more: Any
+    ) -> Result:
         self.client += 1
         client, seq = more.get("client", f"c{self.client}"), more.get("seq", 1)
         return self.add(Command(client, seq, at + 60_000, "t", compares, ops), at)
@@ -61,26 +63,26 @@
 
 def test_a_transaction_is_done_whole_or_not_at_all() -> None:
     log = Log()
-    assert log.write(Op("a", 1), Op("b", 2)).revision == 1
-    assert log.write(Op("a", 3), Op("", 4)).error.startswith("bad_key")
-    assert log.write(Op("a", 3), Op("a", 4)).error.startswith("twice")
+    assert log.write(KeyUpdate("a", 1), KeyUpdate("b", 2)).revision == 1
+    assert log.write(KeyUpdate("a", 3), KeyUpdate("", 4)).error.startswith("bad_key")
+    assert log.write(KeyUpdate("a", 3), KeyUpdate("a", 4)).error.startswith("twice")
     held = (Compare("a", 1), Compare("c", 0))
-    assert log.write(Op("c", 5), Op("a", delete=True), compares=held).succeeded
-    assert not log.write(Op("a", 9), compares=held).succeeded
+    assert log.write(KeyUpdate("c", 5), KeyUpdate("a", delete=True), compares=held).succeeded
+    assert not log.write(KeyUpdate("a", 9), compares=held).succeeded
     assert {i.key: i.value for i in log.machine.list()} == {"b": 2, "c": 5}
     assert log.machine.revision == 2
-    assert log.machine.at(1, "") == {"a": 1, "b": 2} and log.machine.at(0, "") == {}
+    assert log.machine.values_at(1, "") == {"a": 1, "b": 2} and log.machine.values_at(0, "") == {}
 
 
 def test_a_write_that_is_tried_again_is_applied_once() -> None:
     log = Log()
-    once = Command("me", 4, 61_000, "t", (), (Op("n", 1),))
+    once = Command("me", 4, 61_000, "t", (), (KeyUpdate("n", 1),))
     assert log.add(once).revision == 1
-    log.write(Op("n", 2))
+    log.write(KeyUpdate("n", 2))
     assert log.add(once).revision == 1 and log.machine.items["n"].value == 2
-    early = Command("me", 3, 61_000, "t", (), (Op("n", 0),))
+    early = Command("me", 3, 61_000, "t", (), (KeyUpdate("n", 0),))
     assert log.add(early).error.startswith("stale")
-    log.write(Op("x", 1), at=61_001)  # time goes by, and the session is forgotten
+    log.write(KeyUpdate("x", 1), at=61_001)  # time goes by, and the session is forgotten
     assert "me" not in log.machine.sessions
     assert log.add(once, 61_001).error.startswith("too_old")
     assert log.machine.items["n"].value == 2
@@ -88,11 +90,11 @@
 
 def test_keys_end_when_the_log_says_so_and_not_before() -> None:
     log = Log()
-    log.write(Op("t", 1, ttl_ms=500), Op("u", 1))
+    log.write(KeyUpdate("t", 1, ttl_ms=500), KeyUpdate("u", 1))
     assert log.machine.next_expiry() == 1500
     log.add(Expire(), 1499)
     assert "t" in log.machine.items
-    log.write(Op("t", 2, ttl_ms=2000), at=1499)  # renewed: the first end is void
+    log.write(KeyUpdate("t", 2, ttl_ms=2000), at=1499)  # renewed: the first end is void
     log.add(Expire(), 1600)
     assert "t" in log.machine.items and log.machine.next_expiry() == 3499
     log.add(Expire(), 3500)
@@ -102,26 +104,26 @@
 
 def test_history_is_bounded_and_says_where_it_begins() -> None:
     log = Log()
-    for k in range(HISTORY + 10):
-        log.write(Op("k", k), client="one", seq=k + 1)
-    assert len(log.machine.events) == HISTORY and log.machine.first_watchable == 11
-    with pytest.raises(BadCommand, match="^compacted"):
-        log.machine.since(10)
-    with pytest.raises(BadCommand, match="^compacted"):
-        log.machine.at(9, "")
-    assert log.machine.at(10, "") == {"k": 9}
-    with pytest.raises(BadCommand, match="^no_such_revision"):
-        log.machine.at(HISTORY + 11, "")
+    for k in range(MAX_HISTORY_EVENTS + 10):
+        log.write(KeyUpdate("k", k), client="one", seq=k + 1)
+    assert len(log.machine.events) == MAX_HISTORY_EVENTS and log.machine.first_retained_revision == 11
+    with pytest.raises(CommandError, match="^compacted"):
+        log.machine.events_since(10)
+    with pytest.raises(CommandError, match="^compacted"):
+        log.machine.values_at(9, "")
+    assert log.machine.values_at(10, "") == {"k": 9}
+    with pytest.raises(CommandError, match="^no_such_revision"):
+        log.machine.values_at(MAX_HISTORY_EVENTS + 11, "")
 
 
 def test_a_state_that_is_loaded_tells_watchers_what_it_changed() -> None:
     log, other = Log(), Log()
-    log.write(Op("a", 1), Op("b", 1))
-    other.write(Op("a", 1), Op("b", 1))
-    other.write(Op("a", 2), Op("b", delete=True))
+    log.write(KeyUpdate("a", 1), KeyUpdate("b", 1))
+    other.write(KeyUpdate("a", 1), KeyUpdate("b", 1))
+    other.write(KeyUpdate("a", 2), KeyUpdate("b", delete=True))
     seen: list[Event] = []
-    log.machine.watchers.append(seen.extend)
-    log.machine.load(unpack(pack(other.machine.state())))
+    log.machine.listeners.append(seen.extend)
+    log.machine.load_state(decode_snapshot(encode_snapshot(other.machine.export_state())))
     assert {(e.key, e.value, e.deleted) for e in seen} == {("a", 2, False), ("b", None, True)}
     assert log.machine.digest() == other.machine.digest()
 
@@ -135,7 +137,7 @@
         self.model: dict[str, Any] = {}
         self.now = 1000
         self.seen: list[Event] = []
-        self.log.machine.watchers.append(self.seen.extend)
+        self.log.machine.listeners.append(self.seen.extend)
 
     @rule(
         ops=st.dictionaries(st.sampled_from("abcd"), st.none() | st.integers(0, 3), max_size=3),
@@ -143,7 +145,7 @@
     )
     def write(self, ops: dict[str, int | None], if_is: tuple[str, int] | None) -> None:
         compares = (Compare(if_is[0], None, if_is[1]),) if if_is is not None else ()
-        made = tuple(Op(k, v, delete=v is None) for k, v in ops.items())
+        made = tuple(KeyUpdate(k, v, delete=v is None) for k, v in ops.items())
         result = self.log.write(*made, compares=compares, at=self.now)
         holds = if_is is None or self.model.get(if_is[0]) == if_is[1]
         assert result.succeeded is holds and not result.error
@@ -170,17 +172,17 @@
     def as_the_model(self) -> None:
         assert {i.key: i.value for i in self.log.machine.list()} == self.model
         size = sum(len(i.key) + len(encode(i.value)) for i in self.log.machine.items.values())
-        assert self.log.machine.size == size
-        assert len({(e.revision, e.order) for e in self.seen}) == len(self.seen)
+        assert self.log.machine.size_bytes == size
+        assert len({(e.revision, e.position) for e in self.seen}) == len(self.seen)
 
     def teardown(self) -> None:
-        again = Machine()
+        again = StateMachine()
         half = len(self.log.entries) // 2
         for index, data in enumerate(self.log.entries, 1):
             again.apply(index, data)
             if index == half:  # a replica that came by a snapshot
-                again.load(unpack(pack(again.state())))
-        assert again.state() == self.log.machine.state()
+                again.load_state(decode_snapshot(encode_snapshot(again.export_state())))
+        assert again.export_state() == self.log.machine.export_state()
 
 
 Replay.TestCase.settings = settings(max_examples=60, stateful_step_count=30, deadline=None)
@@ -421,12 +423,12 @@
 
 def write_some(disk: Disk) -> None:
     log = Log()
-    log.write(Op("a", 1))
-    log.write(Op("b", [1, None, "x"]))
+    log.write(KeyUpdate("a", 1))
+    log.write(KeyUpdate("b", [1, None, "x"]))
     entries = [Entry(k, 1, EntryKind.COMMAND, d) for k, d in enumerate(log.entries, 1)]
     m = log.machine
-    applied = (m.index, m.revision, m.clock)
-    disk.write(Batch(HardState(1, "x"), entries=entries, dirty=m.drain(), applied=applied))
+    applied = (m.index, m.revision, m.clock_ms)
+    disk.write(Batch(HardState(1, "x"), entries=entries, dirty=m.take_unsaved(), applied=applied))
 
 
 def test_a_folder_gives_back_what_was_written(tmp_path: Path) -> None:
@@ -577,10 +579,10 @@
 )
 def test_values_fit_their_keys(key: str, value: Any, good: bool) -> None:
     if good:
-        schema.check(Op(key, value))
+        schema.check(KeyUpdate(key, value))
     else:
-        with pytest.raises(BadCommand, match="^invalid: "):
-            schema.check(Op(key, value))
+        with pytest.raises(CommandError, match="^invalid: "):
+            schema.check(KeyUpdate(key, value))
 
 
 def test_the_schema_is_json_schema() -> None:
--- a/tests/test_store_service.py
+++ b/tests/test_store_service.py
@@ -10,7 +10,7 @@
 
 from gradegap.metrics import Metrics
 from gradegap.store import wire
-from gradegap.store.machine import Machine, Op
+from gradegap.store.machine import KeyUpdate, StateMachine
 from gradegap.store.service import Service
 
 
@@ -20,7 +20,7 @@
     member = SimpleNamespace(
         loop=cast(asyncio.AbstractEventLoop, None),
         metrics=Metrics(),
-        machine=Machine(),
+        machine=StateMachine(),
         raft=raft,
         granter=None,
         settings=SimpleNamespace(name="n1"),
@@ -41,12 +41,12 @@
     """It was answered "no", and could be committed all the same: a no is tried again, and runs twice."""
     s, member = service()
     told: list[wire.Response] = []
-    s.request(wire.Transaction((Op("a", 1),)), told.append)
+    s.request(wire.Transaction((KeyUpdate("a", 1),)), told.append)
     s.request(wire.Get("a"), told.append)
     member.removed, member.raft.is_leader = True, False
     s.lost_leader()
     s.tick(time.monotonic())
-    s.request(wire.Transaction((Op("b", 1),)), told.append)
+    s.request(wire.Transaction((KeyUpdate("b", 1),)), told.append)
     assert [a.outcome for a in told] == ["unknown", "no", "no"]
     assert told[0].text.startswith("unknown: this member has ended")
     assert not s.pending
@@ -78,7 +78,7 @@
 def test_what_is_under_way_when_a_member_ends_is_unknown_only_where_it_writes() -> None:
     s, _ = service()
     told: list[wire.Response] = []
-    s.request(wire.Transaction((Op("a", 1),)), told.append)
+    s.request(wire.Transaction((KeyUpdate("a", 1),)), told.append)
     s.request(wire.Get("a"), told.append)
     s.close()
     assert [a.outcome for a in told] == ["unknown", "no"]
