--- a/gradegap/store/service.py
+++ b/gradegap/store/service.py
@@ -173,7 +173,7 @@
             # many as writes. Every member remembers each for as long as it may come again.
             client = self.free.pop() if self.free else f"{self.name}-{len(self.seqs)}"
             seq = self.seqs[client] = self.seqs.get(client, 0) + 1
-        return msgspec.structs.replace(wish, client=client, seq=seq, until=self.log_clock() + LIFE)
+        return msgspec.structs.replace(wish, client=client, seq=seq, deadline_ms=self.log_clock() + LIFE)
 
     def log_clock(self) -> int:
         """The log's time, as far as it is known here; it may be behind."""
@@ -260,7 +260,7 @@
         if raft.leader_id and left > 0 and m.to_leader(wire.Request(p.serial, p.wish, left)):
             p.waits_for, p.taken = raft.leader_id, True
             if isinstance(p.wish, wire.Transaction):
-                p.wish = msgspec.structs.replace(p.wish, tries=p.wish.attempts + 1)
+                p.wish = msgspec.structs.replace(p.wish, attempts=p.wish.attempts + 1)
         else:
             p.waits_for = "leader"
 
@@ -404,7 +404,7 @@
         if isinstance(p.wish, wire.Transaction) and p.wish.client in self.seqs:
             self.free.append(p.wish.client)
         self.metrics.count(f"store_answers_{answer.outcome}")
-        p.done(msgspec.structs.replace(answer, clock=self.log_clock()))
+        p.done(msgspec.structs.replace(answer, clock_ms=self.log_clock()))
 
     def answered(self, link: Link, answer: wire.Response) -> None:
         """By the leader, to a wish that was passed on."""
@@ -416,7 +416,7 @@
         reason = answer.text.split(":")[0].split(" ")[0]
         if reason == "restamp" and isinstance(p.wish, wire.Transaction):
             # Nobody took it: it only bore a time that this member had not kept up with.
-            p.wish = msgspec.structs.replace(p.wish, until=self.log_clock() + LIFE, tries=0)
+            p.wish = msgspec.structs.replace(p.wish, deadline_ms=self.log_clock() + LIFE, attempts=0)
             p.taken, p.waits_for = False, "leader"
         elif answer.outcome == "no_quorum" or (answer.outcome == "no" and reason in TRANSIENT):
             p.waits_for = "leader"
--- a/gradegap/store/wire.py
+++ b/gradegap/store/wire.py
@@ -323,7 +323,7 @@
                 address=me.address,
                 cluster=cluster,
                 lease_s=lease_s,
-                reads=(IN_FORCE_TAG,),
+                readable_requests=(IN_FORCE_TAG,),
             )
         return cls(secret, hello, dials, decode, largest)
 
