--- a/bench/scale/watched_node.py
+++ b/bench/scale/watched_node.py
@@ -19,7 +19,7 @@
 import uvloop
 
 from gradegap.node.node import Node
-from gradegap.node.process import configure_log, hold_signals, load_both
+from gradegap.node.process import block_signals, configure_logging, load_all
 
 EVERY = 0.002  # s between two looks at the loop
 
@@ -74,8 +74,8 @@
 async def main() -> None:
     """Serve until SIGTERM."""
     loop = asyncio.get_running_loop()
-    setup, _ = load_both(None, None)
-    node = Node(setup, loop)
+    configuration, _ = load_all(None, None)
+    node = Node(configuration, loop)
     loop.add_signal_handler(signal.SIGTERM, node.stop)
     loop.add_signal_handler(signal.SIGHUP, node.reload)
     await node.start()
@@ -86,6 +86,6 @@
 
 
 if __name__ == "__main__":
-    hold_signals()
-    configure_log()
+    block_signals()
+    configure_logging()
     uvloop.run(main())
--- a/gradegap/cli.py
+++ b/gradegap/cli.py
@@ -8,7 +8,7 @@
 from gradegap.commands import quic as quic_commands
 from gradegap.commands import resume as resume_commands
 from gradegap.commands import store as store_commands
-from gradegap.node.process import configure_log, load_both
+from gradegap.node.process import configure_logging, load_all
 from gradegap.node.process import serve as run_serve
 
 app = typer.Typer(add_completion=False, help="gradegap places player connections on save servers.")
@@ -31,7 +31,7 @@
 @app.callback(invoke_without_command=True)
 def main(context: typer.Context) -> None:
     """Serve, where no sub-command is named."""
-    configure_log()
+    configure_logging()
     if context.invoked_subcommand is None:
         run_serve()
 
@@ -45,9 +45,9 @@
 @app.command()
 def check(config: str | None = CONFIG, operator: str | None = OPERATOR) -> None:
     """Read a configuration, and say what a node would start with."""
-    setup, extra = load_both(config, operator)
-    s = setup.settings
-    typer.echo(f"name {setup.config.name}, listen {setup.config.listen}, discovery {setup.config.discovery}")
+    loaded, extra = load_all(config, operator)
+    s = loaded.settings
+    typer.echo(f"name {loaded.node.name}, listen {loaded.node.listen}, discovery {loaded.node.discovery}")
     typer.echo(f"classes {', '.join(s.classes)}; zone {s.zone or '-'}; {s.proxy_count} nodes")
     typer.echo(f"QUIC front {extra.quic.listen if extra.quic else 'off'}")
     if extra.observer is not None:
@@ -55,7 +55,7 @@
     else:
         typer.echo(f"store {extra.store.listen if extra.store else 'in memory, no peers'}")
     typer.echo(f"director {'DNS-SD ' + extra.dnssd.service if extra.dnssd else 'HTTP'}")
-    typer.echo(f"{len(setup.config.known.servers)} backends known")
+    typer.echo(f"{len(loaded.node.known_endpoints.servers)} backends known")
 
 
 @app.command()
--- a/gradegap/node/node.py
+++ b/gradegap/node/node.py
@@ -22,7 +22,7 @@
 from gradegap.hot_restart.handover import Handover
 from gradegap.hot_restart.link import close_descriptors
 from gradegap.metrics import Metrics
-from gradegap.node.configuration import Setup, private_file, reload
+from gradegap.node.configuration import Configuration, private_file, reload
 from gradegap.node.operator_file import OperatorSettings
 from gradegap.node.subscriptions import subscription_server_factory
 from gradegap.observer.settings import ObserverSettings
@@ -89,16 +89,21 @@
     """One node: the core, its ports and its fronts on one loop."""
 
     def __init__(
-        self, setup: Setup, loop: asyncio.AbstractEventLoop, operator: OperatorSettings | None = None
+        self,
+        configuration: Configuration,
+        loop: asyncio.AbstractEventLoop,
+        operator: OperatorSettings | None = None,
     ) -> None:
-        self.setup = setup
+        self.configuration = configuration
         self.operator = operator or OperatorSettings()
         self.quic: QuicFront | None = None
         self.loop = loop
         self.metrics = Metrics()
-        self.descriptors = Descriptors(raise_descriptor_limit(setup.config.limits.sockets), self.metrics)
-        self.backends = Backends(loop, setup.settings.connect_timeout, self.descriptors)
-        self.proxy = Proxy(setup.settings, setup.seed, self.backends, self.metrics, loop)
+        self.descriptors = Descriptors(
+            raise_descriptor_limit(configuration.node.limits.sockets), self.metrics
+        )
+        self.backends = Backends(loop, configuration.settings.connect_timeout, self.descriptors)
+        self.proxy = Proxy(configuration.settings, configuration.seed, self.backends, self.metrics, loop)
         self.director: HttpDiscovery | DnsSdDiscovery = self._make_director()
         self.live = DynamicConfiguration(self.metrics)
         self.store: Attached | ObservedStore | None = None
@@ -109,19 +114,19 @@
         self.console: AdminApi | None = None
         self.again: asyncio.Task[None] | None = None
         self.late: list[asyncio.Task[None]] = []  # ports that wait for the process before to leave them
-        self.snapshot = Snapshot(private_file(setup.config, "snapshot"), self.metrics)
+        self.snapshot = Snapshot(private_file(configuration.node, "snapshot"), self.metrics)
         self.resuming: Resuming | None = self._make_resuming()
         self.capture = self._make_capture()
         if self.operator.trace is not None and self.operator.trace.decisions:
             from gradegap.node.decision_trace import DecisionTrace
 
             trace = DecisionTrace(self.proxy.balancer)
-            trace.settings(setup.settings)
+            trace.write_settings(configuration.settings)
             self.proxy.balancer = cast(Any, trace)  # the core knows no difference
         self.proxy.on_disabled_changed = self._keep_out
         if self.operator.decides_by is not None:
             self.proxy.admission_gate = self._gate
-        self.handover = Handover(self, private_file(setup.config, "sock"))
+        self.handover = Handover(self, private_file(configuration.node, "sock"))
         self.listening: socket.socket | None = None  # kept beside the one accepted from, to pass on
         self.done: asyncio.Future[None] = loop.create_future()
         self.server: asyncio.Server | None = None
@@ -130,7 +135,9 @@
 
     def _make_director(self) -> HttpDiscovery | DnsSdDiscovery:
         if self.operator.dnssd is None:
-            return HttpDiscovery(self.proxy, self.backends.dialer, self.setup.config.discovery, self.metrics)
+            return HttpDiscovery(
+                self.proxy, self.backends.dialer, self.configuration.node.discovery, self.metrics
+            )
         from gradegap.discovery.dns_sd_discovery import DnsSdDiscovery
 
         return DnsSdDiscovery(self.proxy, self.operator.dnssd, self.metrics)
@@ -147,7 +154,7 @@
             raise ConfigurationError(
                 f"capture.hide: {settings.hide} can't be read: {error.strerror}"
             ) from None
-        name, seed = self.setup.config.name, self.setup.seed
+        name, seed = self.configuration.node.name, self.configuration.seed
         made = Switch(settings, self.proxy, seed, self.metrics, name, hide)
         self.live.key("capture", settings.on, made.set)
         return made
@@ -164,10 +171,10 @@
 
         # It comes later, and may go.
         store = (lambda: cast(Any, self.store)) if self.operator.decides_by is not None else None
-        return Resumer(self.setup.config.name, self.operator.resume, self.metrics, self.loop, store)
+        return Resumer(self.configuration.node.name, self.operator.resume, self.metrics, self.loop, store)
 
     async def start(self) -> None:
-        config = self.setup.config
+        config = self.configuration.node
         if self.capture is not None:
             self.capture.set(self.capture.settings.on)  # before the module is told anything
         self.live.key("log_level", "info", set_log_level)
@@ -181,8 +188,8 @@
             self.listening = self.listening or listen(*split_address(config.listen))
         except OSError as error:
             raise ConfigurationError(f"can't listen on {config.listen}: {error.strerror}") from None
-        if config.console:
-            await self._start_console(config.console)
+        if config.admin_listen:
+            await self._start_console(config.admin_listen)
         await self._accept()
         if following:
             self._get_ready()  # the list that it was told is the one in force
@@ -345,10 +352,10 @@
 
     def _take_known(self) -> None:
         """The list of the configuration, to serve with until discovery has told one."""
-        known = self.setup.config.known.read_entries({}, self.metrics)
+        known = self.configuration.node.known_endpoints.read_entries({}, self.metrics)
         self.proxy.update_endpoints(EndpointListKind.CACHED, known)
         if known and isinstance(self.director, HttpDiscovery):
-            self.director.clock.known(self.setup.config.known.version)
+            self.director.clock.known(self.configuration.node.known_endpoints.version)
         if known:
             self.loop.call_later(READY_ANYWAY, self._get_ready)
 
@@ -358,7 +365,7 @@
 
         try:
             if self.quic is None:
-                name = self.setup.config.name
+                name = self.configuration.node.name
                 made = QuicFront(self.proxy, self.metrics, self.admits, settings, name, self._machine)
                 made.resuming = self.resuming
                 self.live.key("quic_max_sessions", settings.max_sessions, made.set_most)
@@ -448,7 +455,7 @@
         # Loaded here: a node without a subscription does without its libraries' memory.
         from gradegap.observer.attached import ObservedStore
 
-        settings = msgspec.structs.replace(settings, name=settings.name or self.setup.config.name)
+        settings = msgspec.structs.replace(settings, name=settings.name or self.configuration.node.name)
         try:
             made = ObservedStore(settings, self.proxy, self.live, self.metrics, self.loop)
         except OperatorFileError as error:
@@ -478,7 +485,7 @@
         )
         return {
             "state": state,
-            "listen": self.setup.config.listen,
+            "listen": self.configuration.node.listen,
             "quic": self.operator.quic.listen if self.operator.quic is not None else None,
             "started_ms": round(self.proxy.started_at_ms),
         }
@@ -492,9 +499,9 @@
         nothing. QUIC's certificate is read again, too, whatever becomes of the rest."""
         if self.quic is not None:
             self.quic.reload()
-        old = self.setup
+        old = self.configuration
         try:
-            self.setup = new = reload(old)
+            self.configuration = new = reload(old)
         except ConfigurationError as error:
             self.metrics.count("reloads_failed")
             log.error("configuration not reloaded, the old one is kept", error=str(error))
@@ -505,13 +512,13 @@
             if isinstance(self.director, HttpDiscovery):
                 self.director.clock.adopt(new.settings)
             self.backends.connect_wait = new.settings.connect_timeout
-        if new.config.limits != old.config.limits:
-            self.descriptors.limit = raise_descriptor_limit(new.config.limits.sockets)
-        if new.config.known != old.config.known and not self.director.told:
+        if new.node.limits != old.node.limits:
+            self.descriptors.limit = raise_descriptor_limit(new.node.limits.sockets)
+        if new.node.known_endpoints != old.node.known_endpoints and not self.director.told:
             self._take_known()
-        if new.config.discovery != old.config.discovery and isinstance(self.director, HttpDiscovery):
-            self.director.change_over(new.config.discovery)
-        log.info("configuration reloaded", discovery=new.config.discovery)
+        if new.node.discovery != old.node.discovery and isinstance(self.director, HttpDiscovery):
+            self.director.change_over(new.node.discovery)
+        log.info("configuration reloaded", discovery=new.node.discovery)
 
     def stop(self) -> None:
         """Leave: clients still come for a while, all are answered, all that stands is moved; then end."""
--- a/tests/compatibility/present.py
+++ b/tests/compatibility/present.py
@@ -193,7 +193,7 @@
             listing=endpoint_list.EndpointListDocument,
         ),
     )
-    | _in("node", _own(config=configuration.Config, limits=configuration.Limits))
+    | _in("node", _own(config=configuration.NodeConfiguration, limits=configuration.ResourceLimits))
 )
 
 # By label: the stored name of an attribute that is called otherwise now, where the class does not say it
--- a/tests/compatibility/surface.py
+++ b/tests/compatibility/surface.py
@@ -96,13 +96,13 @@
 
 def node_configuration(path: str | None) -> Any:
     """A node's file, with the environment over it, plain."""
-    return plain(configuration.load(path).config)
+    return plain(configuration.load(path).node)
 
 
 def private_files(path: str) -> list[str]:
     """The files by which one process of a node finds what another left."""
-    config = configuration.load(path).config
-    return [str(configuration.private_file(config, kind)) for kind in ("snapshot", "sock")]
+    node = configuration.load(path).node
+    return [str(configuration.private_file(node, kind)) for kind in ("snapshot", "sock")]
 
 
 def operator_settings(path: Path) -> Any:
--- a/tests/test_lint_rules.py
+++ b/tests/test_lint_rules.py
@@ -42,10 +42,7 @@
 gradegap/downstream/session.py: D
 gradegap/hot_restart/handover.py: D
 gradegap/metrics.py: D
-gradegap/node/configuration.py: D
-gradegap/node/decision_trace.py: D
 gradegap/node/node.py: D
-gradegap/node/process.py: D
 gradegap/proxy/proxy.py: D
 gradegap/quic/channel.py: D
 gradegap/quic/connection.py: D
@@ -80,7 +77,7 @@
 gradegap/store/schema.py: D
 gradegap/store/service.py: D
 gradegap/store/snapshot.py: D
-gradegap/store/wire.py: D N
+gradegap/store/wire.py: D
 gradegap/transport/descriptors.py: D
 gradegap/upstream/connections.py: D
 """
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -29,7 +29,7 @@
 def test_the_settings_are_written_as_json_at_the_start_and_at_each_change() -> None:
     out = io.StringIO()
     trace = DecisionTrace(Driver().balancer, out)
-    trace.settings(settings())
+    trace.write_settings(settings())
     trace.adopt(settings(proxy_count=40))
     lines = out.getvalue().splitlines()
     assert [msgspec.json.decode(line.split(" ", 1)[1])["proxy_count"] for line in lines] == [10, 40]
