--- a/gradegap/verification/invariants.py
+++ b/gradegap/verification/invariants.py
@@ -12,12 +12,8 @@
 from gradegap.raft import Entry, EntryKind, Raft
 
 
-class BreachError(AssertionError):
-    """A rule that does not hold; its first word names the rule."""
-
-
-# The name by which the observer's rules and the tests import it.
-Breach = BreachError
+class InvariantError(AssertionError):
+    """An invariant that does not hold; the text begins with its name."""
 
 
 def chain(before: bytes, entry: Entry) -> bytes:
@@ -41,9 +37,9 @@
         """State machine safety: no two members apply different entries at one index."""
         known = self.committed.setdefault(entry.index, entry)
         if known != entry:
-            raise BreachError(f"state-machine-safety: {entry.index} is {known} here and {entry} there")
+            raise InvariantError(f"state-machine-safety: {entry.index} is {known} here and {entry} there")
         if self.states.setdefault(entry.index, state) != state:
-            raise BreachError(f"state-machine-safety: the states after {entry.index} differ")
+            raise InvariantError(f"state-machine-safety: the states after {entry.index} differ")
 
     def check(self, member: Raft) -> None:
         """Hold one member, after a step of it, to all that was seen before."""
@@ -58,7 +54,9 @@
             self.leaders[member.term] = member.member_id
             self._leader_completeness(member)
         elif known != member.member_id:
-            raise BreachError(f"election-safety: {known} and {member.member_id} lead in term {member.term}")
+            raise InvariantError(
+                f"election-safety: {known} and {member.member_id} lead in term {member.term}"
+            )
 
     def _leader_completeness(self, member: Raft) -> None:
         log = member.log
@@ -66,7 +64,7 @@
             # A candidate may win an early term late; what was committed after that term binds it not.
             bound = self.committed_in.get(index, member.term) < member.term
             if bound and index > log.base.index and log.term_at(index) != entry.term:
-                raise BreachError(
+                raise InvariantError(
                     f"leader-completeness: {member.member_id} leads term {member.term} without {entry}"
                 )
 
@@ -80,7 +78,7 @@
         for entry in log.entries:
             known = self.entries.setdefault((entry.index, entry.term), (entry.data, before))
             if known != (entry.data, before):
-                raise BreachError(
+                raise InvariantError(
                     f"log-matching: {member.member_id} has another entry {entry.index} of {entry.term}"
                 )
             before = entry.term
@@ -88,7 +86,7 @@
     def _commit(self, member: Raft) -> None:
         log = member.log
         if member.commit_index > log.last_index:
-            raise BreachError(
+            raise InvariantError(
                 f"log-matching: {member.member_id} commits {member.commit_index} beyond its log"
             )
         index = member.commit_index
@@ -99,7 +97,7 @@
                 break
             index -= 1
         if index > log.base.index and log.term_at(index) != self.committed[index].term:
-            raise BreachError(f"state-machine-safety: {member.member_id} commits another entry at {index}")
+            raise InvariantError(f"state-machine-safety: {member.member_id} commits another entry at {index}")
 
     @property
     def last_committed(self) -> int:
@@ -109,7 +107,7 @@
     def read(self, member: str, index: int, least: int) -> None:
         """A confirmed read sees all that was committed before it was asked."""
         if index < least:
-            raise BreachError(
+            raise InvariantError(
                 f"stale-read: {member} read at {index}, but {least} was committed before it asked"
             )
 
@@ -127,7 +125,7 @@
     def _no_later_leader(self, holder: Raft, leading: list[Raft]) -> None:
         for other in leading:
             if other.term > holder.term:
-                raise BreachError(
+                raise InvariantError(
                     f"lease: {other.member_id} leads term {other.term}, "
                     f"{holder.member_id} holds a lease of {holder.term}"
                 )
--- a/gradegap/verification/observer_mutations.py
+++ b/gradegap/verification/observer_mutations.py
@@ -11,8 +11,9 @@
 from gradegap.observer.publisher import Publisher, Subscription
 from gradegap.observer.subscriber import Apply, Send, Subscriber
 from gradegap.store.in_force import MachineReport
-from gradegap.verification.invariants import Breach
-from gradegap.verification.observer_model import Faults, Model
+from gradegap.verification.invariants import InvariantError
+from gradegap.verification.observer_faults import Faults
+from gradegap.verification.observer_model import Model
 
 # Mistakes of a subscriber
 
@@ -197,7 +198,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Planted:
+class Mutation:
     """A mistake, the rule that it must be seen to break, and the faults that show it within few seeds."""
 
     rule: str
@@ -207,55 +208,55 @@
     faults: Faults = Faults()
 
 
-REPEATS = Faults(twice=0.1)
-LOSSES = Faults(reset=4.0, cut=1.0)
-CHANGES = Faults(cut=2.0, leader=0.5)
+REPEATS = Faults(duplicate=0.1)
+LOSSES = Faults(reset=4.0, partition=1.0)
+CHANGES = Faults(partition=2.0, leader_change=0.5)
 RESTARTS = Faults(crash_machine=2.0, reset=0.0)
 
-PLANTED: dict[str, Planted] = {
-    "applies backwards": Planted("backwards", subscriber=AppliesBackwards, faults=REPEATS),
-    "takes older snapshots": Planted("backwards", subscriber=TakesOlderSnapshots, faults=REPEATS),
-    "acknowledges before applying": Planted("acknowledged-unapplied", subscriber=AcknowledgesBeforeApplying),
-    "lease from the answer": Planted("lease", subscriber=LeaseFromTheAnswer, faults=LOSSES),
-    "lease without drift": Planted("lease", subscriber=LeaseWithoutDrift, faults=LOSSES),
-    "applies half a snapshot": Planted("gap", subscriber=AppliesHalfASnapshot),
-    "forgets lost grants": Planted("lease", publisher=ForgetsLostGrants, faults=LOSSES),
-    "forgets displaced grants": Planted("lease", publisher=ForgetsDisplacedGrants, faults=Faults(twin=2.0)),
-    "keeps the lease at leave": Planted("lease", subscriber=KeepsTheLeaseAtLeave, faults=Faults(leave=3.0)),
-    "forgets an earlier connection's grant": Planted(
+MUTATIONS: dict[str, Mutation] = {
+    "applies backwards": Mutation("backwards", subscriber=AppliesBackwards, faults=REPEATS),
+    "takes older snapshots": Mutation("backwards", subscriber=TakesOlderSnapshots, faults=REPEATS),
+    "acknowledges before applying": Mutation("acknowledged-unapplied", subscriber=AcknowledgesBeforeApplying),
+    "lease from the answer": Mutation("lease", subscriber=LeaseFromTheAnswer, faults=LOSSES),
+    "lease without drift": Mutation("lease", subscriber=LeaseWithoutDrift, faults=LOSSES),
+    "applies half a snapshot": Mutation("gap", subscriber=AppliesHalfASnapshot),
+    "forgets lost grants": Mutation("lease", publisher=ForgetsLostGrants, faults=LOSSES),
+    "forgets displaced grants": Mutation("lease", publisher=ForgetsDisplacedGrants, faults=Faults(twin=2.0)),
+    "keeps the lease at leave": Mutation("lease", subscriber=KeepsTheLeaseAtLeave, faults=Faults(leave=3.0)),
+    "forgets an earlier connection's grant": Mutation(
         "lease", publisher=ForgetsTheGrantOfAnEarlierConnection, faults=LOSSES
     ),
-    "merges marks unsafely": Planted(
-        "lease", publisher=MergesMarksUnsafely, faults=Faults(load=40.0, slow=0.5, reset=3.0)
+    "merges marks unsafely": Mutation(
+        "lease", publisher=MergesMarksUnsafely, faults=Faults(writes_per_s=40.0, slow=0.5, reset=3.0)
     ),
-    "reports its own index": Planted("lease", publisher=ReportsItsOwnIndex),
-    "grants to nodes behind": Planted("lease", publisher=GrantsToNodesBehind, faults=CHANGES),
-    "grants longer than it has": Planted("lease", publisher=GrantsLongerThanItHas, faults=CHANGES),
-    "confirms what was not sent": Planted("gap", publisher=ConfirmsWhatWasNotSent, faults=Faults(slow=0.5)),
-    "forgets lost nodes": Planted("in-force", publisher=ForgetsLostNodes, faults=LOSSES),
-    "forgets its restart": Planted("in-force", publisher=ForgetsItsRestart, faults=RESTARTS),
-    "queues without bound": Planted("bounded", publisher=QueuesWithoutBound, faults=Faults(slow=0.5)),
-    "restarts under its holder name": Planted("lease", same_holder_name=True, faults=RESTARTS),
+    "reports its own index": Mutation("lease", publisher=ReportsItsOwnIndex),
+    "grants to nodes behind": Mutation("lease", publisher=GrantsToNodesBehind, faults=CHANGES),
+    "grants longer than it has": Mutation("lease", publisher=GrantsLongerThanItHas, faults=CHANGES),
+    "confirms what was not sent": Mutation("gap", publisher=ConfirmsWhatWasNotSent, faults=Faults(slow=0.5)),
+    "forgets lost nodes": Mutation("in-force", publisher=ForgetsLostNodes, faults=LOSSES),
+    "forgets its restart": Mutation("in-force", publisher=ForgetsItsRestart, faults=RESTARTS),
+    "queues without bound": Mutation("bounded", publisher=QueuesWithoutBound, faults=Faults(slow=0.5)),
+    "restarts under its holder name": Mutation("lease", same_holder_name=True, faults=RESTARTS),
 }
 
 
 # A mistake of one side that the other bears: no rule is broken.
-BORNE: dict[str, Planted] = {"accepts nodes ahead": Planted("", publisher=AcceptsNodesAhead)}
+TOLERATED: dict[str, Mutation] = {"accepts nodes ahead": Mutation("", publisher=AcceptsNodesAhead)}
 
 
-def find(planted: Planted, seeds: range, seconds: float = 15.0) -> tuple[int, str] | None:
+def find(mutation: Mutation, seeds: range, seconds: float = 15.0) -> tuple[int, str] | None:
     """The first seed whose run shows the mistake, and the rule that it breaks."""
     for seed in seeds:
         model = Model(
             seed,
-            faults=planted.faults,
-            publisher_class=planted.publisher,
-            subscriber_class=planted.subscriber,
-            same_holder_name=planted.same_holder_name,
+            faults=mutation.faults,
+            publisher_class=mutation.publisher,
+            subscriber_class=mutation.subscriber,
+            same_holder_name=mutation.same_holder_name,
         )
         try:
             model.run(seconds)
             model.calm()
-        except Breach as breach:
+        except InvariantError as breach:
             return seed, str(breach)
     return None
--- a/tests/test_observer_model.py
+++ b/tests/test_observer_model.py
@@ -1,4 +1,4 @@
-"""Observer subscriptions in virtual time under faults; and the same under planted mistakes."""
+"""Observer subscriptions in virtual time under faults; and the same under mutations."""
 
 from __future__ import annotations
 
@@ -6,9 +6,10 @@
 
 import pytest
 
-from gradegap.verification.invariants import Breach
-from gradegap.verification.observer_model import Faults, Model
-from gradegap.verification.observer_mutations import BORNE, LOSSES, PLANTED, REPEATS, RESTARTS, find
+from gradegap.verification.invariants import InvariantError
+from gradegap.verification.observer_faults import Faults
+from gradegap.verification.observer_model import Model
+from gradegap.verification.observer_mutations import LOSSES, MUTATIONS, REPEATS, RESTARTS, TOLERATED, find
 
 RUNS = 24  # seeds in one run of the tests
 SECONDS = 15.0
@@ -18,8 +19,8 @@
     LOSSES,
     RESTARTS,
     REPEATS,
-    Faults(slow=0.6, load=25.0),
-    Faults(leader=0.6, cut=1.5, pause=2.0),
+    Faults(slow=0.6, writes_per_s=25.0),
+    Faults(leader_change=0.6, partition=1.5, pause=2.0),
 ]
 SIZES = [(3, 8), (2, 4), (5, 12)]  # machines and nodes
 
@@ -33,10 +34,10 @@
         try:
             model.run(SECONDS)
             model.calm()
-        except Breach as breach:
+        except InvariantError as breach:
             raise AssertionError(f"seed {seed}, run {run}: {breach}") from breach
-        print(f"seed {seed}, run {run}: {model.rules.acknowledgements} writes acknowledged")
-        assert model.rules.acknowledgements > 20 and model.rules.fresh_looks > 1000
+        print(f"seed {seed}, run {run}: {model.invariants.acknowledgements} writes acknowledged")
+        assert model.invariants.acknowledgements > 20 and model.invariants.fresh_looks > 1000
         assert model.counts["snapshots"] > 0 and model.counts["deltas"] > 20 and model.counts["in force"] > 0
 
 
@@ -49,16 +50,16 @@
     assert run() == run()
 
 
-@pytest.mark.parametrize("name", PLANTED)
-def test_the_model_finds_what_is_planted(name: str) -> None:
-    planted = PLANTED[name]
-    found = find(planted, range(40))
+@pytest.mark.parametrize("name", MUTATIONS)
+def test_the_model_finds_each_mutation(name: str) -> None:
+    mutation = MUTATIONS[name]
+    found = find(mutation, range(40))
     assert found is not None, "no seed shows it"
     print(name, found)
     seed, breach = found
-    assert breach.startswith(planted.rule), f"seed {seed} breaks another rule: {breach}"
+    assert breach.startswith(mutation.rule), f"seed {seed} breaks another invariant: {breach}"
 
 
-@pytest.mark.parametrize("name", BORNE)
+@pytest.mark.parametrize("name", TOLERATED)
 def test_a_mistake_of_one_side_that_the_other_bears_breaks_no_rule(name: str) -> None:
-    assert find(BORNE[name], range(4)) is None
+    assert find(TOLERATED[name], range(4)) is None
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -22,7 +22,7 @@
 )
 from gradegap.raft.entries import encode_configuration
 from gradegap.raft.log import Log
-from gradegap.verification.invariants import Breach
+from gradegap.verification.invariants import InvariantError
 from gradegap.verification.model_explorer import ELECTIONS, Bounds, Case, explore, find_by_walks, walk
 from gradegap.verification.mutations import (
     BUGS,
@@ -133,7 +133,7 @@
         takes_over()
         assert case.members["m1"].log.term_at(1) == 2
     else:
-        with pytest.raises(Breach, match="leader-completeness"):
+        with pytest.raises(InvariantError, match="leader-completeness"):
             takes_over()
 
 
@@ -157,7 +157,7 @@
 def test_a_member_that_starts_anew_keeps_what_its_earlier_life_promised() -> None:
     for seed in range(40):
         restarted_within_a_promise(Raft, seed)
-    with pytest.raises(Breach, match="^lease"):
+    with pytest.raises(InvariantError, match="^lease"):
         for seed in range(40):
             restarted_within_a_promise(PromiseForgottenAtRestart, seed)
 
