--- a/gradegap/capture/comparison.py
+++ b/gradegap/capture/comparison.py
@@ -26,7 +26,7 @@
     def steps(source: Iterable[Item]) -> Iterator[Step]:
         for item in source:
             if isinstance(item, Gap):
-                found.gaps.append(item.why)
+                found.gaps.append(item.reason)
             elif isinstance(item, Step):
                 yield item
 
--- a/gradegap/capture/errors.py
+++ b/gradegap/capture/errors.py
@@ -16,6 +16,21 @@
     """A file that is no recording, can't be had, or is of a version that this program does not read."""
 
 
+class OtherVersionError(BadRecordingError):
+    """A file in a version of the format that this program does not read; read it with one that does."""
+
+    def __init__(self, found: str, known: int) -> None:
+        super().__init__(f"a capture of version {found}; this program reads version {known}")
+        self.found, self.known = found, known
+
+
+class FrameTooLargeError(CaptureError):
+    """A frame that no reader would take."""
+
+    def __init__(self, size: int) -> None:
+        super().__init__(f"a frame of {size} bytes")
+
+
 class BadRecordError(CaptureError):
     """An event, action or settings of a recording that this version does not know."""
 
--- a/gradegap/capture/evidence.py
+++ b/gradegap/capture/evidence.py
@@ -100,8 +100,8 @@
         match item:
             case State():
                 gatherer.begin(item)
-            case Gap(why):
-                gatherer.evidence.gaps.append(why)
+            case Gap(reason):
+                gatherer.evidence.gaps.append(reason)
                 break
             case SettingsChange():
                 gatherer.evidence.adopted.append((item.at, item.settings))
--- a/gradegap/capture/explain.py
+++ b/gradegap/capture/explain.py
@@ -131,9 +131,9 @@
                 if balancer is None:
                     balancer = observation.balancer = begin(module, item)
                     balancer.__class__ = observed_class
-            case Gap(why):
+            case Gap(reason):
                 if began_at:
-                    yield f"here the record has a gap: {why}"
+                    yield f"here the record has a gap: {reason}"
                 balancer = None
             case SettingsChange():
                 if balancer is not None:
--- a/gradegap/capture/frames.py
+++ b/gradegap/capture/frames.py
@@ -18,17 +18,18 @@
 
 import msgspec
 
-from gradegap.capture.errors import BadRecordingError
+from gradegap.capture.errors import BadRecordingError, FrameTooLargeError, OtherVersionError
 
 VERSION = 1
 MAGIC = b"gradegap capture %d\n" % VERSION
 MARK = b"\xf5ggF"
-_HEAD = struct.Struct("<4sBIIIQddI")  # mark, kind, packed, plain, records, first seq, first and last at, crc
-MOST = 32 * 1024 * 1024  # bytes of a frame's body, packed or not: the state of some 100,000 connections
-LEVEL = 3
+# Mark, kind, packed and plain size, number of records, first number, first and last clock, CRC.
+_HEADER = struct.Struct("<4sBIIIQddI")
+MAX_BODY_BYTES = 32 * 1024 * 1024  # of a frame, packed or not: the state of some 100,000 connections
+COMPRESSION_LEVEL = 3  # of zstandard
 
 
-class Kind(enum.IntEnum):
+class FrameKind(enum.IntEnum):
     """What a frame holds."""
 
     START = 1  # seed, settings, versions: what a replay begins with
@@ -43,11 +44,11 @@
 class Frame:
     """A sound frame."""
 
-    kind: Kind
-    records: int
-    first: int  # the number of its first record
-    at: float  # clock of its first record, and of its last, s
-    until: float
+    kind: FrameKind
+    record_count: int
+    first_number: int  # of its first record
+    first_at: float  # clock of its first record, s
+    last_at: float  # clock of its last record, s
     body: Any
 
 
@@ -57,97 +58,112 @@
 
     offset: int
     length: int
-    why: str
+    reason: str
 
 
 def pack(
-    kind: Kind, body: Any, records: int = 0, first: int = 0, at: float = 0.0, until: float = 0.0
+    kind: FrameKind,
+    body: Any,
+    record_count: int = 0,
+    first_number: int = 0,
+    first_at: float = 0.0,
+    last_at: float = 0.0,
 ) -> bytes:
-    """A frame as it stands in a file."""
+    """A frame as it is in a file; `FrameTooLargeError` for a body of more than `MAX_BODY_BYTES`."""
     import zstandard
 
     raw = msgspec.msgpack.encode(body)
-    if len(raw) > MOST:
-        raise ValueError(f"a frame of {len(raw)} bytes")
-    packed = zstandard.ZstdCompressor(level=LEVEL).compress(raw)
-    head = _HEAD.pack(MARK, kind, len(packed), len(raw), records, first, at, until, 0)
+    if len(raw) > MAX_BODY_BYTES:
+        raise FrameTooLargeError(len(raw))
+    packed = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).compress(raw)
+    head = _HEADER.pack(MARK, kind, len(packed), len(raw), record_count, first_number, first_at, last_at, 0)
     crc = zlib.crc32(packed, zlib.crc32(head))
     return head[:-4] + struct.pack("<I", crc) + packed
 
 
-def check(data: bytes) -> None:
-    """`BadRecordingError` for another kind of file, or a version that this one can't read."""
+def check_magic(data: bytes) -> None:
+    """Raises `BadRecordingError` for another kind of file, or a version that this program does not read."""
     if not data.startswith(b"gradegap capture "):
         raise BadRecordingError("this is no capture")
     if not data.startswith(MAGIC):
-        said = data[17:27].split(b"\n")[0].decode("ascii", "replace")
-        raise BadRecordingError(f"a capture of version {said}; this program reads version {VERSION}")
+        found = data[17:27].split(b"\n")[0].decode("ascii", "replace")
+        raise OtherVersionError(found, VERSION)
 
 
 def read(data: bytes) -> Iterator[Frame | Damage]:
     """All that is sound in a file, in order, and where something was not, without its index.
 
-    `BadRecordingError` for what is no capture.
+    Raises `BadRecordingError` for what is no recording.
     """
-    for _, found in located(data):
-        if isinstance(found, Damage) or found.kind not in (Kind.INDEX, Kind.TAIL):
+    for _, found in read_located(data):
+        if isinstance(found, Damage) or found.kind not in (FrameKind.INDEX, FrameKind.TAIL):
             yield found
 
 
-def located(data: bytes) -> Iterator[tuple[int, Frame | Damage]]:
+def read_located(data: bytes) -> Iterator[tuple[int, Frame | Damage]]:
     """The same with the offset of each, and with the index."""
-    check(data)
-    at, bad_from, why = len(MAGIC), -1, ""
-    while at < len(data):
-        found = _frame(data, at)
-        if isinstance(found, str):
-            if bad_from < 0:
-                bad_from, why = at, found
-            following = data.find(MARK, at + 1)
-            at = following if following >= 0 else len(data)
+    check_magic(data)
+    offset, damaged_from, reason = len(MAGIC), -1, ""
+    while offset < len(data):
+        try:
+            frame, end = _parse(data, offset)
+        except _UnsoundFrameError as error:
+            if damaged_from < 0:
+                damaged_from, reason = offset, str(error)
+            next_mark = data.find(MARK, offset + 1)
+            offset = next_mark if next_mark >= 0 else len(data)
             continue
-        if bad_from >= 0:
-            yield bad_from, Damage(bad_from, at - bad_from, why)
-            bad_from = -1
-        frame, end = found
-        yield at, frame
-        at = end
-    if bad_from >= 0:
-        yield bad_from, Damage(bad_from, len(data) - bad_from, why)
+        if damaged_from >= 0:
+            yield damaged_from, Damage(damaged_from, offset - damaged_from, reason)
+            damaged_from = -1
+        yield offset, frame
+        offset = end
+    if damaged_from >= 0:
+        yield damaged_from, Damage(damaged_from, len(data) - damaged_from, reason)
 
 
 def frame_at(data: bytes, offset: int) -> Frame | None:
     """The frame that begins there; None where none does that is sound."""
     if not len(MAGIC) <= offset < len(data):
         return None
-    found = _frame(data, offset)
-    return None if isinstance(found, str) else found[0]
+    try:
+        return _parse(data, offset)[0]
+    except _UnsoundFrameError:
+        return None
+
+
+class _UnsoundFrameError(ValueError):
+    """What is wrong with the bytes at an offset."""
 
 
-def _frame(data: bytes, at: int) -> tuple[Frame, int] | str:
-    """The frame there and where it ends; or what is wrong with it."""
+def _parse(data: bytes, offset: int) -> tuple[Frame, int]:
+    """The frame at an offset, and the offset of its end."""
     import zstandard
 
-    if at + _HEAD.size > len(data) and MARK.startswith(data[at : at + len(MARK)]):
-        return "cut off"
-    if not data.startswith(MARK, at):
-        return "no frame begins here"
-    _, kind, packed, size, records, first, began, until, crc = _HEAD.unpack_from(data, at)
-    body = at + _HEAD.size
+    if offset + _HEADER.size > len(data) and MARK.startswith(data[offset : offset + len(MARK)]):
+        raise _UnsoundFrameError("cut off")
+    if not data.startswith(MARK, offset):
+        raise _UnsoundFrameError("no frame begins here")
+    header = _HEADER.unpack_from(data, offset)
+    _, kind, packed_size, size, record_count, first_number, first_at, last_at, crc = header
+    begin = offset + _HEADER.size
     # Guards against declared sizes that nothing stands behind: nothing is allocated for them.
-    if packed > MOST or size > MOST:
-        return "a size that no frame has"
-    if body + packed > len(data):
-        return "cut off"
-    held = data[body : body + packed]
-    if zlib.crc32(held, zlib.crc32(data[at : body - 4] + b"\0\0\0\0")) != crc:
-        return "its sum is wrong"
+    if packed_size > MAX_BODY_BYTES or size > MAX_BODY_BYTES:
+        raise _UnsoundFrameError("a size that no frame has")
+    end = begin + packed_size
+    if end > len(data):
+        raise _UnsoundFrameError("cut off")
+    packed = data[begin:end]
+    if zlib.crc32(packed, zlib.crc32(data[offset : begin - 4] + b"\0\0\0\0")) != crc:
+        raise _UnsoundFrameError("its sum is wrong")
     try:
-        kind = Kind(kind)
-        raw = zstandard.ZstdDecompressor().decompress(held, max_output_size=size)
-        if len(raw) != size or zstandard.frame_content_size(held) != size:
-            return "a size that it does not have"
-        value = msgspec.msgpack.decode(raw)
+        frame_kind = FrameKind(kind)
+        raw = zstandard.ZstdDecompressor().decompress(packed, max_output_size=size)
+        if len(raw) != size or zstandard.frame_content_size(packed) != size:
+            raise _UnsoundFrameError("a size that it does not have")
+        body = msgspec.msgpack.decode(raw)
+    except _UnsoundFrameError:
+        raise
     except (ValueError, zstandard.ZstdError, RecursionError) as error:
-        return f"can't be unpacked: {str(error)[:60]}"
-    return Frame(kind, records, first, began, until, value), body + packed
+        raise _UnsoundFrameError(f"can't be unpacked: {str(error)[:60]}") from None
+    return Frame(frame_kind, record_count, first_number, first_at, last_at, body), end
--- a/gradegap/capture/recorder.py
+++ b/gradegap/capture/recorder.py
@@ -25,7 +25,7 @@
 from gradegap.balancing.settings import Settings
 from gradegap.capture import decision_module, frames, records, snapshot, state
 from gradegap.capture.errors import BadStateError
-from gradegap.capture.frames import Kind
+from gradegap.capture.frames import FrameKind
 from gradegap.capture.index import Builder
 from gradegap.capture.settings import CaptureSettings
 from gradegap.metrics import Metrics
@@ -251,7 +251,7 @@
             self.metrics.count("capture_bytes", len(data))
 
     def _frame(
-        self, kind: Kind, body: Any, count: int = 0, first: int = 0, at: float = 0.0, until: float = 0.0
+        self, kind: FrameKind, body: Any, count: int = 0, first: int = 0, at: float = 0.0, until: float = 0.0
     ) -> int:
         """A frame at the end of the file, and where it is; -1 where there is no file."""
         offset = self.size if self.file is not None else -1
@@ -271,14 +271,14 @@
                 for each in (event, *what):
                     about |= records.names(each)
         first, since, until = batch[0][0], batch[0][1], batch[-1][1]
-        offset = self._frame(Kind.STEPS, rows, len(rows), first, since, until)
+        offset = self._frame(FrameKind.STEPS, rows, len(rows), first, since, until)
         if offset >= 0:
-            self.index.add(offset, Kind.STEPS, first, len(rows), since, until, adopts, about)
+            self.index.add(offset, FrameKind.STEPS, first, len(rows), since, until, adopts, about)
 
     def _write_gap(self, first: int, count: int) -> None:
-        offset = self._frame(Kind.GAP, {"dropped": count}, count, first)
+        offset = self._frame(FrameKind.GAP, {"dropped": count}, count, first)
         if offset >= 0:
-            self.index.add(offset, Kind.GAP, first, count)
+            self.index.add(offset, FrameKind.GAP, first, count)
 
     def _write_forked(self, start: dict[str, Any], child: tuple[int, int], seq: int, at: float) -> None:
         try:
@@ -302,9 +302,11 @@
             self.decided_by = None
         if start["settings"] != self.decided_by:
             # Guards against a reload in a batch that was dropped: a state bears the settings it is under.
-            self.index.add(self._frame(Kind.START, start, 0, seq, at, at), Kind.START, seq, 0, at, at)
+            offset = self._frame(FrameKind.START, start, 0, seq, at, at)
+            self.index.add(offset, FrameKind.START, seq, 0, at, at)
             self.decided_by = start["settings"]
-        self.index.add(self._frame(Kind.STATE, held, 0, seq, at, at), Kind.STATE, seq, 0, at, at)
+        offset = self._frame(FrameKind.STATE, held, 0, seq, at, at)
+        self.index.add(offset, FrameKind.STATE, seq, 0, at, at)
 
     def _trim(self, newest: Path) -> None:
         """The ring's limits, in size and age; the file that is written stays."""
--- a/gradegap/capture/recording.py
+++ b/gradegap/capture/recording.py
@@ -13,7 +13,7 @@
 
 from gradegap.capture import frames, records
 from gradegap.capture.errors import BadRecordError, BadRecordingError
-from gradegap.capture.frames import Damage, Frame, Kind
+from gradegap.capture.frames import Damage, Frame, FrameKind
 
 
 @dataclass(slots=True, frozen=True)
@@ -49,7 +49,7 @@
 class Gap:
     """From here to the next state nothing can be replayed."""
 
-    why: str
+    reason: str
 
 
 Item = Step | SettingsChange | State | Gap
@@ -60,7 +60,7 @@
     reader = _Reader()
     for frame in frames.read(data):
         if isinstance(frame, Damage):
-            yield reader.gap(f"{frame.length} bytes at {frame.offset}: {frame.why}")
+            yield reader.gap(f"{frame.length} bytes at {frame.offset}: {frame.reason}")
             continue
         try:
             yield from reader.read(frame)
@@ -75,22 +75,22 @@
         self.start: dict[str, Any] | None = None
         self.following = -1  # number of the step that comes next; -1: unknown, until the next state
 
-    def gap(self, why: str) -> Gap:
+    def gap(self, reason: str) -> Gap:
         self.following = -1
-        return Gap(why)
+        return Gap(reason)
 
     def read(self, frame: Frame) -> Iterator[Item]:
         match frame.kind:
-            case Kind.START:
+            case FrameKind.START:
                 self._begin(frame.body)
-            case Kind.STATE:
+            case FrameKind.STATE:
                 if self.start is None:
                     raise BadRecordError("a state without a start")
-                self.following = frame.first
-                yield State(frame.first, frame.at, frame.body, self.start)
-            case Kind.GAP:
-                yield self.gap(f"{frame.records} steps were dropped, from {frame.first} on")
-            case Kind.STEPS:
+                self.following = frame.first_number
+                yield State(frame.first_number, frame.first_at, frame.body, self.start)
+            case FrameKind.GAP:
+                yield self.gap(f"{frame.record_count} steps were dropped, from {frame.first_number} on")
+            case FrameKind.STEPS:
                 yield from self._steps(frame)
 
     def _begin(self, body: Any) -> None:
@@ -100,13 +100,13 @@
         records.settings(body["settings"])
 
     def _steps(self, frame: Frame) -> Iterator[Item]:
-        if self.following >= 0 and frame.first != self.following:
-            yield Gap(f"steps {self.following} to {frame.first - 1} are not there")
+        if self.following >= 0 and frame.first_number != self.following:
+            yield Gap(f"steps {self.following} to {frame.first_number - 1} are not there")
         for step in _steps(frame):
             if isinstance(step, SettingsChange) and self.start is not None:
                 self.start = self.start | {"settings": records.plain_settings(step.settings)}
             yield step
-        self.following = frame.first + frame.records
+        self.following = frame.first_number + frame.record_count
 
 
 def _steps(frame: Frame) -> Iterator[Step | SettingsChange]:
--- a/gradegap/capture/replay.py
+++ b/gradegap/capture/replay.py
@@ -137,9 +137,9 @@
                     self._load(item)
                 else:
                     self._hold_against(item)
-            case Gap(why):
+            case Gap(reason):
                 self.balancer = None
-                self.report.gaps.append(why)
+                self.report.gaps.append(reason)
             case SettingsChange():
                 if self.balancer is not None:
                     self.balancer.adopt(item.settings)
--- a/gradegap/capture/snapshot.py
+++ b/gradegap/capture/snapshot.py
@@ -75,8 +75,8 @@
             if not part:
                 break
             held += len(part)
-            if held > frames.MOST:
-                raise OSError(f"a state of more than {frames.MOST} bytes")
+            if held > frames.MAX_BODY_BYTES:
+                raise OSError(f"a state of more than {frames.MAX_BODY_BYTES} bytes")
             parts.append(part)
     except OSError:
         with contextlib.suppress(ProcessLookupError):
--- a/gradegap/commands/capture.py
+++ b/gradegap/commands/capture.py
@@ -23,7 +23,7 @@
     LaterStateError,
 )
 from gradegap.capture.explain import explain, in_one_line
-from gradegap.capture.frames import Damage, Kind
+from gradegap.capture.frames import Damage, FrameKind
 
 capture = typer.Typer(help="Files of what the module was told and did.", no_args_is_help=True)
 
@@ -71,16 +71,16 @@
     data = whole(file)
     for frame in frames.read(data):
         if isinstance(frame, Damage):
-            bad.append(f"{frame.length} bytes at {frame.offset}: {frame.why}")
+            bad.append(f"{frame.length} bytes at {frame.offset}: {frame.reason}")
             continue
         kinds[frame.kind.name.lower()] += 1
-        if frame.kind is Kind.START and isinstance(frame.body, dict):
+        if frame.kind is FrameKind.START and isinstance(frame.body, dict):
             start = start or frame.body
-        if frame.kind is Kind.STEPS:
-            first, last = first or frame.at, frame.until
+        if frame.kind is FrameKind.STEPS:
+            first, last = first or frame.first_at, frame.last_at
             events.update(str(row[3][0]) for row in frame.body if row[0] == "s")
-        if frame.kind is Kind.GAP:
-            bad.append(f"{frame.records} steps were dropped, from {frame.first} on")
+        if frame.kind is FrameKind.GAP:
+            bad.append(f"{frame.record_count} steps were dropped, from {frame.first_number} on")
     said = {
         "node": start.get("node"),
         "version": start.get("version"),
@@ -111,7 +111,7 @@
 ) -> None:
     """A part of a capture that can be replayed by itself: from the state before `--from` to `--to`."""
     data = whole(file)
-    base = next((f.at for f in frames.read(data) if not isinstance(f, Damage)), 0.0)
+    base = next((f.first_at for f in frames.read(data) if not isinstance(f, Damage)), 0.0)
     since = since + base if abs(since) < 1e6 else since
     until = until + base if abs(until) < 1e6 else until
     part = index.seek(data, since, until)
@@ -121,13 +121,13 @@
     for f in frames.read(part):
         if isinstance(f, Damage):
             continue
-        body, last, count = f.body, f.until, f.records
-        if f.kind is Kind.STEPS:
+        body, last, count = f.body, f.last_at, f.record_count
+        if f.kind is FrameKind.STEPS:
             body = [row for row in f.body if row[2] <= until]
             if not body:
                 continue
             last, count = body[-1][2], len(body)
-        made.append(frames.pack(f.kind, body, count, f.first, f.at, last))
+        made.append(frames.pack(f.kind, body, count, f.first_number, f.first_at, last))
     write(out, index.sealed(b"".join(made)))
 
 
@@ -185,7 +185,7 @@
 def _lines(file: str, wanted: Callable[[recording.Step], bool]) -> None:
     for item in recording.read(whole(file)):
         if isinstance(item, recording.Gap):
-            typer.echo(msgspec.json.encode({"gap": item.why}))
+            typer.echo(msgspec.json.encode({"gap": item.reason}))
         elif isinstance(item, recording.Step) and wanted(item):
             typer.echo(_line(item, item.at))
 
@@ -222,7 +222,7 @@
     for k, path in enumerate(files):
         data, name = whole(path), path
         for frame in frames.read(data):
-            if not isinstance(frame, Damage) and frame.kind is Kind.START:
+            if not isinstance(frame, Damage) and frame.kind is FrameKind.START:
                 name = frame.body.get("node", path)
         plus = shift[k] if shift else 0.0
         rows += [
@@ -325,7 +325,7 @@
 
 def explain_command(file: str = FILE, req: int = typer.Argument(...)) -> None:
     """Why a req went where it went."""
-    part = index.seek(whole(file), req=req)
+    part = index.seek(whole(file), request_id=req)
     try:
         lines = list(explain(recording.read(part), _module(None), req)) if part else []
     except (BadRecordingError, BadStateError, BadRecordError) as error:
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -43,7 +43,7 @@
 )
 from gradegap.capture import comparison, frames, recording, records, replay, state
 from gradegap.capture.errors import BadRecordError, BadRecordingError, BadStateError
-from gradegap.capture.frames import Damage, Kind
+from gradegap.capture.frames import Damage, FrameKind
 from gradegap.capture.recorder import MOST_BATCHES, Hide, Recorder, Tap
 from gradegap.capture.redact import redact
 from gradegap.capture.settings import CaptureSettings
@@ -136,22 +136,22 @@
 
     def start(self) -> bytes:
         about = {"settings": records.plain_settings(self.settings), "seed": self.seed, "node": "n"}
-        return frames.MAGIC + frames.pack(Kind.START, about, 0, 0, 0.0, 0.0)
+        return frames.MAGIC + frames.pack(FrameKind.START, about, 0, 0, 0.0, 0.0)
 
     def state(self) -> bytes:
-        return frames.pack(Kind.STATE, state.dump(self.balancer), 0, len(self.steps), self.now, self.now)
+        return frames.pack(FrameKind.STATE, state.dump(self.balancer), 0, len(self.steps), self.now, self.now)
 
 
 def taken(seed: int, steps: int = 600, parts: int = 4) -> bytes:
     """A capture of a day, with states in between."""
     day = Day(seed)
     first = Balancer(day.settings, seed)
-    held = frames.pack(Kind.STATE, state.dump(first), 0, 0, 0.0, 0.0)
+    held = frames.pack(FrameKind.STATE, state.dump(first), 0, 0, 0.0, 0.0)
     data, written = day.start() + held, 0
     for _ in range(parts):
         day.live(steps // parts)
         rows = day.steps[written:]
-        data += frames.pack(Kind.STEPS, rows, len(rows), written, rows[0][2], rows[-1][2]) + day.state()
+        data += frames.pack(FrameKind.STEPS, rows, len(rows), written, rows[0][2], rows[-1][2]) + day.state()
         written = len(day.steps)
     return data
 
@@ -173,7 +173,9 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_a_replay_that_starts_at_a_state_decides_the_same(seed: int) -> None:
     data = taken(100 + seed)
-    clocks = [f.at for f in frames.read(data) if not isinstance(f, Damage) and f.kind is Kind.STATE]
+    clocks = [
+        f.first_at for f in frames.read(data) if not isinstance(f, Damage) and f.kind is FrameKind.STATE
+    ]
     for since in clocks[1:4]:
         found = again(data, since=since)
         assert found.difference is None and not found.state_differs and found.steps > 0
@@ -260,7 +262,7 @@
         sound = [f for f in found if not isinstance(f, Damage)]
         assert len(sound) == len(whole) - (2 if end < last else 1)
         assert again(data[:end]).difference is None
-        assert [d.why for d in found if isinstance(d, Damage)] == ([] if end == last else ["cut off"])
+        assert [d.reason for d in found if isinstance(d, Damage)] == ([] if end == last else ["cut off"])
 
 
 @tuned(max_examples=150, deadline=None)
@@ -291,7 +293,7 @@
 
     bomb = zstandard.ZstdCompressor(level=19).compress(b"\0" * (512 * 1024 * 1024))
     for packed, plain in ((len(bomb), 2**32 - 1), (len(bomb), 100), (2**32 - 1, 100)):
-        head = frames._HEAD.pack(frames.MARK, 2, packed, plain, 1, 0, 0.0, 0.0, 0)
+        head = frames._HEADER.pack(frames.MARK, 2, packed, plain, 1, 0, 0.0, 0.0, 0)
         crc = zlib.crc32(bomb, zlib.crc32(head))
         (found,) = frames.read(frames.MAGIC + head[:-4] + crc.to_bytes(4, "little") + bomb)
         assert isinstance(found, Damage)
@@ -326,7 +328,7 @@
 )
 def test_floats_at_the_edges_come_back_as_they_were(value: float) -> None:
     event = HealthCheckEnded("s", AttemptResult.OK, value, {"x0": value})
-    frame = frames.pack(Kind.STEPS, [["s", 0, 1.0, records.plain(event), []]], 1)
+    frame = frames.pack(FrameKind.STEPS, [["s", 0, 1.0, records.plain(event), []]], 1)
     (read,) = frames.read(frames.MAGIC + frame)
     assert not isinstance(read, Damage)
     back = records.event(read.body[0][3])
@@ -375,8 +377,8 @@
     rows = list(day.steps)
     k = next(k for k in range(40, len(rows)) if rows[k][4])
     rows[k] = [*rows[k][:4], []]
-    plain = day.start() + frames.pack(Kind.STEPS, day.steps, len(rows), 0)
-    changed = day.start() + frames.pack(Kind.STEPS, rows, len(rows), 0)
+    plain = day.start() + frames.pack(FrameKind.STEPS, day.steps, len(rows), 0)
+    changed = day.start() + frames.pack(FrameKind.STEPS, rows, len(rows), 0)
     did = comparison.compare(recording.read(plain), recording.read(changed))
     assert did.first is not None and not did.event and did.first[0].seq == k
 
@@ -386,7 +388,8 @@
     day = Day(14, groups=groups)
     held = day.state()
     day.live(400)
-    data = day.start() + held + frames.pack(Kind.STEPS, day.steps[1:], len(day.steps) - 1, 1) + day.state()
+    steps = frames.pack(FrameKind.STEPS, day.steps[1:], len(day.steps) - 1, 1)
+    data = day.start() + held + steps + day.state()
     hidden = redact(data, Hide(b"0123456789abcdef").word)
     shown = msgspec.msgpack.encode([f.body for f in frames.read(hidden) if not isinstance(f, Damage)])
     for word in ("k17", "k40", "g1", "g7"):
@@ -462,7 +465,7 @@
     (path,) = tmp_path.iterdir()
     found = again(path.read_bytes())
     read = [f for f in frames.read(path.read_bytes()) if not isinstance(f, Damage)]
-    gaps = [f.records for f in read if f.kind is Kind.GAP]
+    gaps = [f.record_count for f in read if f.kind is FrameKind.GAP]
     assert len(gaps) >= 2 and sum(gaps) == metrics.counts["capture_dropped"] > 512
     assert found.gaps and found.difference is None and not found.state_differs and found.steps > 0
 
--- a/tests/test_capture_days.py
+++ b/tests/test_capture_days.py
@@ -29,7 +29,7 @@
 )
 from gradegap.capture import decision_module, frames, recording, records, replay
 from gradegap.capture.errors import BadWhatIfError
-from gradegap.capture.frames import Damage, Kind
+from gradegap.capture.frames import Damage, FrameKind
 from gradegap.capture.judge import Judge
 from gradegap.capture.whatif import Result, changed, whatif
 from tests.helpers import settings
@@ -113,8 +113,8 @@
     made = [frames.MAGIC]
     for f in frames.read(taken(22, 40, 1)):
         assert not isinstance(f, Damage)
-        body = f.body | {"version": 3} if f.kind is Kind.STATE else f.body
-        made.append(frames.pack(f.kind, body, f.records, f.first, f.at, f.until))
+        body = f.body | {"version": 3} if f.kind is FrameKind.STATE else f.body
+        made.append(frames.pack(f.kind, body, f.record_count, f.first_number, f.first_at, f.last_at))
     path = tmp_path / "later.ggc"
     path.write_bytes(b"".join(made))
     for words in (("replay", str(path)), ("explain", str(path), "1")):
@@ -186,9 +186,9 @@
     for f in frames.read(day):
         assert not isinstance(f, Damage)
         body = f.body
-        if f.kind is Kind.STEPS:
+        if f.kind is FrameKind.STEPS:
             body = [r for r in body if r[3][0] not in ("ProbeResult", "Established", "Outcome")]
-        cut.append(frames.pack(f.kind, body, f.records, f.first, f.at, f.until))
+        cut.append(frames.pack(f.kind, body, f.record_count, f.first_number, f.first_at, f.last_at))
     unheard = whatif(recording.read(b"".join(cut)), gradegap.balancing.balancer)
     assert unheard.answers["modelled"] == unheard.answers.total() > 0
     assert unheard.evidence_ends is not None and unheard.evidence_ends < 1010.0
--- a/tests/test_capture_decision_module.py
+++ b/tests/test_capture_decision_module.py
@@ -14,6 +14,7 @@
 from gradegap.balancing.settings import Settings
 from gradegap.capture import decision_module, records, replay, state
 from gradegap.capture.errors import BadModuleError
+from gradegap.capture.schema import BALANCER
 from tests.helpers import settings
 from tests.mutants import BALANCING, mutant, mutated_copy
 from tests.test_capture import Day, again, taken
@@ -116,9 +117,9 @@
     day = Day(17).live(300)
     raw = msgspec.msgpack.decode(msgspec.msgpack.encode(state.dump(day.balancer)))
     made = state.load(module, raw, day.settings)
-    assert {type(server).__module__.partition(".")[0] for server in made.servers.values()} == {
-        module.__name__.partition(".")[0]
-    }
+    assert {
+        type(server).__module__.partition(".")[0] for server in BALANCER.get(made, "endpoints").values()
+    } == {module.__name__.partition(".")[0]}
 
 
 def test_a_changed_copy_decides_otherwise(tmp_path: Path) -> None:
--- a/tests/test_capture_index.py
+++ b/tests/test_capture_index.py
@@ -19,8 +19,9 @@
 import gradegap.balancing.balancer
 from gradegap.balancing.events import ConnectionInherited, EndpointList, EndpointPhase, RequestArrived
 from gradegap.capture import explain, frames, index, recording, records, snapshot, state
-from gradegap.capture.frames import Kind
+from gradegap.capture.frames import FrameKind
 from gradegap.capture.plot import draw, series
+from gradegap.capture.schema import BALANCER
 from tests.test_admin_api import call, served
 from tests.test_capture import Day, again, cli, recorded, taken
 from tests.test_hot_restart import ready, second
@@ -47,26 +48,26 @@
 
 
 def test_a_req_is_explained_alike_from_its_part_of_the_file() -> None:
-    reqs = [r for e in index.load(FILE) for r in e.reqs]
+    reqs = [r for e in index.load(FILE) for r in e.request_ids]
     for req in random.Random(5).sample(sorted(set(reqs)), 25):
-        part = index.seek(FILE, req=req)
+        part = index.seek(FILE, request_id=req)
         assert told(part, req) == told(FILE, req), req
     late = max(reqs)
-    part = index.seek(FILE, req=late)
+    part = index.seek(FILE, request_id=late)
     assert len(part) < len(FILE) / 2 and told(part, late)
-    assert index.seek(FILE, req=10**9) == b"" == index.seek(FILE, server="nobody")
-    assert again(index.seek(FILE, server="s3")).difference is None
+    assert index.seek(FILE, request_id=10**9) == b"" == index.seek(FILE, endpoint="nobody")
+    assert again(index.seek(FILE, endpoint="s3")).difference is None
 
 
 def test_a_replay_from_a_clock_reads_from_the_state_before_it() -> None:
-    states = [e for e in index.load(FILE) if e.kind is Kind.STATE]
+    states = [e for e in index.load(FILE) if e.kind is FrameKind.STATE]
     for e in states[:-1]:
-        part = index.seek(FILE, since=e.at + 0.001)
+        part = index.seek(FILE, since=e.first_at + 0.001)
         found = again(part)
         assert found.steps > 0 and found.difference is None and not found.state_differs and not found.gaps
         first = next(i for i in recording.read(part) if isinstance(i, recording.State))
-        assert first.at <= e.at + 0.001
-    assert len(index.seek(FILE, since=states[-2].at)) < len(FILE) / 3
+        assert first.at <= e.first_at + 0.001
+    assert len(index.seek(FILE, since=states[-2].first_at)) < len(FILE) / 3
 
 
 def test_settings_that_changed_before_a_state_are_in_its_part() -> None:
@@ -79,13 +80,13 @@
     changed = replace(day.settings, max_attempts=1)
     day.balancer.adopt(changed)
     rows.append(["a", len(day.steps), day.now, records.plain_settings(changed)])
-    data += frames.pack(Kind.STEPS, rows, len(rows), 1, rows[0][2], rows[-1][2])
+    data += frames.pack(FrameKind.STEPS, rows, len(rows), 1, rows[0][2], rows[-1][2])
     day.steps.append(None)
     data += day.state()
     at, first = day.now, len(day.steps)
     day.live(200)
     more = day.steps[first:]
-    data += frames.pack(Kind.STEPS, more, len(more), first, more[0][2], more[-1][2]) + day.state()
+    data += frames.pack(FrameKind.STEPS, more, len(more), first, more[0][2], more[-1][2]) + day.state()
     part = index.seek(index.sealed(data), since=at + 0.0001)
     found = again(part)
     assert found.steps == len(more) and found.difference is None and not found.state_differs
@@ -110,10 +111,10 @@
                 st.just({"servers": ["x"], "frames": [[19, 2, 0, 1, 0.0, 0.0, False, [], [10**9]]]}),
             )
         )
-        made = FILE[:end] + frames.pack(Kind.INDEX, body) + index.tail(end)
+        made = FILE[:end] + frames.pack(FrameKind.INDEX, body) + index.tail(end)
     entries = index.load(made)
-    assert all(made.startswith(frames.MARK, e.offset) for e in entries if e.kind is not Kind.GAP)
-    index.seek(made, req=3)
+    assert all(made.startswith(frames.MARK, e.offset) for e in entries if e.kind is not FrameKind.GAP)
+    index.seek(made, request_id=3)
 
 
 # States
@@ -154,7 +155,7 @@
 
 def test_a_forked_process_that_fails_is_told_of() -> None:
     day = large(500)
-    day.balancer.owed = object()  # type: ignore[assignment]
+    state._put(day.balancer, BALANCER.fields["expected_returns"], object())
     with pytest.raises(OSError, match="ended with"):
         snapshot.finish(*snapshot.begin(day.balancer))
     child, reads = snapshot.begin(large(3000).balancer)
--- a/tests/test_capture_state.py
+++ b/tests/test_capture_state.py
@@ -16,7 +16,8 @@
 from gradegap.balancing.settings import ClassSettings, Settings
 from gradegap.capture import frames, records, schema, state, state_v1
 from gradegap.capture.errors import BadStateError, LaterStateError, OtherAlgorithmError
-from gradegap.capture.frames import Damage, Kind
+from gradegap.capture.frames import Damage, FrameKind
+from gradegap.capture.schema import BALANCER, ENDPOINT, REQUEST
 from tests.helpers import settings
 from tests.test_capture import Day
 
@@ -60,9 +61,9 @@
     start: dict[str, Any] = {}
     for frame in frames.read((CAPTURES / f"{name}.ggc").read_bytes()):
         assert not isinstance(frame, Damage)
-        if frame.kind is Kind.START:
+        if frame.kind is FrameKind.START:
             start = frame.body
-        elif frame.kind is Kind.STATE:
+        elif frame.kind is FrameKind.STATE:
             yield frame.body, start
 
 
@@ -115,9 +116,9 @@
 
 def every_object(day: Day) -> list[tuple[schema.Form, Any]]:
     balancer = day.balancer
-    found: list[tuple[schema.Form, Any]] = [(schema.BALANCER, balancer)]
-    found += [(schema.ENDPOINT, each) for each in balancer.servers.values()]
-    found += [(schema.REQUEST, each) for each in balancer.reqs.values()]
+    found: list[tuple[schema.Form, Any]] = [(BALANCER, balancer)]
+    found += [(ENDPOINT, each) for each in BALANCER.get(balancer, "endpoints").values()]
+    found += [(REQUEST, each) for each in BALANCER.get(balancer, "requests").values()]
     assert len(found) > 30
     return found
 
@@ -138,16 +139,24 @@
 def test_a_planted_attribute_that_nobody_declared_is_found() -> None:
     day = lived()
     day.balancer.planted = 1.0  # type: ignore[attr-defined]
-    found = set(attribute_paths(day.balancer, schema.BALANCER)) - declared(schema.BALANCER)
+    found = set(attribute_paths(day.balancer, BALANCER)) - declared(BALANCER)
     assert found == {"planted"}
-    day.balancer.planted = day.balancer.usual  # type: ignore[attr-defined]
-    found = set(attribute_paths(day.balancer, schema.BALANCER)) - declared(schema.BALANCER)
-    assert found == {"planted.at", "planted.number"}
+    day.balancer.planted = BALANCER.owner(day.balancer, "baseline.at")  # type: ignore[attr-defined]
+    found = set(attribute_paths(day.balancer, BALANCER)) - declared(BALANCER)
+    assert len(found) == 2 and all(path.startswith("planted.") for path in found)
 
 
 # What comes back
 
 
+def twin_of(form: schema.Form, obj: Any, balancer: Any) -> Any:
+    """The object of another balancer that stands for this one."""
+    if form is BALANCER:
+        return balancer
+    key, kind = ("name", "endpoints") if form is ENDPOINT else ("id", "requests")
+    return BALANCER.get(balancer, kind)[form.get(obj, key)]
+
+
 def test_a_state_that_was_loaded_is_the_stored_one() -> None:
     day = lived()
     raw = plain(state.dump(day.balancer))
@@ -155,8 +164,7 @@
     assert plain(state.dump(made)) == raw
     assert raw["version"] == 2 and list(raw) == ["version", "fields", "objects"]
     for form, obj in every_object(day):
-        twin = made if form is schema.BALANCER else None
-        twin = made.servers[obj.name] if form is schema.ENDPOINT else twin or made.reqs[obj.id]
+        twin = twin_of(form, obj, made)
         simple = {path for path in form.fields.values() if "." not in path}
         assert [getattr(obj, p) for p in simple if type(getattr(obj, p)) in state.PLAIN] == [
             getattr(twin, p) for p in simple if type(getattr(obj, p)) in state.PLAIN
@@ -166,11 +174,17 @@
 def test_parts_of_a_module_that_share_something_share_it_after_a_load() -> None:
     day = lived()
     made = state.load(gradegap.balancing.balancer, plain(state.dump(day.balancer)), day.settings)
-    assert made.cold.capacity is made.capacity
-    assert made.random.__self__ is made.rng
-    assert all(made.ready[s.index] is s for s in made.servers.values() if s.index >= 0)
-    assert all(r is made.reqs[i] for s in made.servers.values() for i, r in s.held.items() if i in made.reqs)
-    assert made.rng.random() == day.balancer.rng.random()
+    assert made.cold.capacity is BALANCER.owner(made, "capacity.mean_size")
+    generator = BALANCER.get(made, "random_generator")
+    assert made.random.__self__ is generator
+    ready, requests = BALANCER.get(made, "ready_endpoints"), BALANCER.get(made, "requests")
+    endpoints = BALANCER.get(made, "endpoints").values()
+    for endpoint in endpoints:
+        index = ENDPOINT.get(endpoint, "ready_index")
+        assert index < 0 or ready[index] is endpoint
+        for ident, request in ENDPOINT.get(endpoint, "connections").items():
+            assert request is requests.get(ident, request)
+    assert generator.random() == BALANCER.get(day.balancer, "random_generator").random()
 
 
 # Older and later versions
@@ -186,13 +200,14 @@
         again = state.load(gradegap.balancing.balancer, plain(state.dump(made)), given)
         assert plain(state.dump(again)) == plain(state.dump(made))
         assert state.same(gradegap.balancing.balancer, made, raw, given)
-        made.owed += 1.0
+        state._put(made, BALANCER.fields["expected_returns"], 7.0)
         assert not state.same(gradegap.balancing.balancer, made, raw, given)
         old = dict(zip(raw["names"]["Balancer"], raw["objects"][0][1], strict=True))
-        assert (made.tokens, made.lead, made.now) == (old["tokens"], old["lead"], old["now"])
+        for stored, name in (("probe_budget", "tokens"), ("learned_drain_time", "lead"), ("now", "now")):
+            assert BALANCER.get(made, stored) == old[name]
         rate = dict(zip(raw["names"]["Rate"], raw["objects"][old["came"][1]][1], strict=True))
-        assert (made.came.at, made.came.fast, made.came.slow) == (rate["at"], rate["fast"], rate["slow"])
-        assert len(made.servers) == sum(name == "_Server" for name, _ in raw["objects"])
+        assert {name: BALANCER.get(made, f"sent_rate.{name}") for name in rate} == rate
+        assert len(BALANCER.get(made, "endpoints")) == sum(name == "_Server" for name, _ in raw["objects"])
 
 
 def test_the_table_of_version_1_names_every_stored_field() -> None:
@@ -274,10 +289,11 @@
     class Lacking(Balancer):
         def __init__(self, settings: Settings, seed: int) -> None:
             super().__init__(settings, seed)
-            del self.owed
+            delattr(BALANCER.owner(self, "expected_returns"), name)
 
+    name = BALANCER.fields["expected_returns"].rpartition(".")[2]
     monkeypatch.setattr(gradegap.balancing.balancer, "Balancer", Lacking)
-    with pytest.raises(BadStateError, match="owed"):
+    with pytest.raises(BadStateError, match=name):
         state.load(gradegap.balancing.balancer, raw, day.settings)
 
 
