--- a/bench/scale/limits_met.py
+++ b/bench/scale/limits_met.py
@@ -11,10 +11,10 @@
 from gradegap.balancing.balancer import LOOK_SLOW
 from gradegap.node.node import MOST_OUT
 from gradegap.observer.limits import Limits
-from gradegap.store.leases import MOST_HOLDERS
-from gradegap.store.links import MOST_LINKS
+from gradegap.store.leases import MAX_LEASE_HOLDERS
+from gradegap.store.links import MAX_ACCEPTED_LINKS
 from gradegap.store.machine import MAX_KEYS
-from gradegap.store.service import MOST_WATCHES
+from gradegap.store.service import MAX_WATCHES
 
 DESCRIPTORS = 20_000  # hard limit of a process where the runs were made
 
@@ -48,16 +48,20 @@
             "store/gossip.py",
         ),
         Met(
-            MOST_HOLDERS / t.NODES,
+            MAX_LEASE_HOLDERS / t.NODES,
             "leases for nodes that are members",
-            f"{MOST_HOLDERS} nodes",
+            f"{MAX_LEASE_HOLDERS} nodes",
             "a fixed bound",
             "store/leases.py",
         ),
+        Met(MAX_WATCHES / t.NODES, "watches", f"{MAX_WATCHES:,} nodes", "a fixed bound", "store/service.py"),
         Met(
-            MOST_WATCHES / t.NODES, "watches", f"{MOST_WATCHES:,} nodes", "a fixed bound", "store/service.py"
+            MAX_ACCEPTED_LINKS / t.NODES,
+            "links",
+            f"{MAX_ACCEPTED_LINKS:,} nodes",
+            "a fixed bound",
+            "store/links.py",
         ),
-        Met(MOST_LINKS / t.NODES, "links", f"{MOST_LINKS:,} nodes", "a fixed bound", "store/links.py"),
         Met(
             MOST_OUT / (t.SERVERS / t.REGIONS),
             "servers of a region taken out by hand at once",
--- a/bench/scale/sessions.py
+++ b/bench/scale/sessions.py
@@ -13,8 +13,8 @@
 from bench.scale.measure import CountedChannel, Traffic
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
-from gradegap.store.attached import Attached
 from gradegap.store.dynamic_configuration import DynamicConfiguration
+from gradegap.store.embedded import EmbeddedStore
 from gradegap.store.machine import Event
 from gradegap.store.settings import Peer, StoreSettings
 from gradegap.store.wire import LinkChannel
@@ -83,7 +83,7 @@
             peers=tuple(Peer(m.name, m.member_address) for m in machines if m.name != node.name),
         )
         self.node = node
-        self.attached = Attached(
+        self.attached = EmbeddedStore(
             settings,
             secret,
             folder,
--- a/bench/scale/slopes_module.py
+++ b/bench/scale/slopes_module.py
@@ -28,7 +28,7 @@
 from gradegap.discovery.http_discovery import Call, HttpDiscovery
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Attempt, ConnectPort, Endpoint, HealthCheckDone, Proxy
-from gradegap.store.gossip import Learner
+from gradegap.store.gossip import GossipExchange
 from gradegap.store.wire import Gossip, LinkChannel
 from gradegap.transport.dialer import Dialer
 from tests.helpers import settings
@@ -297,8 +297,8 @@
         for backend in reader.proxy.endpoints.values():
             backend.report = {"x0": rng.uniform(0.05, 0.9), "inflight": float(rng.randrange(60))}
             backend.report_at = reader.proxy.now()
-        tells = Learner("node-0001", reader.proxy, Metrics(), lambda: True)
-        hears = Learner("node-0002", other.proxy, Metrics(), lambda: True)
+        tells = GossipExchange("node-0001", reader.proxy, Metrics(), lambda: True)
+        hears = GossipExchange("node-0002", other.proxy, Metrics(), lambda: True)
         dialer, acceptor = proven_pair()
         out, taken, frames = [], [], []
         for _ in range(REPEATS):
--- a/bench/scale/slopes_store.py
+++ b/bench/scale/slopes_store.py
@@ -12,7 +12,7 @@
 from bench.scale.results_file import Measurement, measured
 from bench.scale.slopes_module import proven_pair
 from gradegap.store import machine, wire
-from gradegap.store.leases import Granter
+from gradegap.store.leases import LeaseGranter
 from gradegap.store.machine import Command, KeyUpdate, LogRecord, StateMachine
 
 KEYS = (12_000, 24_000, 48_000)  # more than the history keeps, so that it is full at each size
@@ -111,7 +111,7 @@
     def __init__(self, holders: int) -> None:
         self.names = [f"node-{k:04d}.abcdef" for k in range(holders)]
         self.now, self.serial = 100.0, 0
-        self.granter = Granter(self.now - 100.0, DRIFT)
+        self.granter = LeaseGranter(self.now - 100.0, DRIFT)
         self.dialer, self.acceptor = proven_pair()
         self.bytes = 0
         self.spent = 0.0
--- a/bench/scale/verdicts.py
+++ b/bench/scale/verdicts.py
@@ -11,7 +11,7 @@
 from bench.scale.worked import PROBE_BYTES, US, probes_per_s, renewals_per_s, returning
 from gradegap.balancing.balancer import LOOK_FAST, LOOK_SLOW, RING_WALK
 from gradegap.observer.limits import Limits
-from gradegap.store.leases import MOST_HOLDERS
+from gradegap.store.leases import MAX_LEASE_HOLDERS
 
 FULL_SIZE = "run at full size"
 BY_SLOPE = "holds by slope"
@@ -68,7 +68,8 @@
             FULL_SIZE if ordinary_day(runs) else BY_SLOPE,
             f"over subscriptions, {Limits().max_subscribers:,} of which a control machine takes; as "
             "members of the "
-            f"store {MOST_HOLDERS} hold a lease at most: short by {figure(t.NODES / MOST_HOLDERS)} times",
+            f"store {MAX_LEASE_HOLDERS} hold a lease at most: "
+            f"short by {figure(t.NODES / MAX_LEASE_HOLDERS)} times",
         ),
         Verdict(
             "100 million connections",
--- a/bench/store.py
+++ b/bench/store.py
@@ -27,7 +27,7 @@
 
 from gradegap.store import wire
 from gradegap.store.machine import KeyUpdate
-from gradegap.store.remote import StoreError
+from gradegap.store.member_client import RequestFailedError
 from tests.cluster import SECRET, Cluster
 from tests.world import Backend, World, free_port, wait_for
 
@@ -216,7 +216,7 @@
 
 def answers(c: Cluster, name: str) -> bool:
     """Whether a member serves the keys that were written."""
-    with contextlib.suppress(StoreError), c.remote(name, 1.0) as r:
+    with contextlib.suppress(RequestFailedError), c.remote(name, 1.0) as r:
         return bool(r.value("key/00000007") == 7)
     return False
 
--- a/gradegap/commands/resume.py
+++ b/gradegap/commands/resume.py
@@ -14,7 +14,7 @@
 from gradegap.quic.keys import QuicRing
 from gradegap.resume.token import RING, BadToken, Ring, digest, opened
 from gradegap.store.machine import Compare, Item, KeyUpdate
-from gradegap.store.remote import Remote
+from gradegap.store.member_client import MemberClient
 from gradegap.store.wire import Transaction
 
 keys = typer.Typer(help="Rings of keys that nodes share.", no_args_is_help=True)
@@ -35,7 +35,7 @@
 }
 
 
-def read(r: Remote, which: Which = Which.RESUME) -> tuple[Ring | QuicRing, Item | None]:
+def read(r: MemberClient, which: Which = Which.RESUME) -> tuple[Ring | QuicRing, Item | None]:
     key, kind = KINDS[which]
     item = r.get(key)
     if item is None:
@@ -48,7 +48,7 @@
     return ring, item
 
 
-def write(r: Remote, which: Which, ring: Ring | QuicRing, old: Item | None) -> int:
+def write(r: MemberClient, which: Which, ring: Ring | QuicRing, old: Item | None) -> int:
     """Only over the ring that was read: of two who rotate at once, one is told."""
     key = KINDS[which][0]
     op = KeyUpdate(key, msgspec.to_builtins(ring))
--- a/gradegap/commands/store.py
+++ b/gradegap/commands/store.py
@@ -21,9 +21,9 @@
 from gradegap.node.operator_file import load_operator
 from gradegap.setting_checks import read_secret
 from gradegap.store import schema, wire
-from gradegap.store.disk import BadFolder
 from gradegap.store.machine import Compare, Event, Item, KeyUpdate
-from gradegap.store.remote import Remote, StoreError
+from gradegap.store.member_client import MemberClient, RequestFailedError
+from gradegap.store.storage import FolderError
 
 CODES = {"no": 1, "unreachable": 2, "unknown": 3, "no_quorum": 4}
 
@@ -44,18 +44,18 @@
 
 
 @contextmanager
-def remote_or_error(node: str, secret: str, wait: float) -> Iterator[Remote]:
+def remote_or_error(node: str, secret: str, wait: float) -> Iterator[MemberClient]:
     known = read_secret(secret, "store.secret")
-    with Remote(node, known, wait) as made:
+    with MemberClient(node, known, wait) as made:
         yield made
 
 
 @contextmanager
-def remote(node: str, secret: str, wait: float) -> Iterator[Remote]:
+def remote(node: str, secret: str, wait: float) -> Iterator[MemberClient]:
     try:
         with remote_or_error(node, secret, wait) as made:
             yield made
-    except StoreError as error:
+    except RequestFailedError as error:
         raise stop(str(error), CODES[error.kind]) from None
     except OperatorFileError as error:
         raise stop(str(error), 2) from None
@@ -115,7 +115,7 @@
 
     try:
         serve(load_operator(operator))
-    except (OperatorFileError, BadFolder) as error:
+    except (OperatorFileError, FolderError) as error:
         raise stop(str(error), 2) from None
 
 
@@ -161,7 +161,7 @@
     try:
         with remote_or_error(node, secret, seconds) as r:
             return r.in_force(revision).status
-    except StoreError as error:
+    except RequestFailedError as error:
         raise stop(f"committed at revision {revision}, and not known to be in force: {error}", 5) from None
 
 
@@ -312,9 +312,9 @@
         for _ in range(20):
             for m in members:
                 try:
-                    with Remote(m["address"], r.channel.secret, wait) as other:
+                    with MemberClient(m["address"], r.channel.secret, wait) as other:
                         answer = other.one(wire.Digest())
-                except StoreError as error:
+                except RequestFailedError as error:
                     raise stop(f"{m['name']}: {error}", 1) from None
                 found.setdefault(m["name"], {})[answer.revision] = answer.text
             common = set.intersection(*(set(f) for f in found.values())) if found else set()
@@ -345,7 +345,7 @@
         base = restore(file.read_bytes(), settings)
     except OSError as error:
         raise stop(f"{file} can't be read: {error.strerror}", 2) from None
-    except (OperatorFileError, BadFolder, ValueError) as error:
+    except (OperatorFileError, FolderError, ValueError) as error:
         raise stop(str(error), 2) from None
     say({"index": base.index}, json, f"restored; start it with: store serve --operator {operator}")
 
--- a/gradegap/commands/store_server.py
+++ b/gradegap/commands/store_server.py
@@ -12,8 +12,8 @@
 from gradegap.node.operator_file import OperatorSettings
 from gradegap.node.subscriptions import subscription_server_factory
 from gradegap.setting_checks import read_secret
-from gradegap.store.daemon import Daemon
-from gradegap.store.disk import BadFolder, data_folder
+from gradegap.store.member import StoreMember
+from gradegap.store.storage import FolderError, data_folder
 
 log = structlog.get_logger()
 
@@ -21,7 +21,7 @@
 
 
 def serve(operator: OperatorSettings) -> None:
-    """Run one member until SIGTERM; `BadFolder` or `OperatorFileError` where it can't go on."""
+    """Run one member until SIGTERM; `FolderError` or `OperatorFileError` where it can't go on."""
     import uvloop
 
     settings = operator.store
@@ -32,13 +32,13 @@
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        done: asyncio.Future[BadFolder | None] = loop.create_future()
+        done: asyncio.Future[FolderError | None] = loop.create_future()
 
-        def end(error: BadFolder | None = None) -> None:
+        def end(error: FolderError | None = None) -> None:
             if not done.done():
                 done.set_result(error)
 
-        daemon = Daemon(
+        daemon = StoreMember(
             settings,
             secret,
             data_folder(settings),
--- a/gradegap/node/node.py
+++ b/gradegap/node/node.py
@@ -29,9 +29,9 @@
 from gradegap.proxy.proxy import Proxy
 from gradegap.quic.settings import QuicSettings
 from gradegap.setting_checks import read_secret
+from gradegap.store.disabled_endpoints import DisabledEndpointsFile
 from gradegap.store.dynamic_configuration import DynamicConfiguration, set_log_level
 from gradegap.store.settings import StoreSettings
-from gradegap.store.snapshot import Snapshot
 from gradegap.transport.addresses import split_address
 from gradegap.transport.descriptors import Descriptors, raise_descriptor_limit
 from gradegap.upstream.connections import Backends
@@ -41,7 +41,7 @@
     from gradegap.discovery.dns_sd_discovery import DnsSdDiscovery
     from gradegap.observer.attached import ObservedStore
     from gradegap.quic.front import QuicFront
-    from gradegap.store.attached import Attached
+    from gradegap.store.embedded import EmbeddedStore
     from gradegap.store.machine import StateMachine
 
 log = structlog.get_logger()
@@ -106,7 +106,7 @@
         self.proxy = Proxy(configuration.settings, configuration.seed, self.backends, self.metrics, loop)
         self.director: HttpDiscovery | DnsSdDiscovery = self._make_director()
         self.live = DynamicConfiguration(self.metrics)
-        self.store: Attached | ObservedStore | None = None
+        self.store: EmbeddedStore | ObservedStore | None = None
         self.store_until = 0.0  # steady time up to which the process before this one had a lease
         self.channels: set[TcpChannel] = set()
         self.ready = False
@@ -114,7 +114,7 @@
         self.console: AdminApi | None = None
         self.again: asyncio.Task[None] | None = None
         self.late: list[asyncio.Task[None]] = []  # ports that wait for the process before to leave them
-        self.snapshot = Snapshot(private_file(configuration.node, "snapshot"), self.metrics)
+        self.snapshot = DisabledEndpointsFile(private_file(configuration.node, "snapshot"), self.metrics)
         self.resuming: Resuming | None = self._make_resuming()
         self.capture = self._make_capture()
         if self.operator.trace is not None and self.operator.trace.decisions:
@@ -432,15 +432,15 @@
 
     async def _start_store(self, settings: StoreSettings) -> None:
         # Loaded here: a node without a store does without its libraries' memory.
-        from gradegap.store.attached import Attached
-        from gradegap.store.disk import BadFolder, data_folder
+        from gradegap.store.embedded import EmbeddedStore
+        from gradegap.store.storage import FolderError, data_folder
 
         try:
             secret, place = read_secret(settings.secret, "store.secret"), data_folder(settings)
             told = lambda: self.director.told  # noqa: E731
             parts = self.proxy, self.live, self.metrics, self.loop, self._state, told
-            made = Attached(settings, secret, place, *parts, subscription_server_factory(settings))
-        except (BadFolder, OperatorFileError) as error:
+            made = EmbeddedStore(settings, secret, place, *parts, subscription_server_factory(settings))
+        except (FolderError, OperatorFileError) as error:
             raise ConfigurationError(str(error)) from None
         try:
             await made.start()
--- a/gradegap/observer/attached.py
+++ b/gradegap/observer/attached.py
@@ -20,7 +20,12 @@
 from gradegap.observer.settings import ObserverSettings
 from gradegap.proxy.proxy import Proxy
 from gradegap.store import wire
-from gradegap.store.committed import CALL_WAIT, CONFIG, OUT, CommittedState
+from gradegap.store.committed_state import (
+    ADMIN_CALL_TIMEOUT_S,
+    CONFIGURATION_PREFIX,
+    DISABLED_PREFIX,
+    CommittedState,
+)
 from gradegap.store.dynamic_configuration import DynamicConfiguration
 from gradegap.store.machine import Item, KeyUpdate
 
@@ -68,7 +73,7 @@
 
 
 class ObservedStore:
-    """One node's subscription, with the surface of `gradegap.store.attached.Attached`."""
+    """One node's subscription, with the surface of `gradegap.store.embedded.EmbeddedStore`."""
 
     def __init__(
         self,
@@ -139,10 +144,10 @@
             # What was in force before this subscription is so no more, unless the store has it.
             self.synced = True
             for server in list(self.proxy.disabled):
-                if OUT + server not in kept:
+                if DISABLED_PREFIX + server not in kept:
                     self.proxy.enable_endpoint(server)
             for name in list(self.live.set):
-                if CONFIG + name not in kept:
+                if CONFIGURATION_PREFIX + name not in kept:
                     self.live.reset(name)
         for key in self.machine.items.keys() - kept:
             gone = Change(0, key, deleted=True)
@@ -170,7 +175,7 @@
                 remedy = "" if self.fresh() else f"; {REMEDY}"
                 done(Verdict(HTTPStatus.SERVICE_UNAVAILABLE, f"{answer.text}{remedy}"))
 
-        self.client.request(wire.Transaction((op,), author="console"), answered, CALL_WAIT)
+        self.client.request(wire.Transaction((op,), author="console"), answered, ADMIN_CALL_TIMEOUT_S)
 
     def describe(self) -> Verdict:
         """Which revision is in force here, how old that is, and who serves it, for the console."""
@@ -193,7 +198,7 @@
             else:
                 done(Verdict(HTTPStatus.SERVICE_UNAVAILABLE, f"revision {revision}: {answer.text}"))
 
-        self.client.request(wire.InForce(revision), answered, CALL_WAIT)
+        self.client.request(wire.InForce(revision), answered, ADMIN_CALL_TIMEOUT_S)
 
     # The end
 
--- a/gradegap/observer/history.py
+++ b/gradegap/observer/history.py
@@ -8,9 +8,9 @@
 import msgspec
 
 from gradegap.observer.messages import Change
-from gradegap.store.leases import DECIDED
+from gradegap.store.leases import DECISION_PREFIXES
 
-SUBSCRIBED = DECIDED  # prefixes of the keys that nodes are told of: all that they decide by
+SUBSCRIBED = DECISION_PREFIXES  # prefixes of the keys that nodes are told of: all that they decide by
 CHANGE_OVERHEAD = 16  # bytes of a change beside its key and value, at the most but for rounding
 
 _encode = msgspec.msgpack.Encoder().encode
--- a/gradegap/store/forming.py
+++ b/gradegap/store/bootstrap.py
@@ -32,7 +32,7 @@
     return held + 1 > len(settings.first_voters) // 2
 
 
-class Forming:
+class Bootstrap:
     """What a member without a cluster knows of its peers."""
 
     def __init__(self, settings: StoreSettings, me: Member) -> None:
--- a/gradegap/store/committed.py
+++ b/gradegap/store/committed_state.py
@@ -9,9 +9,11 @@
 from gradegap.store.dynamic_configuration import DynamicConfiguration
 from gradegap.store.machine import KeyUpdate
 
-OUT = "out/"
-CONFIG = "config/"
-CALL_WAIT = 2.2  # s that a call at the console may take; leases of others are waited for for half as long
+DISABLED_PREFIX = "out/"
+CONFIGURATION_PREFIX = "config/"
+ADMIN_CALL_TIMEOUT_S = (
+    2.2  # s that a call at the console may take; leases of others are waited for for half as long
+)
 
 
 class CommittedState:
@@ -22,10 +24,10 @@
 
     def apply(self, key: str, value: object, deleted: bool) -> None:
         """One change; keys that a node does not decide by are passed over."""
-        if key.startswith(OUT):
-            self._apply_out(key.removeprefix(OUT), value, deleted)
-        elif key.startswith(CONFIG):
-            self._apply_config(key.removeprefix(CONFIG), value, deleted)
+        if key.startswith(DISABLED_PREFIX):
+            self._apply_out(key.removeprefix(DISABLED_PREFIX), value, deleted)
+        elif key.startswith(CONFIGURATION_PREFIX):
+            self._apply_config(key.removeprefix(CONFIGURATION_PREFIX), value, deleted)
 
     def _apply_out(self, server: str, value: object, deleted: bool) -> None:
         if deleted:
@@ -45,8 +47,8 @@
 
     def out_by_hand(self, server: str, author: str) -> KeyUpdate:
         """The write that takes a save server out from now on."""
-        return KeyUpdate(OUT + server, {"at_ms": round(self.proxy.now() * 1000), "by": author})
+        return KeyUpdate(DISABLED_PREFIX + server, {"at_ms": round(self.proxy.now() * 1000), "by": author})
 
     def back_by_hand(self, server: str) -> KeyUpdate:
         """The write that calls a save server back."""
-        return KeyUpdate(OUT + server, delete=True)
+        return KeyUpdate(DISABLED_PREFIX + server, delete=True)
--- a/gradegap/store/snapshot.py
+++ b/gradegap/store/disabled_endpoints.py
@@ -14,11 +14,11 @@
 
 log = structlog.get_logger()
 
-LARGEST = 64 * 1024  # bytes; the file counts as memory
-SUM = 4  # bytes of the checksum before the entries
+MAX_FILE_BYTES = 64 * 1024  # bytes; the file counts as memory
+CHECKSUM_BYTES = 4  # bytes of the checksum before the entries
 
 
-class Snapshot:
+class DisabledEndpointsFile:
     """Servers with when they were taken out, at a path. Written beside it and renamed into place, so that
     half a file is never read."""
 
@@ -32,7 +32,7 @@
         body = msgspec.msgpack.encode(dict(out))
         beside = self.path.with_suffix(f".{os.getpid()}")
         try:
-            beside.write_bytes(zlib.crc32(body).to_bytes(SUM, "big") + body)
+            beside.write_bytes(zlib.crc32(body).to_bytes(CHECKSUM_BYTES, "big") + body)
             os.replace(beside, self.path)
         except OSError as error:
             # The state is in force all the same, and a process that finds this one is told it.
@@ -45,10 +45,10 @@
             return {}
         try:
             with self.path.open("rb") as file:
-                raw = file.read(LARGEST)
-            if zlib.crc32(raw[SUM:]) != int.from_bytes(raw[:SUM], "big"):
+                raw = file.read(MAX_FILE_BYTES)
+            if zlib.crc32(raw[CHECKSUM_BYTES:]) != int.from_bytes(raw[:CHECKSUM_BYTES], "big"):
                 raise ValueError("its checksum is wrong")
-            out = msgspec.msgpack.decode(raw[SUM:], type=dict[str, float])
+            out = msgspec.msgpack.decode(raw[CHECKSUM_BYTES:], type=dict[str, float])
         except (OSError, ValueError) as error:
             self.metrics.count("snapshots_damaged")
             log.error("snapshot not used", error=str(error)[:200])
--- a/gradegap/store/attached.py
+++ b/gradegap/store/embedded.py
@@ -19,21 +19,26 @@
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
 from gradegap.store import wire
-from gradegap.store.committed import CALL_WAIT, CONFIG, OUT, CommittedState
-from gradegap.store.daemon import Daemon
-from gradegap.store.disk import BadFolder
+from gradegap.store.committed_state import (
+    ADMIN_CALL_TIMEOUT_S,
+    CONFIGURATION_PREFIX,
+    DISABLED_PREFIX,
+    CommittedState,
+)
 from gradegap.store.dynamic_configuration import DynamicConfiguration
-from gradegap.store.gossip import PERIOD, Learner
+from gradegap.store.gossip import GOSSIP_PERIOD_S, GossipExchange
 from gradegap.store.links import Link
 from gradegap.store.machine import Event, KeyUpdate, StateMachine
-from gradegap.store.service import Service
+from gradegap.store.member import StoreMember
+from gradegap.store.service import RequestService
 from gradegap.store.settings import StoreSettings
+from gradegap.store.storage import FolderError
 from gradegap.store.subscriptions import SubscriptionServerFactory
 
 log = structlog.get_logger()
 
 
-class Attached:
+class EmbeddedStore:
     """One node's store. `changed` is called when it may decide again, or no more."""
 
     def __init__(
@@ -52,7 +57,7 @@
         self.settings, self.proxy, self.live, self.metrics, self.loop = settings, proxy, live, metrics, loop
         self.state = state
         self.committed = CommittedState(proxy, live)
-        self.daemon = Daemon(
+        self.daemon = StoreMember(
             settings,
             secret,
             folder,
@@ -66,7 +71,7 @@
         self.daemon.gossiped = self._gossiped
         self.daemon.met = self._met
         self.daemon.machine.listeners.append(self._events)
-        self.learner = Learner(settings.name, proxy, metrics, told)
+        self.learner = GossipExchange(settings.name, proxy, metrics, told)
         self.was_fresh: bool | None = None
         self.synced = False
         self.timer: asyncio.TimerHandle | None = None
@@ -77,7 +82,7 @@
         return self.daemon.machine
 
     @property
-    def service(self) -> Service:
+    def service(self) -> RequestService:
         return self.daemon.service
 
     @property
@@ -109,7 +114,7 @@
                 what = "refuses new reqs" if self.settings.when_stale == "refuse" else "goes on as it is"
                 log.warning("holds no lease of the store", what=what)
 
-    def _failed(self, error: BadFolder) -> None:
+    def _failed(self, error: FolderError) -> None:
         # The lease runs out, and the node refuses; its clients stay.
         log.error("the node goes on without its store", error=str(error))
 
@@ -118,13 +123,13 @@
     def _take_over_all(self) -> None:
         """At the first lease the store is what holds, whatever an earlier life kept."""
         machine = self.daemon.machine
-        held = {i.key.removeprefix(OUT): i.value for i in machine.list(OUT)}
+        held = {i.key.removeprefix(DISABLED_PREFIX): i.value for i in machine.list(DISABLED_PREFIX)}
         for server, value in held.items():
-            self.committed.apply(OUT + server, value, deleted=False)
+            self.committed.apply(DISABLED_PREFIX + server, value, deleted=False)
         for server in list(self.proxy.disabled.keys() - held.keys()):
             self.proxy.enable_endpoint(server)
-        for item in machine.list(CONFIG):
-            self.live.apply(item.key.removeprefix(CONFIG), item.value)
+        for item in machine.list(CONFIGURATION_PREFIX):
+            self.live.apply(item.key.removeprefix(CONFIGURATION_PREFIX), item.value)
 
     def _events(self, events: list[Event]) -> None:
         for e in events:
@@ -146,14 +151,14 @@
             else:
                 done(Verdict(HTTPStatus.SERVICE_UNAVAILABLE, answer.text))
 
-        self.daemon.service.request(wire.Transaction((op,), author="console"), answered, CALL_WAIT)
+        self.daemon.service.request(wire.Transaction((op,), author="console"), answered, ADMIN_CALL_TIMEOUT_S)
 
     # What nodes tell each other
 
     def _gossip(self) -> None:
         if not self.daemon.closed:
             self.daemon.to_all(self.learner.tell(self.state()))
-            self.timer = self.loop.call_later(PERIOD, self._gossip)
+            self.timer = self.loop.call_later(GOSSIP_PERIOD_S, self._gossip)
 
     def _met(self, link: Link) -> None:
         """A sibling that starts anew is told at once: it is about to serve."""
--- a/gradegap/store/gossip.py
+++ b/gradegap/store/gossip.py
@@ -22,15 +22,15 @@
 from gradegap.proxy.proxy import HEALTH_CHECK_TIMEOUT_S, Endpoint, Proxy
 from gradegap.store.wire import Gossip, GossipReport
 
-PERIOD = 1.0  # s between two words
-OLDEST = 5.0  # s; older reports say nothing any more
-PHASES = {int(p) for p in EndpointPhase}
-MOST = 2000  # of what is told at once
-MOST_FIELDS = 16  # of a report
-NEWER = 0.25  # s by which a report must be newer than one's own to be taken
+GOSSIP_PERIOD_S = 1.0  # s between two words
+MAX_REPORT_AGE_S = 5.0  # s; older reports say nothing any more
+KNOWN_PHASES = {int(p) for p in EndpointPhase}
+MAX_REPORTS = 2000  # of what is told at once
+MAX_REPORT_FIELDS = 16  # of a report
+MIN_NEWER_S = 0.25  # s by which a report must be newer than one's own to be taken
 
 
-class Learner:
+class GossipExchange:
     """One node's part: what it tells, and what it takes of what it is told."""
 
     def __init__(self, node: str, proxy: Proxy, metrics: Metrics, told: Callable[[], bool]) -> None:
@@ -44,12 +44,12 @@
         seen = [
             GossipReport(b.id, "report", now - b.report_at, dict(b.report))
             for b in self.proxy.endpoints.values()
-            if b.report is not None and not b.report_from_peer and now - b.report_at < OLDEST
+            if b.report is not None and not b.report_from_peer and now - b.report_at < MAX_REPORT_AGE_S
         ]
         seen += [
             GossipReport(b.id, "silent", now - b.unanswered_at)
             for b in self.proxy.endpoints.values()
-            if now - b.unanswered_at < OLDEST
+            if now - b.unanswered_at < MAX_REPORT_AGE_S
         ]
         if self.told():
             seen += [
@@ -57,7 +57,7 @@
                 for b in self.proxy.endpoints.values()
                 if b.entry is not None
             ]
-        return Gossip(self.node, state, seen[:MOST])
+        return Gossip(self.node, state, seen[:MAX_REPORTS])
 
     def hear(self, gossip: Gossip) -> None:
         if gossip.node == self.node:
@@ -65,7 +65,7 @@
         self.metrics.count("gossip_heard")
         now = self.proxy.now()
         changed: list[tuple[EndpointEntry, str]] = []
-        for learned in gossip.reports[:MOST]:
+        for learned in gossip.reports[:MAX_REPORTS]:
             if not self._fit(learned):
                 self.metrics.count("gossip_unfit")
                 continue
@@ -83,7 +83,7 @@
                         phase=EndpointPhase(learned.phase), started_at=learned.started_at
                     )
                     changed.append((entry, ""))
-            elif learned.age_s > OLDEST or now - learned.age_s < b.report_at + NEWER:
+            elif learned.age_s > MAX_REPORT_AGE_S or now - learned.age_s < b.report_at + MIN_NEWER_S:
                 self.metrics.count("gossip_old")
             else:
                 self.metrics.count("gossip_taken")
@@ -97,8 +97,8 @@
         """A sibling's probe was left unanswered: the module hears of it as of one of its own, and no more
         often than of its own, where this node has no later answer."""
         at = now - learned.age_s
-        known = max(b.unanswered_at, self.silent.get(b.id, -1e9)) + NEWER
-        if at <= max(b.report_at, known) or learned.age_s > OLDEST:
+        known = max(b.unanswered_at, self.silent.get(b.id, -1e9)) + MIN_NEWER_S
+        if at <= max(b.report_at, known) or learned.age_s > MAX_REPORT_AGE_S:
             self.metrics.count("gossip_old")
             return
         self.silent[b.id] = at  # apart from what this node saw itself, which alone it tells on
@@ -111,11 +111,11 @@
         if learned.kind == "silent":
             return learned.report is None and 0.0 <= learned.age_s < 3600.0
         if learned.kind == "listed":
-            return learned.report is None and learned.phase in PHASES and 0 <= learned.started_at < 1e11
+            return learned.report is None and learned.phase in KNOWN_PHASES and 0 <= learned.started_at < 1e11
         return (
             learned.kind == "report"
             and learned.report is not None
             and 0.0 <= learned.age_s < 3600.0
-            and len(report) <= MOST_FIELDS
+            and len(report) <= MAX_REPORT_FIELDS
             and all(math.isfinite(v) and v >= 0.0 for v in report.values())
         )
--- a/gradegap/store/gather.py
+++ b/gradegap/store/in_force_check.py
@@ -19,15 +19,15 @@
 if TYPE_CHECKING:
     import asyncio
 
-PERIOD = 0.1  # s between two rounds
-ROUND_WAIT = 1.0  # s in which a member has to answer
-MARGIN = 0.2  # s before whoever asks gives up
-MOST_NAMED = 20  # nodes that an answer names
+ROUND_PERIOD_S = 0.1  # s between two rounds
+ROUND_TIMEOUT_S = 1.0  # s in which a member has to answer
+RESPONSE_MARGIN_S = 0.2  # s before whoever asks gives up
+MAX_NAMED_NODES = 20  # nodes that an answer names
 
-Done = Callable[[wire.Response], None]
+ResponseCallback = Callable[[wire.Response], None]
 
 
-class Asker(Protocol):
+class InForceHost(Protocol):
     """The member that gathers."""
 
     @property
@@ -40,17 +40,19 @@
     def local_report(self, revision: int) -> MachineReport:
         """What this member knows itself."""
 
-    def ask_member(self, member: Member, wish: wire.RequestBody, done: Done, left: float) -> None:
+    def ask_member(self, member: Member, wish: wire.RequestBody, done: ResponseCallback, left: float) -> None:
         """`done` with the member's answer, or with a no."""
 
 
-class Gathering:
+class InForceCheck:
     """One question, asked in rounds."""
 
-    def __init__(self, asker: Asker, me: str, revision: int, until: float, done: Done) -> None:
+    def __init__(
+        self, asker: InForceHost, me: str, revision: int, until: float, done: ResponseCallback
+    ) -> None:
         """`me` is this member's id; `until` the steady time at which whoever asks gives up."""
         self.asker, self.me, self.revision, self.done = asker, me, revision, done
-        self.until = until - MARGIN
+        self.until = until - RESPONSE_MARGIN_S
         self.round: InForceTally | None = None
         self.waiting = 0
 
@@ -59,7 +61,7 @@
         members = self.asker.members()
         self.round = current = InForceTally(self.revision, [member.name for member in members])
         self.waiting = len(members)
-        left = min(ROUND_WAIT, max(0.01, self.until - time.monotonic()))
+        left = min(ROUND_TIMEOUT_S, max(0.01, self.until - time.monotonic()))
         for member in members:
             if member.id == self.me:
                 self._reported(current, self.asker.local_report(self.revision))
@@ -86,17 +88,17 @@
         if verdict.in_force:
             text = f"in force at {verdict.subscribers} nodes"
             self.done(wire.Response(0, text=text, revision=self.revision, status=_status(verdict)))
-        elif time.monotonic() + PERIOD >= self.until:
+        elif time.monotonic() + ROUND_PERIOD_S >= self.until:
             text = f"not_in_force: {describe(verdict)}"
             self.done(wire.Response(0, "no", text, self.revision, status=_status(verdict)))
         else:
-            self.asker.loop.call_later(PERIOD, self.start)
+            self.asker.loop.call_later(ROUND_PERIOD_S, self.start)
 
 
 def _status(verdict: InForceVerdict) -> dict[str, object]:
     return {
         "subscribers": verdict.subscribers,
-        "missing": list(verdict.missing[:MOST_NAMED]),
+        "missing": list(verdict.missing[:MAX_NAMED_NODES]),
         "missing_count": len(verdict.missing),
         "unasked": list(verdict.unasked),
         "restarted": list(verdict.restarted),
@@ -107,8 +109,8 @@
     """Who is missing, and what is unknown, in one line."""
     parts = []
     if verdict.missing:
-        named = ", ".join(verdict.missing[:MOST_NAMED])
-        more = len(verdict.missing) - MOST_NAMED
+        named = ", ".join(verdict.missing[:MAX_NAMED_NODES])
+        more = len(verdict.missing) - MAX_NAMED_NODES
         parts.append(
             f"{len(verdict.missing)} of {verdict.subscribers} nodes have not acknowledged revision "
             f"{verdict.revision}: {named}{f' and {more} more' if more > 0 else ''}"
--- a/gradegap/store/leases.py
+++ b/gradegap/store/leases.py
@@ -10,16 +10,18 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-LENGTH = 1.0  # s, unless the cluster is given another; what a node's death can cost a write nodes decide by
-RENEW = 0.3  # of the length, after which a longer one is asked for
+DEFAULT_LEASE_S = (
+    1.0  # s, unless the cluster is given another; what a node's death can cost a write nodes decide by
+)
+RENEW_FRACTION = 0.3  # of the length, after which a longer one is asked for
 NEVER = -1e18
-MOST_HOLDERS = 256
-DECIDED = ("out/", "config/", "keys/", "quota/")  # what nodes decide by
+MAX_LEASE_HOLDERS = 256
+DECISION_PREFIXES = ("out/", "config/", "keys/", "quota/")  # what nodes decide by
 
 
-def binds(keys: list[str]) -> bool:
+def affects_decisions(keys: list[str]) -> bool:
     """Whether a write to these keys is to be waited for."""
-    return any(key.startswith(DECIDED) for key in keys)
+    return any(key.startswith(DECISION_PREFIXES) for key in keys)
 
 
 @dataclass(slots=True)
@@ -28,10 +30,10 @@
     applied: int
 
 
-class Granter:
+class LeaseGranter:
     """A leader's book of the leases it gave. It begins anew with each term that this member leads."""
 
-    def __init__(self, now: float, drift: float, length: float = LENGTH) -> None:
+    def __init__(self, now: float, drift: float, length: float = DEFAULT_LEASE_S) -> None:
         self.drift = drift
         self.length = length
         self.grants: dict[str, Grant] = {}
@@ -41,7 +43,7 @@
 
     def grant(self, now: float, holder: str, applied: int, lease_until: float) -> float:
         """The length of the lease given, from when it was asked for; 0 where there is none to give."""
-        if now >= lease_until or (holder not in self.grants and len(self.grants) >= MOST_HOLDERS):
+        if now >= lease_until or (holder not in self.grants and len(self.grants) >= MAX_LEASE_HOLDERS):
             return 0.0
         known = self.grants.get(holder)
         seen = max(applied, known.applied if known is not None else 0)
@@ -76,7 +78,7 @@
         return min([self.unknown_until, *(g.until for g in self.grants.values())])
 
 
-class Holder:
+class LeaseHolder:
     """A node's lease. It is asked before each decision: `fresh`."""
 
     def __init__(self, name: str, drift: float) -> None:
@@ -113,5 +115,5 @@
         """Whether a decision made now is by committed state."""
         return now < self.until
 
-    def wants(self, now: float, length: float = LENGTH) -> bool:
-        return now > self.until - length * (1.0 - RENEW)
+    def wants(self, now: float, length: float = DEFAULT_LEASE_S) -> bool:
+        return now > self.until - length * (1.0 - RENEW_FRACTION)
--- a/gradegap/store/links.py
+++ b/gradegap/store/links.py
@@ -16,23 +16,23 @@
 
 from gradegap.metrics import Metrics
 from gradegap.raft import Member
-from gradegap.store.leases import LENGTH
+from gradegap.store.leases import DEFAULT_LEASE_S
 from gradegap.store.wire import LinkChannel, LinkError, LinkMessage
 from gradegap.transport.addresses import split_address
 
 log = structlog.get_logger()
 
-MOST_LINKS = 1024  # accepted
-PROVE_WAIT = 2.0  # s in which a link must be proven
-CONNECT_WAIT = 1.0
-AGAIN = (0.05, 1.0)  # s between two tries at a member that is away: at first, and at the most
-MOST_UNSENT = 8 * 1024 * 1024  # bytes for a member that reads slowly; what is more is dropped
+MAX_ACCEPTED_LINKS = 1024  # accepted
+AUTHENTICATION_TIMEOUT_S = 2.0  # s in which a link must be proven
+CONNECT_TIMEOUT_S = 1.0
+RECONNECT_BACKOFF_S = (0.05, 1.0)  # s between two tries at a member that is away: at first, and at the most
+MAX_UNSENT_BYTES = 8 * 1024 * 1024  # bytes for a member that reads slowly; what is more is dropped
 
 
 class Link(asyncio.Protocol):
     """A connection, whichever side opened it."""
 
-    def __init__(self, net: Network, channel: LinkChannel, dial: Dial | None = None) -> None:
+    def __init__(self, net: MemberLinks, channel: LinkChannel, dial: Dialer | None = None) -> None:
         self.net, self.channel, self.dial = net, channel, dial
         self.transport: asyncio.Transport | None = None
         self.guard: asyncio.TimerHandle | None = None
@@ -48,7 +48,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(high=1 << 20)
-        if self.dial is None and len(self.net.accepted) >= MOST_LINKS:
+        if self.dial is None and len(self.net.accepted) >= MAX_ACCEPTED_LINKS:
             self.end("full")
             return
         self.net.all.add(self)
@@ -56,7 +56,7 @@
             self.net.accepted.add(self)
         else:
             self.transport.write(self.channel.begin())
-        self.guard = self.net.loop.call_later(PROVE_WAIT, self._unproven)
+        self.guard = self.net.loop.call_later(AUTHENTICATION_TIMEOUT_S, self._unproven)
 
     def _unproven(self) -> None:
         if not self.channel.proven:
@@ -88,7 +88,7 @@
         t = self.transport
         if t is None or t.is_closing() or not self.channel.proven:
             return False
-        if t.get_write_buffer_size() > MOST_UNSENT:
+        if t.get_write_buffer_size() > MAX_UNSENT_BYTES:
             # Guards memory against a member that is stopped: what the core says is said again anyway.
             self.net.metrics.count("store_dropped_slow")
             return False
@@ -121,13 +121,13 @@
             self.dial.lost(self)
 
 
-class Dial:
+class Dialer:
     """Keeps a link to one address, for as long as it is wanted."""
 
-    def __init__(self, net: Network, address: str) -> None:
+    def __init__(self, net: MemberLinks, address: str) -> None:
         self.net, self.address = net, address
         self.link: Link | None = None
-        self.wait = AGAIN[0]
+        self.wait = RECONNECT_BACKOFF_S[0]
         self.stopped = False
         self.task: asyncio.Task[None] | None = None
         self._start()
@@ -141,19 +141,21 @@
         host, port = split_address(self.address)
         link = Link(self.net, self.net.channel(dials=True), self)
         try:
-            await asyncio.wait_for(self.net.loop.create_connection(lambda: link, host, port), CONNECT_WAIT)
+            await asyncio.wait_for(
+                self.net.loop.create_connection(lambda: link, host, port), CONNECT_TIMEOUT_S
+            )
         except (OSError, TimeoutError):
             self._again()
 
     def _again(self) -> None:
         if not self.stopped:
             wait = self.wait * random.uniform(0.5, 1.0)
-            self.wait = min(self.wait * 2, AGAIN[1])
+            self.wait = min(self.wait * 2, RECONNECT_BACKOFF_S[1])
             self.net.loop.call_later(wait, self._start)
 
     def proven(self, link: Link) -> None:
         self.link = link
-        self.wait = AGAIN[0]
+        self.wait = RECONNECT_BACKOFF_S[0]
         self.net.linked(self, link)
 
     def lost(self, link: Link) -> None:
@@ -169,7 +171,7 @@
             self.link.transport.close()
 
 
-class Network:
+class MemberLinks:
     """All links of a member."""
 
     def __init__(
@@ -178,16 +180,16 @@
         metrics: Metrics,
         secret: bytes,
         heard: Callable[[Link, LinkMessage], None],
-        linked: Callable[[Dial, Link], None],
+        linked: Callable[[Dialer, Link], None],
     ) -> None:
         self.loop, self.metrics, self.secret = loop, metrics, secret
         self.heard, self.linked = heard, linked
         self.me: Member | None = None
-        self.lease_s = LENGTH
+        self.lease_s = DEFAULT_LEASE_S
         self.cluster = ""
         self.all: set[Link] = set()
         self.accepted: set[Link] = set()
-        self.dials: dict[str, Dial] = {}  # by address
+        self.dials: dict[str, Dialer] = {}  # by address
         self.server: asyncio.Server | None = None
         self.began = time.monotonic()
 
@@ -203,7 +205,7 @@
     def want(self, addresses: set[str]) -> None:
         """Keep links to these, and to no others."""
         for address in addresses - self.dials.keys():
-            self.dials[address] = Dial(self, address)
+            self.dials[address] = Dialer(self, address)
         for address in self.dials.keys() - addresses:
             self.dials.pop(address).stop()
 
--- a/gradegap/store/daemon.py
+++ b/gradegap/store/member.py
@@ -32,11 +32,10 @@
     SnapshotMetadata,
 )
 from gradegap.store import wire
-from gradegap.store.disk import BadFolder, Batch, Disk, Found, Identity
-from gradegap.store.forming import Forming, promotable
+from gradegap.store.bootstrap import Bootstrap, promotable
 from gradegap.store.in_force import MachineReport
-from gradegap.store.leases import Granter, Holder
-from gradegap.store.links import Dial, Link, Network
+from gradegap.store.leases import LeaseGranter, LeaseHolder
+from gradegap.store.links import Dialer, Link, MemberLinks
 from gradegap.store.machine import (
     Command,
     Expire,
@@ -48,20 +47,21 @@
     encode,
     encode_snapshot,
 )
-from gradegap.store.service import Service
+from gradegap.store.service import RequestService
 from gradegap.store.settings import StoreSettings
+from gradegap.store.storage import FolderError, Identity, MemberStorage, StoredMember, WriteBatch
 from gradegap.store.subscriptions import SubscriptionServer, SubscriptionServerFactory
 
 log = structlog.get_logger()
 
-TICK = 0.05  # s between two looks at the clock, at the most
-KEEP = 1000  # applied entries that stay in the log, for members that are a little behind
-COMPACT_ENTRIES = 4 * KEEP
-COMPACT_BYTES = 8 * 1024 * 1024
-PROMOTE = 0.2  # s between two looks whether a learner has caught up
+TICK_PERIOD_S = 0.05  # s between two looks at the clock, at the most
+RETAINED_ENTRIES = 1000  # applied entries that stay in the log, for members that are a little behind
+COMPACTION_ENTRIES = 4 * RETAINED_ENTRIES
+COMPACTION_BYTES = 8 * 1024 * 1024
+PROMOTION_PERIOD_S = 0.2  # s between two looks whether a learner has caught up
 
 
-class Daemon:
+class StoreMember:
     """One daemon's part in the store. `failed` is called, once, when its disk can't be written."""
 
     def __init__(
@@ -71,31 +71,31 @@
         folder: Path,
         loop: asyncio.AbstractEventLoop,
         metrics: Metrics,
-        failed: Callable[[BadFolder], None],
+        failed: Callable[[FolderError], None],
         raft_settings: RaftSettings | None = None,
         make_subscription_server: SubscriptionServerFactory | None = None,
     ) -> None:
         """`make_subscription_server` is needed where the settings have `publish`, and used only then."""
         self.settings, self.loop, self.metrics, self.failed = settings, loop, metrics, failed
         self.raft_settings = raft_settings or RaftSettings()
-        self.disk = Disk(folder)
+        self.disk = MemberStorage(folder)
         try:
-            self.found: Found = self.disk.start()
-        except BadFolder:
+            self.found: StoredMember = self.disk.start()
+        except FolderError:
             self.disk.close()
             raise
         self.identity = self.found.identity
-        self.net = Network(loop, metrics, secret, self._heard, self._linked)
+        self.net = MemberLinks(loop, metrics, secret, self._heard, self._linked)
         self.net.me = me = Member(self.identity.id, settings.name, settings.advertise or settings.listen)
         self.net.cluster = self.identity.cluster
         self.net.lease_s = settings.lease_s
         self.machine = StateMachine()
         self.machine.load_state(self.found.state)
         self.raft: Raft | None = None
-        self.service = Service(self)
-        self.forming = Forming(settings, me)
-        self.holder = Holder(self._holder_name(), self.raft_settings.max_clock_drift)
-        self.granter: Granter | None = None
+        self.service = RequestService(self)
+        self.forming = Bootstrap(settings, me)
+        self.holder = LeaseHolder(self._holder_name(), self.raft_settings.max_clock_drift)
+        self.granter: LeaseGranter | None = None
         self.lease_changed: Callable[[], None] = lambda: None
         self.gossiped: Callable[[wire.Gossip], None] = lambda gossip: None
         self.met: Callable[[Link], None] = lambda link: None
@@ -138,7 +138,7 @@
         return make(self, secret)
 
     @property
-    def requests(self) -> Service:
+    def requests(self) -> RequestService:
         """Who answers what clients ask."""
         return self.service
 
@@ -157,7 +157,7 @@
         self._want_links()
         self._tick()
 
-    def _run(self, found: Found) -> None:
+    def _run(self, found: StoredMember) -> None:
         seed = int.from_bytes(self.identity.id.encode()[:6], "big") ^ time.monotonic_ns()
         self.raft = Raft(
             self.identity.id,
@@ -178,8 +178,8 @@
         identity = Identity(self.identity.id, cluster)
         base = SnapshotMetadata(0, 0, config)
         try:
-            self.disk.write(Batch(identity=identity, base=base))
-        except BadFolder as error:
+            self.disk.write(WriteBatch(identity=identity, base=base))
+        except FolderError as error:
             self._fail(error)
             return
         self.identity = identity
@@ -221,7 +221,7 @@
             return False
         return True
 
-    def _fail(self, error: BadFolder) -> None:
+    def _fail(self, error: FolderError) -> None:
         """Guards against going on with what is not on disk: the member is as good as dead."""
         if not self.closed:
             self.metrics.count("store_disk_failed")
@@ -249,9 +249,9 @@
             self.joined_at = now
             self._ask_to_join()
         self.service.tick(now)
-        wait = TICK
+        wait = TICK_PERIOD_S
         if self.raft is not None:
-            wait = min(TICK, max(0.001, self.raft.next_tick_at() - time.monotonic()))
+            wait = min(TICK_PERIOD_S, max(0.001, self.raft.next_tick_at() - time.monotonic()))
         self.timer = self.loop.call_later(wait, self._tick)
 
     def _lead_tick(self, now: float, raft: Raft) -> None:
@@ -263,7 +263,7 @@
         if expiry is not None and expiry <= self.log_clock() and raft.commit_index == raft.log.last_index:
             self.propose(Expire())
         if now >= self.promote_at:
-            self.promote_at = now + PROMOTE
+            self.promote_at = now + PROMOTION_PERIOD_S
             self._promote(now, raft)
 
     def _promote(self, now: float, raft: Raft) -> None:
@@ -308,7 +308,7 @@
             try:
                 state = decode_snapshot(out.snapshot.data)
             except ValueError as error:
-                self._fail(BadFolder(f"a snapshot that came can't be read: {error}"))
+                self._fail(FolderError(f"a snapshot that came can't be read: {error}"))
                 return
             self.metrics.count("store_snapshots_taken")
             self.machine.load_state(state)
@@ -406,7 +406,7 @@
             if raft.is_leader:
                 self.metrics.count("store_elected")
                 self.clock_base = (now, self.machine.clock_ms)
-                self.granter = Granter(now, self.raft_settings.max_clock_drift, self.settings.lease_s)
+                self.granter = LeaseGranter(now, self.raft_settings.max_clock_drift, self.settings.lease_s)
                 log.info("leads", term=raft.term)
             else:
                 self.metrics.count("store_deposed")
@@ -449,7 +449,7 @@
             if self.closed:
                 return
             error = finished.exception()
-            if isinstance(error, BadFolder):
+            if isinstance(error, FolderError):
                 self._fail(error)
             elif error is not None:
                 raise error
@@ -470,12 +470,12 @@
         self.metrics.count("store_syncs")
         self.in_thread(self.thread.submit(self.disk.write, batch), lambda _: self._synced(outs))
 
-    def _batch(self, outs: list[Ready]) -> Batch | None:
+    def _batch(self, outs: list[Ready]) -> WriteBatch | None:
         if not any(o.must_sync for o in outs):
             return None
         raft = self.raft
         assert raft is not None
-        batch = Batch()
+        batch = WriteBatch()
         for out in outs:
             if out.hard_state is not None:
                 batch.hard = out.hard_state
@@ -492,13 +492,13 @@
         self.loaded = None
         m = self.machine
         batch.applied = (m.index, m.revision, m.clock_ms)
-        if raft.log.size_bytes > COMPACT_BYTES or len(raft.log.entries) > COMPACT_ENTRIES:
+        if raft.log.size_bytes > COMPACTION_BYTES or len(raft.log.entries) > COMPACTION_ENTRIES:
             self._compact_with(batch, raft)
         return batch
 
-    def _compact_with(self, batch: Batch, raft: Raft) -> None:
+    def _compact_with(self, batch: WriteBatch, raft: Raft) -> None:
         """Log that the state on disk has made superfluous goes, but for a tail."""
-        keep = KEEP if raft.log.size_bytes <= COMPACT_BYTES else KEEP // 10
+        keep = RETAINED_ENTRIES if raft.log.size_bytes <= COMPACTION_BYTES else RETAINED_ENTRIES // 10
         index = min(self.machine.index, raft.stable_index) - keep
         term = raft.log.term_at(index)
         if index > raft.log.base.index and term is not None and batch.base is None and not self.compacting:
@@ -551,7 +551,7 @@
             addresses = {m.address for m in self.raft.configuration.members} or {p.address for p in peers}
         self.net.want(addresses - {self.settings.listen, self.settings.advertise})
 
-    def _linked(self, dial: Dial, link: Link) -> None:
+    def _linked(self, dial: Dialer, link: Link) -> None:
         theirs = link.channel.theirs
         assert theirs is not None
         if not self.identity.cluster:
--- a/gradegap/store/remote.py
+++ b/gradegap/store/member_client.py
@@ -11,10 +11,10 @@
 from gradegap.store.machine import Compare, Event, Item, KeyUpdate
 from gradegap.transport.addresses import split_address
 
-MARGIN = 1.0  # s that an answer may take beyond the time that the member was given
+RESPONSE_MARGIN_S = 1.0  # s that an answer may take beyond the time that the member was given
 
 
-class StoreError(Exception):
+class RequestFailedError(Exception):
     """Why something was not done. `kind`: "unreachable", "no", "unknown" or "no_quorum"."""
 
     def __init__(self, kind: str, text: str) -> None:
@@ -22,7 +22,7 @@
         self.kind = kind
 
 
-class Remote:
+class MemberClient:
     """A link to one member. `wait` is how long, in seconds, it may try; writes are applied at most once."""
 
     def __init__(self, address: str, secret: bytes = b"", wait: float = 5.0) -> None:
@@ -36,7 +36,9 @@
             while not self.channel.proven:
                 self._read()
         except (OSError, ValueError) as error:
-            raise StoreError("unreachable", f"the store at {address} can't be reached: {error}") from None
+            raise RequestFailedError(
+                "unreachable", f"the store at {address} can't be reached: {error}"
+            ) from None
 
     def _read(self) -> None:
         data = self.sock.recv(65536)
@@ -48,12 +50,12 @@
         self.words += words
 
     def ask(self, wish: wire.RequestBody) -> Iterator[wire.Response]:
-        """The answers to one wish; `StoreError` where it is not done."""
+        """The answers to one wish; `RequestFailedError` where it is not done."""
         self.serial += 1
         writes = isinstance(
             wish, wire.Transaction | wire.AddMember | wire.RemoveMember | wire.TransferLeadership
         )
-        end = time.monotonic() + self.wait + MARGIN
+        end = time.monotonic() + self.wait + RESPONSE_MARGIN_S
         try:
             self.sock.sendall(self.channel.send(wire.Request(self.serial, wish, self.wait)))
             while True:
@@ -67,13 +69,13 @@
                 if not isinstance(word, wire.Response) or word.serial != self.serial:
                     continue
                 if word.outcome != "ok":
-                    raise StoreError(word.outcome, word.text)
+                    raise RequestFailedError(word.outcome, word.text)
                 yield word
                 if not word.more:
                     return
         except (OSError, ValueError) as error:
             kind, what = ("unknown", "unknown: ") if writes else ("no_quorum", "")
-            raise StoreError(kind, f"{what}the store at {self.address}: {error}") from None
+            raise RequestFailedError(kind, f"{what}the store at {self.address}: {error}") from None
 
     def one(self, wish: wire.RequestBody) -> wire.Response:
         (answer,) = self.ask(wish)
@@ -107,7 +109,7 @@
             yield from answer.events
 
     def in_force(self, revision: int) -> wire.Response:
-        """Once all nodes that subscribe have it; `StoreError` "no", which says who is missing, where not."""
+        """Once all nodes that subscribe have it; else `RequestFailedError` "no", which names who lacks it."""
         return self.one(wire.InForce(revision))
 
     def status(self) -> dict[str, Any]:
@@ -119,7 +121,7 @@
     def close(self) -> None:
         self.sock.close()
 
-    def __enter__(self) -> Remote:
+    def __enter__(self) -> MemberClient:
         return self
 
     def __exit__(self, *args: object) -> None:
--- a/gradegap/store/service.py
+++ b/gradegap/store/service.py
@@ -21,9 +21,8 @@
 from gradegap.metrics import Metrics
 from gradegap.raft import Entry, EntryKind, Member, Raft, RequestRejectedError
 from gradegap.store import leases, schema, wire
-from gradegap.store.disk import Identity
-from gradegap.store.gather import Gathering
 from gradegap.store.in_force import MachineReport
+from gradegap.store.in_force_check import InForceCheck
 from gradegap.store.links import Link
 from gradegap.store.machine import (
     Command,
@@ -36,31 +35,32 @@
     encode_snapshot,
 )
 from gradegap.store.settings import StoreSettings
+from gradegap.store.storage import Identity
 
 log = structlog.get_logger()
 
-MOST_PENDING = 4096
-MOST_LEFT = 60.0  # s that a client may be willing to wait
-LIFE = 120_000  # ms of log time within which a write may be applied
-RETRY = 0.05  # s
-ALIVE = 2.0  # s since a word of a member, within which no new life may take its place
-PIECE = 512 * 1024  # bytes of a snapshot in one answer
-MOST_WATCHES = 1000
-MOST_UNSENT = 4 * 1024 * 1024  # bytes for a watcher that reads slowly; then its link ends
-INVITED = "cluster/invited/"
+MAX_PENDING_REQUESTS = 4096
+MAX_TIMEOUT_S = 60.0  # s that a client may be willing to wait
+WRITE_LIFETIME_MS = 120_000  # ms of log time within which a write may be applied
+RETRY_PERIOD_S = 0.05  # s
+INCARNATION_SILENCE_S = 2.0  # s since a word of a member, within which no new life may take its place
+SNAPSHOT_PIECE_BYTES = 512 * 1024  # bytes of a snapshot in one answer
+MAX_WATCHES = 1000
+MAX_WATCH_UNSENT_BYTES = 4 * 1024 * 1024  # bytes for a watcher that reads slowly; then its link ends
+INVITED_PREFIX = "cluster/invited/"
 
-TRANSIENT = ("not_leader", "transferring", "not_ready")  # reasons that another try may not meet
+TRANSIENT_REASONS = ("not_leader", "transferring", "not_ready")  # reasons that another try may not meet
 
-Done = Callable[[wire.Response], None]
+ResponseCallback = Callable[[wire.Response], None]
 
 
 @dataclass(slots=True, eq=False)
-class Pending:
+class PendingRequest:
     """A wish under way."""
 
     serial: int
     wish: wire.RequestBody
-    done: Done
+    done: ResponseCallback
     until: float  # steady time at which whoever asks gives up
     relayed: bool  # it came from a member, which tries again itself
     taken: bool = False  # a leader had it: what came of it may be unknown
@@ -71,13 +71,13 @@
 
 
 @dataclass(slots=True, eq=False)
-class Watching:
+class Watch:
     link: Link
     serial: int
     prefix: str
 
 
-class Host(Protocol):
+class RequestHost(Protocol):
     """The member that a service answers for."""
 
     loop: asyncio.AbstractEventLoop
@@ -86,8 +86,8 @@
     identity: Identity
     machine: StateMachine
     raft: Raft | None
-    granter: leases.Granter | None
-    holder: leases.Holder
+    granter: leases.LeaseGranter | None
+    holder: leases.LeaseHolder
     removed: bool
     thread: ThreadPoolExecutor
 
@@ -101,17 +101,17 @@
     def in_thread(self, work: Future[Any], done: Callable[[Any], None]) -> None: ...
 
 
-class Service:
+class RequestService:
     """Answers for one member."""
 
-    def __init__(self, member: Host) -> None:
+    def __init__(self, member: RequestHost) -> None:
         self.member = member
         self.metrics = member.metrics
         self.serial = 0
-        self.pending: dict[int, Pending] = {}
-        self.by_index: dict[int, list[Pending]] = {}
-        self.reading: dict[int, Pending] = {}
-        self.watching: set[Watching] = set()
+        self.pending: dict[int, PendingRequest] = {}
+        self.by_index: dict[int, list[PendingRequest]] = {}
+        self.reading: dict[int, PendingRequest] = {}
+        self.watching: set[Watch] = set()
         self.name = secrets.token_hex(6)
         self.seqs: dict[str, int] = {}  # names for writes, and how often each was used
         self.free: list[str] = []
@@ -137,9 +137,11 @@
         else:
             self.request(ask.body, done, ask.timeout_s, relayed=bool(link.id))
 
-    def request(self, wish: wire.RequestBody, done: Done, left: float = 5.0, relayed: bool = False) -> None:
+    def request(
+        self, wish: wire.RequestBody, done: ResponseCallback, left: float = 5.0, relayed: bool = False
+    ) -> None:
         """`done` with one answer, at the latest after `left` seconds."""
-        if len(self.pending) >= MOST_PENDING:
+        if len(self.pending) >= MAX_PENDING_REQUESTS:
             self.metrics.count("store_busy")
             done(wire.Response(0, "no", "busy: too many wishes are under way"))
             return
@@ -150,8 +152,8 @@
             done(wire.Response(0, "no", str(error)))
             return
         self.serial += 1
-        until = time.monotonic() + min(left, MOST_LEFT)
-        p = Pending(self.serial, wish, done, until, relayed)
+        until = time.monotonic() + min(left, MAX_TIMEOUT_S)
+        p = PendingRequest(self.serial, wish, done, until, relayed)
         self.pending[p.serial] = p
         self._try(p)
 
@@ -173,7 +175,9 @@
             # many as writes. Every member remembers each for as long as it may come again.
             client = self.free.pop() if self.free else f"{self.name}-{len(self.seqs)}"
             seq = self.seqs[client] = self.seqs.get(client, 0) + 1
-        return msgspec.structs.replace(wish, client=client, seq=seq, deadline_ms=self.log_clock() + LIFE)
+        return msgspec.structs.replace(
+            wish, client=client, seq=seq, deadline_ms=self.log_clock() + WRITE_LIFETIME_MS
+        )
 
     def log_clock(self) -> int:
         """The log's time, as far as it is known here; it may be behind."""
@@ -185,7 +189,7 @@
 
     # One try
 
-    def _try(self, p: Pending) -> None:
+    def _try(self, p: PendingRequest) -> None:
         m = self.member
         raft = m.raft
         if isinstance(p.wish, wire.Status):
@@ -218,7 +222,7 @@
 
     # In force
 
-    def _in_force(self, p: Pending, wish: wire.InForce) -> None:
+    def _in_force(self, p: PendingRequest, wish: wire.InForce) -> None:
         m = self.member
         if p.relayed:
             self._answer(p, wire.Response(0, data=msgspec.msgpack.encode(m.report(wish.revision))))
@@ -227,7 +231,7 @@
         else:
             p.waits_for = "gathering"
             done = lambda answer: self._answer(p, answer)  # noqa: E731
-            Gathering(self, m.identity.id, wish.revision, p.until, done).start()
+            InForceCheck(self, m.identity.id, wish.revision, p.until, done).start()
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
@@ -243,7 +247,7 @@
         """What this member knows of the nodes that subscribe here."""
         return self.member.report(revision)
 
-    def ask_member(self, member: Member, wish: wire.RequestBody, done: Done, left: float) -> None:
+    def ask_member(self, member: Member, wish: wire.RequestBody, done: ResponseCallback, left: float) -> None:
         """`done` with the member's answer, or with a no, after `left` seconds at the latest."""
         self.serial += 1
         asked = wire.Request(self.serial, wish, left)
@@ -251,9 +255,9 @@
             done(wire.Response(0, "no", f"unreachable: {member.name}"))
             return
         until = time.monotonic() + left
-        self.pending[self.serial] = Pending(self.serial, wish, done, until, True, waits_for=member.id)
+        self.pending[self.serial] = PendingRequest(self.serial, wish, done, until, True, waits_for=member.id)
 
-    def _pass_on(self, p: Pending) -> None:
+    def _pass_on(self, p: PendingRequest) -> None:
         m, raft = self.member, self.member.raft
         assert raft is not None
         left = p.until - time.monotonic()
@@ -264,19 +268,23 @@
         else:
             p.waits_for = "leader"
 
-    def _lead(self, p: Pending) -> None:
+    def _lead(self, p: PendingRequest) -> None:
         m, raft, now = self.member, self.member.raft, time.monotonic()
         assert raft is not None
         w = p.wish
         try:
             match w:
                 case wire.Transaction():
-                    if p.relayed and not w.attempts and w.deadline_ms < m.log_clock() + LIFE // 2:
+                    if (
+                        p.relayed
+                        and not w.attempts
+                        and w.deadline_ms < m.log_clock() + WRITE_LIFETIME_MS // 2
+                    ):
                         raise RequestRejectedError("restamp: it bears a time that is over")
                     body = Command(w.client, w.seq, w.deadline_ms, w.author, w.compares, w.then, w.otherwise)
                     self._wait_for(p, m.propose(body))
                 case wire.AddMember():
-                    op = KeyUpdate(INVITED + w.name, {"address": w.address})
+                    op = KeyUpdate(INVITED_PREFIX + w.name, {"address": w.address})
                     p.wish = self._checked(wire.Transaction((op,), author="operator"))
                     self._lead(p)
                 case wire.RemoveMember():
@@ -307,12 +315,12 @@
             self.reading.pop(p.serial, None)
             reason = str(error).split(":")[0].split(" ")[0]
             self.metrics.count(f"store_refused_{reason}")
-            if reason in TRANSIENT and not p.relayed:
+            if reason in TRANSIENT_REASONS and not p.relayed:
                 p.waits_for = "leader"
             else:
                 self._answer(p, wire.Response(0, "no", str(error)))
 
-    def _wait_for(self, p: Pending, index: int) -> None:
+    def _wait_for(self, p: PendingRequest, index: int) -> None:
         raft = self.member.raft
         assert raft is not None
         p.taken, p.waits_for, p.index, p.term = True, "commit", index, raft.term
@@ -330,7 +338,7 @@
                 continue
             self._committed(p, entry, result)
 
-    def _committed(self, p: Pending, entry: Entry, result: Result) -> None:
+    def _committed(self, p: PendingRequest, entry: Entry, result: Result) -> None:
         if result.error:
             reason = result.error.split(":")[0]
             outcome = "unknown" if reason in ("stale", "too_old") else "no"
@@ -340,7 +348,7 @@
         m = self.member
         if isinstance(p.wish, wire.Transaction) and m.granter is not None:
             ops = (*p.wish.then, *p.wish.otherwise)
-            if leases.binds([op.key for op in ops]):
+            if leases.affects_decisions([op.key for op in ops]):
                 # Nobody may decide by what stood before, once it is said to be replaced.
                 p.waits_for = "seen"
                 now = time.monotonic()
@@ -395,7 +403,7 @@
         except CommandError as error:
             return wire.Response(0, "no", str(error))
 
-    def _answer(self, p: Pending, answer: wire.Response) -> None:
+    def _answer(self, p: PendingRequest, answer: wire.Response) -> None:
         if p.over:
             return
         p.over = True
@@ -416,9 +424,11 @@
         reason = answer.text.split(":")[0].split(" ")[0]
         if reason == "restamp" and isinstance(p.wish, wire.Transaction):
             # Nobody took it: it only bore a time that this member had not kept up with.
-            p.wish = msgspec.structs.replace(p.wish, deadline_ms=self.log_clock() + LIFE, attempts=0)
+            p.wish = msgspec.structs.replace(
+                p.wish, deadline_ms=self.log_clock() + WRITE_LIFETIME_MS, attempts=0
+            )
             p.taken, p.waits_for = False, "leader"
-        elif answer.outcome == "no_quorum" or (answer.outcome == "no" and reason in TRANSIENT):
+        elif answer.outcome == "no_quorum" or (answer.outcome == "no" and reason in TRANSIENT_REASONS):
             p.waits_for = "leader"
         else:
             self._answer(p, answer)
@@ -453,7 +463,7 @@
         for p in list(self.pending.values()):
             if now >= p.until:
                 self._late(p)
-        if now - self.last_retry >= RETRY:
+        if now - self.last_retry >= RETRY_PERIOD_S:
             self.last_retry = now
             for p in list(self.pending.values()):
                 if p.waits_for == "leader" and not p.over:
@@ -464,14 +474,14 @@
                 elif p.waits_for == "transfer":
                     self._look_at_transfer(p)
 
-    def _doubtful(self, p: Pending) -> bool:
+    def _doubtful(self, p: PendingRequest) -> bool:
         """Whether a leader had it and it would change something: nobody can say here what came of it."""
         writes = isinstance(
             p.wish, wire.Transaction | wire.AddMember | wire.RemoveMember | wire.TransferLeadership
         )
         return writes and p.taken
 
-    def _late(self, p: Pending) -> None:
+    def _late(self, p: PendingRequest) -> None:
         if self._doubtful(p):
             text = "unknown: it may be committed or not; nobody could say in time"
             self._answer(p, wire.Response(0, "unknown", text))
@@ -479,7 +489,7 @@
             text = "no_quorum: no leader with a quorum answered in time"
             self._answer(p, wire.Response(0, "no_quorum", text))
 
-    def _look_at_transfer(self, p: Pending) -> None:
+    def _look_at_transfer(self, p: PendingRequest) -> None:
         raft = self.member.raft
         if (
             raft is not None
@@ -508,7 +518,7 @@
             return
         self.request(wire.AdmitMember(member), done, 2.0)
 
-    def _take_in(self, p: Pending, member: Member) -> None:
+    def _take_in(self, p: PendingRequest, member: Member) -> None:
         """An earlier life of a member is removed first; then the new one is added, and asks once more."""
         m, raft, now = self.member, self.member.raft, time.monotonic()
         assert raft is not None
@@ -518,16 +528,20 @@
         old = raft.configuration.find_by_name(member.name)
         if old is not None:
             progress = raft.peers.get(old.id)
-            if old.id == m.identity.id or (progress is not None and now - progress.last_response_at < ALIVE):
+            if old.id == m.identity.id or (
+                progress is not None and now - progress.last_response_at < INCARNATION_SILENCE_S
+            ):
                 raise RequestRejectedError(f"alive: another daemon is {member.name} and answers")
             raft.remove_member(now, old.id)
             self.metrics.count("store_lives_replaced")
             log.warning("an earlier life of a member is removed", member=member.name, id=old.id)
-            invite = KeyUpdate(INVITED + member.name, {"address": member.address})
-            m.propose(Command(f"again-{member.id}", 1, m.log_clock() + LIFE, "store", (), (invite,)))
+            invite = KeyUpdate(INVITED_PREFIX + member.name, {"address": member.address})
+            m.propose(
+                Command(f"again-{member.id}", 1, m.log_clock() + WRITE_LIFETIME_MS, "store", (), (invite,))
+            )
             self._answer(p, wire.Response(0, "no", "again: its earlier life is removed first"))
             return
-        item = m.machine.get(INVITED + member.name)
+        item = m.machine.get(INVITED_PREFIX + member.name)
         if item is None:
             raise RequestRejectedError(f"not_invited: nobody added {member.name}; see `gradegap store add`")
         learner = msgspec.structs.replace(member, voter=False)
@@ -537,7 +551,7 @@
 
     def _watch(self, link: Link, serial: int, wish: wire.Watch) -> None:
         machine = self.member.machine
-        if len(self.watching) >= MOST_WATCHES:
+        if len(self.watching) >= MAX_WATCHES:
             self.metrics.count("store_busy")
             link.send(wire.Response(serial, "no", "busy: too many watches"))
             return
@@ -548,7 +562,7 @@
             return
         for k in range(0, len(since), 200):
             link.send(wire.Response(serial, revision=machine.revision, events=since[k : k + 200], more=True))
-        watching = Watching(link, serial, wish.prefix)
+        watching = Watch(link, serial, wish.prefix)
         self.watching.add(watching)
         link.closing.append(lambda: self.watching.discard(watching))
         link.send(wire.Response(serial, text="watching", revision=machine.revision, more=True))
@@ -558,7 +572,7 @@
             mine = [e for e in events if e.key.startswith(w.prefix)]
             if not mine:
                 continue
-            if w.link.unsent() > MOST_UNSENT:
+            if w.link.unsent() > MAX_WATCH_UNSENT_BYTES:
                 # It can come again from the revision that it saw last, and will miss nothing.
                 w.link.end("slow_watcher")
                 continue
@@ -567,7 +581,7 @@
 
     # Whole
 
-    def _snapshot(self, ask: wire.Request, done: Done) -> None:
+    def _snapshot(self, ask: wire.Request, done: ResponseCallback) -> None:
         """Read linearizably, then packed in a thread, then sent in pieces."""
         m = self.member
 
@@ -579,9 +593,9 @@
 
         def packed(data: bytes) -> None:
             revision = m.machine.revision
-            for k in range(0, len(data), PIECE):
-                more = k + PIECE < len(data)
-                done(wire.Response(0, revision=revision, data=data[k : k + PIECE], more=more))
+            for k in range(0, len(data), SNAPSHOT_PIECE_BYTES):
+                more = k + SNAPSHOT_PIECE_BYTES < len(data)
+                done(wire.Response(0, revision=revision, data=data[k : k + SNAPSHOT_PIECE_BYTES], more=more))
 
         if m.raft is not None and not m.raft.is_leader:
             # The state is read here: this member first waits until it has what the leader had committed.
@@ -589,20 +603,20 @@
         else:
             self.request(wire.List("\0"), read, ask.timeout_s)
 
-    def _when_as_far_as_the_leader(self, then: Done, left: float) -> None:
+    def _when_as_far_as_the_leader(self, then: ResponseCallback, left: float) -> None:
         def read(answer: wire.Response) -> None:
             self._when_revision(answer, then, time.monotonic() + left)
 
         self.request(wire.List("\0"), read, left)
 
-    def _when_revision(self, answer: wire.Response, then: Done, until: float) -> None:
+    def _when_revision(self, answer: wire.Response, then: ResponseCallback, until: float) -> None:
         m = self.member
         if answer.outcome != "ok" or m.machine.revision >= answer.revision:
             then(answer)
         elif time.monotonic() > until:
             then(wire.Response(0, "no_quorum", "no_quorum: this member is behind"))
         else:
-            m.loop.call_later(RETRY, self._when_revision, answer, then, until)
+            m.loop.call_later(RETRY_PERIOD_S, self._when_revision, answer, then, until)
 
     def status(self) -> dict[str, Any]:
         m, now = self.member, time.monotonic()
--- a/gradegap/store/disk.py
+++ b/gradegap/store/storage.py
@@ -26,13 +26,13 @@
 
 T = TypeVar("T")
 Put = Callable[[Any, bytes, object], None]
-FORMAT = 1
-MAP_SIZE = 1 << 30  # bytes of address space; the file grows as it is written
-SUM = 4
-REJOIN = "to rejoin, move the folder away and start again: the member comes back under a new identity"
+FORMAT_VERSION = 1
+MAP_SIZE_BYTES = 1 << 30  # bytes of address space; the file grows as it is written
+CHECKSUM_BYTES = 4
+REJOIN_REMEDY = "to rejoin, move the folder away and start again: the member comes back under a new identity"
 
 
-class BadFolder(Exception):
+class FolderError(Exception):
     """A folder that a member can't start with, or write to; its text is one plain line."""
 
 
@@ -40,10 +40,10 @@
     """Where a member keeps what it must not forget; in `$TMPDIR` it comes back empty, as a new member."""
     if settings.data:
         return Path(settings.data)
-    place = os.environ.get("TMPDIR")
-    if not place:
-        raise BadFolder("store.data names no folder, and there is no TMPDIR")
-    return Path(place) / f"gradegap-store-{settings.name}"
+    encode_number = os.environ.get("TMPDIR")
+    if not encode_number:
+        raise FolderError("store.data names no folder, and there is no TMPDIR")
+    return Path(encode_number) / f"gradegap-store-{settings.name}"
 
 
 class Identity(msgspec.Struct, frozen=True, array_like=True):
@@ -54,7 +54,7 @@
 
 
 @dataclass(slots=True)
-class Batch:
+class WriteBatch:
     """What is to be durable together."""
 
     hard: HardState | None = None
@@ -67,7 +67,7 @@
 
 
 @dataclass(slots=True)
-class Found:
+class StoredMember:
     """What a folder had."""
 
     identity: Identity
@@ -77,40 +77,40 @@
     state: StoreState
 
 
-def seal(key: bytes, body: bytes) -> bytes:
-    return zlib.crc32(body, zlib.crc32(key)).to_bytes(SUM, "big") + body
+def add_checksum(key: bytes, body: bytes) -> bytes:
+    return zlib.crc32(body, zlib.crc32(key)).to_bytes(CHECKSUM_BYTES, "big") + body
 
 
-def unseal(key: bytes, raw: bytes) -> bytes:
-    body = raw[SUM:]
-    if len(raw) < SUM or seal(key, body)[:SUM] != raw[:SUM]:
+def verify_checksum(key: bytes, raw: bytes) -> bytes:
+    body = raw[CHECKSUM_BYTES:]
+    if len(raw) < CHECKSUM_BYTES or add_checksum(key, body)[:CHECKSUM_BYTES] != raw[:CHECKSUM_BYTES]:
         raise ValueError(f"the checksum of {key!r} is wrong")
     return body
 
 
-def place(number: int) -> bytes:
+def encode_number(number: int) -> bytes:
     return number.to_bytes(8, "big")
 
 
 _encode = msgspec.msgpack.Encoder().encode
 
 
-class Disk:
+class MemberStorage:
     """One process's hold on a folder."""
 
-    def __init__(self, folder: Path, map_size: int = MAP_SIZE) -> None:
+    def __init__(self, folder: Path, map_size: int = MAP_SIZE_BYTES) -> None:
         self.folder = folder
         self.point: Callable[[str], None] = lambda name: None  # where tests end the process
         try:
             folder.mkdir(parents=True, exist_ok=True)
             self.lock = os.open(folder / "in-use", os.O_RDWR | os.O_CREAT, 0o600)
         except OSError as error:
-            raise BadFolder(f"the store's folder {folder} can't be used: {error.strerror}") from None
+            raise FolderError(f"the store's folder {folder} can't be used: {error.strerror}") from None
         try:
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(self.lock)
-            raise BadFolder(f"another process uses the store's folder {folder}") from None
+            raise FolderError(f"another process uses the store's folder {folder}") from None
         self.fresh = not (folder / "data.mdb").exists()
         try:
             self._check_size()
@@ -125,8 +125,8 @@
             os.close(self.lock)
             raise self._bad(str(error)) from None
 
-    def _bad(self, why: str) -> BadFolder:
-        return BadFolder(f"the store's folder {self.folder} is damaged ({why}); {REJOIN}")
+    def _bad(self, why: str) -> FolderError:
+        return FolderError(f"the store's folder {self.folder} is damaged ({why}); {REJOIN_REMEDY}")
 
     def _check_size(self) -> None:
         """Guards against a file that was cut: mapped, its missing pages would end the process by a signal."""
@@ -141,7 +141,7 @@
         if (self.env.info()["last_pgno"] + 1) * page > (self.folder / "data.mdb").stat().st_size:
             raise lmdb.Error("its file is cut short")
 
-    def start(self) -> Found:
+    def start(self) -> StoredMember:
         """What the folder holds; a new identity where it is new."""
         try:
             with self.env.begin() as txn:
@@ -151,11 +151,11 @@
                         raise ValueError("it has no format")
                     found = None
                 else:
-                    version = int.from_bytes(unseal(b"format", bytes(raw)), "big")
-                    if version > FORMAT:
-                        raise BadFolder(
+                    version = int.from_bytes(verify_checksum(b"format", bytes(raw)), "big")
+                    if version > FORMAT_VERSION:
+                        raise FolderError(
                             f"the folder {self.folder} is of format {version}, this version reads up to "
-                            f"{FORMAT}: start a newer one"
+                            f"{FORMAT_VERSION}: start a newer one"
                         )
                     found = self._read(txn)
         except (lmdb.Error, ValueError, msgspec.MsgspecError, KeyError) as error:
@@ -163,28 +163,28 @@
         if found is not None:
             return found
         # Written before anybody hears of it: a member is who its folder says.
-        batch = Batch(
+        batch = WriteBatch(
             HardState(), Identity(secrets.token_hex(8)), SnapshotMetadata(0, 0, ClusterConfiguration())
         )
         batch.applied = (0, 0, 0)
         self._create(batch)
         return self.start()
 
-    def _create(self, batch: Batch) -> None:
+    def _create(self, batch: WriteBatch) -> None:
         with self._writing() as txn:
-            txn.put(b"format", seal(b"format", FORMAT.to_bytes(2, "big")), db=self.meta)
+            txn.put(b"format", add_checksum(b"format", FORMAT_VERSION.to_bytes(2, "big")), db=self.meta)
             self._put(txn, batch)
 
-    def _read(self, txn: lmdb.Transaction) -> Found:
+    def _read(self, txn: lmdb.Transaction) -> StoredMember:
         def one(name: bytes, kind: type[T]) -> T:
             raw = txn.get(name, db=self.meta)
             if raw is None:
                 raise ValueError(f"it lacks {name.decode()}")
-            return msgspec.msgpack.decode(unseal(name, bytes(raw)), type=kind)
+            return msgspec.msgpack.decode(verify_checksum(name, bytes(raw)), type=kind)
 
         def every(db: Any, kind: type[T]) -> list[T]:
             decoder = msgspec.msgpack.Decoder(kind)
-            return [decoder.decode(unseal(bytes(key), bytes(raw))) for key, raw in txn.cursor(db)]
+            return [decoder.decode(verify_checksum(bytes(key), bytes(raw))) for key, raw in txn.cursor(db)]
 
         base = one(b"base", SnapshotMetadata)
         index, revision, clock = one(b"applied", tuple[int, int, int])
@@ -196,33 +196,33 @@
             raise ValueError(f"its state is of entry {index}, its log ends at {base.index + len(entries)}")
         items, events = every(self.keys, Item), every(self.history, Event)
         state = StoreState(index, revision, clock, items, events, every(self.sessions, Session))
-        return Found(one(b"identity", Identity), one(b"hard", HardState), base, entries, state)
+        return StoredMember(one(b"identity", Identity), one(b"hard", HardState), base, entries, state)
 
     @contextmanager
     def _writing(self) -> Iterator[lmdb.Transaction]:
-        """One transaction, synced at its end; `BadFolder` where that fails, and then nothing is written."""
+        """One transaction, synced at its end; `FolderError` where that fails, and then nothing is written."""
         try:
             with self.env.begin(write=True) as txn:
                 yield txn
                 self.point("before-commit")
             self.point("after-commit")
         except lmdb.MapFullError:
-            raise BadFolder(
+            raise FolderError(
                 f"the store's folder {self.folder} is full: {self.env.info()['map_size']} bytes"
             ) from None
         except (lmdb.Error, OSError) as error:
             full = any(os.strerror(e) in str(error) for e in (errno.ENOSPC, errno.EFBIG, errno.EDQUOT))
             why = "its disk is full" if full else str(error)
-            raise BadFolder(f"the store's folder {self.folder} can't be written: {why}") from None
+            raise FolderError(f"the store's folder {self.folder} can't be written: {why}") from None
 
-    def write(self, batch: Batch) -> None:
+    def write(self, batch: WriteBatch) -> None:
         """All of it or none, and on the disk once this returns."""
         with self._writing() as txn:
             self._put(txn, batch)
 
-    def _put(self, txn: lmdb.Transaction, b: Batch) -> None:
+    def _put(self, txn: lmdb.Transaction, b: WriteBatch) -> None:
         def put(db: Any, key: bytes, value: object) -> None:
-            txn.put(key, seal(key, _encode(value)), db=db)
+            txn.put(key, add_checksum(key, _encode(value)), db=db)
 
         if b.whole is not None:
             for db in (self.log, self.keys, self.history, self.sessions):
@@ -230,7 +230,7 @@
             for item in b.whole.items:
                 put(self.keys, item.key.encode(), item)
             for event in b.whole.events:
-                put(self.history, place(event.revision) + place(event.position), event)
+                put(self.history, encode_number(event.revision) + encode_number(event.position), event)
             for session in b.whole.sessions:
                 put(self.sessions, session.client.encode(), session)
             self.point("whole")
@@ -240,9 +240,9 @@
             put(self.meta, b"hard", b.hard)
         if b.entries:
             # What stood from here on was replaced by a newer leader's.
-            self._cut(txn, self.log, place(b.entries[0].index), None)
+            self._cut(txn, self.log, encode_number(b.entries[0].index), None)
             for entry in b.entries:
-                put(self.log, place(entry.index), entry)
+                put(self.log, encode_number(entry.index), entry)
             self.point("entries")
         if b.dirty is not None:
             self._put_dirty(txn, b.dirty, put)
@@ -250,7 +250,7 @@
             put(self.meta, b"applied", b.applied)
         if b.base is not None:
             put(self.meta, b"base", b.base)
-            self._cut(txn, self.log, None, place(b.base.index + 1))
+            self._cut(txn, self.log, None, encode_number(b.base.index + 1))
 
     def _put_dirty(self, txn: lmdb.Transaction, dirty: UnsavedChanges, put: Put) -> None:
         for key, item in dirty.items.items():
@@ -259,9 +259,9 @@
             else:
                 put(self.keys, key.encode(), item)
         for event in dirty.events:
-            put(self.history, place(event.revision) + place(event.position), event)
+            put(self.history, encode_number(event.revision) + encode_number(event.position), event)
         if dirty.first_kept_revision:
-            self._cut(txn, self.history, None, place(dirty.first_kept_revision))
+            self._cut(txn, self.history, None, encode_number(dirty.first_kept_revision))
         for client, session in dirty.sessions.items():
             if session is None:
                 txn.delete(client.encode(), db=self.sessions)
--- a/gradegap/store/subscriptions.py
+++ b/gradegap/store/subscriptions.py
@@ -12,10 +12,10 @@
 
 from gradegap.metrics import Metrics
 from gradegap.store import wire
-from gradegap.store.disk import Identity
 from gradegap.store.in_force import MachineReport
 from gradegap.store.machine import StateMachine
 from gradegap.store.settings import StoreSettings
+from gradegap.store.storage import Identity
 
 
 class RequestHandler(Protocol):
--- a/gradegap/store/wire.py
+++ b/gradegap/store/wire.py
@@ -21,7 +21,7 @@
 import msgspec
 
 from gradegap.raft import ClusterConfiguration, Member, Message
-from gradegap.store.leases import LENGTH
+from gradegap.store.leases import DEFAULT_LEASE_S
 from gradegap.store.machine import Compare, Event, Item, KeyUpdate
 
 PROTOCOL_VERSION = 1
@@ -48,7 +48,7 @@
     name: str = ""
     address: str = ""
     cluster: str = ""  # none: not formed yet
-    lease_s: float = LENGTH  # of a member; the same in all of a cluster
+    lease_s: float = DEFAULT_LEASE_S  # of a member; the same in all of a cluster
     readable_requests: tuple[str, ...] = msgspec.field(
         default=(), name="reads"
     )  # tags of wishes that this end can read and an earlier release can't
@@ -309,7 +309,7 @@
         dials: bool,
         me: Member | None = None,
         cluster: str = "",
-        lease_s: float = LENGTH,
+        lease_s: float = DEFAULT_LEASE_S,
         decode: Callable[[bytes], Any] = _decoder.decode,
         largest: int = MAX_FRAME_BYTES,
     ) -> LinkChannel:
--- a/gradegap/verification/observer_control.py
+++ b/gradegap/verification/observer_control.py
@@ -9,7 +9,7 @@
 from gradegap.observer.messages import FromSubscriber, Subscribe
 from gradegap.observer.publisher import Publisher
 from gradegap.observer.source import MachineSource
-from gradegap.store.leases import Granter, Holder
+from gradegap.store.leases import LeaseGranter, LeaseHolder
 from gradegap.store.machine import StateMachine
 from gradegap.verification.observer_connection import Connection, MachineSide
 from gradegap.verification.observer_faults import LIMITS, MACHINE_LEASE_S, MAX_CLOCK_DRIFT
@@ -60,7 +60,7 @@
         self.applied_index = 0  # as the disk has it
         self.reported_safe_index = 0
         self.machine: StateMachine
-        self.holder: Holder
+        self.holder: LeaseHolder
         self.publisher: Publisher
 
     def start(self) -> None:
@@ -70,7 +70,7 @@
         self.applied_index = max(0, self.applied_index - self.world.rng.choice([0, 0, 1, 5, 20]))
         for index in range(self.applied_index):
             self.machine.apply(index + 1, self.world.log[index])
-        self.holder = Holder(self.world.holder_name(self), MAX_CLOCK_DRIFT)
+        self.holder = LeaseHolder(self.world.holder_name(self), MAX_CLOCK_DRIFT)
         self.publisher = self.world.publisher_class(
             "cluster", self.name, MachineSource(self.machine), LIMITS, self.now, self.world.fork_random()
         )
@@ -182,7 +182,7 @@
     def __init__(self, world: ControlWorld, term: int) -> None:
         super().__init__(world, f"leader{term}")
         self.term = term
-        self.granter = Granter(self.now, MAX_CLOCK_DRIFT, MACHINE_LEASE_S)
+        self.granter = LeaseGranter(self.now, MAX_CLOCK_DRIFT, MACHINE_LEASE_S)
         self.start()
 
     def step(self) -> None:
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from gradegap.store import wire
-from gradegap.store.remote import Remote, StoreError
+from gradegap.store.member_client import MemberClient, RequestFailedError
 from tests.relay import Relay
 from tests.world import ROOT, free_port, wait_for
 
@@ -70,8 +70,8 @@
             self.start(name)
         wait_for(self.leader, 15.0)
 
-    def remote(self, name: str, wait: float = 5.0) -> Remote:
-        return Remote(self.direct[name], SECRET, wait)
+    def remote(self, name: str, wait: float = 5.0) -> MemberClient:
+        return MemberClient(self.direct[name], SECRET, wait)
 
     def status(self, name: str) -> dict[str, Any]:
         with self.remote(name, 1.0) as r:
@@ -83,7 +83,7 @@
     def leader(self, among: list[str] | None = None) -> str:
         """A leader that holds its lease; empty where there is none."""
         for name in among or self.running():
-            with contextlib.suppress(StoreError):
+            with contextlib.suppress(RequestFailedError):
                 status = self.status(name)
                 if status["role"] == "leader" and status["lease_ms"] > 0:
                     return name
@@ -121,7 +121,7 @@
             try:
                 with self.remote(name, 2.0) as r:
                     answer = r.one(wire.Digest())
-            except StoreError:
+            except RequestFailedError:
                 return False
             seen.add((answer.revision, answer.text))
             if len(seen) > 1:
--- a/tests/compatibility/present.py
+++ b/tests/compatibility/present.py
@@ -27,7 +27,7 @@
 from gradegap.quic import settings as quic_settings
 from gradegap.resume import claims, token
 from gradegap.resume import settings as resume_settings
-from gradegap.store import disk, in_force, machine, schema, wire
+from gradegap.store import in_force, machine, schema, storage, wire
 from gradegap.store import settings as store_settings
 from gradegap.verification import sessions as checked_sessions
 
@@ -126,7 +126,7 @@
             result=machine.Result,
             session=machine.Session,
             state=machine.StoreState,
-            identity=disk.Identity,
+            identity=storage.Identity,
         ),
         _one_of(machine.Command | machine.Expire, command=machine.Command, expire=machine.Expire),
     )
--- a/tests/compatibility/readers.py
+++ b/tests/compatibility/readers.py
@@ -17,8 +17,8 @@
 from gradegap.metrics import Metrics
 from gradegap.quic import ids, keys, tokens
 from gradegap.resume import claims, lines, token
-from gradegap.store import disk, machine, wire
-from gradegap.store.snapshot import Snapshot
+from gradegap.store import machine, storage, wire
+from gradegap.store.disabled_endpoints import DisabledEndpointsFile
 from tests.compatibility.present import plain
 
 
@@ -66,7 +66,7 @@
 
 def read_store_folder(folder: Path) -> StoreFolder:
     """A folder as a member reads it at its start."""
-    opened = disk.Disk(folder)
+    opened = storage.MemberStorage(folder)
     try:
         found = opened.start()
     finally:
@@ -95,14 +95,14 @@
 
 def copy_store_folder(source: Path, target: Path) -> None:
     """Read a folder and write all of it into a new one."""
-    opened = disk.Disk(source)
+    opened = storage.MemberStorage(source)
     found = opened.start()
     opened.close()
-    made = disk.Disk(target)
+    made = storage.MemberStorage(target)
     made.start()
     state = found.state
     made.write(
-        disk.Batch(
+        storage.WriteBatch(
             hard=found.hard,
             identity=found.identity,
             base=found.base,
@@ -208,12 +208,12 @@
 
 def read_node_snapshot(path: Path) -> dict[str, float]:
     """Servers that are out by hand, as the next process of a node reads them."""
-    return Snapshot(path, Metrics()).read()
+    return DisabledEndpointsFile(path, Metrics()).read()
 
 
 def write_node_snapshot(path: Path, out: dict[str, float]) -> None:
     """The same, written."""
-    Snapshot(path, Metrics()).write(out)
+    DisabledEndpointsFile(path, Metrics()).write(out)
 
 
 class LinkEnd:
--- a/tests/store_process.py
+++ b/tests/store_process.py
@@ -12,14 +12,14 @@
 import signal
 import time
 
-from gradegap.store import daemon, disk
+from gradegap.store import member, storage
 
 
 def set_up() -> None:
     if keep := os.environ.get("STORE_KEEP"):
-        daemon.KEEP, daemon.COMPACT_ENTRIES = int(keep), 4 * int(keep)
+        member.RETAINED_ENTRIES, member.COMPACTION_ENTRIES = int(keep), 4 * int(keep)
     if room := os.environ.get("STORE_MAP"):
-        disk.Disk.__init__.__defaults__ = (int(room),)
+        storage.MemberStorage.__init__.__defaults__ = (int(room),)
     if wrong := os.environ.get("STORE_WALL"):
         plain_ns, jumps = time.time_ns, itertools.cycle([0, int(wrong), -int(wrong)])
         time.time_ns = lambda: plain_ns() + (int(wrong) + next(jumps)) * 1_000_000_000
@@ -27,7 +27,7 @@
     if fault := os.environ.get("STORE_FAULT"):
         where, _, count = fault.partition(":")
         left = [int(count)]
-        plain = disk.Disk.__init__
+        plain = storage.MemberStorage.__init__
 
         def point(name: str) -> None:
             if name == where:
@@ -35,11 +35,11 @@
                 if not left[0]:
                     os.kill(os.getpid(), signal.SIGKILL)
 
-        def made(self: disk.Disk, *args: object) -> None:
+        def made(self: storage.MemberStorage, *args: object) -> None:
             plain(self, *args)  # type: ignore[arg-type]
             self.point = point
 
-        disk.Disk.__init__ = made  # type: ignore[method-assign,assignment]
+        storage.MemberStorage.__init__ = made  # type: ignore[method-assign,assignment]
 
 
 if __name__ == "__main__":
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -14,7 +14,7 @@
 
 from gradegap.admin.http_api import CALLERS_MOST
 from gradegap.metrics import Metrics
-from gradegap.store.snapshot import Snapshot
+from gradegap.store.disabled_endpoints import DisabledEndpointsFile
 from tests.world import BUSY_MACHINE, Backend, Client, World, free_port, wait_for, world
 
 
@@ -144,13 +144,13 @@
 @pytest.mark.parametrize("damage", [b"", b"\0\0\0\0junk", None])
 def test_a_snapshot_is_read_whole_or_not_at_all(tmp_path: Path, damage: bytes | None) -> None:
     metrics, path = Metrics(), tmp_path / "s.snapshot"
-    assert Snapshot(path, metrics).read() == {}
-    Snapshot(path, metrics).write({"s-a": 17.0})
+    assert DisabledEndpointsFile(path, metrics).read() == {}
+    DisabledEndpointsFile(path, metrics).write({"s-a": 17.0})
     if damage is None:
-        assert Snapshot(path, metrics).read() == {"s-a": 17.0}
+        assert DisabledEndpointsFile(path, metrics).read() == {"s-a": 17.0}
     else:
         path.write_bytes(damage)
-        assert Snapshot(path, metrics).read() == {} and metrics.counts["snapshots_damaged"] == 1
+        assert DisabledEndpointsFile(path, metrics).read() == {} and metrics.counts["snapshots_damaged"] == 1
     assert os.listdir(tmp_path) == ["s.snapshot"]
 
 
--- a/tests/test_lint_rules.py
+++ b/tests/test_lint_rules.py
@@ -64,19 +64,19 @@
 gradegap/resume/token.py: D N
 gradegap/resume/window.py: D N
 gradegap/simulator_adapter.py: C90 D N
-gradegap/store/attached.py: D
-gradegap/store/daemon.py: C90 D
-gradegap/store/disk.py: C90 D N
+gradegap/store/bootstrap.py: D
+gradegap/store/disabled_endpoints.py: D
 gradegap/store/dynamic_configuration.py: D
-gradegap/store/forming.py: D
+gradegap/store/embedded.py: D
 gradegap/store/gossip.py: D
 gradegap/store/leases.py: D
 gradegap/store/links.py: D
-gradegap/store/machine.py: D N
-gradegap/store/remote.py: D
+gradegap/store/machine.py: D
+gradegap/store/member.py: C90 D
+gradegap/store/member_client.py: D
 gradegap/store/schema.py: D
 gradegap/store/service.py: D
-gradegap/store/snapshot.py: D
+gradegap/store/storage.py: C90 D
 gradegap/store/wire.py: D
 gradegap/transport/descriptors.py: D
 gradegap/upstream/connections.py: D
--- a/tests/test_observer_server.py
+++ b/tests/test_observer_server.py
@@ -43,9 +43,9 @@
 from gradegap.observer.settings import ObserverMachine, ObserverSettings
 from gradegap.observer.subscriber import Phase, Subscriber
 from gradegap.store import wire
-from gradegap.store.daemon import Daemon
 from gradegap.store.in_force import InForceTally
 from gradegap.store.machine import KeyUpdate
+from gradegap.store.member import StoreMember
 from gradegap.store.settings import Peer, StoreSettings
 from gradegap.transport.addresses import split_address
 from tests.world import ROOT, SETTINGS, free_port
@@ -131,7 +131,7 @@
         (folder / "secret").write_bytes(SECRET)
         listen = f"127.0.0.1:{free_port()}"
         settings = StoreSettings("c1", listen, publish=self.publish, lease_s=lease_s)
-        self.daemon = Daemon(
+        self.daemon = StoreMember(
             settings,
             SECRET,
             folder / "c1",
@@ -607,7 +607,7 @@
 def test_nothing_of_subscriptions_is_imported_without_their_tables() -> None:
     program = (
         "import sys, gradegap.node.process, gradegap.cli\n"
-        "import gradegap.commands.store_server, gradegap.store.attached\n"
+        "import gradegap.commands.store_server, gradegap.store.embedded\n"
         "assert not [name for name in sys.modules if name.startswith('gradegap.observer')]\n"
     )
     done = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, cwd=ROOT)
@@ -632,7 +632,7 @@
         publish = f"127.0.0.1:{free_port()}"
         settings = StoreSettings("c1", f"127.0.0.1:{free_port()}", peers=peers, publish=publish)
         loop = asyncio.get_running_loop()
-        daemon = Daemon(
+        daemon = StoreMember(
             settings,
             SECRET,
             tmp_path / "c1",
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -15,7 +15,7 @@
 
 from gradegap.client import Session, SessionOver
 from gradegap.resume.token import RING, Ring
-from gradegap.store.remote import Remote
+from gradegap.store.member_client import MemberClient
 from tests.resume_world import ResumeBackend, SaveStore
 from tests.test_quic import QuicClient, quic_world
 from tests.world import BUSY_MACHINE, Backend, Client, World, free_port, fresh_id, wait_for, world
@@ -116,7 +116,7 @@
         )
 
     async def main(w: World) -> None:
-        with Remote(f"127.0.0.1:{ports[0]}") as r:
+        with MemberClient(f"127.0.0.1:{ports[0]}") as r:
             r.set(RING, msgspec.to_builtins(Ring().rotated(1)))
         session = await Session.open([w.address], give_up=20.0)
         assert await session.ask(b"one") == b"done one"
--- a/tests/test_resume_many.py
+++ b/tests/test_resume_many.py
@@ -19,7 +19,7 @@
 
 from gradegap.client import Session
 from gradegap.resume.token import RING, Ring
-from gradegap.store.remote import Remote
+from gradegap.store.member_client import MemberClient
 from gradegap.verification.sessions import Record, from_node, violations
 from tests.resume_world import ResumeBackend, SaveStore
 from tests.test_admin_api import call
@@ -144,7 +144,7 @@
         assert moved > SESSIONS and d.standing
 
     nodes.start_all("[resume]\n")
-    with Remote(nodes.direct["n1"], b"", 10.0) as r:
+    with MemberClient(nodes.direct["n1"], b"", 10.0) as r:
         r.set(RING, msgspec.to_builtins(Ring().rotated(1)))
     asyncio.run(asyncio.wait_for(main(), 150.0))
 
--- a/tests/test_resume_nodes.py
+++ b/tests/test_resume_nodes.py
@@ -12,7 +12,7 @@
 from gradegap.client import Session
 from gradegap.resume.renew import Renewals
 from gradegap.resume.token import RING, Place, Ring, opened
-from gradegap.store.remote import Remote
+from gradegap.store.member_client import MemberClient
 from gradegap.verification.sessions import Record, from_node, violations
 from tests.resume_world import ResumeBackend, SaveStore
 from tests.test_hot_restart import second
@@ -29,7 +29,7 @@
     servers = [ResumeBackend(n, store) for n in "ab"]
     nodes.backends = list(servers)
     nodes.start_all(ON)
-    with Remote(nodes.direct["n1"], b"", 10.0) as r:
+    with MemberClient(nodes.direct["n1"], b"", 10.0) as r:
         r.set(RING, msgspec.to_builtins(Ring().rotated(1)))
     return store, servers
 
@@ -193,7 +193,7 @@
     c, token = begun(nodes.node["n1"])
 
     def rotate() -> Ring:
-        with Remote(nodes.direct["n2"], b"", 10.0) as r:
+        with MemberClient(nodes.direct["n2"], b"", 10.0) as r:
             item = r.get(RING)
             assert item is not None
             ring = msgspec.convert(item.value, Ring)
@@ -203,7 +203,7 @@
     old = rotate()
     told = c.line()
     assert told.startswith("T ") and told[2:] != token
-    with Remote(nodes.direct["n1"]) as r:
+    with MemberClient(nodes.direct["n1"]) as r:
         item = r.get(RING)
         assert item is not None
         ring, cluster = msgspec.convert(item.value, Ring), r.status()["cluster"]
--- a/tests/test_store_cluster.py
+++ b/tests/test_store_cluster.py
@@ -16,7 +16,7 @@
 
 from gradegap.store import wire
 from gradegap.store.machine import Event, KeyUpdate
-from gradegap.store.remote import Remote, StoreError
+from gradegap.store.member_client import MemberClient, RequestFailedError
 from gradegap.verification.linearizability import FOREVER, Did, explain
 from tests.cluster import SECRET, Cluster, cluster
 from tests.world import wait_for
@@ -36,14 +36,14 @@
     """What a member has, or None while it can't be asked."""
     try:
         return value(c, name, key)
-    except StoreError:
+    except RequestFailedError:
         return None
 
 
 def state(c: Cluster, name: str) -> dict[str, Any]:
     try:
         return c.status(name)
-    except StoreError:
+    except RequestFailedError:
         return {"role": "", "members": [], "removed": False}
 
 
@@ -52,7 +52,7 @@
     for other in among:
         try:
             return put(c, other, key, name, 2.0)
-        except StoreError:
+        except RequestFailedError:
             pass
     return None
 
@@ -95,7 +95,7 @@
             try:
                 with c.remote(c.leader()) as r:
                     r.one(wire.TransferLeadership(victim))
-            except StoreError:
+            except RequestFailedError:
                 pass  # it died on the way
         acked, unknown = {}, set()
         alive = [n for n in c.names if n != victim]
@@ -103,7 +103,7 @@
             via = random.Random(k).choice(alive)
             try:
                 acked[f"w{k}"] = put(c, via, f"w{k}", k, 8.0)
-            except StoreError as error:
+            except RequestFailedError as error:
                 assert error.kind == "unknown", error
                 unknown.add(k)
             if c.processes[victim].poll() is not None and k > 5:
@@ -131,7 +131,7 @@
                 try:
                     put(c, old, f"minority{k}", k, 0.5)
                     results.append("ok")
-                except StoreError as error:
+                except RequestFailedError as error:
                     results.append(error.kind)
 
         thread = threading.Thread(target=minority)
@@ -142,7 +142,7 @@
             put(c, new, f"majority{k}", k)
         thread.join()
         assert "ok" not in results and set(results) <= {"unknown", "no_quorum"}
-        with pytest.raises(StoreError) as error, c.remote(old, 1.0) as r:
+        with pytest.raises(RequestFailedError) as error, c.remote(old, 1.0) as r:
             r.get("k")  # no stale answer either
         assert error.value.kind == "no_quorum"
         with c.remote(old, 1.0) as r:
@@ -244,7 +244,7 @@
         wait_for(lambda: state(c, gone)["removed"], 5.0)
         time.sleep(1.2)  # several elections' time
         assert c.status(new)["term"] == term and c.leader(left) == new
-        with pytest.raises(StoreError, match="removed"):
+        with pytest.raises(RequestFailedError, match="removed"):
             put(c, gone, "k", 1)
         assert put(c, new, "k", 1)
 
@@ -287,8 +287,8 @@
 
 def test_a_stray_of_another_cluster_is_turned_away_and_counted(tmp_path: Path) -> None:
     with cluster(tmp_path, 1) as c:
-        with pytest.raises(StoreError, match="secret"):
-            Remote(c.direct["n1"], b"another secret of others", 1.0)
+        with pytest.raises(RequestFailedError, match="secret"):
+            MemberClient(c.direct["n1"], b"another secret of others", 1.0)
         with socket.create_connection(("127.0.0.1", int(c.direct["n1"].split(":")[1]))) as sock:
             sock.sendall(b"GET / HTTP/1.1\r\n\r\n")
             assert b"garbled" in sock.recv(4096)
@@ -310,7 +310,7 @@
                         for event in r.watch("w", since):
                             seen.append(event)
                             since = event.revision + 1
-                except (StoreError, OSError):
+                except (RequestFailedError, OSError):
                     if ended.is_set():
                         return
                     name = c.names[(c.names.index(name) + 1) % 3]
@@ -467,7 +467,7 @@
 
     def run(self, number: int) -> None:
         rng = random.Random(self.seed * 100 + number)
-        remote: Remote | None = None
+        remote: MemberClient | None = None
         for k in range(100_000):
             if self.ended.is_set():
                 return
@@ -477,7 +477,7 @@
             kind = rng.choice(["write", "read", "read", "cas"])
             try:
                 if remote is None or rng.random() < 0.02:
-                    remote = Remote(self.c.direct[rng.choice(self.c.names)], SECRET, 1.5)
+                    remote = MemberClient(self.c.direct[rng.choice(self.c.names)], SECRET, 1.5)
                 if kind == "write":
                     remote.set(key, mine)
                     self.keep(key, Did("write", mine, began, time.monotonic()))
@@ -495,7 +495,7 @@
                         self.keep(key, Did("cas", mine, began, time.monotonic(), expected, done))
                     else:
                         self.keep(key, Did("cas", mine, began, time.monotonic(), None, answer.succeeded))
-            except StoreError as error:
+            except RequestFailedError as error:
                 if error.kind == "unknown" and kind == "write":
                     self.keep(key, Did("write", mine, began))
                 elif error.kind == "unknown" and kind == "cas":
--- a/tests/test_store_node.py
+++ b/tests/test_store_node.py
@@ -18,8 +18,8 @@
 from gradegap.balancing.events import EndpointEntry, EndpointListKind, EndpointPhase, Event, HealthCheckEnded
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
-from gradegap.store.gossip import Learner
-from gradegap.store.remote import Remote, StoreError
+from gradegap.store.gossip import GossipExchange
+from gradegap.store.member_client import MemberClient, RequestFailedError
 from gradegap.store.wire import Gossip, GossipReport
 from tests.helpers import settings
 from tests.relay import Relay
@@ -79,8 +79,8 @@
         for name in self.names:
             wait_for(self.node[name].ready, 20.0)
 
-    def remote(self, name: str) -> Remote:
-        return Remote(self.direct[name])
+    def remote(self, name: str) -> MemberClient:
+        return MemberClient(self.direct[name])
 
     def leader(self) -> str:
         for name in self.names:
@@ -88,7 +88,7 @@
                 with self.remote(name) as r:
                     if r.status()["role"] == "leader":
                         return name
-            except StoreError:
+            except RequestFailedError:
                 pass
         return ""
 
@@ -215,7 +215,7 @@
 
     proxy.balancer.handle = handle  # type: ignore[method-assign]
     told = False
-    learner = Learner("me", proxy, proxy.metrics, lambda: told)
+    learner = GossipExchange("me", proxy, proxy.metrics, lambda: told)
     good = GossipReport("s1", "report", 2.0, {"x0": 0.5})
     unfit = [
         GossipReport("s2", "report", 1.0, {"x0": float("nan")}),
@@ -321,7 +321,7 @@
         assert {w.client().ask() for _ in range(6)} == {"UP b"}
     with world(tmp_path, [a, b], operator, console=console) as w:
         assert {w.client().ask() for _ in range(6)} == {"UP b"}
-        with Remote(store) as r:
+        with MemberClient(store) as r:
             assert r.value("out/s-a")["by"] == "n0"
             r.delete("out/s-a")
         wait_for(lambda: "UP a" in {w.client().ask() for _ in range(6)})
--- a/tests/test_store_parts.py
+++ b/tests/test_store_parts.py
@@ -16,9 +16,8 @@
 from gradegap.node.operator_file import load_operator
 from gradegap.raft import ClusterConfiguration, Entry, EntryKind, HardState, Member, SnapshotMetadata
 from gradegap.store import schema, wire
-from gradegap.store.disk import BadFolder, Batch, Disk
-from gradegap.store.forming import Forming
-from gradegap.store.leases import LENGTH, Granter, Holder
+from gradegap.store.bootstrap import Bootstrap
+from gradegap.store.leases import DEFAULT_LEASE_S, LeaseGranter, LeaseHolder
 from gradegap.store.machine import (
     MAX_HISTORY_EVENTS,
     Command,
@@ -35,6 +34,7 @@
     encode_snapshot,
 )
 from gradegap.store.settings import Peer, StoreSettings
+from gradegap.store.storage import FolderError, MemberStorage, WriteBatch
 from gradegap.verification.linearizability import FOREVER, Did, explain
 
 # The state machine
@@ -295,10 +295,10 @@
 
 
 def test_a_write_waits_for_those_who_hold_a_lease_and_for_no_others() -> None:
-    granter = Granter(0.0, 0.1)
+    granter = LeaseGranter(0.0, 0.1)
     now = granter.unknown_until
     seen: list[str] = []
-    assert granter.grant(now, "a", 5, now + 1) == LENGTH
+    assert granter.grant(now, "a", 5, now + 1) == DEFAULT_LEASE_S
     assert granter.grant(now, "b", 4, now) == 0.0  # the leader's own lease is over: it gives none
     granter.when_seen(now, 6, lambda: seen.append("6"))
     assert not seen
@@ -306,31 +306,31 @@
     granter.look(now)
     assert seen == ["6"]
     granter.when_seen(now, 7, lambda: seen.append("7"))
-    granter.look(now + LENGTH)
+    granter.look(now + DEFAULT_LEASE_S)
     assert len(seen) == 1
-    granter.look(now + LENGTH / 0.9 + 0.001)  # it has run out, by whatever clock
+    granter.look(now + DEFAULT_LEASE_S / 0.9 + 0.001)  # it has run out, by whatever clock
     assert seen == ["6", "7"]
 
 
 def test_a_new_leader_waits_for_leases_that_it_knows_nothing_of() -> None:
-    granter, seen = Granter(0.0, 0.1), []
+    granter, seen = LeaseGranter(0.0, 0.1), []
     granter.when_seen(0.0, 1, lambda: seen.append(1))
-    granter.look(LENGTH)
+    granter.look(DEFAULT_LEASE_S)
     assert not seen
     granter.look(granter.next_look() or 0.0)
     assert seen
 
 
 def test_a_lease_is_good_only_once_what_it_was_given_for_is_applied() -> None:
-    holder = Holder("a", 0.1)
+    holder = LeaseHolder("a", 0.1)
     serial = holder.ask(10.0)
-    holder.granted(10.3, serial, 2, 8, LENGTH, applied=7)
+    holder.granted(10.3, serial, 2, 8, DEFAULT_LEASE_S, applied=7)
     assert not holder.fresh(10.3)
     holder.applied(8)
-    assert holder.fresh(10.3) and not holder.fresh(10.0 + LENGTH * 0.9)
-    holder.granted(10.4, serial, 2, 8, LENGTH, applied=8)  # an answer that comes twice
+    assert holder.fresh(10.3) and not holder.fresh(10.0 + DEFAULT_LEASE_S * 0.9)
+    holder.granted(10.4, serial, 2, 8, DEFAULT_LEASE_S, applied=8)  # an answer that comes twice
     late = holder.ask(10.5)
-    holder.granted(30.0, late, 2, 8, LENGTH, applied=8)  # the process was stopped meanwhile
+    holder.granted(30.0, late, 2, 8, DEFAULT_LEASE_S, applied=8)  # the process was stopped meanwhile
     assert not holder.fresh(30.0)
 
 
@@ -343,8 +343,8 @@
         self.offsets = [rng.uniform(0, 100) for _ in range(3)]
         self.t = 0.0
         self.leader = 0  # whose clock leads
-        self.granter = Granter(self.clock(0) - 99.0, 0.1)
-        self.holder = Holder("h", 0.1)
+        self.granter = LeaseGranter(self.clock(0) - 99.0, 0.1)
+        self.holder = LeaseHolder("h", 0.1)
         self.applied = self.committed = self.acked = 0
         self.todo: list[tuple[float, Callable[[], None]]] = []
 
@@ -384,7 +384,7 @@
     def depose(self) -> None:
         waiting = [index for index, _ in self.granter.waiting]
         self.leader = 1
-        self.granter = Granter(self.clock(1), 0.1)
+        self.granter = LeaseGranter(self.clock(1), 0.1)
         for index in waiting:
             self.write(index)
 
@@ -421,40 +421,42 @@
 # The folder
 
 
-def write_some(disk: Disk) -> None:
+def write_some(disk: MemberStorage) -> None:
     log = Log()
     log.write(KeyUpdate("a", 1))
     log.write(KeyUpdate("b", [1, None, "x"]))
     entries = [Entry(k, 1, EntryKind.COMMAND, d) for k, d in enumerate(log.entries, 1)]
     m = log.machine
     applied = (m.index, m.revision, m.clock_ms)
-    disk.write(Batch(HardState(1, "x"), entries=entries, dirty=m.take_unsaved(), applied=applied))
+    disk.write(WriteBatch(HardState(1, "x"), entries=entries, dirty=m.take_unsaved(), applied=applied))
 
 
 def test_a_folder_gives_back_what_was_written(tmp_path: Path) -> None:
-    disk = Disk(tmp_path / "d")
+    disk = MemberStorage(tmp_path / "d")
     first = disk.start()
     write_some(disk)
     disk.write(
-        Batch(entries=[Entry(2, 3, EntryKind.NO_OP), Entry(3, 3, EntryKind.NO_OP)], hard=HardState(3, ""))
+        WriteBatch(
+            entries=[Entry(2, 3, EntryKind.NO_OP), Entry(3, 3, EntryKind.NO_OP)], hard=HardState(3, "")
+        )
     )
     disk.close()
-    disk = Disk(tmp_path / "d")
+    disk = MemberStorage(tmp_path / "d")
     found = disk.start()
     assert found.identity == first.identity and found.hard == HardState(3, "")
     assert [(e.index, e.term) for e in found.entries] == [(1, 1), (2, 3), (3, 3)]
     assert {i.key: i.value for i in found.state.items} == {"a": 1, "b": [1, None, "x"]}
-    disk.write(Batch(base=SnapshotMetadata(2, 3, ClusterConfiguration())))
+    disk.write(WriteBatch(base=SnapshotMetadata(2, 3, ClusterConfiguration())))
     disk.close()
-    disk = Disk(tmp_path / "d")
+    disk = MemberStorage(tmp_path / "d")
     assert [e.index for e in disk.start().entries] == [3]
     disk.close()
 
 
 def test_a_second_process_is_turned_away(tmp_path: Path) -> None:
-    disk = Disk(tmp_path)
-    with pytest.raises(BadFolder, match="another process"):
-        Disk(tmp_path)
+    disk = MemberStorage(tmp_path)
+    with pytest.raises(FolderError, match="another process"):
+        MemberStorage(tmp_path)
     disk.close()
 
 
@@ -484,34 +486,34 @@
 def test_a_damaged_folder_is_one_error_that_says_how_to_rejoin(
     tmp_path: Path, change: Callable[[bytearray], None]
 ) -> None:
-    disk = Disk(tmp_path)
+    disk = MemberStorage(tmp_path)
     disk.start()
     write_some(disk)
     disk.close()
     damage(tmp_path / "data.mdb", change)
-    with pytest.raises(BadFolder, match="damaged.*to rejoin"):
-        Disk(tmp_path).start()
+    with pytest.raises(FolderError, match="damaged.*to rejoin"):
+        MemberStorage(tmp_path).start()
 
 
 def test_a_folder_of_a_newer_version_is_left_alone(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("gradegap.store.disk.FORMAT", 9)
-    disk = Disk(tmp_path)
+    monkeypatch.setattr("gradegap.store.storage.FORMAT_VERSION", 9)
+    disk = MemberStorage(tmp_path)
     disk.start()
     disk.close()
     monkeypatch.undo()
-    with pytest.raises(BadFolder, match="format 9"):
-        Disk(tmp_path).start()
+    with pytest.raises(FolderError, match="format 9"):
+        MemberStorage(tmp_path).start()
 
 
 def test_a_full_folder_fails_the_batch_whole(tmp_path: Path) -> None:
-    disk = Disk(tmp_path, map_size=256 * 1024)
+    disk = MemberStorage(tmp_path, map_size=256 * 1024)
     disk.start()
     write_some(disk)
     big = [Entry(3 + k, 1, EntryKind.COMMAND, b"x" * 50_000) for k in range(20)]
-    with pytest.raises(BadFolder, match="is full"):
-        disk.write(Batch(HardState(9, "z"), entries=big))
+    with pytest.raises(FolderError, match="is full"):
+        disk.write(WriteBatch(HardState(9, "z"), entries=big))
     disk.close()
-    disk = Disk(tmp_path, map_size=256 * 1024)
+    disk = MemberStorage(tmp_path, map_size=256 * 1024)
     found = disk.start()
     assert found.hard == HardState(1, "x") and len(found.entries) == 2
     disk.close()
@@ -526,7 +528,7 @@
 
 def test_a_cluster_is_begun_by_one_member_that_saw_all_others_without_one() -> None:
     peers = tuple(Peer(n, f"127.0.0.1:{k}") for k, n in enumerate(("a", "b", "c"), 1))
-    made = {n: Forming(StoreSettings(n, "l", peers), Member(f"id-{n}", n, "l")) for n in "abc"}
+    made = {n: Bootstrap(StoreSettings(n, "l", peers), Member(f"id-{n}", n, "l")) for n in "abc"}
     for n, forming in made.items():
         for other in set("abc") - {n}:
             assert forming.form() is None
--- a/tests/test_store_service.py
+++ b/tests/test_store_service.py
@@ -11,10 +11,10 @@
 from gradegap.metrics import Metrics
 from gradegap.store import wire
 from gradegap.store.machine import KeyUpdate, StateMachine
-from gradegap.store.service import Service
+from gradegap.store.service import RequestService
 
 
-def service() -> tuple[Service, Any]:
+def service() -> tuple[RequestService, Any]:
     """A service at a leader whose entries are never committed."""
     raft = SimpleNamespace(is_leader=True, term=1, leader_id="m1", transferee="", status=lambda now: {})
     member = SimpleNamespace(
@@ -34,7 +34,7 @@
     raft.read_index = lambda now, serial: None
     raft.configuration = SimpleNamespace(find_by_name=lambda name: SimpleNamespace(id=name))
     raft.remove_member = lambda now, member: 7
-    return Service(cast(Any, member)), member
+    return RequestService(cast(Any, member)), member
 
 
 def test_a_write_that_was_taken_is_unknown_once_its_member_is_removed() -> None:
--- a/tests/test_store_voters.py
+++ b/tests/test_store_voters.py
@@ -12,8 +12,8 @@
 from gradegap.node.operator_file import load_operator
 from gradegap.raft import ClusterConfiguration, Member
 from gradegap.store import wire
-from gradegap.store.forming import Forming, promotable
-from gradegap.store.remote import StoreError
+from gradegap.store.bootstrap import Bootstrap, promotable
+from gradegap.store.member_client import RequestFailedError
 from gradegap.store.settings import Peer, StoreSettings
 from tests.cluster import Cluster
 from tests.world import wait_for
@@ -74,7 +74,7 @@
 
 def test_a_new_cluster_has_so_many_voters_and_the_rest_as_learners() -> None:
     names = [f"n{k}" for k in range(1, 7)]
-    forming = Forming(store_of(list(reversed(names[1:]))[:0] + names), member("n1"))
+    forming = Bootstrap(store_of(list(reversed(names[1:]))[:0] + names), member("n1"))
     for name in names[1:]:
         forming.met(wire.Hello(1, "member", b"", f"id-{name}", name))
     formed = forming.form()
@@ -135,7 +135,7 @@
 def voters(c: Cluster, name: str) -> set[str]:
     try:
         return {m["name"] for m in c.status(name)["members"] if m["voter"]}
-    except StoreError:
+    except RequestFailedError:
         return set()
 
 
