--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -125,7 +125,7 @@
         self.backends.dialer.task.cancel()
         self.backends.dialer = CountedDialer(loop, descriptors, traffic)
         self.proxy = Proxy(settings, process.rng.getrandbits(32), self.backends, self.metrics, loop)
-        self.director = HttpDiscovery(self.proxy, self.backends.dialer, process.spec.discovery, self.metrics)
+        self.discovery = HttpDiscovery(self.proxy, self.backends.dialer, process.spec.discovery, self.metrics)
         self.live = DynamicConfiguration(self.metrics)
         self.live.key(CHANGED_KEY, "", lambda value: None)
         self.session: Session = process.session(self)
@@ -134,12 +134,12 @@
 
     def told(self) -> bool:
         """Whether discovery has told it a list."""
-        return self.director.told
+        return self.discovery.has_list
 
     async def start(self) -> None:
         """As a node's process does: the list first, then the store."""
         self.record.lives.append(Span(steady()))
-        self.director.start()
+        self.discovery.start()
         await self.session.start()
         self._probe_later()
 
@@ -183,9 +183,7 @@
         self.session.stop(planned=True)
         if self.probe_timer is not None:
             self.probe_timer.cancel()
-        if self.director.again is not None:
-            self.director.again.cancel()
-        self.director._drop_calls()
+        self.discovery.stop()
         for prober in list(self.backends.probers.values()):
             prober.close()
         self.backends.dialer.task.cancel()
--- a/bench/scale/slopes_module.py
+++ b/bench/scale/slopes_module.py
@@ -25,7 +25,7 @@
     HealthCheckEnded,
     RequestArrived,
 )
-from gradegap.discovery.http_discovery import Call, HttpDiscovery
+from gradegap.discovery.http_discovery import HttpDiscovery, PollConnection
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Attempt, ConnectPort, Endpoint, HealthCheckDone, Proxy
 from gradegap.store.gossip import GossipExchange
@@ -213,20 +213,20 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, seed: int) -> None:
         metrics = Metrics()
         self.proxy = Proxy(settings(proxy_count=1600), seed, NoBackends(), metrics, loop)
-        self.director = HttpDiscovery(self.proxy, cast(Dialer, None), "127.0.0.1:1", metrics)
+        self.discovery = HttpDiscovery(self.proxy, cast(Dialer, None), "127.0.0.1:1", metrics)
 
     def take(self, body: bytes, whole: bool) -> float:
         """Milliseconds of processor time from an answer's bytes to the module's knowing it."""
-        clock = self.director.clock
+        schedule = self.discovery.schedule
         if whole:
-            clock.version = None
-        ask = clock.next(self.proxy.loop.time() - clock.wait)
-        call = Call(self.director)
+            schedule.version = None
+        poll = schedule.next_poll(self.proxy.loop.time() - schedule.wait_s)
+        connection = PollConnection(self.discovery)
         began = time.process_time()
-        refused = self.director.answer(call, ask, body)
+        reason = self.discovery.accept(connection, poll, body)
         spent = (time.process_time() - began) * 1e3
-        if refused:
-            raise ValueError(f"the list was refused: {refused}")
+        if reason:
+            raise ValueError(f"the list was rejected: {reason}")
         return spent
 
 
--- a/bench/scale/worked.py
+++ b/bench/scale/worked.py
@@ -8,7 +8,7 @@
 from bench.scale import target as t
 from bench.scale.slope_book import SlopeBook, figure, in_bytes, share
 from gradegap.balancing.balancer import LOOK_FAST, LOOK_SLOW, PROBES_PER_REQUEST, RING_WALK
-from gradegap.discovery.watch_schedule import ASKED_WAIT
+from gradegap.discovery.watch_schedule import POLLED_WAIT_BOUNDS_S
 from gradegap.observer.limits import Limits
 from gradegap.store.machine import MAX_KEYS
 
@@ -417,7 +417,7 @@
             "ordinary hour",
             "calls",
             f"{figure(calls)}/s, {in_bytes(calls * fixed.value)}/s",
-            f"{t.NODES:,} nodes, a call each 10 s; {fixed.how}; at most each {ASKED_WAIT[0]:g} s",
+            f"{t.NODES:,} nodes, a call each 10 s; {fixed.how}; at most each {POLLED_WAIT_BOUNDS_S[0]:g} s",
             clock,
         ),
         Row(
--- a/gradegap/discovery/http_discovery.py
+++ b/gradegap/discovery/http_discovery.py
@@ -1,6 +1,7 @@
-"""Discovery over HTTP: the full list once, then a watch that goes on call after call.
+"""Discovery over HTTP: the full endpoint list once, then a watch that goes on poll after poll.
 
-What is called, and when silence is a broken call, is `ListClock`'s; here are the sockets and the parser.
+What is polled, and when silence is a broken watch, is `WatchSchedule`'s; lists are read
+by `endpoint_list`.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 from gradegap.balancing.events import EndpointListKind
 from gradegap.discovery.endpoint_list import UNREADABLE_JSON, AddressedEntry, EndpointListDocument
-from gradegap.discovery.watch_schedule import DIAL, UNFIT, Ask, WatchSchedule
+from gradegap.discovery.watch_schedule import CONNECT_TIMEOUT_S, Mismatch, Poll, WatchSchedule
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
 from gradegap.transport.dialer import Dialer
@@ -24,260 +25,301 @@
 log = structlog.get_logger()
 
 PATH = "/registry/instances"
-LOOK_AGAIN = 0.01  # s in which an answer that has come is read, before its call is held silent
-BUSY = (429, 502, 503, 504)  # answers of a discovery that is there, but short of room
-CALLS_MOST = (
-    3  # calls out at once: a watch that is overdue, one for the changes since, one for the whole list
-)
-LARGEST = 8 * 1024 * 1024  # bytes of one answer
+
+UNREAD_ANSWER_GRACE_S = 0.01
+"""In which an answer that has arrived is read, before its poll is held overdue."""
+
+OVERLOADED_STATUSES = (429, 502, 503, 504)
+"""Answers of a discovery that is there, but has no capacity."""
+
+OPEN_POLLS_MAX = 3
+"""Polls out at once: a watch that is overdue, one for the changes since, one for the full list."""
+
+ANSWER_MAX_BYTES = 8 * 1024 * 1024
 
 
 class HttpDiscovery:
-    """Keeps the core's list of backends as discovery tells it."""
+    """Keeps the proxy's endpoint list as discovery's HTTP interface has it."""
 
     def __init__(self, proxy: Proxy, dialer: Dialer, address: str, metrics: Metrics) -> None:
         self.proxy = proxy
         self.dialer = dialer
         self.address = address
         self.metrics = metrics
-        self.clock = WatchSchedule(proxy.settings, random.Random())
-        self.told = False  # a list has come since the start
-        self.first: Callable[[], None] | None = None
-        self.calls: list[Call] = []  # all that are out, the latest last; those before it are overdue
-        self.again: asyncio.TimerHandle | None = None  # the next call, after one that failed
-        self.last: dict[str, AddressedEntry] = {}  # what was told of each
+        self.schedule = WatchSchedule(proxy.settings, random.Random())
+        self.has_list = False
+        """Whether discovery has sent a list since the start."""
+        self.on_first_list: Callable[[], None] | None = None
+        self.connections: list[PollConnection] = []
+        """All that are out, the latest last; those before it are overdue."""
+        self.next_poll_timer: asyncio.TimerHandle | None = None
+        """For the poll after one that failed."""
+        self.known: dict[str, AddressedEntry] = {}
+        """The last good entry of each endpoint."""
         self.decoder = msgspec.json.Decoder(EndpointListDocument)
-        metrics.gauge("watch", lambda: {"version": self.clock.version, "told": self.told})
+        metrics.gauge("watch", lambda: {"version": self.schedule.version, "told": self.has_list})
 
     def start(self) -> None:
+        """Make the first poll."""
         self._connect()
 
-    def change_over(self, address: str) -> None:
-        """Discovery is elsewhere from now on: its full list is asked for, and until it comes the last one
-        is kept. Whatever the old address still says is not heard."""
+    def stop(self) -> None:
+        """End all polls, and make no further one."""
+        if self.next_poll_timer is not None:
+            self.next_poll_timer.cancel()
+        self._drop_connections()
+
+    def change_address(self, address: str) -> None:
+        """Use discovery at another address.
+
+        Its full list is polled for, and until it arrives the last one is kept. Whatever the old address still
+        sends is ignored.
+        """
         self.metrics.count("director_changes")
         self.address = address
-        self.clock.changed_over()
-        self._drop_calls()
-        self._later(self.clock.spread())
-
-    def _later(self, after: float) -> None:
-        # Guards against two watches at once, where a change of address meets a call that is to be made anew.
-        if self.again is not None:
-            self.again.cancel()
-        if after <= 0.0:
+        self.schedule.reset()
+        self._drop_connections()
+        self._poll_after(self.schedule.start_delay())
+
+    def _poll_after(self, delay_s: float) -> None:
+        # Guards against two watches at once, where a change of address meets a poll that is to be made anew.
+        if self.next_poll_timer is not None:
+            self.next_poll_timer.cancel()
+        if delay_s <= 0.0:
             self._connect()
         else:
-            self.again = self.proxy.loop.call_later(after, self._connect)
+            self.next_poll_timer = self.proxy.loop.call_later(delay_s, self._connect)
 
     def _connect(self) -> None:
-        self.again = None
-        call = Call(self)
-        self.calls.append(call)
-        call.stop = self.dialer.dial(self.address, DIAL, call, call.failed)
-
-    def _drop_calls(self, keep: Call | None = None) -> None:
-        dropped = [call for call in self.calls if call is not keep]
-        self.calls = [call for call in self.calls if call is keep]
-        for call in dropped:
-            call.drop()
-
-    def answer(self, call: Call, ask: Ask, body: bytes) -> str:
-        """An answer to a call that is out; empty: it was taken, else why it was not."""
+        self.next_poll_timer = None
+        connection = PollConnection(self)
+        self.connections.append(connection)
+        connection.stop_dial = self.dialer.dial(
+            self.address, CONNECT_TIMEOUT_S, connection, connection.connect_failed
+        )
+
+    def _drop_connections(self, keep: PollConnection | None = None) -> None:
+        dropped = [connection for connection in self.connections if connection is not keep]
+        self.connections = [connection for connection in self.connections if connection is keep]
+        for connection in dropped:
+            connection.drop()
+
+    def accept(self, connection: PollConnection, poll: Poll, body: bytes) -> str:
+        """An answer to a poll that is out; empty: its list is in use, else the reason why it is rejected."""
         try:
-            listing = self.decoder.decode(body)
+            document = self.decoder.decode(body)
         except UNREADABLE_JSON as error:
-            log.warning("list malformed", error=str(error))
+            log.warning("endpoint list malformed", error=str(error))
             return "malformed"
-        if why := self.clock.fits(ask, self.proxy.loop.time(), listing.full, listing.version):
-            return why
-        self.metrics.count("lists_full" if listing.full else "lists_delta")
-        self.clock.took(ask, self.proxy.loop.time(), listing.version)
-        self._only(call)
-        if listing.full or listing.servers:
-            kind = EndpointListKind.FULL if listing.full else EndpointListKind.DELTA
-            self.proxy.update_endpoints(kind, listing.read_entries(self.last, self.metrics))
-        if not self.told:
-            self.told = True
-            if self.first is not None:
-                self.first()
+        now = self.proxy.loop.time()
+        if mismatch := self.schedule.find_mismatch(poll, now, document.full, document.version):
+            return mismatch
+        self.metrics.count("lists_full" if document.full else "lists_delta")
+        self.schedule.record_answer(poll, self.proxy.loop.time(), document.version)
+        self._end_other_polls(connection)
+        if document.full or document.servers:
+            kind = EndpointListKind.FULL if document.full else EndpointListKind.DELTA
+            self.proxy.update_endpoints(kind, document.read_entries(self.known, self.metrics))
+        if not self.has_list:
+            self.has_list = True
+            if self.on_first_list is not None:
+                self.on_first_list()
         return ""
 
-    def _only(self, call: Call) -> None:
-        """This call has the list: whatever else is out, or was to be called, is not needed any more."""
-        if self.again is not None:
-            self.again.cancel()
-            self.again = None
-        self._drop_calls(keep=call)
-
-    def overdue(self, call: Call) -> None:
-        """A call has had no answer in its time: discovery is called anew on another connection. Where calls
-        are answered in turn, this one keeps its own."""
-        latest = call is self.calls[-1]
-        after = self.clock.fell_silent()
-        if not self.clock.keeps_overdue:
-            self._drop_calls()
-        elif len(self.calls) >= CALLS_MOST:
-            self.calls.pop(0).drop()
+    def _end_other_polls(self, answered: PollConnection) -> None:
+        """Whatever else is out, or was to be polled, is not needed any more."""
+        if self.next_poll_timer is not None:
+            self.next_poll_timer.cancel()
+            self.next_poll_timer = None
+        self._drop_connections(keep=answered)
+
+    def on_overdue(self, connection: PollConnection) -> None:
+        """A poll had no answer in its time: discovery is polled anew on another connection.
+
+        Where polls are answered in turn, this one keeps its own.
+        """
+        latest = connection is self.connections[-1]
+        delay_s = self.schedule.record_timeout()
+        if not self.schedule.keeps_overdue_polls:
+            self._drop_connections()
+        elif len(self.connections) >= OPEN_POLLS_MAX:
+            self.connections.pop(0).drop()
         if latest:
-            self._later(after)
+            self._poll_after(delay_s)
+
+    def on_ended(self, connection: PollConnection, delay_s: float) -> None:
+        """A connection is not used any more: the last list is kept, and polled for after a delay.
 
-    def over(self, call: Call, after: float) -> None:
-        """A call has ended: the last list is kept, and discovery is called again in so many seconds, unless a
-        later call is out."""
-        if call not in self.calls:
+        No poll is made where a later one is out.
+        """
+        if connection not in self.connections:
             return
-        latest = call is self.calls[-1]
-        self.calls.remove(call)
-        if latest and self.again is None:
-            self._later(after)
+        latest = connection is self.connections[-1]
+        self.connections.remove(connection)
+        if latest and self.next_poll_timer is None:
+            self._poll_after(delay_s)
 
 
-class Call(asyncio.Protocol):
-    """A connection to discovery; the next request goes out as soon as an answer is read."""
+class PollConnection(asyncio.Protocol):
+    """A connection to discovery; the next poll goes out as soon as an answer is read."""
 
-    def __init__(self, director: HttpDiscovery) -> None:
-        self.director = director
-        self.metrics = director.metrics
-        self.loop = director.proxy.loop
+    def __init__(self, discovery: HttpDiscovery) -> None:
+        self.discovery = discovery
+        self.metrics = discovery.metrics
+        self.loop = discovery.proxy.loop
         self.transport: asyncio.Transport | None = None
-        self.stop: Callable[[], None] | None = None
+        self.stop_dial: Callable[[], None] | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.ask: Ask | None = None
+        self.poll: Poll | None = None
         self.answers = 0
-        self._fresh()
+        self._expect_answer()
 
-    def _fresh(self) -> None:
+    def _expect_answer(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
         self.body = bytearray()
         self.complete = False
-        self.beyond = False  # a second answer has begun behind the first
-        self.bytes = 0  # of this answer, so far
+        self.trailing = False  # a second answer has begun behind the first
+        self.received_bytes = 0  # of this answer
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Make the poll, if it is still wanted."""
         self.transport = cast(asyncio.Transport, transport)
-        if self._is_out():
-            self._ask()
+        if self._is_in_use():
+            self._send_poll()
         else:
             self.transport.abort()
 
-    def _is_out(self) -> bool:
-        return self in self.director.calls
+    def _is_in_use(self) -> bool:
+        return self in self.discovery.connections
 
-    def _ask(self) -> None:
+    def _send_poll(self) -> None:
         assert self.transport is not None
-        self.ask = ask = self.director.clock.next(self.loop.time())
-        self.timer = self.loop.call_later(ask.limit, self._late, -1)
-        head = f"GET {target(ask)} HTTP/1.1\r\nHost: {self.director.address}\r\n\r\n"
+        self.poll = poll = self.discovery.schedule.next_poll(self.loop.time())
+        self.timer = self.loop.call_later(poll.timeout_s, self._on_timeout, -1)
+        head = f"GET {poll_target(poll)} HTTP/1.1\r\nHost: {self.discovery.address}\r\n\r\n"
         self.transport.write(head.encode())
 
     def data_received(self, data: bytes) -> None:
-        if not self._is_out():
+        """Read on, up to the end of one answer."""
+        if not self._is_in_use():
             return
-        self.bytes += len(data)
+        self.received_bytes += len(data)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
             if not self.complete:
-                log.warning("discovery broke HTTP", error=str(error))
-                self._refused("not_http")
+                log.warning("discovery answer unreadable", error=str(error))
+                self._reject("not_http")
                 return
-            self.beyond = True  # what stands behind a whole answer spoils the next one, not this
-        if self.bytes > LARGEST:
-            self._refused("too_large")
+            self.trailing = True  # what follows a complete answer spoils the next one, not this
+        if self.received_bytes > ANSWER_MAX_BYTES:
+            self._reject("too_large")
         elif self.complete:
-            self._answered()
+            self._on_answer()
 
     def on_message_begin(self) -> None:
-        self.beyond = self.beyond or self.complete
+        """Parser: an answer begins."""
+        self.trailing = self.trailing or self.complete
 
     def on_body(self, body: bytes) -> None:
-        if not self.beyond:
+        """Parser: a part of an answer's body."""
+        if not self.trailing:
             self.body += body
 
     def on_message_complete(self) -> None:
-        if not self.beyond:
+        """Parser: an answer is complete."""
+        if not self.trailing:
             self.complete = True
-            self.status, self.keep = self.parser.get_status_code(), self.parser.should_keep_alive()
+            self.status, self.keep_alive = self.parser.get_status_code(), self.parser.should_keep_alive()
 
-    def _answered(self) -> None:
+    def _on_answer(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        status, keep, body, beyond = self.status, self.keep, bytes(self.body), self.beyond
-        self._fresh()
-        if status in BUSY:
-            # It has no room now, and still knows what this node has: the changes since are asked for again,
-            # which cost it less than the full list.
+        status, keep_alive, body, trailing = self.status, self.keep_alive, bytes(self.body), self.trailing
+        self._expect_answer()
+        if status in OVERLOADED_STATUSES:
+            # It still knows which list this node has: the changes since are polled for again, which cost it
+            # less than the full list.
             self.metrics.count("lists_busy")
-            self._end(self.director.clock.no_room())
+            self._end(self.discovery.schedule.record_overload())
             return
-        assert self.ask is not None
-        why = self.director.answer(self, self.ask, body) if status == 200 else f"status_{status // 100}xx"
-        if why:
-            self._refused(why)
+        assert self.poll is not None
+        success = status == 200
+        reason = self.discovery.accept(self, self.poll, body) if success else f"status_{status // 100}xx"
+        if reason:
+            self._reject(reason)
             return
         self.answers += 1
-        if beyond:
+        if trailing:
             self.metrics.count("lists_refused_behind_another")
-            self._end(self.director.clock.refused("out_of_turn"))
-        elif keep and self.transport is not None and not self.transport.is_closing():
-            self._ask()
+            self._end(self.discovery.schedule.record_mismatch(Mismatch.OUT_OF_TURN))
+        elif keep_alive and self.transport is not None and not self.transport.is_closing():
+            self._send_poll()
         else:
-            self._end(0.0)  # a director that closed after an answer is called at once: the watch goes on
-
-    def _refused(self, why: str) -> None:
-        """Guards against an answer that can't be read, or is not the one asked for: the last list is kept,
-        and this connection, whose answers may all be one behind by now, is not used again."""
-        self.metrics.count(f"lists_refused_{why}")
-        clock = self.director.clock
-        log.warning("list refused", reason=why, version=clock.version)
-        if why in UNFIT:
-            self._end(clock.refused(why))
+            self._end(0.0)  # discovery closed after an answer: it is polled at once, and the watch goes on
+
+    def _reject(self, reason: str) -> None:
+        """Guards against an answer that can't be read, or is not the one to this poll.
+
+        The last list is kept, and this connection, whose answers may all be one behind by now, is not used
+        again.
+        """
+        self.metrics.count(f"lists_refused_{reason}")
+        schedule = self.discovery.schedule
+        log.warning("endpoint list rejected", reason=reason, version=schedule.version)
+        if isinstance(reason, Mismatch):
+            self._end(schedule.record_mismatch(reason))
         else:
-            self.metrics.count("lists_malformed" if why == "malformed" else "lists_failed")
-            self._end(clock.lost(anew=True))
-
-    def _late(self, seen: int) -> None:
-        """Guards against a node short of CPU, which has the answer and has not read it yet: it is held silent
-        when a further look finds nothing more."""
-        if seen != self.bytes:
-            self.timer = self.loop.call_later(LOOK_AGAIN, self._late, self.bytes)
+            self.metrics.count("lists_malformed" if reason == "malformed" else "lists_failed")
+            self._end(schedule.record_failure(forget_version=True))
+
+    def _on_timeout(self, seen_bytes: int) -> None:
+        """Guards against a node short of CPU, which has the answer and has not read it yet.
+
+        The poll is held overdue when a further look finds nothing more.
+        """
+        if seen_bytes != self.received_bytes:
+            self.timer = self.loop.call_later(UNREAD_ANSWER_GRACE_S, self._on_timeout, self.received_bytes)
             return
-        assert self.ask is not None
+        assert self.poll is not None
         self.timer = None
         self.metrics.count("lists_silent")
-        log.warning("discovery is silent", asked=target(self.ask), silent=self.director.clock.silent + 1)
-        self.director.overdue(self)
+        timeouts = self.discovery.schedule.timeouts + 1
+        log.warning("discovery poll timed out", target=poll_target(self.poll), timeouts=timeouts)
+        self.discovery.on_overdue(self)
 
-    def failed(self) -> None:
+    def connect_failed(self) -> None:
+        """No connection in its time: the dialer's answer."""
         self.metrics.count("lists_failed")
-        self.director.over(self, self.director.clock.lost())
+        self.discovery.on_ended(self, self.discovery.schedule.record_failure())
 
-    def _end(self, after: float) -> None:
-        self.director.over(self, after)
+    def _end(self, delay_s: float) -> None:
+        self.discovery.on_ended(self, delay_s)
         self.drop()
 
     def drop(self) -> None:
-        """Hear no more of it, wherever it stands."""
+        """Close, and ignore what it still sends, whatever its state."""
         if self.timer is not None:
             self.timer.cancel()
-        if self.stop is not None:
-            self.stop()
+        if self.stop_dial is not None:
+            self.stop_dial()
         if self.transport is not None:
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The connection has ended: a poll that was out on it failed."""
         self.transport = None
         if self.timer is not None:
             self.timer.cancel()
-        if self._is_out():
+        if self._is_in_use():
             self.metrics.count("lists_ended")
             # Between two answers it may just have been closed as idle: then the watch goes on at once.
-            clean = self.answers > 0 and not self.bytes and exc is None
-            self.director.over(self, 0.0 if clean else self.director.clock.lost())
+            clean = self.answers > 0 and not self.received_bytes and exc is None
+            self.discovery.on_ended(self, 0.0 if clean else self.discovery.schedule.record_failure())
 
 
-def target(ask: Ask) -> str:
-    if ask.index is None:
+def poll_target(poll: Poll) -> str:
+    """Path and query of a poll."""
+    if poll.since_version is None:
         return PATH
-    return f"{PATH}?index={ask.index}&wait={round(ask.wait * 1000)}"
+    return f"{PATH}?index={poll.since_version}&wait={round(poll.wait_s * 1000)}"
--- a/gradegap/discovery/settings.py
+++ b/gradegap/discovery/settings.py
@@ -8,10 +8,12 @@
 
 
 class DnsSdSettings(msgspec.Struct):
-    """The `[dnssd]` table: backends from DNS-SD records instead of discovery's HTTP."""
+    """The `[dnssd]` table: endpoints from DNS-SD records instead of discovery's HTTP."""
 
     server: str
+    """Address of the DNS server, as `host:port`."""
     service: str
+    """Name whose PTR records are the endpoints, such as `_saves._tcp.prairie.example.`"""
 
     def check(self) -> None:
         """What single keys don't show.
--- a/gradegap/node/node.py
+++ b/gradegap/node/node.py
@@ -104,7 +104,7 @@
         )
         self.backends = Backends(loop, configuration.settings.connect_timeout, self.descriptors)
         self.proxy = Proxy(configuration.settings, configuration.seed, self.backends, self.metrics, loop)
-        self.director: HttpDiscovery | DnsSdDiscovery = self._make_director()
+        self.discovery: HttpDiscovery | DnsSdDiscovery = self._make_discovery()
         self.live = DynamicConfiguration(self.metrics)
         self.store: EmbeddedStore | ObservedStore | None = None
         self.store_until = 0.0  # steady time up to which the process before this one had a lease
@@ -133,7 +133,7 @@
         self.metrics.gauge("open_sessions", lambda: len(self.channels))
         self.metrics.gauge("reqs", lambda: len(self.proxy.requests))
 
-    def _make_director(self) -> HttpDiscovery | DnsSdDiscovery:
+    def _make_discovery(self) -> HttpDiscovery | DnsSdDiscovery:
         if self.operator.dnssd is None:
             return HttpDiscovery(
                 self.proxy, self.backends.dialer, self.configuration.node.discovery, self.metrics
@@ -178,12 +178,12 @@
         if self.capture is not None:
             self.capture.set(self.capture.settings.on)  # before the module is told anything
         self.live.key("log_level", "info", set_log_level)
-        self.director.first = self._get_ready
+        self.discovery.on_first_list = self._get_ready
         following = await self.handover.follow()
         if not following:
             self._take_known()
         self._take_snapshot()
-        self.director.start()
+        self.discovery.start()
         try:
             self.listening = self.listening or listen(*split_address(config.listen))
         except OSError as error:
@@ -354,8 +354,8 @@
         """The list of the configuration, to serve with until discovery has told one."""
         known = self.configuration.node.known_endpoints.read_entries({}, self.metrics)
         self.proxy.update_endpoints(EndpointListKind.CACHED, known)
-        if known and isinstance(self.director, HttpDiscovery):
-            self.director.clock.known(self.configuration.node.known_endpoints.version)
+        if known and isinstance(self.discovery, HttpDiscovery):
+            self.discovery.schedule.start_from(self.configuration.node.known_endpoints.version)
         if known:
             self.loop.call_later(READY_ANYWAY, self._get_ready)
 
@@ -437,7 +437,7 @@
 
         try:
             secret, place = read_secret(settings.secret, "store.secret"), data_folder(settings)
-            told = lambda: self.director.told  # noqa: E731
+            told = lambda: self.discovery.has_list  # noqa: E731
             parts = self.proxy, self.live, self.metrics, self.loop, self._state, told
             made = EmbeddedStore(settings, secret, place, *parts, subscription_server_factory(settings))
         except (FolderError, OperatorFileError) as error:
@@ -509,15 +509,15 @@
         self.metrics.count("reloads")
         if new.settings != old.settings:
             self.proxy.reconfigure(new.settings)
-            if isinstance(self.director, HttpDiscovery):
-                self.director.clock.adopt(new.settings)
+            if isinstance(self.discovery, HttpDiscovery):
+                self.discovery.schedule.configure(new.settings)
             self.backends.connect_wait = new.settings.connect_timeout
         if new.node.limits != old.node.limits:
             self.descriptors.limit = raise_descriptor_limit(new.node.limits.sockets)
-        if new.node.known_endpoints != old.node.known_endpoints and not self.director.told:
+        if new.node.known_endpoints != old.node.known_endpoints and not self.discovery.has_list:
             self._take_known()
-        if new.node.discovery != old.node.discovery and isinstance(self.director, HttpDiscovery):
-            self.director.change_over(new.node.discovery)
+        if new.node.discovery != old.node.discovery and isinstance(self.discovery, HttpDiscovery):
+            self.discovery.change_address(new.node.discovery)
         log.info("configuration reloaded", discovery=new.node.discovery)
 
     def stop(self) -> None:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -37,7 +37,7 @@
         w.director.tell(b, weight=0.5)
         wait_for(lambda: w.counters().get("lists_malformed") == "1")
         assert w.counters()["lists_refused_malformed"] == "1"
-        assert w.log.read_text().count('event="list refused"') == 1
+        assert w.log.read_text().count('event="endpoint list rejected"') == 1
         assert w.client().ask() == "UP a"
         wait_for(lambda: f"index={w.director.version}&" in w.director.calls[-1][1])  # and the watch goes on
 
--- a/tests/test_dns_sd_discovery.py
+++ b/tests/test_dns_sd_discovery.py
@@ -1,4 +1,4 @@
-"""The DNS-SD director of the real program, against a stand-in that answers DNS on loopback."""
+"""DNS-SD discovery of the real program, against a stand-in that answers DNS on loopback."""
 
 from __future__ import annotations
 
--- a/tests/test_http_discovery.py
+++ b/tests/test_http_discovery.py
@@ -1,4 +1,4 @@
-"""Calls to discovery that are out together: which answer counts, and what follows when one of them ends."""
+"""Polls of discovery that are out together: which answer counts, and what follows when one of them ends."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from gradegap.balancing.events import EndpointListKind
 from gradegap.discovery.endpoint_list import AddressedEntry
-from gradegap.discovery.http_discovery import CALLS_MOST, Call, HttpDiscovery
+from gradegap.discovery.http_discovery import OPEN_POLLS_MAX, HttpDiscovery, PollConnection
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
 from gradegap.transport.dialer import Dialer
@@ -69,24 +69,24 @@
 
 
 class Rig:
-    """A director whose dials the test answers; every call is connected at once."""
+    """A discovery client whose dials the test answers; every call is connected at once."""
 
     def __init__(self, pushed: bool = False) -> None:
         self.loop = Loop()
         self.settings = helpers.settings(polls_endpoints=not pushed, poll_within=10.0, drain_grace=2.0)
-        self.calls: list[tuple[Call, Transport]] = []
+        self.calls: list[tuple[PollConnection, Transport]] = []
         self.lists: list[tuple[EndpointListKind, list[AddressedEntry]]] = []
         self.metrics = Metrics()
-        self.director = HttpDiscovery(cast(Proxy, self), cast(Dialer, self), "discovery:1", self.metrics)
+        self.discovery = HttpDiscovery(cast(Proxy, self), cast(Dialer, self), "discovery:1", self.metrics)
         if not pushed:
-            self.director.clock.known(7)
-        self.director.start()
+            self.discovery.schedule.start_from(7)
+        self.discovery.start()
 
     def listing(self, kind: EndpointListKind, entries: Iterable[AddressedEntry]) -> None:
         self.lists.append((kind, list(entries)))
 
     def dial(
-        self, address: str, wait: float, protocol: Call, failed: Callable[[], None]
+        self, address: str, wait: float, protocol: PollConnection, failed: Callable[[], None]
     ) -> Callable[[], None]:
         transport = Transport()
         self.calls.append((protocol, transport))
@@ -111,7 +111,7 @@
         self.loop.run(0.0)
 
 
-def test_the_late_answer_of_an_overdue_watch_counts_and_the_later_call_is_dropped() -> None:
+def test_the_late_answer_of_an_overdue_watch_counts_and_the_later_poll_is_dropped() -> None:
     rig = Rig()
     rig.until_calls(2)
     assert not rig.calls[0][1].aborted and rig.paths()[1].endswith("index=7&wait=0")
@@ -125,13 +125,13 @@
     assert len(rig.lists) == 1 and len(rig.calls) == 2
 
 
-def test_a_refused_call_is_made_again_unless_an_overdue_one_is_answered_before() -> None:
+def test_a_rejected_poll_is_made_again_unless_an_overdue_one_is_answered_before() -> None:
     rig = Rig()
     rig.until_calls(2)
     rig.calls[1][0].data_received(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
-    assert rig.director.again is not None
+    assert rig.discovery.next_poll_timer is not None
     rig.answer(0, version=9)
-    assert rig.director.again is None
+    assert rig.discovery.next_poll_timer is None
     rig.loop.run(2.0)
     assert len(rig.calls) == 2 and len(rig.lists) == 1
     refused = Rig()
@@ -141,47 +141,47 @@
     assert len(refused.calls) == 3
 
 
-def test_an_overdue_call_that_ends_beside_a_later_one_makes_no_further_call() -> None:
+def test_an_overdue_poll_that_ends_beside_a_later_one_makes_no_further_poll() -> None:
     rig = Rig()
     rig.until_calls(2)
     rig.calls[0][0].connection_lost(ConnectionResetError())
-    assert rig.director.again is None and len(rig.director.calls) == 1
+    assert rig.discovery.next_poll_timer is None and len(rig.discovery.connections) == 1
     rig.answer(1, version=9)
     assert len(rig.lists) == 1 and len(rig.calls) == 2
 
 
-def test_a_pending_retry_is_not_put_off_by_the_end_of_an_overdue_call() -> None:
+def test_a_pending_retry_is_not_put_off_by_the_end_of_an_overdue_poll() -> None:
     rig = Rig()
     rig.until_calls(2)
     rig.calls[1][0].connection_lost(ConnectionResetError())
-    retry = rig.director.again
+    retry = rig.discovery.next_poll_timer
     assert retry is not None
     rig.calls[0][0].connection_lost(ConnectionResetError())
-    assert rig.director.again is retry and not cast(Timer, retry).cancelled
+    assert rig.discovery.next_poll_timer is retry and not cast(Timer, retry).cancelled
 
 
-def test_calls_out_are_bounded_and_the_whole_list_is_asked_for_in_the_end() -> None:
+def test_open_polls_are_bounded_and_the_full_list_is_polled_in_the_end() -> None:
     rig = Rig()
     for count in range(2, 7):
         rig.until_calls(count)
-        assert len(rig.director.calls) <= CALLS_MOST
+        assert len(rig.discovery.connections) <= OPEN_POLLS_MAX
     assert len(rig.calls) == 6
     assert [t.aborted for _, t in rig.calls] == [True] * 3 + [False] * 3
     assert rig.paths()[2:] == ["/registry/instances"] * 4
 
 
 @pytest.mark.parametrize("pushed", [True, False])
-def test_a_new_discovery_ends_all_calls_to_the_old_one(pushed: bool) -> None:
+def test_a_new_discovery_ends_all_polls_to_the_old_one(pushed: bool) -> None:
     rig = Rig(pushed)
     rig.until_calls(2)
-    rig.director.change_over("discovery:2")
+    rig.discovery.change_address("discovery:2")
     assert all(t.aborted for _, t in rig.calls[:2])
     rig.answer(0, version=50, full=True)
     assert not rig.lists
 
 
-def test_an_overdue_call_to_an_agent_is_given_up() -> None:
+def test_an_overdue_poll_to_an_agent_is_given_up() -> None:
     """An agent answers at once or not at all: an old call there waits for nothing."""
     rig = Rig(pushed=True)
     rig.until_calls(2)
-    assert rig.calls[0][1].aborted and len(rig.director.calls) == 1
+    assert rig.calls[0][1].aborted and len(rig.discovery.connections) == 1
--- a/tests/test_lint_rules.py
+++ b/tests/test_lint_rules.py
@@ -35,9 +35,6 @@
 gradegap/client.py: D N
 gradegap/commands/resume.py: D
 gradegap/commands/store.py: D
-gradegap/discovery/dns_sd_discovery.py: D
-gradegap/discovery/http_discovery.py: D
-gradegap/discovery/watch_schedule.py: D
 gradegap/downstream/framing.py: D
 gradegap/downstream/session.py: D
 gradegap/hot_restart/handover.py: D
--- a/tests/test_silent_watches.py
+++ b/tests/test_silent_watches.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from gradegap.discovery.watch_schedule import SILENCE_TOLD, WAIT_TOLD
+from gradegap.discovery.watch_schedule import SILENCE_NOTIFIED_S, WAIT_NOTIFIED_S
 from tests.deployments import ASKED, NodeProcess, Server
 from tests.silent_discovery import TurnDiscovery
 from tests.world import BUSY_MACHINE, Client, wait_for
@@ -45,7 +45,7 @@
             self.join(PATIENCE)
 
 
-def told_by(discovery: TurnDiscovery, address: str, silent_at: float, drained_at: float) -> float:
+def notified_at(discovery: TurnDiscovery, address: str, silent_at: float, drained_at: float) -> float:
     """When the rules hold a node for told of a drain that its silent watch hid."""
     watches = [
         (at, path) for at, path, dialled in discovery.called_at if dialled == address and at < silent_at
@@ -54,7 +54,7 @@
     found = re.search(r"wait=(\d+)", path)
     assert found is not None
     ended = began + int(found[1]) / 1000
-    return max(silent_at + SILENCE_TOLD, ended + WAIT_TOLD, drained_at)
+    return max(silent_at + SILENCE_NOTIFIED_S, ended + WAIT_NOTIFIED_S, drained_at)
 
 
 def test_a_drain_is_kept_by_all_nodes_whose_watches_fell_silent_at_once(tmp_path: Path) -> None:
@@ -85,7 +85,7 @@
         discovery.fall_silent("unread", NODES)
         silent_at = time.time()
         drained_at = discovery.tell(a.entry, state="Terminating")
-        told = [told_by(discovery, address, silent_at, drained_at) for address in addresses]
+        told = [notified_at(discovery, address, silent_at, drained_at) for address in addresses]
         wait_for(lambda: time.time() > max(told) + 2.5, 15.0)
     finally:
         for asker in askers:
@@ -118,7 +118,7 @@
         discovery.fall_silent("unread", 1)
         silent_at = time.time()
         drained_at = discovery.tell(a.entry, state="Terminating")
-        told = told_by(discovery, "127.0.0.1", silent_at, drained_at)
+        told = notified_at(discovery, "127.0.0.1", silent_at, drained_at)
         wait_for(lambda: len([path for _, path in discovery.calls if "wait=0" in path]) == 1, 10.0)
         asked_again = time.time()
         wait_for(lambda: time.time() > max(told, asked_again + each) + 1.5, 15.0)
--- a/tests/test_watch_schedule.py
+++ b/tests/test_watch_schedule.py
@@ -1,4 +1,4 @@
-"""The one clock for the list: no drain is missed for a silent discovery, in either mode, in any phase."""
+"""The watch schedule: no drain is missed for a silent discovery, in either mode, in any phase."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 import pytest
 
-from gradegap.discovery import watch_schedule as listclock
-from gradegap.discovery.watch_schedule import WatchSchedule
+from gradegap.discovery import watch_schedule
+from gradegap.discovery.watch_schedule import Mismatch, WatchSchedule
 from tests import helpers
 from tests.silent_discovery import PHASES, SilentDiscovery
 from tests.world import BUSY_MACHINE, SETTINGS, Backend, World, wait_for, world
@@ -25,78 +25,79 @@
 IN_TURN = 1.4  # s that a call may wait for its turn and still be of use
 
 
-def clock(pushed: bool, grace: float = 2.0, seed: int = 1) -> WatchSchedule:
+def schedule(pushed: bool, grace: float = 2.0, seed: int = 1) -> WatchSchedule:
     told = helpers.settings(polls_endpoints=not pushed, drain_grace=grace, poll_within=10.0, proxy_count=40)
     made = WatchSchedule(told, Random(seed))
-    made.took(made.next(0.0), 0.02, 7)
+    made.record_answer(made.next_poll(0.0), 0.02, 7)
     return made
 
 
 @pytest.mark.parametrize("grace", GRACES)
 @pytest.mark.parametrize("turn", [0.01, 0.3, 1.5])
-def test_an_asked_watch_that_is_silent_leaves_time_for_the_changes_and_the_whole_list(
+def test_a_polled_watch_that_is_silent_leaves_time_for_the_changes_and_the_full_list(
     grace: float, turn: float
 ) -> None:
     """News of any moment of the watch is there before the rules hold it for told and the grace is over."""
-    c = clock(False, grace)
-    c.turn = turn
-    watch = c.next(100.0)
-    assert watch.index == 7 and 5.0 <= watch.wait <= 15.0
-    after = c.fell_silent()
-    again = c.next(0.0)
-    assert again.index == 7 and again.wait == 0.0
-    c.fell_silent()
-    whole = c.next(0.0)
-    assert whole.index is None and after == 0.0
-    begun = watch.limit + listclock.DIAL / 10 + again.limit  # dials of a discovery that is there are short
-    told = watch.wait + listclock.WAIT_TOLD + grace
-    assert begun + 0.1 < told and watch.limit > watch.wait + 0.5
+    made = schedule(False, grace)
+    made.answer_time_s = turn
+    watch = made.next_poll(100.0)
+    assert watch.since_version == 7 and 5.0 <= watch.wait_s <= 15.0
+    after = made.record_timeout()
+    again = made.next_poll(0.0)
+    assert again.since_version == 7 and again.wait_s == 0.0
+    made.record_timeout()
+    whole = made.next_poll(0.0)
+    assert whole.since_version is None and after == 0.0
+    connect = watch_schedule.CONNECT_TIMEOUT_S / 10  # connects to a discovery that is there are short
+    begun = watch.timeout_s + connect + again.timeout_s
+    told = watch.wait_s + watch_schedule.WAIT_NOTIFIED_S + grace
+    assert begun + 0.1 < told and watch.timeout_s > watch.wait_s + 0.5
     # Further calls wait their turn, and two of them fit between a silence and its end.
-    assert 2 * whole.limit + 2 * listclock.DIAL < listclock.SILENCE_TOLD
+    assert 2 * whole.timeout_s + 2 * watch_schedule.CONNECT_TIMEOUT_S < watch_schedule.SILENCE_NOTIFIED_S
 
 
 @pytest.mark.parametrize("grace", GRACES[1:])
 def test_a_pushed_watch_costs_less_than_the_grace_wherever_it_breaks(grace: float) -> None:
-    c = clock(True, grace)
-    watch = c.next(0.0)
-    c.fell_silent()
-    again = c.next(0.0)
-    assert watch.limit + again.limit < grace and again.index == 7
-    c.fell_silent()
-    assert c.next(0.0).index is None
+    made = schedule(True, grace)
+    watch = made.next_poll(0.0)
+    made.record_timeout()
+    again = made.next_poll(0.0)
+    assert watch.timeout_s + again.timeout_s < grace and again.since_version == 7
+    made.record_timeout()
+    assert made.next_poll(0.0).since_version is None
     # After an outage of any length what the agent holds is asked for within the grace.
     for _ in range(20):
-        c.fell_silent()
-        assert c.next(0.0).limit <= 0.5
-        assert c.lost() <= 0.5
+        made.record_timeout()
+        assert made.next_poll(0.0).timeout_s <= 0.5
+        assert made.record_failure() <= 0.5
 
 
-def test_failed_asked_calls_wait_longer_each_time_with_jitter_and_never_past_the_clock() -> None:
+def test_failed_polls_back_off_with_jitter_and_within_the_time_of_a_silence() -> None:
     first, late = set(), []
     for seed in range(30):
-        c = clock(False, seed=seed)
-        waits = [c.lost() for _ in range(12)]
+        made = schedule(False, seed=seed)
+        waits = [made.record_failure() for _ in range(12)]
         first.add(round(waits[0], 4))
         late += waits[8:]
         # What discovery has and can be asked for counts as told 6 s later, whatever failed before. A call has
         # just failed; the next waits its turn and is given up, or refused; the one after it is in time.
-        given_up = max(waits) + listclock.DIAL + c.answer + listclock.DIAL + c.answer
-        refused = 2 * (max(waits) + listclock.DIAL) + TURN_MOST + IN_TURN
-        assert max(given_up, refused) < listclock.SILENCE_TOLD
+        given_up = max(waits) + 2 * (watch_schedule.CONNECT_TIMEOUT_S + made.answer_timeout_s)
+        refused = 2 * (max(waits) + watch_schedule.CONNECT_TIMEOUT_S) + TURN_MOST + IN_TURN
+        assert max(given_up, refused) < watch_schedule.SILENCE_NOTIFIED_S
     assert len(first) > 20 and min(late) >= 0.5 and len({round(w, 3) for w in late}) > 60
 
 
-def test_a_list_known_from_before_the_start_is_asked_on_from_where_calls_are_dear() -> None:
-    c = WatchSchedule(helpers.settings(polls_endpoints=True, poll_within=10.0), Random(1))
-    c.known(0)
-    first = c.next(0.0)
-    assert first.index == 0 and 2.5 <= first.wait <= 7.5
-    assert first.limit < first.wait + listclock.WAIT_TOLD
-    c.took(first, 6.0, 0)
-    assert 5.0 <= c.next(6.0).wait <= 15.0
-    c = WatchSchedule(helpers.settings(polls_endpoints=False), Random(1))
-    c.known(7)
-    assert c.next(0.0).index is None
+def test_a_list_known_from_before_the_start_is_watched_from_its_version_where_polls_are_dear() -> None:
+    made = WatchSchedule(helpers.settings(polls_endpoints=True, poll_within=10.0), Random(1))
+    made.start_from(0)
+    first = made.next_poll(0.0)
+    assert first.since_version == 0 and 2.5 <= first.wait_s <= 7.5
+    assert first.timeout_s < first.wait_s + watch_schedule.WAIT_NOTIFIED_S
+    made.record_answer(first, 6.0, 0)
+    assert 5.0 <= made.next_poll(6.0).wait_s <= 15.0
+    made = WatchSchedule(helpers.settings(polls_endpoints=False), Random(1))
+    made.start_from(7)
+    assert made.next_poll(0.0).since_version is None
 
 
 def test_watches_of_nodes_that_were_started_together_end_apart_and_cost_no_more() -> None:
@@ -104,59 +105,60 @@
     for first, about in ((True, 5.0), (False, 10.0)):
         waits_of = []
         for seed in range(200):
-            c = WatchSchedule(helpers.settings(polls_endpoints=True, poll_within=10.0), Random(seed))
-            c.known(7)
+            made = WatchSchedule(helpers.settings(polls_endpoints=True, poll_within=10.0), Random(seed))
+            made.start_from(7)
             if not first:
-                c.took(c.next(0.0), 6.0, 7)
-            waits_of.append(c.next(6.0).wait)
+                made.record_answer(made.next_poll(0.0), 6.0, 7)
+            waits_of.append(made.next_poll(6.0).wait_s)
         assert max(waits_of) - min(waits_of) > 0.9 * about
         assert sum(waits_of) / len(waits_of) == pytest.approx(about, rel=0.03)
         in_a_tenth = max(sum(low <= w < low + about / 10 for w in waits_of) for low in waits_of)
         assert in_a_tenth < 0.2 * len(waits_of)
 
 
-def test_all_nodes_told_of_a_new_discovery_at_once_call_it_apart() -> None:
-    assert clock(True).spread() == 0.0
-    assert len({round(clock(False, seed=k).spread(), 2) for k in range(40)}) > 15
+def test_all_nodes_that_learn_of_a_new_discovery_at_once_poll_it_apart() -> None:
+    assert schedule(True).start_delay() == 0.0
+    assert len({round(schedule(False, seed=k).start_delay(), 2) for k in range(40)}) > 15
 
 
 @pytest.mark.parametrize(
-    ("full", "version", "at", "why"),
+    ("full", "version", "at", "mismatch"),
     [
-        (False, 8, 1.0, ""),
-        (True, 9, 1.0, ""),
-        (False, 7, 10.0, ""),  # nothing new, and the wait is over
-        (False, 7, 1.0, "out_of_turn"),
-        (True, 7, 0.1, "out_of_turn"),
-        (False, 6, 10.0, "older"),
-        (True, 6, 1.0, "older"),
+        (False, 8, 1.0, None),
+        (True, 9, 1.0, None),
+        (False, 7, 10.0, None),  # nothing new, and the wait is over
+        (False, 7, 1.0, Mismatch.OUT_OF_TURN),
+        (True, 7, 0.1, Mismatch.OUT_OF_TURN),
+        (False, 6, 10.0, Mismatch.OLDER),
+        (True, 6, 1.0, Mismatch.OLDER),
     ],
 )
-def test_answers_that_fit_a_watch(full: bool, version: int, at: float, why: str) -> None:
-    c = clock(False)
-    watch = dataclasses.replace(c.next(50.0), wait=10.0)
-    assert c.fits(watch, 50.0 + at, full, version) == why
+def test_answers_that_fit_a_watch(full: bool, version: int, at: float, mismatch: Mismatch | None) -> None:
+    made = schedule(False)
+    watch = dataclasses.replace(made.next_poll(50.0), wait_s=10.0)
+    assert made.find_mismatch(watch, 50.0 + at, full, version) is mismatch
 
 
-def test_after_an_answer_of_an_older_version_any_whole_list_is_taken() -> None:
+def test_after_an_answer_of_an_older_version_any_full_list_is_accepted() -> None:
     """Discovery may have begun anew, with small numbers: a node that refused them all would be wedged."""
-    c = clock(False)
-    c.next(50.0)
-    assert c.refused("older") == 0.0
-    whole = c.next(50.1)
-    assert whole.index is None
-    assert c.fits(whole, 50.2, False, 2) == "changes_unasked" and c.fits(whole, 50.2, True, 2) == ""
-    c.took(whole, 50.2, 2)
-    assert c.next(50.2).index == 2
-
-
-def test_a_discovery_that_holds_no_watch_is_not_called_in_a_circle() -> None:
-    c = clock(True)
+    made = schedule(False)
+    made.next_poll(50.0)
+    assert made.record_mismatch(Mismatch.OLDER) == 0.0
+    whole = made.next_poll(50.1)
+    assert whole.since_version is None
+    assert made.find_mismatch(whole, 50.2, False, 2) is Mismatch.CHANGES_UNASKED
+    assert made.find_mismatch(whole, 50.2, True, 2) is None
+    made.record_answer(whole, 50.2, 2)
+    assert made.next_poll(50.2).since_version == 2
+
+
+def test_a_discovery_that_holds_no_watch_is_not_polled_without_pause() -> None:
+    made = schedule(True)
     pauses = []
     for _ in range(8):
-        c.next(0.0)
-        pauses.append(c.refused("out_of_turn"))
-    assert pauses[0] == 0.0 and pauses == sorted(pauses) and pauses[-1] == listclock.EARLY_MOST
+        made.next_poll(0.0)
+        pauses.append(made.record_mismatch(Mismatch.OUT_OF_TURN))
+    assert pauses[0] == 0.0 and pauses == sorted(pauses) and pauses[-1] == watch_schedule.EARLY_BACKOFF_MAX_S
 
 
 def settings(mode: str, grace_ms: int) -> dict[str, Any]:
@@ -220,7 +222,7 @@
 
 
 @pytest.mark.parametrize("spoilt", ["twice", "older"])
-def test_an_answer_that_is_not_the_one_asked_for_is_refused_and_wedges_nothing(
+def test_an_answer_that_is_not_the_one_to_its_poll_is_rejected_and_blocks_nothing(
     tmp_path: Path, spoilt: str
 ) -> None:
     """A second answer some ms late was taken for the next call's, and one of an older version rolled a drain
