--- a/tests/test_http_discovery.py
+++ b/tests/test_http_discovery.py
@@ -82,7 +82,7 @@
             self.discovery.schedule.start_from(7)
         self.discovery.start()
 
-    def listing(self, kind: EndpointListKind, entries: Iterable[AddressedEntry]) -> None:
+    def update_endpoints(self, kind: EndpointListKind, entries: Iterable[AddressedEntry]) -> None:
         self.lists.append((kind, list(entries)))
 
     def dial(
