--- a/gradegap/observer/budget.py
+++ b/gradegap/observer/budget.py
@@ -1,37 +1,27 @@
-"""What a node is sent, capped by a token bucket of bytes. No I/O."""
+"""The byte budget of one subscriber: what a node is sent, capped by a token bucket. No I/O."""
 
 from __future__ import annotations
 
 from gradegap.observer.limits import Limits
+from gradegap.observer.token_bucket import TokenBucket
 
 
-class Budget:
+class SubscriberBudget(TokenBucket):
     """One subscriber's bucket. A message is never cut: it may leave a debt, which later ones wait for."""
 
-    __slots__ = ("at", "limits", "tokens")
+    __slots__ = ("limits",)
 
     def __init__(self, limits: Limits, now: float) -> None:
+        super().__init__(limits.subscriber_bytes_per_s, limits.subscriber_burst_bytes, now)
         self.limits = limits
-        self.tokens = float(limits.subscriber_burst_bytes)
-        self.at = now
 
-    def wait(self, now: float) -> float:
-        """Seconds until a delta may be sent; 0: now."""
-        self._advance(now)
-        return max(0.0, -self.tokens / self.limits.subscriber_bytes_per_s)
-
-    def spend(self, now: float, size: int) -> None:
+    def spend(self, now: float, size: float) -> None:
         """So many bytes are sent. The debt is bounded, so that no change waits longer than that."""
-        self._advance(now)
-        least = -self.limits.subscriber_bytes_per_s * self.limits.max_delta_delay_s
-        self.tokens = max(least, self.tokens - size)
+        self.advance(now)
+        largest_debt = self.rate * self.limits.max_delta_delay_s
+        self.tokens = max(-largest_debt, self.tokens - size)
 
-    def use_up(self, now: float, size: int) -> None:
+    def spend_on_snapshot(self, now: float, size: float) -> None:
         """So many bytes are sent, but a second's worth is left, so that the next change need not wait."""
-        self._advance(now)
-        self.tokens = max(min(self.tokens, self.limits.subscriber_bytes_per_s), self.tokens - size)
-
-    def _advance(self, now: float) -> None:
-        gained = max(0.0, now - self.at) * self.limits.subscriber_bytes_per_s
-        self.tokens = min(float(self.limits.subscriber_burst_bytes), self.tokens + gained)
-        self.at = max(self.at, now)
+        self.advance(now)
+        self.tokens = max(min(self.tokens, self.rate), self.tokens - size)
--- a/gradegap/observer/client.py
+++ b/gradegap/observer/client.py
@@ -22,11 +22,12 @@
 from gradegap.metrics import Metrics
 from gradegap.observer.errors import REMEDIES
 from gradegap.observer.limits import Limits
-from gradegap.observer.link import FRAME_OVERHEAD, TokenBucket, decode_to_subscriber, subscriber_channel
+from gradegap.observer.link import FRAME_OVERHEAD, decode_to_subscriber, subscriber_channel
 from gradegap.observer.messages import Change, CloseCode, Renew
 from gradegap.observer.selection import MachineAddress
 from gradegap.observer.settings import ObserverSettings
 from gradegap.observer.subscriber import Apply, Connect, Disconnect, LeaseChanged, Phase, Send, Subscriber
+from gradegap.observer.token_bucket import TokenBucket
 from gradegap.setting_checks import read_secret
 from gradegap.store import wire
 from gradegap.transport.addresses import split_address
--- /dev/null
+++ b/gradegap/observer/delivery.py
@@ -0,0 +1,114 @@
+"""What each subscriber is sent next: a delta, parts of a snapshot, or nothing yet. No I/O and no clock.
+
+Nothing is queued: what a subscriber lacks is made from the state when its transport and its byte budget
+allow.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable, Iterable
+
+from gradegap.observer.deltas import DeltaCache
+from gradegap.observer.grants import LeaseGrants
+from gradegap.observer.limits import Limits
+from gradegap.observer.messages import FromPublisher
+from gradegap.observer.snapshot_transfers import SnapshotTransfers
+from gradegap.observer.source import StateSource
+from gradegap.observer.subscriptions import DeliveryMode, Subscription
+
+
+class ChangeDelivery:
+    """Brings the subscribers of one publisher up to `revision`, through `send`."""
+
+    def __init__(
+        self,
+        source: StateSource,
+        lease_grants: LeaseGrants,
+        limits: Limits,
+        now: float,
+        counts: Counter[str],
+        send: Callable[[int, FromPublisher], None],
+    ) -> None:
+        self.lease_grants, self.counts, self.send = lease_grants, counts, send
+        self.revision = source.revision  # as of the last look at the source
+        self.now = now  # as of the last call of the publisher; steady time, s
+        self.deltas = DeltaCache(source, limits)  # since the last change
+        self.transfers = SnapshotTransfers(
+            source, limits.max_snapshot_transfers, limits.snapshot_part_bytes, counts
+        )
+        self.delayed: dict[int, Subscription] = {}  # by connection; their budget is spent
+
+    def is_up_to_date(self, subscription: Subscription) -> bool:
+        """Whether this subscriber was sent the last change of a subscribed key."""
+        return subscription.sent_revision >= self.lease_grants.last_change
+
+    def publish(self, subscriptions: Iterable[Subscription], previous_change: int) -> None:
+        """Send the newest change to all that have `previous_change`: to each the same object."""
+        self.deltas.clear()
+        for subscription in subscriptions:
+            self.send_missing(subscription, previous_change)
+
+    def send_missing(self, subscription: Subscription, previous_change: int | None = None) -> None:
+        """Send what this subscriber lacks: nothing, a delta, or a snapshot."""
+        if subscription.delivery_mode is not DeliveryMode.DELTAS:
+            return
+        if subscription.writing_paused_at is not None or self.is_up_to_date(subscription):
+            return
+        after = subscription.sent_revision
+        if previous_change is not None and after >= previous_change:
+            after = previous_change
+        if subscription.budget.wait(self.now) > 0.0:
+            self._delay(subscription)
+            return
+        sized = self.deltas.get(after, self.revision)
+        if sized is None:
+            self.transfers.start(subscription, self.revision, self.lease_grants.last_change)
+            return
+        self.delayed.pop(subscription.connection_id, None)
+        subscription.sent_revision = sized.delta.revision
+        subscription.budget.spend(self.now, sized.size)
+        self.counts["deltas"] += 1
+        self.send(subscription.connection_id, sized.delta)
+
+    def _delay(self, subscription: Subscription) -> None:
+        if subscription.connection_id not in self.delayed:
+            self.counts["delayed"] += 1
+            self.delayed[subscription.connection_id] = subscription
+
+    def send_delayed(self) -> None:
+        """Send what has changed meanwhile, coalesced, to those whose budget has recovered."""
+        recovered = [s for s in self.delayed.values() if s.budget.wait(self.now) <= 0.0]
+        for subscription in recovered:
+            del self.delayed[subscription.connection_id]
+            self.send_missing(subscription)
+
+    def send_snapshot_parts(self) -> None:
+        """One part for each transfer whose transport has capacity."""
+        for subscription in list(self.transfers.active.values()):
+            transfer = subscription.transfer
+            if transfer is None or subscription.writing_paused_at is not None:
+                continue
+            part = transfer.take_part()
+            self.send(subscription.connection_id, part)
+            if part.last:
+                subscription.sent_revision = part.revision
+                subscription.budget.spend_on_snapshot(self.now, transfer.snapshot.size)
+                self.counts["snapshots_sent"] += 1
+                self._end_transfer(subscription)
+                self.send_missing(subscription)
+
+    def forget(self, subscription: Subscription) -> None:
+        """This subscription has ended."""
+        self.delayed.pop(subscription.connection_id, None)
+        if subscription.delivery_mode is DeliveryMode.SNAPSHOT:
+            self._end_transfer(subscription)
+        else:
+            subscription.resume_deltas()
+
+    def _end_transfer(self, subscription: Subscription) -> None:
+        """Let those that wait for a place go on."""
+        self.transfers.end(subscription)
+        while (following := self.transfers.next_waiting()) is not None:
+            self.send_missing(following)
+        self.transfers.release_unused()
--- a/gradegap/observer/link.py
+++ b/gradegap/observer/link.py
@@ -72,31 +72,3 @@
         if len(self.bodies) > self.most:
             self.bodies.popitem(last=False)
         return body
-
-
-class TokenBucket:
-    """Bytes that may be sent: `rate` a second, and at most `burst` at once."""
-
-    def __init__(self, rate: float, burst: float, now: float) -> None:
-        self.rate, self.burst = rate, burst
-        self.tokens = burst
-        self.at = now
-
-    def allows(self, now: float, size: float, reserve: float = 0.0) -> bool:
-        """Whether `size` may be sent now with `reserve` left for what is more urgent."""
-        self._advance(now)
-        return self.tokens >= size + reserve
-
-    def spend(self, now: float, size: float) -> None:
-        """`size` is sent; what can't be put off may bring the balance below zero."""
-        self._advance(now)
-        self.tokens -= size
-
-    def wait(self, now: float, size: float, reserve: float = 0.0) -> float:
-        """Seconds until `size` may be sent."""
-        self._advance(now)
-        return max(0.0, (size + reserve - self.tokens) / self.rate)
-
-    def _advance(self, now: float) -> None:
-        self.tokens = min(self.burst, self.tokens + max(0.0, now - self.at) * self.rate)
-        self.at = max(self.at, now)
--- a/gradegap/observer/snapshots.py
+++ b/gradegap/observer/snapshots.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from gradegap.observer import history
+from gradegap.observer.changes import encoded_size
 from gradegap.observer.messages import Change, SnapshotPart
 
 
@@ -13,16 +13,16 @@
 
     def __init__(self, revision: int, items: Iterable[Change], part_bytes: int) -> None:
         self.revision = revision
-        self.size = 0  # bytes of keys and values
+        self.size = 0  # bytes of keys and values, as encoded
         chunks: list[list[Change]] = [[]]
-        room = part_bytes
+        space_left = part_bytes
         for item in items:
-            bytes_of_item = history.size((item,))
-            if bytes_of_item > room and chunks[-1]:
+            bytes_of_item = encoded_size((item,))
+            if bytes_of_item > space_left and chunks[-1]:
                 chunks.append([])
-                room = part_bytes
+                space_left = part_bytes
             chunks[-1].append(item)
-            room -= bytes_of_item
+            space_left -= bytes_of_item
             self.size += bytes_of_item
         last = len(chunks) - 1
         self.parts = tuple(
@@ -31,7 +31,7 @@
         )
 
 
-class Transfer:
+class SnapshotTransfer:
     """A snapshot on its way to one subscriber."""
 
     __slots__ = ("next_part", "snapshot")
@@ -40,7 +40,7 @@
         self.snapshot = snapshot
         self.next_part = 0
 
-    def take(self) -> SnapshotPart:
+    def take_part(self) -> SnapshotPart:
         """The part to send now."""
         part = self.snapshot.parts[self.next_part]
         self.next_part += 1
--- a/gradegap/observer/source.py
+++ b/gradegap/observer/source.py
@@ -1,16 +1,35 @@
-"""The adapter that lets a publisher read from a member's replicated state. No I/O."""
+"""What a publisher reads from: the committed state of its machine, restricted to subscribed keys. No I/O."""
 
 from __future__ import annotations
 
 from itertools import takewhile
+from typing import Protocol
 
-from gradegap.observer.history import is_subscribed
+from gradegap.observer.changes import is_subscribed
 from gradegap.observer.messages import Change
 from gradegap.store.machine import StateMachine
 
 
+class StateSource(Protocol):
+    """A replica of the log's state. `revision` and `index` never go back."""
+
+    @property
+    def revision(self) -> int:
+        """The revision of the applied state."""
+
+    @property
+    def index(self) -> int:
+        """The index of the last applied entry of the log."""
+
+    def changes_since(self, revision: int) -> list[Change] | None:
+        """All changes of subscribed keys after `revision`, in order; None where they are compacted."""
+
+    def items(self) -> list[Change]:
+        """All subscribed keys with their values."""
+
+
 class MachineSource:
-    """A `history.Source` over the applied state of a member of the store.
+    """A `StateSource` over the applied state of a member of the store.
 
     It keeps nothing of its own, so it follows `StateMachine.load_state` of a snapshot as it is: the history
     then begins at that snapshot, and what is older counts as compacted.
--- a/gradegap/observer/subscriber.py
+++ b/gradegap/observer/subscriber.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from gradegap.observer import history
+from gradegap.observer.changes import encoded_size
 from gradegap.observer.limits import Limits
 from gradegap.observer.messages import (
     VERSION,
@@ -289,7 +289,7 @@
             self._disconnect(now, CloseCode.GAP)
             return
         self.snapshot_parts.append(part)
-        self.snapshot_bytes += history.size(part.items)
+        self.snapshot_bytes += encoded_size(part.items)
         if self.snapshot_bytes > self.limits.max_snapshot_bytes:
             self._disconnect(now, CloseCode.GARBLED)
         elif part.last:
--- a/gradegap/verification/observer_control.py
+++ b/gradegap/verification/observer_control.py
@@ -169,7 +169,7 @@
                     self.world.after(0.05, connection.close)
         publisher, invariants = self.publisher, self.world.invariants
         invariants.bounded(
-            "snapshots at once", len(publisher.snapshot_transfers), LIMITS.max_snapshot_transfers
+            "snapshots at once", len(publisher.delivery.transfers.active), LIMITS.max_snapshot_transfers
         )
         invariants.bounded("marks", len(publisher.lease_grants.pending_changes), LIMITS.max_pending_changes)
 
--- a/gradegap/verification/observer_invariants.py
+++ b/gradegap/verification/observer_invariants.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-from gradegap.observer.history import is_subscribed
+from gradegap.observer.changes import is_subscribed
 from gradegap.observer.messages import FromSubscriber, Renew
 from gradegap.observer.subscriber import Apply, Subscriber
 from gradegap.store.machine import StateMachine
--- a/gradegap/verification/observer_mutations.py
+++ b/gradegap/verification/observer_mutations.py
@@ -8,8 +8,9 @@
 
 from gradegap.observer.grants import LeaseGrant
 from gradegap.observer.messages import Change, Delta, Heartbeat, Renew, SnapshotPart, Subscribe
-from gradegap.observer.publisher import Publisher, Subscription
+from gradegap.observer.publisher import Publisher
 from gradegap.observer.subscriber import Apply, Send, Subscriber
+from gradegap.observer.subscriptions import Subscription
 from gradegap.store.in_force import MachineReport
 from gradegap.verification.invariants import InvariantError
 from gradegap.verification.observer_faults import Faults
@@ -113,9 +114,9 @@
     """A node that comes back begins with no lease, and that of its last connection is dropped."""
 
     def _resume_lease_grant(self, message: Subscribe) -> LeaseGrant:
-        lost = self.disconnected_nodes.pop((message.node, message.instance), None)
-        if lost is not None:
-            self.lease_grants.release(lost.grant)
+        granted = self.disconnected_nodes.resume(message.node, message.instance)
+        if granted is not None:
+            self.lease_grants.release(granted)
         return LeaseGrant(message.revision)
 
 
--- a/tests/test_observer_core.py
+++ b/tests/test_observer_core.py
@@ -9,8 +9,8 @@
 
 from gradegap.observer import publisher as publisher_module
 from gradegap.observer import subscriber as subscriber_module
+from gradegap.observer.changes import encoded_size, is_subscribed
 from gradegap.observer.errors import REMEDIES, ObserverError
-from gradegap.observer.history import is_subscribed, size
 from gradegap.observer.limits import Limits
 from gradegap.observer.messages import (
     VERSION,
@@ -559,8 +559,8 @@
         publisher.pause_writing(100.0, number)
     assert (
         publisher.take() == []
-        and len(publisher.snapshot_transfers) == 2
-        and len(publisher.awaiting_snapshot) == 3
+        and len(publisher.delivery.transfers.active) == 2
+        and len(publisher.delivery.transfers.waiting) == 3
     )
     publisher.disconnected(100.0, 3)  # one that waited is gone
     publisher.tick(100.0 + limits.write_stall_timeout_s + 1.0)  # those that don't read lose their place
@@ -571,7 +571,7 @@
     ]
     served = [o.connection_id for o in outputs if isinstance(o, publisher_module.Send)]
     assert sorted(set(served)) == [4, 5] and publisher.counts["snapshots_sent"] == 2
-    assert publisher.snapshot is None and not publisher.awaiting_snapshot
+    assert publisher.delivery.transfers.snapshot is None and not publisher.delivery.transfers.waiting
 
 
 def test_a_reader_that_never_reads_costs_no_memory_and_is_closed() -> None:
@@ -879,14 +879,14 @@
         publisher.tick(now)
         for output in drained(publisher):
             assert isinstance(output, publisher_module.Send) and isinstance(output.message, Delta)
-            sent += size(output.message.changes)
+            sent += encoded_size(output.message.changes)
             assert len(output.message.changes) == 1
     assert 9_000 <= sent <= 2_000 + 10_000 + 200
     assert publisher.counts["delayed"] > 50
     publisher.tick(now + limits.max_delta_delay_s)
     *_, final = drained(publisher)
     assert isinstance(final, publisher_module.Send) and isinstance(final.message, Delta)
-    assert final.message.revision == last and publisher.delayed == {}
+    assert final.message.revision == last and publisher.delivery.delayed == {}
 
 
 def test_a_debt_is_bounded_and_a_lost_node_waits_no_more() -> None:
@@ -914,9 +914,9 @@
     log.put("config/b", 2)
     publisher.source_advanced(110.0)
     drained(publisher)
-    assert list(publisher.delayed) == [1]
+    assert list(publisher.delivery.delayed) == [1]
     publisher.disconnected(110.0, 1)
-    assert publisher.delayed == {}
+    assert publisher.delivery.delayed == {}
 
 
 def test_deltas_for_readers_at_many_revisions_are_not_all_kept() -> None:
@@ -930,6 +930,6 @@
         publisher.pause_writing(100.0, value)
     for number in range(1, 21):
         publisher.resume_writing(100.0, number)
-        assert len(publisher.deltas) <= 4
+        assert len(publisher.delivery.deltas) <= 4
     sends = [o for o in drained(publisher) if isinstance(o, publisher_module.Send)]
     assert len(sends) == 19 and {type(send.message) for send in sends} == {Delta}
--- a/tests/test_observer_server.py
+++ b/tests/test_observer_server.py
@@ -24,7 +24,7 @@
 from gradegap.observer import server as server_module
 from gradegap.observer.client import ObserverClient
 from gradegap.observer.limits import Limits
-from gradegap.observer.link import EncodedBodyCache, TokenBucket, publisher_channel, subscriber_channel
+from gradegap.observer.link import EncodedBodyCache, publisher_channel, subscriber_channel
 from gradegap.observer.messages import (
     LARGEST_FRAME,
     VERSION,
@@ -42,6 +42,7 @@
 from gradegap.observer.server import PublisherServer
 from gradegap.observer.settings import ObserverMachine, ObserverSettings
 from gradegap.observer.subscriber import Phase, Subscriber
+from gradegap.observer.token_bucket import TokenBucket
 from gradegap.store import wire
 from gradegap.store.in_force import InForceTally
 from gradegap.store.machine import KeyUpdate
