--- a/gradegap/node/node.py
+++ b/gradegap/node/node.py
@@ -13,7 +13,8 @@
 import msgspec
 import structlog
 
-from gradegap.admin.http_api import CALLERS_MOST, DONE, AdminApi, Done, Verdict
+from gradegap.admin.http_api import CALLERS_MAX, AdminApi
+from gradegap.admin.operations import DONE, AdminResult, ResultCallback
 from gradegap.balancing.events import EndpointListKind
 from gradegap.balancing.settings import Settings
 from gradegap.discovery.http_discovery import HttpDiscovery
@@ -60,8 +61,8 @@
 STALE_WAIT = 0.5  # s after which a client that was refused for want of a lease may come again
 STORE_LEAVES = 0.3  # s in which a leader of the store hands over before its process leaves it
 LEAVE_AT_MOST = 0.2  # s before that at which the process ends, whatever stands
-UNKNOWN = Verdict(HTTPStatus.NOT_FOUND, "no such save server")
-NO_SUBSCRIPTION = Verdict(HTTPStatus.NOT_FOUND, "this node has no subscription: see [observer]")
+UNKNOWN = AdminResult(HTTPStatus.NOT_FOUND, "no such save server")
+NO_SUBSCRIPTION = AdminResult(HTTPStatus.NOT_FOUND, "this node has no subscription: see [observer]")
 READY_ANYWAY = 1.0  # s after which a node with the list of its configuration serves without discovery
 
 
@@ -111,7 +112,7 @@
         self.channels: set[TcpChannel] = set()
         self.ready = False
         self.leaving = False
-        self.console: AdminApi | None = None
+        self.admin_api: AdminApi | None = None
         self.again: asyncio.Task[None] | None = None
         self.late: list[asyncio.Task[None]] = []  # ports that wait for the process before to leave them
         self.snapshot = DisabledEndpointsFile(private_file(configuration.node, "snapshot"), self.metrics)
@@ -189,7 +190,7 @@
         except OSError as error:
             raise ConfigurationError(f"can't listen on {config.listen}: {error.strerror}") from None
         if config.admin_listen:
-            await self._start_console(config.admin_listen)
+            await self._start_admin_api(config.admin_listen)
         await self._accept()
         if following:
             self._get_ready()  # the list that it was told is the one in force
@@ -255,14 +256,14 @@
                     log.error("not started", error=str(error))
                     return
 
-    async def _start_console(self, address: str) -> None:
-        self.descriptors.reserve(CALLERS_MOST)
-        self.console = AdminApi(self, self.loop, self.metrics)
+    async def _start_admin_api(self, address: str) -> None:
+        self.descriptors.reserve(CALLERS_MAX)
+        self.admin_api = AdminApi(self, self.loop, self.metrics)
         try:
-            await self.console.start(*split_address(address))
+            await self.admin_api.start(*split_address(address))
         except OSError as error:
-            raise ConfigurationError(f"the console can't listen on {address}: {error.strerror}") from None
-        log.info("listening", console=address)
+            raise ConfigurationError(f"the admin API can't listen on {address}: {error.strerror}") from None
+        log.info("listening", admin=address)
 
     # What operators ask for
 
@@ -270,46 +271,46 @@
         """What PING is told: whether new clients are to come here."""
         return self.ready and self.proxy.drain_deadline is None and self._store_allows()
 
-    def ask_ready(self, done: Done) -> None:
-        done(DONE if self.ready else Verdict(HTTPStatus.SERVICE_UNAVAILABLE, "takes no clients"))
+    def report_ready(self, done: ResultCallback) -> None:
+        done(DONE if self.ready else AdminResult(HTTPStatus.SERVICE_UNAVAILABLE, "takes no clients"))
 
-    def ask_configuration(self, done: Done) -> None:
+    def report_configuration(self, done: ResultCallback) -> None:
         """Which committed revision this node decides by, and how old that is."""
         done(NO_SUBSCRIPTION if self.observed is None else self.observed.describe())
 
-    def ask_in_force(self, done: Done) -> None:
+    def report_in_force(self, done: ResultCallback) -> None:
         """Whether all nodes have what this one has."""
         if self.observed is None:
             done(NO_SUBSCRIPTION)
         else:
-            self.observed.ask_in_force(done)
+            self.observed.report_in_force(done)
 
     @property
     def observed(self) -> ObservedStore | None:
         """The subscription of this node, where it has one."""
         return cast("ObservedStore", self.store) if self.operator.observer is not None else None
 
-    def take_out(self, server: str, done: Done) -> None:
+    def disable_endpoint(self, server: str, done: ResultCallback) -> None:
         if len(self.proxy.disabled) >= MOST_OUT and server not in self.proxy.disabled:
-            done(Verdict(HTTPStatus.SERVICE_UNAVAILABLE, f"{MOST_OUT} save servers are out already"))
+            done(AdminResult(HTTPStatus.SERVICE_UNAVAILABLE, f"{MOST_OUT} save servers are out already"))
         else:
             self._by_hand("out", server, done)
 
-    def call_back(self, server: str, done: Done) -> None:
+    def enable_endpoint(self, server: str, done: ResultCallback) -> None:
         self._by_hand("back", server, done)
 
-    def _by_hand(self, what: str, server: str, done: Done) -> None:
+    def _by_hand(self, what: str, server: str, done: ResultCallback) -> None:
         b = self.proxy.endpoints.get(server)
         if b is None or b.entry is None:
             done(UNKNOWN)
         elif self.store is not None:
             # In force here as at every other node: once it is committed, and not before.
-            (self.store.take_out if what == "out" else self.store.call_back)(server, done)
+            (self.store.disable_endpoint if what == "out" else self.store.enable_endpoint)(server, done)
         else:
             self.obey(what, server)
             self._both(what, server, done)
 
-    def _both(self, what: str, server: str, done: Done) -> None:
+    def _both(self, what: str, server: str, done: ResultCallback) -> None:
         """Yes, once it is in force in each process of this node."""
         self.handover.order(what, server, lambda: done(DONE))
 
@@ -325,17 +326,17 @@
             case "stay":
                 self.proxy.stop_draining()
 
-    def out_of_service(self, done: Done) -> None:
+    def start_draining(self, done: ResultCallback) -> None:
         self.proxy.start_draining(DRAIN_MOVES)
         self._state_changed("drain", done)
 
-    def in_service(self, done: Done) -> None:
+    def stop_draining(self, done: ResultCallback) -> None:
         self.proxy.stop_draining()
         self._state_changed("stay", done)
 
-    def _state_changed(self, what: str, done: Done) -> None:
+    def _state_changed(self, what: str, done: ResultCallback) -> None:
         if self.leaving and self.handover.link is None:
-            done(Verdict(HTTPStatus.SERVICE_UNAVAILABLE, "this process is leaving"))
+            done(AdminResult(HTTPStatus.SERVICE_UNAVAILABLE, "this process is leaving"))
             return
         out = self.proxy.drain_deadline is not None
         self.metrics.count("calls_out_of_service" if out else "calls_in_service")
@@ -560,8 +561,8 @@
 
     def _end(self) -> None:
         self.handover.close()
-        if self.console is not None:
-            self.console.close()
+        if self.admin_api is not None:
+            self.admin_api.close()
         if self.listening is not None:
             self.listening.close()
         if self.server is not None:
--- a/gradegap/observer/attached.py
+++ b/gradegap/observer/attached.py
@@ -13,7 +13,7 @@
 
 import structlog
 
-from gradegap.admin.http_api import DONE, Done, Verdict
+from gradegap.admin.operations import DONE, AdminResult, ResultCallback
 from gradegap.metrics import Metrics
 from gradegap.observer.client import ObserverClient
 from gradegap.observer.messages import Change
@@ -159,25 +159,25 @@
 
     # What operators ask of the node
 
-    def take_out(self, server: str, done: Done) -> None:
+    def disable_endpoint(self, server: str, done: ResultCallback) -> None:
         """Yes, once it is committed and no node decides without it."""
         self._write(self.committed.out_by_hand(server, self.settings.name), done)
 
-    def call_back(self, server: str, done: Done) -> None:
+    def enable_endpoint(self, server: str, done: ResultCallback) -> None:
         """Yes, once it is committed and in force at every node that decides."""
         self._write(self.committed.back_by_hand(server), done)
 
-    def _write(self, op: KeyUpdate, done: Done) -> None:
+    def _write(self, op: KeyUpdate, done: ResultCallback) -> None:
         def answered(answer: wire.Response) -> None:
             if answer.outcome == "ok":
                 done(DONE)
             else:
                 remedy = "" if self.fresh() else f"; {REMEDY}"
-                done(Verdict(HTTPStatus.SERVICE_UNAVAILABLE, f"{answer.text}{remedy}"))
+                done(AdminResult(HTTPStatus.SERVICE_UNAVAILABLE, f"{answer.text}{remedy}"))
 
         self.client.request(wire.Transaction((op,), author="console"), answered, ADMIN_CALL_TIMEOUT_S)
 
-    def describe(self) -> Verdict:
+    def describe(self) -> AdminResult:
         """Which revision is in force here, how old that is, and who serves it, for the console."""
         client = self.client
         if not client.revision:
@@ -186,17 +186,17 @@
             by = f"from {client.machine}" if client.machine else "no machine serves it"
             text = f"revision {client.revision}, confirmed {client.age:.1f} s ago, {by}"
         status = HTTPStatus.OK if self.fresh() else HTTPStatus.SERVICE_UNAVAILABLE
-        return Verdict(status, text)
+        return AdminResult(status, text)
 
-    def ask_in_force(self, done: Done) -> None:
+    def report_in_force(self, done: ResultCallback) -> None:
         """Yes, once all nodes have the revision that this one has; else who is missing."""
         revision = self.client.revision
 
         def answered(answer: wire.Response) -> None:
             if answer.outcome == "ok":
-                done(Verdict(HTTPStatus.OK, f"revision {revision} is {answer.text}"))
+                done(AdminResult(HTTPStatus.OK, f"revision {revision} is {answer.text}"))
             else:
-                done(Verdict(HTTPStatus.SERVICE_UNAVAILABLE, f"revision {revision}: {answer.text}"))
+                done(AdminResult(HTTPStatus.SERVICE_UNAVAILABLE, f"revision {revision}: {answer.text}"))
 
         self.client.request(wire.InForce(revision), answered, ADMIN_CALL_TIMEOUT_S)
 
--- a/gradegap/store/embedded.py
+++ b/gradegap/store/embedded.py
@@ -15,7 +15,7 @@
 
 import structlog
 
-from gradegap.admin.http_api import DONE, Done, Verdict
+from gradegap.admin.operations import DONE, AdminResult, ResultCallback
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
 from gradegap.store import wire
@@ -137,19 +137,19 @@
 
     # What operators ask of the node
 
-    def take_out(self, server: str, done: Done) -> None:
+    def disable_endpoint(self, server: str, done: ResultCallback) -> None:
         """Yes, once it is committed and every node with a lease obeys it."""
         self._write(self.committed.out_by_hand(server, self.settings.name), done)
 
-    def call_back(self, server: str, done: Done) -> None:
+    def enable_endpoint(self, server: str, done: ResultCallback) -> None:
         self._write(self.committed.back_by_hand(server), done)
 
-    def _write(self, op: KeyUpdate, done: Done) -> None:
+    def _write(self, op: KeyUpdate, done: ResultCallback) -> None:
         def answered(answer: wire.Response) -> None:
             if answer.outcome == "ok":
                 done(DONE)
             else:
-                done(Verdict(HTTPStatus.SERVICE_UNAVAILABLE, answer.text))
+                done(AdminResult(HTTPStatus.SERVICE_UNAVAILABLE, answer.text))
 
         self.daemon.service.request(wire.Transaction((op,), author="console"), answered, ADMIN_CALL_TIMEOUT_S)
 
--- a/tests/compatibility/surface.py
+++ b/tests/compatibility/surface.py
@@ -14,7 +14,7 @@
 import msgspec
 import typer
 
-from gradegap.admin import http_api
+from gradegap.admin import routes
 from gradegap.balancing import settings_reader
 from gradegap.balancing.settings import Settings
 from gradegap.capture import records
@@ -28,13 +28,13 @@
 
 # By method of the admin API's node: what the call is for.
 OPERATIONS = {
-    "ask_ready": "ready",
-    "take_out": "take a save server out",
-    "call_back": "call a save server back",
-    "out_of_service": "out of service",
-    "in_service": "in service",
-    "ask_configuration": "configuration",
-    "ask_in_force": "in force",
+    "report_ready": "ready",
+    "disable_endpoint": "take a save server out",
+    "enable_endpoint": "call a save server back",
+    "start_draining": "out of service",
+    "stop_draining": "in service",
+    "report_configuration": "configuration",
+    "report_in_force": "in force",
 }
 
 
@@ -147,9 +147,9 @@
     """What a call at the admin API is for, with the save server that it names; or its status and `Allow`."""
     node = _Operations()
     try:
-        http_api.route(node, method, target.encode())(lambda answer: None)
-    except http_api.NoCall as error:
-        return [error.verdict.status.value, error.allow]
+        routes.route(node, method, target.encode())(lambda answer: None)
+    except routes.InvalidCallError as error:
+        return [error.result.status.value, error.allow]
     return node.called
 
 
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from gradegap.admin.http_api import CALLERS_MOST
+from gradegap.admin.http_api import CALLERS_MAX
 from gradegap.metrics import Metrics
 from gradegap.store.disabled_endpoints import DisabledEndpointsFile
 from tests.world import BUSY_MACHINE, Backend, Client, World, free_port, wait_for, world
@@ -76,13 +76,13 @@
 def test_callers_that_hold_their_connection_shut_nobody_out(tmp_path: Path) -> None:
     """Guards the descriptors and the calls of others: they once had no console at all."""
     with served(tmp_path, [Backend("a")]) as (w, console):
-        held = [Client(console) for _ in range(3 * CALLERS_MOST)]
+        held = [Client(console) for _ in range(3 * CALLERS_MAX)]
         for each in held:
             each.send(b"PUT /control/in-ser")
         assert call(console, "ready", "GET") == 200
         assert call(console, "out-of-service") == 200
         assert w.client().ask() == "UP a"
-        wait_for(lambda: int(w.counters()["console_made_way"]) >= 2 * CALLERS_MOST)
+        wait_for(lambda: int(w.counters()["console_made_way"]) >= 2 * CALLERS_MAX)
         assert held[0].line().startswith("HTTP/1.1 503")
 
 
