--- a/gradegap/verification/observer_invariants.py
+++ b/gradegap/verification/observer_invariants.py
@@ -10,7 +10,7 @@
 from gradegap.observer.messages import FromSubscriber, Renew
 from gradegap.observer.subscriber import Apply, Subscriber
 from gradegap.store.machine import StateMachine
-from gradegap.verification.invariants import InvariantError
+from gradegap.verification.errors import InvariantError
 
 
 class ObservedNode(Protocol):
--- a/gradegap/verification/observer_model.py
+++ b/gradegap/verification/observer_model.py
@@ -11,7 +11,7 @@
 
 from gradegap.observer.publisher import Publisher
 from gradegap.observer.subscriber import Subscriber
-from gradegap.verification.invariants import InvariantError
+from gradegap.verification.errors import InvariantError
 from gradegap.verification.observer_cluster import Cluster
 from gradegap.verification.observer_fault_injector import FaultInjector
 from gradegap.verification.observer_faults import LIMITS, MAX_CLOCK_DRIFT, NO_FAULTS, Faults
--- a/gradegap/verification/observer_mutations.py
+++ b/gradegap/verification/observer_mutations.py
@@ -12,7 +12,7 @@
 from gradegap.observer.subscriber import Apply, Send, Subscriber
 from gradegap.observer.subscriptions import Subscription
 from gradegap.store.in_force import MachineReport
-from gradegap.verification.invariants import InvariantError
+from gradegap.verification.errors import InvariantError, Violation
 from gradegap.verification.observer_faults import Faults
 from gradegap.verification.observer_model import Model
 
@@ -245,8 +245,8 @@
 TOLERATED: dict[str, Mutation] = {"accepts nodes ahead": Mutation("", publisher=AcceptsNodesAhead)}
 
 
-def find(mutation: Mutation, seeds: range, seconds: float = 15.0) -> tuple[int, str] | None:
-    """The first seed whose run shows the mistake, and the rule that it breaks."""
+def find(mutation: Mutation, seeds: range, seconds: float = 15.0) -> Violation | None:
+    """The first seed whose run shows the mutation, and the invariant that it breaks."""
     for seed in seeds:
         model = Model(
             seed,
@@ -258,6 +258,6 @@
         try:
             model.run(seconds)
             model.calm()
-        except InvariantError as breach:
-            return seed, str(breach)
+        except InvariantError as violation:
+            return Violation(seed, str(violation))
     return None
--- a/gradegap/verification/invariants.py
+++ b/gradegap/verification/raft_invariants.py
@@ -1,4 +1,4 @@
-"""What must hold of a cluster at every moment; a breach is raised with what was seen.
+"""What must hold of a cluster at every moment; a violation is raised with what was seen.
 
 Raft paper, figure 3: election safety, log matching, leader completeness, state machine safety; and two of
 this project's own: a lease excludes every other leader, and a confirmed read misses nothing acknowledged.
@@ -10,19 +10,16 @@
 from collections.abc import Iterable
 
 from gradegap.raft import Entry, EntryKind, Raft
+from gradegap.verification.errors import InvariantError
 
 
-class InvariantError(AssertionError):
-    """An invariant that does not hold; the text begins with its name."""
-
-
-def chain(before: bytes, entry: Entry) -> bytes:
+def chain_digest(before: bytes, entry: Entry) -> bytes:
     """A digest of a state: that of all entries up to this one, in order."""
-    said = f"{entry.index} {entry.term} {entry.kind}".encode() + entry.data
-    return hashlib.blake2b(before + said, digest_size=12).digest()
+    content = f"{entry.index} {entry.term} {entry.kind}".encode() + entry.data
+    return hashlib.blake2b(before + content, digest_size=12).digest()
 
 
-class Rules:
+class RaftInvariants:
     """Sees every member after every step, and remembers what was ever true."""
 
     def __init__(self) -> None:
@@ -31,7 +28,7 @@
         self.committed_in: dict[int, int] = {}  # by index: the term in which it was first known to be
         self.states: dict[int, bytes] = {}  # digest of the state after an index
         self.entries: dict[tuple[int, int], tuple[bytes, int]] = {}  # of (index, term): data, term before
-        self.seen: dict[int, tuple[int, int, int]] = {}  # by member object: what of its log was looked at
+        self.checked_logs: dict[int, tuple[int, int, int]] = {}  # by core's id: what of its log was checked
 
     def applied(self, entry: Entry, state: bytes) -> None:
         """State machine safety: no two members apply different entries at one index."""
@@ -61,7 +58,7 @@
     def _leader_completeness(self, member: Raft) -> None:
         log = member.log
         for index, entry in self.committed.items():
-            # A candidate may win an early term late; what was committed after that term binds it not.
+            # A candidate may win an early term late; what was committed after that term does not bind it.
             bound = self.committed_in.get(index, member.term) < member.term
             if bound and index > log.base.index and log.term_at(index) != entry.term:
                 raise InvariantError(
@@ -70,10 +67,10 @@
 
     def _log_matching(self, member: Raft) -> None:
         log = member.log
-        mark = (log.base.index, log.last_index, log.last_term)
-        if self.seen.get(id(member)) == mark:
+        extent = (log.base.index, log.last_index, log.last_term)
+        if self.checked_logs.get(id(member)) == extent:
             return
-        self.seen[id(member)] = mark
+        self.checked_logs[id(member)] = extent
         before = log.base.term
         for entry in log.entries:
             known = self.entries.setdefault((entry.index, entry.term), (entry.data, before))
@@ -104,11 +101,11 @@
         """The last index that any member knows to be committed."""
         return max(self.committed, default=0)
 
-    def read(self, member: str, index: int, least: int) -> None:
-        """A confirmed read sees all that was committed before it was asked."""
-        if index < least:
+    def read(self, member: str, commit_index: int, least: int) -> None:
+        """A confirmed read sees all that was committed before it was requested."""
+        if commit_index < least:
             raise InvariantError(
-                f"stale-read: {member} read at {index}, but {least} was committed before it asked"
+                f"stale-read: {member} read at {commit_index}, but {least} was committed before it asked"
             )
 
     def leases(self, holders: Iterable[tuple[Raft, float]]) -> None:
@@ -132,5 +129,5 @@
 
     def commands(self) -> list[bytes]:
         """The commands that are committed, in their order."""
-        ordered = (self.committed[i] for i in sorted(self.committed))
-        return [e.data for e in ordered if e.kind is EntryKind.COMMAND]
+        ordered = (self.committed[index] for index in sorted(self.committed))
+        return [entry.data for entry in ordered if entry.kind is EntryKind.COMMAND]
--- a/gradegap/verification/mutations.py
+++ b/gradegap/verification/raft_mutations.py
@@ -1,11 +1,13 @@
-"""Known mistakes in consensus cores, one class each, to see that the simulator finds them.
+"""Known mistakes in consensus cores, one class each, to see that the checkers find them.
 
-Each was made by somebody: in first versions of Raft implementations, or on the way here. `faults` names
-what a run must have for the mistake to show within few seeds.
+Each was made by somebody: in first versions of Raft implementations, or on the way here.
 """
 
 from __future__ import annotations
 
+import dataclasses
+from dataclasses import dataclass
+
 import msgspec
 
 from gradegap.raft import (
@@ -34,7 +36,9 @@
 from gradegap.raft.membership import Membership
 from gradegap.raft.read_index import ReadIndexQueue
 from gradegap.raft.replication import Replication
-from gradegap.verification.simulator import Faults, Sim
+from gradegap.verification.errors import Violation
+from gradegap.verification.raft_faults import SMALL_LIMITS, Faults
+from gradegap.verification.simulator import Simulation
 
 
 class VoteNotSynced(Raft):
@@ -186,15 +190,15 @@
     election_type = _Election
 
 
-class LeaseKeptWhileHandingOver(Raft):
+class LeaseKeptDuringTransfer(Raft):
     """The leader tells another to lead, and still counts on nobody else being elected."""
 
-    class _Handover(LeadershipTransfer):
+    class _Transfer(LeadershipTransfer):
         def proceed(self) -> None:
             super().proceed()
             self.timeout_sent = False
 
-    leadership_transfer_type = _Handover
+    leadership_transfer_type = _Transfer
 
 
 class ReadsUnconfirmed(Raft):
@@ -279,14 +283,14 @@
 
     def __init__(
         self,
-        me: str,
+        member_id: str,
         now: float,
         seed: int,
         base: SnapshotMetadata,
         entries: list[Entry] | None = None,
         *more: object,
     ) -> None:
-        super().__init__(me, now, seed, base, entries, *more)  # type: ignore[arg-type]
+        super().__init__(member_id, now, seed, base, entries, *more)  # type: ignore[arg-type]
         if base.index:
             self.log = Log(base, [])
             self.stable_index = self.log.last_index
@@ -308,48 +312,64 @@
     replication_type = _Replication
 
 
-EVERYTHING = Faults()
-MEMBERS = Faults(change=9.0, crash=0.5, cut=2.5, pause=0.0)
-SMALL = RaftSettings(max_message_bytes=60, max_inflight_messages=4, snapshot_chunk_bytes=5)
-DRIFT = RaftSettings(
-    max_message_bytes=60, max_inflight_messages=4, snapshot_chunk_bytes=5, max_clock_drift=0.4
+ALL_FAULTS = Faults()
+MEMBERSHIP_CHANGES = Faults(membership_change=9.0, crash=0.5, partition=2.5, pause=0.0)
+LARGE_DRIFT = dataclasses.replace(SMALL_LIMITS, max_clock_drift=0.4)
+SLOW_DISKS = Faults(
+    crash=3.0,
+    partition=2.0,
+    pause=0.0,
+    membership_change=0.0,
+    slow_sync=0.5,
+    proposals_per_s=30.0,
+    restart_delays_s=(0.0, 0.05),
+)
+PARTITIONS = Faults(
+    crash=0.0, pause=0.0, partition=3.0, membership_change=0.0, transfer=0.0, proposals_per_s=5.0
 )
-AT_ONCE = (0.0, 0.05)
-SLOW_DISKS = Faults(crash=3.0, cut=2.0, pause=0.0, change=0.0, slow_sync=0.5, load=30.0, away=AT_ONCE)
-CUT_OFF = Faults(crash=0.0, pause=0.0, cut=3.0, change=0.0, transfer=0.0, load=5.0)
-ANSWERS = Faults(crash=0.0, pause=1.0, cut=3.0, change=0.0, transfer=0.0, late=0.2)
-HANDING = Faults(transfer=3.0, crash=0.0, pause=1.0, change=0.0)
-
-# What shows each: the number of members, the faults and the settings of the run. Some show in no run of
-# this kind that is short enough; `explore` walks to them, or a test leads there step by step.
-BUGS: dict[type[Raft], tuple[int, Faults, RaftSettings]] = {
-    TermNotSynced: (3, SLOW_DISKS, SMALL),
-    VotesTwice: (3, EVERYTHING, SMALL),
-    VotesForStaleLogs: (3, EVERYTHING, SMALL),
-    CountsItselfTooEarly: (3, SLOW_DISKS, SMALL),
-    KeepsConflicts: (3, EVERYTHING, SMALL),
-    IgnoresWhatComesBefore: (3, EVERYTHING, SMALL),
-    CommitsBeyondWhatItMatched: (3, EVERYTHING, SMALL),
-    LeaseWithoutMargin: (3, CUT_OFF, DRIFT),
-    LeaseFromTheAnswer: (3, ANSWERS, SMALL),
-    LeaseKeptWhileHandingOver: (3, HANDING, SMALL),
-    ReadsUnconfirmed: (3, EVERYTHING, SMALL),
-    ReadsBeforeItsFirstCommit: (3, EVERYTHING, SMALL),
-    ChangesAtOnce: (3, MEMBERS, SMALL),
-    HalfIsEnough: (4, EVERYTHING, SMALL),
-    AppliesWhatIsNotCommitted: (3, EVERYTHING, SMALL),
-    SnapshotForgetsTheLog: (3, EVERYTHING, SMALL),
-    MatchFromTheLength: (3, EVERYTHING, SMALL),
+DELAYS = Faults(crash=0.0, pause=1.0, partition=3.0, membership_change=0.0, transfer=0.0, delay=0.2)
+TRANSFERS = Faults(transfer=3.0, crash=0.0, pause=1.0, membership_change=0.0)
+
+
+@dataclass(frozen=True, slots=True)
+class Trial:
+    """The run that shows a mutation within few seeds."""
+
+    faults: Faults = ALL_FAULTS
+    members: int = 3
+    settings: RaftSettings = SMALL_LIMITS
+
+
+# Some show in no run of this kind that is short enough: random walks of the model explorer come to them, or a
+# test leads there step by step.
+MUTATIONS: dict[type[Raft], Trial] = {
+    TermNotSynced: Trial(SLOW_DISKS),
+    VotesTwice: Trial(),
+    VotesForStaleLogs: Trial(),
+    CountsItselfTooEarly: Trial(SLOW_DISKS),
+    KeepsConflicts: Trial(),
+    IgnoresWhatComesBefore: Trial(),
+    CommitsBeyondWhatItMatched: Trial(),
+    LeaseWithoutMargin: Trial(PARTITIONS, settings=LARGE_DRIFT),
+    LeaseFromTheAnswer: Trial(DELAYS),
+    LeaseKeptDuringTransfer: Trial(TRANSFERS),
+    ReadsUnconfirmed: Trial(),
+    ReadsBeforeItsFirstCommit: Trial(),
+    ChangesAtOnce: Trial(MEMBERSHIP_CHANGES),
+    HalfIsEnough: Trial(members=4),
+    AppliesWhatIsNotCommitted: Trial(),
+    SnapshotForgetsTheLog: Trial(),
+    MatchFromTheLength: Trial(),
 }
-BY_WALKS: tuple[type[Raft], ...] = (VoteNotSynced, StaleAnswersCount, VotesTwice)
+FOUND_BY_WALKS: tuple[type[Raft], ...] = (VoteNotSynced, StaleAnswersCount, VotesTwice)
 
 
-def find(bug: type[Raft], seeds: range, seconds: float = 20.0) -> tuple[int, str] | None:
-    """The first seed whose run shows the mistake, and the rule that it breaks."""
-    members, faults, settings = BUGS[bug]
+def find(mutation: type[Raft], seeds: range, seconds: float = 20.0) -> Violation | None:
+    """The first seed whose run shows the mutation, and the invariant that it breaks."""
+    trial = MUTATIONS[mutation]
     for seed in seeds:
         try:
-            Sim(seed, members, bug, faults, settings).run(seconds)
-        except AssertionError as breach:
-            return seed, str(breach)
+            Simulation(seed, trial.members, mutation, trial.faults, trial.settings).run(seconds)
+        except AssertionError as violation:
+            return Violation(seed, str(violation))
     return None
--- a/tests/test_observer_model.py
+++ b/tests/test_observer_model.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from gradegap.verification.invariants import InvariantError
+from gradegap.verification.errors import InvariantError
 from gradegap.verification.observer_faults import Faults
 from gradegap.verification.observer_model import Model
 from gradegap.verification.observer_mutations import LOSSES, MUTATIONS, REPEATS, RESTARTS, TOLERATED, find
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("batch", range(4))
-def test_no_run_breaks_a_rule_and_all_are_level_after_it(batch: int) -> None:
+def test_no_run_breaks_an_invariant_and_all_are_level_after_it(batch: int) -> None:
     for run in range(batch * RUNS // 4, (batch + 1) * RUNS // 4):
         seed = run if run % 2 else SEED + run  # half of them known, half new
         machines, nodes = SIZES[run % len(SIZES)]
@@ -34,8 +34,8 @@
         try:
             model.run(SECONDS)
             model.calm()
-        except InvariantError as breach:
-            raise AssertionError(f"seed {seed}, run {run}: {breach}") from breach
+        except InvariantError as violation:
+            raise AssertionError(f"seed {seed}, run {run}: {violation}") from violation
         print(f"seed {seed}, run {run}: {model.invariants.acknowledgements} writes acknowledged")
         assert model.invariants.acknowledgements > 20 and model.invariants.fresh_looks > 1000
         assert model.counts["snapshots"] > 0 and model.counts["deltas"] > 20 and model.counts["in force"] > 0
@@ -56,10 +56,10 @@
     found = find(mutation, range(40))
     assert found is not None, "no seed shows it"
     print(name, found)
-    seed, breach = found
-    assert breach.startswith(mutation.rule), f"seed {seed} breaks another invariant: {breach}"
+    seed, violation = found
+    assert violation.startswith(mutation.rule), f"seed {seed} breaks another invariant: {violation}"
 
 
 @pytest.mark.parametrize("name", TOLERATED)
-def test_a_mistake_of_one_side_that_the_other_bears_breaks_no_rule(name: str) -> None:
+def test_a_mistake_of_one_side_that_the_other_bears_breaks_no_invariant(name: str) -> None:
     assert find(TOLERATED[name], range(4)) is None
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -1,7 +1,8 @@
-"""The consensus core under the simulator and the explorer; and these under planted mistakes."""
+"""The consensus core under the simulator and the explorer; and these under mutations."""
 
 from __future__ import annotations
 
+import dataclasses
 import random
 
 import pytest
@@ -22,40 +23,57 @@
 )
 from gradegap.raft.entries import encode_configuration
 from gradegap.raft.log import Log
-from gradegap.verification.invariants import InvariantError
-from gradegap.verification.model_explorer import ELECTIONS, Bounds, Case, explore, find_by_walks, walk
-from gradegap.verification.mutations import (
-    BUGS,
-    BY_WALKS,
+from gradegap.verification.errors import InvariantError
+from gradegap.verification.model_explorer import (
+    ELECTIONS,
+    Bounds,
+    ClusterState,
+    Crash,
+    Deliver,
+    Heartbeat,
+    Timeout,
+    explore,
+    find_by_walks,
+    walk,
+)
+from gradegap.verification.raft_faults import NO_FAULTS, Faults
+from gradegap.verification.raft_mutations import (
+    FOUND_BY_WALKS,
+    MUTATIONS,
     CommitsEarlierTerms,
     PromiseForgottenAtRestart,
     find,
 )
-from gradegap.verification.simulator import Faults, Sim
+from gradegap.verification.simulator import Simulation
 
 RUNS = 40  # seeds of the simulator in one run of the tests
 SECONDS = 15.0
 SEED = random.SystemRandom().randrange(1 << 30)  # printed with a failure: replay by setting it here
-MIXES = [Faults(), Faults(change=3.0), Faults(crash=2.5, away=(0.0, 0.3)), Faults(cut=3.0, late=0.2)]
+MIXES = [
+    Faults(),
+    Faults(membership_change=3.0),
+    Faults(crash=2.5, restart_delays_s=(0.0, 0.3)),
+    Faults(partition=3.0, delay=0.2),
+]
 
 
 @pytest.mark.parametrize("batch", range(4))
-def test_no_run_breaks_a_rule_and_all_come_to_one_state(batch: int) -> None:
+def test_no_run_breaks_an_invariant_and_all_come_to_one_state(batch: int) -> None:
     for k in range(batch * RUNS // 4, (batch + 1) * RUNS // 4):
         seed = k if k % 2 else SEED + k  # half of them known, half new
-        sim = Sim(seed, (3, 3, 5)[k % 3], faults=MIXES[k % len(MIXES)])
+        sim = Simulation(seed, (3, 3, 5)[k % 3], faults=MIXES[k % len(MIXES)])
         try:
             sim.run(SECONDS)
             sim.calm()
-        except AssertionError as breach:
-            raise AssertionError(f"seed {seed}, run {k}: {breach}") from breach
-        commands = set(sim.rules.commands())
+        except AssertionError as violation:
+            raise AssertionError(f"seed {seed}, run {k}: {violation}") from violation
+        commands = set(sim.invariants.commands())
         assert commands and all(data in commands for data in sim.acknowledged())
 
 
 def test_the_same_seed_gives_the_same_run() -> None:
     def run() -> str:
-        sim = Sim(7)
+        sim = Simulation(7)
         sim.run(10.0)
         return sim.digest()
 
@@ -65,66 +83,66 @@
 @pytest.mark.parametrize("seed", [5001, 5129, 5481])
 def test_a_leader_that_removes_itself_leaves_no_cluster_without_one(seed: int) -> None:
     """The one that was removed alone had the log to be elected with, and did not stand for it."""
-    sim = Sim(seed, (3, 3, 5)[seed % 3], faults=MIXES[seed % len(MIXES)])
+    sim = Simulation(seed, (3, 3, 5)[seed % 3], faults=MIXES[seed % len(MIXES)])
     sim.run(SECONDS)
     sim.calm()
 
 
-@pytest.mark.parametrize("bug", list(BUGS), ids=lambda b: b.__name__)
-def test_the_simulator_finds_what_is_planted(bug: type[Raft]) -> None:
-    found = find(bug, range(120))
+@pytest.mark.parametrize("mutation", list(MUTATIONS), ids=lambda b: b.__name__)
+def test_the_simulator_finds_each_mutation(mutation: type[Raft]) -> None:
+    found = find(mutation, range(120))
     assert found is not None, "no seed shows it"
-    print(bug.__name__, found)
+    print(mutation.__name__, found)
 
 
-@pytest.mark.parametrize("bug", BY_WALKS, ids=lambda b: b.__name__)
-def test_random_walks_find_what_is_planted(bug: type[Raft]) -> None:
-    assert find_by_walks(bug, range(4000), ELECTIONS) is not None
+@pytest.mark.parametrize("mutation", FOUND_BY_WALKS, ids=lambda b: b.__name__)
+def test_random_walks_find_each_mutation(mutation: type[Raft]) -> None:
+    assert find_by_walks(mutation, range(4000), ELECTIONS) is not None
 
 
 def test_random_walks_find_nothing_in_the_core_itself() -> None:
     assert find_by_walks(Raft, range(600), ELECTIONS) is None
     for seed in range(SEED, SEED + 400):
-        walk(seed)  # a breach names the seed by its traceback's values; SEED is printed by pytest
+        walk(seed)  # a violation names the seed by its traceback's values; SEED is printed by pytest
 
 
 def test_every_order_of_a_small_case_is_safe() -> None:
-    seen = explore(bounds=Bounds(term=1, commands=1, crashes=0, beats=0, timeouts=1, flying=3))
-    assert seen.whole and seen.states > 2000, seen
-    more = explore(bounds=Bounds(term=2, commands=1, crashes=1, beats=1, flying=5), most=2500)
+    seen = explore(bounds=Bounds(term=1, commands=1, crashes=0, heartbeats=0, timeouts=1, messages=3))
+    assert seen.complete and seen.states > 2000, seen
+    more = explore(bounds=Bounds(term=2, commands=1, crashes=1, heartbeats=1, messages=5), max_states=2500)
     assert more.states == 2500
 
 
-def elect(case: Case, who: str, among: set[str]) -> None:
+def elect(case: ClusterState, who: str, among: set[str]) -> None:
     """`who` comes to lead with the votes of `among`; nothing else of what was said arrives."""
     for _ in range(4):
         if case.members[who].is_leader:
             break
-        case.act(("timeout", who))
+        case.act(Timeout(who))
         for _ in range(20):
-            at = [k for k, (a, b, _) in enumerate(case.flying) if a in among and b in among]
+            at = [k for k, (a, b, _) in enumerate(case.messages) if a in among and b in among]
             if not at or case.members[who].is_leader:
                 break
-            case.act(("deliver", at[0]))
+            case.act(Deliver(at[0]))
     assert case.members[who].is_leader
 
 
 @pytest.mark.parametrize("core", [Raft, CommitsEarlierTerms])
 def test_an_entry_of_an_earlier_term_is_committed_by_a_later_one_only(core: type[Raft]) -> None:
     """Figure 8 of the Raft paper, with three members."""
-    case = Case(core, Bounds())
+    case = ClusterState(core, Bounds())
     elect(case, "m0", {"m0", "m2"})
-    case.flying.clear()
-    case.act(("crash", "m0"))
+    case.messages.clear()
+    case.act(Crash("m0"))
     elect(case, "m1", {"m1", "m2"})
-    case.flying.clear()
-    case.act(("crash", "m1"))
+    case.messages.clear()
+    case.act(Crash("m1"))
     elect(case, "m0", {"m0", "m2"})
     while case.members["m2"].log.last_index < 1 or case.members["m0"].peers["m2"].match_index < 1:
-        at = [k for k, (a, b, _) in enumerate(case.flying) if {a, b} == {"m0", "m2"}]
-        case.act(("deliver", at[0]) if at else ("beat", "m0"))
-    case.flying.clear()
-    case.act(("crash", "m0"))
+        at = [k for k, (a, b, _) in enumerate(case.messages) if {a, b} == {"m0", "m2"}]
+        case.act(Deliver(at[0]) if at else Heartbeat("m0"))
+    case.messages.clear()
+    case.act(Crash("m0"))
 
     def takes_over() -> None:
         elect(case, "m1", {"m1", "m2"})
@@ -139,17 +157,17 @@
 
 def restarted_within_a_promise(core: type[Raft], seed: int) -> None:
     """The leader is followed by one member; this starts anew, and hears a third, and the leader no more."""
-    sim = Sim(seed, 3, core, Faults(0, 0, 0, 0, 0, 0, 0, 0, 0, load=1e-9))
+    sim = Simulation(seed, 3, core, dataclasses.replace(NO_FAULTS, proposals_per_s=1e-9))
     sim.run(3.0)
     leader = sim.leader()
     assert leader is not None
-    follower, third = (n for n in sim.nodes.values() if n is not leader)
-    sim.cuts = {(a, b) for a in sim.nodes for b in sim.nodes if third.name in (a, b)}
+    follower, third = (n for n in sim.members.values() if n is not leader)
+    sim.broken_links = {(a, b) for a in sim.members for b in sim.members if third.name in (a, b)}
     sim.run(1.0)
     assert leader.raft is not None and leader.raft.is_leader
     follower.crash()
     follower.start()
-    sim.cuts = {(a, b) for a in sim.nodes for b in sim.nodes if leader.name in (a, b)}
+    sim.broken_links = {(a, b) for a in sim.members for b in sim.members if leader.name in (a, b)}
     sim.run(2.0)
     assert any(n.raft is not None and n.raft.is_leader for n in (follower, third))
 
