--- a/bench/capture.py
+++ b/bench/capture.py
@@ -24,8 +24,9 @@
 from gradegap.balancing.balancer import Balancer
 from gradegap.balancing.events import ConnectionInherited, RequestArrived
 from gradegap.capture import recording, records, replay, snapshot, state
-from gradegap.capture.recorder import Recorder, Tap
+from gradegap.capture.recorder import Recorder
 from gradegap.capture.settings import CaptureSettings
+from gradegap.capture.switch import RecordedBalancer
 from gradegap.metrics import Metrics
 from tests.test_capture import Day
 from tests.world import Backend, Client, World, wait_for
@@ -58,15 +59,15 @@
     set_up = CaptureSettings(str(folder), state_s=3600.0)
     made = Recorder(set_up, balancer, settings, 1, metrics, loop, lambda: told[0][0], "bench")
     made.begin()
-    tap = Tap(balancer, made)
+    tap = RecordedBalancer(balancer, made)
     began = time.process_time()
     for k, (at, event) in enumerate(told):
         tap.handle(at, event)
         if k % 2000 == 0:
-            while made.under_way > 8:
+            while made.pending > 8:
                 await asyncio.sleep(0.001)
     made.close()
-    while made.file is not None or made.under_way:
+    while not made.is_idle:
         await asyncio.sleep(0.001)
     return time.process_time() - began, metrics
 
--- a/gradegap/capture/redact.py
+++ b/gradegap/capture/redaction.py
@@ -1,26 +1,56 @@
-"""A capture without the ids that name players: keys, groups and tenants as a keyed hash, everywhere. No I/O.
+"""Ids that name players, as a keyed hash: while they are recorded, or in a file already written. No I/O.
 
-Groups are placed by a hash of their names, so a capture of a node that places groups decides otherwise once
-it is redacted; one that was recorded with `hide` needs no redaction.
+Groups are placed by a hash of their names, so a recording of a node that places groups decides otherwise once
+it is redacted; one whose ids were hashed when it was recorded needs no redaction.
 """
 
 from __future__ import annotations
 
+import hashlib
 from collections.abc import Callable, Iterator, Mapping
 from typing import Any
 
+from gradegap.balancing.events import ConnectionInherited, RequestArrived
 from gradegap.capture import frames, records, state
 from gradegap.capture.frames import Damage, Frame, FrameKind
 
+KEY_BYTES = 64  # of a key that are used, the most that BLAKE2b takes
+HASH_BYTES = 8
 
-def redact(data: bytes, word: Callable[[str], str]) -> bytes:
-    """The same file with `word(id)` in the place of each id; damaged bytes are left out."""
+
+class IdHasher:
+    """Hashes ids that name players.
+
+    A balancer that is given hashed ids decides by them, so a replay needs no others. Nodes that are to place
+    groups alike need one key.
+    """
+
+    def __init__(self, key: bytes) -> None:
+        self._key = key[:KEY_BYTES]
+
+    def hashed(self, text: str) -> str:
+        """The hash of an id in hexadecimal; empty for an empty one."""
+        if not text:
+            return ""
+        return hashlib.blake2b(text.encode(), key=self._key, digest_size=HASH_BYTES).hexdigest()
+
+    def event(self, event: Any) -> Any:
+        """The event with its ids hashed."""
+        if type(event) is RequestArrived:
+            return event._replace(key=self.hashed(event.key), group=self.hashed(event.group))
+        if type(event) is ConnectionInherited:
+            return event._replace(request=self.event(event.request))
+        return event
+
+
+def redact(data: bytes, hashed: Callable[[str], str]) -> bytes:
+    """The same file with `hashed(id)` in the place of each id; damaged bytes are left out."""
     sound = [frame for frame in frames.read(data) if not isinstance(frame, Damage)]
     known: dict[str, str] = {}
     for frame in sound:
         for text in _ids(frame):
             if isinstance(text, str) and text and text not in known:
-                known[text] = word(text)
+                known[text] = hashed(text)
     return frames.MAGIC + b"".join(
         frames.pack(f.kind, _redacted(f, known), f.record_count, f.first_number, f.first_at, f.last_at)
         for f in sound
@@ -28,12 +58,12 @@
 
 
 def _ids(frame: Frame) -> Iterator[Any]:
-    """What a frame holds where ids stand."""
+    """The ids that a frame holds: keys, groups and tenants."""
     if frame.kind is FrameKind.STEPS:
         for row in frame.body:
             if row[0] == "s" and row[3][0] in ("Request", "Inherited"):
                 event = records.event(row[3])
-                request = getattr(event, "request", event)
+                request = event.request if isinstance(event, ConnectionInherited) else event
                 yield from (request.key, request.group, request.tenant)
     elif frame.kind is FrameKind.STATE:
         yield from state.personal_ids(frame.body)
--- /dev/null
+++ b/gradegap/capture/switch.py
@@ -0,0 +1,94 @@
+"""Stands between the proxy and its balancer, and turns recording on and off while the node runs."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import structlog
+
+from gradegap.balancing.settings import Settings
+from gradegap.capture.recorder import Recorder
+from gradegap.capture.redaction import IdHasher
+from gradegap.capture.settings import CaptureSettings
+from gradegap.metrics import Metrics
+
+log = structlog.get_logger()
+
+
+class RecordedBalancer:
+    """A balancer whose events and actions are recorded while it has a recorder.
+
+    The proxy sees no difference.
+    """
+
+    def __init__(
+        self, balancer: Any, recorder: Recorder | None = None, hasher: IdHasher | None = None
+    ) -> None:
+        self.balancer, self.recorder, self.hasher = balancer, recorder, hasher
+
+    def handle(self, now: float, event: Any) -> list[Any]:
+        """The balancer's actions for this event, recorded."""
+        if self.hasher is not None:
+            event = self.hasher.event(event)
+        actions: list[Any] = self.balancer.handle(now, event)
+        if self.recorder is not None:
+            self.recorder.step(now, event, actions)
+        return actions
+
+    def adopt(self, settings: Settings) -> None:
+        """Give the balancer new settings, recorded."""
+        self.balancer.adopt(settings)
+        if self.recorder is not None:
+            self.recorder.adopted(settings)
+
+
+class RecordingSwitch:
+    """Recording on and off; puts a `RecordedBalancer` in the place of the proxy's balancer."""
+
+    def __init__(
+        self,
+        settings: CaptureSettings,
+        proxy: Any,
+        seed: int,
+        metrics: Metrics,
+        name: str,
+        hasher: IdHasher | None,
+    ) -> None:
+        self.settings, self.proxy, self.seed, self.metrics, self.name = settings, proxy, seed, metrics, name
+        self.recorded = proxy.balancer = RecordedBalancer(proxy.balancer, None, hasher)
+        metrics.gauge("capture_on", lambda: int(self.on))
+
+    @property
+    def on(self) -> bool:
+        """Whether a recording is under way."""
+        return self.recorded.recorder is not None and not self.recorded.recorder.closed
+
+    def set(self, on: bool) -> None:
+        """End the recording, or begin one; a folder that can't be written is logged, and nothing else."""
+        recorder = self.recorded.recorder
+        if on and not self.on:
+            self._begin()
+        elif not on and recorder is not None:
+            recorder.close()
+            self.recorded.recorder = None
+            log.info("recording ended")
+
+    def _begin(self) -> None:
+        recorder = Recorder(
+            self.settings,
+            self.recorded.balancer,
+            self.proxy.settings,
+            self.seed,
+            self.metrics,
+            self.proxy.loop,
+            self.proxy.now,
+            self.name,
+        )
+        try:
+            recorder.begin()
+        except OSError as error:
+            self.metrics.count("capture_failed")
+            log.error("recording failed", folder=self.settings.folder, error=str(error))
+            return
+        self.recorded.recorder = recorder
+        log.info("recording started", folder=self.settings.folder)
--- /dev/null
+++ b/gradegap/capture/writer.py
@@ -0,0 +1,139 @@
+"""Writes a recording: a ring of files, each with a start, a state and an index at its end.
+
+All of a `RecordingWriter` runs on one thread, the recorder's, and may wait for the disk.
+"""
+
+from __future__ import annotations
+
+import contextlib
+import os
+import time
+from collections.abc import Sequence
+from pathlib import Path
+from typing import IO, Any
+
+from gradegap.capture import frames, records
+from gradegap.capture.frames import FrameKind
+from gradegap.capture.index import Builder
+from gradegap.capture.settings import CaptureSettings
+from gradegap.metrics import Metrics
+
+SUFFIX = ".ggc"
+MEBIBYTE = 1024 * 1024
+
+# Number, clock, event and actions; or number, clock, None and the settings that were adopted.
+StepRow = tuple[int, float, Any, Any]
+
+
+class RecordingWriter:
+    """The files of one recording.
+
+    Nothing is written before the first state, with which each file begins. A method raises `OSError` where
+    the disk fails, and `FrameTooLargeError` for a frame that no reader would take.
+    """
+
+    def __init__(self, settings: CaptureSettings, metrics: Metrics) -> None:
+        self._settings, self._metrics = settings, metrics
+        self._folder = Path(settings.folder)
+        self._file: IO[bytes] | None = None
+        self._size = 0  # bytes of the file
+        self._parts = 0  # files begun
+        self._index = Builder()  # of the file
+        self._settings_written: dict[str, Any] | None = None  # those of the file's last START
+
+    @property
+    def is_open(self) -> bool:
+        """Whether a file is being written."""
+        return self._file is not None
+
+    def write_steps(self, rows: Sequence[StepRow]) -> None:
+        """Steps in order, as one frame."""
+        body: list[Any] = []
+        about: set[Any] = set()
+        changes_settings = False
+        for number, at, event, actions in rows:
+            if event is None:
+                changes_settings = True
+                body.append(["a", number, at, records.plain_settings(actions)])
+                continue
+            body.append(["s", number, at, records.plain(event), [records.plain(a) for a in actions]])
+            for value in (event, *actions):
+                about |= records.names(value)
+        first, first_at, last_at = rows[0][0], rows[0][1], rows[-1][1]
+        offset = self._write_frame(FrameKind.STEPS, body, len(body), first, first_at, last_at)
+        if offset is not None:
+            self._index.add(
+                offset, FrameKind.STEPS, first, len(body), first_at, last_at, changes_settings, about
+            )
+
+    def write_gap(self, first: int, count: int) -> None:
+        """The mark of steps that were dropped."""
+        offset = self._write_frame(FrameKind.GAP, {"dropped": count}, count, first)
+        if offset is not None:
+            self._index.add(offset, FrameKind.GAP, first, count)
+
+    def write_state(self, start: dict[str, Any], stored: dict[str, Any], number: int, at: float) -> None:
+        """A state before the step of that number; in a new file where there is none, or it is full."""
+        if self._file is None or self._size >= self._settings.part_mb * MEBIBYTE:
+            self.end_file()
+            self._begin_file(start["made"])
+        if start["settings"] != self._settings_written:
+            # Guards against a reload in a batch that was dropped: a state bears the settings it is under.
+            offset = self._write_frame(FrameKind.START, start, 0, number, at, at)
+            if offset is not None:
+                self._index.add(offset, FrameKind.START, number, 0, at, at)
+            self._settings_written = start["settings"]
+        offset = self._write_frame(FrameKind.STATE, stored, 0, number, at, at)
+        if offset is not None:
+            self._index.add(offset, FrameKind.STATE, number, 0, at, at)
+
+    def end_file(self) -> None:
+        """End the file in order, with its index behind its frames; a disk that fails is passed over."""
+        if self._file is not None:
+            with contextlib.suppress(OSError):
+                self._write(self._index.sealed(self._size))
+        file, self._file = self._file, None
+        if file is not None:
+            with contextlib.suppress(OSError):
+                file.close()
+
+    def _begin_file(self, made: float) -> None:
+        self._parts += 1
+        path = self._folder / f"{round(made * 1000):014d}-{os.getpid()}-{self._parts}{SUFFIX}"
+        self._file = path.open("xb", buffering=0)
+        self._size, self._index = 0, Builder()
+        self._write(frames.MAGIC)
+        self._remove_old(path)
+        self._settings_written = None
+
+    def _write(self, data: bytes) -> None:
+        if self._file is not None:
+            self._file.write(data)
+            self._size += len(data)
+            self._metrics.count("capture_bytes", len(data))
+
+    def _write_frame(
+        self,
+        kind: FrameKind,
+        body: Any,
+        record_count: int = 0,
+        first_number: int = 0,
+        first_at: float = 0.0,
+        last_at: float = 0.0,
+    ) -> int | None:
+        """Write a frame at the end of the file, and return its offset; None where there is no file."""
+        offset = self._size if self._file is not None else None
+        self._write(frames.pack(kind, body, record_count, first_number, first_at, last_at))
+        return offset
+
+    def _remove_old(self, newest: Path) -> None:
+        """Keep the ring's limits, in size and age; the file that is written stays."""
+        limit, kept = self._settings.total_mb * MEBIBYTE, 0
+        for path in sorted(self._folder.glob(f"*{SUFFIX}"), reverse=True):
+            with contextlib.suppress(OSError):
+                found = path.stat()
+                kept += found.st_size
+                expired = time.time() - found.st_mtime > self._settings.age_s
+                if path != newest and (expired or kept > limit):
+                    path.unlink()
+                    self._metrics.count("capture_files_removed")
--- a/gradegap/commands/capture.py
+++ b/gradegap/commands/capture.py
@@ -193,15 +193,15 @@
 @capture.command()
 def redact(file: str = FILE, out: str = OUT, key: str = KEY) -> None:
     """The same capture with a keyed hash for each id that names a player; says whether it still replays."""
-    from gradegap.capture.recorder import Hide
-    from gradegap.capture.redact import redact as redacted
+    from gradegap.capture.redaction import IdHasher
+    from gradegap.capture.redaction import redact as redacted
 
     try:
-        hide = Hide(Path(key).read_bytes().strip())
+        hasher = IdHasher(Path(key).read_bytes().strip())
     except OSError as error:
         raise stop(f"{key} can't be read: {error.strerror}") from None
     try:
-        data = redacted(whole(file), hide.word)
+        data = redacted(whole(file), hasher.hashed)
     except (BadRecordError, KeyError, TypeError, ValueError) as error:
         raise stop(f"it can't be redacted: {error}") from None
     write(out, index.sealed(data))
--- a/gradegap/node/node.py
+++ b/gradegap/node/node.py
@@ -38,7 +38,7 @@
 from gradegap.upstream.connections import Backends
 
 if TYPE_CHECKING:
-    from gradegap.capture.recorder import Switch
+    from gradegap.capture.switch import RecordingSwitch
     from gradegap.discovery.dns_sd_discovery import DnsSdDiscovery
     from gradegap.observer.attached import ObservedStore
     from gradegap.quic.listener import QuicListener
@@ -143,20 +143,21 @@
 
         return DnsSdDiscovery(self.proxy, self.operator.dnssd, self.metrics)
 
-    def _make_capture(self) -> Switch | None:
+    def _make_capture(self) -> RecordingSwitch | None:
         settings = self.operator.capture
         if settings is None:
             return None
-        from gradegap.capture.recorder import Hide, Switch
+        from gradegap.capture.redaction import IdHasher
+        from gradegap.capture.switch import RecordingSwitch
 
         try:
-            hide = Hide(Path(settings.hide).read_bytes().strip()) if settings.hide else None
+            hasher = IdHasher(Path(settings.hide).read_bytes().strip()) if settings.hide else None
         except OSError as error:
             raise ConfigurationError(
                 f"capture.hide: {settings.hide} can't be read: {error.strerror}"
             ) from None
         name, seed = self.configuration.node.name, self.configuration.seed
-        made = Switch(settings, self.proxy, seed, self.metrics, name, hide)
+        made = RecordingSwitch(settings, self.proxy, seed, self.metrics, name, hasher)
         self.live.key("capture", settings.on, made.set)
         return made
 
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -44,9 +44,11 @@
 from gradegap.capture import comparison, frames, recording, records, replay, state
 from gradegap.capture.errors import BadRecordError, BadRecordingError, BadStateError
 from gradegap.capture.frames import Damage, FrameKind
-from gradegap.capture.recorder import MOST_BATCHES, Hide, Recorder, Tap
-from gradegap.capture.redact import redact
+from gradegap.capture.recorder import MAX_PENDING_BATCHES, Recorder
+from gradegap.capture.redaction import IdHasher, redact
 from gradegap.capture.settings import CaptureSettings
+from gradegap.capture.switch import RecordedBalancer
+from gradegap.capture.writer import RecordingWriter
 from gradegap.metrics import Metrics
 from tests.helpers import settings
 from tests.mutants import mutant, mutated_copy
@@ -390,7 +392,7 @@
     day.live(400)
     steps = frames.pack(FrameKind.STEPS, day.steps[1:], len(day.steps) - 1, 1)
     data = day.start() + held + steps + day.state()
-    hidden = redact(data, Hide(b"0123456789abcdef").word)
+    hidden = redact(data, IdHasher(b"0123456789abcdef").hashed)
     shown = msgspec.msgpack.encode([f.body for f in frames.read(hidden) if not isinstance(f, Damage)])
     for word in ("k17", "k40", "g1", "g7"):
         assert msgspec.msgpack.encode(word) not in shown
@@ -407,9 +409,9 @@
     """Writes of a recorder that wait until the test lets them go."""
 
     def __init__(self, recorder: Recorder) -> None:
-        self.recorder, self.put = recorder, recorder._put
+        self.recorder, self.put = recorder, recorder.writer._write
         self.free = threading.Event()
-        recorder._put = self.write  # type: ignore[method-assign]
+        recorder.writer._write = self.write  # type: ignore[method-assign]
 
     def write(self, data: bytes) -> None:
         assert self.free.wait(60.0), "the test never let the disk go"
@@ -417,7 +419,7 @@
 
     async def catch_up(self) -> None:
         self.free.set()
-        while self.recorder.under_way:
+        while self.recorder.pending:
             await asyncio.sleep(0.001)
 
 
@@ -430,12 +432,12 @@
         set_up = CaptureSettings(str(folder), state_s=1.0, **changes)
         made = Recorder(set_up, day.balancer, day.settings, day.seed, metrics, loop, lambda: day.now, "n")
         disk = HeldDisk(made) if held else None
-        day.balancer = Tap(day.balancer, made)  # type: ignore[assignment]
+        day.balancer = RecordedBalancer(day.balancer, made)  # type: ignore[assignment]
         made.begin()
         for part in range(60):
             day.live(300)
             await asyncio.sleep(0)
-            while disk is None and made.under_way > MOST_BATCHES // 2:
+            while disk is None and made.pending > MAX_PENDING_BATCHES // 2:
                 await asyncio.sleep(0.001)  # this day is faster than any node's, and a thread is held up
             if disk is not None and part in (29, 59):
                 await disk.catch_up()
@@ -445,7 +447,7 @@
             await disk.catch_up()
             day.live(300)
         made.close()
-        while made.file is not None or made.under_way:
+        while not made.is_idle:
             await asyncio.sleep(0.01)
 
     asyncio.run(main())
@@ -478,22 +480,22 @@
         loop = asyncio.get_running_loop()
         set_up = CaptureSettings(str(tmp_path), state_s=1.0)
         made = Recorder(set_up, day.balancer, day.settings, day.seed, metrics, loop, lambda: day.now, "n")
-        tap = Tap(day.balancer, made)
+        tap = RecordedBalancer(day.balancer, made)
         day.balancer = tap  # type: ignore[assignment]
         made.begin()
         day.live(300)
         made._tick()
-        made.under_way += 100  # the disk is behind
+        made.pending += 100  # the disk is behind
         day.live(50)
         tap.adopt(changed)
         day.live(700)
-        made._hand_over()
-        made.under_way -= 100
-        made.state_at = 0.0
+        made._flush()
+        made.pending -= 100
+        made.state_due_at = 0.0
         made._tick()
         day.live(400)
         made.close()
-        while made.file is not None or made.under_way:
+        while not made.is_idle:
             await asyncio.sleep(0.01)
 
     asyncio.run(main())
@@ -507,18 +509,18 @@
 
 def test_a_full_disk_ends_the_recording_alone(tmp_path: Path) -> None:
     day = Day(8)
-    before = Recorder._put
+    before = RecordingWriter._write
 
-    def full(self: Recorder, data: bytes) -> None:
-        if self.size > 2000:
+    def full(self: RecordingWriter, data: bytes) -> None:
+        if self._size > 2000:
             raise OSError(28, "No space left on device")
         before(self, data)
 
-    Recorder._put = full  # type: ignore[method-assign]
+    RecordingWriter._write = full  # type: ignore[method-assign]
     try:
         metrics = recorded(tmp_path, day)
     finally:
-        Recorder._put = before  # type: ignore[method-assign]
+        RecordingWriter._write = before  # type: ignore[method-assign]
     assert metrics.counts["capture_failed"] == 1 and len(day.steps) > 15_000
 
 
@@ -531,11 +533,11 @@
 
 
 def test_hidden_ids_are_decided_by_and_say_nothing() -> None:
-    hide = Hide(b"0123456789abcdef")
-    one = hide.event(RequestArrived(1, "live", 2.0, key="player-17", group="guild"))
+    hasher = IdHasher(b"0123456789abcdef")
+    one = hasher.event(RequestArrived(1, "live", 2.0, key="player-17", group="guild"))
     assert "player" not in str(one) and "guild" not in str(one)
-    assert hide.event(RequestArrived(2, "live", 2.0, group="guild")).group == one.group
-    assert Hide(b"another key of it").word("guild") != one.group
+    assert hasher.event(RequestArrived(2, "live", 2.0, group="guild")).group == one.group
+    assert IdHasher(b"another key of it").hashed("guild") != one.group
 
 
 # A real node
--- a/tests/test_refused.py
+++ b/tests/test_refused.py
@@ -30,7 +30,7 @@
     with world(tmp_path, [b], capture, env, launcher=LAUNCHER) as w:
         clients = [w.client() for _ in range(450)]  # more than a state walked in place: one would be forked
         assert {c.ask() for c in clients} == {"UP a"}
-        wait_for(lambda: "processes are refused" in w.log.read_text(), 10.0)
+        wait_for(lambda: "fork refused" in w.log.read_text(), 10.0)
         before = int(w.counters().get("capture_bytes", 0))
         wait_for(
             lambda: int(w.counters().get("capture_bytes", 0)) > before + 10_000, 10.0
