--- a/gradegap/capture/recorder.py
+++ b/gradegap/capture/recorder.py
@@ -1,7 +1,7 @@
 """Records events and actions as they happen, and never waits for the disk.
 
 Steps are gathered on the event loop, and encoded, compressed and written by one thread. What that thread
-can't keep up with is dropped in whole batches and marked as a gap. A state follows, at which a replay goes on.
+can't keep up with is dropped in whole batches and marked as a gap. A state follows, so that a replay goes on.
 """
 
 from __future__ import annotations
