--- a/bench/observer.py
+++ b/bench/observer.py
@@ -33,7 +33,8 @@
 from gradegap.observer.source import MachineSource
 from gradegap.observer.subscriber import Send as NodeSend
 from gradegap.observer.subscriber import Subscriber
-from gradegap.store.machine import Command, KeyUpdate, LogRecord, StateMachine, encode
+from gradegap.store.machine import StateMachine
+from gradegap.store.records import Command, KeyUpdate, LogRecord, encode
 
 SIZES = (100, 500, 1000, 2000, 4000)
 SERVERS = 600  # keys under out/
--- a/bench/scale/faults.py
+++ b/bench/scale/faults.py
@@ -12,7 +12,7 @@
 from bench.scale.processes import Child
 from bench.scale.sessions import steady
 from bench.scale.storeclient import StoreClient
-from gradegap.store.machine import KeyUpdate
+from gradegap.store.records import KeyUpdate
 
 if TYPE_CHECKING:
     from bench.scale.control import ControlRun
--- a/bench/scale/load.py
+++ b/bench/scale/load.py
@@ -9,7 +9,7 @@
 
 from bench.scale.sessions import steady
 from bench.scale.storeclient import StoreClient, WriteRecord
-from gradegap.store.machine import KeyUpdate
+from gradegap.store.records import KeyUpdate
 
 WRITE_S = 15.0  # within which a change must be acknowledged
 MOST_OUT = 20  # servers out by hand at once
--- a/bench/scale/measure.py
+++ b/bench/scale/measure.py
@@ -15,6 +15,7 @@
 from hdrh.histogram import HdrHistogram
 
 from gradegap.store import wire
+from gradegap.store.channel import CHECKSUM_BYTES, LENGTH_BYTES, LinkChannel
 from gradegap.transport.descriptors import Descriptors
 from gradegap.transport.dialer import Dialer
 from gradegap.upstream.connections import Prober
@@ -47,7 +48,7 @@
         return self.sent.total() + self.received.total()
 
 
-class CountedChannel(wire.LinkChannel):
+class CountedChannel(LinkChannel):
     """One end of a link that counts what goes over it, by the type of the message."""
 
     traffic: Traffic
@@ -76,9 +77,9 @@
             self.traffic.received[kind_of(word)] += size
         return words, reply
 
-    def _frame(self) -> bytes | None:
-        head = wire.LENGTH_BYTES + (wire.CHECKSUM_BYTES if self.proven else 0)
-        body = super()._frame()
+    def _take_frame(self) -> bytes | None:
+        head = LENGTH_BYTES + (CHECKSUM_BYTES if self.authenticated else 0)
+        body = super()._take_frame()
         if body is not None:
             self.sizes.append(head + len(body))
         return body
--- a/bench/scale/sessions.py
+++ b/bench/scale/sessions.py
@@ -13,11 +13,11 @@
 from bench.scale.measure import CountedChannel, Traffic
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
+from gradegap.store.channel import LinkChannel
 from gradegap.store.dynamic_configuration import DynamicConfiguration
 from gradegap.store.embedded import EmbeddedStore
-from gradegap.store.machine import Event
+from gradegap.store.records import Event
 from gradegap.store.settings import Peer, StoreSettings
-from gradegap.store.wire import LinkChannel
 
 
 class MachineSpec(msgspec.Struct):
--- a/bench/scale/slopes_module.py
+++ b/bench/scale/slopes_module.py
@@ -28,8 +28,9 @@
 from gradegap.discovery.http_discovery import HttpDiscovery, PollConnection
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Attempt, ConnectPort, Endpoint, HealthCheckDone, Proxy
+from gradegap.store.channel import LinkChannel
 from gradegap.store.gossip import GossipExchange
-from gradegap.store.wire import Gossip, LinkChannel
+from gradegap.store.wire import Gossip
 from gradegap.transport.dialer import Dialer
 from tests.helpers import settings
 
@@ -279,7 +280,7 @@
     dialer = LinkChannel.open(b"secret", "member", True)
     acceptor = LinkChannel.open(b"secret", "member", False)
     to_acceptor, to_dialer = dialer.begin(), b""
-    while not (dialer.proven and acceptor.proven):
+    while not (dialer.authenticated and acceptor.authenticated):
         _, to_dialer = acceptor.receive(to_acceptor)
         _, to_acceptor = dialer.receive(to_dialer)
     return dialer, acceptor
--- a/bench/scale/slopes_observer.py
+++ b/bench/scale/slopes_observer.py
@@ -24,8 +24,8 @@
 from gradegap.observer.selection import MachineAddress
 from gradegap.observer.source import MachineSource
 from gradegap.observer.subscriber import Subscriber
-from gradegap.store import wire
-from gradegap.store.machine import KeyUpdate
+from gradegap.store.channel import CHECKSUM_BYTES, LENGTH_BYTES, frame_checksum
+from gradegap.store.records import KeyUpdate
 
 SUBSCRIBERS = (267, 800, 1_600)  # a sixth of all nodes, half of them, all
 KEYS = (200, 2_000, 12_000)
@@ -33,7 +33,7 @@
 ROUNDS = 10  # renewals of each subscriber in one repeat
 REPEATS = 5
 SUM_KEY = b"k" * 32
-FRAME = wire.LENGTH_BYTES + wire.CHECKSUM_BYTES
+FRAME = LENGTH_BYTES + CHECKSUM_BYTES
 LEASE_S = 1.0
 
 _encode = msgspec.msgpack.Encoder().encode
@@ -42,25 +42,20 @@
 
 
 class Link:
-    """The frames of one direction, with their sums, as `store/wire.py` makes them."""
+    """The frames of one direction, with their sums, as `store/channel.py` makes them."""
 
     def __init__(self) -> None:
-        self.channel = wire.LinkChannel.open(b"secret", "client", dials=True)
         self.number = 0
 
     def frame(self, body: bytes) -> bytes:
         """A body with its length and its sum."""
         self.number += 1
-        return (
-            len(body).to_bytes(wire.LENGTH_BYTES, "big")
-            + self.channel._sum(SUM_KEY, self.number, body)
-            + body
-        )
+        return len(body).to_bytes(LENGTH_BYTES, "big") + frame_checksum(SUM_KEY, self.number, body) + body
 
     def body(self, frame: bytes) -> bytes:
         """The body of a frame, its sum checked."""
         body = frame[FRAME:]
-        if self.channel._sum(SUM_KEY, self.number, body) != frame[wire.LENGTH_BYTES : FRAME]:
+        if frame_checksum(SUM_KEY, self.number, body) != frame[LENGTH_BYTES:FRAME]:
             raise ValueError("the sum of a frame is wrong")
         return body
 
--- a/bench/scale/slopes_store.py
+++ b/bench/scale/slopes_store.py
@@ -11,9 +11,10 @@
 from bench.scale.fit import point
 from bench.scale.results_file import Measurement, measured
 from bench.scale.slopes_module import proven_pair
-from gradegap.store import machine, wire
+from gradegap.store import records, state_snapshot, wire
 from gradegap.store.leases import LeaseGranter
-from gradegap.store.machine import Command, KeyUpdate, LogRecord, StateMachine
+from gradegap.store.machine import StateMachine
+from gradegap.store.records import Command, KeyUpdate, LogRecord
 
 KEYS = (12_000, 24_000, 48_000)  # more than the history keeps, so that it is full at each size
 VALUE_BYTES = (100, 1_000, 10_000)
@@ -29,7 +30,7 @@
     """An entry as the leader logs it; each comes a second after the one before."""
     time_ms = number * 1_000
     command = Command(f"client-{number:08d}", 1, time_ms + 1_000, "operator", (), ops)
-    return machine.encode(LogRecord(time_ms, time_ms, command))
+    return records.encode(LogRecord(time_ms, time_ms, command))
 
 
 def value(rng: Random, size: int = 48) -> dict[str, object]:
@@ -61,7 +62,7 @@
         spent, size = [], 0
         for _ in range(REPEATS):
             began = time.process_time()
-            size = len(machine.encode_snapshot(held.export_state()))
+            size = len(state_snapshot.encode_snapshot(held.export_state()))
             spent.append((time.process_time() - began) * 1e3)
         packed.append(point(keys, [float(size)]))
         packing.append(point(keys, spent))
--- a/bench/scale/storeclient.py
+++ b/bench/scale/storeclient.py
@@ -10,7 +10,9 @@
 
 from bench.scale.sessions import steady
 from gradegap.store import wire
-from gradegap.store.machine import KeyUpdate
+from gradegap.store.channel import LinkChannel
+from gradegap.store.errors import LinkError
+from gradegap.store.records import KeyUpdate
 from gradegap.transport.addresses import split_address
 
 CONNECT_S = 1.0
@@ -36,7 +38,7 @@
     """A client's link to one machine."""
 
     def __init__(self, secret: bytes) -> None:
-        self.channel = wire.LinkChannel.open(secret, "client", dials=True)
+        self.channel = LinkChannel.open(secret, "client", is_dialer=True)
         self.loop = asyncio.get_running_loop()
         self.proven: asyncio.Future[None] = self.loop.create_future()
         self.waiting: dict[int, asyncio.Future[wire.Response]] = {}
@@ -54,7 +56,7 @@
         words, reply = self.channel.receive(data)
         if reply:
             self.transport.write(reply)
-        if self.channel.proven and not self.proven.done():
+        if self.channel.authenticated and not self.proven.done():
             self.proven.set_result(None)
         for word in words:
             waits = self.waiting.pop(word.serial, None) if isinstance(word, wire.Response) else None
@@ -112,7 +114,7 @@
             try:
                 link = await self._connected()
                 answer = await link.ask(wire.Transaction((op,), author=author), min(TRY_S, left))
-            except (OSError, TimeoutError, wire.LinkError):
+            except (OSError, TimeoutError, LinkError):
                 record.outcome = "lost"
             else:
                 record.outcome, record.text, record.revision = answer.outcome, answer.text, answer.revision
@@ -146,7 +148,7 @@
 
 async def status(address: str, secret: bytes, within: float = 1.0) -> dict[str, Any]:
     """What one machine says of itself; empty where it can't be asked."""
-    with contextlib.suppress(OSError, TimeoutError, wire.LinkError):
+    with contextlib.suppress(OSError, TimeoutError, LinkError):
         link = await connect(address, secret)
         try:
             return (await link.ask(wire.Status(), within)).status
--- a/bench/store.py
+++ b/bench/store.py
@@ -26,8 +26,9 @@
 from hdrh.histogram import HdrHistogram
 
 from gradegap.store import wire
-from gradegap.store.machine import KeyUpdate
-from gradegap.store.member_client import RequestFailedError
+from gradegap.store.channel import LinkChannel
+from gradegap.store.errors import RequestFailedError
+from gradegap.store.records import KeyUpdate
 from tests.cluster import SECRET, Cluster
 from tests.world import Backend, World, free_port, wait_for
 
@@ -93,7 +94,7 @@
     """Writes one key after another over a link, each once the one before is committed."""
 
     def __init__(self, number: int, histogram: HdrHistogram, until: float) -> None:
-        self.channel = wire.LinkChannel.open(SECRET, "client", dials=True)
+        self.channel = LinkChannel.open(SECRET, "client", is_dialer=True)
         self.number, self.histogram, self.until = number, histogram, until
         self.serial = 0
         self.began = 0
@@ -108,10 +109,10 @@
 
     def data_received(self, data: bytes) -> None:
         """Count an answer, and write the next key."""
-        was = self.channel.proven
+        was = self.channel.authenticated
         words, reply = self.channel.receive(data)
         self.transport.write(reply)
-        if self.channel.proven and not was:
+        if self.channel.authenticated and not was:
             self.next()
         for word in words:
             assert isinstance(word, wire.Response)
--- a/gradegap/commands/resume.py
+++ b/gradegap/commands/resume.py
@@ -13,8 +13,8 @@
 from gradegap.quic.keys import RING_KEY as QUIC_RING
 from gradegap.quic.keys import QuicRing
 from gradegap.resume.token import RING, BadToken, Ring, digest, opened
-from gradegap.store.machine import Compare, Item, KeyUpdate
 from gradegap.store.member_client import MemberClient
+from gradegap.store.records import Compare, Item, KeyUpdate
 from gradegap.store.wire import Transaction
 
 keys = typer.Typer(help="Rings of keys that nodes share.", no_args_is_help=True)
--- a/gradegap/commands/store.py
+++ b/gradegap/commands/store.py
@@ -21,9 +21,9 @@
 from gradegap.node.operator_file import load_operator
 from gradegap.setting_checks import read_secret
 from gradegap.store import schema, wire
-from gradegap.store.machine import Compare, Event, Item, KeyUpdate
-from gradegap.store.member_client import MemberClient, RequestFailedError
-from gradegap.store.storage import FolderError
+from gradegap.store.errors import FolderError, RequestFailedError
+from gradegap.store.member_client import MemberClient
+from gradegap.store.records import Compare, Event, Item, KeyUpdate
 
 CODES = {"no": 1, "unreachable": 2, "unknown": 3, "no_quorum": 4}
 
--- a/gradegap/commands/store_server.py
+++ b/gradegap/commands/store_server.py
@@ -12,8 +12,9 @@
 from gradegap.node.operator_file import OperatorSettings
 from gradegap.node.subscriptions import subscription_server_factory
 from gradegap.setting_checks import read_secret
+from gradegap.store.errors import FolderError
 from gradegap.store.member import StoreMember
-from gradegap.store.storage import FolderError, data_folder
+from gradegap.store.storage import data_folder
 
 log = structlog.get_logger()
 
--- a/gradegap/node/node.py
+++ b/gradegap/node/node.py
@@ -435,7 +435,8 @@
     async def _start_store(self, settings: StoreSettings) -> None:
         # Loaded here: a node without a store does without its libraries' memory.
         from gradegap.store.embedded import EmbeddedStore
-        from gradegap.store.storage import FolderError, data_folder
+        from gradegap.store.errors import FolderError
+        from gradegap.store.storage import data_folder
 
         try:
             secret, place = read_secret(settings.secret, "store.secret"), data_folder(settings)
--- a/gradegap/observer/attached.py
+++ b/gradegap/observer/attached.py
@@ -27,7 +27,7 @@
     CommittedState,
 )
 from gradegap.store.dynamic_configuration import DynamicConfiguration
-from gradegap.store.machine import Item, KeyUpdate
+from gradegap.store.records import Item, KeyUpdate
 
 log = structlog.get_logger()
 
--- a/gradegap/observer/client.py
+++ b/gradegap/observer/client.py
@@ -30,6 +30,7 @@
 from gradegap.observer.token_bucket import TokenBucket
 from gradegap.setting_checks import read_secret
 from gradegap.store import wire
+from gradegap.store.errors import LinkError
 from gradegap.transport.addresses import split_address
 
 log = structlog.get_logger()
@@ -124,10 +125,10 @@
 
     def data_received(self, data: bytes) -> None:
         """Bytes of the other side."""
-        was_proven = self.channel.proven
+        was_proven = self.channel.authenticated
         try:
             messages, reply = self.channel.receive(data)
-        except wire.LinkError as error:
+        except LinkError as error:
             self.close()
             self.client.connection_lost(self, str(error))
             return
@@ -135,14 +136,14 @@
             self.client.traffic.count_received("Handshake", len(data))
         if reply:
             self._write_handshake(reply)
-        if self.channel.proven and not was_proven:
+        if self.channel.authenticated and not was_proven:
             self.client.connection_proven(self)
         for message in messages:
             self.client.message_received(self, message)
 
     def send(self, kind: str, body: bytes) -> None:
         """One frame; nothing where the connection is closing."""
-        if self.transport is None or self.transport.is_closing() or not self.channel.proven:
+        if self.transport is None or self.transport.is_closing() or not self.channel.authenticated:
             return
         frame = self.channel.send_encoded(body)
         self.client.bucket.spend(time.monotonic(), len(frame))
@@ -292,7 +293,10 @@
             return
         body = msgspec.msgpack.encode(wire.Request(request.sequence_number, request.operation, left))
         size = len(body) + FRAME_OVERHEAD
-        if size + RENEWAL_RESERVE_BYTES > self.bucket.burst or len(body) > self.connection.channel.largest:
+        if (
+            size + RENEWAL_RESERVE_BYTES > self.bucket.burst
+            or len(body) > self.connection.channel.max_frame_bytes
+        ):
             text = f"too_large: a request of {size} bytes; ask a member of the store at its own address"
             self._answer(request, wire.Response(0, "no", text))
         elif self.bucket.allows(now, size, RENEWAL_RESERVE_BYTES):
--- a/gradegap/observer/link.py
+++ b/gradegap/observer/link.py
@@ -12,8 +12,9 @@
 
 from gradegap.observer.messages import LARGEST_FRAME, FromPublisher, FromSubscriber
 from gradegap.store import wire
+from gradegap.store.channel import CHECKSUM_BYTES, LENGTH_BYTES, LinkChannel
 
-FRAME_OVERHEAD = wire.LENGTH_BYTES + wire.CHECKSUM_BYTES  # bytes of a frame beside its body
+FRAME_OVERHEAD = LENGTH_BYTES + CHECKSUM_BYTES  # bytes of a frame beside its body
 
 ToPublisher = FromSubscriber | wire.Request
 ToSubscriber = FromPublisher | wire.Response
@@ -40,17 +41,17 @@
     return _from_publisher.decode(body) if _is_array(body) else _answer.decode(body)
 
 
-def publisher_channel(secret: bytes) -> wire.LinkChannel:
+def publisher_channel(secret: bytes) -> LinkChannel:
     """The control machine's end of a connection."""
-    return wire.LinkChannel.open(
-        secret, "client", dials=False, decode=decode_to_publisher, largest=LARGEST_FRAME
+    return LinkChannel.open(
+        secret, "client", is_dialer=False, decode=decode_to_publisher, max_frame_bytes=LARGEST_FRAME
     )
 
 
-def subscriber_channel(secret: bytes) -> wire.LinkChannel:
+def subscriber_channel(secret: bytes) -> LinkChannel:
     """The node's end of a connection."""
-    return wire.LinkChannel.open(
-        secret, "client", dials=True, decode=decode_to_subscriber, largest=LARGEST_FRAME
+    return LinkChannel.open(
+        secret, "client", is_dialer=True, decode=decode_to_subscriber, max_frame_bytes=LARGEST_FRAME
     )
 
 
--- a/gradegap/observer/messages.py
+++ b/gradegap/observer/messages.py
@@ -1,7 +1,7 @@
 """Typed messages between a subscriber (a node) and a publisher (a control machine), and their limits. No I/O.
 
-Messages travel as msgpack bodies inside the frames of `gradegap.store.wire.LinkChannel`, which proves both
-ends and numbers each frame. Times are seconds, revisions are those of the store's log.
+Messages travel as msgpack bodies inside the frames of `gradegap.store.channel.LinkChannel`, which proves
+both ends and numbers each frame. Times are seconds, revisions are those of the store's log.
 """
 
 from __future__ import annotations
--- a/gradegap/observer/server.py
+++ b/gradegap/observer/server.py
@@ -22,6 +22,7 @@
 from gradegap.observer.publisher import Close, Publisher, Send
 from gradegap.observer.source import MachineSource
 from gradegap.store import wire
+from gradegap.store.errors import LinkError
 from gradegap.store.in_force import MachineReport
 from gradegap.store.subscriptions import SubscriptionHost
 from gradegap.transport.addresses import split_address
@@ -74,10 +75,10 @@
         """Bytes of the other side."""
         try:
             messages, reply = self.channel.receive(data)
-        except wire.LinkError as error:
+        except LinkError as error:
             reason = str(error).partition(":")[0]
             if self.transport is not None and reason != "turned":
-                self.transport.write(self.channel.turn(str(error)))
+                self.transport.write(self.channel.reject(str(error)))
             self.end(reason, str(error))
             return
         if reply and self.transport is not None:
@@ -97,7 +98,7 @@
     def send(self, body: bytes) -> None:
         """One frame; nothing where the connection is closing."""
         transport = self.transport
-        if transport is None or transport.is_closing() or not self.channel.proven:
+        if transport is None or transport.is_closing() or not self.channel.authenticated:
             return
         transport.write(self.channel.send_encoded(body))
 
@@ -107,7 +108,7 @@
         if self.transport is None:
             return
         body = msgspec.msgpack.encode(answer)
-        if len(body) > self.channel.largest:
+        if len(body) > self.channel.max_frame_bytes:
             text = f"too_large: the answer has {len(body)} bytes; ask for fewer keys at once"
             body = msgspec.msgpack.encode(wire.Response(answer.serial, "no", text))
         self.send(body)
--- a/gradegap/resume/claims.py
+++ b/gradegap/resume/claims.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from gradegap.resume.token import LIFE, SKEW, Place
-from gradegap.store.machine import Compare, Item, KeyUpdate
+from gradegap.store.records import Compare, Item, KeyUpdate
 
 CLAIMS = "claims/"
 MOST_LOCAL = 20_000
--- a/gradegap/store/committed_state.py
+++ b/gradegap/store/committed_state.py
@@ -7,7 +7,7 @@
 from gradegap.proxy.proxy import Proxy
 from gradegap.store import schema
 from gradegap.store.dynamic_configuration import DynamicConfiguration
-from gradegap.store.machine import KeyUpdate
+from gradegap.store.records import KeyUpdate
 
 DISABLED_PREFIX = "out/"
 CONFIGURATION_PREFIX = "config/"
--- a/gradegap/store/embedded.py
+++ b/gradegap/store/embedded.py
@@ -26,13 +26,14 @@
     CommittedState,
 )
 from gradegap.store.dynamic_configuration import DynamicConfiguration
+from gradegap.store.errors import FolderError
 from gradegap.store.gossip import GOSSIP_PERIOD_S, GossipExchange
 from gradegap.store.links import Link
-from gradegap.store.machine import Event, KeyUpdate, StateMachine
+from gradegap.store.machine import StateMachine
 from gradegap.store.member import StoreMember
+from gradegap.store.records import Event, KeyUpdate
 from gradegap.store.service import RequestService
 from gradegap.store.settings import StoreSettings
-from gradegap.store.storage import FolderError
 from gradegap.store.subscriptions import SubscriptionServerFactory
 
 log = structlog.get_logger()
--- a/gradegap/store/links.py
+++ b/gradegap/store/links.py
@@ -16,8 +16,10 @@
 
 from gradegap.metrics import Metrics
 from gradegap.raft import Member
+from gradegap.store.channel import LinkChannel
+from gradegap.store.errors import LinkError
 from gradegap.store.leases import DEFAULT_LEASE_S
-from gradegap.store.wire import LinkChannel, LinkError, LinkMessage
+from gradegap.store.wire import LinkMessage
 from gradegap.transport.addresses import split_address
 
 log = structlog.get_logger()
@@ -42,8 +44,8 @@
     @property
     def id(self) -> str:
         """Who is at the other end, once that is proven; empty for a client."""
-        theirs = self.channel.theirs
-        return theirs.id if theirs is not None and self.channel.proven else ""
+        theirs = self.channel.peer_hello
+        return theirs.id if theirs is not None and self.channel.authenticated else ""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -59,22 +61,22 @@
         self.guard = self.net.loop.call_later(AUTHENTICATION_TIMEOUT_S, self._unproven)
 
     def _unproven(self) -> None:
-        if not self.channel.proven:
+        if not self.channel.authenticated:
             self.end("silent")
 
     def data_received(self, data: bytes) -> None:
-        was_proven = self.channel.proven
+        was_proven = self.channel.authenticated
         try:
             words, reply = self.channel.receive(data)
         except LinkError as error:
             reason, _, text = str(error).partition(": ")
             if self.transport is not None and reason != "turned":
-                self.transport.write(self.channel.turn(str(error)))
+                self.transport.write(self.channel.reject(str(error)))
             self.end(reason, text)
             return
         if reply and self.transport is not None:
             self.transport.write(reply)
-        if self.channel.proven and not was_proven:
+        if self.channel.authenticated and not was_proven:
             if self.guard is not None:
                 self.guard.cancel()
             if self.dial is not None:
@@ -86,7 +88,7 @@
 
     def send(self, word: LinkMessage) -> bool:
         t = self.transport
-        if t is None or t.is_closing() or not self.channel.proven:
+        if t is None or t.is_closing() or not self.channel.authenticated:
             return False
         if t.get_write_buffer_size() > MAX_UNSENT_BYTES:
             # Guards memory against a member that is stopped: what the core says is said again anyway.
--- a/gradegap/store/machine.py
+++ b/gradegap/store/machine.py
@@ -15,133 +15,32 @@
 
 import msgspec
 
-MAX_KEY_BYTES = 480  # bytes: what LMDB takes
-MAX_VALUE_BYTES = 64 * 1024  # bytes, as msgpack
+from gradegap.store.errors import CommandError
+from gradegap.store.records import (
+    MAX_STATE_BYTES,
+    Command,
+    Compare,
+    Event,
+    Expire,
+    Item,
+    KeyUpdate,
+    LogRecord,
+    Result,
+    Session,
+    StoreState,
+    check_update,
+    encode,
+    event_size,
+)
+
 MAX_KEYS = 200_000
-MAX_STATE_BYTES = 128 * 1024 * 1024  # of keys and values together
 MAX_TRANSACTION_UPDATES = 128  # in a transaction
 MAX_SESSIONS = 50_000  # of writes at once at all members, and of clients that name themselves
 MAX_HISTORY_EVENTS = 10_000  # events that can be watched from, and rolled back
 MAX_HISTORY_BYTES = 16 * 1024 * 1024
-MAX_TTL_MS = 366 * 86_400_000  # ms
-
-
-class Item(msgspec.Struct, frozen=True, array_like=True):
-    """A key with its value and the revisions that made and last changed it."""
-
-    key: str
-    value: Any
-    created_revision: int
-    modified_revision: int
-    version: int = 1  # how often it was written since it was made
-    expires_at_ms: int = 0  # log time in ms; 0: never
-    author: str = ""
-    wall_ms: int = 0  # when, by the wall clock of the leader of then
-
-
-class Event(msgspec.Struct, frozen=True, array_like=True):
-    """One change, with what stood there before."""
-
-    revision: int
-    key: str
-    value: Any
-    deleted: bool
-    previous_value: Any
-    existed_before: bool
-    author: str
-    wall_ms: int
-    cause: str = "write"  # or "expired"
-    position: int = 0  # within the revision
-
-
-class Compare(msgspec.Struct, frozen=True, array_like=True):
-    """Holds where the key was last changed at `revision` (0: is not there), or has this value."""
-
-    key: str
-    revision: int | None = None
-    value: Any = None
-
-
-class KeyUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """A put, or a delete; `ttl_ms` after which the leader ends the key."""
-
-    key: str
-    value: Any = None
-    delete: bool = False
-    ttl_ms: int = 0
-
-
-class Command(msgspec.Struct, frozen=True, array_like=True, tag="write"):
-    """A transaction: all of `then` where each compare holds, else all of `otherwise`.
-
-    `client` and `seq` name it, so that one that is tried again is applied once; `until` (log time, ms) bounds
-    when it may still be applied, and so how long that has to be remembered.
-    """
-
-    client: str
-    seq: int
-    deadline_ms: int
-    author: str
-    compares: tuple[Compare, ...] = ()
-    then: tuple[KeyUpdate, ...] = ()
-    otherwise: tuple[KeyUpdate, ...] = ()
-
-
-class Expire(msgspec.Struct, frozen=True, array_like=True, tag="expire"):
-    """Ends the keys whose time is over by the time of this entry."""
-
-
-class LogRecord(msgspec.Struct, frozen=True, array_like=True):
-    """An entry's data: the leader's log time and wall clock, and what is to be done."""
-
-    time_ms: int
-    wall_ms: int
-    body: Command | Expire
-
-
-class Result(msgspec.Struct, frozen=True, array_like=True):
-    """What came of a command. `error` is empty, or begins with the reason that is counted."""
-
-    revision: int
-    succeeded: bool = True  # whether the compares held
-    error: str = ""
-
-
-class Session(msgspec.Struct, frozen=True, array_like=True):
-    client: str
-    seq: int
-    remembered_until_ms: int
-    result: Result
-
-
-class StoreState(msgspec.Struct, frozen=True, array_like=True):
-    """All of it, as a snapshot has it."""
-
-    index: int
-    revision: int
-    clock_ms: int
-    items: list[Item]
-    events: list[Event]
-    sessions: list[Session]
 
 
 _logged: msgspec.msgpack.Decoder[LogRecord] = msgspec.msgpack.Decoder(LogRecord)
-_state: msgspec.msgpack.Decoder[StoreState] = msgspec.msgpack.Decoder(StoreState)
-encode = msgspec.msgpack.Encoder().encode
-
-
-class CommandError(ValueError):
-    """A command that no member applies; its text begins with the reason."""
-
-
-def check_update(op: KeyUpdate) -> None:
-    """Guards the state against keys and values that would fill it; the same rule at every member."""
-    if not 0 < len(op.key.encode()) <= MAX_KEY_BYTES or not op.key.isprintable() or " " in op.key:
-        raise CommandError("bad_key: a key has 1 to 480 bytes of printable characters and no space")
-    if not op.delete and len(encode(op.value)) > MAX_VALUE_BYTES:
-        raise CommandError(f"too_large: a value has at most {MAX_VALUE_BYTES} bytes")
-    if not 0 <= op.ttl_ms <= MAX_TTL_MS:
-        raise CommandError("bad_ttl: a time to live is 0 to 366 days")
 
 
 @dataclass(slots=True)
@@ -416,25 +315,3 @@
             UnsavedChanges(first_kept_revision=self.unsaved.first_kept_revision),
         )
         return dirty
-
-
-def event_size(event: Event) -> int:
-    return len(event.key) + len(encode(event.value)) + len(encode(event.previous_value)) + 64
-
-
-def encode_snapshot(state: StoreState) -> bytes:
-    """A snapshot: msgpack, compressed."""
-    import zstandard
-
-    return zstandard.ZstdCompressor(level=3).compress(encode(state))
-
-
-def decode_snapshot(data: bytes) -> StoreState:
-    """`ValueError` where it is none."""
-    import zstandard
-
-    try:
-        raw = zstandard.ZstdDecompressor().decompress(data, max_output_size=4 * MAX_STATE_BYTES)
-        return _state.decode(raw)
-    except (zstandard.ZstdError, msgspec.MsgspecError) as error:
-        raise ValueError(f"no snapshot: {error}") from None
--- a/gradegap/store/member.py
+++ b/gradegap/store/member.py
@@ -33,23 +33,16 @@
 )
 from gradegap.store import wire
 from gradegap.store.bootstrap import Bootstrap, promotable
+from gradegap.store.errors import FolderError
 from gradegap.store.in_force import MachineReport
 from gradegap.store.leases import LeaseGranter, LeaseHolder
 from gradegap.store.links import Dialer, Link, MemberLinks
-from gradegap.store.machine import (
-    Command,
-    Expire,
-    LogRecord,
-    Result,
-    StateMachine,
-    StoreState,
-    decode_snapshot,
-    encode,
-    encode_snapshot,
-)
+from gradegap.store.machine import StateMachine
+from gradegap.store.records import Command, Expire, LogRecord, Result, StoreState, encode
 from gradegap.store.service import RequestService
 from gradegap.store.settings import StoreSettings
-from gradegap.store.storage import FolderError, Identity, MemberStorage, StoredMember, WriteBatch
+from gradegap.store.state_snapshot import decode_snapshot, encode_snapshot
+from gradegap.store.storage import Identity, MemberStorage, StoredMember, WriteBatch
 from gradegap.store.subscriptions import SubscriptionServer, SubscriptionServerFactory
 
 log = structlog.get_logger()
@@ -377,8 +370,8 @@
             names=[f"{m.name}{'' if m.voter else ' (learner)'}" for m in raft.configuration.members],
         )
         for link in self.net.all:
-            theirs = link.channel.theirs
-            if raft.is_leader and link.dial is not None and theirs is not None and link.channel.proven:
+            theirs = link.channel.peer_hello
+            if raft.is_leader and link.dial is not None and theirs is not None and link.channel.authenticated:
                 gone = raft.configuration.get(theirs.id) is None
                 if gone and theirs.cluster and link.dial.address not in old:
                     link.send(wire.LinkRejected("removed"))
@@ -552,7 +545,7 @@
         self.net.want(addresses - {self.settings.listen, self.settings.advertise})
 
     def _linked(self, dial: Dialer, link: Link) -> None:
-        theirs = link.channel.theirs
+        theirs = link.channel.peer_hello
         assert theirs is not None
         if not self.identity.cluster:
             self.forming.met(theirs)
@@ -567,7 +560,7 @@
 
     def _ask_to_join(self) -> None:
         for dial in self.net.dials.values():
-            theirs = dial.link.channel.theirs if dial.link is not None else None
+            theirs = dial.link.channel.peer_hello if dial.link is not None else None
             if dial.link is not None and theirs is not None and theirs.cluster:
                 assert self.net.me is not None
                 dial.link.send(wire.Join(self.net.me))
@@ -649,7 +642,7 @@
     def to_member(self, member: Member, ask: wire.Request) -> bool:
         """Ask a member, whoever leads; no where it is away, or of a release that can't read it."""
         dial = self.net.dials.get(member.address)
-        theirs = dial.link.channel.theirs if dial is not None and dial.link is not None else None
+        theirs = dial.link.channel.peer_hello if dial is not None and dial.link is not None else None
         if theirs is None or wire.IN_FORCE_TAG not in theirs.readable_requests:
             return False
         return self.net.send(member.id, member.address, ask)
--- a/gradegap/store/member_client.py
+++ b/gradegap/store/member_client.py
@@ -8,32 +8,26 @@
 from typing import Any
 
 from gradegap.store import wire
-from gradegap.store.machine import Compare, Event, Item, KeyUpdate
+from gradegap.store.channel import LinkChannel
+from gradegap.store.errors import RequestFailedError
+from gradegap.store.records import Compare, Event, Item, KeyUpdate
 from gradegap.transport.addresses import split_address
 
 RESPONSE_MARGIN_S = 1.0  # s that an answer may take beyond the time that the member was given
 
 
-class RequestFailedError(Exception):
-    """Why something was not done. `kind`: "unreachable", "no", "unknown" or "no_quorum"."""
-
-    def __init__(self, kind: str, text: str) -> None:
-        super().__init__(text)
-        self.kind = kind
-
-
 class MemberClient:
     """A link to one member. `wait` is how long, in seconds, it may try; writes are applied at most once."""
 
     def __init__(self, address: str, secret: bytes = b"", wait: float = 5.0) -> None:
         self.address, self.wait = address, wait
-        self.channel = wire.LinkChannel.open(secret, "client", dials=True)
+        self.channel = LinkChannel.open(secret, "client", is_dialer=True)
         self.serial = 0
         self.words: list[wire.LinkMessage] = []
         try:
             self.sock = socket.create_connection(split_address(address), timeout=min(wait, 2.0))
             self.sock.sendall(self.channel.begin())
-            while not self.channel.proven:
+            while not self.channel.authenticated:
                 self._read()
         except (OSError, ValueError) as error:
             raise RequestFailedError(
--- a/gradegap/store/restore.py
+++ b/gradegap/store/restore.py
@@ -7,10 +7,12 @@
 import msgspec
 
 from gradegap.raft import ClusterConfiguration, HardState, Member, SnapshotMetadata
-from gradegap.store.machine import Item, decode_snapshot
+from gradegap.store.errors import FolderError
+from gradegap.store.records import Item
 from gradegap.store.service import INVITED_PREFIX
 from gradegap.store.settings import StoreSettings
-from gradegap.store.storage import FolderError, Identity, MemberStorage, WriteBatch, data_folder
+from gradegap.store.state_snapshot import decode_snapshot
+from gradegap.store.storage import Identity, MemberStorage, WriteBatch, data_folder
 
 
 def restore(data: bytes, settings: StoreSettings) -> SnapshotMetadata:
--- a/gradegap/store/schema.py
+++ b/gradegap/store/schema.py
@@ -11,7 +11,8 @@
 
 import msgspec
 
-from gradegap.store.machine import CommandError, KeyUpdate
+from gradegap.store.errors import CommandError
+from gradegap.store.records import KeyUpdate
 
 LogLevel = Literal["debug", "info", "warning", "error"]
 Count = Annotated[int, msgspec.Meta(ge=0, le=1_000_000)]
--- a/gradegap/store/service.py
+++ b/gradegap/store/service.py
@@ -21,20 +21,14 @@
 from gradegap.metrics import Metrics
 from gradegap.raft import Entry, EntryKind, Member, Raft, RequestRejectedError
 from gradegap.store import leases, schema, wire
+from gradegap.store.errors import CommandError
 from gradegap.store.in_force import MachineReport
 from gradegap.store.in_force_check import InForceCheck
 from gradegap.store.links import Link
-from gradegap.store.machine import (
-    Command,
-    CommandError,
-    Event,
-    KeyUpdate,
-    Result,
-    StateMachine,
-    check_update,
-    encode_snapshot,
-)
+from gradegap.store.machine import StateMachine
+from gradegap.store.records import Command, Event, KeyUpdate, Result, check_update
 from gradegap.store.settings import StoreSettings
+from gradegap.store.state_snapshot import encode_snapshot
 from gradegap.store.storage import Identity
 
 log = structlog.get_logger()
--- a/gradegap/store/storage.py
+++ b/gradegap/store/storage.py
@@ -21,7 +21,9 @@
 import msgspec
 
 from gradegap.raft import ClusterConfiguration, Entry, HardState, SnapshotMetadata
-from gradegap.store.machine import Event, Item, Session, StoreState, UnsavedChanges
+from gradegap.store.errors import FolderError
+from gradegap.store.machine import UnsavedChanges
+from gradegap.store.records import Event, Item, Session, StoreState
 from gradegap.store.settings import StoreSettings
 
 T = TypeVar("T")
@@ -32,10 +34,6 @@
 REJOIN_REMEDY = "to rejoin, move the folder away and start again: the member comes back under a new identity"
 
 
-class FolderError(Exception):
-    """A folder that a member can't start with, or write to; its text is one plain line."""
-
-
 def data_folder(settings: StoreSettings) -> Path:
     """Where a member keeps what it must not forget; in `$TMPDIR` it comes back empty, as a new member."""
     if settings.data:
--- a/gradegap/verification/observer_cluster.py
+++ b/gradegap/verification/observer_cluster.py
@@ -8,7 +8,8 @@
 from gradegap.observer.selection import MachineAddress
 from gradegap.observer.subscriber import Subscriber
 from gradegap.store.in_force import InForceTally, InForceVerdict
-from gradegap.store.machine import Command, KeyUpdate, LogRecord, StateMachine, encode
+from gradegap.store.machine import StateMachine
+from gradegap.store.records import Command, KeyUpdate, LogRecord, encode
 from gradegap.verification.observer_connection import Connection
 from gradegap.verification.observer_control import ControlMachine, ControlWorld, Leader
 from gradegap.verification.observer_faults import Faults
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -12,7 +12,8 @@
 from typing import Any
 
 from gradegap.store import wire
-from gradegap.store.member_client import MemberClient, RequestFailedError
+from gradegap.store.errors import RequestFailedError
+from gradegap.store.member_client import MemberClient
 from tests.relay import Relay
 from tests.world import ROOT, free_port, wait_for
 
--- a/tests/compatibility/present.py
+++ b/tests/compatibility/present.py
@@ -28,7 +28,7 @@
 from gradegap.quic import settings as quic_settings
 from gradegap.resume import claims, token
 from gradegap.resume import settings as resume_settings
-from gradegap.store import in_force, machine, schema, storage, wire
+from gradegap.store import in_force, records, schema, storage, wire
 from gradegap.store import settings as store_settings
 from gradegap.verification import sessions as checked_sessions
 
@@ -119,17 +119,17 @@
     | _in(
         "store",
         _own(
-            item=machine.Item,
-            event=machine.Event,
-            compare=machine.Compare,
-            op=machine.KeyUpdate,
-            logged=machine.LogRecord,
-            result=machine.Result,
-            session=machine.Session,
-            state=machine.StoreState,
+            item=records.Item,
+            event=records.Event,
+            compare=records.Compare,
+            op=records.KeyUpdate,
+            logged=records.LogRecord,
+            result=records.Result,
+            session=records.Session,
+            state=records.StoreState,
             identity=storage.Identity,
         ),
-        _one_of(machine.Command | machine.Expire, command=machine.Command, expire=machine.Expire),
+        _one_of(records.Command | records.Expire, command=records.Command, expire=records.Expire),
     )
     | _in(
         "value",
--- a/tests/compatibility/readers.py
+++ b/tests/compatibility/readers.py
@@ -17,7 +17,8 @@
 from gradegap.metrics import Metrics
 from gradegap.quic import ids, keys, tokens
 from gradegap.resume import claims, lines, token
-from gradegap.store import machine, storage, wire
+from gradegap.store import machine, records, state_snapshot, storage, wire
+from gradegap.store.channel import LinkChannel
 from gradegap.store.disabled_endpoints import DisabledEndpointsFile
 from tests.compatibility.present import plain
 
@@ -87,7 +88,7 @@
     """An entry of the log with what it carries."""
     row: dict[str, Any] = plain(entry)
     if entry.kind is raft.EntryKind.COMMAND:
-        row["logged"] = plain(msgspec.msgpack.decode(entry.data, type=machine.LogRecord))
+        row["logged"] = plain(msgspec.msgpack.decode(entry.data, type=records.LogRecord))
     if entry.kind is raft.EntryKind.CONFIGURATION:
         row["config"] = plain(msgspec.msgpack.decode(entry.data, type=raft.ClusterConfiguration))
     return row
@@ -116,12 +117,12 @@
 
 def unpack_snapshot(data: bytes) -> Any:
     """The state that a packed snapshot holds, plain."""
-    return plain(machine.decode_snapshot(data))
+    return plain(state_snapshot.decode_snapshot(data))
 
 
 def repack_snapshot(data: bytes) -> bytes:
     """A snapshot read and packed again."""
-    return machine.encode_snapshot(machine.decode_snapshot(data))
+    return state_snapshot.encode_snapshot(state_snapshot.decode_snapshot(data))
 
 
 def open_session_token(ring: dict[str, Any], cluster: str, sealed: str, now: float) -> Any:
@@ -220,7 +221,7 @@
     """One end of a link that begins with a given hello."""
 
     def __init__(self, secret: bytes, hello: Any, dials: bool) -> None:
-        self.channel = wire.LinkChannel(secret, msgspec.convert(hello, wire.Hello), dials)
+        self.channel = LinkChannel(secret, msgspec.convert(hello, wire.Hello), dials)
 
     def begin(self) -> bytes:
         """What this end sends first."""
@@ -236,4 +237,4 @@
 
     def last_word(self, reason: str) -> bytes:
         """The last frame on a link that is refused."""
-        return self.channel.turn(reason)
+        return self.channel.reject(reason)
--- a/tests/test_observer_cluster.py
+++ b/tests/test_observer_cluster.py
@@ -15,7 +15,7 @@
 
 from gradegap.resume.token import RING, Ring
 from gradegap.store import wire
-from gradegap.store.machine import KeyUpdate
+from gradegap.store.records import KeyUpdate
 from tests.cluster import Cluster
 from tests.resume_world import ResumeBackend, SaveStore
 from tests.test_admin_api import answer
--- a/tests/test_observer_core.py
+++ b/tests/test_observer_core.py
@@ -31,8 +31,9 @@
 from gradegap.observer.selection import Backoff, MachineAddress, Selection, rendezvous_order
 from gradegap.observer.source import MachineSource
 from gradegap.observer.subscriber import Apply, Connect, Disconnect, LeaseChanged, Subscriber
-from gradegap.store import machine as store
+from gradegap.store import records
 from gradegap.store.in_force import InForceTally, MachineReport
+from gradegap.store.machine import StateMachine
 
 LIMITS = Limits()
 MACHINES = [
@@ -44,19 +45,19 @@
     """A member's state, with entries written straight into it."""
 
     def __init__(self) -> None:
-        self.machine = store.StateMachine()
+        self.machine = StateMachine()
         self.source = MachineSource(self.machine)
         self.seq = 0
 
     def put(self, key: str, value: object, delete: bool = False) -> int:
         """Commit one change; its revision."""
-        return self.transact(store.KeyUpdate(key, value, delete))
+        return self.transact(records.KeyUpdate(key, value, delete))
 
-    def transact(self, *ops: store.KeyUpdate) -> int:
+    def transact(self, *ops: records.KeyUpdate) -> int:
         self.seq += 1
-        command = store.Command(f"c{self.seq}", 1, 10**12, "test", (), ops)
-        logged = store.LogRecord(0, 0, command)
-        self.machine.apply(self.machine.index + 1, store.encode(logged))
+        command = records.Command(f"c{self.seq}", 1, 10**12, "test", (), ops)
+        logged = records.LogRecord(0, 0, command)
+        self.machine.apply(self.machine.index + 1, records.encode(logged))
         return self.machine.revision
 
 
@@ -836,7 +837,9 @@
     for value in range(5):
         other.put("config/a", value)
     state = other.machine.export_state()
-    log.machine.load_state(store.StoreState(state.index, state.revision, state.clock_ms, state.items, [], []))
+    log.machine.load_state(
+        records.StoreState(state.index, state.revision, state.clock_ms, state.items, [], [])
+    )
     assert log.source.changes_since(first) is None
     publisher.source_advanced(100.1)
     kinds = [type(o.message).__name__ for o in drained(publisher) if isinstance(o, publisher_module.Send)]
@@ -846,7 +849,9 @@
 
 def test_changes_since_are_those_of_subscribed_keys_in_order() -> None:
     log = Log()
-    log.transact(store.KeyUpdate("config/a", 1), store.KeyUpdate("notes/x", 1), store.KeyUpdate("out/s", 2))
+    log.transact(
+        records.KeyUpdate("config/a", 1), records.KeyUpdate("notes/x", 1), records.KeyUpdate("out/s", 2)
+    )
     log.put("notes/x", 2)
     log.put("config/a", None, delete=True)
     changes = log.source.changes_since(0)
--- a/tests/test_observer_server.py
+++ b/tests/test_observer_server.py
@@ -44,9 +44,11 @@
 from gradegap.observer.subscriber import Phase, Subscriber
 from gradegap.observer.token_bucket import TokenBucket
 from gradegap.store import wire
+from gradegap.store.channel import LinkChannel
+from gradegap.store.errors import LinkError
 from gradegap.store.in_force import InForceTally
-from gradegap.store.machine import KeyUpdate
 from gradegap.store.member import StoreMember
+from gradegap.store.records import KeyUpdate
 from gradegap.store.settings import Peer, StoreSettings
 from gradegap.transport.addresses import split_address
 from tests.world import ROOT, SETTINGS, free_port
@@ -203,7 +205,7 @@
 
     async def prove(self) -> None:
         self.writer.write(self.channel.begin())
-        while not self.channel.proven:
+        while not self.channel.authenticated:
             await self.read()
 
     async def read(self) -> bool:
@@ -397,7 +399,7 @@
             await w.until(lambda k=k: w.counts.get("observer_link_garbled") == k)  # type: ignore[misc]
         other = await w.dial()
         other.channel = subscriber_channel(b"another secret of sixteen bytes")
-        with pytest.raises(wire.LinkError, match="turned: secret"):
+        with pytest.raises(LinkError, match="turned: secret"):
             await other.prove()
         assert w.counts["observer_link_secret"] == 1
         assert node.fresh() and len(w.server.connections) == 1
@@ -531,7 +533,7 @@
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        spoils: list[Callable[[wire.LinkChannel], bytes]] = [
+        spoils: list[Callable[[LinkChannel], bytes]] = [
             lambda channel: (100 * 1024 * 1024).to_bytes(4, "big") + bytes(16) + b"x" * 65536,
             lambda channel: channel.send_encoded(b"\xc1"),
             lambda channel: channel.send(Subscribe(VERSION, "a", "i")),
@@ -541,7 +543,7 @@
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             channel = publisher_channel(b"")
-            while not channel.proven:
+            while not channel.authenticated:
                 _, reply = channel.receive(await reader.read(65536))
                 writer.write(reply)
             spoil = spoils[len(seen) % len(spoils)]
--- a/tests/test_resume_parts.py
+++ b/tests/test_resume_parts.py
@@ -16,7 +16,8 @@
 from gradegap.resume.lines import Answer, BadLine, NewToken, Over, Request, Seen
 from gradegap.resume.token import LIFE, LONGEST, SKEW, BadToken, Place, Ring, digest, opened, seal
 from gradegap.resume.window import ANSWERS, WINDOW, ClientWindow, Full, NodeWindow, ServerWindow
-from gradegap.store.machine import Command, LogRecord, StateMachine, encode
+from gradegap.store.machine import StateMachine
+from gradegap.store.records import Command, LogRecord, encode
 
 # Lines
 
--- a/tests/test_store_cluster.py
+++ b/tests/test_store_cluster.py
@@ -15,8 +15,9 @@
 import pytest
 
 from gradegap.store import wire
-from gradegap.store.machine import Event, KeyUpdate
-from gradegap.store.member_client import MemberClient, RequestFailedError
+from gradegap.store.errors import RequestFailedError
+from gradegap.store.member_client import MemberClient
+from gradegap.store.records import Event, KeyUpdate
 from gradegap.verification.linearizability import FOREVER, Did, explain
 from tests.cluster import SECRET, Cluster, cluster
 from tests.world import wait_for
--- a/tests/test_store_node.py
+++ b/tests/test_store_node.py
@@ -18,8 +18,9 @@
 from gradegap.balancing.events import EndpointEntry, EndpointListKind, EndpointPhase, Event, HealthCheckEnded
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
+from gradegap.store.errors import RequestFailedError
 from gradegap.store.gossip import GossipExchange
-from gradegap.store.member_client import MemberClient, RequestFailedError
+from gradegap.store.member_client import MemberClient
 from gradegap.store.wire import Gossip, GossipReport
 from tests.helpers import settings
 from tests.relay import Relay
--- a/tests/test_store_parts.py
+++ b/tests/test_store_parts.py
@@ -17,24 +17,14 @@
 from gradegap.raft import ClusterConfiguration, Entry, EntryKind, HardState, Member, SnapshotMetadata
 from gradegap.store import schema, wire
 from gradegap.store.bootstrap import Bootstrap
+from gradegap.store.channel import MAX_FRAME_BYTES, MAX_HELLO_BYTES, LinkChannel
+from gradegap.store.errors import CommandError, FolderError, LinkError
 from gradegap.store.leases import DEFAULT_LEASE_S, LeaseGranter, LeaseHolder
-from gradegap.store.machine import (
-    MAX_HISTORY_EVENTS,
-    Command,
-    CommandError,
-    Compare,
-    Event,
-    Expire,
-    KeyUpdate,
-    LogRecord,
-    Result,
-    StateMachine,
-    decode_snapshot,
-    encode,
-    encode_snapshot,
-)
+from gradegap.store.machine import MAX_HISTORY_EVENTS, StateMachine
+from gradegap.store.records import Command, Compare, Event, Expire, KeyUpdate, LogRecord, Result, encode
 from gradegap.store.settings import Peer, StoreSettings
-from gradegap.store.storage import FolderError, MemberStorage, WriteBatch
+from gradegap.store.state_snapshot import decode_snapshot, encode_snapshot
+from gradegap.store.storage import MemberStorage, WriteBatch
 from gradegap.verification.linearizability import FOREVER, Did, explain
 
 # The state machine
@@ -191,18 +181,18 @@
 # Frames
 
 
-def pair(secrets: tuple[bytes, bytes] = (b"s" * 16, b"s" * 16)) -> tuple[wire.LinkChannel, wire.LinkChannel]:
-    a = wire.LinkChannel.open(secrets[0], "member", True, Member("1", "n1", "x"), "c")
-    b = wire.LinkChannel.open(secrets[1], "member", False, Member("2", "n2", "y"), "c")
+def pair(secrets: tuple[bytes, bytes] = (b"s" * 16, b"s" * 16)) -> tuple[LinkChannel, LinkChannel]:
+    a = LinkChannel.open(secrets[0], "member", True, Member("1", "n1", "x"), "c")
+    b = LinkChannel.open(secrets[1], "member", False, Member("2", "n2", "y"), "c")
     return a, b
 
 
-def shake(a: wire.LinkChannel, b: wire.LinkChannel) -> None:
+def shake(a: LinkChannel, b: LinkChannel) -> None:
     to_b, to_a = a.begin(), b""
     while to_a or to_b:
         _, to_a = b.receive(to_b)
         _, to_b = a.receive(to_a)
-    assert a.proven and b.proven
+    assert a.authenticated and b.authenticated
 
 
 WORDS = [wire.Join(Member("1", "n", "a")), wire.LeaseApplied("h", 7), wire.LinkRejected("why")]
@@ -244,12 +234,10 @@
         shake(c, d)
         frames[1] = c.send(wire.LeaseApplied("holder", 1))
     got: list[wire.LinkMessage] = []
-    with pytest.raises(wire.LinkError, match="^garbled"):
+    with pytest.raises(LinkError, match="^garbled"):
         for frame in frames:
             got += b.receive(frame)[0]
-        b.receive(
-            b"\0" * wire.MAX_FRAME_BYTES
-        )  # a longer length only waits for more: what comes is none of it
+        b.receive(b"\0" * MAX_FRAME_BYTES)  # a longer length only waits for more: what comes is none of it
     assert got == [wire.LeaseApplied("holder", 0)]
 
 
@@ -262,22 +250,22 @@
     ],
 )
 def test_strays_are_turned_away(mine: bytes, theirs: bytes, clusters: tuple[str, str], reason: str) -> None:
-    a = wire.LinkChannel.open(mine, "member", True, Member("1", "n1", "x"), clusters[0])
-    b = wire.LinkChannel.open(theirs, "member", False, Member("2", "n2", "y"), clusters[1])
-    with pytest.raises(wire.LinkError, match=f"^{reason}"):
+    a = LinkChannel.open(mine, "member", True, Member("1", "n1", "x"), clusters[0])
+    b = LinkChannel.open(theirs, "member", False, Member("2", "n2", "y"), clusters[1])
+    with pytest.raises(LinkError, match=f"^{reason}"):
         shake(a, b)
-    assert not b.proven
+    assert not b.authenticated
 
 
 def test_a_proof_can_t_be_sent_back() -> None:
     a, _ = pair()
     begin = a.begin()
-    with pytest.raises(wire.LinkError):
+    with pytest.raises(LinkError):
         a.receive(begin)
-    b = wire.LinkChannel.open(b"s" * 16, "member", False, Member("2", "n2", "y"), "c")
+    b = LinkChannel.open(b"s" * 16, "member", False, Member("2", "n2", "y"), "c")
     b.receive(begin)
-    with pytest.raises(wire.LinkError):
-        b.receive(wire.LinkChannel.open(b"s" * 16, "member", True).begin())
+    with pytest.raises(LinkError):
+        b.receive(LinkChannel.open(b"s" * 16, "member", True).begin())
 
 
 @settings(max_examples=100, deadline=None)
@@ -286,8 +274,8 @@
     _, b = pair()
     try:
         words, _ = b.receive(noise)
-        assert not words and not b.proven and len(b.buffer) <= wire.MAX_HELLO_BYTES + 4
-    except wire.LinkError:
+        assert not words and not b.authenticated and len(b.buffer) <= MAX_HELLO_BYTES + 4
+    except LinkError:
         pass
 
 
--- a/tests/test_store_service.py
+++ b/tests/test_store_service.py
@@ -10,7 +10,8 @@
 
 from gradegap.metrics import Metrics
 from gradegap.store import wire
-from gradegap.store.machine import KeyUpdate, StateMachine
+from gradegap.store.machine import StateMachine
+from gradegap.store.records import KeyUpdate
 from gradegap.store.service import RequestService
 
 
--- a/tests/test_store_voters.py
+++ b/tests/test_store_voters.py
@@ -13,7 +13,8 @@
 from gradegap.raft import ClusterConfiguration, Member
 from gradegap.store import wire
 from gradegap.store.bootstrap import Bootstrap, promotable
-from gradegap.store.member_client import RequestFailedError
+from gradegap.store.channel import LinkChannel
+from gradegap.store.errors import LinkError, RequestFailedError
 from gradegap.store.settings import Peer, StoreSettings
 from tests.cluster import Cluster
 from tests.world import wait_for
@@ -101,11 +102,11 @@
 
 def test_members_with_leases_of_different_length_turn_each_other_away() -> None:
     me, other = member("n1"), member("n2")
-    dialer = wire.LinkChannel.open(SECRET, "member", True, me, lease_s=1.0)
-    acceptor = wire.LinkChannel.open(SECRET, "member", False, other, lease_s=3.0)
+    dialer = LinkChannel.open(SECRET, "member", True, me, lease_s=1.0)
+    acceptor = LinkChannel.open(SECRET, "member", False, other, lease_s=3.0)
     _, hello = acceptor.receive(dialer.begin())
     _, proof = dialer.receive(hello)
-    with pytest.raises(wire.LinkError, match=r"lease: the other member has lease_s = 1, this one 3"):
+    with pytest.raises(LinkError, match=r"lease: the other member has lease_s = 1, this one 3"):
         acceptor.receive(proof)
 
 
