--- a/bench/scale/limits_met.py
+++ b/bench/scale/limits_met.py
@@ -8,7 +8,7 @@
 from bench.scale.cold_bound import RED_AT, RED_FACTOR, TEST, cold_bound
 from bench.scale.slope_book import SlopeBook, figure
 from bench.scale.worked import PROBE_BYTES, US, probes_per_s, returning
-from gradegap.balancing.balancer import LOOK_SLOW
+from gradegap.balancing.balancer import HEALTH_CHECK_INTERVAL_IDLE_S
 from gradegap.node.node import MOST_OUT
 from gradegap.observer.limits import Limits
 from gradegap.store.leases import MAX_LEASE_HOLDERS
@@ -103,7 +103,7 @@
     opened = book.at("open_by_connections", t.CONNECTIONS_PER_NODE)
     zone = t.RETURN_S / (returning(t.NODES_PER_ZONE) * opened.value * US)
     region = t.RETURN_S / (returning(t.NODES_PER_REGION) * opened.value * US)
-    probes = probes_per_s(t.SERVERS, t.ARRIVALS_PER_NODE, LOOK_SLOW) * PROBE_BYTES
+    probes = probes_per_s(t.SERVERS, t.ARRIVALS_PER_NODE, HEALTH_CHECK_INTERVAL_IDLE_S) * PROBE_BYTES
     choice, core = "balancing/balancer.py", "proxy/proxy.py, balancing/balancer.py"
     return [
         _cold_servers(),
--- a/bench/scale/verdicts.py
+++ b/bench/scale/verdicts.py
@@ -9,7 +9,11 @@
 from bench.scale.full_size import ControlResult, clock, most_core, node_memory, ordinary_day
 from bench.scale.slope_book import SlopeBook, figure, in_bytes, share
 from bench.scale.worked import PROBE_BYTES, US, probes_per_s, renewals_per_s, returning
-from gradegap.balancing.balancer import LOOK_FAST, LOOK_SLOW, RING_WALK
+from gradegap.balancing.balancer import (
+    HEALTH_CHECK_INTERVAL_FULL_S,
+    HEALTH_CHECK_INTERVAL_IDLE_S,
+)
+from gradegap.balancing.grouping import RING_CANDIDATES
 from gradegap.observer.limits import Limits
 from gradegap.store.leases import MAX_LEASE_HOLDERS
 
@@ -89,8 +93,9 @@
             "the largest group, 850,000",
             "holds by slope at a node; does not hold at servers where they are many",
             f"{figure(members)} members a node; {figure(servers)} servers full of it with {t.SERVERS}, "
-            f"{figure(servers_2)} with {t.SERVERS_2:,}, where the walk names {RING_WALK}: "
-            f"short by {figure(servers_2 / RING_WALK)} times, and the rest is drawn from the whole list. "
+            f"{figure(servers_2)} with {t.SERVERS_2:,}, where the walk names {RING_CANDIDATES}: "
+            f"short by {figure(servers_2 / RING_CANDIDATES)} times, and the rest is drawn from the "
+            "whole list. "
             "Its coming back at once was not run",
         ),
         Verdict(
@@ -130,17 +135,19 @@
     rate = renewals_per_s()
     renewal = book.get("renewal_bytes").points[0]
     renewing = rate * renewal.median / renewal.size
-    probing = probes_per_s(t.SERVERS, t.ARRIVALS_PER_NODE, LOOK_SLOW) * PROBE_BYTES
+    probing = probes_per_s(t.SERVERS, t.ARRIVALS_PER_NODE, HEALTH_CHECK_INTERVAL_IDLE_S) * PROBE_BYTES
     probes = (
         f"with the probes of {figure(t.ARRIVALS_PER_NODE)} requests/s on top, {in_bytes(probing)}/s more, "
     )
     probes += f"it is {figure((renewing + probing) / t.CONTROL_BYTES_PER_S)} times the limit"
     with_probes = f"; with probes: {_held(renewing + probing, t.CONTROL_BYTES_PER_S, BY_SLOPE)}"
-    probe_rate = probes_per_s(t.SERVERS, t.ARRIVALS_PER_NODE, LOOK_SLOW)
+    probe_rate = probes_per_s(t.SERVERS, t.ARRIVALS_PER_NODE, HEALTH_CHECK_INTERVAL_IDLE_S)
     probe_core = probe_rate * book.at("probe", t.SERVERS).value * US
     slope_core = rate * book.at("subscriber_renewal", 1).value * US + probe_core
     probe_core_2 = (
-        probes_per_s(t.SERVERS, t.ARRIVALS_PER_NODE_2, LOOK_FAST) * book.at("probe", t.SERVERS).value * US
+        probes_per_s(t.SERVERS, t.ARRIVALS_PER_NODE_2, HEALTH_CHECK_INTERVAL_FULL_S)
+        * book.at("probe", t.SERVERS).value
+        * US
     )
     renewal_core = slope_core - probe_core
     with_probes_core = (
--- a/bench/scale/worked.py
+++ b/bench/scale/worked.py
@@ -7,7 +7,12 @@
 
 from bench.scale import target as t
 from bench.scale.slope_book import SlopeBook, figure, in_bytes, share
-from gradegap.balancing.balancer import LOOK_FAST, LOOK_SLOW, PROBES_PER_REQUEST, RING_WALK
+from gradegap.balancing.balancer import (
+    HEALTH_CHECK_INTERVAL_FULL_S,
+    HEALTH_CHECK_INTERVAL_IDLE_S,
+    HEALTH_CHECKS_PER_REQUEST,
+)
+from gradegap.balancing.grouping import RING_CANDIDATES
 from gradegap.discovery.watch_schedule import POLLED_WAIT_BOUNDS_S
 from gradegap.observer.limits import Limits
 from gradegap.store.machine import MAX_KEYS
@@ -47,7 +52,7 @@
 
 def probes_per_s(servers: float, arrivals: float, period: float) -> float:
     """What looks want, each server that holds a node's connections in turn, and what requests pay for."""
-    return min(servers / period, PROBES_PER_REQUEST * arrivals)
+    return min(servers / period, HEALTH_CHECKS_PER_REQUEST * arrivals)
 
 
 def returning(nodes_gone: float) -> float:
@@ -191,8 +196,8 @@
     probe = book.at("probe", t.SERVERS)
     started, started_2 = book.at("list_first", t.SERVERS), book.at("list_first", t.SERVERS_2)
     wait = 10.0
-    probes = probes_per_s(t.SERVERS, t.ARRIVALS_PER_NODE, LOOK_SLOW)
-    probes_2 = probes_per_s(t.SERVERS, t.ARRIVALS_PER_NODE_2, LOOK_FAST)
+    probes = probes_per_s(t.SERVERS, t.ARRIVALS_PER_NODE, HEALTH_CHECK_INTERVAL_IDLE_S)
+    probes_2 = probes_per_s(t.SERVERS, t.ARRIVALS_PER_NODE_2, HEALTH_CHECK_INTERVAL_FULL_S)
     changes = t.CHANGES_PER_DAY / t.DAY_S * (delta.value + frame)
     told = t.LIST_CHANGES_PER_DAY / t.DAY_S * changed.value
     told_2 = t.LIST_CHANGES_PER_DAY_2 / t.DAY_S * changed.value
@@ -233,8 +238,9 @@
             "ordinary hour",
             "probes",
             f"{figure(probes)}/s, {in_bytes(probes * PROBE_BYTES)}/s both ways",
-            f"{PROBE_BYTES} bytes a probe; each of {t.SERVERS} servers each {LOOK_SLOW:g} s, at most "
-            f"{PROBES_PER_REQUEST:g} a request; {figure(probes_2)}/s, "
+            f"{PROBE_BYTES} bytes a probe; each of {t.SERVERS} servers each "
+            f"{HEALTH_CHECK_INTERVAL_IDLE_S:g} s, at most "
+            f"{HEALTH_CHECKS_PER_REQUEST:g} a request; {figure(probes_2)}/s, "
             f"{in_bytes(probes_2 * PROBE_BYTES)}/s, with a life of ten minutes and full servers",
             "balancing/balancer.py, upstream/connections.py",
         ),
@@ -444,8 +450,10 @@
 
 def save_server(book: SlopeBook) -> list[Row]:
     """A save server as nodes load it."""
-    probes = t.NODES * probes_per_s(t.SERVERS, t.ARRIVALS_PER_NODE, LOOK_SLOW) / t.SERVERS
-    probes_2 = t.NODES * probes_per_s(t.SERVERS_2, t.ARRIVALS_PER_NODE, LOOK_SLOW) / t.SERVERS_2
+    probes = t.NODES * probes_per_s(t.SERVERS, t.ARRIVALS_PER_NODE, HEALTH_CHECK_INTERVAL_IDLE_S) / t.SERVERS
+    probes_2 = (
+        t.NODES * probes_per_s(t.SERVERS_2, t.ARRIVALS_PER_NODE, HEALTH_CHECK_INTERVAL_IDLE_S) / t.SERVERS_2
+    )
     dials = t.CONNECTIONS / t.SESSION_S / t.SERVERS
     lines = t.LINES_PER_S / t.SERVERS
     return [
@@ -475,7 +483,9 @@
             "ordinary hour",
             "probes",
             f"{figure(probes)}/s on {t.NODES:,} connections",
-            f"each node {figure(probes_per_s(t.SERVERS, t.ARRIVALS_PER_NODE, LOOK_SLOW))}/s over its "
+            "each node "
+            f"{figure(probes_per_s(t.SERVERS, t.ARRIVALS_PER_NODE, HEALTH_CHECK_INTERVAL_IDLE_S))}/s "
+            "over its "
             f"servers; {figure(probes_2)}/s with {t.SERVERS_2:,} servers",
             "balancing/balancer.py, upstream/connections.py",
         ),
@@ -540,7 +550,7 @@
             f"{figure(t.LARGEST_GROUP / t.CONNECTIONS_PER_SERVER)} servers full of it; "
             f"{figure(t.LARGEST_GROUP / (t.CONNECTIONS / t.SERVERS_2))} with {t.SERVERS_2:,}",
             f"at the mean of {figure(t.CONNECTIONS_PER_SERVER)} connections a server; draws walk "
-            f"{RING_WALK} servers of the ring and then the whole list",
+            f"{RING_CANDIDATES} servers of the ring and then the whole list",
             "balancing/balancer.py, balancing/hash_ring.py",
         ),
         Row(
@@ -553,8 +563,8 @@
         Row(
             "the group of 850,000",
             "its coming back at once, at servers",
-            f"{figure(t.LARGEST_GROUP / RING_WALK)} at each of {RING_WALK}",
-            f"all nodes walk the same {RING_WALK} servers first",
+            f"{figure(t.LARGEST_GROUP / RING_CANDIDATES)} at each of {RING_CANDIDATES}",
+            f"all nodes walk the same {RING_CANDIDATES} servers first",
             "balancing/balancer.py, balancing/hash_ring.py",
         ),
         Row(
--- a/gradegap/balancing/balancer.py
+++ b/gradegap/balancing/balancer.py
@@ -12,12 +12,8 @@
 
 import math
 from collections.abc import Callable, Mapping
-from dataclasses import dataclass, field
-from random import Random
-from typing import Any, get_args
+from typing import Any
 
-from gradegap.balancing import connection_estimates as told
-from gradegap.balancing import hash_ring as ring
 from gradegap.balancing.actions import (
     Action,
     CheckHealth,
@@ -28,7 +24,10 @@
     SetTimer,
     WatchEndpoints,
 )
-from gradegap.balancing.capacity import SURE_FROM, Capacity, is_cold
+from gradegap.balancing.capacity import Capacity, is_cold
+from gradegap.balancing.connection_growth import REPORT_DELAY_S, ConnectionGrowth
+from gradegap.balancing.context import Context
+from gradegap.balancing.endpoint_registry import EndpointRegistry
 from gradegap.balancing.events import (
     NEVER_RAN,
     AttemptEnded,
@@ -37,9 +36,7 @@
     ConnectionEstablished,
     ConnectionInherited,
     ConnectionObserved,
-    EndpointEntry,
     EndpointList,
-    EndpointListKind,
     EndpointPhase,
     Event,
     HealthCheckEnded,
@@ -48,9 +45,15 @@
     RequestArrived,
     TimerFired,
 )
+from gradegap.balancing.grouping import GROUP_SETUP_CONNECTIONS, Grouping, is_home
+from gradegap.balancing.load_estimates import LoadEstimates, recent_placements
+from gradegap.balancing.load_reports import LoadReports
+from gradegap.balancing.model import NEVER, Endpoint, Request
+from gradegap.balancing.outcome_rates import OutcomeRates
+from gradegap.balancing.outliers import OutlierEjection
 from gradegap.balancing.priority import PriorityWeights
-from gradegap.balancing.rates import BaselineRate, DecayingRate
 from gradegap.balancing.report_statistics import ReportStatistics
+from gradegap.balancing.request_table import RequestTable
 from gradegap.balancing.settings import (
     ClassSettings,
     DeduplicationScope,
@@ -60,771 +63,809 @@
     WeightMeaning,
 )
 from gradegap.balancing.slow_start import SlowStart
+from gradegap.balancing.timers import (
+    HEALTH_CHECKS_TOKEN,
+    PROXY_DRAIN_TOKEN,
+    TimerKind,
+    endpoint_drain_token,
+    parse,
+    request_token,
+)
+
+BETA_SCALE = 1.0
+"""Factor on beta; the paper leaves the constant open."""
+
+FRESH_REPORT_SHARE = 0.5
+"""Share of the class's latency objective: an endpoint with an older report is checked first."""
+
+HEALTH_CHECK_WAIT_SHARE = 0.16
+"""Share of the class's latency objective: the longest wait for the health checks of the candidates."""
+
+FULL_LOAD = 0.9
+"""Load over capacity from which the lighter of two candidates counts as full, and another pair is drawn."""
+
+ADMISSION_LOAD_LIMIT = 0.90
+"""Load over capacity up to which all proxies together may fill an endpoint."""
+
+LOW_PRIORITY_RESERVE = 0.15
+"""Load over capacity that is kept from a request of priority 0, less of it from higher ones."""
+
+MAX_REDRAWS = 3
+"""Further pairs that are drawn where a pair is full, or not in this proxy's zone."""
+
+MAX_DRAWS_PER_CANDIDATE = 6
+"""Draws for one of two candidates before an endpoint that was already attempted, or is ejected, is taken."""
+
+MIGRATION_START_LOAD = 0.9
+"""Load over capacity from which established connections are migrated off an endpoint."""
+
+MIGRATION_TARGET_LOAD = 0.85
+"""Load over capacity that the migrations of all proxies together aim at."""
+
+MIGRATION_PAUSE_REPORTS = 1.5
+"""The shortest pause between two rounds of migration off one endpoint, in intervals between its reports."""
+
+MIGRATION_SHOWN_SHARE = 0.5
+"""Share of a round by which the reported connections must have fallen before the next round."""
+
+DRAIN_ROUND_S = 0.1
+"""Seconds between two rounds of migration off an endpoint or a proxy that is draining."""
+
+DEFAULT_DRAIN_TIME_S = 3.6
+"""Seconds that a draining endpoint is assumed to stay, until one was seen to stop sooner."""
+
+DRAIN_START_SHARE = 0.75
+"""Share of the assumed drain time after which the first connections are migrated."""
+
+DRAIN_END_SHARE = 1.0
+"""Share of the assumed drain time by which all connections are migrated."""
+
+ANNOUNCED_DRAIN_START_SHARE = 0.05
+"""As `DRAIN_START_SHARE`, where the endpoint list says how soon the endpoint may stop."""
 
-NEVER = -1e9  # a clock time before all others
-BETA_SCALE = 1.0  # factor on the paper's beta, which leaves the constant open
-FRESH = 0.5  # part of the class's aim: a figure older than this is probed again before it is compared
-HOLD = 0.16  # part of the class's aim: the longest a request waits for the probes of its pair
-REPORTS_BEHIND = 5.0  # s: growth of our own connections that reports may not show yet
-OWN_MEMORY = 1.0  # s: how long our own placements count on top of a report that may not show them yet
-FULL_AT = 0.9  # load over capacity from which a drawn pair's lighter one is drawn again
-ROOM_TO = 0.90  # load over capacity up to which all proxies together may fill a server
-LOW_WORTH = 0.15  # how much less room there is for a request worth nothing
-REDRAWS = 3  # further pairs looked at when a pair is full
-HANGS = 3.0  # load over capacity that tells of a server that hangs, and nothing of its connections
-DRAWS = 6  # draws for one place in a pair before one already tried is drawn again
-CROSSING = 8.0  # load over capacity that one point of service of crossing price is held equal to
-MOVE_AT = 0.9  # load over capacity from which standing connections are moved away
-MOVE_TO = 0.85  # load over capacity that the moves of all proxies together aim at
-MOVE_REST = 1.5  # report paces at least between two rounds of moves off one server
-MOVE_SHOWN = 0.5  # part of a round by which its count must have fallen before the next
-LEAVE_TICK = 0.1  # s between two rounds of moves off what leaves
-LEAD = 3.6  # s that a server told to drain is held to stay, until one was seen to stop sooner
-LEAD_FROM, LEAD_TO = 0.75, 1.0  # parts of that lead between which its connections are moved
-SOON_FROM, SOON_TO = 0.05, 0.8  # the same where it is told how soon the server may stop
-GONE_TIME = 0.5  # s over which what is left on a server that is gone is moved
-LEAVE_LAG = 0.4  # s before a proxy that leaves begins to move: until then clients still come to it
-FEW = 1.0  # attempts a second that may fail beyond those that stand
-OUT_FROM = 2  # failures in a row from which a server is not drawn for a while
-OUT_FIRST, OUT_MOST = 0.5, 4.0  # s: the first such while, and the longest
-SILENT = 3  # probes in a row unanswered from which connections are moved away
-LOOK_FAST, LOOK_SLOW = 0.7, 4.0  # s between looks at a server that holds our connections: full, idle
-PROBES_PER_REQUEST = 6.0  # probes a request may use, looks included, so that their price is bounded
-PROBES_PER_RETURN = 2.0  # the same where a client comes again, so that a storm of them is not one of probes
-PROBES_SAVED = 30.0  # probes that a quiet spell may save up
-PROBES_KEPT = 4.0  # of these, what looks leave to requests, which would be placed blindly without
-GUARD = 0.02  # s before a deadline at which a request that waits is answered
-ASK_SPREAD = 0.5  # part of ask_within over which proxies spread their first call to the list service
-RING_WALK = 8  # servers of the ring drawn from, before a group's request draws from the ready list
-TEAM_LOADS = 8.0  # connection loads that a group costs on one more server: itself, and what follows it there
-COMPARED = ("x0", "util", "inflight")  # what is compared: the first that reports carry
-
-
-@dataclass(slots=True, eq=False)
-class _Server:
-    name: str
-    zone: str = ""
-    is_local: bool = True
-    cell: int = 0
-    phase: EndpointPhase = EndpointPhase.REMOVED
-    weight: float = 1.0
-    started_at: float = 0.0
-    index: int = -1  # place in the list of ready servers; -1: not in it
-    load: float | None = None  # last figure; None: unprobed, which ties
-    raw: tuple[float | None, float | None] = (None, None)  # the report it was made of
-    seen_at: float = NEVER  # when that report was first seen
-    looked_at: float = NEVER  # when a report last came, changed or not
-    probing: float = NEVER  # when the probe still out was sent
-    own: float = 0.0  # own placements of late, decaying
-    own_at: float = 0.0
-    unit: float = 0.0  # what one connection adds to its load, learned from its reports
-    silent: int = 0  # probes in a row that it left unanswered
-    failed: int = 0  # attempts in a row that came to nothing there
-    out_until: float = 0.0  # not drawn before, where others can be
-    rest_until: float = 0.0  # no moves off it before
-    shown_by: float = 0.0  # nor before this, unless it reports a count no higher than the next
-    shown_at: float = 0.0
-    leaves_in: float = 0.0  # s that it stays once it is told to drain; 0: not told
-    drains_at: float = 0.0  # when we were told that it drains or is gone; 0: it does not
-    empty_by: float = 0.0  # all our connections are moved off it by then
-    size: float = 0.0  # its weight when it is empty: the most that the list has told
-    cores: float = 0.0  # learned from its reports beside its weights; 0: not yet
-    told: float = 0.0  # connections that all proxies hold there, by its weight
-    told_at: float = NEVER  # when the list told them
-    held: dict[int, _Req] = field(default_factory=dict)  # own standing connections
-    teams: dict[str, int] = field(default_factory=dict)  # how many of them each group has
-    waiters: list[_Req] = field(default_factory=list)  # requests that wait for its probe
-
-
-@dataclass(slots=True, eq=False)
-class _Req:
-    id: int
-    cls: ClassSettings
-    arrived: float
-    deadline: float
-    most: int = 1  # attempts, by the settings that it came under
-    again: bool = False  # it stood before, here or at another proxy
-    tenant: str = ""
-    worth: float = 1.0  # of serving it, over the most that anything is worth
-    ring_key: str = ""  # what places it on the ring; none: it draws from the ready list
-    walk: list[_Server] | None = None  # what its draws come from, in order
-    walk_at: int = 0
-    attempts: int = 0
-    out: bool = False  # an attempt is out; never two at once
-    standing: bool = False
-    done: bool = False  # nothing more may be sent or answered
-    maybe_ran: bool = False
-    bound: object = None  # keyed and maybe run: the group of servers that drops its repeats
-    bound_until: float = math.inf  # no repeat is written after this
-    sent_at: float = 0.0  # when the last attempt was decided
-    tried: list[_Server] = field(default_factory=list)
-    server: _Server | None = None  # of the last attempt
-    pair: tuple[_Server, _Server] | None = None  # what it waits to compare
-    waiting: int = 0  # probes of the pair still out
-    best: _Server | None = None  # the lightest of the full pairs seen
-    redraws: int = 0
+ANNOUNCED_DRAIN_END_SHARE = 0.8
+"""As `DRAIN_END_SHARE`, where the endpoint list says how soon the endpoint may stop."""
+
+REMOVED_DRAIN_S = 0.5
+"""Seconds over which connections are migrated off an endpoint that the list has removed."""
+
+PROXY_DRAIN_DELAY_S = 0.4
+"""Seconds before a draining proxy begins to migrate: until then clients may still be sent back to it."""
+
+UNRESPONSIVE_HEALTH_CHECKS = 3
+"""Health checks in a row without an answer from which connections are migrated off an endpoint."""
+
+HEALTH_CHECK_INTERVAL_FULL_S = 0.7
+"""Seconds between scheduled health checks of a full endpoint that holds our connections."""
+
+HEALTH_CHECK_INTERVAL_IDLE_S = 4.0
+"""Seconds between scheduled health checks of an idle endpoint that holds our connections."""
+
+HEALTH_CHECKS_PER_REQUEST = 6.0
+"""Health checks, scheduled ones included, that each request adds to the budget: it bounds their cost."""
+
+HEALTH_CHECKS_PER_RETRY = 2.0
+"""The same for a client that comes again, so that a wave of retries is not one of health checks."""
+
+MAX_HEALTH_CHECK_BUDGET = 30.0
+"""Health checks that a quiet time may save up."""
+
+RESERVED_HEALTH_CHECKS = 4.0
+"""Part of the budget that scheduled health checks leave to requests, which else would go unchecked."""
+
+DEADLINE_MARGIN_S = 0.02
+"""Seconds before its deadline at which a waiting request is answered."""
 
 
 class Balancer:
     """One proxy's decisions: `handle(now, event)` returns the actions to carry out, in order."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        self.rng = Random(seed)
-        self.worth = PriorityWeights(settings)
-        self.random = self.rng.random
-        self.servers: dict[str, _Server] = {}
-        self.ready: list[_Server] = []
-        self.ring: ring.Ring = []  # of the ready servers
-        self.n_log_n = 0.0
-        self.adopt(settings)
-        self.reqs: dict[int, _Req] = {}
-        self.out: list[Action] = []
-        self.born = NEVER
-        self.usual = BaselineRate()
-        self.began_with = 0
-        self.stood, self.came, self.lost = (
-            DecayingRate(),
-            DecayingRate(),
-            DecayingRate(),
-        )  # what stood, was sent, failed once sent
-        self.figures, self.capacity = ReportStatistics(), Capacity()
-        self.cold = SlowStart(self.capacity)
-        self.tokens = PROBES_SAVED / 2
-        self.ticking = self.asking = self.leave_due = self.ending = False
-        self.empty_by = 0.0  # this proxy leaves: all its connections are moved by then
-        self.owed = 0.0  # returns that make up for what was moved or broke here
-        self.lead, self.list_failures = LEAD, 0
-        self.answering = 1.0  # part of probes of late that were answered
-        self.now = 0.0
-        handlers = {kind: getattr(self, f"_on_{kind.__name__.lower()}") for kind in get_args(Event)}
-        self.on: dict[type, Callable[[Any], None]] = handlers
+        context = self.context = Context(settings, seed)
+        self.priority_weights = PriorityWeights(settings)
+        self.table = RequestTable(self.priority_weights)
+        self.registry = EndpointRegistry(context)
+        self.registry.on_leaving = self._empty
+        self.report_statistics, self.capacity = ReportStatistics(), Capacity()
+        self.reports = LoadReports(context, self.report_statistics)
+        self.rates = OutcomeRates()
+        self.growth = ConnectionGrowth(context, self.table)
+        self.grouping = Grouping(context, self.registry, self.capacity)
+        self.load_estimates = LoadEstimates(context, self.registry.ready, self.capacity)
+        self.slow_start = SlowStart(self.capacity)
+        self.outliers = OutlierEjection(context, self.rates)
+        self.health_check_budget = MAX_HEALTH_CHECK_BUDGET / 2
+        self.health_checks_scheduled = self.drain_scheduled = self.process_ending = False
+        self.drained_by = 0.0  # when this proxy must have migrated all its connections; 0: it stays
+        self.expected_returns = 0.0  # reconnects that make up for what was migrated or broke here
+        self.learned_drain_time = DEFAULT_DRAIN_TIME_S  # s
+        self.answered_share = 1.0  # of the health checks of late
+        self.handlers: dict[type, Callable[[Any], None]] = {
+            EndpointList: self.registry.update,
+            RequestArrived: self._on_requestarrived,
+            ConnectionInherited: self._on_connectioninherited,
+            ConnectionEstablished: self._on_connectionestablished,
+            ConnectionObserved: self._on_connectionobserved,
+            AttemptEnded: self._on_attemptended,
+            ClientDisconnected: self._on_clientdisconnected,
+            TimerFired: self._on_timerfired,
+            HealthCheckEnded: self._on_healthcheckended,
+            ProxyDraining: self._on_proxydraining,
+            ProxyResumed: self._on_proxyresumed,
+        }
+
+    @property
+    def endpoints(self) -> Mapping[str, Endpoint]:
+        """All known endpoints, by name; to look at, not to change."""
+        return self.registry.endpoints
+
+    @property
+    def requests(self) -> Mapping[int, Request]:
+        """All requests that are not ended, by id; to look at, not to change."""
+        return self.table.requests
 
     def adopt(self, settings: Settings) -> None:
-        """Settings to decide by from now on."""
-        self.set = settings
-        self.worth.adopt(settings)
-        self.by_probe = settings.health_checks and settings.report_source is not ReportSource.NONE
-        self.field = next((f for f in COMPARED if f in settings.report_fields), "")
-        self.use_ring = settings.connection_groups or settings.passthrough
-        self.cross = CROSSING * settings.cross_zone_cost
+        """Decides by these settings from now on."""
+        self.context.adopt(settings)
+        self.priority_weights.adopt(settings)
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        self.now = now
-        self.born = self.cold.born = now if self.born == NEVER else self.born
-        self.out = []
-        self.on[type(event)](event)
-        return self.out
-
-    # The list of servers
-
-    def _on_endpointlist(self, e: EndpointList) -> None:
-        if e.kind is EndpointListKind.FAILED:
-            # Guards against a list service that drowns: each proxy waits longer after every failure.
-            self.asking = False
-            self.list_failures += 1
-            self._ask_later(min(1.0, 0.1 * 2.0**self.list_failures) * (0.5 + self.random()))
-            return
-        if e.kind is not EndpointListKind.DELTA:
-            named = {entry.name for entry in e.entries}
-            for s in list(self.servers.values()):
-                if s.name not in named:
-                    self._set_phase(s, EndpointPhase.REMOVED)
-        for entry in e.entries:
-            self._entry(entry, e.kind is EndpointListKind.DELTA)
-        self.n_log_n = len(self.ready) * math.log(max(1, len(self.ready)))
-        if e.kind is not EndpointListKind.CACHED:
-            self.asking, self.list_failures = False, 0
-        elif self.set.polls_endpoints:
-            self._ask_later(ASK_SPREAD * self.random() * min(1.0, self.set.proxy_count / 10))
-
-    def _ask_later(self, part: float) -> None:
-        if self.set.polls_endpoints and not self.asking:
-            self.asking = True
-            self.out.append(SetTimer(part * self.set.poll_within, "list"))
-
-    def _known(self, name: str) -> _Server:
-        return self.servers.setdefault(name, _Server(name))
-
-    def _entry(self, e: EndpointEntry, renewed: bool) -> None:
-        s = self._known(e.name)
-        s.size = max(s.size, e.weight)
-        if e.started_at > s.started_at:  # a new process: what was known of the old one is void
-            s.started_at, s.load, s.unit, s.raw = e.started_at, None, 0.0, (None, None)
-            s.silent, s.failed, s.out_until = 0, 0, 0.0
-            s.seen_at = s.looked_at = s.told_at = NEVER
-        elif s.cores and renewed and s.index >= 0 and e.phase is EndpointPhase.READY:
-            # Where a phase changes, and in whole lists, the weight is the size and tells nothing of them.
-            s.told, s.told_at = told.held(s.size, e.weight, s.cores), self.now
-        s.zone, s.cell, s.weight, s.leaves_in = e.zone, e.cell, e.weight, e.stops_within
-        s.is_local = not e.zone or not self.set.zone or e.zone == self.set.zone
-        self._set_phase(s, e.phase)
-
-    def _set_phase(self, s: _Server, phase: EndpointPhase) -> None:
-        s.phase = phase
-        if phase is EndpointPhase.READY and s.index < 0:
-            s.index = len(self.ready)
-            self.ready.append(s)
-            ring.add(self.ring, s.name)
-        elif phase is not EndpointPhase.READY and s.index >= 0:
-            last = self.ready.pop()
-            if last is not s:
-                self.ready[s.index] = last
-                last.index = s.index
-            s.index = -1
-            ring.remove(self.ring, s.name)
-        if phase is EndpointPhase.READY:
-            s.drains_at = 0.0
-        elif s.held:
-            self._empty(s)
-        elif phase is EndpointPhase.REMOVED:
-            self.servers.pop(s.name, None)
+        """Returns the actions to carry out, in order.
+
+        Args:
+            now: Seconds by a clock that never goes back.
+            event: What happened. Each request, attempt and timer is one that this balancer knows, or is
+                ignored.
+        """
+        context = self.context
+        context.now = now
+        if context.started_at == NEVER:
+            context.started_at = self.slow_start.born = now
+        actions = context.actions = []
+        self.handlers[type(event)](event)
+        return actions
 
     # A request's way
 
-    def _on_requestarrived(self, e: RequestArrived) -> None:
-        r = self.reqs[e.request_id] = self._made(e, self.set.classes[e.class_name])
-        again = e.retry or e.reconnect
-        self.tokens = min(PROBES_SAVED, self.tokens + (PROBES_PER_RETURN if again else PROBES_PER_REQUEST))
-        self._draw(r)
-
-    def _made(self, e: RequestArrived, cls: ClassSettings) -> _Req:
-        r = _Req(e.request_id, cls, self.now, e.deadline_at, self.set.max_attempts, e.reconnect, e.tenant)
-        r.ring_key = (e.group or (e.key if self.set.passthrough else "")) if self.use_ring else ""
-        r.worth = self.worth.of(cls, e.tenant)
-        return r
+    def _on_requestarrived(self, event: RequestArrived) -> None:
+        request = self.table.requests[event.request_id] = self._made(
+            event, self.context.settings.classes[event.class_name]
+        )
+        again = event.retry or event.reconnect
+        self.health_check_budget = min(
+            MAX_HEALTH_CHECK_BUDGET,
+            self.health_check_budget + (HEALTH_CHECKS_PER_RETRY if again else HEALTH_CHECKS_PER_REQUEST),
+        )
+        self._draw(request)
+
+    def _made(self, event: RequestArrived, class_settings: ClassSettings) -> Request:
+        request = Request(
+            event.request_id,
+            class_settings,
+            self.context.now,
+            event.deadline_at,
+            self.context.settings.max_attempts,
+            event.reconnect,
+            event.tenant,
+        )
+        request.hash_key = (
+            (event.group or (event.key if self.context.settings.passthrough else ""))
+            if self.context.uses_hash_ring
+            else ""
+        )
+        request.priority = self.priority_weights.of(class_settings, event.tenant)
+        return request
 
-    def _draw(self, r: _Req) -> None:
+    def _draw(self, request: Request) -> None:
         """Draw a pair, and compare it now or when its probes are back."""
-        if self.ending or self.now >= r.bound_until:
-            return self._give_up(r)
+        if self.process_ending or self.context.now >= request.retry_until:
+            return self._give_up(request)
         # Guards against attempts that keep it overrun: by the excess, some wait or are told to come again.
-        if self.random() < self._excess():
-            return self._wait(r)
-        for _ in range(1 + REDRAWS):
-            a = self._pick(r, None)
-            if a is None:
-                return self._wait(r)
-            b = self._pick(r, a) or a
-            r.pair = pair = (a, b)
+        if self.context.random() < self.rates.failure_excess(self.context.now):
+            return self._wait(request)
+        for _ in range(1 + MAX_REDRAWS):
+            first = self._pick(request, None)
+            if first is None:
+                return self._wait(request)
+            second = self._pick(request, first) or first
+            request.candidates = pair = (first, second)
             # Condition: crossing has a price and neither of the pair is near. It is drawn again, unless the
             # last pair was full or the draws are a group's.
-            if a.is_local or b.is_local or self.cross <= 0 or r.redraws or r.ring_key:
+            if (
+                first.is_local
+                or second.is_local
+                or self.context.cross_zone_load <= 0
+                or request.redraws
+                or request.hash_key
+            ):
                 break
-        if a is b or not self.by_probe:
-            return self._decide(r)
-        old = self.now - FRESH * r.cls.latency_objective
-        r.waiting = 0
-        for s in pair:
-            if s.looked_at < old and self.tokens > 0:
-                r.waiting += 1
-                s.waiters.append(r)
-                self._probe(s)
-        if r.waiting == 0:
-            self._decide(r)
+        if first is second or not self.context.uses_health_checks:
+            return self._decide(request)
+        old = self.context.now - FRESH_REPORT_SHARE * request.class_settings.latency_objective
+        request.pending_health_checks = 0
+        for endpoint in pair:
+            if endpoint.last_report_at < old and self.health_check_budget > 0:
+                request.pending_health_checks += 1
+                endpoint.waiting_requests.append(request)
+                self._probe(endpoint)
+        if request.pending_health_checks == 0:
+            self._decide(request)
         else:
             # Guards against a silent probe: a request never waits longer than this for one.
-            left = r.deadline - GUARD - self.now
-            self.out.append(SetTimer(max(0.0, min(HOLD * r.cls.latency_objective, left)), f"h{r.id}"))
-
-    def _pick(self, r: _Req, other: _Server | None) -> _Server | None:
+            left = request.deadline_at - DEADLINE_MARGIN_S - self.context.now
+            self.context.actions.append(
+                SetTimer(
+                    max(0.0, min(HEALTH_CHECK_WAIT_SHARE * request.class_settings.latency_objective, left)),
+                    request_token(request.id),
+                )
+            )
+
+    def _pick(self, request: Request, other: Endpoint | None) -> Endpoint | None:
         """A uniform draw from the ready list, drawn again where a stated condition rules it out."""
-        pool = self.ready
-        if r.bound is not None:
-            pool = [s for s in pool if self._group_of(s, r) == r.bound]
+        pool = self.registry.ready
+        if request.deduplication_group is not None:
+            pool = [
+                endpoint
+                for endpoint in pool
+                if self._group_of(endpoint, request) == request.deduplication_group
+            ]
         n = len(pool)
         if n == 0 or (n == 1 and pool[0] is other):
             return None
         fallback = None
-        for _ in range(DRAWS):
-            on_ring = self._next_on_ring(r) if r.ring_key and r.bound is None else None
-            s = on_ring or pool[int(self.random() * n)]
+        for _ in range(MAX_DRAWS_PER_CANDIDATE):
+            on_ring = (
+                self.grouping.next_candidate(request)
+                if request.hash_key and request.deduplication_group is None
+                else None
+            )
+            endpoint = on_ring or pool[int(self.context.random() * n)]
             # Guards against pushing a cold server over, all proxies together.
-            if s is other or (is_cold(s, self.now, self.set) and not self._cold_may(s, r)):
+            if endpoint is other or (
+                is_cold(endpoint, self.context.now, self.context.settings)
+                and not self._cold_may(endpoint, request)
+            ):
                 continue
-            if s in r.tried or s.out_until > self.now:
-                fallback = fallback or s
+            if endpoint in request.attempted_endpoints or endpoint.ejected_until > self.context.now:
+                fallback = fallback or endpoint
                 continue
-            return s
+            return endpoint
         return fallback if other is None else None
 
-    def _next_on_ring(self, r: _Req) -> _Server | None:
-        """Condition: connections of one group share work on a server. The draws come from where we hold it,
-        then from a ring that all proxies share, in one order for each group, so that its connections meet.
-        Guards against a large group that begins at a cold server while no reports tell what that bears."""
-        told, s = self.capacity.per_size > 0, self.ready[int(self.random() * len(self.ready))]
-        if not told and is_cold(s, self.now, self.set):
-            return s
-        if r.walk is None:
-            homes = [s for s in self.ready if r.ring_key in s.teams]
-            homes.sort(key=lambda s: -s.teams[r.ring_key])
-            near = [self.servers[name] for name in ring.order(self.ring, r.ring_key, RING_WALK)]
-            r.walk = homes + [s for s in near if s not in homes]
-        for k in range(r.walk_at, len(r.walk)):
-            r.walk_at, s = k + 1, r.walk[k]
-            if s.index >= 0 and (told or not is_cold(s, self.now, self.set)):
-                return s
-        return None
-
-    def _cold_may(self, s: _Server, r: _Req) -> bool:
+    def _cold_may(self, endpoint: Endpoint, request: Request) -> bool:
         """Thin draws of a cold server by its budget, and a large group's more: all begin it there."""
-        chance = self.cold.chance(self.now, s, self.ready, self.came, self.set)
-        if r.ring_key and (team := sum(o.teams.get(r.ring_key, 0) for o in self.ready)):
-            chance *= min(1.0, (1.0 + len(self.reqs) / len(self.ready)) / team)
-        return self.random() < chance
+        chance = self.slow_start.chance(
+            self.context.now, endpoint, self.registry.ready, self.rates.sent, self.context.settings
+        )
+        if request.hash_key and (
+            team := sum(
+                other_endpoint.connections_by_group.get(request.hash_key, 0)
+                for other_endpoint in self.registry.ready
+            )
+        ):
+            chance *= min(1.0, (1.0 + len(self.table.requests) / len(self.registry.ready)) / team)
+        return self.context.random() < chance
 
     def beta(self, older_age: float) -> float:
         """The chance of a two-way comparison, for figures of which the older has this age."""
-        b = self.stood.get(self.now) * self.set.proxy_count * older_age
-        if b <= self.n_log_n:
+        b = self.rates.established.get(self.context.now) * self.context.settings.proxy_count * older_age
+        if b <= self.registry.n_log_n:
             return 1.0
-        return min(1.0, BETA_SCALE * math.sqrt(self.n_log_n / b))
-
-    def _own(self, s: _Server) -> float:
-        """Our own placements on a server of late."""
-        return s.own * math.exp((s.own_at - self.now) / OWN_MEMORY)
-
-    def _load(self, s: _Server) -> float | None:
-        """The last reported load, and what the list has told since of connections that came and went."""
-        if s.told_at <= s.seen_at or (unit := self._unit(s)) <= 0:
-            return s.load
-        if s.load is None:
-            return s.told * unit
-        return s.load if s.raw[1] is None else max(0.0, s.load + unit * (s.told - s.raw[1]))
-
-    def _is_home(self, s: _Server, r: _Req) -> bool:
-        """Whether the request's group is held to stand there: where we hold it, or where its draws begin, as
-        those of all proxies do. What each holds alone says too little where many proxies hold few each."""
-        return not r.ring_key or r.ring_key in s.teams or s in (r.walk or ())[:1]
-
-    def _figure(self, s: _Server, r: _Req) -> float | None:
-        """The last probed load, with what we know it cannot show yet, the price of crossing, and what the
-        request's group would add where it is not at home, with one to follow."""
-        if (load := self._load(s)) is None:
-            return None
-        added = self._own(s) + (0.0 if self._is_home(s, r) else TEAM_LOADS + 1.0)
-        figure = load + self._unit(s) * added
-        return figure if s.is_local else figure + self.cross
+        return min(1.0, BETA_SCALE * math.sqrt(self.registry.n_log_n / b))
 
-    def _has_room(self, s: _Server, r: _Req) -> bool:
+    def _has_room(self, endpoint: Endpoint, request: Request) -> bool:
         """Whether a server has room for the connections that all proxies may be about to give it.
 
         Guards against a server with a little room that every proxy sees at once: each takes it with the
         chance that makes them, together, fill the room and not more."""
-        age = self.now - max(s.seen_at, s.told_at)
-        load = self._load(s)
+        age = self.context.now - max(endpoint.report_changed_at, endpoint.estimated_at)
+        load = self.load_estimates.load(endpoint)
         # Guards against frozen reports: one older than any delay says nothing of room, so trust the draw.
-        if load is None or (unit := self._unit(s)) <= 0 or s.looked_at - s.seen_at > 2 * REPORTS_BEHIND:
+        if (
+            load is None
+            or (unit := self.load_estimates.load_per_connection(endpoint)) <= 0
+            or endpoint.last_report_at - endpoint.report_changed_at > 2 * REPORT_DELAY_S
+        ):
             return True
         # What the list has told since the report has our own connections in it, and needs no guess.
-        load = load * (1.0 if s.told_at > s.seen_at else self._growth()) + unit * self._own(s)
+        load = load * (
+            1.0 if endpoint.estimated_at > endpoint.report_changed_at else self.growth.factor()
+        ) + unit * recent_placements(endpoint, self.context.now)
         # The least worth is refused first, and a group's first on a server takes the room of several.
-        room = (ROOM_TO - LOW_WORTH * (1.0 - r.worth) - load) / unit
-        room -= 0.0 if self._is_home(s, r) else TEAM_LOADS
+        room = (ADMISSION_LOAD_LIMIT - LOW_PRIORITY_RESERVE * (1.0 - request.priority) - load) / unit
+        room -= 0.0 if is_home(endpoint, request) else GROUP_SETUP_CONNECTIONS
         if room <= 0:
             return False
-        pace = self.figures.pace()
+        pace = self.report_statistics.pace()
         lag = pace + min(age, pace)  # over longer, those who leave make room for those who come
-        rivals = 2.0 * self.came.get(self.now) * self.set.proxy_count * lag / max(1, len(self.ready))
-        return rivals <= room or self.random() * rivals < room
-
-    def _unit(self, s: _Server) -> float:
-        """What one connection adds to a server's load. Guards against an empty server, whose reports can't
-        say it, that every proxy would fill at once: what is seen elsewhere, by size, stands for it."""
-        self.capacity.look(self.now, self.ready, self.set)
-        return s.unit if s.unit and (s.raw[1] or 0) >= SURE_FROM else self.capacity.unit(s.size) or s.unit
-
-    def _growth(self) -> float:
-        """How far our own connections have outgrown their usual number, which reports may not show."""
-        n = len(self.reqs)
-        self.usual.seen(self.now, n, REPORTS_BEHIND)
-        if self.now - self.born < REPORTS_BEHIND and not self.began_with:
-            return 1.0
-        return max(1.0, (n + 1.0) / (self.usual.number + 1.0))
+        rivals = (
+            2.0
+            * self.rates.sent.get(self.context.now)
+            * self.context.settings.proxy_count
+            * lag
+            / max(1, len(self.registry.ready))
+        )
+        return rivals <= room or self.context.random() * rivals < room
 
-    def _decide(self, r: _Req) -> None:
+    def _decide(self, request: Request) -> None:
         """Keep one of the drawn pair."""
-        assert r.pair is not None
-        if self.now >= r.bound_until:  # it waited for its probes for too long
-            return self._give_up(r)
-        a, b = r.pair
-        r.pair, r.waiting = None, 0
+        assert request.candidates is not None
+        if self.context.now >= request.retry_until:  # it waited for its probes for too long
+            return self._give_up(request)
+        first, second = request.candidates
+        request.candidates, request.pending_health_checks = None, 0
         # Guards against a server that began to drain, or went, while its probe was out.
-        if a.index < 0 or b.index < 0:
-            a = b = b if a.index < 0 else a
-            if a.index < 0:
-                return self._draw(r)
-        keep = a
-        if a is not b:
-            if self.by_probe or self.set.report_source is ReportSource.ANSWERS:
-                fa, fb = self._figure(a, r), self._figure(b, r)
-                oldest = min(max(s.seen_at, s.told_at) for s in (a, b))
-                age = 0.0 if None in (fa, fb) else self.now - oldest
-            elif self.set.weight_meaning is WeightMeaning.LIVE:
-                fa, fb, age = 1.0 / max(a.weight, 1e-9), 1.0 / max(b.weight, 1e-9), 0.0
+        if first.ready_index < 0 or second.ready_index < 0:
+            first = second = second if first.ready_index < 0 else first
+            if first.ready_index < 0:
+                return self._draw(request)
+        keep = first
+        if first is not second:
+            if self.context.uses_health_checks or self.context.settings.report_source is ReportSource.ANSWERS:
+                first_load, second_load = (
+                    self.load_estimates.comparable_load(first, request),
+                    self.load_estimates.comparable_load(second, request),
+                )
+                oldest = min(
+                    max(endpoint.report_changed_at, endpoint.estimated_at) for endpoint in (first, second)
+                )
+                age = 0.0 if None in (first_load, second_load) else self.context.now - oldest
+            elif self.context.settings.weight_meaning is WeightMeaning.LIVE:
+                first_load, second_load, age = (
+                    1.0 / max(first.weight, 1e-9),
+                    1.0 / max(second.weight, 1e-9),
+                    0.0,
+                )
             else:  # no reports at all: our own connections are all that can be counted
-                fa, fb, age = len(a.held) / max(a.weight, 1e-9), len(b.held) / max(b.weight, 1e-9), 0.0
-            if self.random() < self.beta(age):
-                if fa is None or fb is None or fa == fb:
-                    tied = [s for s in (a, b) if is_cold(s, self.now, self.set)] or [a, b]  # thinned once
-                    keep = tied[int(self.random() * len(tied))]
+                first_load, second_load, age = (
+                    len(first.connections) / max(first.weight, 1e-9),
+                    len(second.connections) / max(second.weight, 1e-9),
+                    0.0,
+                )
+            if self.context.random() < self.beta(age):
+                if first_load is None or second_load is None or first_load == second_load:
+                    tied = [
+                        endpoint
+                        for endpoint in (first, second)
+                        if is_cold(endpoint, self.context.now, self.context.settings)
+                    ] or [first, second]  # thinned once
+                    keep = tied[int(self.context.random() * len(tied))]
                 else:
-                    keep = a if fa < fb else b
-        if self.by_probe:
+                    keep = first if first_load < second_load else second
+        if self.context.uses_health_checks:
             # Condition: what is kept is full, or costs as much by crossing: draw again, keep the lightest.
-            figure = self._figure(keep, r)
-            best = r.best
-            if best is not None and best.index >= 0 and best not in r.tried:
-                other = self._figure(best, r)
+            figure = self.load_estimates.comparable_load(keep, request)
+            best = request.fallback_endpoint
+            if best is not None and best.ready_index >= 0 and best not in request.attempted_endpoints:
+                other = self.load_estimates.comparable_load(best, request)
                 if other is not None and (figure is None or other < figure):
                     keep, figure = best, other
-            room = self._has_room(keep, r)
-            if not room or (figure is not None and figure >= FULL_AT):
-                r.best = keep
-                if r.redraws < REDRAWS and self.now - r.arrived < FRESH * r.cls.latency_objective:
-                    r.redraws += 1
-                    return self._draw(r)
+            room = self._has_room(keep, request)
+            if not room or (figure is not None and figure >= FULL_LOAD):
+                request.fallback_endpoint = keep
+                if (
+                    request.redraws < MAX_REDRAWS
+                    and self.context.now - request.arrived_at
+                    < FRESH_REPORT_SHARE * request.class_settings.latency_objective
+                ):
+                    request.redraws += 1
+                    return self._draw(request)
                 # Condition: no pair drawn has room. One more would spoil what is held: come again later.
                 if not room:
-                    return self._give_up(r)
-        self._send(r, keep)
+                    return self._give_up(request)
+        self._send(request, keep)
 
-    def _excess(self) -> float:
-        """Condition: most attempts of late failed, wherever they went: what all servers share is overrun."""
-        stood, lost = self.stood.late(self.now), self.lost.late(self.now)
-        return (lost - stood - FEW) / (lost + stood + 1.0)
-
-    def _send(self, r: _Req, s: _Server) -> None:
-        left = r.deadline - self.now
+    def _send(self, request: Request, endpoint: Endpoint) -> None:
+        left = request.deadline_at - self.context.now
         # The last attempt, and one that would only repeat its cost, has all the time left, others until the
         # aim is left for one more. Guards against a wave that slows all servers: work done twice buries them.
-        last = r.most - r.attempts <= 1 or self._excess() > 0
-        timeout = left if last else max(min(left, r.cls.latency_objective), left - r.cls.latency_objective)
-        r.attempts += 1
-        r.sent_at = self.now
+        last = request.max_attempts - request.attempts <= 1 or self.rates.failure_excess(self.context.now) > 0
+        objective = request.class_settings.latency_objective
+        timeout = left if last else max(min(left, objective), left - objective)
+        request.attempts += 1
+        request.last_attempt_at = self.context.now
         # What all proxies are about to give a server is what they send: arrivals refused put nothing on any.
-        self.came.add(self.now)
-        r.out = True
-        r.server = s
-        r.best, r.redraws = None, 0
-        r.tried.append(s)
-        s.own = self._own(s) + 1.0
-        s.own_at = self.now
-        if s.failed >= OUT_FROM:  # one at a time finds out whether it is back
-            s.out_until = self.now + OUT_FIRST
-        self.out.append(Forward(r.id, s.name, timeout, r.bound_until - self.now))
-
-    def _group_of(self, s: _Server, r: _Req) -> Any:
-        group = r.cls.deduplication_scope
+        self.rates.sent.add(self.context.now)
+        request.attempt_in_flight = True
+        request.endpoint = endpoint
+        request.fallback_endpoint, request.redraws = None, 0
+        request.attempted_endpoints.append(endpoint)
+        endpoint.recent_placements = recent_placements(endpoint, self.context.now) + 1.0
+        endpoint.recent_placements_at = self.context.now
+        self.outliers.attempt_started(endpoint)
+        self.context.actions.append(
+            Forward(request.id, endpoint.name, timeout, request.retry_until - self.context.now)
+        )
+
+    def _group_of(self, endpoint: Endpoint, request: Request) -> Any:
+        group = request.class_settings.deduplication_scope
         return (
-            s.zone
+            endpoint.zone
             if group is DeduplicationScope.ZONE
-            else s.cell
+            else endpoint.cell
             if group is DeduplicationScope.CELL
             else True
         )
 
-    def _out(self, s: _Server, times: int) -> None:
-        """Condition: probes or attempts came to nothing, several in a row. Draws pass the server by for a
-        while, longer each time, unless nothing else can be drawn."""
-        if times >= OUT_FROM:
-            s.out_until = self.now + min(OUT_MOST, OUT_FIRST * 2.0 ** (times - OUT_FROM))
-
-    def _wait(self, r: _Req) -> None:
+    def _wait(self, request: Request) -> None:
         """Nothing may be sent to now: look again soon, and refuse when the aim has passed."""
-        if self.now - r.arrived >= r.cls.latency_objective or r.deadline - self.now <= 2 * GUARD:
-            return self._give_up(r)
-        wait = min(r.cls.latency_objective / 4 * (0.5 + self.random()), r.deadline - GUARD - self.now)
-        self.out.append(SetTimer(max(0.0, wait), f"h{r.id}"))
+        if (
+            self.context.now - request.arrived_at >= request.class_settings.latency_objective
+            or request.deadline_at - self.context.now <= 2 * DEADLINE_MARGIN_S
+        ):
+            return self._give_up(request)
+        wait = min(
+            request.class_settings.latency_objective / 4 * (0.5 + self.context.random()),
+            request.deadline_at - DEADLINE_MARGIN_S - self.context.now,
+        )
+        self.context.actions.append(SetTimer(max(0.0, wait), request_token(request.id)))
 
-    def _give_up(self, r: _Req) -> None:
+    def _give_up(self, request: Request) -> None:
         """The one final answer, where no attempt is out: a refusal if that is true, else a failure."""
-        r.done = True
-        del self.reqs[r.id]
-        may_refuse = not r.maybe_ran or r.cls.idempotency is Idempotency.IDEMPOTENT
+        request.finished = True
+        del self.table.requests[request.id]
+        may_refuse = not request.may_have_run or request.class_settings.idempotency is Idempotency.IDEMPOTENT
         if (
-            r.cls.idempotency is Idempotency.KEYED
-            and r.maybe_ran
-            and r.cls.deduplication_scope is DeduplicationScope.ALL
+            request.class_settings.idempotency is Idempotency.KEYED
+            and request.may_have_run
+            and request.class_settings.deduplication_scope is DeduplicationScope.ALL
         ):
-            may_refuse = self.now < r.bound_until
-        most = min(LEAVE_LAG, self.set.max_retry_after) if self.ending else self.set.max_retry_after
-        after = most * (0.5 + 0.5 * self.random())
-        self.out.append(Reject(r.id, after) if may_refuse else Fail(r.id))
+            may_refuse = self.context.now < request.retry_until
+        most = (
+            min(PROXY_DRAIN_DELAY_S, self.context.settings.max_retry_after)
+            if self.process_ending
+            else self.context.settings.max_retry_after
+        )
+        after = most * (0.5 + 0.5 * self.context.random())
+        self.context.actions.append(Reject(request.id, after) if may_refuse else Fail(request.id))
 
     # What comes back
 
-    def _on_connectionestablished(self, e: ConnectionEstablished) -> None:
-        r = self.reqs.get(e.request_id)
-        if r is None or r.server is None:
+    def _on_connectionestablished(self, event: ConnectionEstablished) -> None:
+        request = self.table.requests.get(event.request_id)
+        if request is None or request.endpoint is None:
             return
-        r.standing = True
-        s = r.server
-        s.silent, s.failed, s.out_until = 0, 0, 0.0  # whatever its probes say, it serves
-        self._hold(s, r)
-        if s.phase is not EndpointPhase.READY:  # it began to drain while this one was set up
-            self._empty(s)
-        self.stood.add(self.now)
-        if r.again and self.owed >= 1.0:
-            self.owed -= 1.0
-        elif r.again:  # no growth: it stood at another proxy, and the reports had it all along
-            self.usual.number += 1.0
+        request.established = True
+        endpoint = request.endpoint
+        self.outliers.connection_established(endpoint)
+        self.table.hold(endpoint, request)
+        if endpoint.phase is not EndpointPhase.READY:  # it began to drain while this one was set up
+            self._empty(endpoint)
+        self.rates.established.add(self.context.now)
+        if request.is_reconnect and self.expected_returns >= 1.0:
+            self.expected_returns -= 1.0
+        elif request.is_reconnect:  # no growth: it stood at another proxy, and the reports had it all along
+            self.growth.add_known()
         self._start_ticking()
 
-    def _hold(self, s: _Server, r: _Req) -> None:
-        s.held[r.id] = r
-        self.worth.stands(r.tenant, 1)
-        s.teams[r.ring_key] = s.teams.get(r.ring_key, 0) + 1
-
-    def _let_go(self, s: _Server, r: _Req) -> bool:
-        if s.held.pop(r.id, None) is None:
-            return False
-        self.worth.stands(r.tenant, -1)
-        s.teams[r.ring_key] -= 1
-        if not s.teams[r.ring_key]:
-            del s.teams[r.ring_key]
-        return True
-
-    def _on_attemptended(self, e: AttemptEnded) -> None:
-        if e.report and e.endpoint in self.servers:
-            self._read(self.servers[e.endpoint], e.report)
-        r = self.reqs.get(e.request_id)
-        if r is None:
+    def _on_attemptended(self, event: AttemptEnded) -> None:
+        if event.report and event.endpoint in self.registry.endpoints:
+            self.reports.read(self.registry.endpoints[event.endpoint], event.report)
+        request = self.table.requests.get(event.request_id)
+        if request is None:
             return
-        s = r.server
-        r.out = False
-        if s is not None:
-            held = self._let_go(s, r)
-            broke = held and e.result is AttemptResult.RESET
-            self.owed += broke
-            if broke and not s.held and s.phase is EndpointPhase.DRAINING and not s.leaves_in:
-                self.lead = max(0.3, min(self.lead, self.now - s.drains_at))  # it stopped before the end
-            if s.phase is EndpointPhase.REMOVED and not s.held:
-                self.servers.pop(s.name, None)
-        if e.settled or r.done or r.standing:
-            r.done = True
-            del self.reqs[r.id]
+        endpoint = request.endpoint
+        request.attempt_in_flight = False
+        if endpoint is not None:
+            held = self.table.release(endpoint, request)
+            broke = held and event.result is AttemptResult.RESET
+            self.expected_returns += broke
+            if (
+                broke
+                and not endpoint.connections
+                and endpoint.phase is EndpointPhase.DRAINING
+                and not endpoint.stops_within
+            ):
+                self.learned_drain_time = max(
+                    0.3, min(self.learned_drain_time, self.context.now - endpoint.draining_since)
+                )  # it stopped before the end
+            if endpoint.phase is EndpointPhase.REMOVED and not endpoint.connections:
+                self.registry.endpoints.pop(endpoint.name, None)
+        if event.settled or request.finished or request.established:
+            request.finished = True
+            del self.table.requests[request.id]
             return
-        if s is not None and e.result not in (
+        if endpoint is not None and event.result not in (
             AttemptResult.FULL,
             AttemptResult.CANCELLED,
             AttemptResult.NOT_SENT,
         ):
-            s.failed += 1
-            self._out(s, s.failed if self._excess() <= 0 else 0)  # what fails anywhere is no server's fault
-            if e.result is not AttemptResult.CONNECT_FAILED:
-                self.lost.add(self.now)
-        if e.result not in NEVER_RAN:
-            r.maybe_ran = True
-            if r.cls.idempotency is Idempotency.KEYED and r.bound is None and s is not None:
-                r.bound, r.bound_until = self._group_of(s, r), r.sent_at + r.cls.deduplication_window
-        left = r.deadline - self.now
-        spent = r.attempts >= r.most or left <= 2 * GUARD or e.result is AttemptResult.NOT_SENT
-        if spent or (r.maybe_ran and r.cls.idempotency is Idempotency.NON_IDEMPOTENT):
-            self._give_up(r)
+            self.outliers.attempt_failed(endpoint)
+            if event.result is not AttemptResult.CONNECT_FAILED:
+                self.rates.failed.add(self.context.now)
+        if event.result not in NEVER_RAN:
+            request.may_have_run = True
+            if (
+                request.class_settings.idempotency is Idempotency.KEYED
+                and request.deduplication_group is None
+                and endpoint is not None
+            ):
+                request.deduplication_group, request.retry_until = (
+                    self._group_of(endpoint, request),
+                    request.last_attempt_at + request.class_settings.deduplication_window,
+                )
+        left = request.deadline_at - self.context.now
+        spent = (
+            request.attempts >= request.max_attempts
+            or left <= 2 * DEADLINE_MARGIN_S
+            or event.result is AttemptResult.NOT_SENT
+        )
+        if spent or (
+            request.may_have_run and request.class_settings.idempotency is Idempotency.NON_IDEMPOTENT
+        ):
+            self._give_up(request)
         else:
-            self._draw(r)
-
-    def _on_clientdisconnected(self, e: ClientDisconnected) -> None:
-        if (r := self.reqs.get(e.request_id)) is not None:
-            r.done = True
-            if not r.out:
-                del self.reqs[r.id]
-
-    def _on_connectioninherited(self, e: ConnectionInherited) -> None:
-        q = e.request
-        classes = self.set.classes
-        r = self._made(q, classes.get(q.class_name) or next(iter(classes.values())))  # a reload took it
-        s = self._known(e.endpoint)
-        r.attempts, r.out, r.standing, r.server = 1, True, True, s
-        self._hold(s, r)
-        if s.phase is EndpointPhase.DRAINING:
-            self._empty(s)
-        self.reqs[r.id] = r
-        self.began_with += 1
-        self.usual.number += 1.0  # it is in the reports already
+            self._draw(request)
+
+    def _on_clientdisconnected(self, event: ClientDisconnected) -> None:
+        if (request := self.table.requests.get(event.request_id)) is not None:
+            request.finished = True
+            if not request.attempt_in_flight:
+                del self.table.requests[request.id]
+
+    def _on_connectioninherited(self, event: ConnectionInherited) -> None:
+        inherited = event.request
+        classes = self.context.settings.classes
+        request = self._made(
+            inherited, classes.get(inherited.class_name) or next(iter(classes.values()))
+        )  # a reload took it
+        endpoint = self.registry.get_or_add(event.endpoint)
+        request.attempts, request.attempt_in_flight, request.established, request.endpoint = (
+            1,
+            True,
+            True,
+            endpoint,
+        )
+        self.table.hold(endpoint, request)
+        if endpoint.phase is EndpointPhase.DRAINING:
+            self._empty(endpoint)
+        self.table.requests[request.id] = request
+        self.growth.add_inherited()
         self._start_ticking()
 
     # Probes, and moving what stands on a full server
 
-    def _probe(self, s: _Server) -> None:
-        if s.probing < self.now - 1.0:
-            s.probing = self.now
-            self.tokens -= 1
-            self.out.append(CheckHealth(s.name))
+    def _probe(self, endpoint: Endpoint) -> None:
+        if endpoint.health_check_sent_at < self.context.now - 1.0:
+            endpoint.health_check_sent_at = self.context.now
+            self.health_check_budget -= 1
+            self.context.actions.append(CheckHealth(endpoint.name))
 
-    def _on_healthcheckended(self, e: HealthCheckEnded) -> None:
-        s = self.servers.get(e.endpoint)
-        if s is None:
+    def _on_healthcheckended(self, event: HealthCheckEnded) -> None:
+        endpoint = self.registry.endpoints.get(event.endpoint)
+        if endpoint is None:
             return
-        s.probing = NEVER
-        if e.result is AttemptResult.OK:
-            if e.report:
-                self._read(s, e.report)
-            s.silent = 0
-            if s.failed < OUT_FROM:
-                s.out_until = 0.0
-            self.answering += 0.05 * (1.0 - self.answering)
-        elif e.result is not AttemptResult.FULL:  # its probes are capped: no sign of trouble
-            s.silent += 1
-            self._out(s, s.silent)
-            self.answering -= 0.05 * self.answering
-        waiters, s.waiters = s.waiters, []
-        for r in waiters:
-            if r.pair is not None and s in r.pair and not r.done and not r.out:
-                r.waiting -= 1
-                if r.waiting <= 0:
-                    self._decide(r)
-        if s.held:
-            self._relieve(s)
-
-    def _read(self, s: _Server, report: Mapping[str, float]) -> None:
-        value = report.get(self.field)
-        count = report.get("inflight")
-        # Guards against absurd reports: one that is no number, or negative, says nothing.
-        if value is None or not 0.0 <= value < math.inf:
-            return
-        gap = self.now - s.looked_at
-        same = (value, count) == s.raw and value > 0
-        self.figures.saw(gap, same)
-        s.looked_at = self.now
-        if same:
-            return  # the same report again: its figure is older than its probe
-        self.figures.changed(gap, s.raw, (value, count))
-        s.raw = (value, count)
-        s.seen_at = self.now
-        if self.set.weight_meaning is WeightMeaning.LIVE:
-            s.cores = told.cores(s.cores, s.size, s.weight, count)
-        piled = report.get("x1", 0.0)
-        if self.field == "inflight":
-            value /= max(s.weight, 1e-9)
-        elif count is not None and value < HANGS and count >= (SURE_FROM if s.unit else 1.0):
-            unit = min(1.0, value / count)
-            # Guards against a few slow servers that make all the others look too full to take any.
-            s.unit += 0.3 * (unit - s.unit) if s.unit else unit
-        s.load = value + (piled if 0.0 < piled < math.inf else 0.0)
-
-    def _relieve(self, s: _Server) -> None:
+        endpoint.health_check_sent_at = NEVER
+        if event.result is AttemptResult.OK:
+            if event.report:
+                self.reports.read(endpoint, event.report)
+            self.outliers.health_check_answered(endpoint)
+            self.answered_share += 0.05 * (1.0 - self.answered_share)
+        elif event.result is not AttemptResult.FULL:  # its probes are capped: no sign of trouble
+            self.outliers.health_check_failed(endpoint)
+            self.answered_share -= 0.05 * self.answered_share
+        waiters, endpoint.waiting_requests = endpoint.waiting_requests, []
+        for request in waiters:
+            if (
+                request.candidates is not None
+                and endpoint in request.candidates
+                and not request.finished
+                and not request.attempt_in_flight
+            ):
+                request.pending_health_checks -= 1
+                if request.pending_health_checks <= 0:
+                    self._decide(request)
+        if endpoint.connections:
+            self._relieve(endpoint)
+
+    def _relieve(self, endpoint: Endpoint) -> None:
         """Condition: a server that holds our connections is near or over its capacity, or leaves several
         probes in a row unanswered while most others answer: what hangs or is cut off serves nobody.
         Every proxy sees the same, and each moves its own part of the excess."""
-        load = self._load(s) if self.field != "inflight" else None
-        if s.silent:
-            load = 2.0 if s.silent >= SILENT and self.answering > 0.5 else None
+        load = self.load_estimates.load(endpoint) if self.context.load_field != "inflight" else None
+        if endpoint.unanswered_health_checks:
+            load = (
+                2.0
+                if endpoint.unanswered_health_checks >= UNRESPONSIVE_HEALTH_CHECKS
+                and self.answered_share > 0.5
+                else None
+            )
         # Guards against noise and lateness of reports: on one high figure servers with room were emptied.
-        wide = 1.0 if s.silent else 1.0 + self.figures.noise
-        unseen = not s.silent and self.now < s.shown_by and (s.raw[1] or 0.0) > s.shown_at
-        if load is None or load < MOVE_AT * wide or self.now < s.rest_until or unseen:
+        wide = 1.0 if endpoint.unanswered_health_checks else 1.0 + self.report_statistics.noise
+        unseen = (
+            not endpoint.unanswered_health_checks
+            and self.context.now < endpoint.migration_shown_by
+            and (endpoint.last_report[1] or 0.0) > endpoint.migration_shown_count
+        )
+        if (
+            load is None
+            or load < MIGRATION_START_LOAD * wide
+            or self.context.now < endpoint.migration_paused_until
+            or unseen
+        ):
             return
         # Guards against moves that no other server has room for: their clients would only be refused.
-        others = [(self._load(o) or 0.0, o.unit) for o in self.ready if o is not s and o.unit > 0]
-        room = math.inf if s.silent else sum(max(0.0, ROOM_TO - full) / unit for full, unit in others)
-        room /= self.set.proxy_count
-        count = int(min(len(s.held) * (load - MOVE_TO * wide) / load, room) + self.random())
-        s.rest_until = self.now + MOVE_REST * self.figures.pace() * (0.75 + 0.5 * self.random())
+        others = [
+            (self.load_estimates.load(other_endpoint) or 0.0, other_endpoint.load_per_connection)
+            for other_endpoint in self.registry.ready
+            if other_endpoint is not endpoint and other_endpoint.load_per_connection > 0
+        ]
+        room = (
+            math.inf
+            if endpoint.unanswered_health_checks
+            else sum(max(0.0, ADMISSION_LOAD_LIMIT - full) / unit for full, unit in others)
+        )
+        room /= self.context.settings.proxy_count
+        count = int(
+            min(len(endpoint.connections) * (load - MIGRATION_TARGET_LOAD * wide) / load, room)
+            + self.context.random()
+        )
+        endpoint.migration_paused_until = (
+            self.context.now
+            + MIGRATION_PAUSE_REPORTS * self.report_statistics.pace() * (0.75 + 0.5 * self.context.random())
+        )
         if count:
-            if s.raw[1]:
-                s.shown_by, s.shown_at = self.now + REPORTS_BEHIND, s.raw[1] - MOVE_SHOWN * count
+            if endpoint.last_report[1]:
+                endpoint.migration_shown_by, endpoint.migration_shown_count = (
+                    self.context.now + REPORT_DELAY_S,
+                    endpoint.last_report[1] - MIGRATION_SHOWN_SHARE * count,
+                )
             # The least worth goes first, as where no server has room it is what will be refused, and the
             # smallest group, as with its last connection goes what the server pays for it.
-            order = [(s.teams[r.ring_key] * r.worth * (0.5 + self.random()), r) for r in s.held.values()]
-            self._move([r for _, r in sorted(order, key=lambda each: each[0])[:count]])
-
-    def _move(self, reqs: list[_Req]) -> None:
-        for r in reqs:
-            if r.server is not None:
-                self._let_go(r.server, r)
-            r.done = True
-            self.owed += 1.0
-            self.out.append(Migrate(r.id))
-
-    def _empty(self, s: _Server) -> None:
+            order = [
+                (
+                    endpoint.connections_by_group[request.hash_key]
+                    * request.priority
+                    * (0.5 + self.context.random()),
+                    request,
+                )
+                for request in endpoint.connections.values()
+            ]
+            self._move([request for _, request in sorted(order, key=lambda each: each[0])[:count]])
+
+    def _move(self, requests: list[Request]) -> None:
+        for request in requests:
+            if request.endpoint is not None:
+                self.table.release(request.endpoint, request)
+            request.finished = True
+            self.expected_returns += 1.0
+            self.context.actions.append(Migrate(request.id))
+
+    def _empty(self, endpoint: Endpoint) -> None:
         """Condition: a server drains or is gone. What stands is moved before it leaves, not in one wave."""
-        if s.drains_at <= 0.0:
-            s.drains_at = self.now
-            first, last = LEAD_FROM * self.lead, LEAD_TO * self.lead
-            if s.leaves_in:
-                first, last = SOON_FROM * s.leaves_in, SOON_TO * s.leaves_in
-            if s.phase is EndpointPhase.REMOVED:
-                first, last = 0.0, GONE_TIME
-            s.empty_by = self.now + last
-            self.out.append(SetTimer(first + LEAVE_TICK * self.random(), f"e{s.name}"))
-
-    def _on_proxydraining(self, e: ProxyDraining) -> None:
+        if endpoint.draining_since <= 0.0:
+            endpoint.draining_since = self.context.now
+            first, last = (
+                DRAIN_START_SHARE * self.learned_drain_time,
+                DRAIN_END_SHARE * self.learned_drain_time,
+            )
+            if endpoint.stops_within:
+                first, last = (
+                    ANNOUNCED_DRAIN_START_SHARE * endpoint.stops_within,
+                    ANNOUNCED_DRAIN_END_SHARE * endpoint.stops_within,
+                )
+            if endpoint.phase is EndpointPhase.REMOVED:
+                first, last = 0.0, REMOVED_DRAIN_S
+            endpoint.drained_by = self.context.now + last
+            self.context.actions.append(
+                SetTimer(first + DRAIN_ROUND_S * self.context.random(), endpoint_drain_token(endpoint.name))
+            )
+
+    def _on_proxydraining(self, event: ProxyDraining) -> None:
         """Condition: this proxy itself stops. All that it holds is moved by then, paced likewise. Where its
         process ends, what waits is refused at once: a connection stood up now would only be moved."""
-        self.empty_by = min(self.empty_by or e.deadline_at, e.deadline_at)
-        self.ending = self.ending or e.process_ends
-        for r in [r for r in self.reqs.values() if self.ending and not r.out and not r.done]:
-            self._give_up(r)
-        if not self.leave_due:
-            self.leave_due = True
-            self.out.append(SetTimer(min(LEAVE_LAG, max(0.0, e.deadline_at - self.now)), "leave"))
-
-    def _on_proxyresumed(self, e: ProxyResumed) -> None:
+        self.drained_by = min(self.drained_by or event.deadline_at, event.deadline_at)
+        self.process_ending = self.process_ending or event.process_ends
+        for request in [
+            request
+            for request in self.table.requests.values()
+            if self.process_ending and not request.attempt_in_flight and not request.finished
+        ]:
+            self._give_up(request)
+        if not self.drain_scheduled:
+            self.drain_scheduled = True
+            self.context.actions.append(
+                SetTimer(
+                    min(PROXY_DRAIN_DELAY_S, max(0.0, event.deadline_at - self.context.now)),
+                    PROXY_DRAIN_TOKEN,
+                )
+            )
+
+    def _on_proxyresumed(self, event: ProxyResumed) -> None:
         """Condition: this proxy stays after all, with what it still holds."""
-        self.empty_by = self.owed = 0.0
+        self.drained_by = self.expected_returns = 0.0
 
-    def _move_part(self, held: list[_Req], by: float, token: str) -> None:
+    def _move_part(self, held: list[Request], by: float, token: str) -> None:
         """Move a share of what is left, so that all are moved by then; the worthiest first."""
-        rounds = max(1, int((by - self.now) / LEAVE_TICK))
-        held.sort(key=lambda r: r.cls.priority_weight * (0.5 + self.random()), reverse=True)
+        rounds = max(1, int((by - self.context.now) / DRAIN_ROUND_S))
+        held.sort(
+            key=lambda request: request.class_settings.priority_weight * (0.5 + self.context.random()),
+            reverse=True,
+        )
         self._move(held[: math.ceil(len(held) / rounds)])
-        self.out.append(SetTimer(LEAVE_TICK, token))
+        self.context.actions.append(SetTimer(DRAIN_ROUND_S, token))
 
-    def _on_connectionobserved(self, e: ConnectionObserved) -> None:
+    def _on_connectionobserved(self, event: ConnectionObserved) -> None:
         """Messages take long at a server: look at it. Or a connection's load is told."""
-        if e.load and (r := self.reqs.get(e.request_id)) is not None:
-            self.worth.told(r.cls.name, e.load)
-        s = self.servers.get(e.endpoint)
-        slow = e.message_delay is not None and self.by_probe and self.tokens > PROBES_KEPT
-        if s is not None and slow and s.looked_at < self.now - LOOK_FAST:
-            self._probe(s)
+        if event.load and (request := self.table.requests.get(event.request_id)) is not None:
+            self.priority_weights.told(request.class_settings.name, event.load)
+        endpoint = self.registry.endpoints.get(event.endpoint)
+        slow = (
+            event.message_delay is not None
+            and self.context.uses_health_checks
+            and self.health_check_budget > RESERVED_HEALTH_CHECKS
+        )
+        if (
+            endpoint is not None
+            and slow
+            and endpoint.last_report_at < self.context.now - HEALTH_CHECK_INTERVAL_FULL_S
+        ):
+            self._probe(endpoint)
 
     def _start_ticking(self) -> None:
-        if self.by_probe and not self.ticking:
-            self.ticking = True
-            self.out.append(SetTimer(LOOK_FAST * (0.5 + self.random()), "look"))
+        if self.context.uses_health_checks and not self.health_checks_scheduled:
+            self.health_checks_scheduled = True
+            self.context.actions.append(
+                SetTimer(HEALTH_CHECK_INTERVAL_FULL_S * (0.5 + self.context.random()), HEALTH_CHECKS_TOKEN)
+            )
 
     def _look(self) -> None:
         """Probe servers that hold our connections: often where full, seldom where idle."""
-        nearest = LOOK_SLOW
-        seen = [s for s in self.servers.values() if s.held]
-        for s in seen:
-            idle = max(0.0, MOVE_AT - s.load) if s.load is not None else 0.5
-            due = s.looked_at + min(LOOK_SLOW, LOOK_FAST * (1.0 + 5.0 * idle)) - self.now
+        nearest = HEALTH_CHECK_INTERVAL_IDLE_S
+        seen = [endpoint for endpoint in self.registry.endpoints.values() if endpoint.connections]
+        for endpoint in seen:
+            idle = max(0.0, MIGRATION_START_LOAD - endpoint.load) if endpoint.load is not None else 0.5
+            due = (
+                endpoint.last_report_at
+                + min(HEALTH_CHECK_INTERVAL_IDLE_S, HEALTH_CHECK_INTERVAL_FULL_S * (1.0 + 5.0 * idle))
+                - self.context.now
+            )
             if due <= 0.1:
-                if self.tokens > PROBES_KEPT and self.by_probe:
-                    self._probe(s)
-                due = LOOK_FAST
+                if self.health_check_budget > RESERVED_HEALTH_CHECKS and self.context.uses_health_checks:
+                    self._probe(endpoint)
+                due = HEALTH_CHECK_INTERVAL_FULL_S
             nearest = min(nearest, due)
-        self.ticking = bool(seen) and self.by_probe
-        if self.ticking:
-            self.out.append(SetTimer(max(0.5, nearest) * (0.75 + 0.5 * self.random()), "look"))
-
-    def _on_timerfired(self, e: TimerFired) -> None:
-        if e.token == "look":
+        self.health_checks_scheduled = bool(seen) and self.context.uses_health_checks
+        if self.health_checks_scheduled:
+            self.context.actions.append(
+                SetTimer(max(0.5, nearest) * (0.75 + 0.5 * self.context.random()), HEALTH_CHECKS_TOKEN)
+            )
+
+    def _on_timerfired(self, event: TimerFired) -> None:
+        timer = parse(event.token)
+        if timer is None:
+            return
+        if timer.kind is TimerKind.HEALTH_CHECKS:
             self._look()
-        elif e.token == "list":
-            self.out.append(WatchEndpoints())
-        elif e.token == "leave":
-            self.leave_due = self.empty_by > 0.0
-            if self.leave_due:
-                every = [r for s in self.servers.values() for r in s.held.values()]
-                self._move_part(every, self.empty_by, e.token)
-        elif e.token[:1] == "e":
-            s = self.servers.get(e.token[1:])
-            if s is not None and s.drains_at > 0.0 and s.held:
-                self._move_part(list(s.held.values()), s.empty_by, e.token)
-        elif e.token[:1] == "h":
-            r = self.reqs.get(int(e.token[1:]))
-            if r is None or r.done or r.out or r.standing:
+        elif timer.kind is TimerKind.ENDPOINT_LIST:
+            self.context.actions.append(WatchEndpoints())
+        elif timer.kind is TimerKind.PROXY_DRAIN:
+            self.drain_scheduled = self.drained_by > 0.0
+            if self.drain_scheduled:
+                every = [
+                    request
+                    for endpoint in self.registry.endpoints.values()
+                    for request in endpoint.connections.values()
+                ]
+                self._move_part(every, self.drained_by, event.token)
+        elif timer.kind is TimerKind.ENDPOINT_DRAIN:
+            endpoint = self.registry.endpoints.get(timer.subject)
+            if endpoint is not None and endpoint.draining_since > 0.0 and endpoint.connections:
+                self._move_part(list(endpoint.connections.values()), endpoint.drained_by, event.token)
+        else:
+            request = self.table.requests.get(int(timer.subject))
+            if request is None or request.finished or request.attempt_in_flight or request.established:
                 return
-            if r.deadline - self.now <= 2 * GUARD:
-                self._give_up(r)
-            elif r.pair is not None:  # a probe of it is silent: one that answered wins over one that did not
-                a, b = r.pair
-                if (a.probing > NEVER) != (b.probing > NEVER):
-                    r.pair = (b, b) if a.probing > NEVER else (a, a)
-                self._decide(r)
+            if request.deadline_at - self.context.now <= 2 * DEADLINE_MARGIN_S:
+                self._give_up(request)
+            elif (
+                request.candidates is not None
+            ):  # a probe of it is silent: one that answered wins over one that did not
+                first, second = request.candidates
+                if (first.health_check_sent_at > NEVER) != (second.health_check_sent_at > NEVER):
+                    request.candidates = (
+                        (second, second) if first.health_check_sent_at > NEVER else (first, first)
+                    )
+                self._decide(request)
             else:
-                self._draw(r)
+                self._draw(request)
--- a/gradegap/balancing/capacity.py
+++ b/gradegap/balancing/capacity.py
@@ -19,8 +19,8 @@
 
     size: float
     started_at: float
-    unit: float  # what one connection adds to its load over its present capacity; 0: not known
-    raw: tuple[float | None, float | None]  # its last report: load, and connections
+    load_per_connection: float  # what one connection adds to its load over its present capacity; 0: not known
+    last_report: tuple[float | None, float | None]  # its last report: load, and connections
 
 
 class Capacity:
@@ -50,7 +50,7 @@
         self.mean_size = sum(server.size for server in ready) / len(ready)
         warm = [server for server in ready if not is_cold(server, now, settings)]
         self.cold_count = len(ready) - len(warm)
-        sure = [server for server in warm if (server.raw[1] or 0.0) >= SURE_FROM]
+        sure = [server for server in warm if (server.last_report[1] or 0.0) >= SURE_FROM]
         told = _units(sure) or _units(warm)
         if not told and not self.per_size:
             told = _units(ready)
@@ -77,7 +77,9 @@
 
 
 def _units(servers: Sequence[Server]) -> list[float]:
-    return [server.unit * server.size for server in servers if server.unit > 0.0]
+    return [
+        server.load_per_connection * server.size for server in servers if server.load_per_connection > 0.0
+    ]
 
 
 def is_cold(server: Server, now: float, settings: Settings) -> bool:
--- /dev/null
+++ b/gradegap/balancing/endpoint_registry.py
@@ -0,0 +1,149 @@
+"""The endpoints that discovery names: which are ready, and their order on the hash ring.
+
+It also decides when discovery is called again after a failure.
+"""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Callable
+
+from gradegap.balancing import connection_estimates, hash_ring
+from gradegap.balancing.actions import SetTimer
+from gradegap.balancing.context import Context
+from gradegap.balancing.events import EndpointEntry, EndpointList, EndpointListKind, EndpointPhase
+from gradegap.balancing.model import NEVER, Endpoint
+from gradegap.balancing.timers import ENDPOINT_LIST_TOKEN
+
+FIRST_POLL_SPREAD = 0.5
+"""Share of `Settings.poll_within` over which proxies spread their first call to discovery."""
+
+
+class EndpointRegistry:
+    """All known endpoints, and the ready ones among them.
+
+    Invariants: `ready[endpoint.ready_index] is endpoint` for each ready endpoint, every other one has the
+    index -1, and the hash ring has the ready endpoints and no others. A removed endpoint stays known for as
+    long as this proxy has connections there.
+    """
+
+    __slots__ = (
+        "context",
+        "endpoints",
+        "hash_ring",
+        "list_failures",
+        "n_log_n",
+        "on_leaving",
+        "poll_scheduled",
+        "ready",
+    )
+
+    def __init__(self, context: Context) -> None:
+        self.context = context
+        self.on_leaving: Callable[[Endpoint], None] = _ignore
+        """Called for an endpoint that is draining or removed while this proxy has connections there."""
+        self.endpoints: dict[str, Endpoint] = {}
+        self.ready: list[Endpoint] = []
+        self.hash_ring: hash_ring.Ring = []
+        self.n_log_n = 0.0  # of the number of ready endpoints, natural logarithm
+        self.list_failures = 0  # calls to discovery that failed in a row
+        self.poll_scheduled = False
+
+    def update(self, event: EndpointList) -> None:
+        """Takes over an endpoint list, or a change of it."""
+        if event.kind is EndpointListKind.FAILED:
+            self._back_off()
+            return
+        if event.kind is not EndpointListKind.DELTA:
+            named = {entry.name for entry in event.entries}
+            for endpoint in list(self.endpoints.values()):
+                if endpoint.name not in named:
+                    self._set_phase(endpoint, EndpointPhase.REMOVED)
+        for entry in event.entries:
+            self._update_endpoint(entry, event.kind is EndpointListKind.DELTA)
+        self.n_log_n = len(self.ready) * math.log(max(1, len(self.ready)))
+        if event.kind is not EndpointListKind.CACHED:
+            self.poll_scheduled, self.list_failures = False, 0
+        elif self.context.settings.polls_endpoints:
+            crowd = min(1.0, self.context.settings.proxy_count / 10)
+            self._schedule_poll(FIRST_POLL_SPREAD * self.context.random() * crowd)
+
+    def get_or_add(self, name: str) -> Endpoint:
+        """Returns the endpoint of that name, made where it is not known."""
+        return self.endpoints.setdefault(name, Endpoint(name))
+
+    def forget_unused(self, endpoint: Endpoint) -> None:
+        """Drops an endpoint that is removed from the list and has no connections left."""
+        if endpoint.phase is EndpointPhase.REMOVED and not endpoint.connections:
+            self.endpoints.pop(endpoint.name, None)
+
+    def _back_off(self) -> None:
+        """Schedules the next call after a failure.
+
+        Each proxy waits longer after every failure, so that together they don't overrun discovery.
+        """
+        self.poll_scheduled = False
+        self.list_failures += 1
+        self._schedule_poll(min(1.0, 0.1 * 2.0**self.list_failures) * (0.5 + self.context.random()))
+
+    def _schedule_poll(self, share: float) -> None:
+        """Sets the timer of the next call to discovery, after a share of `Settings.poll_within`."""
+        settings = self.context.settings
+        if settings.polls_endpoints and not self.poll_scheduled:
+            self.poll_scheduled = True
+            self.context.actions.append(SetTimer(share * settings.poll_within, ENDPOINT_LIST_TOKEN))
+
+    def _update_endpoint(self, entry: EndpointEntry, is_change: bool) -> None:
+        settings = self.context.settings
+        endpoint = self.get_or_add(entry.name)
+        endpoint.size = max(endpoint.size, entry.weight)
+        if entry.started_at > endpoint.started_at:
+            _reset(endpoint, entry.started_at)
+        elif (
+            endpoint.cores and is_change and endpoint.ready_index >= 0 and entry.phase is EndpointPhase.READY
+        ):
+            # Where a phase changes, and in whole lists, the weight is the size: it says nothing else.
+            endpoint.estimated_connections = connection_estimates.held(
+                endpoint.size, entry.weight, endpoint.cores
+            )
+            endpoint.estimated_at = self.context.now
+        endpoint.zone, endpoint.cell, endpoint.weight = entry.zone, entry.cell, entry.weight
+        endpoint.stops_within = entry.stops_within
+        endpoint.is_local = not entry.zone or not settings.zone or entry.zone == settings.zone
+        self._set_phase(endpoint, entry.phase)
+
+    def _set_phase(self, endpoint: Endpoint, phase: EndpointPhase) -> None:
+        endpoint.phase = phase
+        if phase is EndpointPhase.READY and endpoint.ready_index < 0:
+            endpoint.ready_index = len(self.ready)
+            self.ready.append(endpoint)
+            hash_ring.add(self.hash_ring, endpoint.name)
+        elif phase is not EndpointPhase.READY and endpoint.ready_index >= 0:
+            self._take_from_ready(endpoint)
+        if phase is EndpointPhase.READY:
+            endpoint.draining_since = 0.0
+        elif endpoint.connections:
+            self.on_leaving(endpoint)
+        else:
+            self.forget_unused(endpoint)
+
+    def _take_from_ready(self, endpoint: Endpoint) -> None:
+        """Puts the last ready endpoint in the place of this one."""
+        last = self.ready.pop()
+        if last is not endpoint:
+            self.ready[endpoint.ready_index] = last
+            last.ready_index = endpoint.ready_index
+        endpoint.ready_index = -1
+        hash_ring.remove(self.hash_ring, endpoint.name)
+
+
+def _reset(endpoint: Endpoint, started_at: float) -> None:
+    """Forgets what was known of an endpoint whose process is a new one."""
+    endpoint.started_at = started_at
+    endpoint.load, endpoint.load_per_connection, endpoint.last_report = None, 0.0, (None, None)
+    endpoint.unanswered_health_checks, endpoint.consecutive_failures, endpoint.ejected_until = 0, 0, 0.0
+    endpoint.report_changed_at = endpoint.last_report_at = endpoint.estimated_at = NEVER
+
+
+def _ignore(endpoint: Endpoint) -> None:
+    """Stands in until the part that migrates connections is there."""
--- a/gradegap/capture/explain.py
+++ b/gradegap/capture/explain.py
@@ -64,10 +64,7 @@
     """An endpoint that was drawn, with the load that it is taken to have."""
     if endpoint is None:
         return "nobody"
-    if hasattr(balancer, "_figure"):
-        load = balancer._figure(endpoint, request)
-    else:
-        load = ENDPOINT.get(endpoint, "load")
+    load = balancer.load_estimates.comparable_load(endpoint, request)
     shown = "no load known" if load is None else f"{load:.4f}"
     seen_at = ENDPOINT.get(endpoint, "report_changed_at")
     age = f" {BALANCER.get(balancer, 'now') - seen_at:.3f} s old" if seen_at > 0 else ""
--- a/tests/test_beta.py
+++ b/tests/test_beta.py
@@ -25,10 +25,10 @@
 def test_beta_is_one_until_b_reaches_n_ln_n_and_follows_the_root_past_it() -> None:
     d = Driver(servers=20, proxy_count=50)
     for _ in range(400):
-        d.balancer.stood.add(d.now)
+        d.balancer.rates.established.add(d.now)
         d.now += 0.5
-    d.balancer.now = d.now
-    rate = d.balancer.stood.get(d.now)
+    d.balancer.context.now = d.now
+    rate = d.balancer.rates.established.get(d.now)
     assert rate == pytest.approx(2.0, rel=0.3)
     limit = 20 * math.log(20)
     edge = limit / (rate * 50)
@@ -43,7 +43,7 @@
     for _ in range(20):
         out = d.answer_probes(d.request(after=2.0), 0.2)
         d.outcome(sends(out)[0], AttemptResult.ERROR)
-    assert d.balancer.stood.get(d.now) == 0.0
+    assert d.balancer.rates.established.get(d.now) == 0.0
     assert d.balancer.beta(1000.0) == 1.0
 
 
@@ -70,8 +70,8 @@
     equal = place(Driver(servers=2, seed=5), {"s0": 0.3, "s1": 0.3}, 1000)
     assert equal["s0"] / 1000 == pytest.approx(0.5, abs=0.06)
     d = Driver(servers=2, seed=6, health_checks=False)
-    d.balancer.by_probe = True  # reports exist, none came yet: both are unprobed
-    d.balancer.tokens = -1e9
+    d.balancer.context.uses_health_checks = True  # reports exist, none came yet: both are unprobed
+    d.balancer.health_check_budget = -1e9
     chosen = Counter(sends(d.request(after=60.0))[0].endpoint for _ in range(1000))
     assert chosen["s0"] / 1000 == pytest.approx(0.5, abs=0.06)
 
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -197,26 +197,29 @@
 
 
 MUTANTS = [
-    ("FRESH = 0.5", "FRESH = 0.4"),
-    ("HOLD = 0.16", "HOLD = 0.17"),
-    ("FULL_AT = 0.9 ", "FULL_AT = 0.05 "),
+    ("FRESH_REPORT_SHARE = 0.5", "FRESH_REPORT_SHARE = 0.4"),
+    ("HEALTH_CHECK_WAIT_SHARE = 0.16", "HEALTH_CHECK_WAIT_SHARE = 0.17"),
+    ("FULL_LOAD = 0.9\n", "FULL_LOAD = 0.05\n"),
     ("BETA_SCALE = 1.0", "BETA_SCALE = 0.3"),
-    ("LOOK_FAST, LOOK_SLOW = 0.7", "LOOK_FAST, LOOK_SLOW = 0.71"),
-    ("OUT_FROM = 2", "OUT_FROM = 1"),
-    ("OUT_FIRST, OUT_MOST = 0.5", "OUT_FIRST, OUT_MOST = 0.05"),
-    ("LEAVE_TICK = 0.1", "LEAVE_TICK = 0.2"),
-    ("LEAD_FROM, LEAD_TO = 0.75", "LEAD_FROM, LEAD_TO = 0.7"),
-    ("RING_WALK = 8", "RING_WALK = 1"),
-    ("TEAM_LOADS = 8.0", "TEAM_LOADS = -1.0"),
-    ("PROBES_SAVED = 30.0", "PROBES_SAVED = 2.0"),
-    ("PROBES_PER_REQUEST = 6.0", "PROBES_PER_REQUEST = 0.1"),
-    ("FEW = 1.0", "FEW = -8.0"),
-    ("keep = a if fa < fb else b", "keep = a if fa > fb else b"),
-    ("b = self._pick(r, a) or a", "b = a"),
-    ("OWN_MEMORY = 1.0", "OWN_MEMORY = 0.2"),
+    ("HEALTH_CHECK_INTERVAL_FULL_S = 0.7", "HEALTH_CHECK_INTERVAL_FULL_S = 0.71"),
+    ("EJECTION_FAILURES = 2", "EJECTION_FAILURES = 1"),
+    ("FIRST_EJECTION_S = 0.5", "FIRST_EJECTION_S = 0.05"),
+    ("DRAIN_ROUND_S = 0.1", "DRAIN_ROUND_S = 0.2"),
+    ("\nDRAIN_START_SHARE = 0.75", "\nDRAIN_START_SHARE = 0.7"),
+    ("RING_CANDIDATES = 8", "RING_CANDIDATES = 1"),
+    ("GROUP_SETUP_CONNECTIONS = 8.0", "GROUP_SETUP_CONNECTIONS = -1.0"),
+    ("MAX_HEALTH_CHECK_BUDGET = 30.0", "MAX_HEALTH_CHECK_BUDGET = 2.0"),
+    ("HEALTH_CHECKS_PER_REQUEST = 6.0", "HEALTH_CHECKS_PER_REQUEST = 0.1"),
+    ("TOLERATED_FAILURES_PER_S = 1.0", "TOLERATED_FAILURES_PER_S = -8.0"),
+    (
+        "keep = first if first_load < second_load else second",
+        "keep = first if first_load > second_load else second",
+    ),
+    ("second = self._pick(request, first) or first", "second = first"),
+    ("RECENT_PLACEMENT_MEMORY_S = 1.0", "RECENT_PLACEMENT_MEMORY_S = 0.2"),
     ("timeout = left if last else", "timeout = left if True else"),
-    ("left - r.cls.latency_objective)", "left - 2 * r.cls.latency_objective)"),
-    ("self.answering += 0.05", "self.answering += 0.5"),
+    ("left - objective)", "left - 2 * objective)"),
+    ("self.answered_share += 0.05", "self.answered_share += 0.5"),
 ]
 
 
@@ -602,7 +605,7 @@
     ).stdout.splitlines()
     clocks = [msgspec.json.decode(line)["at"] for line in merged]
     assert clocks == sorted(clocks) and len(clocks) == 2 * info["steps"]
-    other = mutated_copy(tmp_path, "HOLD = 0.16", "HOLD = 0.17")
+    other = mutated_copy(tmp_path, "HEALTH_CHECK_WAIT_SHARE = 0.16", "HEALTH_CHECK_WAIT_SHARE = 0.17")
     done = cli("replay", str(first), "--module", str(other))
     assert done.returncode == 1 and "differs: Request" in done.stdout and "SetTimer" in done.stdout
 
--- a/tests/test_capture_days.py
+++ b/tests/test_capture_days.py
@@ -140,7 +140,7 @@
 
 def test_a_module_that_goes_on_with_the_dead_is_shown_to_serve_worse(tmp_path: Path) -> None:
     """Planted: it draws from servers that fail as from any other, and tries once."""
-    other = mutant(tmp_path, "OUT_FROM = 2", "OUT_FROM = 10**9")
+    other = mutant(tmp_path, "EJECTION_FAILURES = 2", "EJECTION_FAILURES = 10**9")
     worse, plain = played("quarter_dies", other, "max_attempts=1"), played("quarter_dies")
     assert worse.played.served < plain.played.served - 0.01
     assert worse.first_other is not None
@@ -148,8 +148,9 @@
 
 def test_a_module_that_breaks_the_rules_is_caught(tmp_path: Path) -> None:
     """Planted: a drain is forgotten."""
-    old = "self._set_phase(s, e.phase)"
-    new = "self._set_phase(s, EndpointPhase.READY if e.phase is EndpointPhase.DRAINING else e.phase)"
+    old = "self._set_phase(endpoint, entry.phase)"
+    phase = "EndpointPhase.READY if entry.phase is EndpointPhase.DRAINING else entry.phase"
+    new = f"self._set_phase(endpoint, {phase})"
     found = played("drain_under_load", mutant(tmp_path, old, new))
     # The core lets none of it out (MOOT), so no rule is broken; attempts are spent for nothing instead.
     plain = played("drain_under_load").played
--- a/tests/test_capture_decision_module.py
+++ b/tests/test_capture_decision_module.py
@@ -123,7 +123,7 @@
 
 
 def test_a_changed_copy_decides_otherwise(tmp_path: Path) -> None:
-    module = mutant(tmp_path, "FULL_AT = 0.9 ", "FULL_AT = 0.05 ")
+    module = mutant(tmp_path, "FULL_LOAD = 0.9\n", "FULL_LOAD = 0.05\n")
     assert again(taken(11, 3000, 1), module).difference is not None
 
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -33,8 +33,8 @@
 class Server:
     started_at: float = 0.0
     size: float = 1.0
-    unit: float = 0.0
-    raw: tuple[float | None, float | None] = (None, None)
+    load_per_connection: float = 0.0
+    last_report: tuple[float | None, float | None] = (None, None)
 
 
 def of(ready: list[Server], **changes: Any) -> SlowStart:
@@ -70,7 +70,7 @@
     draws: int, unit: float
 ) -> None:
     one = just_started()
-    ready = [one] + [Server(unit=unit) for _ in range(9)]
+    ready = [one] + [Server(load_per_connection=unit) for _ in range(9)]
     cold = of(ready)
     window = 1.0
     clocks = [NOW + window * k / draws for k in range(draws)]
@@ -89,7 +89,7 @@
     rng = Random(SEED)
     print("seed", SEED)
     young = [just_started() for _ in range(100)]
-    ready = young + [Server(unit=0.01) for _ in range(100)]
+    ready = young + [Server(load_per_connection=0.01) for _ in range(100)]
     sample = min(nodes, 20)  # of the nodes: all are alike
     given = 0.0
     for cold in [of(ready) for _ in range(sample)]:
@@ -128,17 +128,20 @@
 def test_a_few_servers_that_hang_do_not_make_others_look_full() -> None:
     capacity = Capacity()
     capacity.look(
-        NOW, [Server(unit=0.01) for _ in range(5)] + [Server(unit=0.9) for _ in range(4)], settings()
+        NOW,
+        [Server(load_per_connection=0.01) for _ in range(5)]
+        + [Server(load_per_connection=0.9) for _ in range(4)],
+        settings(),
     )
     assert capacity.unit(1.0) == pytest.approx(0.01) and capacity.filled_by() == pytest.approx(100.0)
 
 
 def test_only_cold_servers_tell_too_little_and_only_where_nothing_else_is_known() -> None:
     capacity = Capacity()
-    young = [just_started(unit=0.04) for _ in range(3)]
+    young = [just_started(load_per_connection=0.04) for _ in range(3)]
     capacity.look(NOW, young, settings())
     assert capacity.filled_by() == pytest.approx(25.0) and capacity.cold_count == 3
-    capacity.look(NOW + 1.0, [*young, Server(unit=0.01)], settings())
+    capacity.look(NOW + 1.0, [*young, Server(load_per_connection=0.01)], settings())
     assert capacity.filled_by() == pytest.approx(100.0)
     capacity.look(NOW + 2.0, young, settings())
     assert capacity.filled_by() == pytest.approx(100.0)
@@ -154,7 +157,9 @@
     driver.probed("s0", 0.05, 5.0)
     driver.now += 1.0
     driver.probed("s0", 0.06, 6.0)
-    assert driver.balancer._unit(driver.balancer.servers["s0"]) == pytest.approx(0.01, rel=0.01)
+    assert driver.balancer.load_estimates.load_per_connection(
+        driver.balancer.endpoints["s0"]
+    ) == pytest.approx(0.01, rel=0.01)
     assert sends(driver.answer_probes(driver.request(after=0.01), 0.06, 6.0))
 
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -45,11 +45,13 @@
     """The module once left them there until they were cut off."""
     d = Driver(servers=2)
     stood_on_one(d, 20)
-    held, told = len(d.balancer.servers["s0"].held), d.now
+    held, told = len(d.balancer.endpoints["s0"].connections), d.now
     seen = moves_until(d, drain(d, phase), "es0", told + 10.0)
     moved = [(at, n) for at, n in seen if n]
     assert sum(n for _, n in moved) == held
-    assert moved[-1][0] <= told + choice.LEAD * choice.LEAD_TO + 2 * choice.LEAVE_TICK
+    assert (
+        moved[-1][0] <= told + choice.DEFAULT_DRAIN_TIME_S * choice.DRAIN_END_SHARE + 2 * choice.DRAIN_ROUND_S
+    )
     assert max(n for _, n in moved) <= held / 2  # paced
 
 
@@ -58,9 +60,9 @@
     stood_on_one(d, 3)
     drain(d, EndpointPhase.DRAINING)
     d.now += 1.5
-    for r in list(d.balancer.servers["s0"].held.values()):
+    for r in list(d.balancer.endpoints["s0"].connections.values()):
         d.feed(AttemptEnded(r.id, 0, "s0", AttemptResult.RESET, 1.0, True))
-    assert d.balancer.lead == pytest.approx(1.5)
+    assert d.balancer.learned_drain_time == pytest.approx(1.5)
 
 
 def test_a_server_that_is_ready_again_keeps_what_it_holds() -> None:
@@ -75,7 +77,7 @@
     """Operators restart a save server some 2.5 s after they took it out; connections once stood till then."""
     d = Driver(servers=2)
     stood_on_one(d, 20)
-    held, told = len(d.balancer.servers["s0"].held), d.now
+    held, told = len(d.balancer.endpoints["s0"].connections), d.now
     entry = EndpointEntry("s0", phase=EndpointPhase.DRAINING, stops_within=2.0)
     out = d.feed(EndpointList(EndpointListKind.DELTA, (entry,)))
     moved = [(at, n) for at, n in moves_until(d, out, "es0", told + 10.0) if n]
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -178,4 +178,4 @@
     again = d.feed(TimerFired(f"h{d.next_id}"))
     assert sends(again) and sends(d.outcome(sends(again)[0], AttemptResult.RESET))
     d.balancer.adopt(settings(connection_groups=True))
-    assert sends(d.answer_probes(d.request(group="g1"), 0.1)) and len(d.balancer.ring) == 6 * 16
+    assert sends(d.answer_probes(d.request(group="g1"), 0.1)) and len(d.balancer.registry.hash_ring) == 6 * 16
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -29,7 +29,7 @@
             break
         out = d.feed(TimerFired(timers[0].token), after=timers[0].delay)
     assert finals(out) and d.now < 102.0
-    assert not d.balancer.reqs
+    assert not d.balancer.requests
 
 
 def test_silent_probes_never_hold_a_request() -> None:
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -36,7 +36,7 @@
     tell(d, {"s0": 30.0, "s1": 30.0})
     d.probed("s0", 0.3, 30.0)
     d.probed("s1", 0.5, 30.0)
-    d.balancer.tokens = -100.0
+    d.balancer.health_check_budget = -100.0
     return d
 
 
@@ -59,10 +59,10 @@
     for phase in (EndpointPhase.DRAINING, EndpointPhase.READY):
         entry = EndpointEntry("s0", phase=phase, weight=SIZE)
         d.feed(EndpointList(EndpointListKind.DELTA, (entry,)))
-    assert d.balancer._load(d.balancer.servers["s0"]) == pytest.approx(0.7)
+    assert d.balancer.load_estimates.load(d.balancer.endpoints["s0"]) == pytest.approx(0.7)
     entry = EndpointEntry("s0", weight=SIZE, started_at=d.now)  # a new process
     d.feed(EndpointList(EndpointListKind.DELTA, (entry,)))
-    assert d.balancer._load(d.balancer.servers["s0"]) is None
+    assert d.balancer.load_estimates.load(d.balancer.endpoints["s0"]) is None
 
 
 def test_an_empty_server_s_unit_is_by_size_not_by_the_live_weight_of_others() -> None:
@@ -72,7 +72,7 @@
     for name in ("s0", "s1"):
         d.probed(name, 0.4, 40.0)
     d.probed("s2", 0.0, 0.0)
-    assert d.balancer._unit(d.balancer.servers["s2"]) == pytest.approx(0.01)
+    assert d.balancer.load_estimates.load_per_connection(d.balancer.endpoints["s2"]) == pytest.approx(0.01)
 
 
 @pytest.mark.parametrize("noise", [0.0, 0.08])
@@ -118,7 +118,7 @@
     sent = 0
     for seed in range(40):
         d = Driver(servers=20, seed=seed, connection_groups=True)
-        (home,) = ring.order(d.balancer.ring, "board-9", 1)
+        (home,) = ring.order(d.balancer.registry.hash_ring, "board-9", 1)
         out = d.answer_probes(d.request(group="board-9"), lambda s, h=home: 1.3 if s == h else x0, 20.0)
         sent += len(sends(out))
     return sent
--- a/tests/test_trouble.py
+++ b/tests/test_trouble.py
@@ -6,9 +6,8 @@
 
 import pytest
 
-from gradegap.balancing import balancer as choice
 from gradegap.balancing.actions import CheckHealth, Forward, Migrate, Reject, SetTimer, WatchEndpoints
-from gradegap.balancing.balancer import ROOM_TO
+from gradegap.balancing.balancer import ADMISSION_LOAD_LIMIT
 from gradegap.balancing.events import (
     AttemptEnded,
     AttemptResult,
@@ -22,6 +21,7 @@
     RequestArrived,
     TimerFired,
 )
+from gradegap.balancing.model import Request
 from gradegap.balancing.settings import ClassSettings, ReportSource, Settings, WeightMeaning
 from tests.helpers import CLASS, Driver, finals, sends
 
@@ -46,7 +46,7 @@
     for seed in range(60):
         d = Driver(servers=10, seed=seed, proxy_count=20)
         for _ in range(20):
-            d.balancer.came.add(d.now)
+            d.balancer.rates.sent.add(d.now)
             d.now += 0.1
         out = d.answer_probes(d.request(), lambda s: 0.5 if s == "s3" else 1.3)
         taken += len(sends(out))
@@ -62,7 +62,9 @@
     for seed in range(40):
         for name in placed:
             d = Driver(seed=seed, classes=classes)
-            placed[name] += len(sends(d.answer_probes(d.request(class_name=name), ROOM_TO - 0.07)))
+            placed[name] += len(
+                sends(d.answer_probes(d.request(class_name=name), ADMISSION_LOAD_LIMIT - 0.07))
+            )
     assert placed["live"] > placed["spare"]
 
 
@@ -77,38 +79,38 @@
         out = d.answer_probes(d.request(after=0.05, reconnect=again, retry=again), 0.3)
         if sends(out):
             d.stand(sends(out)[0])
-    assert (d.balancer._growth() < 1.2) is again
+    assert (d.balancer.growth.factor() < 1.2) is again
 
 
 def test_a_moved_client_that_is_refused_again_and_again_is_no_wave_of_arrivals() -> None:
     d = Driver(servers=4)
     for _ in range(30):
         assert finals(d.answer_probes(d.request(after=0.02, retry=True, reconnect=True), 1.4))
-    assert d.balancer.came.get(d.now) == 0.0
+    assert d.balancer.rates.sent.get(d.now) == 0.0
 
 
 @pytest.mark.parametrize("everywhere", [True, False])
 def test_what_fails_anywhere_is_no_servers_fault(everywhere: bool) -> None:
     """With the save store overrun, the one server that had room was passed by for its failures."""
     d = Driver(servers=6)
-    s = d.balancer.servers["s0"]
+    s = d.balancer.endpoints["s0"]
     for _ in range(30 if everywhere else 0):
-        d.balancer.lost.add(d.now)
+        d.balancer.rates.failed.add(d.now)
     for _ in range(2):
         (send,) = sent_to(d, s.name)
         d.outcome(send, AttemptResult.ERROR)
-    assert s.failed == 2 and (s.out_until > d.now) is not everywhere
+    assert s.consecutive_failures == 2 and (s.ejected_until > d.now) is not everywhere
 
 
 def sent_to(d: Driver, server: str) -> list[Forward]:
     """A request that is sent to this server, whatever the draws say."""
-    d.balancer.random = lambda: 0.999
+    d.balancer.context.random = lambda: 0.999
     d.next_id += 1
-    r = choice._Req(d.next_id, CLASS, d.now, d.now + 2.0, most=1)
-    d.balancer.reqs[r.id] = r
-    d.balancer.out = []
-    d.balancer._send(r, d.balancer.servers[server])
-    return sends(d.balancer.out)
+    r = Request(d.next_id, CLASS, d.now, d.now + 2.0, max_attempts=1)
+    d.balancer.table.requests[r.id] = r
+    d.balancer.context.actions = []
+    d.balancer._send(r, d.balancer.endpoints[server])
+    return sends(d.balancer.context.actions)
 
 
 @pytest.mark.parametrize("known", [0, 30])
@@ -117,7 +119,7 @@
     for k in range(known + 30):
         q = RequestArrived(1000 + k, "live", d.now + 1.0)
         d.feed(ConnectionInherited(q, f"s{k % 4}"), after=0.01)
-        assert d.balancer._growth() < 1.5
+        assert d.balancer.growth.factor() < 1.5
 
 
 def stood_on_one(d: Driver, count: int) -> None:
@@ -173,7 +175,7 @@
         for _ in range(30):
             d.probed("s0", 1.4, 3.0)
             for _ in range(2):
-                d.balancer.came.add(d.now)
+                d.balancer.rates.sent.add(d.now)
             d.now += 0.5
         out = d.answer_probes(d.request(), lambda s: 1.4 if s == "s0" else 0.7, 40.0)
         placed += len(sends(out))
@@ -219,7 +221,7 @@
 def test_connections_move_off_a_full_server_a_few_at_a_time_and_then_rest() -> None:
     d = Driver(servers=2)
     stood_on_one(d, 12)
-    held = len(d.balancer.servers["s0"].held)
+    held = len(d.balancer.endpoints["s0"].connections)
     moved = [a for a in d.probed("s0", 1.5) if isinstance(a, Migrate)]
     assert 0 < len(moved) < held / 2
     assert not [a for a in d.probed("s0", 1.6) if isinstance(a, Migrate)]
@@ -256,13 +258,13 @@
 def test_absurd_reports_say_nothing(x0: float) -> None:
     d = Driver()
     assert sends(d.answer_probes(d.request(), x0))
-    assert all(s.load is None for s in d.balancer.servers.values())
+    assert all(s.load is None for s in d.balancer.endpoints.values())
 
 
 def test_reports_with_fields_missing_say_nothing() -> None:
     d = Driver()
     d.feed(HealthCheckEnded("s0", AttemptResult.OK, 0.0, {"inflight": 3.0}))
-    assert d.balancer.servers["s0"].load is None
+    assert d.balancer.endpoints["s0"].load is None
 
 
 def test_a_report_that_does_not_change_grows_old() -> None:
@@ -271,13 +273,13 @@
     d.feed(same)
     first = d.now
     d.feed(same, after=3.0)
-    assert d.balancer.servers["s0"].seen_at == first
+    assert d.balancer.endpoints["s0"].report_changed_at == first
 
 
 def test_frozen_reports_refuse_nobody() -> None:
     d = Driver()
     report = {"x0": 1.2, "inflight": 9.0}
-    frozen = {s: HealthCheckEnded(s, AttemptResult.OK, 0.001, report) for s in d.balancer.servers}
+    frozen = {s: HealthCheckEnded(s, AttemptResult.OK, 0.001, report) for s in d.balancer.endpoints}
     for _ in range(12):
         for event in frozen.values():
             d.feed(event, after=0.2)
@@ -312,7 +314,7 @@
             (timer,) = [a for a in out if isinstance(a, SetTimer)]
             waits.append(timer.delay)
             d.feed(TimerFired("list"), after=timer.delay)
-        assert len(d.balancer.ready) == 6  # the old list is kept
+        assert len(d.balancer.registry.ready) == 6  # the old list is kept
     assert len(first) > 15
     assert sum(waits[5::6]) > 3 * sum(waits[0::6])
     assert max(waits) < 4 * 10.0
@@ -332,7 +334,7 @@
     before = sends(d.answer_probes(d.request(group="board-9"), lambda s: 0.3))[0].endpoint
     for name in [f"s{i}" for i in range(20) if f"s{i}" != before][:5]:
         d.set_phase(name, EndpointPhase.REMOVED)
-    after = [d.balancer.servers[name].name for _, name in d.balancer.ring]
+    after = [d.balancer.endpoints[name].name for _, name in d.balancer.registry.hash_ring]
     assert before in after and len(set(after)) == 15
 
 
@@ -351,7 +353,7 @@
     d.feed(ConnectionInherited(RequestArrived(7, "live", d.now + 1.0), "s2"))
     d.now += 30.0
     assert not d.feed(AttemptEnded(7, 0, "s2", AttemptResult.OK, 30.0, True))
-    assert not d.balancer.reqs and not d.balancer.servers["s2"].held
+    assert not d.balancer.requests and not d.balancer.endpoints["s2"].connections
 
 
 @pytest.mark.parametrize("reports", list(ReportSource))
@@ -378,8 +380,8 @@
     d = Driver(servers=6)
     for i in range(600):
         d.feed(ConnectionObserved(1, f"s{i % 6}", message_delay=0.4), after=0.2)
-        for s in d.balancer.servers.values():
-            s.probing = -1e9
+        for s in d.balancer.endpoints.values():
+            s.health_check_sent_at = -1e9
     out = d.request()
     assert [a for a in out if isinstance(a, CheckHealth)]
 
@@ -397,7 +399,7 @@
 def test_nothing_moves_where_no_server_answers_probes() -> None:
     d = Driver(servers=2)
     stood_on_one(d, 12)
-    d.balancer.answering = 0.3
+    d.balancer.answered_share = 0.3
     silence = HealthCheckEnded("s0", AttemptResult.TIMEOUT, 0.2)
     assert not [a for _ in range(6) for a in d.feed(silence, after=3.0) if isinstance(a, Migrate)]
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -109,8 +109,8 @@
     two = [line.replace("Who=4", "Who=5") for line in START[1:-1]]
     two[3] = two[3].replace("10.0.0.1", "10.0.0.9")
     host.batch(START[0], iter(START[1:-1] + two + ["flush"]))
-    assert "10.0.0.1:80" in host.instances["4"].servers
-    assert "10.0.0.9:80" in host.instances["5"].servers
+    assert "10.0.0.1:80" in host.instances["4"].endpoints
+    assert "10.0.0.9:80" in host.instances["5"].endpoints
 
 
 def imported_from(line: str) -> str:
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -11,7 +11,8 @@
 import pytest
 
 from gradegap.balancing.actions import Migrate
-from gradegap.balancing.balancer import LOW_WORTH, REPORTS_BEHIND, ROOM_TO
+from gradegap.balancing.balancer import ADMISSION_LOAD_LIMIT, LOW_PRIORITY_RESERVE
+from gradegap.balancing.connection_growth import REPORT_DELAY_S
 from gradegap.balancing.events import ConnectionInherited, RequestArrived
 from gradegap.balancing.priority import SLACK, PriorityWeights
 from gradegap.balancing.report_statistics import ReportStatistics
@@ -72,7 +73,7 @@
             d.next_id += 1
             q = RequestArrived(d.next_id, "edit", d.now + 2.0, tenant="capital")
             d.feed(ConnectionInherited(q, f"s{d.next_id % 2}"))
-        full = ROOM_TO - LOW_WORTH / 2
+        full = ADMISSION_LOAD_LIMIT - LOW_PRIORITY_RESERVE / 2
         seen.append(bool(sends(d.answer_probes(d.request(class_name="edit", tenant=tenant), full, 40.0))))
     assert seen == [room, True]
 
@@ -124,8 +125,8 @@
         d.probed("s1", 0.1, 10.0)
         out = d.probed("s0", 1.5, 40.0)
         rounds.append(sum(isinstance(a, Migrate) for a in out))
-    assert sum(n > 0 for n in rounds) == 3, rounds  # REPORTS_BEHIND apart: they may be of no use for good
-    assert REPORTS_BEHIND == 5.0
+    assert sum(n > 0 for n in rounds) == 3, rounds  # REPORT_DELAY_S apart: they may be of no use for good
+    assert REPORT_DELAY_S == 5.0
     moved = next(n for n in rounds if n)
     d = Driver(servers=2, proxy_count=1)
     held_from_before(d, "s0", "", 40)
