--- a/tests/test_store_cluster.py
+++ b/tests/test_store_cluster.py
@@ -18,7 +18,7 @@
 from gradegap.store.errors import RequestFailedError
 from gradegap.store.member_client import MemberClient
 from gradegap.store.records import Event, KeyUpdate
-from gradegap.verification.linearizability import FOREVER, Did, explain
+from gradegap.verification.linearizability import NEVER_ENDED, Operation, find_linearization
 from tests.cluster import SECRET, Cluster, cluster
 from tests.world import wait_for
 
@@ -455,16 +455,16 @@
 
     def __init__(self, c: Cluster, seed: int) -> None:
         self.c, self.seed = c, seed
-        self.history: dict[str, list[Did]] = {}
+        self.history: dict[str, list[Operation]] = {}
         self.acked = 0
         self.ended = threading.Event()
         self.lock = threading.Lock()
         self.threads = [threading.Thread(target=self.run, args=(k,), daemon=True) for k in range(6)]
 
-    def keep(self, key: str, did: Did) -> None:
+    def keep(self, key: str, operation: Operation) -> None:
         with self.lock:
-            self.history.setdefault(key, []).append(did)
-            self.acked += did.ended != FOREVER
+            self.history.setdefault(key, []).append(operation)
+            self.acked += operation.ended != NEVER_ENDED
 
     def run(self, number: int) -> None:
         rng = random.Random(self.seed * 100 + number)
@@ -481,27 +481,32 @@
                     remote = MemberClient(self.c.direct[rng.choice(self.c.names)], SECRET, 1.5)
                 if kind == "write":
                     remote.set(key, mine)
-                    self.keep(key, Did("write", mine, began, time.monotonic()))
+                    self.keep(key, Operation.write(mine, began, time.monotonic()))
                 elif kind == "read":
                     got = remote.value(key)
-                    self.keep(key, Did("read", got, began, time.monotonic()))
+                    self.keep(key, Operation.read(got, began, time.monotonic()))
                 else:
                     item = remote.get(key)
-                    self.keep(key, Did("read", item and item.value, began, time.monotonic()))
+                    self.keep(key, Operation.read(item and item.value, began, time.monotonic()))
                     began = time.monotonic()
                     answer = remote.cas(key, item.modified_revision if item else 0, mine)
                     if item is not None:
                         expected = item.value  # values are never written twice
                         done = answer.succeeded
-                        self.keep(key, Did("cas", mine, began, time.monotonic(), expected, done))
+                        self.keep(
+                            key, Operation.compare_and_set(mine, began, time.monotonic(), expected, done)
+                        )
                     else:
-                        self.keep(key, Did("cas", mine, began, time.monotonic(), None, answer.succeeded))
+                        self.keep(
+                            key,
+                            Operation.compare_and_set(mine, began, time.monotonic(), None, answer.succeeded),
+                        )
             except RequestFailedError as error:
                 if error.kind == "unknown" and kind == "write":
-                    self.keep(key, Did("write", mine, began))
+                    self.keep(key, Operation.write(mine, began))
                 elif error.kind == "unknown" and kind == "cas":
                     expected = item.value if item else None
-                    self.keep(key, Did("cas", mine, began, FOREVER, expected, None))
+                    self.keep(key, Operation.compare_and_set(mine, began, NEVER_ENDED, expected, None))
                 remote = None
                 time.sleep(0.05)
 
@@ -543,8 +548,10 @@
             final = {i.key: i.value for i in r.list("r")}
         end = time.monotonic()
         for key, history in clients.history.items():
-            told = [*history, Did("read", final.get(key), end, end + 1)]
-            assert explain(told) is not None, f"seed {seed}, key {key}: {sorted(told, key=lambda d: d.began)}"
+            told = [*history, Operation.read(final.get(key), end, end + 1)]
+            assert find_linearization(told) is not None, (
+                f"seed {seed}, key {key}: {sorted(told, key=lambda d: d.started)}"
+            )
 
 
 def test_the_command_line_says_what_came_of_it(tmp_path: Path) -> None:
--- a/tests/test_store_parts.py
+++ b/tests/test_store_parts.py
@@ -25,7 +25,7 @@
 from gradegap.store.settings import Peer, StoreSettings
 from gradegap.store.state_snapshot import decode_snapshot, encode_snapshot
 from gradegap.store.storage import MemberStorage, WriteBatch
-from gradegap.verification.linearizability import FOREVER, Did, explain
+from gradegap.verification.linearizability import NEVER_ENDED, Operation, OperationKind, find_linearization
 
 # The state machine
 
@@ -586,15 +586,25 @@
 
 
 def test_histories_that_one_copy_could_give_are_explained() -> None:
-    w1, w2 = Did("write", 1, 0, 3), Did("write", 2, 1, 4)
-    assert explain([Did("write", 1, 0, 1.5), w2, Did("read", 2, 2, 5), Did("read", 1, 6, 7)]) is None
-    assert explain([w1, w2, Did("read", 1, 2, 5), Did("read", 2, 6, 7)])
-    assert explain([w1, w2, Did("read", 2, 1.5, 2), Did("read", 1, 2.5, 9)])
-    lost = Did("write", 3, 0, FOREVER)  # nobody knows
-    assert explain([lost, Did("read", None, 1, 2), Did("read", 3, 3, 4)])
-    assert explain([lost, Did("read", 3, 1, 2), Did("read", None, 3, 4)]) is None
-    assert explain([Did("cas", 5, 0, 1, None, True), Did("cas", 6, 2, 3, None, True)]) is None
-    assert explain([Did("cas", 5, 0, 1, None, True), Did("cas", 6, 2, 3, None, False)])
+    w1, w2 = Operation.write(1, 0, 3), Operation.write(2, 1, 4)
+    assert (
+        find_linearization([Operation.write(1, 0, 1.5), w2, Operation.read(2, 2, 5), Operation.read(1, 6, 7)])
+        is None
+    )
+    assert find_linearization([w1, w2, Operation.read(1, 2, 5), Operation.read(2, 6, 7)])
+    assert find_linearization([w1, w2, Operation.read(2, 1.5, 2), Operation.read(1, 2.5, 9)])
+    lost = Operation.write(3, 0, NEVER_ENDED)  # nobody knows
+    assert find_linearization([lost, Operation.read(None, 1, 2), Operation.read(3, 3, 4)])
+    assert find_linearization([lost, Operation.read(3, 1, 2), Operation.read(None, 3, 4)]) is None
+    assert (
+        find_linearization(
+            [Operation.compare_and_set(5, 0, 1, None, True), Operation.compare_and_set(6, 2, 3, None, True)]
+        )
+        is None
+    )
+    assert find_linearization(
+        [Operation.compare_and_set(5, 0, 1, None, True), Operation.compare_and_set(6, 2, 3, None, False)]
+    )
 
 
 def test_planted_stale_reads_and_lost_writes_are_found() -> None:
@@ -604,19 +614,19 @@
         began, point, ended = at, at + 0.5, at + 1.0 + rng.random() * 3
         at += rng.random()
         if rng.random() < 0.5:
-            history.append((point, Did("write", k, began, ended)))
+            history.append((point, Operation.write(k, began, ended)))
         else:
-            history.append((point, Did("read", "?", began, ended)))
+            history.append((point, Operation.read("?", began, ended)))
     history.sort(key=lambda x: x[0])
     true = []
-    for _, did in history:
-        if did.kind == "write":
-            state = did.value
-            true.append(did)
+    for _, operation in history:
+        if operation.kind is OperationKind.WRITE:
+            state = operation.value
+            true.append(operation)
         else:
-            true.append(Did("read", state, did.began, did.ended))
-    assert explain(true) is not None
-    late = next(k for k, d in enumerate(true) if d.kind == "read" and k > 100)
-    old = next(d.value for d in true[:20] if d.kind == "write")
-    stale = [*true[:late], Did("read", old, true[late].began, true[late].ended), *true[late + 1 :]]
-    assert explain(stale) is None
+            true.append(Operation.read(state, operation.started, operation.ended))
+    assert find_linearization(true) is not None
+    late = next(k for k, d in enumerate(true) if d.kind is OperationKind.READ and k > 100)
+    old = next(d.value for d in true[:20] if d.kind is OperationKind.WRITE)
+    stale = [*true[:late], Operation.read(old, true[late].started, true[late].ended), *true[late + 1 :]]
+    assert find_linearization(stale) is None
