--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -40,7 +40,7 @@
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
 from gradegap.store.dynamic_configuration import DynamicConfiguration
-from gradegap.transport.descriptors import Descriptors
+from gradegap.transport.descriptors import DescriptorBudget
 from gradegap.upstream.connections import Backends
 from tests.world import SETTINGS
 
@@ -120,7 +120,7 @@
         self.process, self.spec, self.record, self.traffic = process, spec, record, traffic
         loop, settings = process.loop, process.settings
         self.metrics = process.metrics
-        descriptors = Descriptors(DESCRIPTORS, self.metrics)
+        descriptors = DescriptorBudget(DESCRIPTORS, self.metrics)
         self.backends = Backends(loop, settings.connect_timeout, descriptors)
         self.backends.dialer.task.cancel()
         self.backends.dialer = CountedDialer(loop, descriptors, traffic)
--- a/bench/scale/measure.py
+++ b/bench/scale/measure.py
@@ -16,7 +16,7 @@
 
 from gradegap.store import wire
 from gradegap.store.channel import CHECKSUM_BYTES, LENGTH_BYTES, LinkChannel
-from gradegap.transport.descriptors import Descriptors
+from gradegap.transport.descriptors import DescriptorBudget
 from gradegap.transport.dialer import Dialer
 from gradegap.upstream.connections import Prober
 
@@ -135,7 +135,9 @@
 class CountedDialer(Dialer):
     """A node's dialer: calls to discovery and probes are counted apart."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, descriptors: Descriptors, traffic: Traffic) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, descriptors: DescriptorBudget, traffic: Traffic
+    ) -> None:
         super().__init__(loop, descriptors)
         self.traffic = traffic
 
--- a/bench/scale/slopes_probes.py
+++ b/bench/scale/slopes_probes.py
@@ -20,7 +20,7 @@
 from gradegap.balancing.events import EndpointEntry, EndpointListKind
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
-from gradegap.transport.descriptors import Descriptors
+from gradegap.transport.descriptors import DescriptorBudget
 from gradegap.upstream.connections import Backends
 from tests.helpers import settings
 
@@ -79,7 +79,7 @@
 async def probed(address: str, servers: int, seed: int) -> list[float]:
     """Each repeat's price of a probe with so many servers."""
     metrics, loop = Metrics(), asyncio.get_running_loop()
-    backends = Backends(loop, 1.0, Descriptors(DESCRIPTORS, metrics))
+    backends = Backends(loop, 1.0, DescriptorBudget(DESCRIPTORS, metrics))
     proxy = Proxy(settings(), seed, backends, metrics, loop)
     names = [server_name(k) for k in range(servers)]
     proxy.update_endpoints(EndpointListKind.FULL, [(EndpointEntry(name), address) for name in names])
--- a/gradegap/downstream/session.py
+++ b/gradegap/downstream/session.py
@@ -13,8 +13,14 @@
 from gradegap.downstream.framing import LONGEST, InvalidLineError, LineWatch, Opening, parse_opening
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import InvalidRequestError, Proxy, Request
-from gradegap.transport.descriptors import Descriptors, Rank
-from gradegap.transport.sockets import HIGH_WATER, Pausable, end, no_delay, reset
+from gradegap.transport.descriptors import DescriptorBudget, EvictionRank
+from gradegap.transport.sockets import (
+    WRITE_BUFFER_HIGH_BYTES,
+    Pausable,
+    close_now,
+    no_delay,
+    reset_connection,
+)
 
 FIRST_LINE_WAIT = 2.5  # s from its start that a connection may take over its first line
 PING_IDLE = 30.0  # s that one which has said PING may take until it says more
@@ -24,7 +30,9 @@
 DRAIN_PAUSE = 0.003  # s between two reads of what such a one sends, so that it costs little CPU
 SLOW_PAUSE = 1.0  # s between two pieces of a first line, within which its writer is sound, but slow
 SLOW_MOST = 6.0  # s that such a one may take in all
-READ_AWAY = 16  # pieces of `HIGH_WATER` bytes that a connection which ends is read on at the most
+READ_AWAY = (
+    16  # pieces of `WRITE_BUFFER_HIGH_BYTES` bytes that a connection which ends is read on at the most
+)
 LINE_END_WAIT = 0.85  # s for the end of a line that is half through, before a MOVE; a stop has that time
 
 
@@ -455,7 +463,7 @@
         metrics: Metrics,
         ready: Callable[[], bool],
         live: set[TcpChannel],
-        descriptors: Descriptors,
+        descriptors: DescriptorBudget,
     ) -> None:
         self.loop = proxy.loop
         self.live = live
@@ -473,11 +481,11 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.set_write_buffer_limits(HIGH_WATER)
+        self.transport.set_write_buffer_limits(WRITE_BUFFER_HIGH_BYTES)
         no_delay(self.transport)
         self.fd = self.transport.get_extra_info("socket").fileno()
         self.live.add(self)
-        self.descriptors.accepted(self)
+        self.descriptors.on_accepted(self)
         if self.adopted:
             self._made_adopted()
 
@@ -515,10 +523,10 @@
             sock.detach()  # the descriptor is the transport's
 
     def pinged(self) -> None:
-        self.descriptors.rank(self, Rank.PINGED)
+        self.descriptors.set_rank(self, EvictionRank.PINGED)
 
     def opened(self) -> None:
-        self.descriptors.rank(self, None)
+        self.descriptors.set_rank(self, None)
 
     def dismiss(self) -> None:
         self.session.evict(self.session.proxy.settings.max_retry_after)
@@ -545,7 +553,7 @@
         """Close, whatever the other side does. Guards against one that never reads: what it has left unread
         would keep the descriptor for as long as it likes."""
         if self.transport is not None:
-            end(self.transport)
+            close_now(self.transport)
 
     def data_received(self, data: bytes) -> None:
         if not self.closing:
@@ -573,7 +581,7 @@
         if exc is None and self.closing:  # one that lives on in another process has its bytes there
             self._read_away()
         self.live.discard(self)
-        self.descriptors.released(self)
+        self.descriptors.on_closed(self)
         if self.last is not None:
             self.last.cancel()
         self.transport = None
@@ -601,13 +609,13 @@
         self.resume()
         self.closing = True
         if ending is Ending.RESET:
-            reset(transport)
+            reset_connection(transport)
             return
         # Guards against the answer being lost to a reset: a socket closed with unread bytes, or one
         # that gets more, resets the other side. So only our side ends, and the rest is read away.
         if transport.can_write_eof() and not transport.is_closing():
             transport.write_eof()
-        self.descriptors.rank(self, Rank.ANSWERED)
+        self.descriptors.set_rank(self, EvictionRank.ANSWERED)
         self.close_by = self.loop.time() + LINGER_MOST
         self.last = self.loop.call_later(LINGER, self._last)
 
@@ -625,5 +633,5 @@
         read: it resets the connection, and takes the answer with it."""
         with contextlib.suppress(OSError):
             for _ in range(READ_AWAY):
-                if not os.read(self.fd, HIGH_WATER):
+                if not os.read(self.fd, WRITE_BUFFER_HIGH_BYTES):
                     return
--- a/gradegap/hot_restart/handover.py
+++ b/gradegap/hot_restart/handover.py
@@ -41,7 +41,7 @@
 from gradegap.hot_restart.rendezvous import SuccessorListener, connect_to_predecessor
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
-from gradegap.transport.descriptors import Descriptors, DialedSocket
+from gradegap.transport.descriptors import DescriptorBudget, DialedSocket
 from gradegap.upstream.connections import Backends, Fetch
 
 log = structlog.get_logger()
@@ -60,7 +60,7 @@
     metrics: Metrics
     proxy: Proxy
     backends: Backends
-    descriptors: Descriptors
+    descriptors: DescriptorBudget
     channels: set[TcpChannel]
     listening: socket.socket | None
     leaving: bool
@@ -166,7 +166,7 @@
             session.buffer += message.buffer
             session.idle = message.pinged
             session.wait(message.first_line_timeout_s)
-            dialer.made.put_nowait((client, channel))
+            dialer.adopt(client, channel)
             node.metrics.count("taken_over_door")
             return True
         session.unwait()
@@ -188,8 +188,8 @@
         backend = DialedSocket(node.descriptors, client.family, fds[1])
         backend.setblocking(False)
         # The backend's side first: whatever the client says then finds it there.
-        dialer.made.put_nowait((backend, fetch))
-        dialer.made.put_nowait((client, channel))
+        dialer.adopt(backend, fetch)
+        dialer.adopt(client, channel)
         node.metrics.count("taken_over_standing")
         return True
 
@@ -254,7 +254,7 @@
             transport.pause_reading()
             session.closed = True
             session.unwait()
-            self.node.descriptors.rank(channel, None)
+            self.node.descriptors.set_rank(channel, None)
             link.send(message, fd)
             return
         fetch, req = session.pipe, session.req
@@ -304,7 +304,7 @@
         session.closed = False
         if fetch is None or standing is None:
             session.wait(1.0)
-            self.node.descriptors.accepted_again(channel, session.idle)
+            self.node.descriptors.on_taken_back(channel, session.idle)
         else:
             fetch.over = False
             args = (standing.request, standing.endpoint, standing.last_response_at, standing.unanswered_since)
@@ -323,7 +323,7 @@
         match message:
             case Offer() if len(fds) == 1 and self.begun is not None:
                 self.offer = message
-                self.node.descriptors.beside = message.descriptor_count
+                self.node.descriptors.held_by_other_process = message.descriptor_count
                 if self.node.resuming is not None:
                     self.node.resuming.take_over(message.sealing_keys)
                 self.node.listening = socket.socket(fileno=fds[0])
@@ -343,7 +343,7 @@
                 self.node.obey(message.operation, message.endpoint)
                 link.send(AdminCommandDone(message.serial))
             case DescriptorCount():
-                self.node.descriptors.beside = message.count
+                self.node.descriptors.held_by_other_process = message.count
             case QuicPort():
                 self.node.take_port(message.state, fds)
                 return
@@ -374,7 +374,7 @@
         self.link, self.told_held = None, -1
         if not self.gave_way:
             self.node.port_alone()
-        self.node.descriptors.beside = 0
+        self.node.descriptors.held_by_other_process = 0
         if self.begun is not None and not self.begun.done():
             self.begun.set_result(False)
         given, self.given = self.given, {}
--- a/gradegap/node/node.py
+++ b/gradegap/node/node.py
@@ -34,7 +34,7 @@
 from gradegap.store.dynamic_configuration import DynamicConfiguration, set_log_level
 from gradegap.store.settings import StoreSettings
 from gradegap.transport.addresses import split_address
-from gradegap.transport.descriptors import Descriptors, raise_descriptor_limit
+from gradegap.transport.descriptors import DescriptorBudget, raise_descriptor_limit
 from gradegap.upstream.connections import Backends
 
 if TYPE_CHECKING:
@@ -100,7 +100,7 @@
         self.quic: QuicListener | None = None
         self.loop = loop
         self.metrics = Metrics()
-        self.descriptors = Descriptors(
+        self.descriptors = DescriptorBudget(
             raise_descriptor_limit(configuration.node.limits.sockets), self.metrics
         )
         self.backends = Backends(loop, configuration.settings.connect_timeout, self.descriptors)
--- a/gradegap/quic/stream.py
+++ b/gradegap/quic/stream.py
@@ -15,7 +15,7 @@
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
 from gradegap.quic.connection import HeldConnection
-from gradegap.transport.sockets import HIGH_WATER
+from gradegap.transport.sockets import WRITE_BUFFER_HIGH_BYTES
 
 MAX_UNSENT_BYTES = 8 * 1024 * 1024  # bytes waiting for a client beyond which its session is given up
 DRAIN_POLL_S = 0.02  # s between two looks whether a paused backend may go on
@@ -132,7 +132,7 @@
             link.metrics.count("quic_overrun")
             self._broke(CloseCode.OVERRUN)
             self.session.lost(reset=True)
-        elif waiting > HIGH_WATER and not self.paused:
+        elif waiting > WRITE_BUFFER_HIGH_BYTES and not self.paused:
             self.paused = True
             self.session.drained(full=True)
             self.loop.call_later(DRAIN_POLL_S, self._look_drained)
@@ -140,7 +140,7 @@
     def _look_drained(self) -> None:
         if self.connection_channel.terminated or self.closing:
             return
-        if self.connection_channel.connection.unsent_bytes(self.number) > HIGH_WATER // 4:
+        if self.connection_channel.connection.unsent_bytes(self.number) > WRITE_BUFFER_HIGH_BYTES // 4:
             self.loop.call_later(DRAIN_POLL_S, self._look_drained)
         else:
             self.paused = False
--- a/gradegap/transport/descriptors.py
+++ b/gradegap/transport/descriptors.py
@@ -1,9 +1,9 @@
-"""The node's descriptors: how many are open, and who makes way when they run short.
+"""The node's budget of file descriptors: how many are open, and who is evicted when they run short.
 
-Standing sessions, fetches, probes and discovery come first. Connections that have been answered, then those
-that have not said what they want are closed for them, first whose last word is the oldest: so a front that
-asks on and on whether the node is well outlasts a crowd that says nothing. They are told a little before
-there is no room, and closed when there is none.
+Established sessions, attempts, health checks and discovery come first. Connections that have been answered,
+then those that have not asked for anything are closed for them, first whose last activity is the oldest: so a
+client that checks on and on whether the node is ready outlasts a crowd that sends nothing. They are dismissed
+a little before the budget is used up, and closed when it is.
 """
 
 from __future__ import annotations
@@ -16,13 +16,18 @@
 
 from gradegap.metrics import Metrics
 
-BASE = 32  # for the process itself, its listeners, discovery, the store's peers and some probes
-DIALS = 16  # one part in so many is kept from new clients, for fetches and probes
-TOLD = 32  # one part in so many are told that they make way before they have to
+PROCESS_RESERVE = 32
+"""Descriptors for the process itself, its listeners, discovery, the store's peers and some health checks."""
 
+DIAL_RESERVE_DIVISOR = 16
+"""One part in so many is kept from new clients, for attempts and health checks."""
 
-class Rank(IntEnum):
-    """What a connection that may make way has come to; the answered ones go first."""
+DISMISSAL_MARGIN_DIVISOR = 32
+"""Connections are dismissed while one part in so many is free, before any has to be closed."""
+
+
+class EvictionRank(IntEnum):
+    """How far a connection that may be evicted has come; the answered ones go first."""
 
     ANSWERED = 0
     PINGED = 1
@@ -30,93 +35,109 @@
 
 
 class Evictable(Protocol):
+    """A client's connection, as the budget sees it."""
+
     def dismiss(self) -> None:
-        """Say that it has to make way; a `rank` as answered follows."""
+        """Answer that there is no capacity; a `set_rank` as answered follows."""
 
     def evict(self) -> None:
-        """Close at once; `release` follows."""
+        """Close at once; `on_closed` follows."""
+
 
+class DescriptorBudget:
+    """How many descriptors the process may use, and who holds them."""
 
-class Descriptors:
     def __init__(self, limit: int, metrics: Metrics) -> None:
         self.limit = limit
         self.metrics = metrics
         self.held = 0
-        self.base = BASE
-        self.beside = 0  # what another process of this node holds: both have one limit
-        # Each with the number of its last word. The oldest is the first, in a dictionary's own order.
-        self.ranks: tuple[dict[Evictable, int], ...] = tuple({} for _ in Rank)
-        self.words = count()
+        self.reserved = PROCESS_RESERVE
+        self.held_by_other_process = 0
+        """What another process of this node holds: both have one limit."""
+        self.ranked: tuple[dict[Evictable, int], ...] = tuple({} for _ in EvictionRank)
+        """By rank, each connection with the number of its last activity, the oldest first."""
+        self.activity_numbers = count()
         metrics.gauge("sockets", lambda: f"{self.held}/{self.limit}")
 
     def reserve(self, count: int) -> None:
-        """Some more that only their owner uses, so that no client's flood shuts them out."""
-        self.base += count
+        """Keep some more that only their owner uses, so that no client's flood shuts them out."""
+        self.reserved += count
 
     def own(self) -> int:
         """What this process holds, its reserve included."""
-        return self.held + self.base
+        return self.held + self.reserved
 
-    def accepted_again(self, channel: Evictable, pinged: bool) -> None:
-        self.rank(channel, Rank.PINGED if pinged else Rank.UNOPENED)
+    def on_taken_back(self, channel: Evictable, pinged: bool) -> None:
+        """A connection that was to go on in another process stays in this one."""
+        self.set_rank(channel, EvictionRank.PINGED if pinged else EvictionRank.UNOPENED)
 
-    def accepted(self, channel: Evictable) -> None:
-        """A client has connected. Guards against clients that connect and say nothing: they would take
-        the descriptors that those who ask need."""
+    def on_accepted(self, channel: Evictable) -> None:
+        """A client has connected.
+
+        Guards against clients that connect and send nothing: they would take the descriptors that requests
+        need.
+        """
         self.held += 1
-        self.rank(channel, Rank.UNOPENED)
-        most = self.limit - self.base - self.beside - self.limit // DIALS
-        # Guards against a close in the very moment in which a client asks: it is told while there still is
-        # room, and what it has sent meanwhile is read away.
-        if self.held - len(self.ranks[Rank.ANSWERED]) > most - self.limit // TOLD:
-            rank, oldest = self._oldest(Rank.PINGED, Rank.UNOPENED)
+        self.set_rank(channel, EvictionRank.UNOPENED)
+        available = self._available() - self.limit // DIAL_RESERVE_DIVISOR
+        # Guards against a close in the very moment in which a client sends its request: it is dismissed while
+        # there still are descriptors, and what it has sent meanwhile is read and dropped.
+        lingering = len(self.ranked[EvictionRank.ANSWERED])
+        if self.held - lingering > available - self.limit // DISMISSAL_MARGIN_DIVISOR:
+            rank, oldest = self._oldest(EvictionRank.PINGED, EvictionRank.UNOPENED)
             if oldest is not None and oldest is not channel:
                 self.metrics.count(f"evicted_{rank.name.lower()}")
                 oldest.dismiss()
-        self._make_way(most)
+        self._evict_beyond(available)
 
-    def rank(self, channel: Evictable, rank: Rank | None) -> None:
-        """What a channel has come to; None: it is in use and stays."""
-        for each in self.ranks:
-            each.pop(channel, None)
+    def set_rank(self, channel: Evictable, rank: EvictionRank | None) -> None:
+        """How far a connection has come; None: it is in use and stays."""
+        for connections in self.ranked:
+            connections.pop(channel, None)
         if rank is not None:
-            self.ranks[rank][channel] = next(self.words)
+            self.ranked[rank][channel] = next(self.activity_numbers)
 
-    def released(self, channel: Evictable) -> None:
+    def on_closed(self, channel: Evictable) -> None:
+        """A client's connection has ended."""
         self.held -= 1
-        self.rank(channel, None)
+        self.set_rank(channel, None)
 
-    def dialed(self, family: int) -> DialedSocket:
-        """A socket to dial with."""
-        self._make_way(self.limit - self.base - self.beside)
+    def open_socket(self, family: int) -> DialedSocket:
+        """A TCP socket to dial with; the oldest evictable connection is closed for it where none is free."""
+        self._evict_beyond(self._available())
         return DialedSocket(self, family)
 
-    def _make_way(self, most: int) -> None:
-        if self.held <= most:
+    def _available(self) -> int:
+        return self.limit - self.reserved - self.held_by_other_process
+
+    def _evict_beyond(self, available: int) -> None:
+        if self.held <= available:
             return
-        rank, channel = self._oldest(Rank.ANSWERED)
+        rank, channel = self._oldest(EvictionRank.ANSWERED)
         if channel is None:
-            rank, channel = self._oldest(Rank.PINGED, Rank.UNOPENED)
+            rank, channel = self._oldest(EvictionRank.PINGED, EvictionRank.UNOPENED)
         if channel is not None:
-            self.rank(channel, None)
+            self.set_rank(channel, None)
             self.metrics.count(f"evicted_{rank.name.lower()}")
             channel.evict()
 
-    def _oldest(self, *ranks: Rank) -> tuple[Rank, Evictable | None]:
-        """Of these, whose last word is the oldest."""
-        first = [(*next(iter(held.items())), rank) for rank in ranks if (held := self.ranks[rank])]
-        if not first:
+    def _oldest(self, *ranks: EvictionRank) -> tuple[EvictionRank, Evictable | None]:
+        """Of connections with these ranks, the one whose last activity is the oldest."""
+        oldest = [
+            (*next(iter(connections.items())), rank) for rank in ranks if (connections := self.ranked[rank])
+        ]
+        if not oldest:
             return ranks[0], None
-        channel, _, rank = min(first, key=lambda each: each[1])
+        channel, _, rank = min(oldest, key=lambda found: found[1])
         return rank, channel
 
 
 class DialedSocket(socket.socket):
-    """A TCP socket of the node's own, counted from its making to its close, whoever closes it."""
+    """A TCP socket of the node's own, in the budget from its opening to its close, whoever closes it."""
 
-    owner: Descriptors | None = None
+    owner: DescriptorBudget | None = None
 
-    def __init__(self, owner: Descriptors, family: int, fileno: int | None = None) -> None:
+    def __init__(self, owner: DescriptorBudget, family: int, fileno: int | None = None) -> None:
         super().__init__(family, socket.SOCK_STREAM, fileno=fileno)
         self.owner = owner
         owner.held += 1
@@ -127,17 +148,21 @@
             self.owner = None
 
     def close(self) -> None:
+        """Close, and leave the budget."""
         self._release()
         super().close()
 
     def detach(self) -> int:
-        # How uvloop lets go of a socket whose transport it closes.
+        """Leave the budget, open: how uvloop lets go of a socket whose transport it closes."""
         self._release()
         return super().detach()
 
 
 def raise_descriptor_limit(wanted: int) -> int:
-    """As many descriptors as are wanted, where the system gives them; what there are then to use."""
+    """Raise the process's soft limit to `wanted`, as far as its hard limit allows; how many can be used then.
+
+    Zero or less: as many as the soft limit has.
+    """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < wanted:
         soft = wanted if hard == resource.RLIM_INFINITY else min(wanted, hard)
--- a/gradegap/transport/dialer.py
+++ b/gradegap/transport/dialer.py
@@ -1,4 +1,4 @@
-"""Outgoing TCP connections, made without a task for each."""
+"""Outgoing TCP connections, established without a task for each."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from gradegap.transport.addresses import split_address
-from gradegap.transport.descriptors import Descriptors
+from gradegap.transport.descriptors import DescriptorBudget
 
 
 class _PendingConnect:
@@ -29,7 +29,7 @@
         try:
             host, port = split_address(address)
             family = socket.AF_INET6 if ":" in host else socket.AF_INET
-            self._sock = sock = self._dialer.descriptors.dialed(family)
+            self._sock = sock = self._dialer.descriptors.open_socket(family)
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             sock.connect((host, port))
@@ -42,7 +42,7 @@
         self._timer = loop.call_later(timeout, self._fail)
 
     def stop(self) -> None:
-        """Give up without a word; harmless once it is over."""
+        """Give up without a call of `failed`; harmless once it is over."""
         if not self._over:
             self._finish()
             if self._sock is not None:
@@ -68,17 +68,17 @@
             self._fail()
             return
         self._finish()
-        self._dialer.made.put_nowait((sock, self._protocol))
+        self._dialer.adopt(sock, self._protocol)
 
 
 class Dialer:
-    """Makes TCP connections without a task for each: one task hands all that are made to the loop."""
+    """Establishes TCP connections without a task for each: one task hands all of them to the loop."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, descriptors: Descriptors) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, descriptors: DescriptorBudget) -> None:
         self.loop = loop
         self.descriptors = descriptors
-        self.made: asyncio.Queue[tuple[socket.socket, asyncio.Protocol]] = asyncio.Queue()
-        self.task = loop.create_task(self._hand_over())
+        self._connected: asyncio.Queue[tuple[socket.socket, asyncio.Protocol]] = asyncio.Queue()
+        self.task = loop.create_task(self._create_transports())
 
     def dial(
         self, address: str, timeout: float, protocol: asyncio.Protocol, failed: Callable[[], None]
@@ -91,9 +91,13 @@
         pending.start(address, timeout)
         return pending.stop
 
-    async def _hand_over(self) -> None:
+    def adopt(self, sock: socket.socket, protocol: asyncio.Protocol) -> None:
+        """Give `protocol` a transport for a socket that is connected already."""
+        self._connected.put_nowait((sock, protocol))
+
+    async def _create_transports(self) -> None:
         while True:
-            sock, protocol = await self.made.get()
+            sock, protocol = await self._connected.get()
             try:
                 transport, _ = await self.loop.create_connection(lambda p=protocol: p, sock=sock)  # type: ignore[misc]
             except OSError as error:
--- a/gradegap/transport/sockets.py
+++ b/gradegap/transport/sockets.py
@@ -6,7 +6,8 @@
 import socket
 import struct
 
-HIGH_WATER = 64 * 1024  # bytes kept for one side until the other is no longer read
+WRITE_BUFFER_HIGH_BYTES = 64 * 1024
+"""Kept for one side of a connection until the other is no longer read."""
 
 
 class Pausable(asyncio.Protocol):
@@ -28,7 +29,7 @@
             self.transport.resume_reading()
 
 
-def end(transport: asyncio.Transport) -> None:
+def close_now(transport: asyncio.Transport) -> None:
     """Close a connection at once: what the other side has not taken by now is dropped."""
     if transport.get_write_buffer_size():
         transport.abort()
@@ -43,7 +44,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
-def reset(transport: asyncio.Transport) -> None:
+def reset_connection(transport: asyncio.Transport) -> None:
     """End a connection by a reset, as the other side of it was."""
     sock = transport.get_extra_info("socket")
     if sock is not None and not transport.is_closing():
--- a/gradegap/upstream/connections.py
+++ b/gradegap/upstream/connections.py
@@ -12,9 +12,15 @@
 from gradegap.downstream.framing import LONGEST, figure, parse_report
 from gradegap.downstream.session import ClientSession
 from gradegap.proxy.proxy import Attempt, Endpoint, HealthCheckDone
-from gradegap.transport.descriptors import Descriptors, raise_descriptor_limit
+from gradegap.transport.descriptors import DescriptorBudget, raise_descriptor_limit
 from gradegap.transport.dialer import Dialer
-from gradegap.transport.sockets import HIGH_WATER, Pausable, end, no_delay, reset
+from gradegap.transport.sockets import (
+    WRITE_BUFFER_HIGH_BYTES,
+    Pausable,
+    close_now,
+    no_delay,
+    reset_connection,
+)
 
 PROBE_IDLE = 20.0  # s until an idle probe connection is closed
 _UP = re.compile(rb"UP [!-~][ -~]*")
@@ -48,7 +54,7 @@
             self.transport.close() if self.up else self.transport.abort()
             return
         assert self.session.opening is not None
-        self.transport.set_write_buffer_limits(HIGH_WATER)
+        self.transport.set_write_buffer_limits(WRITE_BUFFER_HIGH_BYTES)
         no_delay(self.transport)
         if self.up:
             return  # taken over: it stands already
@@ -141,7 +147,7 @@
         if self.stop is not None:
             self.stop()
         if self.transport is not None:
-            end(self.transport)
+            close_now(self.transport)
 
     # The pipe of a standing session
 
@@ -162,11 +168,11 @@
         self.eof_sent = True
         if not transport.is_closing():
             transport.write_eof()
-        self.session.proxy.loop.call_later(END_WAIT, end, transport)
+        self.session.proxy.loop.call_later(END_WAIT, close_now, transport)
 
     def reset(self) -> None:
         if self.transport is not None:
-            reset(self.transport)
+            reset_connection(self.transport)
 
     def pause_writing(self) -> None:
         self.session.channel.pause()
@@ -265,7 +271,7 @@
     """The core's backend port over TCP."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, connect_wait: float, descriptors: Descriptors
+        self, loop: asyncio.AbstractEventLoop, connect_wait: float, descriptors: DescriptorBudget
     ) -> None:
         self.loop = loop
         self.dialer = Dialer(loop, descriptors)
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -14,7 +14,7 @@
 from gradegap.downstream.session import LINGER, LINGER_MOST, Ending, TcpChannel
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
-from gradegap.transport.descriptors import Descriptors
+from gradegap.transport.descriptors import DescriptorBudget
 from tests.helpers import settings
 from tests.world import hard_reset
 
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
         self.metrics = Metrics()
-        self.descriptors = Descriptors(1000, self.metrics)
+        self.descriptors = DescriptorBudget(1000, self.metrics)
         self.proxy = Proxy(settings(), 1, cast(Any, None), self.metrics, self.loop)
         self.live: set[TcpChannel] = set()
         self.listener = socket.create_server(("127.0.0.1", 0))
--- a/tests/test_dialer.py
+++ b/tests/test_dialer.py
@@ -11,7 +11,7 @@
 import uvloop
 
 from gradegap.metrics import Metrics
-from gradegap.transport.descriptors import Descriptors
+from gradegap.transport.descriptors import DescriptorBudget
 from gradegap.transport.dialer import Dialer
 
 TURNS = 20
@@ -48,7 +48,7 @@
         loop = asyncio.get_running_loop()
         server = socket.create_server(("127.0.0.1", 0), backlog=4 * TURNS)
         address = f"127.0.0.1:{server.getsockname()[1]}"
-        descriptors = Descriptors(1000, Metrics())
+        descriptors = DescriptorBudget(1000, Metrics())
         dialer = Dialer(loop, descriptors)
         kept = []
         for _ in range(TURNS):
--- a/tests/test_lint_rules.py
+++ b/tests/test_lint_rules.py
@@ -64,7 +64,6 @@
 gradegap/store/service.py: D
 gradegap/store/storage.py: C90 D
 gradegap/store/wire.py: D
-gradegap/transport/descriptors.py: D
 gradegap/upstream/connections.py: D
 """
 
