--- a/gradegap/quic/listener.py
+++ b/gradegap/quic/listener.py
@@ -8,10 +8,8 @@
 
 import asyncio
 import dataclasses
-import datetime
 import secrets
 import socket
-import ssl
 import time
 import zlib
 from collections.abc import Callable
@@ -19,16 +17,15 @@
 
 import msgspec
 import structlog
-from aioquic.quic.configuration import QuicConfiguration
 from aioquic.quic.packet import encode_quic_retry, encode_quic_version_negotiation
 
 from gradegap.downstream.session import Resuming
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
+from gradegap.quic.certificate import ServerCertificate
 from gradegap.quic.channel import QuicConnectionChannel
 from gradegap.quic.connection import HeldConnection
-from gradegap.quic.credentials import EXPIRY_WARNING_DAYS, read_credentials
-from gradegap.quic.keys import NONCE_LENGTH, RING_KEY, SERVER_ID_LENGTH, DerivedKeys, Holder, QuicRing
+from gradegap.quic.keys import RING_KEY, DerivedKeys, Holder, QuicRing
 from gradegap.quic.relay import DatagramForwarder, ForwardedDatagrams, socket_pair
 from gradegap.quic.routing import MIN_RESET_LENGTH, Route, RouteKind, Router, TokenBucket
 from gradegap.quic.settings import QuicSettings
@@ -43,11 +40,9 @@
 
 USED_TOKENS_PASSED_ON = 3000  # used tokens that the next process is told of; older ones it does not believe
 
-FLOW_CONTROL_WINDOW = 256 * 1024  # bytes that a client may send ahead at first
 MAX_HANDSHAKES = 256  # handshakes under way at once
 MAX_PREDECESSORS = 2  # processes before this one that are still forwarded to
 STATELESS_RESET_MAX_LENGTH = 42  # octets of a stateless reset, as of a small packet
-CERTIFICATE_CHECK_S = 24 * 3600.0  # s
 RETIRED_ID_GRACE_S = 3.0  # s in which packets to an id that was retired are only late
 STATELESS_RESETS_PER_S, STATELESS_RESET_BURST = 200.0, 100  # stateless resets a second, and at once
 
@@ -94,7 +89,6 @@
         self.forwarded_datagrams: ForwardedDatagrams | None = None  # what that one forwards
         self.forward_socket: socket.socket | None = None  # the end that it writes to
         self.tokens = AddressTokens(self.keys)
-        self.certificate_timer: asyncio.TimerHandle | None = None  # when the certificate is looked at again
         self.reset_bucket = TokenBucket(STATELESS_RESETS_PER_S, STATELESS_RESET_BURST)
         self.routes: dict[bytes, QuicConnectionChannel] = {}  # by ids of ours
         self.initial_routes: dict[
@@ -104,16 +98,11 @@
         self.retired: dict[bytes, float] = {}  # ids of sessions that stand, lately retired, with until when
         self.settings = settings
         self.traces = TraceFolder(settings.qlog, settings.qlog_mb, metrics) if settings.qlog else None
-        # Open for as long as the process lives: secrets of each session go there as they are made.
-        self.keylog = open(settings.keylog, "a") if settings.keylog else None  # noqa: SIM115
-        if self.keylog is not None:
-            log.warning("secrets of all QUIC sessions are written to a file", keylog=settings.keylog)
-        self.configuration = self._configured()
-        self._warn_of_end()
+        self.certificate = ServerCertificate(settings, metrics, self.loop)
         metrics.gauge("quic_connections", lambda: len(self.channels))
         metrics.gauge("quic_sessions", self.session_count)
         metrics.gauge("quic_ids", lambda: len(self.routes))
-        metrics.gauge("quic_certificate_days", self._days_left)
+        metrics.gauge("quic_certificate_days", self.certificate.days_left)
 
     def set_max_sessions(self, value: int) -> None:
         """`config/quic_max_sessions` has changed."""
@@ -131,47 +120,9 @@
         """`config/quic_accept` has changed."""
         self.accept = value
 
-    def _configured(self) -> QuicConfiguration:
-        """With the certificate as it is on disk now; `BadCredentials` where it can't be used."""
-        settings = self.settings
-        self.credentials = read_credentials(settings.certificate, settings.private_key)
-        made = QuicConfiguration(
-            is_client=False,
-            alpn_protocols=list(settings.alpn),
-            connection_id_length=1 + SERVER_ID_LENGTH + NONCE_LENGTH,
-            idle_timeout=settings.idle_s,
-            max_data=FLOW_CONTROL_WINDOW,
-            max_stream_data=FLOW_CONTROL_WINDOW,
-            verify_mode=ssl.CERT_NONE,
-            secrets_log_file=self.keylog,
-        )
-        made.load_cert_chain(settings.certificate, settings.private_key)
-        return made
-
     def reload(self) -> None:
-        """The certificate anew, for who comes next.
-
-        Sessions that stand keep the keys that they have. One that can't be used changes nothing.
-        """
-        try:
-            self.configuration = self._configured()
-        except ValueError as error:
-            self.metrics.count("quic_certificates_refused")
-            log.error("the certificate was not reloaded, the old one is kept", error=str(error))
-            return
-        self.metrics.count("quic_certificates")
-        log.info("certificate", subject=self.credentials.subject, until=str(self.credentials.expires_at))
-        self._warn_of_end()
-
-    def _days_left(self) -> float:
-        return round(self.credentials.days_left(datetime.datetime.now(datetime.UTC)), 1)
-
-    def _warn_of_end(self) -> None:
-        if (left := self._days_left()) < EXPIRY_WARNING_DAYS:
-            log.warning("the certificate ends soon", days=left, subject=self.credentials.subject)
-        if self.certificate_timer is not None:
-            self.certificate_timer.cancel()
-        self.certificate_timer = self.loop.call_later(CERTIFICATE_CHECK_S, self._warn_of_end)
+        """Read the certificate again, for new connections."""
+        self.certificate.reload()
 
     # The port
 
@@ -309,8 +260,11 @@
     def datagram_received(self, data: bytes, addr: Any, forwarded: bool = False) -> None:
         """One datagram: to its connection, to another process, or answered without state."""
         self._look_at_ring()
-        held = lambda cid: cid in self.routes or (cid, addr) in self.initial_routes  # noqa: E731
-        route = self.router.route(data, held, forwarded)
+
+        def is_held(connection_id: bytes) -> bool:
+            return connection_id in self.routes or (connection_id, addr) in self.initial_routes
+
+        route = self.router.route(data, is_held, forwarded)
         if forwarded and route.kind is RouteKind.NEW:
             # Guards against a session that begins where no new one is to: the client's next try is another's.
             self.metrics.count("quic_dropped_leaving")
@@ -345,7 +299,7 @@
 
     def _negotiate(self, route: Route, addr: Any) -> None:
         self.metrics.count("quic_negotiations")
-        versions = self.configuration.supported_versions
+        versions = self.certificate.configuration.supported_versions
         self.send(
             encode_quic_version_negotiation(
                 source_cid=route.destination, destination_cid=route.source, supported_versions=versions
@@ -389,7 +343,7 @@
                 first = None  # served as one that has brought none
             if first is not None:
                 original, retried = first, route.destination
-        configuration = self.configuration
+        configuration = self.certificate.configuration
         if self.traces is not None and self.traces.has_room:
             configuration = dataclasses.replace(configuration, quic_logger=self.traces)
         connection = HeldConnection(configuration, original, retried, self.make_id, self.keys.reset_token)
@@ -432,10 +386,7 @@
             self.forwarded_datagrams.close()
             self.forward_socket.close()
         self.drop_predecessors()
-        if self.certificate_timer is not None:
-            self.certificate_timer.cancel()
-        if self.keylog is not None:
-            self.keylog.close()
+        self.certificate.close()
 
 
 __all__ = ["CloseCode", "QuicListener"]
--- a/gradegap/quic/routing.py
+++ b/gradegap/quic/routing.py
@@ -12,6 +12,7 @@
 from gradegap.quic.ids import MAX_ID_LENGTH
 from gradegap.quic.keys import DerivedKeys, Holder
 
+MIN_INITIAL_ID_LENGTH = 8  # octets of the id that a client chooses first (RFC 9000, 7.2)
 MIN_INITIAL_LENGTH = 1200  # octets of a datagram with a client's Initial (RFC 9000, 14.1)
 MIN_RESET_LENGTH = 21  # octets of a stateless reset that can't be told from a packet (RFC 9000, 10.3)
 MIN_RESET_TRIGGER_LENGTH = (
@@ -58,24 +59,30 @@
 
 
 def parse_header(data: bytes, length_of: Callable[[int], int | None]) -> Header | str:
-    """Of a datagram's first packet, or the word for what is wrong with it.
+    """The header of a datagram's first packet, or the word for what is wrong with it.
 
     `length_of`: how long the id is that begins with an octet, as short headers do not say.
     """
     if not data:
         return "empty"
-    first = data[0]
-    if not first & 0x80:
-        if not first & 0x40:
-            return "fixed_bit"
-        length = length_of(data[1]) if len(data) > 1 else None
-        if length is None:
-            return "unknown_id"
-        if len(data) < 1 + length:
-            return "short"
-        return Header(False, 0, data[1 : 1 + length], b"")
+    return _parse_long_header(data) if data[0] & 0x80 else _parse_short_header(data, length_of)
+
+
+def _parse_short_header(data: bytes, length_of: Callable[[int], int | None]) -> Header | str:
+    if not data[0] & 0x40:
+        return "fixed_bit"
+    length = length_of(data[1]) if len(data) > 1 else None
+    if length is None:
+        return "unknown_id"
+    if len(data) < 1 + length:
+        return "short"
+    return Header(False, 0, data[1 : 1 + length], b"")
+
+
+def _parse_long_header(data: bytes) -> Header | str:
     if len(data) < 7:
         return "short"
+    first = data[0]
     version = int.from_bytes(data[1:5], "big")
     end = 6 + data[5]
     if len(data) <= end:
@@ -84,13 +91,13 @@
     if len(data) < stop:
         return "short"
     destination, source = data[6:end], data[end + 1 : stop]
-    if version in SUPPORTED_VERSIONS:
-        if len(destination) > MAX_ID_LENGTH or len(source) > MAX_ID_LENGTH:
-            return "long_id"
-        if not first & 0x40:
-            return "fixed_bit"
-    kind = (first >> 4) & 3
-    if version not in SUPPORTED_VERSIONS or kind != (0 if version == VERSION_1 else 1):
+    if version not in SUPPORTED_VERSIONS:
+        return Header(True, version, destination, source)
+    if len(destination) > MAX_ID_LENGTH or len(source) > MAX_ID_LENGTH:
+        return "long_id"
+    if not first & 0x40:
+        return "fixed_bit"
+    if (first >> 4) & 3 != (0 if version == VERSION_1 else 1):
         return Header(True, version, destination, source)
     token = _token(data, stop)
     return "short" if token is None else Header(True, version, destination, source, True, token)
@@ -110,19 +117,20 @@
 
 
 class Router:
-    """One process's view. `mine` is what it holds; `alive` says which other holders can be forwarded to."""
+    """Routes as one process sees them; `is_reachable` says which other holders can be forwarded to."""
 
-    def __init__(self, keys: DerivedKeys, me: Holder, alive: Callable[[Holder], bool]) -> None:
-        self.keys, self.own_holder, self.is_reachable = keys, me, alive
+    def __init__(self, keys: DerivedKeys, own_holder: Holder, is_reachable: Callable[[Holder], bool]) -> None:
+        self.keys, self.own_holder, self.is_reachable = keys, own_holder, is_reachable
 
     def use_keys(self, keys: DerivedKeys) -> None:
         """Route by another ring from now on."""
         self.keys = keys
 
     def route(self, data: bytes, held: Callable[[bytes], bool], forwarded: bool = False) -> Route:
-        """`held`: whether this process has a connection under an id.
+        """Where one datagram goes.
 
-        `forwarded`: another process sent it on, so that it goes no further.
+        `held`: whether this process has a connection under an id; `forwarded`: another process sent it on, so
+        that it goes no further.
         """
         found = parse_header(data, self.keys.ids.length_of)
         if isinstance(found, str):
@@ -137,25 +145,33 @@
                 return Route(RouteKind.DROP, found.destination, drop_reason="loop")
             return Route(RouteKind.FORWARD, found.destination, found.source, found.version, holder=holder)
         if not found.long:
-            if holder is None:
-                return Route(RouteKind.DROP, found.destination, drop_reason="unknown_id")
-            if holder.node != self.own_holder.node:
-                # Guards another node's sessions: whether it is alive is not known here, and a reset ends.
-                return Route(RouteKind.DROP, found.destination, drop_reason="other_node")
-            if len(data) < MIN_RESET_TRIGGER_LENGTH:
-                return Route(RouteKind.DROP, found.destination, drop_reason="too_short")
-            return Route(RouteKind.RESET, found.destination, holder=holder)
+            return self._route_unknown_session(found, holder, len(data))
+        return self._route_initial(found, len(data))
+
+    def _route_unknown_session(self, found: Header, holder: Holder | None, length: int) -> Route:
+        """A packet of a session that nobody holds, `length` octets long."""
+        if holder is None:
+            return Route(RouteKind.DROP, found.destination, drop_reason="unknown_id")
+        if holder.node != self.own_holder.node:
+            # Guards another node's sessions: whether it is alive is not known here, and a reset ends them.
+            return Route(RouteKind.DROP, found.destination, drop_reason="other_node")
+        if length < MIN_RESET_TRIGGER_LENGTH:
+            return Route(RouteKind.DROP, found.destination, drop_reason="too_short")
+        return Route(RouteKind.RESET, found.destination, holder=holder)
+
+    def _route_initial(self, found: Header, length: int) -> Route:
+        """A packet with a long header to an id that nobody holds, in a datagram of `length` octets."""
         if found.version == 0:
             return Route(RouteKind.DROP, drop_reason="negotiation")  # only a client is told versions
-        if len(data) < MIN_INITIAL_LENGTH:
-            # Guards against answers that are longer than what asked for them.
+        if length < MIN_INITIAL_LENGTH:
+            # Guards against answers that are longer than what they answer.
             return Route(RouteKind.DROP, found.destination, drop_reason="small")
         if found.version not in SUPPORTED_VERSIONS:
             return Route(RouteKind.NEGOTIATE, found.destination, found.source, found.version)
         if not found.initial:
             return Route(RouteKind.DROP, found.destination, drop_reason="unknown_id")
-        if len(found.destination) < 8:
-            return Route(RouteKind.DROP, found.destination, drop_reason="short_id")  # RFC 9000, 7.2
+        if len(found.destination) < MIN_INITIAL_ID_LENGTH:
+            return Route(RouteKind.DROP, found.destination, drop_reason="short_id")
         return Route(RouteKind.NEW, found.destination, found.source, found.version, found.token)
 
 
--- a/tests/test_lint_rules.py
+++ b/tests/test_lint_rules.py
@@ -40,7 +40,6 @@
 gradegap/metrics.py: D
 gradegap/node/node.py: D
 gradegap/proxy/proxy.py: D
-gradegap/quic/routing.py: C90
 gradegap/resume/claims.py: D N
 gradegap/resume/lines.py: N
 gradegap/resume/move.py: D
--- a/tests/test_quic.py
+++ b/tests/test_quic.py
@@ -413,7 +413,7 @@
             wait_for(lambda: w.counters().get(counter) == count)
 
         old = QuicClient(port)
-        assert old.ask() == "UP a" and "ends soon" in w.log.read_text()
+        assert old.ask() == "UP a" and "certificate expires soon" in w.log.read_text()
         make_certificate(tmp_path, 90)
         reload("quic_certificates", "1")
         new = QuicClient(port)
