--- a/bench/scale/faults.py
+++ b/bench/scale/faults.py
@@ -6,17 +6,16 @@
 import contextlib
 import signal
 from collections.abc import Iterator
-from typing import TYPE_CHECKING
+from typing import Any, Protocol
 
-from bench.scale.machines import SECRET
+from bench.scale.load import Load
+from bench.scale.machines import SECRET, Machines
 from bench.scale.processes import Child
-from bench.scale.sessions import steady
+from bench.scale.sessions import NodeSpec, steady
+from bench.scale.settings import RunSettings
 from bench.scale.storeclient import StoreClient
 from gradegap.store.records import KeyUpdate
 
-if TYPE_CHECKING:
-    from bench.scale.control import ControlRun
-
 REPLACED_AFTER_S = 3.0  # from a machine's death to the start of the one in its place
 RESTARTED_PART = 10  # one node in so many
 REFUSED_S = 3.0  # that a write at the cut side is tried
@@ -24,7 +23,39 @@
 SLOW_PART = 0.1  # of each cycle in which a slow reader runs
 
 
-async def inject(run: ControlRun) -> None:
+class FaultTarget(Protocol):
+    """The run that a fault is injected into."""
+
+    settings: RunSettings
+    machines: Machines
+    load: Load
+    gate: Child | None
+    hollow: list[tuple[Child, list[NodeSpec]]]
+    gone_processes: set[str]
+    notes: list[str]
+
+    def fault_began(self, at: float, what: str) -> None:
+        """The fault takes effect at `at` (steady clock, s)."""
+        ...
+
+    def fault_ended(self, at: float) -> None:
+        """The fault is over at `at` (steady clock, s)."""
+        ...
+
+    def alone(self) -> Child:
+        """A process that has one node alone."""
+        ...
+
+    def rack(self) -> tuple[Child, int]:
+        """A process that stands for a rack, and its number of nodes."""
+        ...
+
+    async def ask(self, child: Child, message: dict[str, Any]) -> dict[str, Any]:
+        """A message to a process, and its answer."""
+        ...
+
+
+async def inject(run: FaultTarget) -> None:
     """The run's fault, at its time; it notes when that was."""
     settings = run.settings
     await asyncio.sleep(settings.seconds * settings.fault_at)
@@ -47,7 +78,7 @@
             await cut_region(run)
 
 
-async def kill_machines(run: ControlRun, count: int) -> None:
+async def kill_machines(run: FaultTarget, count: int) -> None:
     """The leader first, then others."""
     leader = await run.machines.leader(5.0)
     others = [m for m in run.machines.living() if m is not leader]
@@ -55,7 +86,7 @@
         run.fault_began(run.machines.kill(spec), spec.name)
 
 
-async def replace_machine(run: ControlRun) -> None:
+async def replace_machine(run: FaultTarget) -> None:
     """The leader dies, and a new machine with an empty folder takes its place."""
     leader = await run.machines.leader(5.0)
     run.fault_began(run.machines.kill(leader), leader.name)
@@ -63,7 +94,7 @@
     await run.machines.replace(leader)
 
 
-def lose_rack(run: ControlRun) -> None:
+def lose_rack(run: FaultTarget) -> None:
     """All nodes of one process fall silent at once, their connections open: nobody is told."""
     child, nodes = run.rack()
     child.expected_to_end = True
@@ -72,7 +103,7 @@
     run.fault_began(steady(), f"{nodes} nodes")
 
 
-async def restart_tenth(run: ControlRun) -> None:
+async def restart_tenth(run: FaultTarget) -> None:
     """One node in ten restarts, all in one moment."""
     run.fault_began(steady(), "a tenth of the nodes")
     for child, nodes in run.hollow:
@@ -80,7 +111,7 @@
         await run.ask(child, {"do": "restart", "nodes": chosen})
 
 
-async def read_slowly(run: ControlRun) -> None:
+async def read_slowly(run: FaultTarget) -> None:
     """The process of one node runs for a tenth of the time, while a burst of changes goes out."""
     child = run.alone()
     run.fault_began(steady(), "one node")
@@ -106,7 +137,7 @@
             child.process.send_signal(signal.SIGCONT)
 
 
-async def cut_region(run: ControlRun) -> None:
+async def cut_region(run: FaultTarget) -> None:
     """The last region hears nobody outside it, and nobody hears it, for a scaled hour; then it heals."""
     assert run.gate is not None
     region = run.machines.cut_region()
@@ -118,7 +149,7 @@
     run.fault_ended(steady())
 
 
-async def ask_the_cut_side(run: ControlRun, region: str) -> None:
+async def ask_the_cut_side(run: FaultTarget, region: str) -> None:
     """A write at a machine that is cut off is refused, and the refusal says what to do."""
     cut = next(m for m in run.machines.specs if m.region == region)
     client = StoreClient([cut.listen_address], SECRET.encode())
