--- a/gradegap/hot_restart/link.py
+++ b/gradegap/hot_restart/link.py
@@ -78,6 +78,11 @@
         sock.setblocking(False)
         loop.add_reader(sock, self._on_readable)
 
+    @property
+    def is_closed(self) -> bool:
+        """Whether the other process is gone, or was given up."""
+        return self._closed
+
     def send(self, message: Message, *descriptors: int) -> None:
         """Send now, or as soon as the socket takes it.
 
--- /dev/null
+++ b/gradegap/hot_restart/predecessor.py
@@ -0,0 +1,125 @@
+"""The process that serves, and its successor: it gives away its state, then its clients.
+
+It stays until SIGTERM, to answer its requests, to migrate what can't pass, and to serve again if the
+successor dies.
+"""
+
+from __future__ import annotations
+
+from enum import Enum
+
+import structlog
+
+from gradegap.balancing.events import EndpointPhase
+from gradegap.hot_restart.host import Host
+from gradegap.hot_restart.link import Link
+from gradegap.hot_restart.messages import (
+    EndpointBatch,
+    EndpointState,
+    Offer,
+    QuicPort,
+    StateComplete,
+    StoreLease,
+)
+from gradegap.hot_restart.session_transfer import SessionTransfer
+from gradegap.proxy.proxy import Endpoint
+
+log = structlog.get_logger()
+
+ENDPOINTS_PER_MESSAGE = 50
+SESSION_SCAN_INTERVAL_S = 0.02  # between two looks for sessions that can be passed on
+
+
+class PredecessorState(Enum):
+    """How far a successor has come."""
+
+    NO_SUCCESSOR = "no successor"
+    STATE_SENT = "state sent"  # it has all that it needs to start
+    HANDING_OVER = "handing over"  # it accepts clients, this process no new ones
+
+
+class Predecessor:
+    """This process's part as the one that is followed.
+
+    NO_SUCCESSOR -> STATE_SENT (`offer`) -> HANDING_OVER (`hand_over`) -> NO_SUCCESSOR (`lose_successor`);
+    STATE_SENT -> NO_SUCCESSOR too, where the successor dies before it is ready.
+    """
+
+    def __init__(self, host: Host) -> None:
+        self._host = host
+        self._transfer = SessionTransfer(host)
+        self.state = PredecessorState.NO_SUCCESSOR
+
+    def offer(self, link: Link) -> None:
+        """Send a successor all that it needs to start."""
+        host = self._host
+        listening_socket = host.listening_socket
+        assert listening_socket is not None, "a process that listens is followed, and no other"
+        self.state = PredecessorState.STATE_SENT
+        host.metrics.count("handovers_begun")
+        sealing_keys = host.resuming.handed() if host.resuming is not None else b""
+        offer = Offer(dict(host.proxy.disabled), host.descriptors.own(), sealing_keys)
+        link.send(offer, listening_socket.fileno())
+        states = [
+            state for each in host.proxy.endpoints.values() if (state := _endpoint_state(each)) is not None
+        ]
+        for start in range(0, len(states), ENDPOINTS_PER_MESSAGE):
+            link.send(EndpointBatch(states[start : start + ENDPOINTS_PER_MESSAGE]))
+        link.send(StateComplete())
+
+    def hand_over(self, link: Link) -> None:
+        """The successor accepts clients: it gets the store's lease and the QUIC port, then the sessions."""
+        host = self._host
+        log.info("successor accepts clients", sessions=len(host.channels))
+        host.metrics.count("handovers")
+        self.state = PredecessorState.HANDING_OVER
+        host.stop_accepting()
+        remaining_s = host.leave_store()
+        if remaining_s > 0:
+            link.send(StoreLease(remaining_s, dict(host.proxy.disabled)))
+        port = host.release_quic_port()
+        if port is not None:
+            link.send(QuicPort(port.state), *port.descriptors)
+
+    def pass_sessions(self, link: Link) -> None:
+        """Pass on what can be passed, again and again until the successor is gone."""
+        if link.is_closed or self.state is not PredecessorState.HANDING_OVER:
+            return
+        self._transfer.send_sessions(link)
+        self._host.loop.call_later(SESSION_SCAN_INTERVAL_S, self.pass_sessions, link)
+
+    def finish_session(self, serial: int, accepted: bool) -> None:
+        """The successor's answer for a session."""
+        self._transfer.finish(serial, accepted)
+
+    def lose_successor(self) -> None:
+        """The successor is gone.
+
+        Guards against its death: what it has not taken stays, and unless this process is leaving, it serves
+        again.
+        """
+        was, self.state = self.state, PredecessorState.NO_SUCCESSOR
+        self._transfer.take_back_all()
+        if was is PredecessorState.HANDING_OVER and not self._host.is_leaving:
+            log.warning("successor lost, serving again")
+            self._host.metrics.count("handovers_undone")
+            self._host.resume_service()
+
+
+def _endpoint_state(endpoint: Endpoint) -> EndpointState | None:
+    entry = endpoint.entry
+    if entry is None:
+        return None
+    drains = endpoint.phase is not EndpointPhase.READY
+    return EndpointState(
+        id=endpoint.id,
+        address=endpoint.address,
+        zone=entry.zone,
+        cell=entry.cell,
+        phase=int(entry.phase),
+        weight=entry.weight,
+        started_at=entry.started_at,
+        drain_notified_at=endpoint.drain_notified_at if drains else None,
+        report=dict(endpoint.report) if endpoint.report is not None else None,
+        report_at=endpoint.report_at,
+    )
--- /dev/null
+++ b/gradegap/hot_restart/session_adoption.py
@@ -0,0 +1,81 @@
+"""A session that a predecessor passes on goes on here, where it was."""
+
+from __future__ import annotations
+
+import socket
+
+from gradegap.balancing.events import AttemptResult
+from gradegap.downstream.framing import Opening
+from gradegap.downstream.session import TcpChannel
+from gradegap.hot_restart.errors import SessionNotAdoptedError
+from gradegap.hot_restart.host import Host
+from gradegap.hot_restart.link import close_descriptors
+from gradegap.hot_restart.messages import EstablishedSession, IdleSession
+from gradegap.transport.descriptors import DialedSocket
+from gradegap.upstream.connections import Fetch
+
+
+def adopt_session(host: Host, message: IdleSession | EstablishedSession, descriptors: list[int]) -> None:
+    """Serve a session from now on; owns the descriptors.
+
+    Raises:
+        SessionNotAdoptedError: where it can't go on here; its descriptors are closed.
+    """
+    expected = 1 if isinstance(message, IdleSession) else 2
+    if len(descriptors) != expected:
+        close_descriptors(descriptors)
+        raise SessionNotAdoptedError(f"{len(descriptors)} descriptors came along, not {expected}")
+    channel = host.create_channel()
+    channel.adopted = True
+    if isinstance(message, IdleSession):
+        _adopt_idle(host, message, channel, descriptors[0])
+    else:
+        _adopt_established(host, message, channel, descriptors[0], descriptors[1])
+
+
+def _client_socket(descriptor: int) -> socket.socket:
+    client = socket.socket(fileno=descriptor)
+    client.setblocking(False)
+    return client
+
+
+def _adopt_idle(host: Host, message: IdleSession, channel: TcpChannel, client_descriptor: int) -> None:
+    session = channel.session
+    session.buffer += message.buffer
+    session.idle = message.pinged
+    session.wait(message.first_line_timeout_s)
+    host.upstream.dialer.adopt(_client_socket(client_descriptor), channel)
+    host.metrics.count("taken_over_door")
+
+
+def _adopt_established(
+    host: Host,
+    message: EstablishedSession,
+    channel: TcpChannel,
+    client_descriptor: int,
+    endpoint_descriptor: int,
+) -> None:
+    session, dialer = channel.session, host.upstream.dialer
+    session.unwait()
+    session.opening = Opening(message.request, message.opening_before_wait, message.opening_after_wait)
+    request = host.proxy.adopt_connection(
+        session, message.request, message.endpoint, message.last_response_at, message.unanswered_since
+    )
+    if request is None or request.attempt is None:
+        close_descriptors([client_descriptor, endpoint_descriptor])
+        raise SessionNotAdoptedError(f"it can't stand at {message.endpoint} here")
+    connection = Fetch(session, request.attempt, 0.0)
+    connection.sent = connection.up = True
+    announced = message.announced_result
+    connection.said = None if announced is None else AttemptResult(announced)
+    connection.report = message.report
+    request.attempt.connection = connection
+    session.req, session.pipe, session.standing = request, connection, True
+    session.watch.part = message.partial_line
+    client = _client_socket(client_descriptor)
+    endpoint = DialedSocket(host.descriptors, client.family, endpoint_descriptor)
+    endpoint.setblocking(False)
+    # The endpoint's side first: whatever the client says then finds it there.
+    dialer.adopt(endpoint, connection)
+    dialer.adopt(client, channel)
+    host.metrics.count("taken_over_standing")
--- /dev/null
+++ b/gradegap/hot_restart/session_transfer.py
@@ -0,0 +1,171 @@
+"""Sessions on their way from a predecessor to its successor, each with its sockets.
+
+Guards against migrations, and the wave of returns that they bring the save store: what is established goes to
+the successor as it is. What can't yet is looked at again, until this process ends and migrates it.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from gradegap.balancing.events import EndpointPhase
+from gradegap.downstream.session import TcpChannel
+from gradegap.hot_restart.host import Host
+from gradegap.hot_restart.link import Link
+from gradegap.hot_restart.messages import EstablishedSession, IdleSession
+from gradegap.proxy.proxy import Request
+from gradegap.upstream.connections import Fetch
+
+MAX_SESSIONS_IN_FLIGHT = 8  # sent and not answered: their descriptors are held twice
+FIRST_LINE_TIMEOUT_S = 1.0  # for an idle connection that comes back
+
+
+@dataclass(slots=True, frozen=True)
+class _IdleInFlight:
+    channel: TcpChannel
+
+
+@dataclass(slots=True, frozen=True)
+class _EstablishedInFlight:
+    channel: TcpChannel
+    connection: Fetch
+    message: EstablishedSession
+
+
+class SessionTransfer:
+    """Passes sessions on; owns those that the successor has not answered for yet."""
+
+    def __init__(self, host: Host) -> None:
+        self._host = host
+        self._last_serial = 0
+        self._in_flight: dict[int, _IdleInFlight | _EstablishedInFlight] = {}  # by serial
+
+    def send_sessions(self, link: Link) -> None:
+        """Pass on what can be passed on now, as much as may be in flight."""
+        for channel in list(self._host.channels):
+            if len(self._in_flight) >= MAX_SESSIONS_IN_FLIGHT:
+                break
+            self._send(link, channel)
+
+    def _send(self, link: Link, channel: TcpChannel) -> None:
+        session, transport = channel.session, channel.transport
+        if transport is None or session.closed or not channel.at_rest():
+            return
+        if session.opening is None:
+            self._send_idle(link, channel)
+            return
+        connection, request = session.pipe, session.req
+        if isinstance(connection, Fetch) and request is not None and self._can_pass(channel, connection):
+            self._send_established(link, channel, connection, request)
+
+    def _can_pass(self, channel: TcpChannel, connection: Fetch) -> bool:
+        request = channel.session.req
+        if request is None or request.attempt is None or connection.transport is None:
+            return False
+        if not request.established or request.migrated or channel.session.moving:
+            return False
+        return connection.at_rest() and request.attempt.endpoint.phase is EndpointPhase.READY
+
+    def _next_serial(self) -> int:
+        self._last_serial += 1
+        return self._last_serial
+
+    def _send_idle(self, link: Link, channel: TcpChannel) -> None:
+        session, transport = channel.session, channel.transport
+        assert transport is not None
+        message = IdleSession(
+            self._next_serial(),
+            buffer=bytes(session.buffer),
+            pinged=session.idle,
+            first_line_timeout_s=session.time_left(),
+        )
+        self._in_flight[message.serial] = _IdleInFlight(channel)
+        transport.pause_reading()
+        session.closed = True
+        session.unwait()
+        self._host.descriptors.set_rank(channel, None)
+        link.send(message, transport.get_extra_info("socket").fileno())
+
+    def _send_established(self, link: Link, channel: TcpChannel, connection: Fetch, request: Request) -> None:
+        session, transport = channel.session, channel.transport
+        assert transport is not None and connection.transport is not None
+        assert session.opening is not None and request.attempt is not None
+        message = EstablishedSession(
+            self._next_serial(),
+            request=request.connection_request,
+            opening_before_wait=session.opening.before,
+            opening_after_wait=session.opening.after,
+            endpoint=request.attempt.endpoint.id,
+            partial_line=session.watch.part,
+            last_response_at=request.last_response_at,
+            unanswered_since=request.unanswered_since,
+            announced_result=None if connection.said is None else int(connection.said),
+            report=connection.report,
+        )
+        self._in_flight[message.serial] = _EstablishedInFlight(channel, connection, message)
+        transport.pause_reading()
+        connection.transport.pause_reading()
+        session.closed = connection.over = True
+        self._host.proxy.release_connection(request)
+        client_descriptor = transport.get_extra_info("socket").fileno()
+        endpoint_descriptor = connection.transport.get_extra_info("socket").fileno()
+        link.send(message, client_descriptor, endpoint_descriptor)
+
+    def finish(self, serial: int, accepted: bool) -> None:
+        """The successor's answer for a session; an unknown serial is ignored."""
+        passed = self._in_flight.pop(serial, None)
+        if passed is None:
+            return
+        if not accepted:
+            self._take_back(passed)
+            return
+        # Our descriptors only: the connections live on in the other process.
+        if isinstance(passed, _EstablishedInFlight):
+            self._host.metrics.count("passed_on_standing")
+            _abort(passed.connection)
+        else:
+            self._host.metrics.count("passed_on_door")
+        _abort(passed.channel)
+
+    def take_back_all(self) -> None:
+        """The successor is gone: what it has not answered for stays here."""
+        in_flight, self._in_flight = self._in_flight, {}
+        for passed in in_flight.values():
+            self._take_back(passed)
+
+    def _take_back(self, passed: _IdleInFlight | _EstablishedInFlight) -> None:
+        """Guards against a successor that could not take a session, or died before it said so."""
+        self._host.metrics.count("taken_back")
+        passed.channel.session.closed = False
+        if isinstance(passed, _EstablishedInFlight):
+            if not self._restore(passed):
+                return
+            _resume_reading(passed.connection)
+        else:
+            session = passed.channel.session
+            session.wait(FIRST_LINE_TIMEOUT_S)
+            self._host.descriptors.on_taken_back(passed.channel, session.idle)
+        _resume_reading(passed.channel)
+
+    def _restore(self, passed: _EstablishedInFlight) -> bool:
+        """Whether the proxy has the session again; otherwise its client's connection is ended."""
+        session, connection, message = passed.channel.session, passed.connection, passed.message
+        connection.over = False
+        session.req = request = self._host.proxy.adopt_connection(
+            session, message.request, message.endpoint, message.last_response_at, message.unanswered_since
+        )
+        if request is None or request.attempt is None:
+            session.lost()
+            return False
+        connection.attempt, request.attempt.connection = request.attempt, connection
+        return True
+
+
+def _abort(connection: TcpChannel | Fetch) -> None:
+    if connection.transport is not None:
+        connection.transport.abort()
+
+
+def _resume_reading(connection: TcpChannel | Fetch) -> None:
+    if connection.transport is not None:
+        connection.transport.resume_reading()
--- a/gradegap/node/node.py
+++ b/gradegap/node/node.py
@@ -20,7 +20,8 @@
 from gradegap.discovery.http_discovery import HttpDiscovery
 from gradegap.downstream.session import Resuming, TcpChannel
 from gradegap.errors import ConfigurationError, OperatorFileError
-from gradegap.hot_restart.handover import Handover
+from gradegap.hot_restart import AdminOperation, HotRestart
+from gradegap.hot_restart.host import ReleasedQuicPort
 from gradegap.hot_restart.link import close_descriptors
 from gradegap.metrics import Metrics
 from gradegap.node.configuration import Configuration, private_file, reload
@@ -103,15 +104,15 @@
         self.descriptors = DescriptorBudget(
             raise_descriptor_limit(configuration.node.limits.sockets), self.metrics
         )
-        self.backends = Backends(loop, configuration.settings.connect_timeout, self.descriptors)
-        self.proxy = Proxy(configuration.settings, configuration.seed, self.backends, self.metrics, loop)
+        self.upstream = Backends(loop, configuration.settings.connect_timeout, self.descriptors)
+        self.proxy = Proxy(configuration.settings, configuration.seed, self.upstream, self.metrics, loop)
         self.discovery: HttpDiscovery | DnsSdDiscovery = self._make_discovery()
         self.live = DynamicConfiguration(self.metrics)
         self.store: EmbeddedStore | ObservedStore | None = None
         self.store_until = 0.0  # steady time up to which the process before this one had a lease
         self.channels: set[TcpChannel] = set()
         self.ready = False
-        self.leaving = False
+        self.is_leaving = False
         self.admin_api: AdminApi | None = None
         self.again: asyncio.Task[None] | None = None
         self.late: list[asyncio.Task[None]] = []  # ports that wait for the process before to leave them
@@ -127,8 +128,8 @@
         self.proxy.on_disabled_changed = self._keep_out
         if self.operator.decides_by is not None:
             self.proxy.admission_gate = self._gate
-        self.handover = Handover(self, private_file(configuration.node, "sock"))
-        self.listening: socket.socket | None = None  # kept beside the one accepted from, to pass on
+        self.hot_restart = HotRestart(self, private_file(configuration.node, "sock"))
+        self.listening_socket: socket.socket | None = None  # kept beside the one accepted from, to pass on
         self.done: asyncio.Future[None] = loop.create_future()
         self.server: asyncio.Server | None = None
         self.metrics.gauge("open_sessions", lambda: len(self.channels))
@@ -137,7 +138,7 @@
     def _make_discovery(self) -> HttpDiscovery | DnsSdDiscovery:
         if self.operator.dnssd is None:
             return HttpDiscovery(
-                self.proxy, self.backends.dialer, self.configuration.node.discovery, self.metrics
+                self.proxy, self.upstream.dialer, self.configuration.node.discovery, self.metrics
             )
         from gradegap.discovery.dns_sd_discovery import DnsSdDiscovery
 
@@ -181,13 +182,13 @@
             self.capture.set(self.capture.settings.on)  # before the module is told anything
         self.live.key("log_level", "info", set_log_level)
         self.discovery.on_first_list = self._get_ready
-        following = await self.handover.follow()
+        following = await self.hot_restart.follow()
         if not following:
             self._take_known()
         self._take_snapshot()
         self.discovery.start()
         try:
-            self.listening = self.listening or listen(*split_address(config.listen))
+            self.listening_socket = self.listening_socket or listen(*split_address(config.listen))
         except OSError as error:
             raise ConfigurationError(f"can't listen on {config.listen}: {error.strerror}") from None
         if config.admin_listen:
@@ -195,7 +196,7 @@
         await self._accept()
         if following:
             self._get_ready()  # the list that it was told is the one in force
-        self.handover.serves()
+        self.hot_restart.begin_serving()
         if self.operator.quic is not None:
             await self._when_free(self._start_quic, self.operator.quic, following)
         if self.operator.store is not None:
@@ -204,17 +205,17 @@
             await self._start_observer(self.operator.observer)
         log.info("listening", name=config.name, address=config.listen, following=following)
 
-    def channel(self) -> TcpChannel:
+    def create_channel(self) -> TcpChannel:
         made = TcpChannel(self.proxy, self.metrics, self.admits, self.channels, self.descriptors)
         made.session.resuming = self.resuming
         return made
 
     async def _accept(self) -> None:
-        if self.listening is not None and self.server is None:
-            own = self.listening.dup()
-            self.server = await self.loop.create_server(self.channel, sock=own, backlog=BACKLOG)
+        if self.listening_socket is not None and self.server is None:
+            own = self.listening_socket.dup()
+            self.server = await self.loop.create_server(self.create_channel, sock=own, backlog=BACKLOG)
 
-    def accept_again(self) -> None:
+    def resume_service(self) -> None:
         # One task, where the process that took over has died.
         self.again = self.loop.create_task(self._serve_again())
 
@@ -246,8 +247,8 @@
             self.late.append(self.loop.create_task(self._when_left(start, settings)))
 
     async def _when_left(self, start: Callable[[Any], Awaitable[None]], settings: Any) -> None:
-        while not self.leaving:
-            alone = self.handover.link is None
+        while not self.is_leaving:
+            alone = not self.hot_restart.is_connected
             await asyncio.sleep(PORT_RETRY)
             try:
                 return await start(settings)
@@ -308,23 +309,23 @@
             # In force here as at every other node: once it is committed, and not before.
             (self.store.disable_endpoint if what == "out" else self.store.enable_endpoint)(server, done)
         else:
-            self.obey(what, server)
+            self.apply_admin_operation(what, server)
             self._both(what, server, done)
 
     def _both(self, what: str, server: str, done: ResultCallback) -> None:
         """Yes, once it is in force in each process of this node."""
-        self.handover.order(what, server, lambda: done(DONE))
+        self.hot_restart.apply_everywhere(what, server, lambda: done(DONE))
 
-    def obey(self, what: str, server: str) -> None:
+    def apply_admin_operation(self, operation: str, endpoint: str) -> None:
         """A call that the other process was asked for."""
-        match what:
-            case "out":
-                self.proxy.disable_endpoint(server)
-            case "back":
-                self.proxy.enable_endpoint(server)
-            case "drain":
+        match operation:
+            case AdminOperation.DISABLE_ENDPOINT:
+                self.proxy.disable_endpoint(endpoint)
+            case AdminOperation.ENABLE_ENDPOINT:
+                self.proxy.enable_endpoint(endpoint)
+            case AdminOperation.START_DRAIN:
                 self.proxy.start_draining(DRAIN_MOVES)
-            case "stay":
+            case AdminOperation.STOP_DRAIN:
                 self.proxy.stop_draining()
 
     def start_draining(self, done: ResultCallback) -> None:
@@ -336,7 +337,7 @@
         self._state_changed("stay", done)
 
     def _state_changed(self, what: str, done: ResultCallback) -> None:
-        if self.leaving and self.handover.link is None:
+        if self.is_leaving and not self.hot_restart.is_connected:
             done(AdminResult(HTTPStatus.SERVICE_UNAVAILABLE, "this process is leaving"))
             return
         out = self.proxy.drain_deadline is not None
@@ -380,29 +381,29 @@
             raise ConfigurationError(f"the QUIC front can't start: {error}") from None
         log.info("listening", quic=settings.listen)
 
-    def give_port(self) -> tuple[bytes, list[int]] | None:
+    def release_quic_port(self) -> ReleasedQuicPort | None:
         """QUIC's, to the process that takes this one's place."""
         if self.quic is None or self.quic.sock is None:
             return None
         handed, fds = self.quic.release_port()
-        return msgspec.msgpack.encode(handed), fds
+        return ReleasedQuicPort(msgspec.msgpack.encode(handed), fds)
 
-    def take_port(self, told: bytes, fds: list[int]) -> None:
+    def adopt_quic_port(self, state: bytes, descriptors: list[int]) -> None:
         from gradegap.quic.listener import PortTransfer
 
         try:
-            handed = msgspec.msgpack.decode(told, type=PortTransfer)
+            handed = msgspec.msgpack.decode(state, type=PortTransfer)
             handed.ring.check()
             if self.quic is None:
                 raise ValueError("this process has no QUIC front")
         except ValueError as error:
             self.metrics.count("quic_ports_refused")
             log.error("QUIC's port was not taken over", error=str(error))
-            close_descriptors(fds)
+            close_descriptors(descriptors)
             return
-        self.late.append(self.loop.create_task(self.quic.take_over_port(handed, fds)))
+        self.late.append(self.loop.create_task(self.quic.take_over_port(handed, descriptors)))
 
-    def port_alone(self) -> None:
+    def keep_quic_port(self) -> None:
         if self.quic is not None:
             self.quic.drop_predecessors()
 
@@ -424,12 +425,12 @@
             self.metrics.count("decided_stale")
         return None
 
-    def inherit(self, left: float, out: Mapping[str, float]) -> None:
+    def inherit_store_lease(self, remaining_s: float, disabled_endpoints: Mapping[str, float]) -> None:
         """The process before this one had a lease for so long yet, and told of all that it had applied."""
-        self.store_until = time.monotonic() + left
-        for server in list(self.proxy.disabled.keys() - out.keys()):
+        self.store_until = time.monotonic() + remaining_s
+        for server in list(self.proxy.disabled.keys() - disabled_endpoints.keys()):
             self.proxy.enable_endpoint(server)
-        for server, at in out.items():
+        for server, at in disabled_endpoints.items():
             self.proxy.disable_endpoint(server, at)
 
     async def _start_store(self, settings: StoreSettings) -> None:
@@ -484,7 +485,13 @@
         """What this node is doing, for its siblings and its operator; never load or choices."""
         out = self.proxy.drain_deadline is not None
         state = (
-            "leaving" if self.leaving else "out of service" if out else "ready" if self.ready else "starting"
+            "leaving"
+            if self.is_leaving
+            else "out of service"
+            if out
+            else "ready"
+            if self.ready
+            else "starting"
         )
         return {
             "state": state,
@@ -494,7 +501,7 @@
         }
 
     def _get_ready(self) -> None:
-        if not self.leaving and not self.ready:
+        if not self.is_leaving and not self.ready:
             self.ready = True
 
     def reload(self) -> None:
@@ -514,7 +521,7 @@
             self.proxy.reconfigure(new.settings)
             if isinstance(self.discovery, HttpDiscovery):
                 self.discovery.schedule.configure(new.settings)
-            self.backends.connect_wait = new.settings.connect_timeout
+            self.upstream.connect_wait = new.settings.connect_timeout
         if new.node.limits != old.node.limits:
             self.descriptors.limit = raise_descriptor_limit(new.node.limits.sockets)
         if new.node.known_endpoints != old.node.known_endpoints and not self.discovery.has_list:
@@ -525,14 +532,14 @@
 
     def stop(self) -> None:
         """Leave: clients still come for a while, all are answered, all that stands is moved; then end."""
-        if self.leaving:
+        if self.is_leaving:
             return
         log.info("leaving", reqs=len(self.proxy.requests))
-        self.leaving = True
+        self.is_leaving = True
         self.ready = False
         killed = killed_from(self.proxy.settings)
         self.proxy.begin_shutdown(max(killed - LEAVE_MOVES[0], killed * LEAVE_MOVES[1]))
-        at_least = 0.0 if self.handover.gave_way else LEAVE_AT_LEAST
+        at_least = 0.0 if self.hot_restart.is_handing_over else LEAVE_AT_LEAST
         self.loop.call_later(at_least, self._look_empty)
         last = max(killed - LEAVE_LAST[0], killed * LEAVE_LAST[1])
         self.loop.call_later(last, self._finish_all)
@@ -542,13 +549,13 @@
         """The time to leave is nearly over: nothing stands, and no req waits, from here on.
 
         Guards against a successor that hangs: a session on its way to it is taken back, and moved here."""
-        self.handover.close()
+        self.hot_restart.close()
         self.proxy.migrate_all()
         self.proxy.answer_all()
 
     def _look_empty(self, was_empty: bool = False) -> None:
         """End once the last client has gone, and none has come since the look before."""
-        if self.handover.link is None or not self.handover.gave_way:
+        if not self.hot_restart.is_handing_over:
             # Guards against a request that comes to a connection as it is closed: each that rests here is
             # told first, so that whatever its client has written meanwhile has its answer.
             after = min(LEAVE_AGAIN, self.proxy.settings.max_retry_after)
@@ -562,11 +569,11 @@
             self.loop.call_later(LEAVE_LOOK, self._look_empty, empty)
 
     def _end(self) -> None:
-        self.handover.close()
+        self.hot_restart.close()
         if self.admin_api is not None:
             self.admin_api.close()
-        if self.listening is not None:
-            self.listening.close()
+        if self.listening_socket is not None:
+            self.listening_socket.close()
         if self.server is not None:
             self.server.close()
         for channel in list(self.channels):
--- a/tests/test_lint_rules.py
+++ b/tests/test_lint_rules.py
@@ -36,7 +36,6 @@
 gradegap/commands/store.py: D
 gradegap/downstream/framing.py: D
 gradegap/downstream/session.py: D
-gradegap/hot_restart/handover.py: D
 gradegap/metrics.py: D
 gradegap/node/node.py: D
 gradegap/proxy/proxy.py: D
--- a/tests/test_resume_nodes.py
+++ b/tests/test_resume_nodes.py
@@ -169,7 +169,7 @@
         for k, s in enumerate(sessions):
             assert await s.ask(b"one-%d" % k) == b"done one-%d" % k
         with second(w, operator=ON) as (n, _):
-            await asyncio.to_thread(wait_for, lambda: "takes clients" in w.log.read_text())
+            await asyncio.to_thread(wait_for, lambda: "successor accepts clients" in w.log.read_text())
             asks = [asyncio.create_task(s.ask(b"two-%d" % k)) for k, s in enumerate(sessions)]
             w.process.terminate()
             for k, task in enumerate(asks):
