--- a/bench/scale/limits_met.py
+++ b/bench/scale/limits_met.py
@@ -14,7 +14,7 @@
 from gradegap.store.leases import MAX_LEASE_HOLDERS
 from gradegap.store.links import MAX_ACCEPTED_LINKS
 from gradegap.store.machine import MAX_KEYS
-from gradegap.store.service import MAX_WATCHES
+from gradegap.store.watches import MAX_WATCHES
 
 DESCRIPTORS = 20_000  # hard limit of a process where the runs were made
 
@@ -54,7 +54,7 @@
             "a fixed bound",
             "store/leases.py",
         ),
-        Met(MAX_WATCHES / t.NODES, "watches", f"{MAX_WATCHES:,} nodes", "a fixed bound", "store/service.py"),
+        Met(MAX_WATCHES / t.NODES, "watches", f"{MAX_WATCHES:,} nodes", "a fixed bound", "store/watches.py"),
         Met(
             MAX_ACCEPTED_LINKS / t.NODES,
             "links",
--- a/gradegap/store/in_force_check.py
+++ b/gradegap/store/in_force_check.py
@@ -7,7 +7,6 @@
 from __future__ import annotations
 
 import time
-from collections.abc import Callable
 from typing import TYPE_CHECKING, Protocol
 
 import msgspec
@@ -15,6 +14,7 @@
 from gradegap.raft import Member
 from gradegap.store import wire
 from gradegap.store.in_force import InForceTally, InForceVerdict, MachineReport
+from gradegap.store.pending import ResponseCallback
 
 if TYPE_CHECKING:
     import asyncio
@@ -24,8 +24,6 @@
 RESPONSE_MARGIN_S = 0.2  # s before whoever asks gives up
 MAX_NAMED_NODES = 20  # nodes that an answer names
 
-ResponseCallback = Callable[[wire.Response], None]
-
 
 class InForceHost(Protocol):
     """The member that gathers."""
@@ -40,7 +38,9 @@
     def local_report(self, revision: int) -> MachineReport:
         """What this member knows itself."""
 
-    def ask_member(self, member: Member, wish: wire.RequestBody, done: ResponseCallback, left: float) -> None:
+    def request_from_member(
+        self, member: Member, body: wire.RequestBody, respond: ResponseCallback, timeout_s: float
+    ) -> None:
         """`done` with the member's answer, or with a no."""
 
 
@@ -75,7 +75,7 @@
                 report = msgspec.msgpack.decode(answer.data, type=MachineReport)
             self._reported(current, report)
 
-        self.asker.ask_member(member, wire.InForce(self.revision), answered, left)
+        self.asker.request_from_member(member, wire.InForce(self.revision), answered, left)
 
     def _reported(self, current: InForceTally, report: MachineReport | None) -> None:
         if report is not None:
--- /dev/null
+++ b/gradegap/store/leader_requests.py
@@ -0,0 +1,243 @@
+"""Requests that a member carries out as the leader: writes, changes of membership, and linearizable reads."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable
+from typing import Protocol
+
+import structlog
+
+from gradegap.raft import Entry, EntryKind, Member, Raft, RequestRejectedError
+from gradegap.store import wire
+from gradegap.store.host import RequestHost
+from gradegap.store.leases import affects_decisions
+from gradegap.store.pending import PendingRequest, RequestState
+from gradegap.store.reads import read
+from gradegap.store.records import Command, KeyUpdate, Result
+from gradegap.store.write_stamps import WRITE_LIFETIME_MS, WriteStamper
+
+log = structlog.get_logger()
+
+INVITED_PREFIX = "cluster/invited/"
+INCARNATION_SILENCE_S = 2.0  # since a member's last response, within which no new incarnation replaces it
+TRANSIENT_REASONS = (
+    "not_leader",
+    "transferring",
+    "not_ready",
+)  # of rejections that another attempt may not meet
+
+
+def reason_of(text: str) -> str:
+    """The reason that the text of a rejection begins with."""
+    return text.split(":")[0].split(" ")[0]
+
+
+class Responder(Protocol):
+    """Who gives requests their responses."""
+
+    def respond(self, pending: PendingRequest, response: wire.Response) -> None:
+        """The one response of a request."""
+
+
+class LeaderRequests:
+    """The requests that wait for the log of the member that leads."""
+
+    def __init__(self, host: RequestHost, responder: Responder, stamper: WriteStamper) -> None:
+        self.host, self.responder, self.stamper = host, responder, stamper
+        self.metrics = host.metrics
+        self.by_index: dict[int, list[PendingRequest]] = {}  # of entries that are not committed yet
+        self.awaiting_apply: list[PendingRequest] = []
+        self.awaiting_read_index: dict[int, PendingRequest] = {}  # by serial
+
+    @property
+    def raft(self) -> Raft:
+        """The consensus core of a member that leads."""
+        raft = self.host.raft
+        assert raft is not None
+        return raft
+
+    # Begin
+
+    def start(self, pending: PendingRequest) -> None:
+        """Carry out a request; rejections that may pass leave it waiting for a leader."""
+        try:
+            self._start(pending)
+        except RequestRejectedError as error:
+            self.awaiting_read_index.pop(pending.serial, None)
+            reason = reason_of(str(error))
+            self.metrics.count(f"store_refused_{reason}")
+            if reason in TRANSIENT_REASONS and not pending.from_member:
+                pending.wait(RequestState.LEADER)
+            else:
+                self.responder.respond(pending, wire.Response(0, "no", str(error)))
+
+    def _start(self, pending: PendingRequest) -> None:
+        match pending.body:
+            case wire.Transaction() as write:
+                self._propose(pending, write)
+            case wire.AddMember(name, address):
+                invitation = KeyUpdate(INVITED_PREFIX + name, {"address": address})
+                write = wire.Transaction((invitation,), author="operator")
+                pending.body = self.stamper.check_and_stamp(write)
+                self.start(pending)
+            case wire.RemoveMember(name):
+                index = self.raft.remove_member(time.monotonic(), self._member_named(name).id)
+                self._wait_for_commit(pending, index)
+                self.host.flush()
+            case wire.AdmitMember(member):
+                self._admit(pending, member)
+                self.host.flush()
+            case wire.TransferLeadership(name):
+                self._transfer(pending, self._member_named(name))
+            case _:
+                self.awaiting_read_index[pending.serial] = pending
+                pending.wait(RequestState.READ_INDEX)
+                self.raft.read_index(time.monotonic(), pending.serial)
+                self.host.settle()
+
+    def _propose(self, pending: PendingRequest, write: wire.Transaction) -> None:
+        if pending.from_member and not write.attempts and self._is_stamped_late(write):
+            raise RequestRejectedError("restamp: it bears a time that is over")
+        command = Command(
+            write.client,
+            write.seq,
+            write.deadline_ms,
+            write.author,
+            write.compares,
+            write.then,
+            write.otherwise,
+        )
+        self._wait_for_commit(pending, self.host.propose(command))
+
+    def _is_stamped_late(self, write: wire.Transaction) -> bool:
+        return write.deadline_ms < self.host.log_clock() + WRITE_LIFETIME_MS // 2
+
+    def _member_named(self, name: str) -> Member:
+        member = self.raft.configuration.find_by_name(name)
+        if member is None:
+            raise RequestRejectedError(f"no_such_member: {name}")
+        return member
+
+    def _transfer(self, pending: PendingRequest, member: Member) -> None:
+        if member.id == self.raft.member_id:
+            # It was requested before, and this member has taken over.
+            self.responder.respond(pending, wire.Response(0))
+            return
+        pending.wait(RequestState.TRANSFER)
+        self.raft.transfer_leadership(time.monotonic(), member.id)
+        self.host.settle()
+
+    def _admit(self, pending: PendingRequest, member: Member) -> None:
+        """Add the member; an earlier incarnation of it is removed first, and the member then asks once more."""
+        if self.raft.configuration.get(member.id) is not None:
+            self.responder.respond(pending, wire.Response(0, text="taken in"))
+            return
+        earlier = self.raft.configuration.find_by_name(member.name)
+        if earlier is not None:
+            self._remove_incarnation(earlier, member)
+            self.responder.respond(
+                pending, wire.Response(0, "no", "again: its earlier life is removed first")
+            )
+            return
+        if self.host.machine.get(INVITED_PREFIX + member.name) is None:
+            raise RequestRejectedError(f"not_invited: nobody added {member.name}; see `gradegap store add`")
+        learner = Member(member.id, member.name, member.address, voter=False)
+        self._wait_for_commit(pending, self.raft.add_member(time.monotonic(), learner))
+
+    def _remove_incarnation(self, earlier: Member, member: Member) -> None:
+        now = time.monotonic()
+        progress = self.raft.peers.get(earlier.id)
+        answers = progress is not None and now - progress.last_response_at < INCARNATION_SILENCE_S
+        if earlier.id == self.host.identity.id or answers:
+            raise RequestRejectedError(f"alive: another daemon is {member.name} and answers")
+        self.raft.remove_member(now, earlier.id)
+        self.metrics.count("store_lives_replaced")
+        log.warning("earlier incarnation removed", member=member.name, id=earlier.id)
+        invitation = KeyUpdate(INVITED_PREFIX + member.name, {"address": member.address})
+        deadline_ms = self.host.log_clock() + WRITE_LIFETIME_MS
+        self.host.propose(Command(f"again-{member.id}", 1, deadline_ms, "store", (), (invitation,)))
+
+    def _wait_for_commit(self, pending: PendingRequest, index: int) -> None:
+        pending.wait_for_commit(index, self.raft.term)
+        self.by_index.setdefault(index, []).append(pending)
+
+    # What the log says
+
+    def entry_applied(self, entry: Entry, result: Result) -> None:
+        """An entry is committed and applied: respond to the request that it came from."""
+        for pending in self.by_index.pop(entry.index, ()):
+            if pending.is_done:
+                continue
+            if entry.term != pending.term:
+                # Another leader's entry is at this index: the request's own was never committed.
+                pending.wait(RequestState.LEADER)
+                continue
+            self._committed(pending, entry, result)
+
+    def _committed(self, pending: PendingRequest, entry: Entry, result: Result) -> None:
+        if result.error:
+            outcome = "unknown" if reason_of(result.error) in ("stale", "too_old") else "no"
+            self.responder.respond(pending, wire.Response(0, outcome, result.error))
+            return
+        response = wire.Response(0, revision=result.revision, succeeded=result.succeeded)
+        body, granter = pending.body, self.host.granter
+        if isinstance(body, wire.Transaction) and granter is not None:
+            keys = [update.key for update in (*body.then, *body.otherwise)]
+            if affects_decisions(keys):
+                # Nobody may decide by what was there before, once it is said to be replaced.
+                pending.wait(RequestState.LEASE_HOLDERS)
+                done = self._responds(pending, response)
+                granter.when_seen(time.monotonic(), entry.index, done)
+                return
+        if entry.kind is EntryKind.CONFIGURATION and isinstance(body, wire.AdmitMember):
+            response = wire.Response(0, text="taken in", revision=result.revision)
+        self.responder.respond(pending, response)
+
+    def _responds(self, pending: PendingRequest, response: wire.Response) -> Callable[[], None]:
+        return lambda: self.responder.respond(pending, response)
+
+    def read_index_known(self, serial: int, index: int) -> None:
+        """A read is linearizable once this index is applied."""
+        pending = self.awaiting_read_index.pop(serial, None)
+        if pending is None or pending.is_done:
+            return
+        pending.wait_for_index(index)
+        if self.host.machine.index >= index:
+            self._respond_to_read(pending)
+        else:
+            self.awaiting_apply.append(pending)
+
+    def read_aborted(self, serial: int) -> None:
+        """The leader could not confirm that it leads: the read is tried again."""
+        pending = self.awaiting_read_index.pop(serial, None)
+        if pending is not None:
+            pending.wait(RequestState.LEADER)
+
+    def index_applied(self, index: int) -> None:
+        """This member has applied the log up to `index`."""
+        waiting = self.awaiting_apply
+        self.awaiting_apply = [each for each in waiting if each.index > index and not each.is_done]
+        for pending in waiting:
+            if pending.index <= index and not pending.is_done:
+                self._respond_to_read(pending)
+
+    def _respond_to_read(self, pending: PendingRequest) -> None:
+        self.responder.respond(pending, read(self.host.machine, pending.body))
+
+    def forget(self, pending: PendingRequest) -> None:
+        """It has its response."""
+        self.awaiting_read_index.pop(pending.serial, None)
+
+    def forget_all(self) -> None:
+        """This member leads no more, or anew: all are tried again."""
+        self.by_index.clear()
+        self.awaiting_apply = []
+        self.awaiting_read_index.clear()
+
+    def check_transfer(self, pending: PendingRequest) -> None:
+        """Respond to a transfer that was given up."""
+        raft = self.host.raft
+        gave_up = raft is not None and raft.is_leader and not raft.transferee
+        if gave_up and isinstance(pending.body, wire.TransferLeadership):
+            self.responder.respond(pending, wire.Response(0, "no", "failed: it did not take over in time"))
--- a/gradegap/store/member.py
+++ b/gradegap/store/member.py
@@ -311,9 +311,9 @@
         if out.committed_entries or out.snapshot is not None:
             self._applied()
         for number, index in out.read_states:
-            self.service.read_at(number, index)
+            self.service.led.read_index_known(number, index)
         for number in out.aborted_reads:
-            self.service.unread(number)
+            self.service.led.read_aborted(number)
         if out.snapshot_wanted and not self.packing:
             self._pack(raft)
         if out.must_sync or out.messages:
@@ -329,7 +329,7 @@
         else:
             self.machine.skip(entry.index)
             result = Result(self.machine.revision)
-        self.service.applied(entry, result)
+        self.service.entry_applied(entry, result)
         if entry.kind is EntryKind.CONFIGURATION:
             self._config_applied()
 
@@ -337,7 +337,7 @@
         now = time.monotonic()
         index = self.machine.index
         self.holder.applied(index)
-        self.service.caught_up(index)
+        self.service.led.index_applied(index)
         self._stop_as_removed()
         if self.publisher is not None:
             self.publisher.committed()
@@ -359,7 +359,7 @@
             self.granter.applied(self.holder.name, self.safe_index())
             self.granter.look(now)
         else:
-            self.to_leader(wire.LeaseApplied(self.holder.name, self.safe_index()))
+            self.send_to_leader(wire.LeaseApplied(self.holder.name, self.safe_index()))
 
     def _config_applied(self) -> None:
         raft = self.raft
@@ -383,7 +383,7 @@
             return
         if raft.was_removed():
             self._now_removed()
-            self.service.lost_leader()
+            self.service.leadership_changed()
 
     def _now_removed(self) -> None:
         self.removed = True
@@ -405,7 +405,7 @@
                 self.metrics.count("store_deposed")
                 self.granter = None
                 log.info("leads no more", term=raft.term)
-            self.service.lost_leader()
+            self.service.leadership_changed()
         if raft.leader_id != self.known_leader and raft.role is not Role.LEADER:
             self.known_leader = raft.leader_id
             self.service.leader_changed()
@@ -422,7 +422,7 @@
         meta = SnapshotMetadata(index, term, raft.log.configuration_at(index))
         state = self.machine.export_state()
         self.metrics.count("store_snapshots_made")
-        self.in_thread(self.thread.submit(encode_snapshot, state), lambda data: self._packed(meta, data))
+        self.run_in_thread(self.thread.submit(encode_snapshot, state), lambda data: self._packed(meta, data))
 
     def _packed(self, meta: SnapshotMetadata, data: bytes) -> None:
         self.packing = False
@@ -433,7 +433,7 @@
 
     # The disk
 
-    def in_thread(self, work: Future[Any], done: Callable[[Any], None]) -> None:
+    def run_in_thread(self, work: Future[Any], done: Callable[[Any], None]) -> None:
         def over(finished: Future[Any]) -> None:
             if not self.closed:
                 self.loop.call_soon_threadsafe(back, finished)
@@ -461,7 +461,7 @@
             return
         self.writing = True
         self.metrics.count("store_syncs")
-        self.in_thread(self.thread.submit(self.disk.write, batch), lambda _: self._synced(outs))
+        self.run_in_thread(self.thread.submit(self.disk.write, batch), lambda _: self._synced(outs))
 
     def _batch(self, outs: list[Ready]) -> WriteBatch | None:
         if not any(o.must_sync for o in outs):
@@ -571,9 +571,9 @@
         raft = self.raft
         match word:
             case wire.Request():
-                self.service.asked(link, word)
+                self.service.receive_request(link, word)
             case wire.Response():
-                self.service.answered(link, word)
+                self.service.receive_response(link, word)
             case wire.RaftMessage() if link.id and raft is not None and not self.removed:
                 raft.step(time.monotonic(), link.id, word.message)
                 self.settle()
@@ -582,7 +582,7 @@
                     self._form(word.cluster, word.configuration)
                     self._want_links()
             case wire.Join() if link.id == word.member.id and raft is not None:
-                self.service.take_in(link, word.member)
+                self.service.admit(link, word.member)
             case wire.LeaseRequest() if link.id:
                 link.send(self._lease(word))
             case wire.LeaseGrant() if link.id:
@@ -619,7 +619,7 @@
                 if self.raft is not None and self.raft.is_leader:
                     self._granted(self._lease(ask))
                 else:
-                    self.to_leader(ask)
+                    self.send_to_leader(ask)
         if self.want_lease:
             self.lease_changed()
 
@@ -634,12 +634,12 @@
         """Whether a decision made now is by committed state."""
         return self.holder.fresh(time.monotonic())
 
-    def to_leader(self, word: wire.LinkMessage) -> bool:
+    def send_to_leader(self, word: wire.LinkMessage) -> bool:
         raft = self.raft
         leader = raft.configuration.get(raft.leader_id) if raft is not None and raft.leader_id else None
         return leader is not None and self.net.send(leader.id, leader.address, word)
 
-    def to_member(self, member: Member, ask: wire.Request) -> bool:
+    def send_to_member(self, member: Member, ask: wire.Request) -> bool:
         """Ask a member, whoever leads; no where it is away, or of a release that can't read it."""
         dial = self.net.dials.get(member.address)
         theirs = dial.link.channel.peer_hello if dial is not None and dial.link is not None else None
--- a/gradegap/store/restore.py
+++ b/gradegap/store/restore.py
@@ -8,8 +8,8 @@
 
 from gradegap.raft import ClusterConfiguration, HardState, Member, SnapshotMetadata
 from gradegap.store.errors import FolderError
+from gradegap.store.leader_requests import INVITED_PREFIX
 from gradegap.store.records import Item
-from gradegap.store.service import INVITED_PREFIX
 from gradegap.store.settings import StoreSettings
 from gradegap.store.state_snapshot import decode_snapshot
 from gradegap.store.storage import Identity, MemberStorage, WriteBatch, data_folder
--- a/gradegap/store/subscriptions.py
+++ b/gradegap/store/subscriptions.py
@@ -14,6 +14,7 @@
 from gradegap.store import wire
 from gradegap.store.in_force import MachineReport
 from gradegap.store.machine import StateMachine
+from gradegap.store.pending import ResponseCallback
 from gradegap.store.settings import StoreSettings
 from gradegap.store.storage import Identity
 
@@ -23,12 +24,12 @@
 
     def request(
         self,
-        wish: wire.RequestBody,
-        done: Callable[[wire.Response], None],
-        left: float = 5.0,
-        relayed: bool = False,
+        body: wire.RequestBody,
+        respond: ResponseCallback,
+        timeout_s: float = 5.0,
+        from_member: bool = False,
     ) -> None:
-        """`done` with one answer, at the latest after `left` seconds."""
+        """`respond` with one response, at the latest after `timeout_s`."""
 
 
 class SubscriptionHost(Protocol):
--- a/tests/test_lint_rules.py
+++ b/tests/test_lint_rules.py
@@ -59,7 +59,6 @@
 gradegap/store/member.py: C90 D
 gradegap/store/member_client.py: D
 gradegap/store/schema.py: D
-gradegap/store/service.py: D
 gradegap/store/storage.py: C90 D
 gradegap/store/wire.py: D
 gradegap/upstream/connections.py: D
--- a/tests/test_store_service.py
+++ b/tests/test_store_service.py
@@ -45,7 +45,7 @@
     s.request(wire.Transaction((KeyUpdate("a", 1),)), told.append)
     s.request(wire.Get("a"), told.append)
     member.removed, member.raft.is_leader = True, False
-    s.lost_leader()
+    s.leadership_changed()
     s.tick(time.monotonic())
     s.request(wire.Transaction((KeyUpdate("b", 1),)), told.append)
     assert [a.outcome for a in told] == ["unknown", "no", "no"]
@@ -60,7 +60,7 @@
     s.request(wire.RemoveMember("n1"), told.append)
     s.request(wire.RemoveMember("n2"), told.append)
     member.removed, member.raft.is_leader = True, False
-    s.lost_leader()
+    s.leadership_changed()
     s.tick(time.monotonic())
     s.request(wire.RemoveMember("n1"), told.append)
     assert [a.outcome for a in told] == ["ok", "unknown", "no"]
@@ -71,7 +71,7 @@
     told: list[wire.Response] = []
     s.request(wire.RemoveMember("n1"), told.append)
     member.removed, member.raft = True, None
-    s.lost_leader()
+    s.leadership_changed()
     s.tick(time.monotonic())
     assert [a.outcome for a in told] == ["unknown"]
 
