--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -34,7 +34,6 @@
     steady,
 )
 from gradegap.balancing import settings_reader as reader
-from gradegap.balancing.actions import CheckHealth
 from gradegap.balancing.settings import Settings
 from gradegap.discovery.http_discovery import HttpDiscovery
 from gradegap.metrics import Metrics
@@ -170,7 +169,7 @@
         """Probe some server, as a node with clients there would now and then."""
         known = [name for name, b in self.proxy.endpoints.items() if b.address]
         if known and not self.ended:
-            self.proxy.action_handlers[CheckHealth](CheckHealth(self.process.rng.choice(known)))
+            self.proxy.check_health(self.process.rng.choice(known))
         self._probe_later()
 
     def stop(self) -> None:
@@ -187,9 +186,9 @@
         for prober in list(self.backends.probers.values()):
             prober.close()
         self.backends.dialer.task.cancel()
-        # The core's timers go on for good, as a process ends with its core: they find nothing to do.
-        self.proxy._sweep = lambda: None  # type: ignore[method-assign]
-        self.proxy.feed = lambda event: None  # type: ignore[method-assign]
+        # The balancer's timers go on for good, as a process ends with them: they find nothing to do.
+        self.proxy.sweep.stop()
+        self.proxy.context.feed = lambda event: None  # type: ignore[method-assign]
 
 
 class HollowProcess:
--- a/bench/scale/slopes_module.py
+++ b/bench/scale/slopes_module.py
@@ -27,7 +27,10 @@
 )
 from gradegap.discovery.http_discovery import HttpDiscovery, PollConnection
 from gradegap.metrics import Metrics
-from gradegap.proxy.proxy import Attempt, ConnectPort, Endpoint, HealthCheckDone, Proxy
+from gradegap.proxy.endpoint import Endpoint
+from gradegap.proxy.ports import HealthCheckDone
+from gradegap.proxy.proxy import Proxy
+from gradegap.proxy.request import Attempt, ConnectPort
 from gradegap.store.channel import LinkChannel
 from gradegap.store.gossip import GossipExchange
 from gradegap.store.wire import Gossip
--- a/bench/scale/slopes_probes.py
+++ b/bench/scale/slopes_probes.py
@@ -16,7 +16,6 @@
 from bench.scale.results_file import Measurement, measured
 from bench.scale.slopes_data import SaveServer
 from bench.scale.slopes_module import server_name
-from gradegap.balancing.actions import CheckHealth
 from gradegap.balancing.events import EndpointEntry, EndpointListKind
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
@@ -59,7 +58,7 @@
     """One probe of each, all answered."""
     before = {name: proxy.endpoints[name].report for name in names}
     for name in names:
-        proxy.action_handlers[CheckHealth](CheckHealth(name))
+        proxy.check_health(name)
     until = time.monotonic() + ANSWER_S
     while any(proxy.endpoints[name].report is before[name] for name in names):
         if time.monotonic() > until:
--- a/gradegap/discovery/watch_schedule.py
+++ b/gradegap/discovery/watch_schedule.py
@@ -22,7 +22,7 @@
 from random import Random
 
 from gradegap.balancing.settings import Settings
-from gradegap.proxy.proxy import send_for
+from gradegap.proxy.endpoint import drain_send_window_s
 
 SILENCE_NOTIFIED_S = 6.0
 """From the begin of a silence until nodes count as notified of what it hid; set by the platform's rules."""
@@ -146,7 +146,7 @@
         """Use these settings from the next poll on."""
         self.pushed, self.proxy_count = not settings.polls_endpoints, settings.proxy_count
         if self.pushed:
-            usable_grace_s = send_for(settings)
+            usable_grace_s = drain_send_window_s(settings)
             # A watch that breaks, and a poll that an outage swallows, cost this much of the grace.
             self.wait_s = _clamp(usable_grace_s / 2, PUSHED_WAIT_BOUNDS_S)
             self.answer_timeout_s = _clamp(usable_grace_s / 4, PUSHED_ANSWER_BOUNDS_S)
--- a/gradegap/downstream/framing.py
+++ b/gradegap/downstream/framing.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from gradegap.balancing.settings_reader import FIELDS
-from gradegap.proxy.proxy import ConnectionRequest
+from gradegap.proxy.request import ConnectionRequest
 
 LONGEST = 4096  # bytes of a line, its end included
 LONGEST_WAIT = 10 * 24 * 3600.0  # s; timers take no more
--- a/gradegap/downstream/session.py
+++ b/gradegap/downstream/session.py
@@ -12,7 +12,8 @@
 
 from gradegap.downstream.framing import LONGEST, InvalidLineError, LineWatch, Opening, parse_opening
 from gradegap.metrics import Metrics
-from gradegap.proxy.proxy import InvalidRequestError, Proxy, Request
+from gradegap.proxy.proxy import Proxy
+from gradegap.proxy.request import InvalidRequestError, Request
 from gradegap.transport.descriptors import DescriptorBudget, EvictionRank
 from gradegap.transport.sockets import (
     WRITE_BUFFER_HIGH_BYTES,
--- a/gradegap/hot_restart/messages.py
+++ b/gradegap/hot_restart/messages.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from gradegap.proxy.proxy import ConnectionRequest
+from gradegap.proxy.request import ConnectionRequest
 
 
 class AdminOperation(StrEnum):
--- a/gradegap/hot_restart/predecessor.py
+++ b/gradegap/hot_restart/predecessor.py
@@ -22,7 +22,7 @@
     StoreLease,
 )
 from gradegap.hot_restart.session_transfer import SessionTransfer
-from gradegap.proxy.proxy import Endpoint
+from gradegap.proxy.endpoint import Endpoint
 
 log = structlog.get_logger()
 
--- a/gradegap/hot_restart/session_transfer.py
+++ b/gradegap/hot_restart/session_transfer.py
@@ -13,7 +13,7 @@
 from gradegap.hot_restart.host import Host
 from gradegap.hot_restart.link import Link
 from gradegap.hot_restart.messages import EstablishedSession, IdleSession
-from gradegap.proxy.proxy import Request
+from gradegap.proxy.request import Request
 from gradegap.upstream.connections import Fetch
 
 MAX_SESSIONS_IN_FLIGHT = 8  # sent and not answered: their descriptors are held twice
--- a/gradegap/node/node.py
+++ b/gradegap/node/node.py
@@ -125,9 +125,9 @@
             trace = DecisionTrace(self.proxy.balancer)
             trace.write_settings(configuration.settings)
             self.proxy.balancer = cast(Any, trace)  # the core knows no difference
-        self.proxy.on_disabled_changed = self._keep_out
+        self.proxy.on_disabled_changed(self._keep_out)
         if self.operator.decides_by is not None:
-            self.proxy.admission_gate = self._gate
+            self.proxy.set_admission_gate(self._gate)
         self.hot_restart = HotRestart(self, private_file(configuration.node, "sock"))
         self.listening_socket: socket.socket | None = None  # kept beside the one accepted from, to pass on
         self.done: asyncio.Future[None] = loop.create_future()
--- /dev/null
+++ b/gradegap/proxy/adoption.py
@@ -0,0 +1,63 @@
+"""Established connections that pass from one process of a node to the next in a hot restart.
+
+Invariant: a connection belongs to one of the two processes at a time. The balancer of the process that
+releases it sees its end; that of the process that adopts it sees an inherited connection.
+"""
+
+from __future__ import annotations
+
+from gradegap.balancing.events import AttemptEnded, AttemptResult, ConnectionInherited, EndpointPhase
+from gradegap.proxy.context import ProxyContext
+from gradegap.proxy.endpoints import Endpoints
+from gradegap.proxy.request import Attempt, ConnectionRequest, Request, RequestHandlers, SessionPort
+from gradegap.proxy.requests import RequestTable
+
+
+class Adoption:
+    """Takes over established connections, and gives them away."""
+
+    def __init__(self, context: ProxyContext, endpoints: Endpoints, requests: RequestTable) -> None:
+        self.context = context
+        self.endpoints = endpoints
+        self.requests = requests
+
+    def adopt(
+        self,
+        handlers: RequestHandlers,
+        session: SessionPort,
+        asked: ConnectionRequest,
+        endpoint_name: str,
+        last_response_at: float,
+        unanswered_since: float | None,
+    ) -> Request | None:
+        """The request of a connection that is established already; None where it can't be taken over."""
+        endpoint = self.endpoints.by_id.get(endpoint_name)
+        if endpoint is None or endpoint.phase is EndpointPhase.REMOVED or self.requests.is_open(asked):
+            return None
+        now = self.context.now()
+        request = Request(
+            handlers, self.requests.next_id, asked, session, now, established=True, answered=True
+        )
+        request.last_response_at = min(last_response_at, now)
+        request.unanswered_since = unanswered_since
+        request.attempt = Attempt(request, endpoint, 0, now, 0.0)
+        self.requests.enter(request)
+        self.context.metrics.count("adopted")
+        self.context.feed(ConnectionInherited(request.arrival(), endpoint.id))
+        return request
+
+    def release(self, request: Request) -> None:
+        """An established connection belongs to another process from now on."""
+        attempt = request.attempt
+        if attempt is None:
+            return
+        attempt.active = False
+        request.attempt = None
+        request.established = False
+        self.requests.drop(request)
+        elapsed = self.context.now() - attempt.started_at
+        self.context.feed(
+            AttemptEnded(
+                request.id, attempt.number, attempt.endpoint.id, AttemptResult.CANCELLED, elapsed, True
+            )
+        )
--- /dev/null
+++ b/gradegap/proxy/attempts.py
@@ -0,0 +1,172 @@
+"""Attempts: from the balancer's `Forward` to their one end.
+
+Invariants kept here whatever the balancer says:
+- never two attempts of a request at once, and none after its final answer (`forward`);
+- nothing new to an endpoint that drains, is removed or administratively disabled; a connection from before
+  the run may be made again until the drain grace is over (`_endpoint_takes`, also before the first line);
+- an attempt has one end, and nothing that its connection reports afterwards counts (`on_ended`).
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from gradegap.balancing.actions import Forward
+from gradegap.balancing.events import AttemptEnded, AttemptResult, ConnectionEstablished, ConnectionInherited
+from gradegap.proxy.context import ProxyContext
+from gradegap.proxy.endpoint import Endpoint
+from gradegap.proxy.endpoints import Endpoints
+from gradegap.proxy.request import Attempt, Report, Request
+from gradegap.proxy.requests import RequestTable
+
+ANSWER_MARGIN_S = 0.008  # before a deadline, by which the last attempt ends, so that the answer is in time
+
+
+class Attempts:
+    """Begins and ends attempts."""
+
+    def __init__(self, context: ProxyContext, endpoints: Endpoints, requests: RequestTable) -> None:
+        self.context = context
+        self.endpoints = endpoints
+        self.requests = requests
+        self.connecting: dict[Endpoint, set[Attempt]] = {}  # with nothing written yet
+        self.on_inherited_ended: Callable[[Request, AttemptResult], None] = lambda request, result: None
+
+    def time_limit(self, request: Request) -> float:
+        """The most that an attempt may take from now on, in s, so that the request is answered in time."""
+        return request.deadline - ANSWER_MARGIN_S - self.context.now()
+
+    def forward(self, action: Forward) -> None:
+        """Begin an attempt that the balancer decided on."""
+        request = self.requests.by_id.get(action.request_id)
+        endpoint = self.endpoints.by_id.get(action.endpoint)
+        if request is None or request.answered or request.attempt is not None or request.established:
+            self.context.metrics.count("moot")
+            return
+        timeout = min(action.timeout, self.time_limit(request))
+        now = self.context.now()
+        attempt = Attempt(
+            request,
+            endpoint or Endpoint(action.endpoint),
+            request.attempt_count,
+            now,
+            timeout,
+            now + action.begin_within,
+        )
+        request.attempt_count += 1
+        request.attempt = attempt
+        if self.requests.reject_if_gated(request):
+            self.on_ended(attempt, AttemptResult.NOT_SENT)
+        elif endpoint is None or not self._may_begin(attempt):
+            self.context.loop.call_soon(attempt.on_ended, AttemptResult.NOT_SENT)
+        elif self.may_send(attempt):
+            self.connect(attempt)
+
+    def _may_begin(self, attempt: Attempt) -> bool:
+        in_budget = attempt.number < attempt.request.max_attempts and attempt.timeout > 0
+        return in_budget and self._endpoint_takes(attempt)
+
+    def _endpoint_takes(self, attempt: Attempt) -> bool:
+        """Whether its endpoint may get this attempt now."""
+        endpoint = attempt.endpoint
+        if not endpoint.draining:
+            return True
+        # A connection from before the run is known there already, for as long as the grace allows.
+        inherited = bool(attempt.request.connection_request.inherited_from)
+        return inherited and self.endpoints.within_drain_grace(endpoint)
+
+    def connect(self, attempt: Attempt) -> None:
+        """Hand the attempt to the network."""
+        self.context.metrics.count("sent")
+        self.connecting.setdefault(attempt.endpoint, set()).add(attempt)
+        attempt.timer = self.context.loop.call_later(attempt.timeout, self.time_out, attempt)
+        attempt.connection = self.context.upstream.connect(
+            attempt.request.session, attempt.endpoint, attempt.timeout, attempt
+        )
+
+    def may_send(self, attempt: Attempt) -> bool:
+        """Whether the first line may be written now; where not, the attempt ends.
+
+        Guards against what came since the balancer chose: the client's end, which the loop has not read yet;
+        the notice that the endpoint drains; the end of the time in which a retry is deduplicated there.
+        """
+        if attempt.request.session.is_disconnected():
+            self.context.metrics.count("left_unseen")
+            attempt.request.on_disconnect()
+        elif not self._endpoint_takes(attempt) or self.context.now() >= attempt.send_by:
+            self.context.metrics.count("begun_too_late")
+            self._cancel_unsent(attempt)
+        return attempt.active
+
+    def on_sent(self, attempt: Attempt) -> None:
+        """The first line is written."""
+        self._no_longer_connecting(attempt)
+
+    def cancel_connecting(self, endpoint: Endpoint) -> None:
+        """End what is connecting to an endpoint that drains: it goes elsewhere.
+
+        At once and not at the end of the grace: when this node learns of it, the grace may be nearly over.
+        """
+        for attempt in list(self.connecting.get(endpoint, ())):
+            if not attempt.request.connection_request.inherited_from:
+                self._cancel_unsent(attempt)
+
+    def _cancel_unsent(self, attempt: Attempt) -> None:
+        attempt.cancel_connection()
+        self.on_ended(attempt, AttemptResult.CONNECT_FAILED)
+
+    def time_out(self, attempt: Attempt) -> None:
+        """End an attempt that is not established."""
+        if attempt.active and not attempt.request.established:
+            sent = attempt.connection is not None and attempt.connection.sent
+            attempt.cancel_connection()
+            self.on_ended(attempt, AttemptResult.TIMEOUT if sent else AttemptResult.CONNECT_FAILED)
+
+    def cancel(self, attempt: Attempt) -> None:
+        """End an attempt, established or not, because its request ended."""
+        attempt.cancel_connection()
+        self.on_ended(attempt, AttemptResult.CANCELLED)
+
+    def on_established(self, attempt: Attempt) -> None:
+        """The endpoint confirmed the connection."""
+        request = attempt.request
+        if attempt.timer is not None:
+            attempt.timer.cancel()
+        self.requests.answer(request, "served")
+        request.established = True
+        request.last_response_at = self.context.now()
+        request.session.on_established()
+        if request.connection_request.inherited_from:
+            self.context.feed(ConnectionInherited(request.arrival(), attempt.endpoint.id))
+        else:
+            elapsed = self.context.now() - attempt.started_at
+            self.context.feed(ConnectionEstablished(request.id, attempt.number, attempt.endpoint.id, elapsed))
+
+    def on_ended(self, attempt: Attempt, result: AttemptResult, report: Report | None = None) -> None:
+        """The one end of an attempt."""
+        if not attempt.active:
+            return
+        attempt.active = False
+        self._no_longer_connecting(attempt)
+        if attempt.timer is not None:
+            attempt.timer.cancel()
+        request = attempt.request
+        request.attempt = None
+        self.context.metrics.count(f"{'ended' if request.established else 'fetch'}_{result.name.lower()}")
+        if request.established and not request.migrated:
+            request.session.on_endpoint_closed()
+        if request.connection_request.inherited_from and not request.established:
+            self.on_inherited_ended(request, result)
+            return
+        settled = request.answered
+        elapsed = self.context.now() - attempt.started_at
+        if settled:
+            self.requests.drop(request)
+        self.context.feed(
+            AttemptEnded(request.id, attempt.number, attempt.endpoint.id, result, elapsed, settled, report)
+        )
+
+    def _no_longer_connecting(self, attempt: Attempt) -> None:
+        connecting = self.connecting.get(attempt.endpoint)
+        if connecting is not None:
+            connecting.discard(attempt)
--- /dev/null
+++ b/gradegap/proxy/context.py
@@ -0,0 +1,49 @@
+"""What the parts of one proxy share: settings, clock, counters, the network and the one balancer."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Callable
+from typing import Any
+
+from gradegap.balancing.balancer import Balancer
+from gradegap.balancing.events import Event
+from gradegap.balancing.settings import Settings
+from gradegap.metrics import Metrics
+from gradegap.proxy.ports import UpstreamPort
+
+
+class ProxyContext:
+    """Shared by reference; `settings` and `balancer` may be replaced while the proxy runs."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        seed: int,
+        upstream: UpstreamPort,
+        metrics: Metrics,
+        loop: asyncio.AbstractEventLoop,
+    ) -> None:
+        self.settings = settings
+        self.balancer = Balancer(settings, seed)
+        self.upstream = upstream
+        self.metrics = metrics
+        self.loop = loop
+        # Taken once: the clock never jumps, yet it can be compared with endpoints' start times in Unix time.
+        self.clock_offset = time.time() - loop.time()
+        self.action_handlers: dict[type, Callable[[Any], None]] = {}
+
+    def now(self) -> float:
+        """Monotonic time in s, near Unix time."""
+        return self.loop.time() + self.clock_offset
+
+    def feed(self, event: Event) -> None:
+        """Pass one event to the balancer, and carry out its actions in their order."""
+        for action in self.balancer.handle(self.now(), event):
+            self.action_handlers[type(action)](action)
+
+    def feed_as_of(self, at: float, event: Event) -> None:
+        """The same for an event that happened at clock time `at`, not later than now."""
+        for action in self.balancer.handle(min(at, self.now()), event):
+            self.action_handlers[type(action)](action)
--- /dev/null
+++ b/gradegap/proxy/inherited.py
@@ -0,0 +1,56 @@
+"""Connections from before the run: their endpoint is named by the client, and the balancer decides nothing.
+
+Invariant: the balancer learns of such a connection only once it is established.
+"""
+
+from __future__ import annotations
+
+from gradegap.balancing.events import NEVER_RAN, AttemptResult
+from gradegap.proxy.attempts import Attempts
+from gradegap.proxy.context import ProxyContext
+from gradegap.proxy.endpoint import Endpoint
+from gradegap.proxy.endpoints import Endpoints
+from gradegap.proxy.request import Attempt, Request
+from gradegap.proxy.requests import RequestTable
+
+INHERIT_RETRY_PAUSE_S = 0.15  # between two tries at an inherited connection that could not be made
+
+
+class InheritedConnections:
+    """Makes inherited connections again, as long as their time allows."""
+
+    def __init__(
+        self, context: ProxyContext, endpoints: Endpoints, requests: RequestTable, attempts: Attempts
+    ) -> None:
+        self.context = context
+        self.endpoints = endpoints
+        self.requests = requests
+        self.attempts = attempts
+
+    def connect(self, request: Request) -> None:
+        """Connect to the endpoint that holds the connection, or fail the request."""
+        endpoint = self.endpoints.by_id.get(request.connection_request.inherited_from)
+        if request.answered or request.id not in self.requests.by_id:
+            return
+        timeout = self.attempts.time_limit(request)
+        if endpoint is None or not self._is_reachable(endpoint) or timeout <= 0:
+            self._fail(request)
+            return
+        request.attempt = Attempt(request, endpoint, 0, self.context.now(), timeout)
+        self.attempts.connect(request.attempt)
+
+    def on_attempt_ended(self, request: Request, result: AttemptResult) -> None:
+        """An attempt ended without a connection: try again if nothing can have run, while there is time."""
+        if request.answered:
+            self.requests.drop(request)
+        elif result in NEVER_RAN and request.deadline - self.context.now() > 2 * INHERIT_RETRY_PAUSE_S:
+            self.context.loop.call_later(INHERIT_RETRY_PAUSE_S, self.connect, request)
+        else:
+            self._fail(request)
+
+    def _is_reachable(self, endpoint: Endpoint) -> bool:
+        return endpoint.address != "" and self.endpoints.within_drain_grace(endpoint)
+
+    def _fail(self, request: Request) -> None:
+        self.requests.fail(request)
+        self.requests.drop(request)
--- a/gradegap/resume/move.py
+++ b/gradegap/resume/move.py
@@ -16,7 +16,7 @@
 
 from gradegap.downstream.framing import Opening
 from gradegap.downstream.session import ClientSession
-from gradegap.proxy.proxy import InvalidRequestError, Request
+from gradegap.proxy.request import InvalidRequestError, Request
 from gradegap.resume.switch import Passing
 
 log = structlog.get_logger()
--- a/gradegap/store/gossip.py
+++ b/gradegap/store/gossip.py
@@ -19,7 +19,9 @@
     HealthCheckEnded,
 )
 from gradegap.metrics import Metrics
-from gradegap.proxy.proxy import HEALTH_CHECK_TIMEOUT_S, Endpoint, Proxy
+from gradegap.proxy.endpoint import Endpoint
+from gradegap.proxy.health_checks import HEALTH_CHECK_TIMEOUT_S
+from gradegap.proxy.proxy import Proxy
 from gradegap.store.wire import Gossip, GossipReport
 
 GOSSIP_PERIOD_S = 1.0  # s between two words
--- a/gradegap/upstream/connections.py
+++ b/gradegap/upstream/connections.py
@@ -11,7 +11,9 @@
 from gradegap.balancing.events import AttemptResult
 from gradegap.downstream.framing import LONGEST, figure, parse_report
 from gradegap.downstream.session import ClientSession
-from gradegap.proxy.proxy import Attempt, Endpoint, HealthCheckDone
+from gradegap.proxy.endpoint import Endpoint
+from gradegap.proxy.ports import HealthCheckDone
+from gradegap.proxy.request import Attempt
 from gradegap.transport.descriptors import DescriptorBudget, raise_descriptor_limit
 from gradegap.transport.dialer import Dialer
 from gradegap.transport.sockets import (
@@ -58,7 +60,7 @@
         no_delay(self.transport)
         if self.up:
             return  # taken over: it stands already
-        left = self.wait - (self.attempt.request.proxy.now() - self.attempt.started_at)
+        left = self.attempt.time_left()
         self.sent = True
         self.attempt.on_sent()
         self.transport.write(self.session.opening.with_wait(left))
--- a/tests/compatibility/present.py
+++ b/tests/compatibility/present.py
@@ -22,7 +22,7 @@
 from gradegap.observer import messages as subscription
 from gradegap.observer import selection
 from gradegap.observer import settings as observer_settings
-from gradegap.proxy import proxy
+from gradegap.proxy import request as proxy_request
 from gradegap.quic import keys, relay, tokens
 from gradegap.quic import listener as front
 from gradegap.quic import settings as quic_settings
@@ -178,7 +178,7 @@
             lease=hot_restart.StoreLease,
             port=hot_restart.QuicPort,
         ),
-        _own(known=hot_restart.EndpointState, ask=proxy.ConnectionRequest, handed=front.PortTransfer),
+        _own(known=hot_restart.EndpointState, ask=proxy_request.ConnectionRequest, handed=front.PortTransfer),
     )
     | _in("resume", _own(place=token.Place, key=token.Key, ring=token.Ring, claim=claims.Claim))
     | _in(
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -26,7 +26,10 @@
     TimerFired,
 )
 from gradegap.metrics import Metrics
-from gradegap.proxy.proxy import UNRESPONSIVE_AFTER_S, Attempt, ConnectionRequest, Endpoint, Proxy, Request
+from gradegap.proxy.endpoint import Endpoint
+from gradegap.proxy.proxy import Proxy
+from gradegap.proxy.request import Attempt, ConnectionRequest, Request
+from gradegap.proxy.unresponsive import UNRESPONSIVE_AFTER_S
 from tests.helpers import settings
 
 
@@ -285,7 +288,7 @@
     rig = Rig()
     rig.script.answers = {TimerFired: lambda e: [Forward(1, "a", 1.0)]}
     session, _ = rig.take()
-    rig.proxy.admission_gate = lambda: 0.5
+    rig.proxy.set_admission_gate(lambda: 0.5)
     rig.proxy.feed(TimerFired("h1"))
     assert session.words == ["busy"] and not rig.proxy.requests
     assert isinstance(rig.script.events[-1], AttemptEnded) and rig.script.events[-1].settled
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -13,7 +13,7 @@
 from gradegap.balancing.rates import LatencyEstimate
 from gradegap.balancing.settings import ClassSettings, Settings
 from gradegap.node.node import killed_from
-from gradegap.proxy.proxy import HEALTH_CHECK_TIMEOUT_MAX_S, HEALTH_CHECK_TIMEOUT_S
+from gradegap.proxy.health_checks import HEALTH_CHECK_TIMEOUT_MAX_S, HEALTH_CHECK_TIMEOUT_S
 from tests.deployments import ASKED, BOTH, PUSHED, Day, NodeProcess, Server, lane
 from tests.silent_discovery import SilentDiscovery, TurnDiscovery
 from tests.world import BUSY_MACHINE, Backend, Client, hard_reset, wait_for, world
--- a/tests/test_lint_rules.py
+++ b/tests/test_lint_rules.py
@@ -38,7 +38,6 @@
 gradegap/downstream/session.py: D
 gradegap/metrics.py: D
 gradegap/node/node.py: D
-gradegap/proxy/proxy.py: D
 gradegap/resume/claims.py: D N
 gradegap/resume/lines.py: N
 gradegap/resume/move.py: D
