--- a/gradegap/commands/capture.py
+++ b/gradegap/commands/capture.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import dataclasses
 import sys
 import time
 from collections import Counter
@@ -357,16 +356,18 @@
     if json:
         typer.echo(msgspec.json.encode(found).decode())
     else:
-        for name in (f.name for f in dataclasses.fields(found.recorded)):
-            was, would = getattr(found.recorded, name), getattr(found.played, name)
-            typer.echo(f"{name:12} {round(was, 4):>10} recorded {round(would, 4):>10} played")
+        for field in msgspec.structs.fields(found.recorded):
+            was, would = getattr(found.recorded, field.name), getattr(found.played, field.name)
+            typer.echo(f"{field.encode_name:12} {round(was, 4):>10} recorded {round(would, 4):>10} played")
         answers = ", ".join(f"{found.answers[k]} {k}" for k in ("near", "far", "modelled"))
         typer.echo(f"what servers said: {answers}")
         if found.first_other is not None:
-            at, req, was, now = found.first_other
-            typer.echo(f"the first req that is placed otherwise: {req} at {at:.3f}, {was} and now {now}")
-        if found.evidence_ends is not None:
-            typer.echo(f"from {found.evidence_ends:.3f} on the record alone is no evidence of what follows")
+            at, request_id, was, now = found.first_other
+            typer.echo(
+                f"the first req that is placed otherwise: {request_id} at {at:.3f}, {was} and now {now}"
+            )
+        if found.observed_until is not None:
+            typer.echo(f"from {found.observed_until:.3f} on the record alone is no evidence of what follows")
         for gap in found.gaps:
             typer.echo(f"gap, at which it ends: {gap}")
         for line in found.violations:
--- a/tests/test_capture_days.py
+++ b/tests/test_capture_days.py
@@ -29,9 +29,10 @@
 )
 from gradegap.capture import decision_module, frames, recording, records, replay
 from gradegap.capture.errors import BadWhatIfError
+from gradegap.capture.evaluation import Evaluation
 from gradegap.capture.frames import Damage, FrameKind
-from gradegap.capture.judge import Judge
-from gradegap.capture.whatif import Result, changed, whatif
+from gradegap.capture.simulation import WhatIfResult
+from gradegap.capture.whatif import changed, whatif
 from tests.helpers import settings
 from tests.mutants import mutant
 from tests.test_capture import cli, taken
@@ -50,7 +51,7 @@
 BEHIND = 0.04
 
 
-def played(name: str, module: object = gradegap.balancing.balancer, *wishes: str) -> Result:
+def played(name: str, module: object = gradegap.balancing.balancer, *wishes: str) -> WhatIfResult:
     data = (FOLDER / f"{name}.ggc").read_bytes()
     return whatif(recording.read(data), module, wishes)  # type: ignore[arg-type]
 
@@ -60,8 +61,8 @@
     found = played(name)
     assert not found.violations and not found.gaps
     assert found.recorded.violations == 0
-    assert found.played.taken > 150
-    assert found.played.served >= max(DAYS[name], found.recorded.served - BEHIND), found
+    assert found.played.requests > 150
+    assert found.played.served_share >= max(DAYS[name], found.recorded.served_share - BEHIND), found
     assert found.played.wait_p99 < 1.5
     near = found.answers["near"] / found.answers.total()
     assert near > 0.9, found.answers  # else it is a model's day, and no captured one
@@ -125,24 +126,27 @@
 
 def test_clients_leave_a_server_that_drains_before_it_is_gone() -> None:
     found = played("drain_under_load")
-    assert found.recorded.broke == 0 and found.played.moved >= 3
+    assert found.recorded.broken == 0 and found.played.migrated >= 3
     still = played(
         "drain_under_load", gradegap.balancing.balancer, "drain_grace=0.0"
     )  # nothing new goes there at all
-    assert not still.violations and still.played.served >= found.played.served - BEHIND
+    assert not still.violations and still.played.served_share >= found.played.served_share - BEHIND
 
 
 def test_few_attempts_are_spent_on_servers_that_are_dead() -> None:
     for name in ("quarter_dies", "parted_discovery"):
         found = played(name)
-        assert found.played.attempts < 1.25 * found.played.stood + found.played.refused, (name, found.played)
+        assert found.played.attempts < 1.25 * found.played.established + found.played.rejected, (
+            name,
+            found.played,
+        )
 
 
 def test_a_module_that_goes_on_with_the_dead_is_shown_to_serve_worse(tmp_path: Path) -> None:
     """Planted: it draws from servers that fail as from any other, and tries once."""
     other = mutant(tmp_path, "EJECTION_FAILURES = 2", "EJECTION_FAILURES = 10**9")
     worse, plain = played("quarter_dies", other, "max_attempts=1"), played("quarter_dies")
-    assert worse.played.served < plain.played.served - 0.01
+    assert worse.played.served_share < plain.played.served_share - 0.01
     assert worse.first_other is not None
 
 
@@ -154,23 +158,23 @@
     found = played("drain_under_load", mutant(tmp_path, old, new))
     # The core lets none of it out (MOOT), so no rule is broken; attempts are spent for nothing instead.
     plain = played("drain_under_load").played
-    assert found.played.attempts - found.played.stood > plain.attempts - plain.stood
-    judge = Judge(settings())
-    judge.see(1.0, EndpointList(EndpointListKind.FULL, (EndpointEntry("a"), EndpointEntry("b"))), [])
-    judge.see(1.0, RequestArrived(1, "live", 3.0), [Forward(1, "a", 0.5), Forward(1, "b", 0.5)])
-    judge.see(1.1, ConnectionEstablished(1, 0, "a", 0.1), [Reject(1)])
-    judge.see(1.2, RequestArrived(2, "live", 1.5), [])
-    judge.see(
+    assert found.played.attempts - found.played.established > plain.attempts - plain.established
+    evaluation = Evaluation(settings())
+    evaluation.observe(1.0, EndpointList(EndpointListKind.FULL, (EndpointEntry("a"), EndpointEntry("b"))), [])
+    evaluation.observe(1.0, RequestArrived(1, "live", 3.0), [Forward(1, "a", 0.5), Forward(1, "b", 0.5)])
+    evaluation.observe(1.1, ConnectionEstablished(1, 0, "a", 0.1), [Reject(1)])
+    evaluation.observe(1.2, RequestArrived(2, "live", 1.5), [])
+    evaluation.observe(
         1.2, EndpointList(EndpointListKind.DELTA, (EndpointEntry("b", phase=EndpointPhase.DRAINING),)), []
     )
-    judge.see(1.3, RequestArrived(3, "live", 9.0), [])
-    judge.see(4.0, TimerFired("x"), [Forward(3, "b", 0.5)])
-    judge.see(4.1, AttemptEnded(3, 0, "b", AttemptResult.RESET, 0.1, False), [Fail(3)])
-    judge.see(4.2, TimerFired("x"), [Fail(3), Forward(3, "a", 0.2)])
-    judge.end()
-    told = " ".join(judge.violations)
+    evaluation.observe(1.3, RequestArrived(3, "live", 9.0), [])
+    evaluation.observe(4.0, TimerFired("x"), [Forward(3, "b", 0.5)])
+    evaluation.observe(4.1, AttemptEnded(3, 0, "b", AttemptResult.RESET, 0.1, False), [Fail(3)])
+    evaluation.observe(4.2, TimerFired("x"), [Fail(3), Forward(3, "a", 0.2)])
+    evaluation.finish()
+    told = " ".join(evaluation.violations)
     for word in ("an attempt out", "two answers", "after its grace", "after its answer", "no answer"):
-        assert word in told, judge.violations
+        assert word in told, evaluation.violations
 
 
 def test_what_another_setting_would_have_done_and_where_the_record_ends(tmp_path: Path) -> None:
@@ -192,7 +196,7 @@
         cut.append(frames.pack(f.kind, body, f.record_count, f.first_number, f.first_at, f.last_at))
     unheard = whatif(recording.read(b"".join(cut)), gradegap.balancing.balancer)
     assert unheard.answers["modelled"] == unheard.answers.total() > 0
-    assert unheard.evidence_ends is not None and unheard.evidence_ends < 1010.0
+    assert unheard.observed_until is not None and unheard.observed_until < 1010.0
 
 
 def test_whatif_on_the_command_line() -> None:
