--- a/gradegap/verification/model_explorer.py
+++ b/gradegap/verification/model_explorer.py
@@ -96,7 +96,7 @@
 
 
 class ClusterState:
-    """One state of a small cluster, which can be copied and gone on from."""
+    """One state of a small cluster, which can be copied and continued from."""
 
     def __init__(self, raft_class: type[Raft], bounds: Bounds) -> None:
         self.raft_class, self.bounds = raft_class, bounds
--- a/gradegap/verification/observer_invariants.py
+++ b/gradegap/verification/observer_invariants.py
@@ -37,7 +37,7 @@
     def __init__(self) -> None:
         self.states: dict[int, dict[str, object]] = {}  # by revision
         self.changes: list[int] = []  # revisions that changed a subscribed key
-        self.revisions: dict[ObservedNode, int] = {}  # of each process that lives, as last seen
+        self.revisions: dict[ObservedNode, int] = {}  # of each running process, as last seen
         self.acknowledged_revision = 0
         self.acknowledgements = 0
         self.fresh_looks = 0
@@ -59,7 +59,7 @@
             self._decides_by_all_acknowledged(node)
 
     def started(self, node: ObservedNode) -> None:
-        """A new life of a process."""
+        """A new incarnation of a process."""
         self.revisions[node] = 0
 
     def ended(self, node: ObservedNode) -> None:
--- a/gradegap/verification/observer_mutations.py
+++ b/gradegap/verification/observer_mutations.py
@@ -50,8 +50,8 @@
         super()._emit_apply(now, revision, changes, is_snapshot)
 
 
-class LeaseFromTheAnswer(Subscriber):
-    """The lease is counted from when the answer came, not from when the question went."""
+class LeaseFromResponse(Subscriber):
+    """The lease is counted from when the response came, not from when the request was sent."""
 
     def _receive_heartbeat(self, now: float, heartbeat: Heartbeat) -> None:
         if heartbeat.serial in self.unanswered_renewals:
@@ -67,7 +67,7 @@
         super()._receive_heartbeat(now, Heartbeat(heartbeat.serial, heartbeat.revision, longer))
 
 
-class AppliesHalfASnapshot(Subscriber):
+class AppliesPartialSnapshot(Subscriber):
     """Each part of a snapshot takes effect when it comes."""
 
     def _receive_snapshot_part(self, now: float, part: SnapshotPart) -> None:
@@ -77,7 +77,7 @@
 
 
 class KeepsTheLeaseAtLeave(Subscriber):
-    """The node tells the machine that it decides no more, and goes on."""
+    """The node tells the machine that it no longer decides, and goes on deciding."""
 
     def leave(self, now: float) -> None:
         """Leave with the lease still counted."""
@@ -101,7 +101,7 @@
 
 
 class ForgetsDisplacedGrants(Publisher):
-    """The lease of a node's earlier life ends with the subscription of the next."""
+    """The lease of a node's earlier incarnation ends with the subscription of the next."""
 
     def _displace_earlier_connection(self, now: float, message: Subscribe) -> None:
         old = self.by_node.get(message.node)
@@ -218,9 +218,9 @@
     "applies backwards": Mutation("backwards", subscriber=AppliesBackwards, faults=REPEATS),
     "takes older snapshots": Mutation("backwards", subscriber=TakesOlderSnapshots, faults=REPEATS),
     "acknowledges before applying": Mutation("acknowledged-unapplied", subscriber=AcknowledgesBeforeApplying),
-    "lease from the answer": Mutation("lease", subscriber=LeaseFromTheAnswer, faults=LOSSES),
+    "lease from the answer": Mutation("lease", subscriber=LeaseFromResponse, faults=LOSSES),
     "lease without drift": Mutation("lease", subscriber=LeaseWithoutDrift, faults=LOSSES),
-    "applies half a snapshot": Mutation("gap", subscriber=AppliesHalfASnapshot),
+    "applies half a snapshot": Mutation("gap", subscriber=AppliesPartialSnapshot),
     "forgets lost grants": Mutation("lease", publisher=ForgetsLostGrants, faults=LOSSES),
     "forgets displaced grants": Mutation("lease", publisher=ForgetsDisplacedGrants, faults=Faults(twin=2.0)),
     "keeps the lease at leave": Mutation("lease", subscriber=KeepsTheLeaseAtLeave, faults=Faults(leave=3.0)),
--- a/gradegap/verification/raft_invariants.py
+++ b/gradegap/verification/raft_invariants.py
@@ -105,7 +105,7 @@
         """A confirmed read sees all that was committed before it was requested."""
         if commit_index < least:
             raise InvariantError(
-                f"stale-read: {member} read at {commit_index}, but {least} was committed before it asked"
+                f"stale-read: {member} read at {commit_index}, but {least} was committed before the request"
             )
 
     def leases(self, holders: Iterable[tuple[Raft, float]]) -> None:
--- a/gradegap/verification/raft_mutations.py
+++ b/gradegap/verification/raft_mutations.py
@@ -49,8 +49,8 @@
         self.pending.hard_state = HardState(self.term, "")
 
 
-class TermNotSynced(Raft):
-    """A message goes out before what it stands for is on disk."""
+class SendsBeforeSync(Raft):
+    """A message is sent before the state that it rests on is on disk."""
 
     def take_ready(self) -> Ready:
         """Sends all messages early."""
@@ -86,7 +86,7 @@
 
 
 class CommitsEarlierTerms(Raft):
-    """Answers for an entry of an earlier term are counted (Raft paper, figure 8)."""
+    """Responses for an entry of an earlier term are counted (Raft paper, figure 8)."""
 
     class _Replication(Replication):
         def can_commit(self, index: int) -> bool:
@@ -95,7 +95,7 @@
     replication_type = _Replication
 
 
-class CountsItselfTooEarly(Raft):
+class CountsUnsyncedEntry(Raft):
     """The leader counts its own entry before it is on its disk."""
 
     class _Replication(Replication):
@@ -107,7 +107,7 @@
     replication_type = _Replication
 
 
-class KeepsConflicts(Raft):
+class KeepsConflictingEntries(Raft):
     """A follower takes new entries, but leaves those in place that they contradict."""
 
     class _Follower(Follower):
@@ -129,7 +129,7 @@
     follower_type = _Follower
 
 
-class IgnoresWhatComesBefore(Raft):
+class SkipsConsistencyCheck(Raft):
     """A follower doesn't look whether the entry before fits."""
 
     class _Follower(Follower):
@@ -143,8 +143,8 @@
     follower_type = _Follower
 
 
-class CommitsBeyondWhatItMatched(Raft):
-    """The leader's commit index is taken as it is, whatever stands at those indexes here."""
+class CommitsUnmatchedEntries(Raft):
+    """The leader's commit index is taken as it is, whatever entries are at those indexes here."""
 
     class _Follower(Follower):
         def on_append_entries(self, now: float, sender: str, request: AppendEntries) -> None:
@@ -155,7 +155,7 @@
     follower_type = _Follower
 
 
-class LeaseWithoutMargin(Raft):
+class LeaseIgnoresDrift(Raft):
     """The lease is as long as the promise, whatever the clocks do."""
 
     class _Heartbeats(Heartbeats):
@@ -167,21 +167,21 @@
     heartbeats_type = _Heartbeats
 
 
-class LeaseFromTheAnswer(Raft):
-    """The lease is counted from when an answer came, not from when the question went."""
+class LeaseFromResponse(Raft):
+    """The lease is counted from when a response came, not from when the request was sent."""
 
     class _Heartbeats(Heartbeats):
         def followed_since(self, now: float) -> float:
             peers = self.raft.peers
             voters = [peers[v].last_response_at for v in self.raft.configuration.voters if v in peers]
-            heard = sorted([*voters, now])
-            return heard[(len(heard) - 1) // 2]
+            responses = sorted([*voters, now])
+            return responses[(len(responses) - 1) // 2]
 
     heartbeats_type = _Heartbeats
 
 
-class PromiseForgottenAtRestart(Raft):
-    """A member that starts anew votes at once, whatever its earlier life had promised."""
+class ForgetsPromiseAtRestart(Raft):
+    """A member that starts anew votes at once, whatever its earlier incarnation had promised."""
 
     class _Election(Election):
         def is_leader_alive(self, now: float) -> bool:
@@ -191,7 +191,7 @@
 
 
 class LeaseKeptDuringTransfer(Raft):
-    """The leader tells another to lead, and still counts on nobody else being elected."""
+    """The leader has another call its election, and still holds its lease."""
 
     class _Transfer(LeadershipTransfer):
         def proceed(self) -> None:
@@ -201,7 +201,7 @@
     leadership_transfer_type = _Transfer
 
 
-class ReadsUnconfirmed(Raft):
+class SkipsReadConfirmation(Raft):
     """A leader answers reads because it was one a moment ago."""
 
     class _Reads(ReadIndexQueue):
@@ -213,7 +213,7 @@
     read_index_queue_type = _Reads
 
 
-class ReadsBeforeItsFirstCommit(Raft):
+class ReadsBeforeOwnCommit(Raft):
     """A new leader answers reads from a commit index that an earlier leader was ahead of."""
 
     def commits_own_term(self) -> bool:
@@ -221,7 +221,7 @@
         return True
 
 
-class ChangesAtOnce(Raft):
+class OverlappingChanges(Raft):
     """Members change before the change before is committed, or before the leader committed anything.
 
     Quorums then don't overlap: the flaw found in single-server changes in 2015.
@@ -241,7 +241,7 @@
     membership_type = _Membership
 
 
-class HalfIsEnough(Raft):
+class HalfIsQuorum(Raft):
     """With an even number of voters, half of them elect a leader."""
 
     class _Election(Election):
@@ -254,8 +254,8 @@
     election_type = _Election
 
 
-class StaleAnswersCount(Raft):
-    """An answer from an earlier term is counted for this one."""
+class CountsStaleVotes(Raft):
+    """A vote from an earlier term is counted for this one."""
 
     class _Election(Election):
         def on_request_vote_response(self, now: float, sender: str, response: RequestVoteResponse) -> None:
@@ -267,7 +267,7 @@
     election_type = _Election
 
 
-class AppliesWhatIsNotCommitted(Raft):
+class AppliesUncommitted(Raft):
     """Entries are applied as soon as they are written."""
 
     def take_committed_entries(self) -> list[Entry]:
@@ -278,7 +278,7 @@
         return entries
 
 
-class SnapshotForgetsTheLog(Raft):
+class SnapshotDropsLog(Raft):
     """A restarted member takes its log to begin anew behind its snapshot."""
 
     def __init__(
@@ -296,8 +296,8 @@
             self.stable_index = self.log.last_index
 
 
-class MatchFromTheLength(Raft):
-    """A refusal is taken for an answer: the leader believes what it has sent to be there."""
+class TreatsRejectionAsMatch(Raft):
+    """A rejection counts as success: the leader believes what it has sent to be there."""
 
     class _Replication(Replication):
         def on_append_entries_response(
@@ -343,25 +343,25 @@
 # Some show in no run of this kind that is short enough: random walks of the model explorer come to them, or a
 # test leads there step by step.
 MUTATIONS: dict[type[Raft], Trial] = {
-    TermNotSynced: Trial(SLOW_DISKS),
+    SendsBeforeSync: Trial(SLOW_DISKS),
     VotesTwice: Trial(),
     VotesForStaleLogs: Trial(),
-    CountsItselfTooEarly: Trial(SLOW_DISKS),
-    KeepsConflicts: Trial(),
-    IgnoresWhatComesBefore: Trial(),
-    CommitsBeyondWhatItMatched: Trial(),
-    LeaseWithoutMargin: Trial(PARTITIONS, settings=LARGE_DRIFT),
-    LeaseFromTheAnswer: Trial(DELAYS),
+    CountsUnsyncedEntry: Trial(SLOW_DISKS),
+    KeepsConflictingEntries: Trial(),
+    SkipsConsistencyCheck: Trial(),
+    CommitsUnmatchedEntries: Trial(),
+    LeaseIgnoresDrift: Trial(PARTITIONS, settings=LARGE_DRIFT),
+    LeaseFromResponse: Trial(DELAYS),
     LeaseKeptDuringTransfer: Trial(TRANSFERS),
-    ReadsUnconfirmed: Trial(),
-    ReadsBeforeItsFirstCommit: Trial(),
-    ChangesAtOnce: Trial(MEMBERSHIP_CHANGES),
-    HalfIsEnough: Trial(members=4),
-    AppliesWhatIsNotCommitted: Trial(),
-    SnapshotForgetsTheLog: Trial(),
-    MatchFromTheLength: Trial(),
+    SkipsReadConfirmation: Trial(),
+    ReadsBeforeOwnCommit: Trial(),
+    OverlappingChanges: Trial(MEMBERSHIP_CHANGES),
+    HalfIsQuorum: Trial(members=4),
+    AppliesUncommitted: Trial(),
+    SnapshotDropsLog: Trial(),
+    TreatsRejectionAsMatch: Trial(),
 }
-FOUND_BY_WALKS: tuple[type[Raft], ...] = (VoteNotSynced, StaleAnswersCount, VotesTwice)
+FOUND_BY_WALKS: tuple[type[Raft], ...] = (VoteNotSynced, CountsStaleVotes, VotesTwice)
 
 
 def find(mutation: type[Raft], seeds: range, seconds: float = 20.0) -> Violation | None:
--- a/gradegap/verification/schedule.py
+++ b/gradegap/verification/schedule.py
@@ -8,28 +8,28 @@
 
 
 class Schedule:
-    """A heap of actions and the time that it has come to. A simulation of one cluster derives from it."""
+    """A heap of actions and the time that it has come to; the base of each simulated cluster."""
 
     def __init__(self) -> None:
         self.now = 0.0
         self.counts: Counter[str] = Counter()
         self.heap: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
-        self.serial = 0
+        self.serial = 0  # of actions: those of one moment run in the order in which they were scheduled
 
-    def after(self, wait: float, action: Callable[..., None], *args: object) -> None:
-        """Do this in so many seconds."""
-        self.at(self.now + wait, action, *args)
+    def after(self, delay_s: float, action: Callable[..., None], *arguments: object) -> None:
+        """Schedule an action after `delay_s` of virtual time."""
+        self.at(self.now + delay_s, action, *arguments)
 
-    def at(self, moment: float, action: Callable[..., None], *args: object) -> None:
-        """Do this at that time, after all that is there already for the very same."""
+    def at(self, moment: float, action: Callable[..., None], *arguments: object) -> None:
+        """Schedule an action at a moment, after all that are scheduled for the very same already."""
         self.serial += 1
-        heapq.heappush(self.heap, (moment, self.serial, action, args))
+        heapq.heappush(self.heap, (moment, self.serial, action, arguments))
 
-    def run(self, seconds: float) -> None:
-        """Let so much time pass."""
-        end = self.now + seconds
+    def run(self, duration_s: float) -> None:
+        """Let `duration_s` of virtual time pass."""
+        end = self.now + duration_s
         while self.heap and self.heap[0][0] <= end:
-            self.now, _, action, args = heapq.heappop(self.heap)
-            action(*args)
+            self.now, _, action, arguments = heapq.heappop(self.heap)
+            action(*arguments)
             self.counts["steps"] += 1
         self.now = end
--- a/gradegap/verification/sessions.py
+++ b/gradegap/verification/sessions.py
@@ -9,14 +9,14 @@
 
 The rules, each with the word that a violation begins with:
 
-- `final`: each request that was asked has exactly one final answer, or its client was told why it has none;
+- `final`: each request that was asked has exactly one final answer, or its client was given a reason why not;
 - `order`: a client's answers come in the order of its requests, and none is passed over;
 - `twice`: no request ran twice, at whichever servers;
 - `lost`: what was answered has run, and its answer is the one that running it gave;
 - `sequence`: a session's requests ran in the order that they were asked in, without a gap;
-- `fence`: nothing ran under a life of a session that a later one had taken over from;
-- `life`: each life but the first was given by one node, once, and claimed at the servers at most once, later
-  ones later.
+- `fence`: nothing ran under a generation of a session that a later one had taken over from;
+- `life`: each generation but the first was given by one node, once, and claimed at the servers at most once,
+  later ones later.
 """
 
 from __future__ import annotations
@@ -29,18 +29,18 @@
 
 import msgspec
 
-What = Literal["asked", "answered", "failed", "given", "claimed", "ran"]
+RecordKind = Literal["asked", "answered", "failed", "given", "claimed", "ran"]
 
 
 class Record(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One thing that somebody saw.
+    """One thing that a client, node or server saw.
 
     `asked`, `answered` and `failed` are a client's, with its `who`, the `number` of its request and the
-    `text` asked, answered or told; `given` is a node's: it claimed life `epoch` of `session` for it;
+    `text` asked, answered or failed with; `given` is a node's: it claimed generation `epoch` of `session`;
     `claimed` and `ran` are a server's, the latter with the request's `text` and its `answer`.
     """
 
-    what: What
+    what: RecordKind
     who: str
     number: int = 0
     text: str = ""
@@ -49,109 +49,119 @@
     epoch: int = 0
 
 
-class _Ran(msgspec.Struct):
-    """What is known of one request at the servers."""
+class _Execution(msgspec.Struct):
+    """A request that a server ran."""
 
     record: Record
     times: int = 1
 
 
 def violations(records: Iterable[Record]) -> Iterator[str]:
-    """Each rule that is broken, with what broke it; nothing for logs that keep them."""
+    """Each violation of a rule, with what caused it; nothing for logs that keep them."""
     clients: dict[str, list[Record]] = defaultdict(list)
     given: list[Record] = []
     stored: dict[str, list[Record]] = defaultdict(list)
-    for r in records:
-        match r.what:
+    for record in records:
+        match record.what:
             case "asked" | "answered" | "failed":
-                clients[r.who].append(r)
+                clients[record.who].append(record)
             case "given":
-                given.append(r)
+                given.append(record)
             case "claimed" | "ran":
-                stored[r.session].append(r)
-    ran: dict[str, _Ran] = {}
+                stored[record.session].append(record)
+    ran: dict[str, _Execution] = {}
     for session, seen in stored.items():
-        yield from _at_servers(session, seen, ran)
-    yield from _lives(given, stored)
-    texts: dict[str, str] = {}
+        yield from _check_session(session, seen, ran)
+    yield from _check_generations(given, stored)
+    askers: dict[str, str] = {}  # by text
     for who, seen in clients.items():
-        yield from _at_client(who, seen, ran, texts)
+        yield from _check_client(who, seen, ran, askers)
 
 
-def _at_servers(session: str, seen: list[Record], ran: dict[str, _Ran]) -> Iterator[str]:
+def _check_session(session: str, seen: list[Record], ran: dict[str, _Execution]) -> Iterator[str]:
     """One session's part of the save store's log."""
     epoch = last = 0
-    for r in seen:
-        if r.what == "claimed":
-            if r.epoch <= epoch:
-                yield f"life: {r.who} claimed life {r.epoch} of {session} when {epoch} was in force"
-            epoch = max(epoch, r.epoch)
+    for record in seen:
+        if record.what == "claimed":
+            if record.epoch <= epoch:
+                yield f"life: {record.who} claimed life {record.epoch} of {session} when {epoch} was in force"
+            epoch = max(epoch, record.epoch)
             continue
-        if r.epoch != epoch:
-            yield f"fence: {r.who} ran {r.text!r} under life {r.epoch} of {session}, {epoch} is in force"
-        known = ran.get(r.text)
+        if record.epoch != epoch:
+            yield (
+                f"fence: {record.who} ran {record.text!r} under life {record.epoch} of {session}, "
+                f"{epoch} is in force"
+            )
+        known = ran.get(record.text)
         if known is not None:
             known.times += 1
-            yield f"twice: {r.text!r} ran at {known.record.who} and at {r.who}"
+            yield f"twice: {record.text!r} ran at {known.record.who} and at {record.who}"
             continue
-        ran[r.text] = _Ran(r)
-        if r.number != last + 1:
-            yield f"sequence: request {r.number} of {session} ran after {last}, at {r.who}"
-        last = r.number
-
-
-def _lives(given: list[Record], stored: dict[str, list[Record]]) -> Iterator[str]:
-    """Lives that nodes gave, beside those that servers claimed."""
-    by: dict[tuple[str, int], str] = {}
-    for r in given:
-        life = r.session, r.epoch
-        if life in by:
-            yield f"life: {r.epoch} of {r.session} was given by {by[life]} and by {r.who}"
-        by[life] = r.who
+        ran[record.text] = _Execution(record)
+        if record.number != last + 1:
+            yield f"sequence: request {record.number} of {session} ran after {last}, at {record.who}"
+        last = record.number
+
+
+def _check_generations(given: list[Record], stored: dict[str, list[Record]]) -> Iterator[str]:
+    """Generations that nodes gave, beside those that servers claimed."""
+    givers: dict[tuple[str, int], str] = {}
+    for record in given:
+        generation = record.session, record.epoch
+        if generation in givers:
+            yield (
+                f"life: {record.epoch} of {record.session} was given by {givers[generation]} "
+                f"and by {record.who}"
+            )
+        givers[generation] = record.who
     for session, seen in stored.items():
-        for r in seen:
-            if r.what == "claimed" and r.epoch > 1 and (session, r.epoch) not in by:
-                yield f"life: {r.who} claimed life {r.epoch} of {session}, which no node gave"
+        for record in seen:
+            if record.what == "claimed" and record.epoch > 1 and (session, record.epoch) not in givers:
+                yield f"life: {record.who} claimed life {record.epoch} of {session}, which no node gave"
 
 
-def _at_client(who: str, seen: list[Record], ran: dict[str, _Ran], texts: dict[str, str]) -> Iterator[str]:
+def _check_client(
+    who: str, seen: list[Record], ran: dict[str, _Execution], askers: dict[str, str]
+) -> Iterator[str]:
     """One client's log beside what ran."""
     asked: dict[int, str] = {}
     ended: dict[int, str] = {}
     answered = 0
-    for r in seen:
-        name = f"request {r.number} of {who}"
-        if r.what == "asked":
-            if r.text in texts:
-                raise ValueError(f"{name} and one of {texts[r.text]} have one text, and can't be told apart")
-            texts[r.text] = who
-            asked[r.number] = r.text
+    for record in seen:
+        name = f"request {record.number} of {who}"
+        if record.what == "asked":
+            if record.text in askers:
+                raise ValueError(
+                    f"{name} and one of {askers[record.text]} have one text, and can't be told apart"
+                )
+            askers[record.text] = who
+            asked[record.number] = record.text
             continue
-        if r.number not in asked:
-            yield f"final: {name} was never asked, and was {r.what}"
+        if record.number not in asked:
+            yield f"final: {name} was never asked, and was {record.what}"
             continue
-        if r.number in ended:
-            yield f"final: {name} was {ended[r.number]}, and then {r.what}"
+        if record.number in ended:
+            yield f"final: {name} was {ended[record.number]}, and then {record.what}"
             continue
-        ended[r.number] = r.what
-        if r.what == "failed":
+        ended[record.number] = record.what
+        if record.what == "failed":
             continue
-        if r.number != answered + 1:
+        if record.number != answered + 1:
             yield f"order: {name} was answered after {answered}"
-        answered = max(answered, r.number)
-        found = ran.get(asked[r.number])
-        if found is None:
+        answered = max(answered, record.number)
+        execution = ran.get(asked[record.number])
+        if execution is None:
             yield f"lost: {name} was answered, and ran nowhere"
-        elif found.record.answer != r.text:
-            yield f"lost: {name} was answered {r.text!r}, where it gave {found.record.answer!r}"
-        elif found.record.number != r.number:
-            yield f"sequence: {name} ran as number {found.record.number}"
+        elif execution.record.answer != record.text:
+            yield f"lost: {name} was answered {record.text!r}, where it gave {execution.record.answer!r}"
+        elif execution.record.number != record.number:
+            yield f"sequence: {name} ran as number {execution.record.number}"
     for number in asked.keys() - ended.keys():
         yield f"final: request {number} of {who} has no answer"
 
 
 def from_node(name: str, log: str) -> Iterator[Record]:
-    """The lives that a node's log says it gave."""
+    """The generations that a node's log says it gave."""
     for line in log.splitlines():
         if 'event="life of a session given"' in line:
             fields = dict(part.split("=", 1) for part in line.split() if "=" in part)
--- a/tests/compatibility/present.py
+++ b/tests/compatibility/present.py
@@ -217,7 +217,7 @@
         in_force.InForceVerdict,  # its answer's map is written by hand
         selection.MachineAddress,  # made from the operator's file
         checked_sessions.Record,  # of the model checker's save store
-        checked_sessions._Ran,
+        checked_sessions._Execution,
         operator_file.OperatorSettings,
         quic_settings.QuicSettings,
         store_settings.StoreSettings,
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -41,7 +41,7 @@
     FOUND_BY_WALKS,
     MUTATIONS,
     CommitsEarlierTerms,
-    PromiseForgottenAtRestart,
+    ForgetsPromiseAtRestart,
     find,
 )
 from gradegap.verification.simulator import Simulation
@@ -177,7 +177,7 @@
         restarted_within_a_promise(Raft, seed)
     with pytest.raises(InvariantError, match="^lease"):
         for seed in range(40):
-            restarted_within_a_promise(PromiseForgottenAtRestart, seed)
+            restarted_within_a_promise(ForgetsPromiseAtRestart, seed)
 
 
 def lone(**settings: float) -> Raft:
