--- a/gradegap/hot_restart/session_transfer.py
+++ b/gradegap/hot_restart/session_transfer.py
@@ -13,7 +13,7 @@
 from gradegap.hot_restart.host import Host
 from gradegap.hot_restart.link import Link
 from gradegap.hot_restart.messages import EstablishedSession, IdleSession
-from gradegap.proxy.request import Request
+from gradegap.proxy.request import Request, RequestState
 from gradegap.upstream.connections import Fetch
 
 MAX_SESSIONS_IN_FLIGHT = 8  # sent and not answered: their descriptors are held twice
@@ -62,7 +62,7 @@
         request = channel.session.req
         if request is None or request.attempt is None or connection.transport is None:
             return False
-        if not request.established or request.migrated or channel.session.moving:
+        if request.state is not RequestState.ESTABLISHED or channel.session.moving:
             return False
         return connection.at_rest() and request.attempt.endpoint.phase is EndpointPhase.READY
 
--- a/gradegap/proxy/adoption.py
+++ b/gradegap/proxy/adoption.py
@@ -9,7 +9,14 @@
 from gradegap.balancing.events import AttemptEnded, AttemptResult, ConnectionInherited, EndpointPhase
 from gradegap.proxy.context import ProxyContext
 from gradegap.proxy.endpoints import Endpoints
-from gradegap.proxy.request import Attempt, ConnectionRequest, Request, RequestHandlers, SessionPort
+from gradegap.proxy.request import (
+    Attempt,
+    ConnectionRequest,
+    Request,
+    RequestHandlers,
+    RequestState,
+    SessionPort,
+)
 from gradegap.proxy.requests import RequestTable
 
 
@@ -36,7 +43,7 @@
             return None
         now = self.context.now()
         request = Request(
-            handlers, self.requests.next_id, asked, session, now, established=True, answered=True
+            handlers, self.requests.next_id, asked, session, now, state=RequestState.ESTABLISHED
         )
         request.last_response_at = min(last_response_at, now)
         request.unanswered_since = unanswered_since
@@ -53,7 +60,7 @@
             return
         attempt.active = False
         request.attempt = None
-        request.established = False
+        request.transition(RequestState.ENDED)
         self.requests.drop(request)
         elapsed = self.context.now() - attempt.started_at
         self.context.feed(
--- a/gradegap/proxy/attempts.py
+++ b/gradegap/proxy/attempts.py
@@ -16,7 +16,7 @@
 from gradegap.proxy.context import ProxyContext
 from gradegap.proxy.endpoint import Endpoint
 from gradegap.proxy.endpoints import Endpoints
-from gradegap.proxy.request import Attempt, Report, Request
+from gradegap.proxy.request import Answer, Attempt, Report, Request, RequestState
 from gradegap.proxy.requests import RequestTable
 
 ANSWER_MARGIN_S = 0.008  # before a deadline, by which the last attempt ends, so that the answer is in time
@@ -40,7 +40,7 @@
         """Begin an attempt that the balancer decided on."""
         request = self.requests.by_id.get(action.request_id)
         endpoint = self.endpoints.by_id.get(action.endpoint)
-        if request is None or request.answered or request.attempt is not None or request.established:
+        if request is None or not request.pending or request.attempt is not None:
             self.context.metrics.count("moot")
             return
         timeout = min(action.timeout, self.time_limit(request))
@@ -132,8 +132,7 @@
         request = attempt.request
         if attempt.timer is not None:
             attempt.timer.cancel()
-        self.requests.answer(request, "served")
-        request.established = True
+        self.requests.answer(request, Answer.SERVED)
         request.last_response_at = self.context.now()
         request.session.on_established()
         if request.connection_request.inherited_from:
@@ -153,12 +152,14 @@
         request = attempt.request
         request.attempt = None
         self.context.metrics.count(f"{'ended' if request.established else 'fetch'}_{result.name.lower()}")
-        if request.established and not request.migrated:
+        if request.state is RequestState.ESTABLISHED:
             request.session.on_endpoint_closed()
-        if request.connection_request.inherited_from and not request.established:
+        if request.established:
+            request.transition(RequestState.ENDED)
+        elif request.connection_request.inherited_from:
             self.on_inherited_ended(request, result)
             return
-        settled = request.answered
+        settled = not request.pending
         elapsed = self.context.now() - attempt.started_at
         if settled:
             self.requests.drop(request)
--- a/gradegap/proxy/inherited.py
+++ b/gradegap/proxy/inherited.py
@@ -30,7 +30,7 @@
     def connect(self, request: Request) -> None:
         """Connect to the endpoint that holds the connection, or fail the request."""
         endpoint = self.endpoints.by_id.get(request.connection_request.inherited_from)
-        if request.answered or request.id not in self.requests.by_id:
+        if not request.pending or request.id not in self.requests.by_id:
             return
         timeout = self.attempts.time_limit(request)
         if endpoint is None or not self._is_reachable(endpoint) or timeout <= 0:
@@ -41,7 +41,7 @@
 
     def on_attempt_ended(self, request: Request, result: AttemptResult) -> None:
         """An attempt ended without a connection: try again if nothing can have run, while there is time."""
-        if request.answered:
+        if not request.pending:
             self.requests.drop(request)
         elif result in NEVER_RAN and request.deadline - self.context.now() > 2 * INHERIT_RETRY_PAUSE_S:
             self.context.loop.call_later(INHERIT_RETRY_PAUSE_S, self.connect, request)
--- a/gradegap/proxy/lifecycle.py
+++ b/gradegap/proxy/lifecycle.py
@@ -11,7 +11,13 @@
 from gradegap.proxy.attempts import Attempts
 from gradegap.proxy.context import ProxyContext
 from gradegap.proxy.inherited import InheritedConnections
-from gradegap.proxy.request import ConnectionRequest, Request, RequestHandlers, SessionPort
+from gradegap.proxy.request import (
+    ConnectionRequest,
+    Request,
+    RequestHandlers,
+    RequestState,
+    SessionPort,
+)
 from gradegap.proxy.requests import RequestTable
 
 
@@ -50,9 +56,9 @@
             if attempt is not None:
                 self.attempts.cancel(attempt)
             return
-        if request.answered:
+        if not request.pending:
             return
-        request.answered = True
+        request.transition(RequestState.ENDED)
         self.context.metrics.count("client_gone")
         request.cancel_deadline()
         self._feed_disconnect(request)
@@ -63,11 +69,11 @@
 
     def on_deadline(self, request: Request) -> None:
         """Its time is up: end its attempt, and answer for the balancer if that does not."""
-        if request.answered or request.established:
+        if not request.pending:
             return
         if request.attempt is not None:
             self.attempts.time_out(request.attempt)
-        if not request.answered:
+        if request.pending:
             self.context.metrics.count("overdue")
             self.requests.fail(request)
             self._feed_disconnect(request)
@@ -81,14 +87,14 @@
     def reject(self, action: Reject) -> None:
         """Carry out the balancer's answer."""
         request = self.requests.by_id.get(action.request_id)
-        if request is not None and not request.answered:
+        if request is not None and request.pending:
             self.requests.reject(request, action.retry_after)
             self._finish(request)
 
     def fail(self, action: Fail) -> None:
         """Carry out the balancer's answer."""
         request = self.requests.by_id.get(action.request_id)
-        if request is not None and not request.answered:
+        if request is not None and request.pending:
             self.requests.fail(request)
             self._finish(request)
 
@@ -108,8 +114,8 @@
     def migrate(self, request: Request) -> None:
         """End an established connection politely: its session tells the client between two lines."""
         attempt = request.attempt
-        if request.established and not request.migrated and attempt is not None:
-            request.migrated = True
+        if request.state is RequestState.ESTABLISHED and attempt is not None:
+            request.transition(RequestState.MIGRATING)
             self.context.metrics.count("moved")
             request.session.migrate()
             self.context.loop.call_soon(attempt.on_ended, AttemptResult.CANCELLED)
@@ -126,5 +132,5 @@
         between SIGTERM and SIGKILL.
         """
         for request in list(self.requests.by_id.values()):
-            if not request.established and not request.answered:
+            if request.pending:
                 self.on_deadline(request)
--- a/gradegap/proxy/observations.py
+++ b/gradegap/proxy/observations.py
@@ -6,7 +6,7 @@
 from gradegap.balancing.settings import Settings
 from gradegap.proxy.context import ProxyContext
 from gradegap.proxy.endpoint import Endpoint
-from gradegap.proxy.request import Attempt, Request
+from gradegap.proxy.request import Attempt, Request, RequestState
 
 SLOW_MESSAGE_REPORT_PAUSE_S = 1.0  # between two slow messages of one endpoint that the balancer learns of
 DEFAULT_MESSAGE_LATENCY_OBJECTIVE_S = 0.15  # where no class has one
@@ -56,5 +56,5 @@
     def _observe(
         self, request: Request, endpoint: Endpoint, load: float | None = None, delay: float | None = None
     ) -> None:
-        if request.established and not request.migrated:
+        if request.state is RequestState.ESTABLISHED:
             self.context.feed(ConnectionObserved(request.id, endpoint.id, load, delay))
--- a/gradegap/proxy/request.py
+++ b/gradegap/proxy/request.py
@@ -10,6 +10,7 @@
 import math
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
+from enum import Enum
 from typing import Protocol
 
 import msgspec
@@ -72,6 +73,35 @@
         """Close the connection; nothing more is reported of it."""
 
 
+class RequestStateError(RuntimeError):
+    """A transition that no event can bring: a fault of the proxy."""
+
+
+class RequestState(Enum):
+    """Where a request is between its first line and the end of its connection."""
+
+    PENDING = "pending"  # has no final answer yet
+    ESTABLISHED = "established"  # answered: an endpoint confirmed its connection
+    MIGRATING = "migrating"  # established, and its client is being told to come again
+    ENDED = "ended"  # rejected, failed or disconnected, or its connection has ended
+
+
+TRANSITIONS: dict[RequestState, frozenset[RequestState]] = {
+    RequestState.PENDING: frozenset({RequestState.ESTABLISHED, RequestState.ENDED}),
+    RequestState.ESTABLISHED: frozenset({RequestState.MIGRATING, RequestState.ENDED}),
+    RequestState.MIGRATING: frozenset({RequestState.ENDED}),
+    RequestState.ENDED: frozenset(),
+}
+
+
+class Answer(Enum):
+    """The final answer of a request; its value names the counter."""
+
+    SERVED = "served"
+    REJECTED = "refused"
+    FAILED = "failed"
+
+
 @dataclass(slots=True, frozen=True)
 class RequestHandlers:
     """Where the proxy handles what is reported of requests and attempts."""
@@ -98,13 +128,27 @@
     max_attempts: int = 1  # like the deadline, by the settings that it came under
     attempt_count: int = 0
     attempt: Attempt | None = None  # the one attempt under way, or the one that is established
-    established: bool = False
-    answered: bool = False
-    migrated: bool = False
+    state: RequestState = RequestState.PENDING
     deadline_timer: asyncio.TimerHandle | None = None
     last_response_at: float = 0.0  # established: when the endpoint last sent something
     unanswered_since: float | None = None  # established: the client's oldest line with nothing back
 
+    @property
+    def pending(self) -> bool:
+        """Whether it waits for its final answer."""
+        return self.state is RequestState.PENDING
+
+    @property
+    def established(self) -> bool:
+        """Whether its connection goes to an endpoint."""
+        return self.state is RequestState.ESTABLISHED or self.state is RequestState.MIGRATING
+
+    def transition(self, state: RequestState) -> None:
+        """Enter a state; raises `RequestStateError` where that can't follow on the one before."""
+        if state not in TRANSITIONS[self.state]:
+            raise RequestStateError(f"request {self.id}: {self.state.value} can't become {state.value}")
+        self.state = state
+
     def arrival(self) -> RequestArrived:
         """The request as an event of the balancer."""
         asked = self.connection_request
--- a/gradegap/proxy/requests.py
+++ b/gradegap/proxy/requests.py
@@ -10,10 +10,12 @@
 
 from gradegap.proxy.context import ProxyContext
 from gradegap.proxy.request import (
+    Answer,
     ConnectionRequest,
     InvalidRequestError,
     Request,
     RequestHandlers,
+    RequestState,
     SessionPort,
 )
 
@@ -58,20 +60,21 @@
         if request.connection_request.id:
             self.connection_ids.add(request.connection_request.id)
 
-    def answer(self, request: Request, kind: str) -> None:
-        """The final answer is being given; `kind` names its counter."""
-        request.answered = True
+    def answer(self, request: Request, answer: Answer) -> None:
+        """The final answer is being given."""
+        served = answer is Answer.SERVED
+        request.transition(RequestState.ESTABLISHED if served else RequestState.ENDED)
         request.cancel_deadline()
-        self.context.metrics.count(f"answered_{kind}")
+        self.context.metrics.count(f"answered_{answer.value}")
 
     def reject(self, request: Request, retry_after: float) -> None:
         """Answer that nothing was done, and when to come again, in s."""
-        self.answer(request, "refused")
+        self.answer(request, Answer.REJECTED)
         request.session.reject(retry_after)
 
     def fail(self, request: Request) -> None:
         """Answer that promises nothing."""
-        self.answer(request, "failed")
+        self.answer(request, Answer.FAILED)
         request.session.fail()
 
     def reject_if_gated(self, request: Request) -> bool:
--- a/gradegap/proxy/unresponsive.py
+++ b/gradegap/proxy/unresponsive.py
@@ -39,9 +39,9 @@
         for request in list(self.requests.by_id.values()):
             # No function of its own: this runs for each connection of the node, twice a second.
             if (
-                request.established
-                and request.unanswered_since is not None
+                request.unanswered_since is not None
                 and now - request.last_response_at > UNRESPONSIVE_AFTER_S
+                and request.established
             ):
                 self.context.metrics.count("silent")
                 self.lifecycle.migrate(request)
