--- a/gradegap/observer/attached.py
+++ b/gradegap/observer/attached.py
@@ -8,12 +8,11 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
 from http import HTTPStatus
 
 import structlog
 
-from gradegap.admin.operations import DONE, AdminResult, ResultCallback
+from gradegap.admin.operations import AdminResult, ResultCallback
 from gradegap.metrics import Metrics
 from gradegap.observer.client import ObserverClient
 from gradegap.observer.messages import Change
@@ -27,7 +26,8 @@
     CommittedState,
 )
 from gradegap.store.dynamic_configuration import DynamicConfiguration
-from gradegap.store.records import Item, KeyUpdate
+from gradegap.store.endpoint_operations import EndpointOperations, report_lease_change
+from gradegap.store.records import Item
 
 log = structlog.get_logger()
 
@@ -59,19 +59,6 @@
             self.items[change.key] = Item(change.key, change.value, change.revision, change.revision)
 
 
-class Requests:
-    """Requests to the store with the signature of a member's service."""
-
-    def __init__(self, client: ObserverClient) -> None:
-        self.client = client
-
-    def request(
-        self, wish: wire.RequestBody, done: Callable[[wire.Response], None], left: float = 5.0
-    ) -> None:
-        """`done` with one answer."""
-        self.client.request(wish, done, left)
-
-
 class ObservedStore:
     """One node's subscription, with the surface of `gradegap.store.embedded.EmbeddedStore`."""
 
@@ -83,12 +70,15 @@
         metrics: Metrics,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        """`settings.name` is set. `BadOperatorFile` where the secret can't be read."""
+        """`settings.name` is set. `OperatorFileError` where the secret can't be read."""
         self.settings, self.proxy, self.live, self.metrics = settings, proxy, live, metrics
         self.committed = CommittedState(proxy, live)
         self.machine = Replica()
         self.client = ObserverClient(settings, loop, metrics, self._apply, self._lease_changed)
-        self.service = Requests(self.client)
+        self.service = self.client.requests
+        self.operations = EndpointOperations(
+            self.committed, settings.name, self.client.request, self._describe_remedy
+        )
         self.synced = False
         metrics.gauge("store_fresh", lambda: int(self.fresh()))
         metrics.gauge("observer_revision", lambda: self.client.revision)
@@ -118,15 +108,12 @@
         return self.client.fresh()
 
     def _lease_changed(self, fresh: bool) -> None:
-        self.metrics.count("store_fresh_again" if fresh else "store_stale")
-        known = {"revision": self.client.revision, "age_ms": self._age_ms()}
         if fresh and not self.synced:
             self._forget_all_but(set(self.machine.items))  # a store without keys has nothing to send
+        fields: dict[str, object] = {"revision": self.client.revision, "age_ms": self._age_ms()}
         if fresh:
-            log.info("decides by committed state", machine=self.client.machine, **known)
-        else:
-            what = "refuses new reqs" if self.settings.when_stale == "refuse" else "goes on as it is"
-            log.warning("holds no lease of the store", what=what, **known)
+            fields["machine"] = self.client.machine
+        report_lease_change(self.metrics, fresh, self.settings.when_stale, **fields)
 
     # What it decides by
 
@@ -161,21 +148,14 @@
 
     def disable_endpoint(self, server: str, done: ResultCallback) -> None:
         """Yes, once it is committed and no node decides without it."""
-        self._write(self.committed.out_by_hand(server, self.settings.name), done)
+        self.operations.disable(server, done)
 
     def enable_endpoint(self, server: str, done: ResultCallback) -> None:
         """Yes, once it is committed and in force at every node that decides."""
-        self._write(self.committed.back_by_hand(server), done)
-
-    def _write(self, op: KeyUpdate, done: ResultCallback) -> None:
-        def answered(answer: wire.Response) -> None:
-            if answer.outcome == "ok":
-                done(DONE)
-            else:
-                remedy = "" if self.fresh() else f"; {REMEDY}"
-                done(AdminResult(HTTPStatus.SERVICE_UNAVAILABLE, f"{answer.text}{remedy}"))
+        self.operations.enable(server, done)
 
-        self.client.request(wire.Transaction((op,), author="console"), answered, ADMIN_CALL_TIMEOUT_S)
+    def _describe_remedy(self) -> str:
+        return "" if self.fresh() else f"; {REMEDY}"
 
     def describe(self) -> AdminResult:
         """Which revision is in force here, how old that is, and who serves it, for the console."""
--- a/gradegap/store/embedded.py
+++ b/gradegap/store/embedded.py
@@ -10,28 +10,27 @@
 import asyncio
 import time
 from collections.abc import Callable
-from http import HTTPStatus
 from pathlib import Path
 
 import structlog
 
-from gradegap.admin.operations import DONE, AdminResult, ResultCallback
+from gradegap.admin.operations import ResultCallback
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
 from gradegap.store import wire
 from gradegap.store.committed_state import (
-    ADMIN_CALL_TIMEOUT_S,
     CONFIGURATION_PREFIX,
     DISABLED_PREFIX,
     CommittedState,
 )
 from gradegap.store.dynamic_configuration import DynamicConfiguration
+from gradegap.store.endpoint_operations import EndpointOperations, report_lease_change
 from gradegap.store.errors import FolderError
 from gradegap.store.gossip import GOSSIP_PERIOD_S, GossipExchange
 from gradegap.store.links import Link
 from gradegap.store.machine import StateMachine
 from gradegap.store.member import StoreMember
-from gradegap.store.records import Event, KeyUpdate
+from gradegap.store.records import Event
 from gradegap.store.service import RequestService
 from gradegap.store.settings import StoreSettings
 from gradegap.store.subscriptions import SubscriptionServerFactory
@@ -67,6 +66,7 @@
             self._failed,
             make_subscription_server=make_subscription_server,
         )
+        self.operations = EndpointOperations(self.committed, settings.name, self.daemon.service.request)
         self.daemon.want_lease = True
         self.daemon.lease_changed = self._look
         self.daemon.gossiped = self._gossiped
@@ -108,12 +108,7 @@
             self._take_over_all()
         if fresh != self.was_fresh:
             self.was_fresh = fresh
-            self.metrics.count("store_fresh_again" if fresh else "store_stale")
-            if fresh:
-                log.info("decides by committed state")
-            else:
-                what = "refuses new reqs" if self.settings.when_stale == "refuse" else "goes on as it is"
-                log.warning("holds no lease of the store", what=what)
+            report_lease_change(self.metrics, fresh, self.settings.when_stale)
 
     def _failed(self, error: FolderError) -> None:
         # The lease runs out, and the node refuses; its clients stay.
@@ -140,19 +135,11 @@
 
     def disable_endpoint(self, server: str, done: ResultCallback) -> None:
         """Yes, once it is committed and every node with a lease obeys it."""
-        self._write(self.committed.out_by_hand(server, self.settings.name), done)
+        self.operations.disable(server, done)
 
     def enable_endpoint(self, server: str, done: ResultCallback) -> None:
-        self._write(self.committed.back_by_hand(server), done)
-
-    def _write(self, op: KeyUpdate, done: ResultCallback) -> None:
-        def answered(answer: wire.Response) -> None:
-            if answer.outcome == "ok":
-                done(DONE)
-            else:
-                done(AdminResult(HTTPStatus.SERVICE_UNAVAILABLE, answer.text))
-
-        self.daemon.service.request(wire.Transaction((op,), author="console"), answered, ADMIN_CALL_TIMEOUT_S)
+        """Yes, once it is committed and every node with a lease obeys it."""
+        self.operations.enable(server, done)
 
     # What nodes tell each other
 
