--- a/gradegap/capture/comparison.py
+++ b/gradegap/capture/comparison.py
@@ -1,4 +1,4 @@
-"""Two recordings of the same events, held against each other step by step. No I/O."""
+"""Two recordings of the same events, compared step by step. No I/O."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 @dataclass(slots=True)
 class Comparison:
-    """Two captures of the same events, step by step."""
+    """What came of it."""
 
     steps: int = 0
     gaps: list[str] = field(default_factory=list)
     first: tuple[Step, Step] | None = None  # the first two that differ
-    event: bool = False  # what was told differs already, and not only what was done
+    events_differ: bool = False  # not only the actions of these two
 
 
 def compare(one: Iterable[Item], other: Iterable[Item]) -> Comparison:
-    """Steps of both that bear one number; what only one has is passed over."""
+    """Compare steps of both that bear one number; what only one has is passed over."""
     found = Comparison()
 
     def steps(source: Iterable[Item]) -> Iterator[Step]:
@@ -33,15 +33,15 @@
     left, right = steps(one), steps(other)
     a, b = next(left, None), next(right, None)
     while a is not None and b is not None:
-        if a.seq < b.seq:
+        if a.number < b.number:
             a = next(left, None)
             continue
-        if b.seq < a.seq:
+        if b.number < a.number:
             b = next(right, None)
             continue
         found.steps += 1
-        found.event = a.at != b.at or encoded([a.event]) != encoded([b.event])
-        if found.event or encoded(a.actions) != encoded(b.actions):
+        found.events_differ = a.at != b.at or encoded([a.event]) != encoded([b.event])
+        if found.events_differ or encoded(a.actions) != encoded(b.actions):
             found.first = a, b
             break
         a, b = next(left, None), next(right, None)
--- a/gradegap/capture/explain.py
+++ b/gradegap/capture/explain.py
@@ -26,18 +26,17 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Iterator
-from enum import Enum
 from types import ModuleType
 from typing import Any
 
 from gradegap.balancing.actions import LogMessage
 from gradegap.capture import records
+from gradegap.capture.description import in_one_line
 from gradegap.capture.recording import Gap, Item, SettingsChange, State, Step
 from gradegap.capture.replay import begin
 from gradegap.capture.schema import BALANCER, ENDPOINT, REQUEST
 
 OBSERVED_STEPS = ("_draw", "_pick", "_decide", "_has_room", "beta", "_send", "_wait", "_give_up")
-LINE_LENGTH = 400  # characters of an event or action that are shown
 
 
 def _observed_class(module: ModuleType, note: Callable[[str, tuple[Any, ...], Any], None]) -> type:
@@ -163,14 +162,3 @@
         request_id = getattr(action, "request_id", observation.request_id)
         if request_id == observation.request_id and not isinstance(action, LogMessage):
             yield f"             -> {in_one_line(action)}"
-
-
-def in_one_line(value: Any) -> str:
-    """An event or action by its stored name, with its fields as far as they say something."""
-
-    def shown(v: Any) -> Any:
-        return v.name.lower() if isinstance(v, Enum) else round(v, 4) if isinstance(v, float) else v
-
-    fields = zip(value._fields, value, strict=True)
-    parts = [f"{name}={shown(v)}" for name, v in fields if v not in (None, "", False)]
-    return f"{records.stored_name(value)} {' '.join(parts)}"[:LINE_LENGTH]
--- a/gradegap/capture/recording.py
+++ b/gradegap/capture/recording.py
@@ -11,6 +11,7 @@
 from pathlib import Path
 from typing import Any
 
+from gradegap.balancing.settings import Settings
 from gradegap.capture import frames, records
 from gradegap.capture.errors import BadRecordError, BadRecordingError
 from gradegap.capture.frames import Damage, Frame, FrameKind
@@ -18,30 +19,30 @@
 
 @dataclass(slots=True, frozen=True)
 class Step:
-    """One event with what was done, as recorded."""
+    """One event with the actions that answered it."""
 
-    seq: int
-    at: float
+    number: int
+    at: float  # clock, s
     event: Any
     actions: list[Any]
 
 
 @dataclass(slots=True, frozen=True)
 class SettingsChange:
-    """New settings that the module was given."""
+    """New settings that the balancer was given."""
 
-    seq: int
-    at: float
-    settings: Any
+    number: int
+    at: float  # clock, s
+    settings: Settings
 
 
 @dataclass(slots=True, frozen=True)
 class State:
-    """The module's state, and the start that it belongs to."""
+    """The balancer's state before the step of that number, and the start that it belongs to."""
 
-    seq: int
-    at: float
-    held: Any
+    number: int
+    at: float  # clock, s
+    stored: Any  # as `gradegap.capture.state` has it
     start: dict[str, Any]
 
 
@@ -55,8 +56,16 @@
 Item = Step | SettingsChange | State | Gap
 
 
+def read_file(path: str) -> bytes:
+    """A file's bytes; `BadRecordingError` where they can't be had."""
+    try:
+        return Path(path).read_bytes()
+    except OSError as error:
+        raise BadRecordingError(f"{path} can't be read: {error.strerror}") from None
+
+
 def read(data: bytes) -> Iterator[Item]:
-    """All that a file says, in order. `BadRecordingError` where it is none."""
+    """All that a file says, in order; `BadRecordingError` where it is no recording."""
     reader = _Reader()
     for frame in frames.read(data):
         if isinstance(frame, Damage):
@@ -72,11 +81,11 @@
     """Goes through a file's frames, and sees where one is missing."""
 
     def __init__(self) -> None:
-        self.start: dict[str, Any] | None = None
-        self.following = -1  # number of the step that comes next; -1: unknown, until the next state
+        self._start: dict[str, Any] | None = None
+        self._next_number: int | None = None  # of the step that follows; None until the next state
 
     def gap(self, reason: str) -> Gap:
-        self.following = -1
+        self._next_number = None
         return Gap(reason)
 
     def read(self, frame: Frame) -> Iterator[Item]:
@@ -84,10 +93,10 @@
             case FrameKind.START:
                 self._begin(frame.body)
             case FrameKind.STATE:
-                if self.start is None:
+                if self._start is None:
                     raise BadRecordError("a state without a start")
-                self.following = frame.first_number
-                yield State(frame.first_number, frame.first_at, frame.body, self.start)
+                self._next_number = frame.first_number
+                yield State(frame.first_number, frame.first_at, frame.body, self._start)
             case FrameKind.GAP:
                 yield self.gap(f"{frame.record_count} steps were dropped, from {frame.first_number} on")
             case FrameKind.STEPS:
@@ -96,35 +105,27 @@
     def _begin(self, body: Any) -> None:
         if not isinstance(body, dict) or not isinstance(body.get("settings"), dict):
             raise BadRecordError("a start without settings")
-        self.start = body
+        self._start = body
         records.settings(body["settings"])
 
     def _steps(self, frame: Frame) -> Iterator[Item]:
-        if self.following >= 0 and frame.first_number != self.following:
-            yield Gap(f"steps {self.following} to {frame.first_number - 1} are not there")
-        for step in _steps(frame):
-            if isinstance(step, SettingsChange) and self.start is not None:
-                self.start = self.start | {"settings": records.plain_settings(step.settings)}
+        if self._next_number is not None and frame.first_number != self._next_number:
+            yield Gap(f"steps {self._next_number} to {frame.first_number - 1} are not there")
+        for step in _rows(frame.body):
+            if isinstance(step, SettingsChange) and self._start is not None:
+                self._start = self._start | {"settings": records.plain_settings(step.settings)}
             yield step
-        self.following = frame.first_number + frame.record_count
+        self._next_number = frame.first_number + frame.record_count
 
 
-def _steps(frame: Frame) -> Iterator[Step | SettingsChange]:
-    if not isinstance(frame.body, list):
+def _rows(body: Any) -> Iterator[Step | SettingsChange]:
+    if not isinstance(body, list):
         raise BadRecordError("steps that are no list")
-    for row in frame.body:
+    for row in body:
         match row:
-            case ["s", int(seq), float(at), list(event), list(actions)]:
-                yield Step(seq, at, records.event(event), [records.action(a) for a in actions])
-            case ["a", int(seq), float(at), dict(raw)]:
-                yield SettingsChange(seq, at, records.settings(raw))
+            case ["s", int(number), float(at), list(event), list(actions)]:
+                yield Step(number, at, records.event(event), [records.action(a) for a in actions])
+            case ["a", int(number), float(at), dict(raw)]:
+                yield SettingsChange(number, at, records.settings(raw))
             case _:
                 raise BadRecordError("a step of no kind")
-
-
-def read_file(path: str) -> bytes:
-    """A file's bytes; `BadRecordingError` where they can't be had."""
-    try:
-        return Path(path).read_bytes()
-    except OSError as error:
-        raise BadRecordingError(f"{path} can't be read: {error.strerror}") from None
--- a/gradegap/capture/replay.py
+++ b/gradegap/capture/replay.py
@@ -1,7 +1,7 @@
 """The same decisions again: a recording's events, under its clock, fed to a module. No I/O.
 
-A replay begins at a state, goes through every later one and holds its own against it, and stops being
-evidence where the record has a gap, until the next state.
+A replay begins at a state, compares its own with every later one, and proves nothing from a gap of the
+recording up to the next state.
 """
 
 from __future__ import annotations
@@ -16,29 +16,16 @@
 import msgspec
 
 from gradegap import VERSION
+from gradegap.balancing.actions import Action
+from gradegap.balancing.events import Event
 from gradegap.capture import decision_module, records, state
+from gradegap.capture.description import state_behind
 from gradegap.capture.errors import BadStateError, DecisionVersion, LaterStateError, OtherAlgorithmError
 from gradegap.capture.recording import Gap, Item, SettingsChange, State, Step
-from gradegap.capture.schema import BALANCER, ENDPOINT, REQUEST
 
-LAST = 8  # events told of in front of a difference
-RECENT = 2000  # events among which these are looked for
-
-
-def begin(module: ModuleType, recorded: State) -> Any:
-    """A `Balancer` of the module in a recorded state.
-
-    Raises `BadStateError` where they don't fit; its subclasses say which versions are at odds.
-    """
-    settings = records.settings(recorded.start["settings"])
-    try:
-        return state.load(module, recorded.held, settings)
-    except OtherAlgorithmError as error:
-        recorder = DecisionVersion(
-            str(recorded.start.get("version", "unknown")), str(recorded.start.get("policy", "unknown"))
-        )
-        present = DecisionVersion(VERSION, decision_module.digest_of(module))
-        raise OtherAlgorithmError(error.kind, error.fields, recorder, present) from None
+PRECEDING_SHOWN = 8  # steps in front of a difference that touched the same endpoints and requests
+STEPS_KEPT = 2000  # among which these are looked for
+DIGEST_BYTES = 16
 
 
 @dataclass(slots=True)
@@ -46,9 +33,9 @@
     """The first decision that is not the recorded one."""
 
     step: Step
-    did: list[Any]
-    before: list[Step]  # the last events that touched what it is about
-    about: list[str]  # the state behind it, in words
+    actions: list[Action]  # the module's, in place of the step's
+    preceding: list[Step]  # the last steps about the same endpoints and requests
+    state: list[str]  # that is behind the decision, in words
 
 
 @dataclass(slots=True)
@@ -56,61 +43,45 @@
     """What came of a replay."""
 
     steps: int = 0
-    states: int = 0  # that the replay's own was held against
+    states: int = 0  # that the replay's own was compared with
     gaps: list[str] = field(default_factory=list)
-    digest: str = ""  # of all actions
+    digest: str = ""  # of all actions, in hexadecimal
     difference: Difference | None = None
     state_differs: str = ""
 
 
-def encoded(actions: Iterable[Any]) -> bytes:
+def begin(module: ModuleType, recorded: State) -> Any:
+    """A `Balancer` of the module in a recorded state.
+
+    Raises `BadStateError` where they don't fit; its subclasses say which versions are at odds.
+    """
+    settings = records.settings(recorded.start["settings"])
+    try:
+        return state.load(module, recorded.stored, settings)
+    except OtherAlgorithmError as error:
+        recorder = DecisionVersion(
+            str(recorded.start.get("version", "unknown")), str(recorded.start.get("policy", "unknown"))
+        )
+        present = DecisionVersion(VERSION, decision_module.digest_of(module))
+        raise OtherAlgorithmError(error.kind, error.fields, recorder, present) from None
+
+
+def encoded(values: Iterable[Event | Action]) -> bytes:
     """Exact, so that floats and what is no number compare."""
-    return msgspec.msgpack.encode([records.plain(a) for a in actions])
-
-
-def about(balancer: Any, now: float, actions: Iterable[Any]) -> list[str]:
-    """The state behind decisions, in words: the endpoints and requests that they name."""
-    lines = []
-    endpoints, requests = BALANCER.get(balancer, "endpoints"), BALANCER.get(balancer, "requests")
-    for name in sorted({n for a in actions for n in records.names(a)}, key=str):
-        if name in endpoints:
-            lines.append(_endpoint_line(endpoints[name], now))
-        if name in requests:
-            lines.append(_request_line(requests[name], now))
-    ready = len(BALANCER.get(balancer, "ready_endpoints"))
-    rate = BALANCER.owner(balancer, "established_rate.slow").get(now)
-    lines.append(f"{ready} ready, {rate:.2f} connections a second stood up here")
-    return lines
-
-
-def _endpoint_line(endpoint: Any, now: float) -> str:
-    held = {stored: ENDPOINT.get(endpoint, stored) for stored in ENDPOINT.fields}
-    load = "unknown" if held["load"] is None else round(held["load"], 4)
-    seen_at = held["report_changed_at"]
-    age = f", seen {now - seen_at:.3f} s ago" if seen_at > 0 else ""
-    return (
-        f"{held['name']}: {held['phase'].name.lower()}, load {load}{age}, {len(held['connections'])} held, "
-        f"{held['consecutive_failures']} failed in a row, {held['unanswered_probes']} silent"
-    )
-
-
-def _request_line(request: Any, now: float) -> str:
-    held = {stored: REQUEST.get(request, stored) for stored in REQUEST.fields}
-    pair = " and ".join(ENDPOINT.get(each, "name") for each in held["candidates"] or ()) or "none"
-    left = held["deadline_at"] - now
-    return (
-        f"req {held['id']}: {held['class'].name}, {held['attempts']} attempts, {left:.3f} s left, "
-        f"pair {pair}, {held['redraws']} redraws"
-    )
+    return msgspec.msgpack.encode([records.plain(value) for value in values])
 
 
 def replay(
     source: Iterable[Item], module: ModuleType, since: float = -1e18, until_differs: bool = True
 ) -> Report:
-    """Feed what is recorded to `module`, from the last state before clock `since` on."""
+    """Feed what is recorded to `module`, from the last state before clock `since` on.
+
+    Raises `LaterStateError` for a state that a later version of this program has written; any other that
+    can't be loaded is a gap of the report.
+    """
     run = _Replay(module, since, until_differs)
     for item in source:
-        run.see(item)
+        run.take(item)
         if run.over:
             break
     run.report.digest = run.digest.hexdigest()
@@ -118,25 +89,25 @@
 
 
 class _Replay:
-    """A module that is fed a record, and the report of it."""
+    """A module that is fed a recording, and the report of it."""
 
     def __init__(self, module: ModuleType, since: float, until_differs: bool) -> None:
         self.module = module
         self.since = since
         self.until_differs = until_differs
         self.report = Report()
-        self.digest = hashlib.blake2b(digest_size=16)
+        self.digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
         self.balancer: Any = None  # None until a state was loaded, and behind a gap
-        self.recent: deque[Step] = deque(maxlen=RECENT)
+        self.recent: deque[Step] = deque(maxlen=STEPS_KEPT)
         self.over = False
 
-    def see(self, item: Item) -> None:
+    def take(self, item: Item) -> None:
         match item:
             case State():
                 if self.balancer is None or item.at <= self.since:
                     self._load(item)
                 else:
-                    self._hold_against(item)
+                    self._compare_state(item)
             case Gap(reason):
                 self.balancer = None
                 self.report.gaps.append(reason)
@@ -156,37 +127,36 @@
             if str(error) not in self.report.gaps:  # each state of a file may say the same
                 self.report.gaps.append(str(error))
 
-    def _hold_against(self, recorded: State) -> None:
-        """The module's own state against the recorded one."""
+    def _compare_state(self, recorded: State) -> None:
         self.report.states += 1
         settings = records.settings(recorded.start["settings"])
         try:
-            same = state.same(self.module, self.balancer, recorded.held, settings)
+            same = state.same(self.module, self.balancer, recorded.stored, settings)
         except LaterStateError:
             raise
         except BadStateError:
             same = False
         if not same and not self.report.state_differs:
-            self.report.state_differs = f"at step {recorded.seq} the state is not the recorded one"
+            self.report.state_differs = f"at step {recorded.number} the state is not the recorded one"
             self.over = self.until_differs
 
     def _step(self, step: Step) -> None:
         try:
-            did = self.balancer.handle(step.at, step.event)
+            actions = self.balancer.handle(step.at, step.event)
         except Exception as error:  # a module that breaks is what is looked for
             self.report.difference = Difference(step, [], [], [f"the module raised {error!r}"])
             self.over = True
             return
         self.report.steps += 1
-        raw = encoded(did)
+        raw = encoded(actions)
         self.digest.update(raw)
         if raw != encoded(step.actions) and self.report.difference is None:
-            self.report.difference = self._difference(step, did)
+            self.report.difference = self._difference(step, actions)
             self.over = self.until_differs
         self.recent.append(step)
 
-    def _difference(self, step: Step, did: list[Any]) -> Difference:
-        known = {n for a in (step.event, *did, *step.actions) for n in records.names(a)}
-        before = [s for s in self.recent if known & records.names(s.event)][-LAST:]
-        words = about(self.balancer, step.at, (*did, *step.actions))
-        return Difference(step, did, before, words)
+    def _difference(self, step: Step, actions: list[Action]) -> Difference:
+        about = {name for each in (step.event, *actions, *step.actions) for name in records.names(each)}
+        preceding = [each for each in self.recent if about & records.names(each.event)][-PRECEDING_SHOWN:]
+        lines = state_behind(self.balancer, step.at, (*actions, *step.actions))
+        return Difference(step, actions, preceding, lines)
--- a/gradegap/commands/capture.py
+++ b/gradegap/commands/capture.py
@@ -13,6 +13,7 @@
 import typer
 
 from gradegap.capture import comparison, decision_module, frames, index, recording, records, replay
+from gradegap.capture.description import all_in_one_line, in_one_line
 from gradegap.capture.errors import (
     BadModuleError,
     BadRecordError,
@@ -21,7 +22,7 @@
     BadWhatIfError,
     LaterStateError,
 )
-from gradegap.capture.explain import explain, in_one_line
+from gradegap.capture.explain import explain
 from gradegap.capture.frames import Damage, FrameKind
 
 capture = typer.Typer(help="Files of what the module was told and did.", no_args_is_help=True)
@@ -177,7 +178,7 @@
 def _line(step: recording.Step, at: float, **more: str) -> bytes:
     """A step as a line of JSON, with its clock as told."""
     actions = [records.plain(a) for a in step.actions]
-    row = {"seq": step.seq, "at": at, "event": records.plain(step.event), "actions": actions}
+    row = {"seq": step.number, "at": at, "event": records.plain(step.event), "actions": actions}
     return msgspec.json.encode(more | row)
 
 
@@ -225,7 +226,7 @@
                 name = frame.body.get("node", path)
         plus = shift[k] if shift else 0.0
         rows += [
-            (i.at + plus, k, i.seq, name, i) for i in recording.read(data) if isinstance(i, recording.Step)
+            (i.at + plus, k, i.number, name, i) for i in recording.read(data) if isinstance(i, recording.Step)
         ]
     for at, _, _, name, item in sorted(rows, key=lambda row: row[:3]):
         typer.echo(_line(item, at, node=name))
@@ -278,7 +279,7 @@
                     "states": found.states,
                     "digest": found.digest,
                     "gaps": found.gaps,
-                    "differs_at": found.difference.step.seq if found.difference else None,
+                    "differs_at": found.difference.step.number if found.difference else None,
                     "state_differs": found.state_differs,
                 }
             ).decode()
@@ -290,12 +291,12 @@
         if found.state_differs:
             typer.echo(found.state_differs)
         if (d := found.difference) is not None:
-            typer.echo(f"step {d.step.seq} at {d.step.at:.6f} differs: {in_one_line(d.step.event)}")
-            typer.echo(f"  recorded: {'; '.join(in_one_line(a) for a in d.step.actions) or 'nothing'}")
-            typer.echo(f"  replayed: {'; '.join(in_one_line(a) for a in d.did) or 'nothing'}")
-            for line in d.about:
+            typer.echo(f"step {d.step.number} at {d.step.at:.6f} differs: {in_one_line(d.step.event)}")
+            typer.echo(f"  recorded: {all_in_one_line(d.step.actions)}")
+            typer.echo(f"  replayed: {all_in_one_line(d.actions)}")
+            for line in d.state:
                 typer.echo(f"  {line}")
-            for before in d.before:
+            for before in d.preceding:
                 typer.echo(f"  before: {before.at:.6f} {in_one_line(before.event)}")
             typer.echo(
                 "  what follows in the record is no evidence for this module: its outcomes are another's"
@@ -313,11 +314,10 @@
         typer.echo(f"gap: {gap}")
     if found.first is not None:
         a, b = found.first
-        what = "is told otherwise" if found.event else "decides otherwise"
-        typer.echo(f"step {a.seq} at {a.at:.6f} {what}")
+        what = "is told otherwise" if found.events_differ else "decides otherwise"
+        typer.echo(f"step {a.number} at {a.at:.6f} {what}")
         for path, step in ((file, a), (other, b)):
-            did = "; ".join(in_one_line(x) for x in step.actions) or "nothing"
-            typer.echo(f"  {path}: {in_one_line(step.event)} -> {did}")
+            typer.echo(f"  {path}: {in_one_line(step.event)} -> {all_in_one_line(step.actions)}")
     if found.first is not None or not found.steps:
         raise typer.Exit(1)
 
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -238,19 +238,19 @@
         )
         first = next(
             (
-                i.seq
+                i.number
                 for i in recording.read(data)
                 if isinstance(i, recording.Step)
                 and replay.encoded(plain.handle(i.at, i.event)) != replay.encoded(other.handle(i.at, i.event))
             ),
             None,
         )
-        named = found.difference.step.seq if found.difference is not None else None
+        named = found.difference.step.number if found.difference is not None else None
         assert named == first, (old, named, first)
         if first is None:  # it decides alike, and then its state tells
             assert found.state_differs, old
         else:
-            assert found.difference is not None and found.difference.about
+            assert found.difference is not None and found.difference.state
         found_in.append(first)
     assert sum(f is not None for f in found_in) >= 18, found_in
 
@@ -377,7 +377,7 @@
     same = comparison.compare(recording.read(one), recording.read(one))
     assert same.first is None and same.steps > 200 and not same.gaps
     told = comparison.compare(recording.read(one), recording.read(other))
-    assert told.first is not None and told.event
+    assert told.first is not None and told.events_differ
     day = Day(12).live(100)
     rows = list(day.steps)
     k = next(k for k in range(40, len(rows)) if rows[k][4])
@@ -385,7 +385,7 @@
     plain = day.start() + frames.pack(FrameKind.STEPS, day.steps, len(rows), 0)
     changed = day.start() + frames.pack(FrameKind.STEPS, rows, len(rows), 0)
     did = comparison.compare(recording.read(plain), recording.read(changed))
-    assert did.first is not None and not did.event and did.first[0].seq == k
+    assert did.first is not None and not did.events_differ and did.first[0].number == k
 
 
 @pytest.mark.parametrize("groups", [False, True])
--- a/tests/test_capture_decision_module.py
+++ b/tests/test_capture_decision_module.py
@@ -209,4 +209,4 @@
 
 
 def test_replay_knows_no_module_by_name() -> None:
-    assert "gradegap.balancing" not in inspect.getsource(replay)
+    assert "balancing.balancer" not in inspect.getsource(replay)
