--- a/gradegap/proxy/__init__.py
+++ b/gradegap/proxy/__init__.py
@@ -11,5 +11,32 @@
 - `draining`, `unresponsive`: migration when the node or a connection comes to its end;
 - `context`: settings, clock, counters and the balancer, shared by these.
 
-Imports `balancing` and `metrics` only.
+Imports `balancing` and `metrics` only. Public names are those of `__all__`.
 """
+
+from gradegap.proxy.endpoint import Endpoint
+from gradegap.proxy.ports import HealthCheckDone, UpstreamPort
+from gradegap.proxy.proxy import Proxy
+from gradegap.proxy.request import (
+    Attempt,
+    ConnectionRequest,
+    ConnectPort,
+    InvalidRequestError,
+    Request,
+    RequestState,
+    SessionPort,
+)
+
+__all__ = [
+    "Attempt",
+    "ConnectPort",
+    "ConnectionRequest",
+    "Endpoint",
+    "HealthCheckDone",
+    "InvalidRequestError",
+    "Proxy",
+    "Request",
+    "RequestState",
+    "SessionPort",
+    "UpstreamPort",
+]
--- a/gradegap/proxy/proxy.py
+++ b/gradegap/proxy/proxy.py
@@ -93,7 +93,7 @@
             SetTimer: self._set_timer,
             CheckHealth: self._health_checks.check,
             WatchEndpoints: lambda action: None,  # discovery watches always
-            LogMessage: lambda action: log.info("module", text=action.text),
+            LogMessage: lambda action: log.info("balancer message", text=action.text),
         }
 
     def _set_timer(self, action: SetTimer) -> None:
