--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -40,7 +40,7 @@
 from gradegap.proxy.proxy import Proxy
 from gradegap.store.dynamic_configuration import DynamicConfiguration
 from gradegap.transport.descriptors import DescriptorBudget
-from gradegap.upstream.connections import Backends
+from gradegap.upstream.tcp_upstream import TcpUpstream
 from tests.world import SETTINGS
 
 log = structlog.get_logger()
@@ -120,11 +120,11 @@
         loop, settings = process.loop, process.settings
         self.metrics = process.metrics
         descriptors = DescriptorBudget(DESCRIPTORS, self.metrics)
-        self.backends = Backends(loop, settings.connect_timeout, descriptors)
-        self.backends.dialer.task.cancel()
-        self.backends.dialer = CountedDialer(loop, descriptors, traffic)
-        self.proxy = Proxy(settings, process.rng.getrandbits(32), self.backends, self.metrics, loop)
-        self.discovery = HttpDiscovery(self.proxy, self.backends.dialer, process.spec.discovery, self.metrics)
+        self.upstream = TcpUpstream(loop, settings.connect_timeout, descriptors)
+        self.upstream.dialer.task.cancel()
+        self.upstream.dialer = CountedDialer(loop, descriptors, traffic)
+        self.proxy = Proxy(settings, process.rng.getrandbits(32), self.upstream, self.metrics, loop)
+        self.discovery = HttpDiscovery(self.proxy, self.upstream.dialer, process.spec.discovery, self.metrics)
         self.live = DynamicConfiguration(self.metrics)
         self.live.key(CHANGED_KEY, "", lambda value: None)
         self.session: Session = process.session(self)
@@ -183,9 +183,8 @@
         if self.probe_timer is not None:
             self.probe_timer.cancel()
         self.discovery.stop()
-        for prober in list(self.backends.probers.values()):
-            prober.close()
-        self.backends.dialer.task.cancel()
+        self.upstream.close_health_checks()
+        self.upstream.dialer.task.cancel()
         # The balancer's timers go on for good, as a process ends with them: they find nothing to do.
         self.proxy.sweep.stop()
         self.proxy.context.feed = lambda event: None  # type: ignore[method-assign]
--- a/bench/scale/measure.py
+++ b/bench/scale/measure.py
@@ -18,7 +18,7 @@
 from gradegap.store.channel import CHECKSUM_BYTES, LENGTH_BYTES, LinkChannel
 from gradegap.transport.descriptors import DescriptorBudget
 from gradegap.transport.dialer import Dialer
-from gradegap.upstream.connections import Prober
+from gradegap.upstream.health_checks import HealthCheckConnection
 
 LONGEST_US = 3_600_000_000
 DIGITS = 3
@@ -145,7 +145,7 @@
         self, address: str, wait: float, protocol: asyncio.Protocol, failed: Callable[[], None]
     ) -> Callable[[], None]:
         """Connect; what goes over the connection is counted by its kind."""
-        kind = "probe" if isinstance(protocol, Prober) else "discovery"
+        kind = "probe" if isinstance(protocol, HealthCheckConnection) else "discovery"
         return super().dial(address, wait, CountedProtocol(protocol, self.traffic, kind), failed)
 
 
--- a/bench/scale/slopes_probes.py
+++ b/bench/scale/slopes_probes.py
@@ -20,7 +20,7 @@
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
 from gradegap.transport.descriptors import DescriptorBudget
-from gradegap.upstream.connections import Backends
+from gradegap.upstream.tcp_upstream import TcpUpstream
 from tests.helpers import settings
 
 SERVERS = (60, 200, 600)
@@ -78,15 +78,15 @@
 async def probed(address: str, servers: int, seed: int) -> list[float]:
     """Each repeat's price of a probe with so many servers."""
     metrics, loop = Metrics(), asyncio.get_running_loop()
-    backends = Backends(loop, 1.0, DescriptorBudget(DESCRIPTORS, metrics))
-    proxy = Proxy(settings(), seed, backends, metrics, loop)
+    upstream = TcpUpstream(loop, 1.0, DescriptorBudget(DESCRIPTORS, metrics))
+    proxy = Proxy(settings(), seed, upstream, metrics, loop)
     names = [server_name(k) for k in range(servers)]
     proxy.update_endpoints(EndpointListKind.FULL, [(EndpointEntry(name), address) for name in names])
     await rounds(proxy, names)  # connects
     found = [await rounds(proxy, names) for _ in range(REPEATS)]
     for name in names:
-        backends.close_health_check(proxy.endpoints[name])
-    backends.dialer.task.cancel()
+        upstream.close_health_check(proxy.endpoints[name])
+    upstream.dialer.task.cancel()
     return found
 
 
--- a/gradegap/downstream/framing.py
+++ b/gradegap/downstream/framing.py
@@ -2,28 +2,17 @@
 
 from __future__ import annotations
 
-import contextlib
-import math
-import re
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from gradegap.balancing.settings_reader import FIELDS
 from gradegap.proxy.request import ConnectionRequest
+from gradegap.transport.lines import LINE_MAX_BYTES, InvalidLineError, parse_number
 
-LONGEST = 4096  # bytes of a line, its end included
 LONGEST_WAIT = 10 * 24 * 3600.0  # s; timers take no more
 
 LARGEST_WAIT = 2.0**32  # ms that a client may say it waits
 LARGEST_LOAD = 1e15
 
-# Plain decimal: no sign, nan, inf or underscore, as float() would take.
-_FIGURE = re.compile(r"[0-9]{1,16}(?:\.[0-9]{1,18})?(?:[eE][+-]?[0-9]{1,2})?")
-
-
-class InvalidLineError(ValueError):
-    """A first line that cannot be read."""
-
 
 @dataclass(slots=True, frozen=True)
 class Opening:
@@ -38,16 +27,6 @@
         return b"%b%d%b" % (self.before, max(1, int(wait * 1000)), self.after)
 
 
-def figure(text: str, most: float = math.inf) -> float:
-    """A figure of the protocol: a plain number, not negative and not beyond `most`."""
-    if _FIGURE.fullmatch(text) is None:
-        raise InvalidLineError(f"{text[:40]!r} is no figure")
-    value = float(text)
-    if value > most:
-        raise InvalidLineError(f"{text[:40]} is too large")
-    return value
-
-
 def parse_opening(line: bytes) -> Opening:
     """`OPEN id key name=value,...` with its CRLF.
 
@@ -74,8 +53,8 @@
     if "c" not in values or "d" not in values:
         raise InvalidLineError("no class or no wait")
     # A connection from before the run waits for hours, longer than a timer can.
-    wait = min(figure(values["d"], LARGEST_WAIT) / 1000, LONGEST_WAIT)
-    load = figure(values.get("h", "0"), LARGEST_LOAD) * 1e-6
+    wait = min(parse_number(values["d"], LARGEST_WAIT) / 1000, LONGEST_WAIT)
+    load = parse_number(values.get("h", "0"), LARGEST_LOAD) * 1e-6
     ask = ConnectionRequest(
         values["c"],
         wait,
@@ -93,17 +72,6 @@
     return Opening(ask, text[: at + 2].encode(), text[at + 2 + len(values["d"]) :].encode())
 
 
-def parse_report(text: str) -> dict[str, float] | None:
-    """The load report that may end an answer: `inflight=7,x0=0.61`. What is no number is skipped."""
-    report: dict[str, float] = {}
-    for pair in text.strip().split(","):
-        name, sign, value = pair.partition("=")
-        if sign:
-            with contextlib.suppress(InvalidLineError):
-                report[FIELDS.get(name, name)] = figure(value)
-    return report or None
-
-
 class LineWatch:
     """Sees the lines in bytes that pass by, without holding them back."""
 
@@ -122,6 +90,6 @@
         lines = data.split(b"\n")
         lines[0] = self.part + lines[0]
         # Guards against a line without end filling memory: what is over-long is passed on, not kept.
-        self.part = lines.pop()[-LONGEST:]
+        self.part = lines.pop()[-LINE_MAX_BYTES:]
         for each in lines:
             self.line(each.rstrip(b"\r"))
--- a/gradegap/downstream/session.py
+++ b/gradegap/downstream/session.py
@@ -8,13 +8,14 @@
 import socket
 from collections.abc import Callable
 from enum import Enum
-from typing import Any, Protocol, cast
+from typing import Protocol, cast
 
-from gradegap.downstream.framing import LONGEST, InvalidLineError, LineWatch, Opening, parse_opening
+from gradegap.downstream.framing import LineWatch, Opening, parse_opening
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
 from gradegap.proxy.request import InvalidRequestError, Request
 from gradegap.transport.descriptors import DescriptorBudget, EvictionRank
+from gradegap.transport.lines import LINE_MAX_BYTES, InvalidLineError
 from gradegap.transport.sockets import (
     WRITE_BUFFER_HIGH_BYTES,
     Pausable,
@@ -22,6 +23,7 @@
     no_delay,
     reset_connection,
 )
+from gradegap.upstream.interfaces import UpstreamPipe
 
 FIRST_LINE_WAIT = 2.5  # s from its start that a connection may take over its first line
 PING_IDLE = 30.0  # s that one which has said PING may take until it says more
@@ -60,16 +62,6 @@
     def opened(self) -> None: ...
 
 
-class Pipe(Protocol):
-    """The backend's side of a session that stands."""
-
-    def write(self, data: bytes) -> None: ...
-    def write_eof(self) -> None: ...
-    def reset(self) -> None: ...
-    def pause(self) -> None: ...
-    def resume(self) -> None: ...
-
-
 class Passing(Protocol):
     """What a resumable session's lines pass through, both ways."""
 
@@ -137,13 +129,13 @@
         self.ready = ready
         self.opening: Opening | None = None
         self.req: Request | None = None
-        self.pipe: Pipe | None = None
+        self.pipe: UpstreamPipe | None = None
         self.buffer = bytearray()  # before the answer: what came and is not passed on yet
         self.watch = LineWatch(self._passed)
         self.standing = False
         self.closed = False
         self.moving = False
-        self.reset = False
+        self.upstream_reset = False
         self.idle = False  # it has said PING
         self.resuming: Resuming | None = None
         self.offer: object | None = None  # of a resumable session, until a backend has accepted it
@@ -249,7 +241,7 @@
         while self.opening is None and not self.closed:
             end = self.buffer.find(b"\n")
             # Guards against first lines without end: over 4 KiB there is one failure line and a close.
-            if end >= LONGEST or (end < 0 and len(self.buffer) >= LONGEST):
+            if end >= LINE_MAX_BYTES or (end < 0 and len(self.buffer) >= LINE_MAX_BYTES):
                 self._bad("too long")
                 return
             if end < 0:
@@ -328,7 +320,9 @@
     def _asks_more(self) -> bool:
         """Guards against clients that don't wait for their answer: some bytes behind the first line are kept
         for the backend, but neither hundreds of commands nor what would fill the memory."""
-        return len(self.buffer) > LONGEST or self.buffer.startswith(b"OPEN ") or b"\nOPEN " in self.buffer
+        return (
+            len(self.buffer) > LINE_MAX_BYTES or self.buffer.startswith(b"OPEN ") or b"\nOPEN " in self.buffer
+        )
 
     def _bad(self, why: str, counter: str = "bad_first_lines") -> None:
         self.metrics.count(counter)
@@ -375,7 +369,7 @@
     def on_endpoint_closed(self) -> None:
         """The backend's side has ended."""
         if not self.closed and not self._moves_in_place():
-            self._shut(Ending.RESET if self.reset else Ending.SERVED)
+            self._shut(Ending.RESET if self.upstream_reset else Ending.SERVED)
 
     def _moves_in_place(self) -> bool:
         if self.passing is None or self.resuming is None or self.closed or self.ended:
@@ -403,25 +397,25 @@
 
     # From the backend's side
 
-    def join(self, pipe: Pipe, first: bytes) -> None:
+    def on_upstream_established(self, upstream: UpstreamPipe, data: bytes) -> None:
         """The backend has said UP: from here on its bytes are the client's."""
-        self.pipe = pipe
+        self.pipe = upstream
         if self.resuming is not None and self.offer is not None:
-            told = self.resuming.up(self, first)
+            told = self.resuming.up(self, data)
             if told is None:
                 req = self.req
                 self.turn("server")
                 if req is not None:
                     req.on_disconnect()
                 return
-            first = told
+            data = told
         if self.passing is not None:
-            self.watch.feed(first)
-            self.channel.write(first)
+            self.watch.feed(data)
+            self.channel.write(data)
         else:
-            self.passed(first)
+            self.on_upstream_data(data)
 
-    def passed(self, data: bytes) -> None:
+    def on_upstream_data(self, data: bytes) -> None:
         if self.closed:
             return
         if self.passing is not None:
@@ -442,9 +436,15 @@
         if self.req is not None:
             self.req.on_endpoint_data(b"\n" in data)
 
+    def on_upstream_lost(self, reset: bool) -> None:
+        """The endpoint's connection has ended; the proxy's word on that follows."""
+        self.upstream_reset = reset
+        if self.moving:
+            self.on_endpoint_closed()  # the line that it was to be moved behind never ends
+
     def _passed(self, line: bytes) -> None:
         if self.pipe is not None:
-            cast(Any, self.pipe).saw(line)
+            self.pipe.on_line(line)
 
     def _shut(self, ending: Ending) -> None:
         self.closed = True
--- a/gradegap/hot_restart/host.py
+++ b/gradegap/hot_restart/host.py
@@ -12,7 +12,7 @@
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
 from gradegap.transport.descriptors import DescriptorBudget
-from gradegap.upstream.connections import Backends
+from gradegap.upstream.tcp_upstream import TcpUpstream
 
 
 @dataclass(slots=True, frozen=True)
@@ -29,7 +29,7 @@
     loop: asyncio.AbstractEventLoop
     metrics: Metrics
     proxy: Proxy
-    upstream: Backends
+    upstream: TcpUpstream
     descriptors: DescriptorBudget
     listening_socket: socket.socket | None  # of clients; None until it is there
 
--- a/gradegap/hot_restart/session_adoption.py
+++ b/gradegap/hot_restart/session_adoption.py
@@ -12,7 +12,7 @@
 from gradegap.hot_restart.link import close_descriptors
 from gradegap.hot_restart.messages import EstablishedSession, IdleSession
 from gradegap.transport.descriptors import DialedSocket
-from gradegap.upstream.connections import Fetch
+from gradegap.upstream.connection import UpstreamConnection
 
 
 def adopt_session(host: Host, message: IdleSession | EstablishedSession, descriptors: list[int]) -> None:
@@ -64,11 +64,8 @@
     if request is None or request.attempt is None:
         close_descriptors([client_descriptor, endpoint_descriptor])
         raise SessionNotAdoptedError(f"it can't stand at {message.endpoint} here")
-    connection = Fetch(session, request.attempt, 0.0)
-    connection.sent = connection.up = True
-    announced = message.announced_result
-    connection.said = None if announced is None else AttemptResult(announced)
-    connection.report = message.report
+    announced = None if message.announced_result is None else AttemptResult(message.announced_result)
+    connection = UpstreamConnection.adopt(session, request.attempt, announced, message.report)
     request.attempt.connection = connection
     session.req, session.pipe, session.standing = request, connection, True
     session.watch.part = message.partial_line
--- a/gradegap/hot_restart/session_transfer.py
+++ b/gradegap/hot_restart/session_transfer.py
@@ -14,7 +14,7 @@
 from gradegap.hot_restart.link import Link
 from gradegap.hot_restart.messages import EstablishedSession, IdleSession
 from gradegap.proxy.request import Request, RequestState
-from gradegap.upstream.connections import Fetch
+from gradegap.upstream.connection import UpstreamConnection
 
 MAX_SESSIONS_IN_FLIGHT = 8  # sent and not answered: their descriptors are held twice
 FIRST_LINE_TIMEOUT_S = 1.0  # for an idle connection that comes back
@@ -28,7 +28,7 @@
 @dataclass(slots=True, frozen=True)
 class _EstablishedInFlight:
     channel: TcpChannel
-    connection: Fetch
+    connection: UpstreamConnection
     message: EstablishedSession
 
 
@@ -55,16 +55,20 @@
             self._send_idle(link, channel)
             return
         connection, request = session.pipe, session.req
-        if isinstance(connection, Fetch) and request is not None and self._can_pass(channel, connection):
+        if (
+            isinstance(connection, UpstreamConnection)
+            and request is not None
+            and self._can_pass(channel, connection)
+        ):
             self._send_established(link, channel, connection, request)
 
-    def _can_pass(self, channel: TcpChannel, connection: Fetch) -> bool:
+    def _can_pass(self, channel: TcpChannel, connection: UpstreamConnection) -> bool:
         request = channel.session.req
         if request is None or request.attempt is None or connection.transport is None:
             return False
         if request.state is not RequestState.ESTABLISHED or channel.session.moving:
             return False
-        return connection.at_rest() and request.attempt.endpoint.phase is EndpointPhase.READY
+        return connection.is_idle() and request.attempt.endpoint.phase is EndpointPhase.READY
 
     def _next_serial(self) -> int:
         self._last_serial += 1
@@ -86,7 +90,9 @@
         self._host.descriptors.set_rank(channel, None)
         link.send(message, transport.get_extra_info("socket").fileno())
 
-    def _send_established(self, link: Link, channel: TcpChannel, connection: Fetch, request: Request) -> None:
+    def _send_established(
+        self, link: Link, channel: TcpChannel, connection: UpstreamConnection, request: Request
+    ) -> None:
         session, transport = channel.session, channel.transport
         assert transport is not None and connection.transport is not None
         assert session.opening is not None and request.attempt is not None
@@ -99,13 +105,16 @@
             partial_line=session.watch.part,
             last_response_at=request.last_response_at,
             unanswered_since=request.unanswered_since,
-            announced_result=None if connection.said is None else int(connection.said),
-            report=connection.report,
+            announced_result=None
+            if connection.announced_result is None
+            else int(connection.announced_result),
+            report=connection.announced_report,
         )
         self._in_flight[message.serial] = _EstablishedInFlight(channel, connection, message)
         transport.pause_reading()
         connection.transport.pause_reading()
-        session.closed = connection.over = True
+        session.closed = True
+        connection.release()
         self._host.proxy.release_connection(request)
         client_descriptor = transport.get_extra_info("socket").fileno()
         endpoint_descriptor = connection.transport.get_extra_info("socket").fileno()
@@ -150,7 +159,7 @@
     def _restore(self, passed: _EstablishedInFlight) -> bool:
         """Whether the proxy has the session again; otherwise its client's connection is ended."""
         session, connection, message = passed.channel.session, passed.connection, passed.message
-        connection.over = False
+        connection.take_back()
         session.req = request = self._host.proxy.adopt_connection(
             session, message.request, message.endpoint, message.last_response_at, message.unanswered_since
         )
@@ -161,11 +170,11 @@
         return True
 
 
-def _abort(connection: TcpChannel | Fetch) -> None:
+def _abort(connection: TcpChannel | UpstreamConnection) -> None:
     if connection.transport is not None:
         connection.transport.abort()
 
 
-def _resume_reading(connection: TcpChannel | Fetch) -> None:
+def _resume_reading(connection: TcpChannel | UpstreamConnection) -> None:
     if connection.transport is not None:
         connection.transport.resume_reading()
--- a/gradegap/node/node.py
+++ b/gradegap/node/node.py
@@ -36,7 +36,7 @@
 from gradegap.store.settings import StoreSettings
 from gradegap.transport.addresses import split_address
 from gradegap.transport.descriptors import DescriptorBudget, raise_descriptor_limit
-from gradegap.upstream.connections import Backends
+from gradegap.upstream.tcp_upstream import TcpUpstream
 
 if TYPE_CHECKING:
     from gradegap.capture.switch import RecordingSwitch
@@ -104,7 +104,7 @@
         self.descriptors = DescriptorBudget(
             raise_descriptor_limit(configuration.node.limits.sockets), self.metrics
         )
-        self.upstream = Backends(loop, configuration.settings.connect_timeout, self.descriptors)
+        self.upstream = TcpUpstream(loop, configuration.settings.connect_timeout, self.descriptors)
         self.proxy = Proxy(configuration.settings, configuration.seed, self.upstream, self.metrics, loop)
         self.discovery: HttpDiscovery | DnsSdDiscovery = self._make_discovery()
         self.live = DynamicConfiguration(self.metrics)
@@ -521,7 +521,7 @@
             self.proxy.reconfigure(new.settings)
             if isinstance(self.discovery, HttpDiscovery):
                 self.discovery.schedule.configure(new.settings)
-            self.upstream.connect_wait = new.settings.connect_timeout
+            self.upstream.connect_timeout = new.settings.connect_timeout
         if new.node.limits != old.node.limits:
             self.descriptors.limit = raise_descriptor_limit(new.node.limits.sockets)
         if new.node.known_endpoints != old.node.known_endpoints and not self.discovery.has_list:
--- a/gradegap/resume/move.py
+++ b/gradegap/resume/move.py
@@ -10,7 +10,6 @@
 import time
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
 
 import structlog
 
@@ -18,6 +17,7 @@
 from gradegap.downstream.session import ClientSession
 from gradegap.proxy.request import InvalidRequestError, Request
 from gradegap.resume.switch import Passing
+from gradegap.upstream.interfaces import UpstreamPipe
 
 log = structlog.get_logger()
 
@@ -53,7 +53,6 @@
         self.accepts, self.token = accepts, token
         self.proxy = session.proxy
         self.channel = session.channel
-        self.reset = False
         self.req: Request | None = None
         self.over = False
         self.began = time.monotonic()
@@ -70,8 +69,9 @@
 
     # As a fetch sees it
 
-    def join(self, pipe: Any, first: bytes) -> None:
-        line, _, rest = first.partition(b"\n")
+    def on_upstream_established(self, upstream: UpstreamPipe, data: bytes) -> None:
+        """The endpoint has confirmed it: the session goes on there."""
+        line, _, rest = data.partition(b"\n")
         executed = self.accepts(line.rstrip(b"\r"))
         session, passing = self.session, self.session.passing
         if self.over or session.closed or not isinstance(passing, Passing):
@@ -81,12 +81,12 @@
             self.give_up("server")
             return
         self.over = True
-        old, session.pipe = session.pipe, pipe
+        old, session.pipe = session.pipe, upstream
         if old is not None:
             # Guards against its last words being taken for the next one's.
             old.write_eof()
-            old.over = True  # type: ignore[attr-defined]
-        pipe.session = session
+            old.release()
+        upstream.session = session
         req = self.req
         assert req is not None
         req.session, session.req = session, req
@@ -100,8 +100,11 @@
         spent = round((time.monotonic() - self.began) * 1000)
         log.info("session moved in place", session=self.offer.session, epoch=self.offer.epoch, ms=spent)
 
-    def passed(self, data: bytes) -> None:
-        """Nothing passes before it is up."""
+    def on_upstream_data(self, data: bytes) -> None:
+        """Nothing passes before it is established."""
+
+    def on_upstream_lost(self, reset: bool) -> None:
+        """Its attempt's end, which follows, gives the move up."""
 
     # As the core sees it
 
--- a/gradegap/resume/part.py
+++ b/gradegap/resume/part.py
@@ -16,7 +16,7 @@
 import msgspec
 import structlog
 
-from gradegap.downstream.framing import InvalidLineError, Opening, parse_opening
+from gradegap.downstream.framing import Opening, parse_opening
 from gradegap.downstream.session import ClientSession
 from gradegap.metrics import Metrics
 from gradegap.resume.claims import CLAIMS, Claimed, LocalClaims, claim, digest_of
@@ -29,6 +29,7 @@
 from gradegap.resume.window import WINDOW
 from gradegap.store import wire
 from gradegap.store.machine import StateMachine
+from gradegap.transport.lines import InvalidLineError
 
 log = structlog.get_logger()
 
--- a/tests/compatibility/surface.py
+++ b/tests/compatibility/surface.py
@@ -22,6 +22,7 @@
 from gradegap.downstream import framing
 from gradegap.node import configuration, operator_file
 from gradegap.store import schema
+from gradegap.upstream import answers
 from tests.compatibility.present import plain
 
 SIMULATOR = [sys.executable, "-m", "gradegap.simulator_adapter"]
@@ -181,4 +182,4 @@
 
 def report_of_line(text: str) -> Any:
     """The load report that ends a line of a save server."""
-    return framing.parse_report(text)
+    return answers.parse_load_report(text)
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -5,6 +5,8 @@
 import pytest
 
 from gradegap.downstream import framing
+from gradegap.transport.lines import InvalidLineError
+from gradegap.upstream.answers import parse_load_report
 
 
 def test_a_first_line_goes_on_unchanged_but_for_its_wait() -> None:
@@ -60,14 +62,14 @@
     ],
 )
 def test_bad_first_lines_are_told_apart(line: bytes) -> None:
-    with pytest.raises(framing.InvalidLineError):
+    with pytest.raises(InvalidLineError):
         framing.parse_opening(line)
 
 
 def test_reports_are_read_under_the_modules_names_and_junk_is_skipped() -> None:
-    report = framing.parse_report("x0=0.61,concurrent=7,pace=high,odd,a=nan,b=-1,c=inf,d=1_0,e=")
+    report = parse_load_report("x0=0.61,concurrent=7,pace=high,odd,a=nan,b=-1,c=inf,d=1_0,e=")
     assert report == {"x0": 0.61, "inflight": 7.0}
-    assert framing.parse_report("") is None
+    assert parse_load_report("") is None
 
 
 def test_lines_are_seen_however_they_are_cut() -> None:
--- a/tests/test_lint_rules.py
+++ b/tests/test_lint_rules.py
@@ -59,7 +59,6 @@
 gradegap/store/schema.py: D
 gradegap/store/storage.py: C90 D
 gradegap/store/wire.py: D
-gradegap/upstream/connections.py: D
 """
 
 Exceptions = Mapping[str, frozenset[str]]  # by file: the families of rules that it does not keep
