--- a/bench/scale/subscription.py
+++ b/bench/scale/subscription.py
@@ -5,8 +5,8 @@
 from bench.scale.measure import Traffic
 from bench.scale.sessions import MachineSpec, NodeSpec, SessionParts
 from gradegap.observer import traffic as traffic_counts
-from gradegap.observer.attached import ObservedStore
 from gradegap.observer.messages import Change
+from gradegap.observer.observed_store import ObservedStore
 from gradegap.observer.settings import ObserverMachine, ObserverSettings
 from gradegap.observer.subscriber import Phase
 
--- a/gradegap/node/node.py
+++ b/gradegap/node/node.py
@@ -41,7 +41,7 @@
 if TYPE_CHECKING:
     from gradegap.capture.switch import RecordingSwitch
     from gradegap.discovery.dns_sd_discovery import DnsSdDiscovery
-    from gradegap.observer.attached import ObservedStore
+    from gradegap.observer.observed_store import ObservedStore
     from gradegap.quic.listener import QuicListener
     from gradegap.store.embedded import EmbeddedStore
     from gradegap.store.machine import StateMachine
@@ -457,7 +457,7 @@
 
     async def _start_observer(self, settings: ObserverSettings) -> None:
         # Loaded here: a node without a subscription does without its libraries' memory.
-        from gradegap.observer.attached import ObservedStore
+        from gradegap.observer.observed_store import ObservedStore
 
         settings = msgspec.structs.replace(settings, name=settings.name or self.configuration.node.name)
         try:
--- a/gradegap/observer/server.py
+++ b/gradegap/observer/server.py
@@ -1,28 +1,24 @@
-"""A control machine's subscriptions on sockets: connections, framing and time round a `Publisher`.
+"""A control machine's subscriptions on sockets: its listener, and time round a `Publisher`.
 
-Nothing is queued for a connection beyond its transport's write buffer: the publisher is told when that is
-over its high-water mark, and sends on once it has drained. Connections that prove nothing are few, short and
-the first to make way.
+Connections that have not subscribed are few, short and the first to make way.
 """
 
 from __future__ import annotations
 
 import asyncio
 import random
-import socket
 import time
-from typing import cast
 
 import msgspec
 import structlog
 
 from gradegap.observer.limits import Limits
-from gradegap.observer.link import EncodedBodyCache, publisher_channel
+from gradegap.observer.link import EncodedBodyCache
 from gradegap.observer.messages import CloseCode, Delta, Rejected, SnapshotPart, Subscribe
-from gradegap.observer.publisher import Close, Publisher, Send
+from gradegap.observer.publisher import Close, Output, Publisher
 from gradegap.observer.source import MachineSource
+from gradegap.observer.subscriber_connection import SubscriberConnection
 from gradegap.store import wire
-from gradegap.store.errors import LinkError
 from gradegap.store.in_force import MachineReport
 from gradegap.store.subscriptions import SubscriptionHost
 from gradegap.transport.addresses import split_address
@@ -30,128 +26,13 @@
 
 log = structlog.get_logger()
 
-SUBSCRIBE_TIMEOUT_S = 2.0  # s in which a connection must be proven and subscribe
-MAX_PENDING_CONNECTIONS = (
-    1024  # connections that have not subscribed yet; beyond, the oldest of them makes way
-)
-HIGH_WATER_BYTES, LOW_WATER_BYTES = (
-    128 * 1024,
-    32 * 1024,
-)  # bytes unsent at which a connection is blocked, and writable
-KERNEL_BUFFER_BYTES = (
-    256 * 1024
-)  # bytes unsent that the system may hold for a connection; it would hold megabytes
-MAX_UNSENT_BYTES = 1024 * 1024  # bytes of answers to a node that doesn't read; then its connection ends
-MAX_REQUESTS_IN_FLIGHT = 16  # requests of one connection under way
+MAX_PENDING_CONNECTIONS = 1024  # that have not subscribed yet; beyond, the oldest of them makes way
+MAX_REQUESTS_IN_FLIGHT = 16  # of one connection
 OTHER_DESCRIPTORS = 1024  # that the process needs beside its subscribers'
 LISTEN_BACKLOG = 1024
-ALLOWED_REQUESTS = (
+ALLOWED_REQUESTS = (  # what a node may ask for
     wire.Get | wire.List | wire.Transaction | wire.Status | wire.Digest | wire.InForce
-)  # what a node may ask for
-
-
-class Connection(asyncio.Protocol):
-    """A node's connection, or that of somebody who has not said who it is."""
-
-    def __init__(self, server: PublisherServer) -> None:
-        self.server = server
-        self.connection_id = 0
-        self.channel = publisher_channel(server.secret)
-        self.transport: asyncio.Transport | None = None
-        self.node = ""  # once it has subscribed
-        self.subscribe_timer: asyncio.TimerHandle | None = None
-        self.requests_in_flight = 0
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection stands."""
-        self.transport = cast(asyncio.Transport, transport)
-        self.transport.set_write_buffer_limits(high=HIGH_WATER_BYTES, low=LOW_WATER_BYTES)
-        accepted: socket.socket = self.transport.get_extra_info("socket")
-        accepted.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, KERNEL_BUFFER_BYTES)
-        self.subscribe_timer = self.server.loop.call_later(SUBSCRIBE_TIMEOUT_S, self.end, CloseCode.SILENT)
-        self.server.connection_opened(self)
-
-    def data_received(self, data: bytes) -> None:
-        """Bytes of the other side."""
-        try:
-            messages, reply = self.channel.receive(data)
-        except LinkError as error:
-            reason = str(error).partition(":")[0]
-            if self.transport is not None and reason != "turned":
-                self.transport.write(self.channel.reject(str(error)))
-            self.end(reason, str(error))
-            return
-        if reply and self.transport is not None:
-            self.transport.write(reply)
-        for message in messages:
-            if self.transport is None or self.transport.is_closing():
-                return
-            self.server.message_received(self, message)
-
-    def set_subscribed(self, node: str) -> None:
-        """It has said who it is."""
-        self.node = node
-        if self.subscribe_timer is not None:
-            self.subscribe_timer.cancel()
-            self.subscribe_timer = None
-
-    def send(self, body: bytes) -> None:
-        """One frame; nothing where the connection is closing."""
-        transport = self.transport
-        if transport is None or transport.is_closing() or not self.channel.authenticated:
-            return
-        transport.write(self.channel.send_encoded(body))
-
-    def answer(self, answer: wire.Response) -> None:
-        """To one request. A node that asks and never reads is cut off."""
-        self.requests_in_flight -= 1
-        if self.transport is None:
-            return
-        body = msgspec.msgpack.encode(answer)
-        if len(body) > self.channel.max_frame_bytes:
-            text = f"too_large: the answer has {len(body)} bytes; ask for fewer keys at once"
-            body = msgspec.msgpack.encode(wire.Response(answer.serial, "no", text))
-        self.send(body)
-        if self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
-            self.end(CloseCode.SLOW)
-
-    def pause_writing(self) -> None:
-        """The write buffer is over its high-water mark."""
-        self.server.writing_paused(self)
-
-    def resume_writing(self) -> None:
-        """The write buffer has drained."""
-        self.server.writing_resumed(self)
-
-    def end(self, reason: str, text: str = "") -> None:
-        """End it at once, for a reason that is counted."""
-        if self.transport is None or self.transport.is_closing():
-            return
-        self.server.metrics.count(f"observer_link_{reason}")
-        if self.node:
-            log.warning("subscription ended", node=self.node, reason=str(reason), detail=text)
-        if self.transport.get_write_buffer_size():
-            self.transport.close()  # what it is told last may still go out
-            self.server.loop.call_later(SUBSCRIBE_TIMEOUT_S, self._abort)
-        else:
-            self.transport.abort()
-
-    def close(self) -> None:
-        """End it once what was sent before is written, within a bounded time."""
-        if self.transport is not None:
-            self.transport.close()
-            self.server.loop.call_later(SUBSCRIBE_TIMEOUT_S, self._abort)
-
-    def _abort(self) -> None:
-        if self.transport is not None:
-            self.transport.abort()
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended."""
-        self.transport = None
-        if self.subscribe_timer is not None:
-            self.subscribe_timer.cancel()
-        self.server.connection_closed(self)
+)
 
 
 class PublisherServer:
@@ -162,12 +43,13 @@
         self.limits = limits or Limits().for_lease(host.settings.lease_s)
         self.publisher: Publisher | None = None  # once the member belongs to a cluster
         self.listener: asyncio.Server | None = None
-        self.connections: dict[int, Connection] = {}
-        self.pending_connections: dict[int, Connection] = {}  # that have not subscribed yet, the oldest first
+        self.connections: dict[int, SubscriberConnection] = {}
+        # Those that have not subscribed yet, the oldest first.
+        self.pending_connections: dict[int, SubscriberConnection] = {}
         self.connections_opened = 0
         self.encoded_bodies = EncodedBodyCache()
         self.flush_scheduled = False
-        self.reported_safe_index = 0  # the safe index that the leader was told last
+        self.reported_safe_index = 0  # that the leader was sent last
         self.tick_timer: asyncio.TimerHandle | None = None
         self.tick_at = 0.0
         self.stopped = False
@@ -183,11 +65,11 @@
         address = self.host.settings.publish
         host, port = split_address(address)
         self.listener = await self.loop.create_server(
-            lambda: Connection(self), host, port, reuse_address=True, backlog=LISTEN_BACKLOG
+            lambda: SubscriberConnection(self), host, port, reuse_address=True, backlog=LISTEN_BACKLOG
         )
         log.info("listening", publish=address)
 
-    # What the member tells
+    # Called by the member
 
     def committed(self) -> None:
         """The member has applied more of the log."""
@@ -219,7 +101,7 @@
         return publisher.report(time.monotonic(), revision)
 
     def stop(self) -> None:
-        """Serve no more: each node is told, and goes to another machine."""
+        """Serve no more: each node is sent a Rejected, and goes to another machine."""
         if self.stopped:
             return
         self.stopped = True
@@ -227,9 +109,9 @@
             self.listener.close()
         if self.tick_timer is not None:
             self.tick_timer.cancel()
-        last_word = msgspec.msgpack.encode(Rejected(CloseCode.LEAVING, "this machine is stopping"))
+        rejection = msgspec.msgpack.encode(Rejected(CloseCode.LEAVING, "this machine is stopping"))
         for connection in list(self.connections.values()):
-            connection.send(last_word)
+            connection.send(rejection)
             connection.close()
 
     def _publisher(self) -> Publisher | None:
@@ -241,9 +123,9 @@
             self.publisher = Publisher(cluster, name, source, self.limits, now, random.Random())
         return self.publisher
 
-    # What connections tell
+    # Called by connections
 
-    def connection_opened(self, connection: Connection) -> None:
+    def connection_opened(self, connection: SubscriberConnection) -> None:
         """A connection came, from whomever."""
         if self.stopped or self._publisher() is None:
             connection.end("not_formed")
@@ -257,7 +139,7 @@
             oldest = next(iter(self.pending_connections))
             self.pending_connections.pop(oldest).end("crowded")
 
-    def message_received(self, connection: Connection, message: object) -> None:
+    def message_received(self, connection: SubscriberConnection, message: object) -> None:
         """A message on a proven connection."""
         publisher, now = self.publisher, time.monotonic()
         if publisher is None or self.stopped:
@@ -277,31 +159,31 @@
                 publisher.receive(now, connection.connection_id, message)  # type: ignore[arg-type]
         self._schedule_flush()
 
-    def _handle_request(self, connection: Connection, ask: wire.Request) -> None:
+    def _handle_request(self, connection: SubscriberConnection, request: wire.Request) -> None:
         connection.requests_in_flight += 1
 
-        def done(answer: wire.Response) -> None:
-            connection.answer(msgspec.structs.replace(answer, serial=ask.serial))
+        def done(response: wire.Response) -> None:
+            connection.respond(msgspec.structs.replace(response, serial=request.serial))
 
         if connection.requests_in_flight > MAX_REQUESTS_IN_FLIGHT:
             done(wire.Response(0, "no", f"busy: more than {MAX_REQUESTS_IN_FLIGHT} requests at once"))
-        elif not isinstance(ask.body, ALLOWED_REQUESTS):
+        elif not isinstance(request.body, ALLOWED_REQUESTS):
             done(wire.Response(0, "no", "not_here: ask a member of the store at its own address"))
         else:
-            self.host.requests.request(ask.body, done, ask.timeout_s)
+            self.host.requests.request(request.body, done, request.timeout_s)
 
-    def writing_paused(self, connection: Connection) -> None:
+    def writing_paused(self, connection: SubscriberConnection) -> None:
         """Its node reads too slowly."""
         if self.publisher is not None:
             self.publisher.pause_writing(time.monotonic(), connection.connection_id)
 
-    def writing_resumed(self, connection: Connection) -> None:
+    def writing_resumed(self, connection: SubscriberConnection) -> None:
         """Its node has read on."""
         if self.publisher is not None:
             self.publisher.resume_writing(time.monotonic(), connection.connection_id)
             self._schedule_flush()
 
-    def connection_closed(self, connection: Connection) -> None:
+    def connection_closed(self, connection: SubscriberConnection) -> None:
         """It has ended, for whatever reason."""
         self.connections.pop(connection.connection_id, None)
         self.pending_connections.pop(connection.connection_id, None)
@@ -309,10 +191,10 @@
             self.publisher.disconnected(time.monotonic(), connection.connection_id)
             self._schedule_flush()
 
-    # What the publisher wants
+    # The publisher's outputs
 
     def _schedule_flush(self) -> None:
-        """Carry out what the publisher wants, once all that this turn of the loop brings was told to it."""
+        """Carry out what the publisher wants, after all that this turn of the loop brings."""
         if not self.flush_scheduled and not self.stopped:
             self.flush_scheduled = True
             self.loop.call_soon(self._flush)
@@ -329,7 +211,7 @@
         self._report_safe_index()
         self._arm_tick_timer(publisher)
 
-    def _carry_out(self, output: Send | Close) -> None:
+    def _carry_out(self, output: Output) -> None:
         connection = self.connections.get(output.connection_id)
         if connection is None:
             return
--- a/gradegap/observer/subscriber.py
+++ b/gradegap/observer/subscriber.py
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Apply:
-    """Take these changes over; `is_snapshot`: they are all keys, and what is not among them is gone."""
+    """Take these changes over; `is_snapshot`: they are all keys, and what is not among them is deleted."""
 
     revision: int
     changes: tuple[Change, ...]
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseChanged:
-    """The node may decide by committed state from now on, or no more."""
+    """The node may decide by committed state from now on (`fresh`), or no more."""
 
     fresh: bool
 
@@ -79,7 +79,7 @@
 
 
 class Phase(Enum):
-    """How far the connection is."""
+    """How far the connection is; `PHASE_TRANSITIONS` says what may follow."""
 
     WAITING = "waiting"  # for the time of the next attempt
     CONNECTING = "connecting"
@@ -88,6 +88,15 @@
     LEFT = "left"
 
 
+PHASE_TRANSITIONS: dict[Phase, frozenset[Phase]] = {
+    Phase.WAITING: frozenset({Phase.CONNECTING, Phase.LEFT}),
+    Phase.CONNECTING: frozenset({Phase.SUBSCRIBING, Phase.WAITING, Phase.LEFT}),
+    Phase.SUBSCRIBING: frozenset({Phase.SUBSCRIBED, Phase.WAITING, Phase.LEFT}),
+    Phase.SUBSCRIBED: frozenset({Phase.WAITING, Phase.LEFT}),
+    Phase.LEFT: frozenset({Phase.LEFT}),
+}
+
+
 class Subscriber:
     """One node's subscription, over all connections of its process."""
 
@@ -101,13 +110,8 @@
         now: float,
         random: random_module.Random,
     ) -> None:
-        self.node, self.instance, self.region, self.limits, self.random = (
-            node,
-            instance,
-            region,
-            limits,
-            random,
-        )
+        self.node, self.instance, self.region = node, instance, region
+        self.limits, self.random = limits, random
         self.selection = Selection(node, region, machines, limits)
         self.backoff = Backoff(limits, random)
         self.counts: Counter[str] = Counter()
@@ -131,13 +135,13 @@
         self.announced_fresh = False
         self.outputs: list[Output] = []
 
-    # What the driver tells
+    # Called by the driver when something happened
 
     def connected(self, now: float) -> None:
-        """The connection stands and both ends are proven."""
+        """The connection is established and both ends are proven."""
         if self.phase is not Phase.CONNECTING:
             return
-        self.phase = Phase.SUBSCRIBING
+        self._enter(Phase.SUBSCRIBING)
         self.last_received_at = now
         message = Subscribe(VERSION, self.node, self.instance, self.region, self.cluster, self.revision)
         self.outputs.append(Send(message))
@@ -168,7 +172,7 @@
                 self._receive_heartbeat(now, message)
 
     def tick(self, now: float) -> None:
-        """Look at what time has brought."""
+        """Do what is due by now."""
         self._announce_lease_change(now)
         match self.phase:
             case Phase.WAITING if now >= self.next_attempt_at:
@@ -188,12 +192,12 @@
             self.outputs.append(Send(Leave()))
         if self.phase not in (Phase.WAITING, Phase.LEFT):
             self.outputs.append(Disconnect(CloseCode.LEAVING))
-        self.phase = Phase.LEFT
+        self._enter(Phase.LEFT)
 
-    # What the driver asks
+    # Called by the driver to learn what follows
 
     def deadline(self) -> float:
-        """When `tick` is wanted next."""
+        """When `tick` is due next (steady time, s)."""
         lease_end = self.lease_until if self.announced_fresh else FAR_FUTURE
         match self.phase:
             case Phase.WAITING:
@@ -222,9 +226,13 @@
 
     # The connection
 
+    def _enter(self, phase: Phase) -> None:
+        assert phase in PHASE_TRANSITIONS[self.phase], f"{self.phase} to {phase}"
+        self.phase = phase
+
     def _connect(self, now: float) -> None:
         self.machine = self.selection.pick(now)
-        self.phase = Phase.CONNECTING
+        self._enter(Phase.CONNECTING)
         self.last_received_at = now
         self.counts["attempts"] += 1
         self.outputs.append(Connect(self.machine))
@@ -235,7 +243,7 @@
             self._disconnect(now, CloseCode.GARBLED if message.version == VERSION else CloseCode.VERSION)
             return
         self.cluster = message.cluster
-        self.phase = Phase.SUBSCRIBED
+        self._enter(Phase.SUBSCRIBED)
         self.renew_interval_s = min(max(message.renew_s, MIN_RENEW_INTERVAL_S), MAX_RENEW_INTERVAL_S)
         self.publisher_timeout_s = max(
             self.limits.publisher_timeout_s, MAX_MISSED_RENEWALS * self.renew_interval_s
@@ -261,7 +269,7 @@
     def _schedule_attempt(self, now: float, least_wait: float, failed: bool = True) -> None:
         if failed and self.machine is not None:
             self.selection.failed(now, self.machine)
-        self.phase = Phase.WAITING
+        self._enter(Phase.WAITING)
         self.unanswered_renewals.clear()
         self._discard_snapshot_parts()
         self.next_renewal_at = FAR_FUTURE
--- a/tests/test_observer_server.py
+++ b/tests/test_observer_server.py
@@ -42,6 +42,7 @@
 from gradegap.observer.server import PublisherServer
 from gradegap.observer.settings import ObserverMachine, ObserverSettings
 from gradegap.observer.subscriber import Phase, Subscriber
+from gradegap.observer.subscriber_connection import HIGH_WATER_BYTES
 from gradegap.observer.token_bucket import TokenBucket
 from gradegap.store import wire
 from gradegap.store.channel import LinkChannel
@@ -488,11 +489,11 @@
             if connection.transport is not None:
                 largest = max(largest, connection.transport.get_write_buffer_size())
         # What one block of values may add to a buffer that was just under its mark.
-        assert largest <= server_module.HIGH_WATER_BYTES + LARGEST_FRAME
+        assert largest <= HIGH_WATER_BYTES + LARGEST_FRAME
         await w.until(lambda: node.revision >= answer.revision)
         print(f"largest write buffer {largest} bytes")
         assert connection.connection_id in w.server.publisher.subscriptions  # type: ignore[union-attr]
-        assert largest > server_module.HIGH_WATER_BYTES
+        assert largest > HIGH_WATER_BYTES
         # It reads again: what it lacks comes coalesced, in order, and never backwards.
         raw.writer.transport.resume_reading()  # type: ignore[attr-defined]
         revision = 0
