--- a/bench/scale/sessions.py
+++ b/bench/scale/sessions.py
@@ -94,13 +94,13 @@
             self._state,
             parts.told,
         )
-        network = self.attached.daemon.net
+        network = self.attached.member.links
         network.channel = self._channel  # type: ignore[method-assign]
         self.attached.machine.listeners.append(self._changed)
 
-    def _channel(self, dials: bool) -> LinkChannel:
-        network = self.attached.daemon.net
-        channel = CountedChannel.open(network.secret, "member", dials, network.me, network.cluster)
+    def _channel(self, is_dialer: bool) -> LinkChannel:
+        network = self.attached.member.links
+        channel = CountedChannel.open(network.secret, "member", is_dialer, network.member, network.cluster)
         assert isinstance(channel, CountedChannel)
         channel.traffic = self.parts.traffic
         return channel
--- a/bench/scale/slopes_module.py
+++ b/bench/scale/slopes_module.py
@@ -307,13 +307,13 @@
         out, taken, frames = [], [], []
         for _ in range(REPEATS):
             began = time.process_time()
-            frame = dialer.send(tells.tell({"ready": True, "sessions": 62_500}))
+            frame = dialer.send(tells.message({"ready": True, "sessions": 62_500}))
             out.append((time.process_time() - began) * 1e3)
             frames.append(float(len(frame)))
             began = time.process_time()
             words, _ = acceptor.receive(frame)
             for word in words:
-                hears.hear(cast(Gossip, word))
+                hears.receive(cast(Gossip, word))
             taken.append((time.process_time() - began) * 1e3)
         sizes.append(point(servers, frames))
         telling.append(point(servers, out))
--- a/gradegap/store/committed_state.py
+++ b/gradegap/store/committed_state.py
@@ -1,4 +1,4 @@
-"""Committed keys that a node decides by, carried over to its core and to its live configuration."""
+"""Committed keys that a node decides by, put in force at its proxy and its dynamic configuration."""
 
 from __future__ import annotations
 
@@ -11,13 +11,11 @@
 
 DISABLED_PREFIX = "out/"
 CONFIGURATION_PREFIX = "config/"
-ADMIN_CALL_TIMEOUT_S = (
-    2.2  # s that a call at the console may take; leases of others are waited for for half as long
-)
+ADMIN_CALL_TIMEOUT_S = 2.2  # of a call to the admin API; twice the time that others' leases are waited for
 
 
 class CommittedState:
-    """Applies changes of committed keys to one node."""
+    """Puts changes of committed keys in force at one node."""
 
     def __init__(self, proxy: Proxy, live: DynamicConfiguration) -> None:
         self.proxy, self.live = proxy, live
@@ -25,30 +23,31 @@
     def apply(self, key: str, value: object, deleted: bool) -> None:
         """One change; keys that a node does not decide by are passed over."""
         if key.startswith(DISABLED_PREFIX):
-            self._apply_out(key.removeprefix(DISABLED_PREFIX), value, deleted)
+            self._apply_disabled(key.removeprefix(DISABLED_PREFIX), value, deleted)
         elif key.startswith(CONFIGURATION_PREFIX):
-            self._apply_config(key.removeprefix(CONFIGURATION_PREFIX), value, deleted)
+            self._apply_configuration(key.removeprefix(CONFIGURATION_PREFIX), value, deleted)
 
-    def _apply_out(self, server: str, value: object, deleted: bool) -> None:
+    def _apply_disabled(self, endpoint_id: str, value: object, deleted: bool) -> None:
         if deleted:
-            self.proxy.enable_endpoint(server)
+            self.proxy.enable_endpoint(endpoint_id)
             return
         try:
             since = msgspec.convert(value, schema.Out).at_ms / 1000
         except msgspec.ValidationError:
             since = 0.0  # long ago where nobody said when: no grace is left, then
-        self.proxy.disable_endpoint(server, min(since, self.proxy.now()))
+        self.proxy.disable_endpoint(endpoint_id, min(since, self.proxy.now()))
 
-    def _apply_config(self, name: str, value: object, deleted: bool) -> None:
+    def _apply_configuration(self, name: str, value: object, deleted: bool) -> None:
         if deleted:
             self.live.reset(name)
         else:
             self.live.apply(name, value)
 
-    def out_by_hand(self, server: str, author: str) -> KeyUpdate:
-        """The write that takes a save server out from now on."""
-        return KeyUpdate(DISABLED_PREFIX + server, {"at_ms": round(self.proxy.now() * 1000), "by": author})
+    def disabled_by_operator(self, endpoint_id: str, author: str) -> KeyUpdate:
+        """The update that takes an endpoint out of use from now on."""
+        value = {"at_ms": round(self.proxy.now() * 1000), "by": author}
+        return KeyUpdate(DISABLED_PREFIX + endpoint_id, value)
 
-    def back_by_hand(self, server: str) -> KeyUpdate:
-        """The write that calls a save server back."""
-        return KeyUpdate(DISABLED_PREFIX + server, delete=True)
+    def enabled_by_operator(self, endpoint_id: str) -> KeyUpdate:
+        """The update that takes an endpoint into use again."""
+        return KeyUpdate(DISABLED_PREFIX + endpoint_id, delete=True)
--- a/gradegap/store/embedded.py
+++ b/gradegap/store/embedded.py
@@ -1,8 +1,8 @@
 """The store in a node's own process: what the node decides by, and whether it may decide.
 
-Servers out by hand and configuration come from committed keys. A node without a lease refuses new reqs at
-once, with a time to come again, and says no to `PING`; what stands stays. With `when_stale = "serve"` it goes
-on, which is counted and logged.
+Administratively disabled endpoints and configuration come from committed keys. A node without a lease rejects
+new requests at once, with a time to come again, and says no to `PING`; what is established stays. With
+`when_stale = "serve"` it goes on, which is counted and logged.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 class EmbeddedStore:
-    """One node's store. `changed` is called when it may decide again, or no more."""
+    """One node's member of the store, joined to its proxy and its dynamic configuration."""
 
     def __init__(
         self,
@@ -54,119 +54,132 @@
         told: Callable[[], bool],
         make_subscription_server: SubscriptionServerFactory | None = None,
     ) -> None:
+        """`state` is what the node tells its siblings of itself; `told`, whether discovery named a list.
+
+        Raises:
+            FolderError: where the folder can't be started with.
+        """
         self.settings, self.proxy, self.live, self.metrics, self.loop = settings, proxy, live, metrics, loop
         self.state = state
         self.committed = CommittedState(proxy, live)
-        self.daemon = StoreMember(
+        self.member = StoreMember(
             settings,
             secret,
             folder,
             loop,
             metrics,
-            self._failed,
+            self._member_failed,
             make_subscription_server=make_subscription_server,
         )
-        self.operations = EndpointOperations(self.committed, settings.name, self.daemon.service.request)
-        self.daemon.want_lease = True
-        self.daemon.lease_changed = self._look
-        self.daemon.gossiped = self._gossiped
-        self.daemon.met = self._met
-        self.daemon.machine.listeners.append(self._events)
-        self.learner = GossipExchange(settings.name, proxy, metrics, told)
-        self.was_fresh: bool | None = None
-        self.synced = False
-        self.timer: asyncio.TimerHandle | None = None
+        self.operations = EndpointOperations(self.committed, settings.name, self.service.request)
+        self.member.leases.wanted = True
+        self.member.leases.changed = self._follow_lease
+        self.member.gossip_received = self._gossip_received
+        self.member.peer_linked = self._peer_linked
+        self.member.machine.listeners.append(self._apply_events)
+        self.gossip = GossipExchange(settings.name, proxy, metrics, told)
+        self._was_fresh: bool | None = None
+        self._is_synchronized = False  # once the first lease has put the store's keys in force
+        self._gossip_timer: asyncio.TimerHandle | None = None
         metrics.gauge("store_fresh", lambda: int(self.fresh()))
 
     @property
     def machine(self) -> StateMachine:
-        return self.daemon.machine
+        """The replicated state as it is applied here."""
+        return self.member.machine
 
     @property
     def service(self) -> RequestService:
-        return self.daemon.service
+        """Who answers requests to the store."""
+        return self.member.requests
 
     @property
     def cluster(self) -> str:
-        return self.daemon.identity.cluster
+        """The cluster's name; empty before there is one."""
+        return self.member.identity.cluster
 
     async def start(self) -> None:
-        await self.daemon.start()
-        self._gossip()
-        self._look()
+        """Take part; `OSError` where the address can't be had."""
+        await self.member.start()
+        self._send_gossip()
+        self._follow_lease()
 
     # May it decide?
 
     def fresh(self) -> bool:
         """Whether a decision made now is by committed state."""
-        return self.daemon.fresh()
+        return self.member.is_fresh()
 
-    def _look(self) -> None:
+    def _follow_lease(self) -> None:
         fresh = self.fresh()
-        if fresh and not self.synced:
-            self.synced = True
-            self._take_over_all()
-        if fresh != self.was_fresh:
-            self.was_fresh = fresh
+        if fresh and not self._is_synchronized:
+            self._is_synchronized = True
+            self._apply_state()
+        if fresh != self._was_fresh:
+            self._was_fresh = fresh
             report_lease_change(self.metrics, fresh, self.settings.when_stale)
 
-    def _failed(self, error: FolderError) -> None:
-        # The lease runs out, and the node refuses; its clients stay.
+    def _member_failed(self, error: FolderError) -> None:
+        # The lease runs out, and the node rejects requests; its clients stay.
         log.error("the node goes on without its store", error=str(error))
 
     # What it decides by
 
-    def _take_over_all(self) -> None:
-        """At the first lease the store is what holds, whatever an earlier life kept."""
-        machine = self.daemon.machine
-        held = {i.key.removeprefix(DISABLED_PREFIX): i.value for i in machine.list(DISABLED_PREFIX)}
-        for server, value in held.items():
-            self.committed.apply(DISABLED_PREFIX + server, value, deleted=False)
-        for server in list(self.proxy.disabled.keys() - held.keys()):
-            self.proxy.enable_endpoint(server)
-        for item in machine.list(CONFIGURATION_PREFIX):
+    def _apply_state(self) -> None:
+        """At the first lease the store is what is in force, whatever an earlier process kept."""
+        disabled = {
+            item.key.removeprefix(DISABLED_PREFIX): item.value for item in self.machine.list(DISABLED_PREFIX)
+        }
+        for endpoint_id, value in disabled.items():
+            self.committed.apply(DISABLED_PREFIX + endpoint_id, value, deleted=False)
+        for endpoint_id in list(self.proxy.disabled.keys() - disabled.keys()):
+            self.proxy.enable_endpoint(endpoint_id)
+        for item in self.machine.list(CONFIGURATION_PREFIX):
             self.live.apply(item.key.removeprefix(CONFIGURATION_PREFIX), item.value)
 
-    def _events(self, events: list[Event]) -> None:
-        for e in events:
-            self.committed.apply(e.key, e.value, e.deleted)
+    def _apply_events(self, events: list[Event]) -> None:
+        for event in events:
+            self.committed.apply(event.key, event.value, event.deleted)
 
     # What operators ask of the node
 
     def disable_endpoint(self, server: str, done: ResultCallback) -> None:
-        """Yes, once it is committed and every node with a lease obeys it."""
+        """Yes, once it is committed and every node with a lease decides by it."""
         self.operations.disable(server, done)
 
     def enable_endpoint(self, server: str, done: ResultCallback) -> None:
-        """Yes, once it is committed and every node with a lease obeys it."""
+        """Yes, once it is committed and every node with a lease decides by it."""
         self.operations.enable(server, done)
 
-    # What nodes tell each other
+    # Gossip
 
-    def _gossip(self) -> None:
-        if not self.daemon.closed:
-            self.daemon.to_all(self.learner.tell(self.state()))
-            self.timer = self.loop.call_later(GOSSIP_PERIOD_S, self._gossip)
+    def _send_gossip(self) -> None:
+        if not self.member.closed:
+            self.member.links.send_to_all(self.gossip.message(self.state()))
+            self._gossip_timer = self.loop.call_later(GOSSIP_PERIOD_S, self._send_gossip)
 
-    def _met(self, link: Link) -> None:
-        """A sibling that starts anew is told at once: it is about to serve."""
-        link.send(self.learner.tell(self.state()))
+    def _peer_linked(self, link: Link) -> None:
+        """A sibling that has just started is told at once: it is about to serve."""
+        link.send(self.gossip.message(self.state()))
 
-    def _gossiped(self, gossip: wire.Gossip) -> None:
-        self.learner.hear(gossip)
-        self.daemon.service.nodes[gossip.node] = (time.monotonic(), gossip.state)
+    def _gossip_received(self, gossip: wire.Gossip) -> None:
+        self.gossip.receive(gossip)
+        self.service.nodes[gossip.node] = (time.monotonic(), gossip.state)
 
     # The end
 
     def leave(self) -> float:
-        """Give the folder and the port up, for the next process; s of the lease that are left. Nothing
-        more is said of what this node has applied, so no write is acknowledged that it does not know."""
-        left = max(0.0, self.daemon.holder.until - time.monotonic())
-        self.daemon.hand_over()
-        self.daemon.want_lease = False
-        return left
+        """Give the folder and the port up, for the next process; s of the lease that are left.
+
+        Nothing more is said of what this node has applied, so no write is acknowledged that it does not know.
+        """
+        left_s = max(0.0, self.member.leases.holder.until - time.monotonic())
+        self.member.hand_over()
+        self.member.leases.wanted = False
+        return left_s
 
     def close(self) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
-        self.daemon.close()
+        """End this process's part in the store."""
+        if self._gossip_timer is not None:
+            self._gossip_timer.cancel()
+        self.member.close()
--- a/gradegap/store/endpoint_operations.py
+++ b/gradegap/store/endpoint_operations.py
@@ -36,11 +36,11 @@
 
     def disable(self, endpoint: str, done: ResultCallback) -> None:
         """Succeeds once it is committed and no node decides without it."""
-        self._write(self.committed.out_by_hand(endpoint, self.node), done)
+        self._write(self.committed.disabled_by_operator(endpoint, self.node), done)
 
     def enable(self, endpoint: str, done: ResultCallback) -> None:
         """Succeeds once it is committed and in force at every node that decides."""
-        self._write(self.committed.back_by_hand(endpoint), done)
+        self._write(self.committed.enabled_by_operator(endpoint), done)
 
     def _write(self, update: KeyUpdate, done: ResultCallback) -> None:
         def finish(response: wire.Response) -> None:
--- a/gradegap/store/gossip.py
+++ b/gradegap/store/gossip.py
@@ -1,9 +1,9 @@
-"""What nodes see of save servers, passed between them: bounded, with its age, never through the log.
+"""What nodes see of endpoints, passed between them: bounded, with its age, never through the log.
 
-A node that starts anew knows no loads, and a list that may be out of date. What its siblings tell it reaches
-the module as its own events: reports at the time they were made, so that they are weighed by their age, and
-who drains or has started anew as changes of the list, until discovery itself has told one, who is silent as a
-probe without an answer.
+A node that has just started knows no loads, and an endpoint list that may be out of date. What its siblings
+tell it reaches the balancer as its own events: load reports at the time they were made, so that they are
+weighed by their age; draining and restarted endpoints as changes of the list, until discovery itself has
+named one; unresponsive endpoints as health checks that timed out.
 """
 
 from __future__ import annotations
@@ -24,100 +24,132 @@
 from gradegap.proxy.proxy import Proxy
 from gradegap.store.wire import Gossip, GossipReport
 
-GOSSIP_PERIOD_S = 1.0  # s between two words
-MAX_REPORT_AGE_S = 5.0  # s; older reports say nothing any more
-KNOWN_PHASES = {int(p) for p in EndpointPhase}
-MAX_REPORTS = 2000  # of what is told at once
-MAX_REPORT_FIELDS = 16  # of a report
-MIN_NEWER_S = 0.25  # s by which a report must be newer than one's own to be taken
+GOSSIP_PERIOD_S = 1.0
+MAX_REPORT_AGE_S = 5.0  # older reports say nothing any more
+MIN_NEWER_S = 0.25  # by which a report must be newer than this node's own to be taken
+MAX_REPORTS = 2000  # of one message
+MAX_REPORT_FIELDS = 16
+MAX_SANE_AGE_S = 3600.0
+MAX_SANE_TIME_S = 1e11  # Unix time
+KNOWN_PHASES = {int(phase) for phase in EndpointPhase}
+NEVER = -1e9  # steady time, s
 
 
 class GossipExchange:
-    """One node's part: what it tells, and what it takes of what it is told."""
+    """One node's part: what it tells its siblings, and what it takes of what they tell."""
 
-    def __init__(self, node: str, proxy: Proxy, metrics: Metrics, told: Callable[[], bool]) -> None:
+    def __init__(
+        self, node: str, proxy: Proxy, metrics: Metrics, has_endpoint_list: Callable[[], bool]
+    ) -> None:
+        """`has_endpoint_list`: whether discovery has given this node a list."""
         self.node, self.proxy, self.metrics = node, proxy, metrics
-        self.silent: dict[str, float] = {}  # by server, the latest word of a sibling
-        self.told = told  # whether discovery has told this node a list
+        self.has_endpoint_list = has_endpoint_list
+        self._unresponsive_at: dict[str, float] = {}  # by endpoint, as siblings saw it; steady time, s
 
-    def tell(self, state: dict[str, object]) -> Gossip:
-        """Only what this node saw itself: what it was told is not told on, so nothing goes in circles."""
+    # What this node tells
+
+    def message(self, state: dict[str, object]) -> Gossip:
+        """Only what this node saw itself: what siblings told it goes no further, so nothing circulates."""
+        reports = self._load_reports() + self._unanswered()
+        if self.has_endpoint_list():
+            reports += self._listed()
+        return Gossip(self.node, state, reports[:MAX_REPORTS])
+
+    def _load_reports(self) -> list[GossipReport]:
         now = self.proxy.now()
-        seen = [
-            GossipReport(b.id, "report", now - b.report_at, dict(b.report))
-            for b in self.proxy.endpoints.values()
-            if b.report is not None and not b.report_from_peer and now - b.report_at < MAX_REPORT_AGE_S
+        return [
+            GossipReport(endpoint.id, "report", now - endpoint.report_at, dict(endpoint.report))
+            for endpoint in self.proxy.endpoints.values()
+            if endpoint.report is not None
+            and not endpoint.report_from_peer
+            and now - endpoint.report_at < MAX_REPORT_AGE_S
         ]
-        seen += [
-            GossipReport(b.id, "silent", now - b.unanswered_at)
-            for b in self.proxy.endpoints.values()
-            if now - b.unanswered_at < MAX_REPORT_AGE_S
+
+    def _unanswered(self) -> list[GossipReport]:
+        now = self.proxy.now()
+        return [
+            GossipReport(endpoint.id, "silent", now - endpoint.unanswered_at)
+            for endpoint in self.proxy.endpoints.values()
+            if now - endpoint.unanswered_at < MAX_REPORT_AGE_S
         ]
-        if self.told():
-            seen += [
-                GossipReport(b.id, "listed", 0.0, None, int(b.entry.phase), b.entry.started_at)
-                for b in self.proxy.endpoints.values()
-                if b.entry is not None
-            ]
-        return Gossip(self.node, state, seen[:MAX_REPORTS])
-
-    def hear(self, gossip: Gossip) -> None:
+
+    def _listed(self) -> list[GossipReport]:
+        return [
+            GossipReport(endpoint.id, "listed", 0.0, None, int(entry.phase), entry.started_at)
+            for endpoint in self.proxy.endpoints.values()
+            if (entry := endpoint.entry) is not None
+        ]
+
+    # What siblings tell
+
+    def receive(self, gossip: Gossip) -> None:
+        """Pass what a sibling has seen to the balancer, where this node knows nothing newer."""
         if gossip.node == self.node:
             return
         self.metrics.count("gossip_heard")
-        now = self.proxy.now()
-        changed: list[tuple[EndpointEntry, str]] = []
-        for learned in gossip.reports[:MAX_REPORTS]:
-            if not self._fit(learned):
+        changes: list[tuple[EndpointEntry, str]] = []
+        for report in gossip.reports[:MAX_REPORTS]:
+            if not _is_sane(report):
                 self.metrics.count("gossip_unfit")
                 continue
-            b = self.proxy.endpoints.get(learned.endpoint_id)
-            if b is None or b.entry is None:
+            endpoint = self.proxy.endpoints.get(report.endpoint_id)
+            if endpoint is None or endpoint.entry is None:
                 self.metrics.count("gossip_unknown_server")
-            elif learned.kind == "silent":
-                self._silent(learned, b, now)
-            elif learned.report is None:
-                if not self.told() and (learned.phase, learned.started_at) != (
-                    b.entry.phase,
-                    b.entry.started_at,
-                ):
-                    entry = b.entry._replace(
-                        phase=EndpointPhase(learned.phase), started_at=learned.started_at
-                    )
-                    changed.append((entry, ""))
-            elif learned.age_s > MAX_REPORT_AGE_S or now - learned.age_s < b.report_at + MIN_NEWER_S:
-                self.metrics.count("gossip_old")
+            elif report.kind == "silent":
+                self._receive_unanswered(report, endpoint)
+            elif report.kind == "listed":
+                changes += self._changes(report, endpoint.entry)
             else:
-                self.metrics.count("gossip_taken")
-                b.report_from_peer = True
-                self.proxy.record_report(now - learned.age_s, b.id, learned.report)
-        if changed:
-            self.metrics.count("gossip_listed", len(changed))
-            self.proxy.update_endpoints(EndpointListKind.DELTA, changed)
-
-    def _silent(self, learned: GossipReport, b: Endpoint, now: float) -> None:
-        """A sibling's probe was left unanswered: the module hears of it as of one of its own, and no more
-        often than of its own, where this node has no later answer."""
-        at = now - learned.age_s
-        known = max(b.unanswered_at, self.silent.get(b.id, -1e9)) + MIN_NEWER_S
-        if at <= max(b.report_at, known) or learned.age_s > MAX_REPORT_AGE_S:
+                self._receive_load_report(report, endpoint)
+        if changes:
+            self.metrics.count("gossip_listed", len(changes))
+            self.proxy.update_endpoints(EndpointListKind.DELTA, changes)
+
+    def _changes(self, report: GossipReport, entry: EndpointEntry) -> list[tuple[EndpointEntry, str]]:
+        known = (entry.phase, entry.started_at)
+        if self.has_endpoint_list() or (report.phase, report.started_at) == known:
+            return []
+        changed = entry._replace(phase=EndpointPhase(report.phase), started_at=report.started_at)
+        return [(changed, "")]
+
+    def _receive_load_report(self, report: GossipReport, endpoint: Endpoint) -> None:
+        reported_at = self.proxy.now() - report.age_s
+        if report.age_s > MAX_REPORT_AGE_S or reported_at < endpoint.report_at + MIN_NEWER_S:
+            self.metrics.count("gossip_old")
+            return
+        self.metrics.count("gossip_taken")
+        endpoint.report_from_peer = True
+        assert report.report is not None  # of this kind; see `_is_sane`
+        self.proxy.record_report(reported_at, endpoint.id, report.report)
+
+    def _receive_unanswered(self, report: GossipReport, endpoint: Endpoint) -> None:
+        """A sibling's health check was left unanswered.
+
+        The balancer is told of it as of one of this node's own, and no more often than of these, where this
+        node has no later answer.
+        """
+        unanswered_at = self.proxy.now() - report.age_s
+        known = max(endpoint.unanswered_at, self._unresponsive_at.get(endpoint.id, NEVER)) + MIN_NEWER_S
+        if unanswered_at <= max(endpoint.report_at, known) or report.age_s > MAX_REPORT_AGE_S:
             self.metrics.count("gossip_old")
             return
-        self.silent[b.id] = at  # apart from what this node saw itself, which alone it tells on
+        # Kept apart from what this node saw itself, which alone it passes on.
+        self._unresponsive_at[endpoint.id] = unanswered_at
         self.metrics.count("gossip_silent")
-        self.proxy.feed(HealthCheckEnded(b.id, AttemptResult.TIMEOUT, HEALTH_CHECK_TIMEOUT_S, None))
-
-    def _fit(self, learned: GossipReport) -> bool:
-        """Guards the module against figures that no probe could have brought."""
-        report = learned.report or {}
-        if learned.kind == "silent":
-            return learned.report is None and 0.0 <= learned.age_s < 3600.0
-        if learned.kind == "listed":
-            return learned.report is None and learned.phase in KNOWN_PHASES and 0 <= learned.started_at < 1e11
-        return (
-            learned.kind == "report"
-            and learned.report is not None
-            and 0.0 <= learned.age_s < 3600.0
-            and len(report) <= MAX_REPORT_FIELDS
-            and all(math.isfinite(v) and v >= 0.0 for v in report.values())
-        )
+        timed_out = HealthCheckEnded(endpoint.id, AttemptResult.TIMEOUT, HEALTH_CHECK_TIMEOUT_S, None)
+        self.proxy.feed(timed_out)
+
+
+def _is_sane(report: GossipReport) -> bool:
+    """Guards the balancer against figures that no health check could have brought."""
+    fields = report.report
+    if report.kind == "listed":
+        known_phase = report.phase in KNOWN_PHASES
+        return fields is None and known_phase and 0 <= report.started_at < MAX_SANE_TIME_S
+    if not 0.0 <= report.age_s < MAX_SANE_AGE_S:
+        return False
+    if report.kind == "silent":
+        return fields is None
+    if report.kind != "report" or fields is None or len(fields) > MAX_REPORT_FIELDS:
+        return False
+    return all(math.isfinite(value) and value >= 0.0 for value in fields.values())
--- a/gradegap/store/leader_requests.py
+++ b/gradegap/store/leader_requests.py
@@ -129,7 +129,7 @@
         self.host.settle()
 
     def _admit(self, pending: PendingRequest, member: Member) -> None:
-        """Add the member; an earlier incarnation of it is removed first, and the member then asks once more."""
+        """Add the member; an earlier incarnation is removed first, and the member then asks once more."""
         if self.raft.configuration.get(member.id) is not None:
             self.responder.respond(pending, wire.Response(0, text="taken in"))
             return
--- a/gradegap/store/links.py
+++ b/gradegap/store/links.py
@@ -16,10 +16,10 @@
 
 from gradegap.metrics import Metrics
 from gradegap.raft import Member
-from gradegap.store.channel import LinkChannel
+from gradegap.store.channel import MEMBER, LinkChannel
 from gradegap.store.errors import LinkError
 from gradegap.store.leases import DEFAULT_LEASE_S
-from gradegap.store.wire import LinkMessage
+from gradegap.store.wire import Hello, LinkMessage
 from gradegap.transport.addresses import split_address
 
 log = structlog.get_logger()
@@ -34,8 +34,8 @@
 class Link(asyncio.Protocol):
     """A connection, whichever side opened it."""
 
-    def __init__(self, net: MemberLinks, channel: LinkChannel, dial: Dialer | None = None) -> None:
-        self.net, self.channel, self.dial = net, channel, dial
+    def __init__(self, net: MemberLinks, channel: LinkChannel, dialer: Dialer | None = None) -> None:
+        self.net, self.channel, self.dialer = net, channel, dialer
         self.transport: asyncio.Transport | None = None
         self.guard: asyncio.TimerHandle | None = None
         self.closing: list[Callable[[], None]] = []  # called once it has ended
@@ -50,11 +50,11 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(high=1 << 20)
-        if self.dial is None and len(self.net.accepted) >= MAX_ACCEPTED_LINKS:
+        if self.dialer is None and len(self.net.accepted) >= MAX_ACCEPTED_LINKS:
             self.end("full")
             return
         self.net.all.add(self)
-        if self.dial is None:
+        if self.dialer is None:
             self.net.accepted.add(self)
         else:
             self.transport.write(self.channel.begin())
@@ -79,8 +79,8 @@
         if self.channel.authenticated and not was_proven:
             if self.guard is not None:
                 self.guard.cancel()
-            if self.dial is not None:
-                self.dial.proven(self)
+            if self.dialer is not None:
+                self.dialer.proven(self)
         for word in words:
             if self.transport is None:
                 return
@@ -106,7 +106,7 @@
             return
         self.why = reason
         self.net.metrics.count(f"store_link_{reason}")
-        name = self.dial.address if self.dial is not None else self.transport.get_extra_info("peername")
+        name = self.dialer.address if self.dialer is not None else self.transport.get_extra_info("peername")
         log.warning("store link ended", reason=reason, detail=text, peer=str(name))
         self.transport.close()
 
@@ -119,8 +119,8 @@
         closing, self.closing = self.closing, []
         for each in closing:
             each()
-        if self.dial is not None:
-            self.dial.lost(self)
+        if self.dialer is not None:
+            self.dialer.lost(self)
 
 
 class Dialer:
@@ -141,7 +141,7 @@
     async def _connect(self) -> None:
         # The one task: it ends once the connection stands or has failed.
         host, port = split_address(self.address)
-        link = Link(self.net, self.net.channel(dials=True), self)
+        link = Link(self.net, self.net.channel(is_dialer=True), self)
         try:
             await asyncio.wait_for(
                 self.net.loop.create_connection(lambda: link, host, port), CONNECT_TIMEOUT_S
@@ -158,7 +158,9 @@
     def proven(self, link: Link) -> None:
         self.link = link
         self.wait = RECONNECT_BACKOFF_S[0]
-        self.net.linked(self, link)
+        peer = link.channel.peer_hello
+        assert peer is not None
+        self.net.linked(link, peer)
 
     def lost(self, link: Link) -> None:
         if self.link is link:
@@ -182,41 +184,52 @@
         metrics: Metrics,
         secret: bytes,
         heard: Callable[[Link, LinkMessage], None],
-        linked: Callable[[Dialer, Link], None],
+        linked: Callable[[Link, Hello], None],
     ) -> None:
         self.loop, self.metrics, self.secret = loop, metrics, secret
         self.heard, self.linked = heard, linked
-        self.me: Member | None = None
+        self.member: Member | None = None
         self.lease_s = DEFAULT_LEASE_S
         self.cluster = ""
         self.all: set[Link] = set()
         self.accepted: set[Link] = set()
-        self.dials: dict[str, Dialer] = {}  # by address
+        self.dialers: dict[str, Dialer] = {}  # by address
         self.server: asyncio.Server | None = None
         self.began = time.monotonic()
 
-    def channel(self, dials: bool) -> LinkChannel:
-        return LinkChannel.open(self.secret, "member", dials, self.me, self.cluster, self.lease_s)
+    def introduce(self, member: Member, cluster: str, lease_s: float) -> None:
+        """What this member's end of each link says of itself."""
+        self.member, self.cluster, self.lease_s = member, cluster, lease_s
+
+    def channel(self, is_dialer: bool) -> LinkChannel:
+        """This member's end of a new link."""
+        return LinkChannel.open(self.secret, MEMBER, is_dialer, self.member, self.cluster, self.lease_s)
 
     async def listen(self, address: str) -> None:
         host, port = split_address(address)
         self.server = await self.loop.create_server(
-            lambda: Link(self, self.channel(dials=False)), host, port, reuse_address=True
+            lambda: Link(self, self.channel(is_dialer=False)), host, port, reuse_address=True
         )
 
     def want(self, addresses: set[str]) -> None:
         """Keep links to these, and to no others."""
-        for address in addresses - self.dials.keys():
-            self.dials[address] = Dialer(self, address)
-        for address in self.dials.keys() - addresses:
-            self.dials.pop(address).stop()
+        for address in addresses - self.dialers.keys():
+            self.dialers[address] = Dialer(self, address)
+        for address in self.dialers.keys() - addresses:
+            self.dialers.pop(address).stop()
 
     def send(self, member: str, address: str, word: LinkMessage) -> bool:
         """Over the link dialed to a member; False where there is none, or it is another life of it."""
-        dial = self.dials.get(address)
-        if dial is None or dial.link is None or dial.link.id != member:
+        dialer = self.dialers.get(address)
+        if dialer is None or dialer.link is None or dialer.link.id != member:
             return False
-        return dial.link.send(word)
+        return dialer.link.send(word)
+
+    def send_to_all(self, message: LinkMessage) -> None:
+        """Over each link that was dialed."""
+        for dialer in self.dialers.values():
+            if dialer.link is not None:
+                dialer.link.send(message)
 
     def cluster_is(self, cluster: str) -> None:
         """Links said nothing of it before: they are made anew."""
@@ -225,8 +238,8 @@
     def close(self) -> None:
         if self.server is not None:
             self.server.close()
-        for dial in self.dials.values():
-            dial.stop()
+        for dialer in self.dialers.values():
+            dialer.stop()
         for link in list(self.all):
             if link.transport is not None:
                 link.transport.close()
--- /dev/null
+++ b/gradegap/store/log_writer.py
@@ -0,0 +1,127 @@
+"""Writes what the consensus core hands out before it is sent: a batch at a time, in the member's disk thread.
+
+What comes meanwhile is the next batch, so that many writes share a sync.
+"""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable
+from concurrent.futures import Future, ThreadPoolExecutor
+from typing import Any, Protocol
+
+from gradegap.metrics import Metrics
+from gradegap.raft import Message, Raft, Ready, SnapshotMetadata
+from gradegap.store.machine import StateMachine
+from gradegap.store.records import StoreState
+from gradegap.store.storage import MemberStorage, WriteBatch
+
+RETAINED_ENTRIES = 1000  # applied entries that stay in the log, for members that are a little behind
+COMPACTION_ENTRIES = 4 * RETAINED_ENTRIES  # in the log, at which it is compacted
+COMPACTION_BYTES = 8 * 1024 * 1024  # of the log, at which it is compacted further
+
+
+class WriterHost(Protocol):
+    """The member whose log is written."""
+
+    metrics: Metrics
+    machine: StateMachine
+    raft: Raft | None
+    thread: ThreadPoolExecutor
+
+    def settle(self) -> None:
+        """Carry out what the consensus core has ready."""
+
+    def send_raft_message(self, recipient: str, message: Message) -> None:
+        """Send a message of the core to the member of this id."""
+
+    def run_in_thread(self, work: Future[Any], done: Callable[[Any], None]) -> None:
+        """`done` on the loop with the result of work in `thread`."""
+
+
+class LogWriter:
+    """The queue of what is to be written, and the batch that is being written."""
+
+    def __init__(self, host: WriterHost, storage: MemberStorage) -> None:
+        self.host, self.storage = host, storage
+        self.received_snapshot: StoreState | None = None  # the latest that came, until it is written
+        self._queue: list[Ready] = []
+        self._is_writing = False
+        self._compacting_to = 0  # the index up to which the batch being written compacts the log; 0: none
+
+    def add(self, ready: Ready) -> None:
+        """Write this and send its messages, as soon as what came before is written."""
+        self._queue.append(ready)
+        self._write()
+
+    def _write(self) -> None:
+        raft = self.host.raft
+        if self._is_writing or not self._queue or raft is None:
+            return
+        queue, self._queue = self._queue, []
+        if not any(ready.must_sync for ready in queue):
+            self._send(queue, raft)
+            return
+        batch = self._batch(queue, raft)
+        self._is_writing = True
+        self.host.metrics.count("store_syncs")
+        work = self.host.thread.submit(self.storage.write, batch)
+        self.host.run_in_thread(work, lambda _: self._synced(queue))
+
+    def _batch(self, queue: list[Ready], raft: Raft) -> WriteBatch:
+        batch = WriteBatch()
+        for ready in queue:
+            self._add_ready(batch, ready)
+        machine = self.host.machine
+        if batch.whole is None or machine.index >= batch.whole.index:
+            batch.unsaved = machine.take_unsaved()
+        self.received_snapshot = None
+        batch.applied = (machine.index, machine.revision, machine.clock_ms)
+        if raft.log.size_bytes > COMPACTION_BYTES or len(raft.log.entries) > COMPACTION_ENTRIES:
+            self._compact(batch, raft)
+        return batch
+
+    def _add_ready(self, batch: WriteBatch, ready: Ready) -> None:
+        if ready.hard_state is not None:
+            batch.hard = ready.hard_state
+        if ready.snapshot is not None:
+            batch.base = ready.snapshot.metadata
+            batch.entries = []
+            batch.whole = self.received_snapshot
+        for entry in ready.entries:
+            if batch.entries and entry.index <= batch.entries[-1].index:
+                batch.entries = [each for each in batch.entries if each.index < entry.index]
+            batch.entries.append(entry)
+
+    def _compact(self, batch: WriteBatch, raft: Raft) -> None:
+        """Drop the log that the state on disk has made superfluous, but for a tail."""
+        retained = RETAINED_ENTRIES if raft.log.size_bytes <= COMPACTION_BYTES else RETAINED_ENTRIES // 10
+        index = min(self.host.machine.index, raft.stable_index) - retained
+        term = raft.log.term_at(index)
+        if index <= raft.log.base.index or term is None or batch.base is not None or self._compacting_to:
+            return
+        batch.base = SnapshotMetadata(index, term, raft.log.configuration_at(index))
+        self._compacting_to = index
+        self.host.metrics.count("store_compactions")
+
+    def _synced(self, queue: list[Ready]) -> None:
+        self._is_writing = False
+        raft = self.host.raft
+        if raft is None:
+            return
+        self.storage.point("synced")
+        if self._compacting_to:
+            raft.compact(self._compacting_to)
+            self._compacting_to = 0
+        self._send(queue, raft)
+        self.host.settle()
+        self._write()
+
+    def _send(self, queue: list[Ready], raft: Raft) -> None:
+        for ready in queue:
+            for recipient, message in ready.messages:
+                self.host.send_raft_message(recipient, message)
+        last = next((ready.entries[-1] for ready in reversed(queue) if ready.entries), None)
+        if last is not None:
+            raft.persisted(time.monotonic(), last.index, last.term)
+        self.storage.point("sent")
--- a/gradegap/store/storage.py
+++ b/gradegap/store/storage.py
@@ -60,8 +60,8 @@
     base: SnapshotMetadata | None = None  # entries up to here can go
     whole: StoreState | None = None  # in place of all state and log
     entries: list[Entry] = field(default_factory=list)
-    dirty: UnsavedChanges | None = None
-    applied: tuple[int, int, int] | None = None  # index, revision, clock of the state with `dirty`
+    unsaved: UnsavedChanges | None = None
+    applied: tuple[int, int, int] | None = None  # index, revision, clock of the state with `unsaved`
 
 
 @dataclass(slots=True)
@@ -242,15 +242,15 @@
             for entry in b.entries:
                 put(self.log, encode_number(entry.index), entry)
             self.point("entries")
-        if b.dirty is not None:
-            self._put_dirty(txn, b.dirty, put)
+        if b.unsaved is not None:
+            self._put_unsaved(txn, b.unsaved, put)
         if b.applied is not None:
             put(self.meta, b"applied", b.applied)
         if b.base is not None:
             put(self.meta, b"base", b.base)
             self._cut(txn, self.log, None, encode_number(b.base.index + 1))
 
-    def _put_dirty(self, txn: lmdb.Transaction, dirty: UnsavedChanges, put: Put) -> None:
+    def _put_unsaved(self, txn: lmdb.Transaction, dirty: UnsavedChanges, put: Put) -> None:
         for key, item in dirty.items.items():
             if item is None:
                 txn.delete(key.encode(), db=self.keys)
--- a/tests/store_process.py
+++ b/tests/store_process.py
@@ -12,12 +12,12 @@
 import signal
 import time
 
-from gradegap.store import member, storage
+from gradegap.store import log_writer, storage
 
 
 def set_up() -> None:
     if keep := os.environ.get("STORE_KEEP"):
-        member.RETAINED_ENTRIES, member.COMPACTION_ENTRIES = int(keep), 4 * int(keep)
+        log_writer.RETAINED_ENTRIES, log_writer.COMPACTION_ENTRIES = int(keep), 4 * int(keep)
     if room := os.environ.get("STORE_MAP"):
         storage.MemberStorage.__init__.__defaults__ = (int(room),)
     if wrong := os.environ.get("STORE_WALL"):
--- a/tests/test_lint_rules.py
+++ b/tests/test_lint_rules.py
@@ -49,12 +49,9 @@
 gradegap/store/bootstrap.py: D
 gradegap/store/disabled_endpoints.py: D
 gradegap/store/dynamic_configuration.py: D
-gradegap/store/embedded.py: D
-gradegap/store/gossip.py: D
 gradegap/store/leases.py: D
 gradegap/store/links.py: D
 gradegap/store/machine.py: D
-gradegap/store/member.py: C90 D
 gradegap/store/member_client.py: D
 gradegap/store/schema.py: D
 gradegap/store/storage.py: C90 D
--- a/tests/test_observer_server.py
+++ b/tests/test_observer_server.py
@@ -144,8 +144,8 @@
             lambda error: None,
             make_subscription_server=PublisherServer,
         )
-        assert isinstance(self.daemon.publisher, PublisherServer)
-        self.server = self.daemon.publisher
+        assert isinstance(self.daemon.subscription_server, PublisherServer)
+        self.server = self.daemon.subscription_server
         if limits is not None:
             self.server.limits = limits
         self.clients: list[ObserverClient] = []
@@ -177,7 +177,7 @@
 
     async def transact(self, *ops: KeyUpdate) -> wire.Response:
         told: asyncio.Future[wire.Response] = self.loop.create_future()
-        self.daemon.service.request(wire.Transaction(ops), told.set_result, WITHIN)
+        self.daemon.requests.request(wire.Transaction(ops), told.set_result, WITHIN)
         return await told
 
     async def until(self, true: Callable[[], Any], within: float = WITHIN) -> Any:
@@ -248,7 +248,7 @@
         world = World(folder, asyncio.get_running_loop(), limits, lease_s)
         await world.daemon.start()
         try:
-            await world.until(world.daemon.fresh)
+            await world.until(world.daemon.is_fresh)
             await part(world)
         finally:
             for client in world.clients:
--- a/tests/test_store_node.py
+++ b/tests/test_store_node.py
@@ -216,7 +216,7 @@
 
     proxy.balancer.handle = handle  # type: ignore[method-assign]
     told = False
-    learner = GossipExchange("me", proxy, proxy.metrics, lambda: told)
+    gossip = GossipExchange("me", proxy, proxy.metrics, lambda: told)
     good = GossipReport("s1", "report", 2.0, {"x0": 0.5})
     unfit = [
         GossipReport("s2", "report", 1.0, {"x0": float("nan")}),
@@ -228,36 +228,36 @@
         GossipReport("s2", "report", 60.0, {"x0": 0.5}),
         GossipReport("s9", "report", 1.0, {"x0": 0.5}),
     )
-    learner.hear(Gossip("other", {}, [good, *unfit, old, strange]))
+    gossip.receive(Gossip("other", {}, [good, *unfit, old, strange]))
     assert [server for _, server in heard] == ["s1"] and 1.9 < heard[0][0] < 2.1
     assert proxy.metrics.counts["gossip_unfit"] == len(unfit)
-    learner.hear(
+    gossip.receive(
         Gossip("other", {}, [GossipReport("s1", "report", 1.95, {"x0": 0.4})])
     )  # no newer to speak of
     assert len(heard) == 1
     # What it was told is not told on; what it saw itself is.
-    assert learner.tell({}).reports == []
+    assert gossip.message({}).reports == []
     proxy.endpoints["s2"].report, proxy.endpoints["s2"].report_at = {"x0": 0.1}, proxy.now()
-    assert [x.endpoint_id for x in learner.tell({}).reports] == ["s2"]
+    assert [x.endpoint_id for x in gossip.message({}).reports] == ["s2"]
     # Who is silent at a sibling is heard of as a probe without an answer, once, and not told on twice.
     del heard[:]
-    learner.hear(Gossip("other", {}, [GossipReport("s1", "silent", 3.0)]))  # s1 has answered since
+    gossip.receive(Gossip("other", {}, [GossipReport("s1", "silent", 3.0)]))  # s1 has answered since
     assert not heard
     proxy.endpoints["s1"].report_at = proxy.now() - 9.0
-    learner.hear(Gossip("other", {}, [GossipReport("s1", "silent", 1.0)]))
-    learner.hear(Gossip("third", {}, [GossipReport("s1", "silent", 1.0)]))
+    gossip.receive(Gossip("other", {}, [GossipReport("s1", "silent", 1.0)]))
+    gossip.receive(Gossip("third", {}, [GossipReport("s1", "silent", 1.0)]))
     assert [server for _, server in heard] == ["s1"] and proxy.metrics.counts["gossip_silent"] == 1
     # A list that may be out of date is mended by what siblings were told, until discovery has told one.
     drains = GossipReport("s1", "listed", 0.0, None, int(EndpointPhase.DRAINING), 77.0)
-    learner.hear(Gossip("other", {}, [drains]))
+    gossip.receive(Gossip("other", {}, [drains]))
     s1 = proxy.endpoints["s1"]
     assert s1.phase is EndpointPhase.DRAINING and s1.drain_notified_at > 0 and s1.started_at == 77.0
     told = True
-    learner.hear(
+    gossip.receive(
         Gossip("other", {}, [GossipReport("s2", "listed", 0.0, None, int(EndpointPhase.REMOVED), 0.0)])
     )
     assert proxy.endpoints["s2"].phase is EndpointPhase.READY
-    assert {x.endpoint_id for x in learner.tell({}).reports if x.kind == "listed"} == {"s1", "s2"}
+    assert {x.endpoint_id for x in gossip.message({}).reports if x.kind == "listed"} == {"s1", "s2"}
     loop.close()
 
 
--- a/tests/test_store_parts.py
+++ b/tests/test_store_parts.py
@@ -415,7 +415,7 @@
     entries = [Entry(k, 1, EntryKind.COMMAND, d) for k, d in enumerate(log.entries, 1)]
     m = log.machine
     applied = (m.index, m.revision, m.clock_ms)
-    disk.write(WriteBatch(HardState(1, "x"), entries=entries, dirty=m.take_unsaved(), applied=applied))
+    disk.write(WriteBatch(HardState(1, "x"), entries=entries, unsaved=m.take_unsaved(), applied=applied))
 
 
 def test_a_folder_gives_back_what_was_written(tmp_path: Path) -> None:
