--- a/gradegap/simulator_adapter.py
+++ b/gradegap/simulator_adapter.py
@@ -1,7 +1,8 @@
-"""Hosts many instances of the decisions on the simulator's wire; decides nothing.
+"""Runs many balancers on the simulator's wire; decides nothing.
 
-Batches of events come on standard input, one reply a batch goes to standard output. Instances
-share only the numbered `sheet` lists, which the wire sends once for all of them.
+Lines of tab-separated `name=value` fields. A batch of events comes on standard input, from `batch` to `flush`,
+and one reply for each goes to standard output, ended by `end`. The instances of one process share only the
+numbered endpoint lists (`sheet`), sent once for all of them. Times on the wire are in ns, here in s.
 """
 
 from __future__ import annotations
@@ -42,21 +43,32 @@
 from gradegap.balancing.settings import Settings
 from gradegap.balancing.settings_reader import NS, Fields, read, report
 
-RESULTS = {str(int(r)): r for r in AttemptResult}
-KINDS = {str(int(k)): k for k in EndpointListKind}
-PHASES = {str(int(p)): p for p in EndpointPhase}
+RESULTS = {str(int(result)): result for result in AttemptResult}
+LIST_KINDS = {str(int(kind)): kind for kind in EndpointListKind}
+PHASES = {str(int(phase)): phase for phase in EndpointPhase}
+NS_PER_S = 1e9
+LOAD_UNIT = 1e-6  # of a load that a connection is said to make
+MS = 1e-3  # s
+SHOWN_OF_LINE = 200  # characters of a malformed line that its error shows
+EXIT_MALFORMED = 2
 
+TOPIC_LOAD, TOPIC_MESSAGE_DELAY = "1", "2"  # of a status note
 
-class Malformed(Exception):
-    """A line of the wire that cannot be read."""
 
+class MalformedInputError(ValueError):
+    """Input that breaks the wire's rules: the simulator and this adapter are of different versions."""
 
-def _request(f: Fields) -> RequestArrived:
-    get = f.get
+
+def _parse_fields(line: str) -> Fields:
+    return dict([part.split("=", 1) for part in line.split("\t")[1:]])
+
+
+def _parse_request(fields: Fields) -> RequestArrived:
+    get = fields.get
     return RequestArrived(
-        int(f["Tid"]),
-        f["Service"],
-        int(f["DeadlineNs"]) * NS,
+        int(fields["Tid"]),
+        fields["Service"],
+        int(fields["DeadlineNs"]) * NS,
         get("Tenant", ""),
         get("RouteKey", ""),
         get("TeamId", ""),
@@ -67,192 +79,232 @@
     )
 
 
-def _note(f: Fields) -> ConnectionObserved:
-    value = float(f["Value"])
-    if f["Topic"] == "1":
-        return ConnectionObserved(int(f["Tid"]), f["Server"], load=value * 1e-6)
-    if f["Topic"] == "2":
-        return ConnectionObserved(int(f["Tid"]), f["Server"], message_delay=value * 1e-3)
-    return ConnectionObserved(int(f["Tid"]), f["Server"])
-
-
-READERS: dict[str, Callable[[Fields], Event]] = {
-    "demand": _request,
-    "inherited": lambda f: ConnectionInherited(_request(f), f["Server"]),
-    "under_way": lambda f: ConnectionEstablished(
-        int(f["Tid"]), int(f["Go"]), f["Server"], int(f["SpentNs"]) * NS
-    ),
-    "status_note": _note,
-    "report_back": lambda f: AttemptEnded(
-        int(f["Tid"]),
-        int(f["Go"]),
-        f["Server"],
-        RESULTS[f["StateCode"]],
-        int(f.get("SpentNs", 0)) * NS,
-        f.get("Settled") == "1",
-        report(f.get("ServerStats")),
-    ),
-    "timed_out_client": lambda f: ClientDisconnected(int(f["Tid"])),
-    "reminder": lambda f: TimerFired(f["Ctx"]),
-    "probe_done": lambda f: HealthCheckEnded(
-        f["Server"], RESULTS[f["StateCode"]], int(f.get("SpentNs", 0)) * NS, report(f.get("ServerStats"))
-    ),
+def _parse_inherited(fields: Fields) -> ConnectionInherited:
+    return ConnectionInherited(_parse_request(fields), fields["Server"])
+
+
+def _parse_established(fields: Fields) -> ConnectionEstablished:
+    return ConnectionEstablished(
+        int(fields["Tid"]), int(fields["Go"]), fields["Server"], int(fields["SpentNs"]) * NS
+    )
+
+
+def _parse_observation(fields: Fields) -> ConnectionObserved:
+    value = float(fields["Value"])
+    request_id, endpoint = int(fields["Tid"]), fields["Server"]
+    if fields["Topic"] == TOPIC_LOAD:
+        return ConnectionObserved(request_id, endpoint, load=value * LOAD_UNIT)
+    if fields["Topic"] == TOPIC_MESSAGE_DELAY:
+        return ConnectionObserved(request_id, endpoint, message_delay=value * MS)
+    return ConnectionObserved(request_id, endpoint)
+
+
+def _parse_attempt_end(fields: Fields) -> AttemptEnded:
+    return AttemptEnded(
+        int(fields["Tid"]),
+        int(fields["Go"]),
+        fields["Server"],
+        RESULTS[fields["StateCode"]],
+        int(fields.get("SpentNs", 0)) * NS,
+        fields.get("Settled") == "1",
+        report(fields.get("ServerStats")),
+    )
+
+
+def _parse_health_check_end(fields: Fields) -> HealthCheckEnded:
+    return HealthCheckEnded(
+        fields["Server"],
+        RESULTS[fields["StateCode"]],
+        int(fields.get("SpentNs", 0)) * NS,
+        report(fields.get("ServerStats")),
+    )
+
+
+PARSERS: dict[str, Callable[[Fields], Event]] = {
+    "demand": _parse_request,
+    "inherited": _parse_inherited,
+    "under_way": _parse_established,
+    "status_note": _parse_observation,
+    "report_back": _parse_attempt_end,
+    "timed_out_client": lambda fields: ClientDisconnected(int(fields["Tid"])),
+    "reminder": lambda fields: TimerFired(fields["Ctx"]),
+    "probe_done": _parse_health_check_end,
 }
 
 
-def _entry(line: str) -> EndpointEntry:
-    f = _fields(line)
+def _parse_entry(line: str) -> EndpointEntry:
+    fields = _parse_fields(line)
     return EndpointEntry(
-        f["Server"],
-        f.get("Site", ""),
-        int(f.get("Cluster", 0)),
-        PHASES[f["Phase"]],
-        float(f.get("Share", 1)),
-        int(f.get("BootTimeNs", 0)) * NS,
+        fields["Server"],
+        fields.get("Site", ""),
+        int(fields.get("Cluster", 0)),
+        PHASES[fields["Phase"]],
+        float(fields.get("Share", 1)),
+        int(fields.get("BootTimeNs", 0)) * NS,
     )
 
 
-def _fields(line: str) -> Fields:
-    return dict([part.split("=", 1) for part in line.split("\t")[1:]])
+def _ns(seconds: float) -> int:
+    return round(seconds * NS_PER_S)
 
 
-def _ns(seconds: float) -> int:
-    return round(seconds * 1e9)
+def _format_forward(action: Forward) -> str:
+    return f"route\tTid={action.request_id}\tServer={action.endpoint}\tTimeoutNs={_ns(action.timeout)}"
 
 
-def _refuse(a: Any) -> str:
-    after = f"\tRetryAfterNs={_ns(a.retry_after)}" if a.retry_after > 0 else ""
-    return f"push_back\tTid={a.request_id}{after}"
+def _format_reject(action: Reject) -> str:
+    after = f"\tRetryAfterNs={_ns(action.retry_after)}" if action.retry_after > 0 else ""
+    return f"push_back\tTid={action.request_id}{after}"
 
 
-WRITERS: dict[type, Callable[[Any], str]] = {
-    Forward: lambda a: f"route\tTid={a.request_id}\tServer={a.endpoint}\tTimeoutNs={_ns(a.timeout)}",
-    Reject: _refuse,
-    Fail: lambda a: f"error\tTid={a.request_id}",
-    Migrate: lambda a: f"migrate\tTid={a.request_id}",
-    SetTimer: lambda a: f"wake_at\tWaitNs={_ns(a.delay)}\tCtx={a.token}",
-    CheckHealth: lambda a: f"sample\tServer={a.endpoint}",
-    WatchEndpoints: lambda a: "subscribe\tWant=1",
-    LogMessage: lambda a: "print\tBodyText=" + " ".join(a.text.split()),
+FORMATTERS: dict[type, Callable[[Any], str]] = {
+    Forward: _format_forward,
+    Reject: _format_reject,
+    Fail: lambda action: f"error\tTid={action.request_id}",
+    Migrate: lambda action: f"migrate\tTid={action.request_id}",
+    SetTimer: lambda action: f"wake_at\tWaitNs={_ns(action.delay)}\tCtx={action.token}",
+    CheckHealth: lambda action: f"sample\tServer={action.endpoint}",
+    WatchEndpoints: lambda action: "subscribe\tWant=1",
+    LogMessage: lambda action: "print\tBodyText=" + " ".join(action.text.split()),
 }
 
 
-def _fault(error: Exception) -> str:
+def _format_fault(error: Exception) -> str:
+    """The line for an error in a balancer: its type, place and text."""
     frames = traceback.extract_tb(error.__traceback__)
     place = f"{frames[-1].filename.rsplit('/', 1)[-1]}:{frames[-1].lineno}" if frames else "?"
     text = " ".join(f"{type(error).__name__} at {place}: {error}".split())
     return f"fault\tBodyText={text}"
 
 
-class Host:
-    """All instances of one process."""
+class InstanceHost:
+    """All balancers of one process, by the simulator's numbers, and the endpoint lists that they share."""
 
     def __init__(self) -> None:
         self.instances: dict[str, Balancer] = {}
-        self.sheets: dict[str, tuple[EndpointEntry, ...]] = {}
+        self.endpoint_lists: dict[str, tuple[EndpointEntry, ...]] = {}
+        self._line = ""  # the one that is being read
+
+    def answer_batch(self, first: str, lines: Iterator[str]) -> list[str]:
+        """Read one batch, from its first line on; the lines of the reply. Raises `MalformedInputError`."""
+        self._line = first
+        try:
+            return self._answer_batch(first, lines)
+        except MalformedInputError as error:
+            raise self._malformed(str(error)) from None
+        except KeyError as error:
+            raise self._malformed(f"missing or unknown {error}") from None
+        except (ValueError, IndexError) as error:
+            raise self._malformed(str(error)) from None
 
-    def event(self, who: str | None, name: str, line: str, now: float) -> list[str]:
+    def _malformed(self, reason: str) -> MalformedInputError:
+        return MalformedInputError(f"{reason} in line {self._line[:SHOWN_OF_LINE]!r}")
+
+    def _answer_batch(self, first: str, lines: Iterator[str]) -> list[str]:
+        if first.split("\t", maxsplit=1)[0] != "batch":
+            raise MalformedInputError("a batch must begin with 'batch'")
+        now = int(_parse_fields(first)["TNs"]) * NS
+        reply: list[str] = []
+        instance: str | None = None
+        answered_as: str | None = None
+        for raw in lines:
+            self._line = line = raw.rstrip("\r\n")
+            name = line.split("\t", 1)[0]
+            if name == "flush":
+                return reply
+            if name == "to":
+                instance = str(int(_parse_fields(line)["Who"]))
+            elif name == "sheet":
+                self._read_endpoint_list(line, lines)
+            else:
+                actions = self._handle_event(instance, name, line, now)
+                if actions and instance != answered_as:
+                    reply.append(f"as\tWho={instance}")
+                    answered_as = instance
+                reply += actions
+        raise MalformedInputError("input ended inside a batch")
+
+    def _read_endpoint_list(self, line: str, lines: Iterator[str]) -> None:
+        fields = _parse_fields(line)
+        entries = []
+        for _ in range(int(fields["MembersList"])):
+            raw = next(lines, None)
+            if raw is None:
+                raise MalformedInputError("input ended inside a batch")
+            self._line = raw.rstrip("\r\n")
+            if self._line.split("\t", 1)[0] != "server":
+                raise MalformedInputError("a sheet holds fewer entries than it says")
+            entries.append(_parse_entry(self._line))
+        self.endpoint_lists[fields["Ref"]] = tuple(entries)
+
+    def _handle_event(self, instance: str | None, name: str, line: str, now: float) -> list[str]:
         """One event to one instance; the lines of its actions."""
-        if who is None:
-            raise Malformed("an event before any 'to' line")
+        if instance is None:
+            raise MalformedInputError("an event before any 'to' line")
         if name == "begin":
-            f = _fields(line)
-            seed, known = int(f["Seed"]), read(f)
-            self.instances.pop(who, None)
-            try:
-                self.instances[who] = Balancer(Settings(**known), seed)
-            except Exception as error:  # settings that the decisions cannot work with
-                return [_fault(error)]
-            return []
+            return self._begin(instance, line)
         if name == "destroy":
-            self.instances.pop(who, None)
+            self.instances.pop(instance, None)
             return []
-        if name != "backends_changed" and name not in READERS:
-            return []  # an event of a later wire
-        event: Event
-        f = _fields(line)
-        if name == "backends_changed":
-            kind = KINDS[f["Kind"]]
-            event = EndpointList(kind, () if kind is EndpointListKind.FAILED else self.sheets[f["Ref"]])
-        else:
-            event = READERS[name](f)
-        instance = self.instances.get(who)
-        if instance is None:
-            raise Malformed(f"instance {who} has not begun")
+        event = self._parse_event(name, line)
+        if event is None:
+            return []
+        balancer = self.instances.get(instance)
+        if balancer is None:
+            raise MalformedInputError(f"instance {instance} has not begun")
         try:
-            return [WRITERS[type(a)](a) for a in instance.handle(now, event)]
-        except Exception as error:
-            return [_fault(error)]
-
-    def batch(self, first: str, lines: Iterator[str]) -> list[str]:
-        """One batch, from its first line on; the lines of the reply."""
-        reply: list[str] = []
-        line = first
+            return [FORMATTERS[type(action)](action) for action in balancer.handle(now, event)]
+        except Exception as error:  # whatever goes wrong in one balancer, the others go on
+            return [_format_fault(error)]
+
+    def _begin(self, instance: str, line: str) -> list[str]:
+        fields = _parse_fields(line)
+        seed, settings = int(fields["Seed"]), read(fields)
+        self.instances.pop(instance, None)
         try:
-            head = first.split("\t")
-            if head[0] != "batch":
-                raise Malformed("a batch must begin with 'batch'")
-            now = int(_fields(first)["TNs"]) * NS
-            who: str | None = None
-            spoke: str | None = None
-            for line in lines:
-                line = line.rstrip("\r\n")
-                name = line.split("\t", 1)[0]
-                if name == "flush":
-                    return reply
-                if name == "to":
-                    who = str(int(_fields(line)["Who"]))
-                elif name == "sheet":
-                    f = _fields(line)
-                    entries = []
-                    for _ in range(int(f["MembersList"])):
-                        line = next(lines).rstrip("\r\n")
-                        if line.split("\t", 1)[0] != "server":
-                            raise Malformed("a sheet holds fewer entries than it says")
-                        entries.append(_entry(line))
-                    self.sheets[f["Ref"]] = tuple(entries)
-                else:
-                    said = self.event(who, name, line, now)
-                    if said:
-                        if who != spoke:
-                            reply.append(f"as\tWho={who}")
-                            spoke = who
-                        reply += said
-            raise Malformed("input ended inside a batch")
-        except StopIteration:
-            raise Malformed("input ended inside a batch") from None
-        except Malformed as error:
-            raise Malformed(f"{error} in line {line[:200]!r}") from None
-        except KeyError as error:
-            raise Malformed(f"missing or unknown {error} in line {line[:200]!r}") from None
-        except (ValueError, IndexError) as error:
-            raise Malformed(f"{error} in line {line[:200]!r}") from None
-
-
-def _die(text: str) -> NoReturn:
-    sys.stderr.write(f"wirehost: {text}\n")
+            self.instances[instance] = Balancer(Settings(**settings), seed)
+        except Exception as error:  # settings that a balancer can't work with
+            return [_format_fault(error)]
+        return []
+
+    def _parse_event(self, name: str, line: str) -> Event | None:
+        """The event of a line; None for one of a later version of the wire."""
+        parse = PARSERS.get(name)
+        if parse is not None:
+            return parse(_parse_fields(line))
+        if name != "backends_changed":
+            return None
+        fields = _parse_fields(line)
+        kind = LIST_KINDS[fields["Kind"]]
+        entries = () if kind is EndpointListKind.FAILED else self.endpoint_lists[fields["Ref"]]
+        return EndpointList(kind, entries)
+
+
+def _exit_malformed(reason: str) -> NoReturn:
+    sys.stderr.write(f"simulator adapter: malformed input: {reason}\n")
     sys.stderr.flush()
-    raise SystemExit(2)
+    raise SystemExit(EXIT_MALFORMED)
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Answer batches until the input ends."""
-    host = Host()
+    """Answer batches until the input ends; malformed input ends the process with status 2 and one line."""
+    host = InstanceHost()
     lines = iter(source.readline, "")
     try:
         for first in lines:
-            reply = host.batch(first.rstrip("\r\n"), lines)
+            reply = host.answer_batch(first.rstrip("\r\n"), lines)
             reply.append("end\n")
             sink.write("\n".join(reply))
             sink.flush()
-    except Malformed as error:
-        _die(f"malformed input: {error}")
     except UnicodeDecodeError as error:
-        _die(f"malformed input: not UTF-8: {error}")
+        _exit_malformed(f"not UTF-8: {error}")
+    except MalformedInputError as error:
+        _exit_malformed(str(error))
 
 
 def main() -> None:
-    gc.disable()  # instances hold few cycles, and a sweep would be charged to whoever it hits
+    """Serve the simulator on standard input and output."""
+    gc.disable()  # instances hold few cycles, and a collection would be charged to whoever it hits
     sys.stdin.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     serve(sys.stdin, sys.stdout)
--- a/tests/test_lint_rules.py
+++ b/tests/test_lint_rules.py
@@ -45,7 +45,6 @@
 gradegap/resume/switch.py: D
 gradegap/resume/token.py: D N
 gradegap/resume/window.py: D N
-gradegap/simulator_adapter.py: C90 D N
 gradegap/store/bootstrap.py: D
 gradegap/store/disabled_endpoints.py: D
 gradegap/store/dynamic_configuration.py: D
--- a/tests/test_wire.py
+++ b/tests/test_simulator_adapter.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from gradegap import simulator_adapter as wirehost
 from gradegap.balancing.actions import Action
 from gradegap.balancing.balancer import Balancer
 from gradegap.balancing.events import Event
+from gradegap.simulator_adapter import InstanceHost
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -89,26 +89,28 @@
     def broken(self: Balancer, now: float, event: Event) -> list[Action]:
         raise RuntimeError("lost\tmy way")
 
-    host = wirehost.Host()
+    host = InstanceHost()
     lines = iter(START[1:])
     monkeypatch.setattr(Balancer, "handle", broken)
-    reply = host.batch(START[0], lines)
+    reply = host.answer_batch(START[0], lines)
     assert reply[0] == "as\tWho=4"
-    assert re.fullmatch(r"fault\tBodyText=RuntimeError at test_wire.py:\d+: lost my way", reply[1])
+    assert re.fullmatch(
+        r"fault\tBodyText=RuntimeError at test_simulator_adapter.py:\d+: lost my way", reply[1]
+    )
 
 
 def test_impossible_settings_become_a_fault() -> None:
-    host = wirehost.Host()
+    host = InstanceHost()
     lines = iter(["to\tWho=1", "begin\tSeed=1\tLanes.count=0", "flush"])
-    reply = host.batch("batch\tTNs=1", lines)
+    reply = host.answer_batch("batch\tTNs=1", lines)
     assert "ValueError" in reply[1] and "no class" in reply[1]
 
 
 def test_a_sheet_number_used_again_in_one_batch_is_read_in_order() -> None:
-    host = wirehost.Host()
+    host = InstanceHost()
     two = [line.replace("Who=4", "Who=5") for line in START[1:-1]]
     two[3] = two[3].replace("10.0.0.1", "10.0.0.9")
-    host.batch(START[0], iter(START[1:-1] + two + ["flush"]))
+    host.answer_batch(START[0], iter(START[1:-1] + two + ["flush"]))
     assert "10.0.0.1:80" in host.instances["4"].endpoints
     assert "10.0.0.9:80" in host.instances["5"].endpoints
 
