--- a/gradegap/raft/context.py
+++ b/gradegap/raft/context.py
@@ -87,7 +87,10 @@
     """A transfer of leadership, as other parts use it."""
 
     target: str
-    timeout_sent: bool
+
+    @property
+    def timeout_sent(self) -> bool:
+        """Whether the target may call an election at any moment."""
 
     def proceed(self) -> None:
         """Have the target call its election, once it has all entries."""
--- a/gradegap/verification/raft_mutations.py
+++ b/gradegap/verification/raft_mutations.py
@@ -31,7 +31,7 @@
 from gradegap.raft.election import Election
 from gradegap.raft.follower import Follower
 from gradegap.raft.heartbeats import Heartbeats
-from gradegap.raft.leadership_transfer import LeadershipTransfer
+from gradegap.raft.leadership_transfer import LeadershipTransfer, TransferState
 from gradegap.raft.log import Log
 from gradegap.raft.membership import Membership
 from gradegap.raft.read_index import ReadIndexQueue
@@ -196,7 +196,8 @@
     class _Transfer(LeadershipTransfer):
         def proceed(self) -> None:
             super().proceed()
-            self.timeout_sent = False
+            if self.timeout_sent:
+                self.state = TransferState.CATCHING_UP
 
     leadership_transfer_type = _Transfer
 
--- a/gradegap/verification/simulator.py
+++ b/gradegap/verification/simulator.py
@@ -10,6 +10,7 @@
 import msgspec
 
 from gradegap.raft import EntryKind, Raft, RaftSettings, RequestRejectedError
+from gradegap.verification.errors import InvariantError
 from gradegap.verification.raft_cluster import SimulatedCluster
 from gradegap.verification.raft_fault_injector import FaultInjector
 from gradegap.verification.raft_faults import NO_FAULTS, SMALL_LIMITS, Faults
@@ -73,7 +74,7 @@
         """End all faults; every member must come to the same state, with all that was acknowledged.
 
         Raises:
-            AssertionError: There is no leader, or a member does not catch up.
+            InvariantError: There is no leader, a member does not catch up, or no read was ever confirmed.
         """
         self.faults = NO_FAULTS
         self.broken_links.clear()
@@ -83,12 +84,15 @@
                 member.start()
         self.run(CALM_S - 1.0)
         leader = self.leader()
-        assert leader is not None and leader.raft is not None, "no leader once all faults have ended"
+        if leader is None or leader.raft is None:
+            raise InvariantError("liveness: no leader once all faults have ended")
         self.run(1.0)
         members = [self.members[member.id] for member in leader.raft.configuration.members]
         least = min(member.raft.applied_index for member in members if member.raft is not None)
-        assert least >= self.invariants.last_committed - MAX_LAG, "a member does not catch up"
-        assert self.counts["reads"] > 0
+        if least < self.invariants.last_committed - MAX_LAG:
+            raise InvariantError("liveness: a member does not catch up")
+        if not self.counts["reads"]:
+            raise InvariantError("liveness: no read was confirmed")
 
     def acknowledged(self) -> list[bytes]:
         """The commands whose entries were committed."""
