--- a/gradegap/observer/client.py
+++ b/gradegap/observer/client.py
@@ -107,7 +107,7 @@
 
     @property
     def cluster(self) -> str:
-        """The cluster's name, once a machine has told it."""
+        """The cluster's name, once a machine has sent it."""
         return self.subscriber.cluster
 
     @property
@@ -116,7 +116,7 @@
         return self.connection.machine.name if self.connection is not None else ""
 
     def leave(self) -> None:
-        """A planned stop: the lease is given up, and the machine is told so."""
+        """A planned stop: the lease is given up, and a Leave is sent."""
         if self.closed:
             return
         self.subscriber.leave(time.monotonic())
--- a/gradegap/observer/delivery.py
+++ b/gradegap/observer/delivery.py
@@ -31,7 +31,7 @@
         send: Callable[[int, FromPublisher], None],
     ) -> None:
         self.lease_grants, self.counts, self.send = lease_grants, counts, send
-        self.revision = source.revision  # as of the last look at the source
+        self.revision = source.revision  # as of the last call of the publisher
         self.now = now  # as of the last call of the publisher; steady time, s
         self.deltas = DeltaCache(source, limits)  # since the last change
         self.transfers = SnapshotTransfers(
--- a/gradegap/observer/grants.py
+++ b/gradegap/observer/grants.py
@@ -18,12 +18,12 @@
 
 @dataclass(slots=True, eq=False)
 class LeaseGrant:
-    """The lease of one life of a node; it counts up to `until`, whether or not the node is connected."""
+    """The lease of one process of a node; it counts up to `expires_at`, connected or not."""
 
     acknowledged: int  # revision
     expires_at: float = NEVER
     counted: bool = False
-    awaits_expiry: bool = False  # in the book's heap of ends
+    awaits_expiry: bool = False  # in the heap of expiries
 
 
 @dataclass(slots=True)
@@ -87,7 +87,7 @@
         grant.acknowledged = revision
 
     def release(self, grant: LeaseGrant) -> None:
-        """The holder decides by this grant no more."""
+        """The holder no longer decides by this grant."""
         grant.expires_at = NEVER
         if grant.counted:
             grant.counted = False
@@ -104,7 +104,7 @@
                 self.release(grant)
 
     def safe_index(self, now: float) -> int:
-        """The index that holders of all unexpired grants have applied. What is told is never taken back."""
+        """The index that holders of all unexpired grants have applied. A later call never gives less."""
         self.expire(now)
         met = 0
         while met < len(self.pending_changes) and not self.pending_changes[met].holders_without:
--- a/gradegap/observer/limits.py
+++ b/gradegap/observer/limits.py
@@ -1,4 +1,4 @@
-"""Limits and periods of the observer protocol, with their defaults. All times are seconds."""
+"""Limits and periods of the observer protocol, with their defaults. Times are seconds, sizes bytes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     """What bounds a publisher and a subscriber; the same defaults are used by both."""
 
     # Leases
-    renew_interval_s: float = 0.3  # between two Renews of a node; the publisher tells it in Accepted
+    renew_interval_s: float = 0.3  # between two Renews of a node; sent in Accepted
     max_clock_drift: float = 0.1  # the most by which one steady clock runs faster than another
     max_lease_s: float = 60.0  # a Heartbeat that grants more than this is not believed
 
@@ -23,7 +23,7 @@
     max_snapshot_transfers: int = 32  # transfers under way at once
     subscribe_rate: float = 200.0  # new subscriptions a second
     subscribe_burst: int = 100
-    max_retry_after_s: float = 10.0  # the most that a BUSY asks a node to wait
+    max_retry_after_s: float = 10.0  # the longest wait that a BUSY gives
     subscriber_timeout_s: float = 10.0  # after which a node that sends nothing is closed
     write_stall_timeout_s: float = 10.0  # after which a node that reads nothing is closed
     disconnected_node_retention_s: float = 15.0  # for how long a lost node is still reported as behind
@@ -35,12 +35,12 @@
     )
     subscriber_burst_bytes: int = 30_000
     max_delta_delay_s: float = 4.0  # the most that a change waits for the bucket
-    max_pending_changes: int = 1024  # changes that the book of grants tells apart
+    max_pending_changes: int = 1024  # changes that the lease grants distinguish
 
     # A subscriber
     connect_timeout_s: float = 3.0  # to connect and be accepted
-    publisher_timeout_s: float = 3.0  # without a word from the machine, after which the node moves on
-    stale_timeout_s: float = 6.0  # without a lease, after which the node moves on
+    publisher_timeout_s: float = 3.0  # without a message of the machine, after which the node goes to another
+    stale_timeout_s: float = 6.0  # without a lease, after which the node goes to another machine
     acknowledge_delay_s: float = 0.02  # between applying a delta and acknowledging it
     backoff_base_s: float = 0.1
     backoff_cap_s: float = 5.0
--- a/gradegap/observer/link.py
+++ b/gradegap/observer/link.py
@@ -1,7 +1,8 @@
 """How observer messages travel over a proven link of the store, beside the store's own requests.
 
-On one connection a node subscribes, and asks what any client of a member may ask (`Ask`, `Answer`). Both
-kinds are told apart by how they begin: observer messages are msgpack arrays, requests are maps. No I/O.
+On one connection a node subscribes, and sends what any client of a member may request (`wire.Request`,
+`wire.Response`). Both kinds are distinguished by how they begin: observer messages are msgpack arrays,
+requests are maps. No I/O.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 
 import msgspec
 
-from gradegap.observer.messages import LARGEST_FRAME, FromPublisher, FromSubscriber
+from gradegap.observer.messages import MAX_FRAME_BYTES, FromPublisher, FromSubscriber
 from gradegap.store import wire
 from gradegap.store.channel import CHECKSUM_BYTES, LENGTH_BYTES, LinkChannel
 
@@ -44,22 +45,22 @@
 def publisher_channel(secret: bytes) -> LinkChannel:
     """The control machine's end of a connection."""
     return LinkChannel.open(
-        secret, "client", is_dialer=False, decode=decode_to_publisher, max_frame_bytes=LARGEST_FRAME
+        secret, "client", is_dialer=False, decode=decode_to_publisher, max_frame_bytes=MAX_FRAME_BYTES
     )
 
 
 def subscriber_channel(secret: bytes) -> LinkChannel:
     """The node's end of a connection."""
     return LinkChannel.open(
-        secret, "client", is_dialer=True, decode=decode_to_subscriber, max_frame_bytes=LARGEST_FRAME
+        secret, "client", is_dialer=True, decode=decode_to_subscriber, max_frame_bytes=MAX_FRAME_BYTES
     )
 
 
 class EncodedBodyCache:
-    """Bodies of messages that go to many connections: what was encoded lately is not encoded again."""
+    """Bodies of messages that go to many connections: each is encoded once."""
 
-    def __init__(self, most: int = 64) -> None:
-        self.most = most
+    def __init__(self, max_entries: int = 64) -> None:
+        self.max_entries = max_entries
         # The message is kept beside its body, so that its id stays its own.
         self.bodies: OrderedDict[int, tuple[msgspec.Struct, bytes]] = OrderedDict()
 
@@ -70,6 +71,6 @@
             return known[1]
         body = _encoder.encode(message)
         self.bodies[id(message)] = (message, body)
-        if len(self.bodies) > self.most:
+        if len(self.bodies) > self.max_entries:
             self.bodies.popitem(last=False)
         return body
--- a/gradegap/observer/messages.py
+++ b/gradegap/observer/messages.py
@@ -12,11 +12,11 @@
 import msgspec
 
 VERSION = 1
-LONGEST_NAME = 128  # characters of a node's, machine's or region's name
+MAX_NAME_LENGTH = 128  # characters of a node's, machine's or region's name
 PART_BYTES = 64 * 1024  # of the changes in one part of a snapshot, or in one delta
-LARGEST_FRAME = 256 * 1024  # bytes of a message; a single value of the store has 64 KiB at most
+MAX_FRAME_BYTES = 256 * 1024  # bytes of a message; a single value of the store has 64 KiB at most
 
-Name = Annotated[str, msgspec.Meta(max_length=LONGEST_NAME)]
+Name = Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH)]
 Revision = Annotated[int, msgspec.Meta(ge=0)]
 Seconds = Annotated[float, msgspec.Meta(ge=0.0)]
 
@@ -29,7 +29,7 @@
     BEHIND = "behind"  # this machine has not applied the revision that the node already has
     BUSY = "busy"  # too many subscriptions, or too many new ones a second
     DUPLICATE = "duplicate"  # another process subscribed under the same node name
-    SILENT = "silent"  # nothing was heard for too long
+    SILENT = "silent"  # nothing was received for too long
     GARBLED = "garbled"  # a message that can't be read, or that has no place here
     GAP = "gap"  # a delta that does not follow what was applied
     BACKWARDS = "backwards"  # a snapshot older than what was applied
@@ -38,7 +38,7 @@
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True):
-    """One key's value as of a revision; `deleted` where the key is gone."""
+    """One key's value as of a revision; `deleted` where the key was deleted."""
 
     revision: Revision
     key: str
@@ -50,7 +50,7 @@
 
 
 class Subscribe(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """The first message: who asks, and the last revision that it has applied (0: none)."""
+    """The first message: who subscribes, and the last revision that it has applied (0: none)."""
 
     version: int
     node: Name
@@ -61,7 +61,7 @@
 
 
 class Renew(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Acknowledges all up to `revision`, and asks for a lease from the moment it was sent."""
+    """Acknowledges all up to `revision`, and requests a lease from the moment it was sent."""
 
     serial: int
     revision: Revision
@@ -75,12 +75,12 @@
 
 
 class Accepted(msgspec.Struct, frozen=True, array_like=True, tag=11):
-    """The subscription stands; a snapshot or deltas follow."""
+    """The subscription is accepted; a snapshot or deltas follow."""
 
     version: int
     cluster: Name
     machine: Name
-    renew_s: Seconds  # how often the machine wants to hear a Renew
+    renew_s: Seconds  # between two Renews of the node
 
 
 class Rejected(msgspec.Struct, frozen=True, array_like=True, tag=12):
--- a/gradegap/observer/observed_store.py
+++ b/gradegap/observer/observed_store.py
@@ -1,7 +1,7 @@
-"""A node that decides by committed configuration and is no member: its subscription joined to its core.
+"""A node that decides by committed configuration and is no member: its subscription joined to its proxy.
 
-Servers out by hand and configuration come from the subscription. Without a lease the node refuses new
-requests at once, with a time to come again; what stands stays. With `when_stale = "serve"` it goes on by the
+Disabled endpoints and configuration come from the subscription. Without a lease the node rejects new requests
+at once, with a time to retry; established connections stay. With `when_stale = "serve"` it goes on by the
 last revision that it has, which is counted and logged.
 """
 
@@ -38,7 +38,7 @@
 
 
 class Replica:
-    """The subscribed keys as of the last revision that was applied; read as `store.machine.Machine` is."""
+    """The subscribed keys as of the last applied revision; read as `store.machine.StateMachine` is."""
 
     def __init__(self) -> None:
         self.items: dict[str, Item] = {}
@@ -51,7 +51,7 @@
         """The keys that begin so, in order."""
         return [self.items[key] for key in sorted(self.items) if key.startswith(prefix)]
 
-    def take(self, change: Change) -> None:
+    def apply(self, change: Change) -> None:
         """Apply one change."""
         if change.deleted:
             self.items.pop(change.key, None)
@@ -94,14 +94,14 @@
     async def start(self) -> None:
         """Begin to subscribe. It fails for nothing but settings: a machine that is away is tried again."""
         self.client.start()
-        log.info("subscribes", machines=[machine.name for machine in self.settings.machines])
+        log.info("subscription started", machines=[machine.name for machine in self.settings.machines])
 
     @property
     def cluster(self) -> str:
         """The cluster's name, once it is known."""
         return self.client.cluster
 
-    # May the node decide?
+    # The lease
 
     def fresh(self) -> bool:
         """Whether a decision made now is by committed state."""
@@ -109,26 +109,25 @@
 
     def _lease_changed(self, fresh: bool) -> None:
         if fresh and not self.synced:
-            self._forget_all_but(set(self.machine.items))  # a store without keys has nothing to send
+            self._delete_all_but(set(self.machine.items))  # a store without keys has nothing to send
         fields: dict[str, object] = {"revision": self.client.revision, "age_ms": self._age_ms()}
         if fresh:
             fields["machine"] = self.client.machine
         report_lease_change(self.metrics, fresh, self.settings.when_stale, **fields)
 
-    # What it decides by
+    # Committed state
 
     def _apply(self, revision: int, changes: tuple[Change, ...], is_snapshot: bool) -> None:
         """Deltas change what they name; a snapshot also ends what it does not name."""
         if is_snapshot:
-            self._forget_all_but({change.key for change in changes})
+            self._delete_all_but({change.key for change in changes})
         for change in changes:
-            self.machine.take(change)
-            self._obey(change)
+            self._apply_change(change)
         self.metrics.count("observer_snapshots" if is_snapshot else "observer_deltas")
 
-    def _forget_all_but(self, kept: set[str]) -> None:
+    def _delete_all_but(self, kept: set[str]) -> None:
         if not self.synced:
-            # What was in force before this subscription is so no more, unless the store has it.
+            # What was in force before this subscription ends, unless the store has it.
             self.synced = True
             for server in list(self.proxy.disabled):
                 if DISABLED_PREFIX + server not in kept:
@@ -137,14 +136,13 @@
                 if CONFIGURATION_PREFIX + name not in kept:
                     self.live.reset(name)
         for key in self.machine.items.keys() - kept:
-            gone = Change(0, key, deleted=True)
-            self.machine.take(gone)
-            self._obey(gone)
+            self._apply_change(Change(0, key, deleted=True))
 
-    def _obey(self, change: Change) -> None:
+    def _apply_change(self, change: Change) -> None:
+        self.machine.apply(change)
         self.committed.apply(change.key, change.value, change.deleted)
 
-    # What operators ask of the node
+    # The operators' calls of the admin API
 
     def disable_endpoint(self, server: str, done: ResultCallback) -> None:
         """Yes, once it is committed and no node decides without it."""
@@ -158,7 +156,7 @@
         return "" if self.fresh() else f"; {REMEDY}"
 
     def describe(self) -> AdminResult:
-        """Which revision is in force here, how old that is, and who serves it, for the console."""
+        """Which revision is in force here, how old that is, and who serves it, for the admin API."""
         client = self.client
         if not client.revision:
             text = f"nothing is known of the store yet; {REMEDY}"
@@ -180,7 +178,7 @@
 
         self.client.request(wire.InForce(revision), answered, ADMIN_CALL_TIMEOUT_S)
 
-    # The end
+    # Shutdown
 
     def leave(self) -> float:
         """Another process of this node serves on: the seconds for which the lease still holds.
--- a/gradegap/observer/publisher.py
+++ b/gradegap/observer/publisher.py
@@ -33,8 +33,8 @@
 from gradegap.store.in_force import MachineReport
 
 NEVER = -1e18  # s, before any steady time
-DELAYED_INTERVAL_S = 0.1  # between two looks for subscribers whose budget has recovered
-SWEEP_INTERVAL_S = 0.5  # between two looks for subscribers that are silent or stalled
+DELAYED_INTERVAL_S = 0.1  # between two checks for subscribers whose budget has recovered
+SWEEP_INTERVAL_S = 0.5  # between two checks for subscribers that are silent or stalled
 HEARTBEAT_BYTES = 24  # of a heartbeat's body
 
 
@@ -78,14 +78,14 @@
         self.lease_until = NEVER  # of this machine
         self.lease_grants = LeaseGrants(limits, source.index, source.revision)
         self.next_sweep_at = now + SWEEP_INTERVAL_S
-        # By then nodes of an earlier life have come back or are lost.
+        # By then nodes of this machine's earlier process have come back or are lost.
         self.restart_settled_at = now + limits.disconnected_node_retention_s
         self.delivery = ChangeDelivery(source, self.lease_grants, limits, now, self.counts, self._send)
         self.outputs: list[Output] = []
 
     @property
     def revision(self) -> int:
-        """The source's revision as of the last look at it."""
+        """The source's revision as of the last call."""
         return self.delivery.revision
 
     # Called by the driver when something happened
@@ -237,7 +237,7 @@
     # New subscriptions
 
     def _displace_earlier_connection(self, now: float, message: Subscribe) -> None:
-        """One connection a node: the newer one stands."""
+        """One connection a node: the newer one stays."""
         old = self.by_node.get(message.node)
         if old is None:
             return
@@ -246,7 +246,7 @@
         self._close(now, old, CloseCode.DUPLICATE, "another subscription came under this node name")
 
     def _resume_lease_grant(self, message: Subscribe) -> LeaseGrant:
-        """The same life of a node goes on with its grant; a new one has none, and the old one's counts."""
+        """The same process of a node goes on with its grant; a new one has none, and the old one's counts."""
         grant = self.disconnected_nodes.resume(message.node, message.instance)
         if grant is None:
             grant = LeaseGrant(message.revision)
--- a/gradegap/observer/server.py
+++ b/gradegap/observer/server.py
@@ -96,7 +96,7 @@
         """Which nodes lack a revision, as far as this machine knows."""
         publisher = self._publisher()
         if publisher is None:
-            # It belongs to no cluster yet, and can't speak for nodes of an earlier life.
+            # It belongs to no cluster yet, and knows nothing of nodes of an earlier process.
             return MachineReport(self.host.settings.name, 0, 0, restarted=True)
         return publisher.report(time.monotonic(), revision)
 
--- a/gradegap/observer/settings.py
+++ b/gradegap/observer/settings.py
@@ -23,7 +23,7 @@
 
     machines: Annotated[tuple[ObserverMachine, ...], msgspec.Meta(min_length=1, max_length=32)]
     name: str = ""  # none: the node's
-    region: str = ""  # machines of the same region are asked first
+    region: str = ""  # machines of the same region are tried first
     secret: str = ""  # a file with the cluster's secret
     when_stale: Literal["refuse", "serve"] = "refuse"  # what the node does without a lease
     bytes_per_s: Annotated[int, msgspec.Meta(ge=500, le=1_000_000)] = 3000  # that the node may send
--- a/gradegap/observer/source.py
+++ b/gradegap/observer/source.py
@@ -54,7 +54,7 @@
             return []
         if revision + 1 < self.machine.first_retained_revision:
             return None
-        # From the newest backwards: what is asked for is nearly always the last few of ten thousand.
+        # From the newest backwards: it is nearly always the last few of ten thousand.
         newer = takewhile(lambda event: event.revision > revision, reversed(self.machine.events))
         changes = [
             Change(event.revision, event.key, None if event.deleted else event.value, event.deleted)
--- a/gradegap/observer/store_requests.py
+++ b/gradegap/observer/store_requests.py
@@ -63,7 +63,7 @@
     serial: int
     body: wire.RequestBody
     callback: ResponseCallback
-    deadline: float  # steady time, s, at which whoever asks gives up
+    deadline: float  # steady time, s, at which the caller gives up
     name: WriteName | None = None  # of a write that came without one
     sent: bool = False  # to some machine: what came of it may be unknown
 
--- a/gradegap/observer/subscriber.py
+++ b/gradegap/observer/subscriber.py
@@ -33,8 +33,10 @@
 
 NEVER = -1e18
 FAR_FUTURE = 1e18
-MIN_RENEW_INTERVAL_S, MAX_RENEW_INTERVAL_S = 0.05, 10.0  # whatever a machine asks for
-MAX_MISSED_RENEWALS = 4  # periods of renewal without a word that are not silence yet, where leases are long
+MIN_RENEW_INTERVAL_S, MAX_RENEW_INTERVAL_S = 0.05, 10.0  # whatever a machine sends
+MAX_MISSED_RENEWALS = (
+    4  # periods of renewal without a message that are not silence yet, where leases are long
+)
 MAX_UNANSWERED_RENEWALS = 64  # Renews without an answer that are remembered
 
 
@@ -185,7 +187,7 @@
                 self._tick_subscribed(now)
 
     def leave(self, now: float) -> None:
-        """A planned stop: the lease is given up before the machine is told so."""
+        """A planned stop: the lease is given up before the Leave is sent."""
         self.lease_until = NEVER
         self._announce_lease_change(now)
         if self.phase is Phase.SUBSCRIBED:
@@ -317,7 +319,7 @@
     # The lease
 
     def _renew(self, now: float) -> None:
-        """Ask for a longer lease; the same message acknowledges what was applied."""
+        """Request a longer lease; the same message acknowledges what was applied."""
         self.renewal_serial += 1
         self.unanswered_renewals[self.renewal_serial] = now
         if len(self.unanswered_renewals) > MAX_UNANSWERED_RENEWALS:
@@ -326,8 +328,8 @@
         self.outputs.append(Send(Renew(self.renewal_serial, self.revision)))
 
     def _receive_heartbeat(self, now: float, heartbeat: Heartbeat) -> None:
-        asked = self.unanswered_renewals.pop(heartbeat.serial, None)
-        if asked is None:
+        sent_at = self.unanswered_renewals.pop(heartbeat.serial, None)
+        if sent_at is None:
             self.counts["unasked_heartbeats"] += 1
             return
         if not self.snapshot_parts and heartbeat.revision >= self.revision:
@@ -335,8 +337,8 @@
         lease_s = min(heartbeat.lease_s, self.limits.max_lease_s)
         if lease_s > 0.0:
             # Without a lease the machine itself may be cut off: it confirms nothing.
-            self.confirmed_at = max(self.confirmed_at, asked)
-            self.lease_until = max(self.lease_until, asked + lease_s * (1.0 - self.limits.max_clock_drift))
+            self.confirmed_at = max(self.confirmed_at, sent_at)
+            self.lease_until = max(self.lease_until, sent_at + lease_s * (1.0 - self.limits.max_clock_drift))
             self._announce_lease_change(now)
 
     def _announce_lease_change(self, now: float) -> None:
--- a/tests/test_observer_server.py
+++ b/tests/test_observer_server.py
@@ -26,7 +26,7 @@
 from gradegap.observer.limits import Limits
 from gradegap.observer.link import EncodedBodyCache, publisher_channel, subscriber_channel
 from gradegap.observer.messages import (
-    LARGEST_FRAME,
+    MAX_FRAME_BYTES,
     VERSION,
     Accepted,
     Change,
@@ -101,7 +101,7 @@
 
 
 def test_a_body_for_many_is_encoded_once_and_the_memory_of_it_is_bounded() -> None:
-    encoded = EncodedBodyCache(most=2)
+    encoded = EncodedBodyCache(max_entries=2)
     first = Delta(1, 2, (Change(2, "out/a", 1),))
     assert encoded.body(first) is encoded.body(first)
     assert encoded.body(Delta(1, 3, ())) != encoded.body(first)
@@ -389,7 +389,7 @@
 
         frames: list[Callable[[Raw], bytes]] = [
             lambda raw: raw.channel.send(Renew(1, 0))[:-1] + b"\x7f",
-            lambda raw: (LARGEST_FRAME + 1).to_bytes(4, "big") + bytes(16),
+            lambda raw: (MAX_FRAME_BYTES + 1).to_bytes(4, "big") + bytes(16),
             lambda raw: raw.channel.send_encoded(b"\xc1 no message"),
             lambda raw: raw.channel.send_encoded(b"\x91" * 100_000),
             lambda raw: raw.channel.send_encoded(msgspec.msgpack.encode([2, 1, -5])),
@@ -489,7 +489,7 @@
             if connection.transport is not None:
                 largest = max(largest, connection.transport.get_write_buffer_size())
         # What one block of values may add to a buffer that was just under its mark.
-        assert largest <= HIGH_WATER_BYTES + LARGEST_FRAME
+        assert largest <= HIGH_WATER_BYTES + MAX_FRAME_BYTES
         await w.until(lambda: node.revision >= answer.revision)
         print(f"largest write buffer {largest} bytes")
         assert connection.connection_id in w.server.publisher.subscriptions  # type: ignore[union-attr]
