--- a/bench/scale/limits_met.py
+++ b/bench/scale/limits_met.py
@@ -9,7 +9,7 @@
 from bench.scale.slope_book import SlopeBook, figure
 from bench.scale.worked import PROBE_BYTES, US, probes_per_s, returning
 from gradegap.balancing.balancer import HEALTH_CHECK_INTERVAL_IDLE_S
-from gradegap.node.node import MOST_OUT
+from gradegap.node.admin_operations import MAX_DISABLED_ENDPOINTS
 from gradegap.observer.limits import Limits
 from gradegap.store.leases import MAX_LEASE_HOLDERS
 from gradegap.store.links import MAX_ACCEPTED_LINKS
@@ -63,9 +63,9 @@
             "store/links.py",
         ),
         Met(
-            MOST_OUT / (t.SERVERS / t.REGIONS),
+            MAX_DISABLED_ENDPOINTS / (t.SERVERS / t.REGIONS),
             "servers of a region taken out by hand at once",
-            f"{MOST_OUT} of {figure(t.SERVERS / t.REGIONS)}",
+            f"{MAX_DISABLED_ENDPOINTS} of {figure(t.SERVERS / t.REGIONS)}",
             f"a fixed bound; {t.SERVERS} servers assumed",
             "node.py",
         ),
--- a/gradegap/hot_restart/host.py
+++ b/gradegap/hot_restart/host.py
@@ -31,12 +31,9 @@
     proxy: Proxy
     upstream: TcpUpstream
     descriptors: DescriptorBudget
+    resuming: Resuming | None  # what makes sessions resumable here, where the operator has it so
     listening_socket: socket.socket | None  # of clients; None until it is there
 
-    @property
-    def resuming(self) -> Resuming | None:
-        """What makes sessions resumable here, where the operator has it so."""
-
     @property
     def channels(self) -> set[TcpChannel]:
         """The clients' TCP connections."""
--- a/gradegap/node/process.py
+++ b/gradegap/node/process.py
@@ -38,7 +38,7 @@
     loop.add_signal_handler(signal.SIGUSR1, node.print_counters)
     loop.add_signal_handler(signal.SIGTERM, node.stop)
     loop.add_signal_handler(signal.SIGHUP, node.reload)
-    loop.add_signal_handler(signal.SIGUSR2, node.toggle_capture)
+    loop.add_signal_handler(signal.SIGUSR2, node.toggle_recording)
     try:
         await node.start()
         # Only now: the loop's worker threads have begun with both held, and so never take them.
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -12,7 +12,7 @@
 
 from gradegap.balancing.rates import LatencyEstimate
 from gradegap.balancing.settings import ClassSettings, Settings
-from gradegap.node.node import killed_from
+from gradegap.node.shutdown import kill_time
 from gradegap.proxy.health_checks import HEALTH_CHECK_TIMEOUT_MAX_S, HEALTH_CHECK_TIMEOUT_S
 from tests.deployments import ASKED, BOTH, PUSHED, Day, NodeProcess, Server, lane
 from tests.silent_discovery import SilentDiscovery, TurnDiscovery
@@ -71,7 +71,7 @@
 @pytest.mark.parametrize(("limits", "killed"), [((1.8, 2.0), 2.7), ((3.0, 2.0, 1.2), 3.7), ((30.0,), 3.7)])
 def test_sigkill_comes_by_the_longest_deadline(limits: tuple[float, ...], killed: float) -> None:
     classes = {str(k): ClassSettings(str(k), time_limit=limit) for k, limit in enumerate(limits)}
-    assert killed_from(Settings(classes)) == pytest.approx(killed)
+    assert kill_time(Settings(classes)) == pytest.approx(killed)
 
 
 def test_a_node_whose_deadlines_are_short_has_moved_all_and_ended_before_it_may_be_killed(
--- a/tests/test_lint_rules.py
+++ b/tests/test_lint_rules.py
@@ -36,7 +36,6 @@
 gradegap/commands/store.py: D
 gradegap/downstream/framing.py: D
 gradegap/downstream/session.py: D
-gradegap/node/node.py: D
 gradegap/resume/claims.py: D N
 gradegap/resume/lines.py: N
 gradegap/resume/move.py: D
