--- a/gradegap/cli.py
+++ b/gradegap/cli.py
@@ -6,6 +6,7 @@
 
 from gradegap.commands import capture as capture_commands
 from gradegap.commands import quic as quic_commands
+from gradegap.commands import replay as replay_commands
 from gradegap.commands import resume as resume_commands
 from gradegap.commands import store as store_commands
 from gradegap.node.process import configure_logging, load_all
@@ -20,9 +21,9 @@
 app.add_typer(resume_commands.token, name="token")
 app.add_typer(capture_commands.capture, name="capture")
 app.add_typer(quic_commands.conformance, name="conformance")
-app.command("replay")(capture_commands.replay_command)
-app.command("whatif")(capture_commands.whatif_command)
-app.command("explain")(capture_commands.explain_command)
+app.command("replay")(replay_commands.replay_command)
+app.command("whatif")(replay_commands.whatif_command)
+app.command("explain")(replay_commands.explain_command)
 
 CONFIG = typer.Option(None, help="configuration file, instead of NODE_CONFIG")
 OPERATOR = typer.Option(None, help="operator's file, instead of GRADEGAP_OPERATOR; see deploy/operator.toml")
--- /dev/null
+++ b/gradegap/commands/replay.py
@@ -0,0 +1,164 @@
+"""`gradegap replay`, `gradegap explain` and `gradegap whatif`."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Iterator
+
+import msgspec
+import typer
+
+from gradegap.capture import comparison, index, recording, replay
+from gradegap.capture.description import all_in_one_line, in_one_line
+from gradegap.capture.errors import (
+    BadRecordError,
+    BadRecordingError,
+    BadStateError,
+    BadWhatIfError,
+    LaterStateError,
+)
+from gradegap.capture.explain import explain
+from gradegap.capture.simulation import WhatIfResult
+from gradegap.commands.recordings import FILE, MODULE, load_module, read_recording, stop
+
+SET = typer.Option([], "--set", help="a setting in the place of the recorded one: name=value")
+
+
+def replay_command(
+    file: str = FILE,
+    module: str | None = MODULE,
+    against: str | None = typer.Option(None, "--against", help="another capture of the same events"),
+    since: float = typer.Option(-1e18, "--from", help="clock of the state to begin at, at the latest"),
+    until_differs: bool = typer.Option(True, help="stop at the first decision that differs"),
+    pace: float = typer.Option(0.0, min=0.0, help="1: as fast as it was, 2: twice so; 0: as fast as it goes"),
+    json: bool = typer.Option(False, "--json"),
+) -> None:
+    """The same decisions again. Exits 0 where all are, 1 at one that differs."""
+    if against is not None:
+        _compare(file, against)
+        return
+    candidate = load_module(module)
+    data = read_recording(file)
+    if since > -1e18:
+        data = index.seek(data, since) or data
+    source = recording.read(data)
+    try:
+        report = replay.replay(_paced(source, pace) if pace else source, candidate, since, until_differs)
+    except (BadRecordingError, LaterStateError) as error:
+        raise stop(error) from None
+    if json:
+        typer.echo(_report_json(report))
+    else:
+        for line in _report_lines(report):
+            typer.echo(line)
+    if report.difference is not None or report.state_differs:
+        raise typer.Exit(1)
+    if not report.steps:
+        raise stop("nothing could be replayed", 1)
+
+
+def _paced(source: Iterator[recording.Item], pace: float) -> Iterator[recording.Item]:
+    """Each item when its clock, run at that pace from the first on, comes to it."""
+    began, first_at = time.monotonic(), None
+    for item in source:
+        if isinstance(item, recording.Step):
+            first_at = item.at if first_at is None else first_at
+            time.sleep(max(0.0, began + (item.at - first_at) / pace - time.monotonic()))
+        yield item
+
+
+def _report_json(report: replay.Report) -> str:
+    fields = {
+        "steps": report.steps,
+        "states": report.states,
+        "digest": report.digest,
+        "gaps": report.gaps,
+        "differs_at": report.difference.step.number if report.difference else None,
+        "state_differs": report.state_differs,
+    }
+    return msgspec.json.encode(fields).decode()
+
+
+def _report_lines(report: replay.Report) -> Iterator[str]:
+    yield f"{report.steps} steps, {report.states} states held against the record, {report.digest}"
+    for gap in report.gaps:
+        yield f"gap: {gap}"
+    if report.state_differs:
+        yield report.state_differs
+    if (difference := report.difference) is not None:
+        step = difference.step
+        yield f"step {step.number} at {step.at:.6f} differs: {in_one_line(step.event)}"
+        yield f"  recorded: {all_in_one_line(step.actions)}"
+        yield f"  replayed: {all_in_one_line(difference.actions)}"
+        yield from (f"  {line}" for line in difference.state)
+        for preceding in difference.preceding:
+            yield f"  before: {preceding.at:.6f} {in_one_line(preceding.event)}"
+        yield "  what follows in the record is no evidence for this module: its outcomes are another's"
+
+
+def _compare(file: str, other: str) -> None:
+    one, two = (recording.read(read_recording(path)) for path in (file, other))
+    found = comparison.compare(one, two)
+    typer.echo(f"{found.steps} steps compared")
+    for gap in found.gaps:
+        typer.echo(f"gap: {gap}")
+    if found.first is not None:
+        first = found.first[0]
+        what = "is told otherwise" if found.events_differ else "decides otherwise"
+        typer.echo(f"step {first.number} at {first.at:.6f} {what}")
+        for path, step in zip((file, other), found.first, strict=True):
+            typer.echo(f"  {path}: {in_one_line(step.event)} -> {all_in_one_line(step.actions)}")
+    if found.first is not None or not found.steps:
+        raise typer.Exit(1)
+
+
+def explain_command(file: str = FILE, req: int = typer.Argument(...)) -> None:
+    """Why a req went where it went."""
+    part = index.seek(read_recording(file), request_id=req)
+    try:
+        lines = list(explain(recording.read(part), load_module(None), req)) if part else []
+    except (BadRecordingError, BadStateError, BadRecordError) as error:
+        raise stop(error) from None
+    if not lines:
+        raise stop(f"req {req} is not in this capture", 1)
+    typer.echo("\n".join(lines))
+
+
+def whatif_command(
+    file: str = FILE,
+    module: str | None = MODULE,
+    wishes: list[str] = SET,
+    json: bool = typer.Option(False, "--json"),
+) -> None:
+    """The same day under another module or other settings.
+
+    What would have come of it, as far as the record is evidence. Exits 1 where a rule is broken.
+    """
+    from gradegap.capture.whatif import whatif
+
+    try:
+        result = whatif(recording.read(read_recording(file)), load_module(module), wishes)
+    except (BadRecordingError, BadWhatIfError, BadRecordError) as error:
+        raise stop(error) from None
+    if json:
+        typer.echo(msgspec.json.encode(result).decode())
+    else:
+        for line in _result_lines(result):
+            typer.echo(line)
+    if result.violations:
+        raise typer.Exit(1)
+
+
+def _result_lines(result: WhatIfResult) -> Iterator[str]:
+    for field in msgspec.structs.fields(result.recorded):
+        recorded, played = getattr(result.recorded, field.name), getattr(result.played, field.name)
+        yield f"{field.encode_name:12} {round(recorded, 4):>10} recorded {round(played, 4):>10} played"
+    answers = ", ".join(f"{result.answers[k]} {k}" for k in ("near", "far", "modelled"))
+    yield f"what servers said: {answers}"
+    if (other := result.first_other) is not None:
+        place = f"{other.request_id} at {other.at:.3f}, {other.recorded} and now {other.played}"
+        yield f"the first req that is placed otherwise: {place}"
+    if result.observed_until is not None:
+        yield f"from {result.observed_until:.3f} on the record alone is no evidence of what follows"
+    yield from (f"gap, at which it ends: {gap}" for gap in result.gaps)
+    yield from (f"a rule is broken at {violation}" for violation in result.violations)
