--- a/bench/resume.py
+++ b/bench/resume.py
@@ -54,7 +54,7 @@
             self.writer.close()
             await asyncio.sleep(random.uniform(0.15, 1.1))
 
-    async def ask(self, text: bytes) -> bytes:
+    async def request(self, text: bytes) -> bytes:
         """One request's answer, over as many connections as it takes."""
         while True:
             try:
@@ -74,7 +74,7 @@
     last, most, k = time.monotonic(), 0.0, 0
     while not ended.is_set():
         k += 1
-        await player.ask(b"r%d" % k)
+        await player.request(b"r%d" % k)
         now = time.monotonic()
         most, last = max(most, now - last), now
         await asyncio.sleep(EVERY)
@@ -110,7 +110,7 @@
     players: list[Any] = []
     for k in range(PLAYERS):
         if resumable:
-            players.append(await Session.open([w.address], key=f"k{k}", give_up=30.0))
+            players.append(await Session.open([w.address], key=f"k{k}", placement_timeout=30.0))
         else:
             made = Plain(w.address)
             await made.come()
--- a/gradegap/client.py
+++ b/gradegap/client.py
@@ -1,11 +1,11 @@
-"""A client of gradegap's nodes: opens a session, asks, and goes on elsewhere when its server or node leaves.
+"""A client of gradegap's nodes: a resumable session that goes on when its server or node goes away.
 
-    session = await Session.open(["127.0.0.1:5000"], cls_name="live", key="7f3a")
-    answer = await session.ask(b"claim 17")
+    session = await Session.open(["127.0.0.1:5000"], class_name="live", key="7f3a")
+    answer = await session.request(b"claim 17")
     await session.close()
 
 Every request gets exactly one final answer, whatever moves meanwhile, as long as both sides know `resume/1`
-(docs/design/resume.md). Otherwise `SessionOver` says why: nobody can then say what became of what was asked.
+(docs/design/resume.md). Otherwise `SessionEndedError` says why: nobody can then say what became of requests.
 """
 
 from __future__ import annotations
@@ -15,219 +15,257 @@
 import random
 import secrets
 from collections.abc import Callable, Sequence
+from typing import Literal
 
 from gradegap.resume import lines
 from gradegap.resume.lines import Answer, BadLine, NewToken, Over, Seen
 from gradegap.resume.window import ClientWindow, Full
 
-CONNECT_WAIT = 1.0  # s
-AGAIN = (0.02, 0.5)  # s between two tries to come back: at first, and at the most
+CONNECT_TIMEOUT_S = 1.0  # to a node, beside the time that the node may take
+BACKOFF_MIN_S = 0.02  # between two tries to be placed again
+BACKOFF_MAX_S = 0.5
 
+RequestEvent = Literal["asked", "answered", "failed"]
+RequestObserver = Callable[[RequestEvent, int, bytes], None]  # with the request's number, and a text
 
-Note = Callable[[str, int, bytes], None]  # "asked", "answered" or "failed"; the request's number; a text
 
+class SessionEndedError(Exception):
+    """The session can't go on; `reason` is one word of the protocol, or of this library.
 
-class SessionOver(Exception):
-    """The session can't go on; `reason` is one word of the protocol, or of this library."""
+    Of this library: `closed` by its user; `gave_up`, no node could place it in time; `plain`, the node or the
+    server doesn't know resume/1; `position` and `broken`, the other side broke the protocol.
+    """
 
-    def __init__(self, reason: str, text: str = "") -> None:
-        super().__init__(f"{reason}: {text}" if text else reason)
+    def __init__(self, reason: str, detail: str = "") -> None:
+        super().__init__(f"{reason}: {detail}" if detail else reason)
         self.reason = reason
 
 
 class Session:
-    """One resumable session. `open` makes it."""
+    """One resumable session; `Session.open` makes it, and owns the task that reads its connection."""
 
     def __init__(
         self,
         nodes: Sequence[str],
-        cls: str,
+        class_name: str,
         key: str,
         group: str,
-        wait: float,
-        give_up: float,
-        note: Note | None = None,
+        attempt_timeout: float,
+        placement_timeout: float,
+        observer: RequestObserver | None = None,
     ) -> None:
-        self.nodes, self.cls, self.key, self.group = list(nodes), cls, key, group
-        self.wait, self.give_up, self.note = wait, give_up, note
-        self.window = ClientWindow()
-        self.answers: dict[int, asyncio.Future[bytes]] = {}
-        self.room = asyncio.Event()
-        self.token = ""
-        self.retry = secrets.token_hex(16)  # by which a node knows that a next try is this client's
-        self.receipt = ""
-        self.returns = 0
-        self.over: SessionOver | None = None
-        self.reader: asyncio.StreamReader | None = None
-        self.writer: asyncio.StreamWriter | None = None
-        self.task: asyncio.Task[None] | None = None
-        self.closing = False
+        self.nodes = list(nodes)
+        self.class_name = class_name
+        self.key = key
+        self.group = group
+        self.attempt_timeout = attempt_timeout
+        self.placement_timeout = placement_timeout
+        self.observer = observer
+        self.receipt = ""  # what the server that holds the session now gave with its UP
+        self.reconnects = 0
+        self._window = ClientWindow()
+        self._window_open = asyncio.Event()
+        self._answers: dict[int, asyncio.Future[bytes]] = {}
+        self._token = ""
+        self._retry_key = secrets.token_hex(16)  # by which a node knows that a further try is this client's
+        self._ended: SessionEndedError | None = None
+        self._reader: asyncio.StreamReader | None = None
+        self._writer: asyncio.StreamWriter | None = None
+        self._task: asyncio.Task[None] | None = None
 
     @classmethod
     async def open(
         cls,
         nodes: Sequence[str],
         *,
-        cls_name: str = "live",
+        class_name: str = "live",
         key: str = "",
         group: str = "",
-        wait: float = 1.5,
-        give_up: float = 10.0,
-        note: Note | None = None,
+        attempt_timeout: float = 1.5,
+        placement_timeout: float = 10.0,
+        observer: RequestObserver | None = None,
     ) -> Session:
-        """A session at one of `nodes` (host:port). `wait` is how long, in s, a node may take for each try;
-        after `give_up` s without a place it raises `SessionOver`, and where the server can't resume. `note`
-        is told of each request as it is asked, answered or failed: for a log that can be checked."""
-        made = Session(nodes, cls_name, key or secrets.token_hex(4), group, wait, give_up, note)
-        await made._come()
-        made.task = asyncio.create_task(made._run())
-        return made
-
-    async def ask(self, text: bytes) -> bytes:
-        """The one final answer to a request; `SessionOver` where there will be none. Waits for room in the
-        window, which the server's answers make."""
+        """Open a session at one of `nodes` (host:port).
+
+        A node may take `attempt_timeout` s for each try. After `placement_timeout` s without a place, and
+        where the server can't resume, this raises `SessionEndedError`. `observer` is called for each request
+        as it is asked, answered or failed: for a log that can be checked.
+        """
+        session = Session(
+            nodes,
+            class_name,
+            key or secrets.token_hex(4),
+            group,
+            attempt_timeout,
+            placement_timeout,
+            observer,
+        )
+        await session._place()
+        session._task = asyncio.create_task(session._run())
+        return session
+
+    async def request(self, text: bytes) -> bytes:
+        """Send a request, and return its one final answer; raises `SessionEndedError` if there is none.
+
+        Waits while the window is full, until the server has answered.
+        """
         while True:
-            if self.over is not None:
-                raise self.over
+            if self._ended is not None:
+                raise self._ended
             try:
-                request = self.window.request(text)
+                request = self._window.request(text)
                 break
             except Full:
-                self.room.clear()
-                await self.room.wait()
+                self._window_open.clear()
+                await self._window_open.wait()
         future: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
-        self.answers[request.number] = future
-        self._note("asked", request.number, text)
+        self._answers[request.number] = future
+        self._observe("asked", request.number, text)
         self._write(lines.write(request))
         return await future
 
     async def close(self) -> None:
-        """End it: what is asked and not answered fails with `SessionOver`."""
-        self.closing = True
-        if self.task is not None:
-            self.task.cancel()
+        """End the session: requests without an answer fail with `SessionEndedError`."""
+        if self._task is not None:
+            self._task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
-                await self.task
-        self._end(SessionOver("closed"))
+                await self._task
+        self._end(SessionEndedError("closed"))
 
-    def _note(self, what: str, number: int, text: bytes) -> None:
-        if self.note is not None:
-            self.note(what, number, text)
+    def _observe(self, event: RequestEvent, number: int, text: bytes) -> None:
+        if self.observer is not None:
+            self.observer(event, number, text)
 
     def _write(self, data: bytes) -> None:
-        if self.writer is not None and not self.writer.is_closing():
-            self.writer.write(data)
+        if self._writer is not None and not self._writer.is_closing():
+            self._writer.write(data)
 
-    # Coming, and coming back
+    # Placing it, the first time and again
 
-    async def _come(self) -> None:
-        """To any node; `SessionOver` where one says that it can't go on, or time is up."""
+    async def _place(self) -> None:
+        """Connect by any node; raises `SessionEndedError` if one says that it can't go on, or time is up."""
         loop = asyncio.get_running_loop()
-        end, pause = loop.time() + self.give_up, AGAIN[0]
-        why = "no node could be reached"
-        while loop.time() < end:
+        deadline, pause = loop.time() + self.placement_timeout, BACKOFF_MIN_S
+        failure = "no node could be reached"
+        while loop.time() < deadline:
             node = random.choice(self.nodes)
             try:
                 # Not wait_for, which loses a cancellation that comes with the answer: `close` then waited on.
-                async with asyncio.timeout(self.wait + CONNECT_WAIT):
-                    why = await self._try(node)
-                if not why:
+                async with asyncio.timeout(self.attempt_timeout + CONNECT_TIMEOUT_S):
+                    failure = await self._connect(node)
+                if not failure:
                     return
-                if why.startswith("BUSY ") and why[5:].isdecimal():
-                    pause = max(pause, int(why[5:]) / 1000)
+                pause = max(pause, _retry_after(failure))
             except (OSError, TimeoutError, asyncio.IncompleteReadError) as error:
-                why = f"{node}: {error or 'no answer'}"
-            await asyncio.sleep(min(pause, max(0.0, end - loop.time())) * random.uniform(0.5, 1.0))
-            pause = min(pause * 2, AGAIN[1])
-        raise SessionOver("gave_up", why)
+                failure = f"{node}: {error or 'no answer'}"
+            remaining = max(0.0, deadline - loop.time())
+            await asyncio.sleep(min(pause, remaining) * random.uniform(0.5, 1.0))
+            pause = min(pause * 2, BACKOFF_MAX_S)
+        raise SessionEndedError("gave_up", failure)
 
-    async def _try(self, node: str) -> str:
-        """Empty once it stands; else what the node said."""
+    async def _connect(self, node: str) -> str:
+        """Try one node; empty once the session is established there, else the node's answer."""
         host, _, port = node.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
-        good = False
+        established = False
         try:
-            fields = f"c={self.cls},d={round(self.wait * 1000)},rs=1,ra={self.retry}"
-            fields += f",g={self.group}" if self.group else ""
-            if self.token:
-                fields += f",again=1,rh={self.window.seen},rt={self.token}"
-            writer.write(f"OPEN {secrets.token_hex(8)} {self.key} {fields}\r\n".encode())
-            said = (await reader.readuntil(b"\n")).decode().rstrip("\r\n")
-            word, _, rest = said.partition(" ")
+            writer.write(self._first_line())
+            answer = (await reader.readuntil(b"\n")).decode().rstrip("\r\n")
+            word, _, rest = answer.partition(" ")
             if word == "X":
-                raise SessionOver(rest, "said by the node")
+                raise SessionEndedError(rest, "said by the node")
             if word != "UP":
-                return said
-            self.receipt, _, agreed = rest.partition(" ")
-            values = dict(pair.partition("=")[::2] for pair in agreed.split(","))
-            if "t" not in values or not values.get("rs", "").isdecimal():
-                raise SessionOver("plain", "the node or the server does not know resume/1")
-            self.token = values["t"]
-            again = self.window.resume(int(values["rs"]))
-            self.window.told = self.window.seen
-            if self.window.seen:
-                writer.write(lines.write(Seen(self.window.seen)))
-            for request in again:
-                writer.write(lines.write(request))
-            self.reader, self.writer, good = reader, writer, True
+                return answer
+            self._resume(rest, writer)
+            self._reader, self._writer, established = reader, writer, True
             return ""
         except BadLine as error:
-            raise SessionOver("position", str(error)) from None
+            raise SessionEndedError("position", str(error)) from None
         finally:
-            if not good:
+            if not established:
                 writer.close()
 
+    def _first_line(self) -> bytes:
+        fields = f"c={self.class_name},d={round(self.attempt_timeout * 1000)},rs=1,ra={self._retry_key}"
+        fields += f",g={self.group}" if self.group else ""
+        if self._token:
+            fields += f",again=1,rh={self._window.seen},rt={self._token}"
+        return f"OPEN {secrets.token_hex(8)} {self.key} {fields}\r\n".encode()
+
+    def _resume(self, confirmation: str, writer: asyncio.StreamWriter) -> None:
+        """Read the rest of an UP, and send again what the server has not run."""
+        self.receipt, _, agreed = confirmation.partition(" ")
+        values = dict(pair.partition("=")[::2] for pair in agreed.split(","))
+        if "t" not in values or not values.get("rs", "").isdecimal():
+            raise SessionEndedError("plain", "the node or the server does not know resume/1")
+        self._token = values["t"]
+        unexecuted = self._window.resume(int(values["rs"]))
+        self._window.told = self._window.seen
+        if self._window.seen:
+            writer.write(lines.write(Seen(self._window.seen)))
+        for request in unexecuted:
+            writer.write(lines.write(request))
+
     async def _run(self) -> None:
         try:
             while True:
                 await self._read()
-                if self.writer is not None:
-                    self.writer.close()
-                self.returns += 1
-                await self._come()
-        except SessionOver as error:
+                if self._writer is not None:
+                    self._writer.close()
+                self.reconnects += 1
+                await self._place()
+        except SessionEndedError as error:
             self._end(error)
 
     async def _read(self) -> None:
-        """Until the connection ends, or the node says to move."""
-        assert self.reader is not None
+        """Read lines until the connection ends, or the node says to come again."""
+        assert self._reader is not None
         while True:
             try:
-                raw = (await self.reader.readuntil(b"\n")).rstrip(b"\r\n")
+                raw = (await self._reader.readuntil(b"\n")).rstrip(b"\r\n")
             except (OSError, asyncio.IncompleteReadError):
                 return
             if raw == b"MOVE":
                 return
             try:
-                self._line(lines.read(raw))
+                self._handle_line(lines.read(raw))
             except BadLine as error:
-                raise SessionOver("broken", str(error)) from None
+                raise SessionEndedError("broken", str(error)) from None
 
-    def _line(self, line: lines.Line | None) -> None:
+    def _handle_line(self, line: lines.Line | None) -> None:
         match line:
             case Answer():
-                if self.window.answer(line):
-                    self._note("answered", line.number, line.text)
-                    self.room.set()
-                    future = self.answers.pop(line.number, None)
-                    if future is not None and not future.done():
-                        future.set_result(line.text)
-                if (seen := self.window.to_acknowledge()) is not None:
-                    self._write(lines.write(Seen(seen)))
+                self._handle_answer(line)
             case NewToken(token):
-                self.token = token
+                self._token = token
             case Over(reason):
-                raise SessionOver(reason, "said by the node or server")
+                raise SessionEndedError(reason, "said by the node or server")
             case _:
                 pass  # a line of the protocol that is no part of this
 
-    def _end(self, error: SessionOver) -> None:
-        self.over = error
-        self.room.set()
-        if self.writer is not None:
-            self.writer.close()
-        for number, future in self.answers.items():
-            self._note("failed", number, error.reason.encode())
+    def _handle_answer(self, answer: Answer) -> None:
+        if self._window.answer(answer):
+            self._observe("answered", answer.number, answer.text)
+            self._window_open.set()
+            future = self._answers.pop(answer.number, None)
+            if future is not None and not future.done():
+                future.set_result(answer.text)
+        if (seen := self._window.to_acknowledge()) is not None:
+            self._write(lines.write(Seen(seen)))
+
+    def _end(self, error: SessionEndedError) -> None:
+        self._ended = error
+        self._window_open.set()
+        if self._writer is not None:
+            self._writer.close()
+        for number, future in self._answers.items():
+            self._observe("failed", number, error.reason.encode())
             if not future.done():
                 future.set_exception(error)
-        self.answers.clear()
+        self._answers.clear()
+
+
+def _retry_after(answer: str) -> float:
+    """The pause that a rejection names, in s; 0 for none."""
+    milliseconds = answer.removeprefix("BUSY ")
+    return int(milliseconds) / 1000 if milliseconds != answer and milliseconds.isdecimal() else 0.0
--- a/gradegap/simulator_adapter.py
+++ b/gradegap/simulator_adapter.py
@@ -1,8 +1,8 @@
 """Runs many balancers on the simulator's wire; decides nothing.
 
-Lines of tab-separated `name=value` fields. A batch of events comes on standard input, from `batch` to `flush`,
-and one reply for each goes to standard output, ended by `end`. The instances of one process share only the
-numbered endpoint lists (`sheet`), sent once for all of them. Times on the wire are in ns, here in s.
+Lines of tab-separated `name=value` fields. A batch of events comes on standard input, from `batch` to
+`flush`, and one reply for each goes to standard output, ended by `end`. The instances of one process share
+only the numbered endpoint lists (`sheet`), sent once for all of them. Times on the wire are in ns, here in s.
 """
 
 from __future__ import annotations
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -13,7 +13,7 @@
 import msgspec
 import pytest
 
-from gradegap.client import Session, SessionOver
+from gradegap.client import Session, SessionEndedError
 from gradegap.resume.token import RING, Ring
 from gradegap.store.member_client import MemberClient
 from tests.resume_world import ResumeBackend, SaveStore
@@ -57,7 +57,7 @@
         session = await Session.open([w.address], key="7f3a")
         asked = [b"r%d" % k for k in range(200)]
         for k in range(0, 200, 10):
-            got = await asyncio.gather(*(session.ask(r) for r in asked[k : k + 10]))
+            got = await asyncio.gather(*(session.request(r) for r in asked[k : k + 10]))
             assert got == [b"done " + r for r in asked[k : k + 10]]
             if k == 100:
                 leaves = a if session.receipt == "a" else b
@@ -66,8 +66,8 @@
         assert ran == asked
         goes_to = b if leaves is a else a
         await asyncio.to_thread(wait_for, lambda: len(goes_to.opens) == 1)
-        assert await session.ask(b"last") == b"done last"
-        assert session.returns == 0  # in place: its connection stood
+        assert await session.request(b"last") == b"done last"
+        assert session.reconnects == 0  # in place: its connection stood
         await session.close()
 
     with world(tmp_path, [a, b], ON) as w:
@@ -86,17 +86,17 @@
 
     async def main(w: World) -> None:
         session = await Session.open([w.address])
-        assert await session.ask(b"first") == b"done first"
+        assert await session.request(b"first") == b"done first"
         for turn in range(4):
             for s in servers:
                 s.dies = dies
             asked = [b"%d-%d" % (turn, k) for k in range(5)]
-            assert await asyncio.gather(*(session.ask(r) for r in asked)) == [b"done " + r for r in asked]
+            assert await asyncio.gather(*(session.request(r) for r in asked)) == [b"done " + r for r in asked]
         for s in servers:
             s.dies = ""
         (ran,) = store.ran.values()
         assert ran == [b"first", *(b"%d-%d" % (t, k) for t in range(4) for k in range(5))]
-        assert session.returns == 0
+        assert session.reconnects == 0
         await session.close()
 
     with world(tmp_path, backends, ON) as w:
@@ -118,11 +118,11 @@
     async def main(w: World) -> None:
         with MemberClient(f"127.0.0.1:{ports[0]}") as r:
             r.set(RING, msgspec.to_builtins(Ring().rotated(1)))
-        session = await Session.open([w.address], give_up=20.0)
-        assert await session.ask(b"one") == b"done one"
+        session = await Session.open([w.address], placement_timeout=20.0)
+        assert await session.request(b"one") == b"done one"
         w.process.kill()
         w.process.wait()
-        waiting = asyncio.create_task(session.ask(b"two"))
+        waiting = asyncio.create_task(session.request(b"two"))
         await asyncio.sleep(0.1)
         again = await asyncio.to_thread(start_again)
         assert await waiting == b"done two"
@@ -234,12 +234,12 @@
 
     async def main(w: World) -> None:
         session = await Session.open([w.address])
-        assert await session.ask(b"x") == b"done x"
+        assert await session.request(b"x") == b"done x"
         await asyncio.to_thread(w.director.tell, plain)
         await asyncio.to_thread(w.director.tell, a, state="Terminating")
-        with pytest.raises(SessionOver) as error:
+        with pytest.raises(SessionEndedError) as error:
             while True:
-                await session.ask(b"y")
+                await session.request(b"y")
                 await asyncio.sleep(0.01)
         assert error.value.reason == "server"
 
@@ -289,12 +289,12 @@
     gaps: list[float] = []
 
     async def player(w: World, number: int, ended: asyncio.Event) -> Session:
-        session = await Session.open([w.address], key=f"k{number}", give_up=20.0)
+        session = await Session.open([w.address], key=f"k{number}", placement_timeout=20.0)
         asked: list[bytes] = []
         last = time.monotonic()
         while not ended.is_set():
             asked.append(b"%d-%d" % (number, len(asked)))
-            assert await session.ask(asked[-1]) == b"done " + asked[-1]
+            assert await session.request(asked[-1]) == b"done " + asked[-1]
             gaps.append(time.monotonic() - last)
             last = time.monotonic()
             await asyncio.sleep(0.02)
--- a/tests/test_resume_many.py
+++ b/tests/test_resume_many.py
@@ -67,13 +67,13 @@
             self.log.append(Record(what, who, number, text.decode()))  # type: ignore[arg-type]
 
         nodes = self.rng.sample(self.nodes, len(self.nodes))
-        session = await Session.open(nodes, key=who, give_up=GIVE_UP, note=note)
+        session = await Session.open(nodes, key=who, placement_timeout=GIVE_UP, observer=note)
         self.sessions.append(session)
         k = 0
         while not self.ended.is_set():
             k += 1
             asked = [b"%b-%d-%d" % (who.encode(), k, j) for j in range(2)]
-            assert await asyncio.gather(*(session.ask(a) for a in asked)) == [b"done " + a for a in asked]
+            assert await asyncio.gather(*(session.request(a) for a in asked)) == [b"done " + a for a in asked]
             self.answered += 1
             await asyncio.sleep(EVERY * self.rng.uniform(0.5, 1.5))
         await session.close()
@@ -140,7 +140,9 @@
         answers = sum(r.what == "answered" for r in records)
         moved = sum(r.what == "given" for r in records)
         print(f"{held} sessions left a server that drains within {drained:.2f} s")
-        print(f"{answers} answers, {moved} lives given, {sum(s.returns for s in players.sessions)} returns")
+        print(
+            f"{answers} answers, {moved} lives given, {sum(s.reconnects for s in players.sessions)} returns"
+        )
         assert moved > SESSIONS and d.standing
 
     nodes.start_all("[resume]\n")
@@ -174,7 +176,7 @@
         assert len(by("a", "ran")) == ran  # fenced: nothing more there
         await players.end()
         assert list(violations([*players.log, *from_node("n0", w.log.read_text()), *store.log])) == []
-        returns = sum(s.returns for s in players.sessions)
+        returns = sum(s.reconnects for s in players.sessions)
         # How long is the machine's doing as much as the node's; docs/design/resume.md has it for one at rest.
         print(f"{SESSIONS} sessions left within {took:.2f} s, {returns} of them by return")
 
--- a/tests/test_resume_nodes.py
+++ b/tests/test_resume_nodes.py
@@ -76,18 +76,18 @@
     begun(w)
 
     async def main() -> None:
-        session = await Session.open([w.address], key="k", give_up=30.0)
-        assert await session.ask(b"before") == b"done before"
+        session = await Session.open([w.address], key="k", placement_timeout=30.0)
+        assert await session.request(b"before") == b"done before"
         nodes.cut_off("n1")
         await asyncio.to_thread(wait_for, lambda: not w.ready())  # its lease is over
         leaves = a if session.receipt == "a" else b
         await asyncio.to_thread(leaves.die)
-        waiting = asyncio.create_task(session.ask(b"during"))
+        waiting = asyncio.create_task(session.request(b"during"))
         await asyncio.to_thread(wait_for, lambda: int(w.counters().get("resume_not_claimed", 0)) > 0, 10.0)
         assert not waiting.done()  # nobody can say whose the session is
         nodes.relay.heal()
         assert await waiting == b"done during"
-        assert session.returns >= 1
+        assert session.reconnects >= 1
         await session.close()
 
     run(main())
@@ -165,19 +165,19 @@
     a = ResumeBackend("a", store)
 
     async def main(w: World) -> None:
-        sessions = [await Session.open([w.address], key=f"k{k}", give_up=20.0) for k in range(10)]
+        sessions = [await Session.open([w.address], key=f"k{k}", placement_timeout=20.0) for k in range(10)]
         for k, s in enumerate(sessions):
-            assert await s.ask(b"one-%d" % k) == b"done one-%d" % k
+            assert await s.request(b"one-%d" % k) == b"done one-%d" % k
         with second(w, operator=ON) as (n, _):
             await asyncio.to_thread(wait_for, lambda: "successor accepts clients" in w.log.read_text())
-            asks = [asyncio.create_task(s.ask(b"two-%d" % k)) for k, s in enumerate(sessions)]
+            asks = [asyncio.create_task(s.request(b"two-%d" % k)) for k, s in enumerate(sessions)]
             w.process.terminate()
             for k, task in enumerate(asks):
                 assert await task == b"done two-%d" % k
             assert await asyncio.to_thread(w.process.wait, 5) == 0
             for k, s in enumerate(sessions):
-                assert await s.ask(b"three-%d" % k) == b"done three-%d" % k
-                assert s.returns == 1
+                assert await s.request(b"three-%d" % k) == b"done three-%d" % k
+                assert s.reconnects == 1
                 await s.close()
             assert n.counters()["resume_returns"] == "10"
 
@@ -226,18 +226,18 @@
         clients.append(Record(what, "k", number, text.decode()))  # type: ignore[arg-type]
 
     async def main(w: World) -> None:
-        session = await Session.open([w.address], key="k", give_up=20.0, note=note)
-        assert await session.ask(b"one") == b"done one"
+        session = await Session.open([w.address], key="k", placement_timeout=20.0, observer=note)
+        assert await session.request(b"one") == b"done one"
         leaves = next(s for s in servers if s.name == session.receipt)
         left = [s for s in servers if s is not leaves]
         for s in left:
             s.dies = "claimed"
         await asyncio.to_thread(leaves.die)
-        waiting = asyncio.create_task(session.ask(b"two"))
+        waiting = asyncio.create_task(session.request(b"two"))
         await asyncio.to_thread(wait_for, lambda: sum(len(s.opens) for s in left) >= 2, 10.0)
         left[0].dies = ""
         assert await waiting == b"done two"
-        assert session.returns >= 1
+        assert session.reconnects >= 1
         await session.close()
 
     with world(tmp_path, list(servers), ON) as w:
