--- a/bench/capture.py
+++ b/bench/capture.py
@@ -118,7 +118,7 @@
             walked = time.perf_counter()
             child = snapshot.begin(day.balancer)
             forked = time.perf_counter()
-            snapshot.finish(*child)
+            snapshot.finish(child)
             times.append((walked - began, forked - walked, time.perf_counter() - walked))
         names = ("in place", "fork", "fork, until it is read")
         found[f"{held} held"] = {
--- a/gradegap/capture/plot.py
+++ b/gradegap/capture/plot.py
@@ -1,10 +1,11 @@
-"""A capture as a picture: `pip install gradegap[plot]`. Not imported by a node."""
+"""A recording as a picture: `pip install gradegap[plot]`. Not imported by a node."""
 
 from __future__ import annotations
 
 from collections import Counter, defaultdict
-from collections.abc import Iterable
-from typing import Any
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING, Any
 
 from gradegap.balancing.actions import Fail, Forward, Migrate, Reject
 from gradegap.balancing.events import (
@@ -16,85 +17,93 @@
 )
 from gradegap.capture.recording import Item, Step
 
-BIN = 0.25  # s
+if TYPE_CHECKING:
+    from matplotlib.axes import Axes
 
+BIN_S = 0.25  # width of what is counted together
+MAX_LEGEND_ENDPOINTS = 16
+REQUESTS, FORWARDED, ESTABLISHED = "requests", "forwarded", "established"
+REJECTED, MIGRATED = "rejected or failed", "migrated"
+RATES = (REQUESTS, FORWARDED, ESTABLISHED, REJECTED, MIGRATED)
 
-def series(source: Iterable[Item]) -> dict[str, Any]:
-    """What is drawn, by time in s from the first step; no I/O and no picture yet.
 
-    Requests, draws and answers a bin, what stands, and the load told by each server.
-    """
-    found = _Series()
+@dataclass(slots=True)
+class Series:
+    """What is drawn, by time in s from the first step."""
+
+    end: float = 0.0  # time of the last step
+    # Counts by bin, of each of `RATES`.
+    counts: dict[str, Counter[int]] = field(default_factory=lambda: defaultdict(Counter))
+    # Times and values by endpoint: its load reports, and this node's connections there.
+    loads: dict[str, list[tuple[float, float]]] = field(default_factory=lambda: defaultdict(list))
+    connections: dict[str, list[tuple[float, int]]] = field(default_factory=lambda: defaultdict(list))
+
+
+def series(source: Iterable[Item]) -> Series:
+    """Count what a recording says; no I/O and no picture yet."""
+    counter = _Counter()
     for item in source:
         if isinstance(item, Step):
-            found.see(item)
-    return {
-        "end": found.at,
-        "rates": dict(found.rates),
-        "loads": dict(found.loads),
-        "held": dict(found.held),
-    }
+            counter.step(item)
+    return counter.found
 
 
-class _Series:
+class _Counter:
     """Counts what is drawn, step by step."""
 
     def __init__(self) -> None:
-        self.began: float | None = None
-        self.at = 0.0  # of the present step, s from the first one
-        self.rates: dict[str, Counter[int]] = defaultdict(Counter)
-        self.loads: dict[str, list[tuple[float, float]]] = defaultdict(list)
-        self.held: dict[str, list[tuple[float, int]]] = defaultdict(list)
-        self.count: Counter[str] = Counter()
-        self.standing: dict[int, str] = {}
-
-    def see(self, step: Step) -> None:
-        self.began = step.at if self.began is None else self.began
-        self.at = step.at - self.began
-        self._see_event(step.event)
+        self.found = Series()
+        self.began_at: float | None = None
+        self.established: dict[int, str] = {}  # endpoints of connections, by request
+        self.held: Counter[str] = Counter()  # connections, by endpoint
+
+    def step(self, step: Step) -> None:
+        self.began_at = step.at if self.began_at is None else self.began_at
+        self.found.end = step.at - self.began_at
+        self._event(step.event)
         for action in step.actions:
-            self._see_action(action)
+            self._action(action)
 
-    def _see_event(self, event: Any) -> None:
+    def _event(self, event: Any) -> None:
         match event:
             case RequestArrived():
-                self._rate("reqs")
-            case ConnectionEstablished(request_id=ident, endpoint=endpoint):
-                self._rate("stood")
-                self._stands(ident, endpoint)
-            case ConnectionInherited(request=request, endpoint=endpoint):
-                self._stands(request.request_id, endpoint)
-            case AttemptEnded(request_id=ident):
-                if (endpoint := self.standing.pop(ident, "")) != "":
-                    self._held(endpoint, -1)
-            case HealthCheckEnded(endpoint=endpoint, report=report) if report is not None:
-                value = report.get("x0", report.get("inflight"))
-                if value is not None:
-                    self.loads[endpoint].append((self.at, value))
+                self._count(REQUESTS)
+            case ConnectionEstablished():
+                self._count(ESTABLISHED)
+                self._establish(event.request_id, event.endpoint)
+            case ConnectionInherited():
+                self._establish(event.request.request_id, event.endpoint)
+            case AttemptEnded():
+                if (endpoint := self.established.pop(event.request_id, None)) is not None:
+                    self._hold(endpoint, -1)
+            case HealthCheckEnded() if event.report is not None:
+                load = event.report.get("x0", event.report.get("inflight"))
+                if load is not None:
+                    self.found.loads[event.endpoint].append((self.found.end, load))
             case _:
                 pass
 
-    def _see_action(self, action: Any) -> None:
+    def _action(self, action: Any) -> None:
         match action:
             case Forward():
-                self._rate("draws")
+                self._count(FORWARDED)
             case Reject() | Fail():
-                self._rate("refused or failed")
+                self._count(REJECTED)
             case Migrate():
-                self._rate("moved")
+                self._count(MIGRATED)
             case _:
                 pass
 
-    def _rate(self, name: str) -> None:
-        self.rates[name][int(self.at / BIN)] += 1
+    def _count(self, name: str) -> None:
+        self.found.counts[name][int(self.found.end / BIN_S)] += 1
 
-    def _stands(self, ident: int, endpoint: str) -> None:
-        self.standing[ident] = endpoint
-        self._held(endpoint, 1)
+    def _establish(self, request_id: int, endpoint: str) -> None:
+        self.established[request_id] = endpoint
+        self._hold(endpoint, 1)
 
-    def _held(self, endpoint: str, change: int) -> None:
-        self.count[endpoint] += change
-        self.held[endpoint].append((self.at, self.count[endpoint]))
+    def _hold(self, endpoint: str, change: int) -> None:
+        self.held[endpoint] += change
+        self.found.connections[endpoint].append((self.found.end, self.held[endpoint]))
 
 
 def draw(source: Iterable[Item], path: str, title: str) -> None:
@@ -105,22 +114,32 @@
     from matplotlib import pyplot
 
     found = series(source)
-    figure, (rates, held, loads) = pyplot.subplots(3, 1, figsize=(11, 10), sharex=True, layout="constrained")
-    bins = range(int(found["end"] / BIN) + 1)
-    for name in ("reqs", "draws", "stood", "refused or failed", "moved"):
-        counts = found["rates"].get(name, {})
-        rates.plot([k * BIN for k in bins], [counts.get(k, 0) / BIN for k in bins], label=name, linewidth=1.2)
-    rates.set_ylabel("a second")
-    rates.legend(loc="upper right", fontsize="small")
-    for axis, name, label in ((held, "held", "connections of this node"), (loads, "loads", "load as told")):
-        for endpoint, points in sorted(found[name].items()):
-            axis.step(
-                [t for t, _ in points], [v for _, v in points], where="post", label=endpoint, linewidth=1
-            )
-        axis.set_ylabel(label)
-        if 0 < len(found[name]) <= 16:
-            axis.legend(loc="upper right", fontsize="x-small", ncols=4)
+    figure, (rates, connections, loads) = pyplot.subplots(
+        3, 1, figsize=(11, 10), sharex=True, layout="constrained"
+    )
+    _draw_rates(rates, found)
+    _draw_endpoints(connections, found.connections, "connections of this node")
+    _draw_endpoints(loads, found.loads, "reported load")
     loads.set_xlabel("s")
     figure.suptitle(title)
     figure.savefig(path, dpi=110)
     pyplot.close(figure)
+
+
+def _draw_rates(axes: Axes, found: Series) -> None:
+    bins = range(int(found.end / BIN_S) + 1)
+    for name in RATES:
+        counts = found.counts.get(name, Counter())
+        rates = [counts[k] / BIN_S for k in bins]
+        axes.plot([k * BIN_S for k in bins], rates, label=name, linewidth=1.2)
+    axes.set_ylabel("a second")
+    axes.legend(loc="upper right", fontsize="small")
+
+
+def _draw_endpoints(axes: Axes, points: Mapping[str, list[tuple[float, Any]]], label: str) -> None:
+    for endpoint, held in sorted(points.items()):
+        times, values = [t for t, _ in held], [v for _, v in held]
+        axes.step(times, values, where="post", label=endpoint, linewidth=1)
+    axes.set_ylabel(label)
+    if 0 < len(points) <= MAX_LEGEND_ENDPOINTS:
+        axes.legend(loc="upper right", fontsize="x-small", ncols=4)
--- a/gradegap/capture/recorder.py
+++ b/gradegap/capture/recorder.py
@@ -139,7 +139,7 @@
         self.state_due_at = now + self.settings.state_s
         settings = records.plain_settings(self.decides_by)
         start = self.about | {"settings": settings, "made": time.time()}
-        if self.may_fork and snapshot.size(self.balancer) > snapshot.SMALL:
+        if self.may_fork and snapshot.size(self.balancer) > snapshot.MAX_OBJECTS_IN_PLACE:
             self._take_state_by_fork(start)
         elif not self._take_state(start):
             return
@@ -207,9 +207,9 @@
             log.error("recording failed", error=str(error))
             self.writer.end_file()
 
-    def _write_forked(self, start: dict[str, Any], child: tuple[int, int], number: int, at: float) -> None:
+    def _write_forked(self, start: dict[str, Any], child: snapshot.Child, number: int, at: float) -> None:
         try:
-            stored = snapshot.finish(*child)
+            stored = snapshot.finish(child)
         except (OSError, ValueError) as error:
             self._lose_state(error)
             return
--- a/gradegap/capture/snapshot.py
+++ b/gradegap/capture/snapshot.py
@@ -1,8 +1,8 @@
-"""The state of a large module, taken without holding the node up: by a process that is forked for it.
+"""The state of a large balancer, taken without holding the node up: by a process that is forked for it.
 
-The fork is the cut: the child has the module as it was between two events, walks it at its leisure, and
-writes it to a pipe, which the recorder's thread reads. The node pays for the copy of its page tables alone.
-For a small module the walk itself costs less than a fork.
+The child has the balancer as it was between two events, walks it, and writes it to a pipe, which the
+recorder's thread reads. The node pays for the copy of its page tables alone. For a small balancer the walk
+itself costs less than a fork.
 """
 
 from __future__ import annotations
@@ -13,16 +13,24 @@
 import select
 import signal
 import time
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
 from gradegap.capture import frames, state
 from gradegap.capture.schema import BALANCER
 
-SMALL = 400  # objects that are walked in place
-WAIT = 20.0  # s that a child may take
-NICE = 5  # it gives way to the node
+MAX_OBJECTS_IN_PLACE = 400  # up to which a state is walked in the node's own process
+CHILD_TIMEOUT_S = 20.0
+CHILD_NICENESS = 5  # it gives way to the node
+READ_BYTES = 1 << 20  # read from the pipe at once
+
+
+class Child(NamedTuple):
+    """A process that walks a balancer."""
+
+    pid: int
+    pipe: int  # descriptor of the end that is read
 
 
 def size(balancer: Any) -> int:
@@ -30,61 +38,75 @@
     return sum(len(BALANCER.get(balancer, name)) for name in ("requests", "endpoints"))
 
 
-def begin(balancer: Any) -> tuple[int, int]:
-    """A child that walks the module as it is now: its process and the end of a pipe that it writes to.
+def begin(balancer: Any) -> Child:
+    """Fork a child that walks the balancer as it is now.
 
-    `OSError` where there is no process or descriptor to be had.
+    Raises `OSError` where there is no process or descriptor to be had.
     """
-    reads, writes = os.pipe()
+    reading, writing = os.pipe()
     try:
-        child = os.fork()
+        pid = os.fork()
     except OSError:
-        os.close(reads)
-        os.close(writes)
+        os.close(reading)
+        os.close(writing)
         raise
-    if child:
-        os.close(writes)
-        return child, reads
-    code = 1
+    if pid:
+        os.close(writing)
+        return Child(pid, reading)
+    status = 1
     try:
-        gc.disable()  # nothing of the node's is ended here, and few pages are written
-        # Guards the node's connections: held open here as well, none would end for its other side.
-        os.closerange(0, writes)
-        os.closerange(writes + 1, os.sysconf("SC_OPEN_MAX"))
-        with contextlib.suppress(OSError):
-            os.nice(NICE)
-        left = memoryview(msgspec.msgpack.encode(state.dump(balancer)))
-        while left:
-            left = left[os.write(writes, left) :]
-        code = 0
+        _write_state(balancer, writing)
+        status = 0
     except BaseException:  # whatever it is: this process must never go on as a second node
-        code = 1
+        status = 1
     finally:
-        os._exit(code)
+        os._exit(status)
+
+
+def _write_state(balancer: Any, pipe: int) -> None:
+    """The child's work."""
+    gc.disable()  # nothing of the node's is ended here, and few pages are written
+    # Guards the node's connections: held open here as well, none would end for its other side.
+    os.closerange(0, pipe)
+    os.closerange(pipe + 1, os.sysconf("SC_OPEN_MAX"))
+    with contextlib.suppress(OSError):
+        os.nice(CHILD_NICENESS)
+    left = memoryview(msgspec.msgpack.encode(state.dump(balancer)))
+    while left:
+        left = left[os.write(pipe, left) :]
 
 
-def finish(child: int, reads: int, wait: float = WAIT) -> Any:
-    """What the child wrote, as plain values; `OSError` where it did not write it whole in time. Blocks."""
-    parts, held, end = [], 0, time.monotonic() + wait
+def finish(child: Child, timeout: float = CHILD_TIMEOUT_S) -> Any:
+    """The state that the child wrote. Blocks until the child has ended, or was killed after `timeout` s.
+
+    Raises `OSError` where the child did not write it whole in time.
+    """
     try:
-        while True:
-            ready, _, _ = select.select([reads], [], [], max(0.0, end - time.monotonic()))
-            if not ready:
-                raise OSError("the walk of the module's state took too long")
-            part = os.read(reads, 1 << 20)
-            if not part:
-                break
-            held += len(part)
-            if held > frames.MAX_BODY_BYTES:
-                raise OSError(f"a state of more than {frames.MAX_BODY_BYTES} bytes")
-            parts.append(part)
+        data = _read_all(child.pipe, time.monotonic() + timeout)
     except OSError:
         with contextlib.suppress(ProcessLookupError):
-            os.kill(child, signal.SIGKILL)
+            os.kill(child.pid, signal.SIGKILL)
         raise
     finally:
-        os.close(reads)
-        _, status = os.waitpid(child, 0)
+        os.close(child.pipe)
+        _, status = os.waitpid(child.pid, 0)
     if status:
         raise OSError(f"the process that walks the module's state ended with {status}")
-    return msgspec.msgpack.decode(b"".join(parts))
+    return msgspec.msgpack.decode(data)
+
+
+def _read_all(pipe: int, until: float) -> bytes:
+    """All that is written to a pipe up to that time on the steady clock."""
+    parts: list[bytes] = []
+    total = 0
+    while True:
+        ready, _, _ = select.select([pipe], [], [], max(0.0, until - time.monotonic()))
+        if not ready:
+            raise OSError("the walk of the module's state took too long")
+        part = os.read(pipe, READ_BYTES)
+        if not part:
+            return b"".join(parts)
+        total += len(part)
+        if total > frames.MAX_BODY_BYTES:
+            raise OSError(f"a state of more than {frames.MAX_BODY_BYTES} bytes")
+        parts.append(part)
--- a/tests/test_capture_index.py
+++ b/tests/test_capture_index.py
@@ -20,7 +20,7 @@
 from gradegap.balancing.events import ConnectionInherited, EndpointList, EndpointPhase, RequestArrived
 from gradegap.capture import explain, frames, index, recording, records, snapshot, state
 from gradegap.capture.frames import FrameKind
-from gradegap.capture.plot import draw, series
+from gradegap.capture.plot import REQUESTS, draw, series
 from gradegap.capture.schema import BALANCER
 from tests.test_admin_api import call, served
 from tests.test_capture import Day, again, cli, recorded, taken
@@ -130,38 +130,38 @@
 
 def test_a_forked_state_is_the_module_s_at_that_moment() -> None:
     day = large(1500)
-    assert snapshot.size(day.balancer) > snapshot.SMALL
+    assert snapshot.size(day.balancer) > snapshot.MAX_OBJECTS_IN_PLACE
     held = state.dump(day.balancer)
-    child, reads = snapshot.begin(day.balancer)
+    child = snapshot.begin(day.balancer)
     day.live(200)  # meanwhile
-    assert msgspec.msgpack.encode(snapshot.finish(child, reads)) == msgspec.msgpack.encode(held)
+    assert msgspec.msgpack.encode(snapshot.finish(child)) == msgspec.msgpack.encode(held)
     assert msgspec.msgpack.encode(state.dump(day.balancer)) != msgspec.msgpack.encode(held)
 
 
 def test_a_forked_process_holds_no_connection_open() -> None:
     day = large(20_000)
     ours, theirs = socket.socketpair()
-    child, reads = snapshot.begin(day.balancer)
+    child = snapshot.begin(day.balancer)
     ours.close()
     theirs.settimeout(10.0)
     assert theirs.recv(1) == b""
-    os.kill(child, signal.SIGSTOP)  # it is at work still: nothing has read its pipe
+    os.kill(child.pid, signal.SIGSTOP)  # it is at work still: nothing has read its pipe
     theirs.close()
     with pytest.raises(OSError, match="too long"):
-        snapshot.finish(child, reads, 0.1)
+        snapshot.finish(child, 0.1)
     with pytest.raises(ChildProcessError):
-        os.waitpid(child, 0)  # it is gone, and nobody's
+        os.waitpid(child.pid, 0)  # it is gone, and nobody's
 
 
 def test_a_forked_process_that_fails_is_told_of() -> None:
     day = large(500)
     state._put(day.balancer, BALANCER.fields["expected_returns"], object())
     with pytest.raises(OSError, match="ended with"):
-        snapshot.finish(*snapshot.begin(day.balancer))
-    child, reads = snapshot.begin(large(3000).balancer)
-    os.kill(child, signal.SIGKILL)
+        snapshot.finish(snapshot.begin(day.balancer))
+    child = snapshot.begin(large(3000).balancer)
+    os.kill(child.pid, signal.SIGKILL)
     with pytest.raises((OSError, ValueError)):
-        snapshot.finish(child, reads)
+        snapshot.finish(child)
 
 
 def test_a_recording_of_a_large_module_replays_across_forked_states(tmp_path: Path) -> None:
@@ -189,7 +189,7 @@
 
 def test_a_capture_is_drawn(tmp_path: Path) -> None:
     found = series(recording.read(FILE))
-    assert sum(found["rates"]["reqs"].values()) > 200 and len(found["loads"]) == 8
+    assert found.counts[REQUESTS].total() > 200 and len(found.loads) == 8
     draw(recording.read(FILE), str(tmp_path / "day.png"), "a day")
     head = (tmp_path / "day.png").read_bytes()[:24]
     assert head[:8] == b"\x89PNG\r\n\x1a\n" and struct.unpack(">I", head[16:20])[0] > 800
