--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -126,7 +126,7 @@
         self.proxy = Proxy(settings, process.rng.getrandbits(32), self.upstream, self.metrics, loop)
         self.discovery = HttpDiscovery(self.proxy, self.upstream.dialer, process.spec.discovery, self.metrics)
         self.live = DynamicConfiguration(self.metrics)
-        self.live.key(CHANGED_KEY, "", lambda value: None)
+        self.live.register(CHANGED_KEY, "", lambda value: None)
         self.session: Session = process.session(self)
         self.probe_timer: asyncio.TimerHandle | None = None
         self.ended = False
--- a/bench/scale/slopes_store.py
+++ b/bench/scale/slopes_store.py
@@ -137,10 +137,10 @@
         """Milliseconds of the leader for a write that waits until each holder has applied it."""
         seen: list[bool] = []
         began = time.process_time()
-        self.granter.when_seen(self.now, index, lambda: seen.append(True))
+        self.granter.when_applied_by_all(self.now, index, lambda: seen.append(True))
         for name in self.names:
-            self.granter.applied(name, index)
-            self.granter.look(self.now)
+            self.granter.holder_applied(name, index)
+            self.granter.expire(self.now)
         assert seen, "a holder was not waited for"
         return (time.process_time() - began) * 1e3
 
--- a/bench/store.py
+++ b/bench/store.py
@@ -195,7 +195,7 @@
         empty = rss(c.processes["n1"].pid)
         with c.remote("n1", 30.0) as r:
             for k in range(0, KEYS, 100):
-                r.one(wire.Transaction(tuple(KeyUpdate(f"key/{i:08}", i) for i in range(k, k + 100))))
+                r.request(wire.Transaction(tuple(KeyUpdate(f"key/{i:08}", i) for i in range(k, k + 100))))
         full = rss(c.processes["n1"].pid)
         c.processes["n1"].terminate()
         c.processes["n1"].wait(10)
--- a/gradegap/commands/resume.py
+++ b/gradegap/commands/resume.py
@@ -52,7 +52,7 @@
     """Only over the ring that was read: of two who rotate at once, one is told."""
     key = KINDS[which][0]
     op = KeyUpdate(key, msgspec.to_builtins(ring))
-    answer = r.one(
+    answer = r.request(
         Transaction((op,), (Compare(key, old.modified_revision if old is not None else 0),), author=author())
     )
     if not answer.succeeded:
--- a/gradegap/commands/store.py
+++ b/gradegap/commands/store.py
@@ -187,7 +187,7 @@
 ) -> None:
     """Write a key only where nobody has changed it since; exits 1 where somebody has."""
     with remote(node, secret, wait) as r:
-        answer = r.cas(key, revision, parse(value), author())
+        answer = r.compare_and_set(key, revision, parse(value), author())
     if not answer.succeeded:
         raise stop(f"{key} was not last changed at revision {revision}", 1)
     say({"revision": answer.revision}, json, str(answer.revision))
@@ -262,7 +262,7 @@
 ) -> None:
     """Let a new member come: it is taken in, as a learner first, once its daemon is started."""
     with remote(node, secret, wait) as r:
-        revision = r.one(wire.AddMember(name, address)).revision
+        revision = r.request(wire.AddMember(name, address)).revision
     say({"revision": revision}, json, str(revision))
 
 
@@ -273,7 +273,7 @@
     """Remove a member. It can come back, with an empty folder, after another `add`."""
     with remote(node, secret, wait) as r:
         r.delete(f"cluster/invited/{name}", author())
-        revision = r.one(wire.RemoveMember(name)).revision
+        revision = r.request(wire.RemoveMember(name)).revision
     say({"revision": revision}, json, str(revision))
 
 
@@ -283,7 +283,7 @@
 ) -> None:
     """Have another member lead."""
     with remote(node, secret, wait) as r:
-        r.one(wire.TransferLeadership(name))
+        r.request(wire.TransferLeadership(name))
     say({"leader": name}, json, f"{name} leads")
 
 
@@ -313,7 +313,7 @@
             for m in members:
                 try:
                     with MemberClient(m["address"], r.channel.secret, wait) as other:
-                        answer = other.one(wire.Digest())
+                        answer = other.request(wire.Digest())
                 except RequestFailedError as error:
                     raise stop(f"{m['name']}: {error}", 1) from None
                 found.setdefault(m["name"], {})[answer.revision] = answer.text
@@ -363,7 +363,7 @@
 def config_history(node: str = NODE, json: bool = JSON, wait: float = WAIT, secret: str = SECRET) -> None:
     """Print the changes of configuration that are remembered, with who made them and when."""
     with remote(node, secret, wait) as r:
-        events = r.one(wire.History("config/")).events
+        events = r.request(wire.History("config/")).events
     for e in events:
         what = "deleted" if e.deleted else as_json(e.value)
         say(shown_event(e), json, f"{e.revision} {e.wall_ms} {e.author or '-'} {e.key} {what}")
@@ -392,9 +392,11 @@
 ) -> None:
     """Print what changed between two revisions."""
     with remote(node, secret, wait) as r:
-        old = r.one(wire.ValuesAt(revision, "config/")).status
+        old = r.request(wire.ValuesAt(revision, "config/")).status
         new = (
-            r.one(wire.ValuesAt(to, "config/")).status if to else {i.key: i.value for i in r.list("config/")}
+            r.request(wire.ValuesAt(to, "config/")).status
+            if to
+            else {i.key: i.value for i in r.list("config/")}
         )
     say({"old": old, "new": new}, json, "\n".join(difference(old, new)))
 
@@ -405,7 +407,7 @@
 ) -> None:
     """Bring configuration back to what it was after a revision, as a new one; all keys or none."""
     with remote(node, secret, wait) as r:
-        then = r.one(wire.ValuesAt(revision, "config/")).status
+        then = r.request(wire.ValuesAt(revision, "config/")).status
         now = {i.key: i for i in r.list("config/")}
         ops = [KeyUpdate(k, v) for k, v in then.items() if k not in now or now[k].value != v]
         ops += [KeyUpdate(k, delete=True) for k in now if k not in then]
@@ -414,7 +416,7 @@
             return
         # Guards against a change between the look and the write: then nothing is rolled back.
         compares = tuple(Compare(op.key, now[op.key].modified_revision if op.key in now else 0) for op in ops)
-        answer = r.one(wire.Transaction(tuple(ops), compares, author=author()))
+        answer = r.request(wire.Transaction(tuple(ops), compares, author=author()))
     if not answer.succeeded:
         raise stop("somebody changed configuration at this moment; nothing was rolled back", 1)
     say({"revision": answer.revision, "changed": len(ops)}, json, str(answer.revision))
--- a/gradegap/node/node.py
+++ b/gradegap/node/node.py
@@ -178,7 +178,7 @@
         node = self.configuration.node
         if self.recording is not None:
             self.recording.set(self.recording.settings.on)  # before the balancer gets its first event
-        self.dynamic_configuration.key("log_level", "info", set_log_level)
+        self.dynamic_configuration.register("log_level", "info", set_log_level)
         self.discovery.on_first_list = self.lifecycle.become_ready
         following = await self.hot_restart.follow()
         if not following:
--- a/gradegap/node/optional_parts.py
+++ b/gradegap/node/optional_parts.py
@@ -59,7 +59,7 @@
         raise ConfigurationError(f"capture.hide: {settings.hide} can't be read: {error.strerror}") from None
     name = configuration.node.name
     recording = RecordingSwitch(settings, proxy, configuration.seed, metrics, name, hasher)
-    dynamic_configuration.key("capture", settings.on, recording.set)
+    dynamic_configuration.register("capture", settings.on, recording.set)
     return recording
 
 
--- a/gradegap/node/quic_part.py
+++ b/gradegap/node/quic_part.py
@@ -73,8 +73,10 @@
             self._proxy, self._metrics, self._accepts_clients, settings, self._node_name, self._store_machine
         )
         listener.resuming = self._resuming
-        self._dynamic_configuration.key("quic_max_sessions", settings.max_sessions, listener.set_max_sessions)
-        self._dynamic_configuration.key("quic_accept", True, listener.set_accept)
+        self._dynamic_configuration.register(
+            "quic_max_sessions", settings.max_sessions, listener.set_max_sessions
+        )
+        self._dynamic_configuration.register("quic_accept", True, listener.set_accept)
         return listener
 
     async def resume(self) -> None:
--- a/gradegap/store/bootstrap.py
+++ b/gradegap/store/bootstrap.py
@@ -2,50 +2,65 @@
 
 A member whose folder is new belongs to no cluster. One is begun only when every peer of the operator's file
 was met and none belongs to one either; then the member with the smallest name says who is in it: the first
-`voters` members by name as voters, the rest as learners, which are promoted when a voter goes. If any of
-them belongs to a cluster, this one asks to be taken in, under its new identity.
+`voters` members by name as voters, the rest as learners, which are promoted when a voter goes. If any of them
+belongs to a cluster, this one asks to be admitted, under its new identity.
 """
 
 from __future__ import annotations
 
 import secrets
+from typing import NamedTuple
 
 from gradegap.raft import ClusterConfiguration, Member
 from gradegap.store.settings import StoreSettings
 from gradegap.store.wire import Hello
 
+CLUSTER_NAME_BYTES = 8
 
-def promotable(config: ClusterConfiguration, settings: StoreSettings) -> list[Member]:
-    """The learners that may become voters: none where there are enough, and none whose region would then
-    hold a majority of as many voters as are wanted."""
-    if len(config.voters) >= settings.voters:
+
+class NewCluster(NamedTuple):
+    """A cluster that this member begins: its name, and its first members."""
+
+    name: str
+    configuration: ClusterConfiguration
+
+
+def promotable(configuration: ClusterConfiguration, settings: StoreSettings) -> list[Member]:
+    """The learners that may become voters.
+
+    None where there are enough, and none whose region would then hold a majority of as many voters as are
+    wanted.
+    """
+    if len(configuration.voters) >= settings.voters:
         return []
-    return [m for m in config.members if not m.voter and not _outweighs(m, config, settings)]
+    learners = [member for member in configuration.members if not member.voter]
+    return [learner for learner in learners if not _outweighs(learner, configuration, settings)]
 
 
-def _outweighs(member: Member, config: ClusterConfiguration, settings: StoreSettings) -> bool:
+def _outweighs(learner: Member, configuration: ClusterConfiguration, settings: StoreSettings) -> bool:
     regions = settings.regions
-    region = regions.get(member.name, "")
-    if not region or len({r for r in regions.values() if r}) < 2:
+    region = regions.get(learner.name, "")
+    if not region or len({each for each in regions.values() if each}) < 2:
         return False
-    held = sum(m.voter and regions.get(m.name) == region for m in config.members)
-    return held + 1 > len(settings.first_voters) // 2
+    voters = sum(member.voter and regions.get(member.name) == region for member in configuration.members)
+    return voters + 1 > len(settings.first_voters) // 2
 
 
 class Bootstrap:
     """What a member without a cluster knows of its peers."""
 
-    def __init__(self, settings: StoreSettings, me: Member) -> None:
-        self.me = me
-        self.peers = {p.name: p.address for p in settings.peers if p.name != me.name}
+    def __init__(self, settings: StoreSettings, member: Member) -> None:
+        self.member = member
+        self.peers = {peer.name: peer.address for peer in settings.peers if peer.name != member.name}
         self.voters = set(settings.first_voters)
-        self.seen: dict[str, Hello] = {}
+        self.seen: dict[str, Hello] = {}  # by name, what a peer said last
 
-    def alone(self) -> tuple[str, ClusterConfiguration] | None:
+    def alone(self) -> NewCluster | None:
         """A cluster of one, where no peers are listed."""
-        return None if self.peers else (secrets.token_hex(8), ClusterConfiguration((self.me,)))
+        return None if self.peers else self._new_cluster(())
 
     def met(self, hello: Hello) -> None:
+        """A peer has said who it is."""
         if hello.name in self.peers:
             self.seen[hello.name] = hello
 
@@ -53,13 +68,18 @@
         """Whether a peer was without a cluster when it was last asked, and is not to be told of one here."""
         return hello is not None and not hello.cluster and self.form() is None
 
-    def form(self) -> tuple[str, ClusterConfiguration] | None:
+    def form(self) -> NewCluster | None:
         """The new cluster, where it is this member that begins it."""
         if not self.peers or self.seen.keys() != self.peers.keys():
             return None
-        if any(h.cluster for h in self.seen.values()) or self.me.name > min(self.peers):
+        if any(hello.cluster for hello in self.seen.values()) or self.member.name > min(self.peers):
             return None
         others = [
-            Member(h.id, name, self.peers[name], name in self.voters) for name, h in sorted(self.seen.items())
+            Member(hello.id, name, self.peers[name], name in self.voters)
+            for name, hello in sorted(self.seen.items())
         ]
-        return secrets.token_hex(8), ClusterConfiguration((self.me, *others))
+        return self._new_cluster(tuple(others))
+
+    def _new_cluster(self, others: tuple[Member, ...]) -> NewCluster:
+        name = secrets.token_hex(CLUSTER_NAME_BYTES)
+        return NewCluster(name, ClusterConfiguration((self.member, *others)))
--- a/gradegap/store/disabled_endpoints.py
+++ b/gradegap/store/disabled_endpoints.py
@@ -1,4 +1,4 @@
-"""What is out by hand, in a file for the process that takes this one's place where there is no store."""
+"""Administratively disabled endpoints, in a file for this node's next process where there is no store."""
 
 from __future__ import annotations
 
@@ -14,33 +14,36 @@
 
 log = structlog.get_logger()
 
-MAX_FILE_BYTES = 64 * 1024  # bytes; the file counts as memory
-CHECKSUM_BYTES = 4  # bytes of the checksum before the entries
+MAX_FILE_BYTES = 64 * 1024  # the file counts as memory
+CHECKSUM_BYTES = 4  # before the entries
 
 
 class DisabledEndpointsFile:
-    """Servers with when they were taken out, at a path. Written beside it and renamed into place, so that
-    half a file is never read."""
+    """Endpoints with when they were disabled (Unix time, s), at a path; none: nothing is kept.
+
+    It is written beside and renamed into place, so that half a file is never read.
+    """
 
     def __init__(self, path: Path | None, metrics: Metrics) -> None:
         self.path = path
         self.metrics = metrics
 
-    def write(self, out: Mapping[str, float]) -> None:
+    def write(self, disabled: Mapping[str, float]) -> None:
+        """Keep these in place of what was kept; a failure is counted and logged."""
         if self.path is None:
             return
-        body = msgspec.msgpack.encode(dict(out))
-        beside = self.path.with_suffix(f".{os.getpid()}")
+        body = msgspec.msgpack.encode(dict(disabled))
+        temporary = self.path.with_suffix(f".{os.getpid()}")
         try:
-            beside.write_bytes(zlib.crc32(body).to_bytes(CHECKSUM_BYTES, "big") + body)
-            os.replace(beside, self.path)
+            temporary.write_bytes(zlib.crc32(body).to_bytes(CHECKSUM_BYTES, "big") + body)
+            os.replace(temporary, self.path)
         except OSError as error:
             # The state is in force all the same, and a process that finds this one is told it.
             self.metrics.count("snapshots_failed")
             log.error("snapshot not written", error=str(error))
 
     def read(self) -> dict[str, float]:
-        """Guards against a damaged file: it is counted, and the node starts clean."""
+        """What was kept. Guards against a damaged file: it is counted, and the node starts without."""
         if self.path is None or not self.path.exists():
             return {}
         try:
@@ -48,9 +51,9 @@
                 raw = file.read(MAX_FILE_BYTES)
             if zlib.crc32(raw[CHECKSUM_BYTES:]) != int.from_bytes(raw[:CHECKSUM_BYTES], "big"):
                 raise ValueError("its checksum is wrong")
-            out = msgspec.msgpack.decode(raw[CHECKSUM_BYTES:], type=dict[str, float])
+            disabled = msgspec.msgpack.decode(raw[CHECKSUM_BYTES:], type=dict[str, float])
         except (OSError, ValueError) as error:
             self.metrics.count("snapshots_damaged")
             log.error("snapshot not used", error=str(error)[:200])
             return {}
-        return out
+        return disabled
--- a/gradegap/store/dynamic_configuration.py
+++ b/gradegap/store/dynamic_configuration.py
@@ -4,7 +4,7 @@
 
 import logging
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 import structlog
 
@@ -12,46 +12,60 @@
 
 log = structlog.get_logger()
 
-LEVELS = {name: getattr(logging, name.upper()) for name in ("debug", "info", "warning", "error")}
+LOG_LEVELS = {
+    "debug": logging.DEBUG,
+    "info": logging.INFO,
+    "warning": logging.WARNING,
+    "error": logging.ERROR,
+}
+MAX_LOGGED_ERROR_LENGTH = 200
 
 
 def set_log_level(name: str) -> None:
-    structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(LEVELS[name]))
+    """Log nothing below this level, from now on."""
+    structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(LOG_LEVELS[name]))
+
+
+class DynamicSetting(NamedTuple):
+    """A setting with the value that the process started with, and what puts a value in force."""
+
+    initial: Any
+    apply: Callable[[Any], None]
 
 
 class DynamicConfiguration:
-    """The settings that a node obeys, each with its value of the start and what applies it."""
+    """The settings that can change while the node runs."""
 
     def __init__(self, metrics: Metrics) -> None:
         self.metrics = metrics
-        self.known: dict[str, tuple[Any, Callable[[Any], None]]] = {}
+        self.settings: dict[str, DynamicSetting] = {}
         self.set: dict[str, Any] = {}  # what was set, also before there was something to apply it
 
-    def key(self, name: str, first: Any, apply: Callable[[Any], None]) -> None:
-        """A setting that the node obeys from now on."""
-        self.known[name] = (first, apply)
+    def register(self, name: str, initial: Any, apply: Callable[[Any], None]) -> None:
+        """A setting that can change from now on; a value that was set before takes effect at once."""
+        self.settings[name] = DynamicSetting(initial, apply)
         if name in self.set:
             self.apply(name, self.set[name])
 
     def apply(self, name: str, value: Any) -> None:
-        """Let a value take effect."""
+        """Put a value in force; one that the setting can't have is ignored, counted and logged."""
         from gradegap.store.schema import check_value  # only a node with a store comes here
 
         self.set[name] = value
-        if name not in self.known:
+        if name not in self.settings:
             return
         try:
-            good = check_value(f"config/{name}", value)
+            checked = check_value(f"config/{name}", value)
         except ValueError as error:
             # Guards against a value written by another version: what was in force stays so.
             self.metrics.count("config_ignored")
-            log.warning("configuration ignored", key=name, error=str(error)[:200])
+            log.warning("configuration ignored", key=name, error=str(error)[:MAX_LOGGED_ERROR_LENGTH])
             return
-        self.known[name][1](good)
+        self.settings[name].apply(checked)
 
     def reset(self, name: str) -> None:
-        """The key is gone: the value of the start takes effect."""
+        """The key was deleted: the value that the process started with is in force again."""
         self.set.pop(name, None)
-        if name in self.known:
-            first, apply = self.known[name]
-            apply(first)
+        if name in self.settings:
+            setting = self.settings[name]
+            setting.apply(setting.initial)
--- a/gradegap/store/in_force.py
+++ b/gradegap/store/in_force.py
@@ -11,12 +11,12 @@
     """What one machine knows of its nodes about one revision."""
 
     machine: str
-    revision: int  # the least of the revision asked for and what this machine has applied
+    revision: int  # the least of the requested one and what this machine has applied
     subscribers: int
     behind: tuple[str, ...] = ()  # connected here, and not acknowledged
     lost: tuple[str, ...] = ()  # not acknowledged when the connection to here was lost, lately
     arrived: tuple[str, ...] = ()  # connected here lately, and acknowledged
-    restarted: bool = False  # lately: nodes of its earlier life that are not back are unknown
+    restarted: bool = False  # lately: nodes of its earlier incarnation that are not back are unknown
 
 
 class InForceVerdict(msgspec.Struct, frozen=True):
@@ -25,24 +25,24 @@
     revision: int
     subscribers: int
     missing: tuple[str, ...]  # nodes that have not acknowledged
-    unasked: tuple[str, ...]  # machines that did not report, whose nodes are unknown
-    restarted: tuple[str, ...] = ()  # machines whose earlier life's nodes are unknown
+    unreachable: tuple[str, ...]  # machines that did not report, whose nodes are unknown
+    restarted: tuple[str, ...] = ()  # machines whose earlier incarnation's nodes are unknown
 
     @property
     def in_force(self) -> bool:
         """Whether every living node has acknowledged."""
-        return not self.missing and not self.unasked and not self.restarted
+        return not self.missing and not self.unreachable and not self.restarted
 
 
 class InForceTally:
-    """Gathers the reports of all members about one revision."""
+    """Collects the reports of all members about one revision."""
 
     def __init__(self, revision: int, machines: Iterable[str]) -> None:
         self.revision = revision
         self.machines = frozenset(machines)
         self.reports: dict[str, MachineReport] = {}
 
-    def reported(self, report: MachineReport) -> None:
+    def add_report(self, report: MachineReport) -> None:
         """The latest report of a machine counts; one of a machine that was not asked is left out."""
         if report.machine in self.machines:
             self.reports[report.machine] = report
--- a/gradegap/store/in_force_check.py
+++ b/gradegap/store/in_force_check.py
@@ -1,7 +1,7 @@
-"""Whether a revision is in force at all nodes that subscribe: one member asks all, until it is or it is late.
+"""Whether a revision is in force at all nodes that subscribe: one member collects what all know, in rounds.
 
 Each member knows the nodes that subscribe there. One that can't be asked, or that was started lately, leaves
-nodes unknown, and then the answer is no yes.
+nodes unknown; the revision then counts as not in force.
 """
 
 from __future__ import annotations
@@ -19,14 +19,15 @@
 if TYPE_CHECKING:
     import asyncio
 
-ROUND_PERIOD_S = 0.1  # s between two rounds
-ROUND_TIMEOUT_S = 1.0  # s in which a member has to answer
-RESPONSE_MARGIN_S = 0.2  # s before whoever asks gives up
-MAX_NAMED_NODES = 20  # nodes that an answer names
+ROUND_PERIOD_S = 0.1  # between two rounds
+ROUND_TIMEOUT_S = 1.0  # in which a member has to answer
+MIN_ROUND_TIMEOUT_S = 0.01
+RESPONSE_MARGIN_S = 0.2  # before the requester gives up
+MAX_NAMED_NODES = 20  # in a response
 
 
 class InForceHost(Protocol):
-    """The member that gathers."""
+    """The member that collects."""
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
@@ -41,58 +42,63 @@
     def request_from_member(
         self, member: Member, body: wire.RequestBody, respond: ResponseCallback, timeout_s: float
     ) -> None:
-        """`done` with the member's answer, or with a no."""
+        """`respond` with the member's response, or with a no."""
 
 
 class InForceCheck:
-    """One question, asked in rounds."""
+    """The reports about one revision, collected in rounds until it is in force or the requester gives up."""
 
     def __init__(
-        self, asker: InForceHost, me: str, revision: int, until: float, done: ResponseCallback
+        self,
+        host: InForceHost,
+        member_id: str,
+        revision: int,
+        expires_at: float,
+        respond: ResponseCallback,
     ) -> None:
-        """`me` is this member's id; `until` the steady time at which whoever asks gives up."""
-        self.asker, self.me, self.revision, self.done = asker, me, revision, done
-        self.until = until - RESPONSE_MARGIN_S
-        self.round: InForceTally | None = None
-        self.waiting = 0
+        """`member_id` is this member's; `expires_at` the steady time at which the requester gives up."""
+        self.host, self.member_id, self.revision, self.respond = host, member_id, revision, respond
+        self._last_round_at = expires_at - RESPONSE_MARGIN_S
+        self._awaited_reports = 0
 
     def start(self) -> None:
-        """Ask all members."""
-        members = self.asker.members()
-        self.round = current = InForceTally(self.revision, [member.name for member in members])
-        self.waiting = len(members)
-        left = min(ROUND_TIMEOUT_S, max(0.01, self.until - time.monotonic()))
+        """Begin a round: ask all members."""
+        members = self.host.members()
+        tally = InForceTally(self.revision, [member.name for member in members])
+        self._awaited_reports = len(members)
+        left_s = self._last_round_at - time.monotonic()
+        timeout_s = min(ROUND_TIMEOUT_S, max(MIN_ROUND_TIMEOUT_S, left_s))
         for member in members:
-            if member.id == self.me:
-                self._reported(current, self.asker.local_report(self.revision))
+            if member.id == self.member_id:
+                self._reported(tally, self.host.local_report(self.revision))
             else:
-                self._ask(current, member, left)
+                self._request_report(tally, member, timeout_s)
 
-    def _ask(self, current: InForceTally, member: Member, left: float) -> None:
-        def answered(answer: wire.Response) -> None:
+    def _request_report(self, tally: InForceTally, member: Member, timeout_s: float) -> None:
+        def receive(response: wire.Response) -> None:
             report = None
-            if answer.outcome == "ok":
-                report = msgspec.msgpack.decode(answer.data, type=MachineReport)
-            self._reported(current, report)
+            if response.outcome == "ok":
+                report = msgspec.msgpack.decode(response.data, type=MachineReport)
+            self._reported(tally, report)
 
-        self.asker.request_from_member(member, wire.InForce(self.revision), answered, left)
+        self.host.request_from_member(member, wire.InForce(self.revision), receive, timeout_s)
 
-    def _reported(self, current: InForceTally, report: MachineReport | None) -> None:
+    def _reported(self, tally: InForceTally, report: MachineReport | None) -> None:
         if report is not None:
-            current.reported(report)
-        self.waiting -= 1
-        if self.waiting == 0:
-            self._look(current.verdict())
+            tally.add_report(report)
+        self._awaited_reports -= 1
+        if self._awaited_reports == 0:
+            self._end_round(tally.verdict())
 
-    def _look(self, verdict: InForceVerdict) -> None:
+    def _end_round(self, verdict: InForceVerdict) -> None:
         if verdict.in_force:
             text = f"in force at {verdict.subscribers} nodes"
-            self.done(wire.Response(0, text=text, revision=self.revision, status=_status(verdict)))
-        elif time.monotonic() + ROUND_PERIOD_S >= self.until:
+            self.respond(wire.Response(0, text=text, revision=self.revision, status=_status(verdict)))
+        elif time.monotonic() + ROUND_PERIOD_S >= self._last_round_at:
             text = f"not_in_force: {describe(verdict)}"
-            self.done(wire.Response(0, "no", text, self.revision, status=_status(verdict)))
+            self.respond(wire.Response(0, "no", text, self.revision, status=_status(verdict)))
         else:
-            self.asker.loop.call_later(ROUND_PERIOD_S, self.start)
+            self.host.loop.call_later(ROUND_PERIOD_S, self.start)
 
 
 def _status(verdict: InForceVerdict) -> dict[str, object]:
@@ -100,7 +106,7 @@
         "subscribers": verdict.subscribers,
         "missing": list(verdict.missing[:MAX_NAMED_NODES]),
         "missing_count": len(verdict.missing),
-        "unasked": list(verdict.unasked),
+        "unasked": list(verdict.unreachable),
         "restarted": list(verdict.restarted),
     }
 
@@ -115,8 +121,8 @@
             f"{len(verdict.missing)} of {verdict.subscribers} nodes have not acknowledged revision "
             f"{verdict.revision}: {named}{f' and {more} more' if more > 0 else ''}"
         )
-    if verdict.unasked:
-        parts.append(f"could not ask {', '.join(verdict.unasked)}, whose nodes are unknown")
+    if verdict.unreachable:
+        parts.append(f"could not ask {', '.join(verdict.unreachable)}, whose nodes are unknown")
     if verdict.restarted:
         parts.append(f"{', '.join(verdict.restarted)} started lately, and knows no nodes of its earlier life")
     return "; ".join(parts)
--- a/gradegap/store/leader_requests.py
+++ b/gradegap/store/leader_requests.py
@@ -188,7 +188,7 @@
                 # Nobody may decide by what was there before, once it is said to be replaced.
                 pending.wait(RequestState.LEASE_HOLDERS)
                 done = self._responds(pending, response)
-                granter.when_seen(time.monotonic(), entry.index, done)
+                granter.when_applied_by_all(time.monotonic(), entry.index, done)
                 return
         if entry.kind is EntryKind.CONFIGURATION and isinstance(body, wire.AdmitMember):
             response = wire.Response(0, text="taken in", revision=result.revision)
--- a/gradegap/store/machine.py
+++ b/gradegap/store/machine.py
@@ -1,7 +1,7 @@
 """The replicated state: what the log makes of it, entry after entry, the same at every member.
 
 No clock, no file, no socket. All that an entry may depend on is in the log, its time included. What changed
-since the last `drain` is kept apart, so that a disk can write it along with the next entries.
+since the last `take_unsaved` is kept apart, so that a disk can write it along with the next entries.
 """
 
 from __future__ import annotations
@@ -34,32 +34,36 @@
 )
 
 MAX_KEYS = 200_000
-MAX_TRANSACTION_UPDATES = 128  # in a transaction
+MAX_TRANSACTION_UPDATES = 128
 MAX_SESSIONS = 50_000  # of writes at once at all members, and of clients that name themselves
 MAX_HISTORY_EVENTS = 10_000  # events that can be watched from, and rolled back
 MAX_HISTORY_BYTES = 16 * 1024 * 1024
 
-
-_logged: msgspec.msgpack.Decoder[LogRecord] = msgspec.msgpack.Decoder(LogRecord)
+_record_decoder: msgspec.msgpack.Decoder[LogRecord] = msgspec.msgpack.Decoder(LogRecord)
 
 
 @dataclass(slots=True)
 class UnsavedChanges:
-    """What is to be written since the last time."""
+    """What has changed since it was last taken to be written; None: deleted."""
 
     items: dict[str, Item | None] = field(default_factory=dict)
     events: list[Event] = field(default_factory=list)
-    first_kept_revision: int = 0  # those of earlier revisions can go
+    first_kept_revision: int = 0  # events of earlier revisions can go
     sessions: dict[str, Session | None] = field(default_factory=dict)
 
 
 class StateMachine:
+    """The keys with their history, and the sessions of those who write them.
+
+    `listeners` are called with the events of each revision, once it is applied.
+    """
+
     def __init__(self) -> None:
         self.index = 0  # of the last entry that was applied
         self.revision = 0
-        self.clock_ms = 0  # log time, ms
+        self.clock_ms = 0  # log time
         self.items: dict[str, Item] = {}
-        self.size_bytes = 0
+        self.size_bytes = 0  # of keys and values
         self.events: deque[Event] = deque()
         self.history_bytes = 0
         self.sessions: dict[str, Session] = {}
@@ -71,62 +75,62 @@
     # What an entry does
 
     def apply(self, index: int, data: bytes) -> Result:
-        """An entry of the log, in order. It never raises for what a client said: that is its result."""
+        """An entry of the log, in order. It never raises for what a client sent: that is its result."""
         self.index = index
-        logged = _logged.decode(data)
-        self.clock_ms = max(self.clock_ms, logged.time_ms)
+        record = _record_decoder.decode(data)
+        self.clock_ms = max(self.clock_ms, record.time_ms)
         self._forget_sessions()
-        if isinstance(logged.body, Expire):
-            return self._expire(logged.wall_ms)
-        return self._command(logged.body, logged.wall_ms)
+        if isinstance(record.body, Expire):
+            return self._expire(record.wall_ms)
+        return self._command(record.body, record.wall_ms)
 
     def skip(self, index: int) -> None:
-        """An entry that is not for the state."""
+        """An entry that is not for this state."""
         self.index = index
 
-    def _command(self, c: Command, wall_ms: int) -> Result:
-        known = self.sessions.get(c.client)
-        if known is not None and known.seq >= c.seq:
-            if known.seq == c.seq:
+    def _command(self, command: Command, wall_ms: int) -> Result:
+        known = self.sessions.get(command.client)
+        if known is not None and known.seq >= command.seq:
+            if known.seq == command.seq:
                 return known.result
             return Result(self.revision, False, "stale: a later command of this client is applied")
-        if c.deadline_ms < self.clock_ms:
+        if command.deadline_ms < self.clock_ms:
             return Result(self.revision, False, "too_old: it came after its time")
         if known is None and len(self.sessions) >= MAX_SESSIONS:
             return Result(self.revision, False, "busy: too many clients wrote within the last minute")
-        result = self._transact(c, wall_ms)
-        until = max(c.deadline_ms, known.remembered_until_ms if known is not None else 0)
-        session = self.sessions[c.client] = Session(c.client, c.seq, until, result)
-        self.unsaved.sessions[c.client] = session
-        heapq.heappush(self._session_queue, (until, c.client))
+        result = self._transact(command, wall_ms)
+        until = max(command.deadline_ms, known.remembered_until_ms if known is not None else 0)
+        session = self.sessions[command.client] = Session(command.client, command.seq, until, result)
+        self.unsaved.sessions[command.client] = session
+        heapq.heappush(self._session_queue, (until, command.client))
         return result
 
-    def _transact(self, c: Command, wall_ms: int) -> Result:
-        held = all(self._compare_holds(compare) for compare in c.compares)
-        ops = c.then if held else c.otherwise
+    def _transact(self, command: Command, wall_ms: int) -> Result:
+        held = all(self._compare_holds(compare) for compare in command.compares)
+        updates = command.then if held else command.otherwise
         try:
-            self._check_transaction(ops)
+            self._check_transaction(updates)
         except CommandError as error:
             return Result(self.revision, False, str(error))
         events: list[Event] = []
-        for op in ops:
-            self._update(op, c.author, wall_ms, events)
+        for update in updates:
+            self._update(update, command.author, wall_ms, events)
         self._commit_events(events)
         return Result(self.revision, held)
 
-    def _check_transaction(self, ops: tuple[KeyUpdate, ...]) -> None:
+    def _check_transaction(self, updates: tuple[KeyUpdate, ...]) -> None:
         """All of a transaction, or none of it."""
-        if len(ops) > MAX_TRANSACTION_UPDATES:
+        if len(updates) > MAX_TRANSACTION_UPDATES:
             raise CommandError(f"too_large: a transaction has at most {MAX_TRANSACTION_UPDATES} parts")
-        if len({op.key for op in ops}) != len(ops):
+        if len({update.key for update in updates}) != len(updates):
             raise CommandError("twice: a transaction names each key once")
-        new, grown = 0, 0
-        for op in ops:
-            check_update(op)
-            if not op.delete:
-                new += op.key not in self.items
-                grown += len(op.key) + len(encode(op.value))
-        if len(self.items) + new > MAX_KEYS or self.size_bytes + grown > MAX_STATE_BYTES:
+        new_keys, new_bytes = 0, 0
+        for update in updates:
+            check_update(update)
+            if not update.delete:
+                new_keys += update.key not in self.items
+                new_bytes += len(update.key) + len(encode(update.value))
+        if len(self.items) + new_keys > MAX_KEYS or self.size_bytes + new_bytes > MAX_STATE_BYTES:
             raise CommandError("full: the store has no room for more")
 
     def _compare_holds(self, compare: Compare) -> bool:
@@ -136,27 +140,38 @@
         return item is not None and bool(item.value == compare.value)
 
     def _update(
-        self, op: KeyUpdate, author: str, wall_ms: int, events: list[Event], cause: str = "write"
+        self, update: KeyUpdate, author: str, wall_ms: int, events: list[Event], cause: str = "write"
     ) -> None:
-        old = self.items.get(op.key)
-        if op.delete and old is None:
+        old = self.items.get(update.key)
+        if update.delete and old is None:
             return
         revision = self.revision + 1
         before, existed = (None, False) if old is None else (old.value, True)
         events.append(
-            Event(revision, op.key, op.value, op.delete, before, existed, author, wall_ms, cause, len(events))
+            Event(
+                revision,
+                update.key,
+                update.value,
+                update.delete,
+                before,
+                existed,
+                author,
+                wall_ms,
+                cause,
+                len(events),
+            )
         )
         if old is not None:
             self.size_bytes -= len(old.key) + len(encode(old.value))
-        if op.delete:
-            del self.items[op.key]
-            self.unsaved.items[op.key] = None
+        if update.delete:
+            del self.items[update.key]
+            self.unsaved.items[update.key] = None
             return
-        made, version = (revision, 1) if old is None else (old.created_revision, old.version + 1)
-        expires = self.clock_ms + op.ttl_ms if op.ttl_ms else 0
-        item = Item(op.key, op.value, made, revision, version, expires, author, wall_ms)
+        created, version = (revision, 1) if old is None else (old.created_revision, old.version + 1)
+        expires = self.clock_ms + update.ttl_ms if update.ttl_ms else 0
+        item = Item(update.key, update.value, created, revision, version, expires, author, wall_ms)
         self._insert(item)
-        self.unsaved.items[op.key] = item
+        self.unsaved.items[update.key] = item
 
     def _insert(self, item: Item) -> None:
         self.items[item.key] = item
@@ -177,8 +192,8 @@
         while self.events and self.events[0].position:
             self.history_bytes -= event_size(self.events.popleft())
         self.unsaved.first_kept_revision = self.events[0].revision if self.events else self.revision + 1
-        for watcher in list(self.listeners):
-            watcher(events)
+        for listener in list(self.listeners):
+            listener(events)
 
     def _append_history(self, event: Event) -> None:
         self.events.append(event)
@@ -219,20 +234,23 @@
     # What is read
 
     def get(self, key: str) -> Item | None:
+        """One key; None where it is not there."""
         return self.items.get(key)
 
     def list(self, prefix: str = "") -> list[Item]:
-        return [self.items[k] for k in sorted(self.items) if k.startswith(prefix)]
+        """The keys that begin so, in order."""
+        return [self.items[key] for key in sorted(self.items) if key.startswith(prefix)]
 
     @property
     def first_retained_revision(self) -> int:
+        """The revision from which on all changes are remembered."""
         return self.events[0].revision if self.events else self.revision + 1
 
     def events_since(self, revision: int, prefix: str = "") -> Iterator[Event]:
         """Changes from `revision` on; `CommandError` where they are forgotten."""
         if revision < self.first_retained_revision:
             raise CommandError(f"compacted: changes are kept from revision {self.first_retained_revision}")
-        return (e for e in self.events if e.revision >= revision and e.key.startswith(prefix))
+        return (event for event in self.events if event.revision >= revision and event.key.startswith(prefix))
 
     def values_at(self, revision: int, prefix: str) -> dict[str, Any]:
         """The values as they were after `revision`; `CommandError` where that is forgotten."""
@@ -240,27 +258,28 @@
             raise CommandError(f"no_such_revision: the store is at {self.revision}")
         if revision + 1 < self.first_retained_revision:
             raise CommandError(f"compacted: changes are kept from revision {self.first_retained_revision}")
-        then = {i.key: i.value for i in self.list(prefix)}
+        values = {item.key: item.value for item in self.list(prefix)}
         for event in reversed(self.events):
             if event.revision <= revision:
                 break
             if event.key.startswith(prefix):
                 if event.existed_before:
-                    then[event.key] = event.previous_value
+                    values[event.key] = event.previous_value
                 else:
-                    then.pop(event.key, None)
-        return then
+                    values.pop(event.key, None)
+        return values
 
     # Whole
 
     def digest(self) -> str:
         """The same at two members that hold the same keys."""
-        made = hashlib.blake2b(digest_size=16)
+        digest = hashlib.blake2b(digest_size=16)
         for key in sorted(self.items):
-            made.update(encode(self.items[key]))
-        return made.hexdigest()
+            digest.update(encode(self.items[key]))
+        return digest.hexdigest()
 
     def export_state(self) -> StoreState:
+        """All of the state, as a snapshot has it."""
         return StoreState(
             self.index,
             self.revision,
@@ -271,7 +290,7 @@
         )
 
     def load_state(self, state: StoreState) -> None:
-        """Take a state in place of this one. Watchers see the difference as changes of its revision."""
+        """Take a state in place of this one. Listeners see the difference as changes of its revision."""
         old, self.items = self.items, {}
         self.index, self.revision, self.clock_ms = state.index, state.revision, state.clock_ms
         self.size_bytes, self._expiry_queue, self._session_queue = 0, [], []
@@ -280,8 +299,8 @@
         self.events, self.history_bytes = deque(), 0
         for event in state.events:
             self._append_history(event)
-        self.sessions = {s.client: s for s in state.sessions}
-        self._session_queue = [(s.remembered_until_ms, s.client) for s in state.sessions]
+        self.sessions = {session.client: session for session in state.sessions}
+        self._session_queue = [(session.remembered_until_ms, session.client) for session in state.sessions]
         heapq.heapify(self._session_queue)
         self.unsaved = UnsavedChanges()
         jumped = [
@@ -305,8 +324,8 @@
             if key not in self.items
         ]
         if jumped:
-            for watcher in list(self.listeners):
-                watcher(jumped)
+            for listener in list(self.listeners):
+                listener(jumped)
 
     def take_unsaved(self) -> UnsavedChanges:
         """What changed since the last call, to be written."""
--- a/gradegap/store/member.py
+++ b/gradegap/store/member.py
@@ -296,7 +296,7 @@
 
     def _linked(self, link: Link, peer: wire.Hello) -> None:
         self.membership.linked(link, peer)
-        link.closing.append(lambda: self.requests.link_lost(peer.id))
+        link.close_callbacks.append(lambda: self.requests.link_lost(peer.id))
         self.requests.leader_changed()
         self.peer_linked(link)
 
--- a/gradegap/store/member_client.py
+++ b/gradegap/store/member_client.py
@@ -1,122 +1,161 @@
-"""A member reached from a command line or a test: one question at a time, over a blocking socket."""
+"""A member reached from a command line or a test: one request at a time, over a blocking socket."""
 
 from __future__ import annotations
 
 import socket
 import time
 from collections.abc import Iterator
-from typing import Any
+from types import TracebackType
+from typing import Any, Self
 
 from gradegap.store import wire
 from gradegap.store.channel import LinkChannel
 from gradegap.store.errors import RequestFailedError
+from gradegap.store.pending import CHANGING_REQUESTS
 from gradegap.store.records import Compare, Event, Item, KeyUpdate
 from gradegap.transport.addresses import split_address
 
-RESPONSE_MARGIN_S = 1.0  # s that an answer may take beyond the time that the member was given
+RESPONSE_MARGIN_S = 1.0  # that a response may take beyond the time that the member was given
+MAX_CONNECT_TIMEOUT_S = 2.0
+RECEIVE_BYTES = 65536
 
 
 class MemberClient:
-    """A link to one member. `wait` is how long, in seconds, it may try; writes are applied at most once."""
+    """A link to one member. `timeout_s` is how long it may try; writes are applied at most once."""
 
-    def __init__(self, address: str, secret: bytes = b"", wait: float = 5.0) -> None:
-        self.address, self.wait = address, wait
+    def __init__(self, address: str, secret: bytes = b"", timeout_s: float = 5.0) -> None:
+        """Connect and authenticate.
+
+        Raises:
+            RequestFailedError: "unreachable".
+        """
+        self.address, self.timeout_s = address, timeout_s
         self.channel = LinkChannel.open(secret, "client", is_dialer=True)
         self.serial = 0
-        self.words: list[wire.LinkMessage] = []
+        self.messages: list[wire.LinkMessage] = []  # received, and not looked at yet
         try:
-            self.sock = socket.create_connection(split_address(address), timeout=min(wait, 2.0))
+            connect_timeout_s = min(timeout_s, MAX_CONNECT_TIMEOUT_S)
+            self.sock = socket.create_connection(split_address(address), timeout=connect_timeout_s)
             self.sock.sendall(self.channel.begin())
             while not self.channel.authenticated:
-                self._read()
+                self.receive()
         except (OSError, ValueError) as error:
-            raise RequestFailedError(
-                "unreachable", f"the store at {address} can't be reached: {error}"
-            ) from None
+            text = f"the store at {address} can't be reached: {error}"
+            raise RequestFailedError("unreachable", text) from None
 
-    def _read(self) -> None:
-        data = self.sock.recv(65536)
+    def receive(self) -> None:
+        """Wait for bytes, and keep the messages that they complete in `messages`."""
+        data = self.sock.recv(RECEIVE_BYTES)
         if not data:
             raise ConnectionError("it ended the connection")
-        words, reply = self.channel.receive(data)
+        messages, reply = self.channel.receive(data)
         if reply:
             self.sock.sendall(reply)
-        self.words += words
+        self.messages += messages
+
+    def responses(self, body: wire.RequestBody) -> Iterator[wire.Response]:
+        """The responses to one request, as they come.
 
-    def ask(self, wish: wire.RequestBody) -> Iterator[wire.Response]:
-        """The answers to one wish; `RequestFailedError` where it is not done."""
+        Raises:
+            RequestFailedError: where it is not done.
+        """
         self.serial += 1
-        writes = isinstance(
-            wish, wire.Transaction | wire.AddMember | wire.RemoveMember | wire.TransferLeadership
-        )
-        end = time.monotonic() + self.wait + RESPONSE_MARGIN_S
+        deadline = time.monotonic() + self.timeout_s + RESPONSE_MARGIN_S
         try:
-            self.sock.sendall(self.channel.send(wire.Request(self.serial, wish, self.wait)))
-            while True:
-                while not self.words:
-                    left = end - time.monotonic()
-                    if left <= 0 and not isinstance(wish, wire.Watch):
-                        raise TimeoutError("it does not answer")
-                    self.sock.settimeout(None if isinstance(wish, wire.Watch) else left)
-                    self._read()
-                word = self.words.pop(0)
-                if not isinstance(word, wire.Response) or word.serial != self.serial:
-                    continue
-                if word.outcome != "ok":
-                    raise RequestFailedError(word.outcome, word.text)
-                yield word
-                if not word.more:
-                    return
+            self.sock.sendall(self.channel.send(wire.Request(self.serial, body, self.timeout_s)))
+            more = True
+            while more:
+                response = self._next_response(body, deadline)
+                yield response
+                more = response.more
         except (OSError, ValueError) as error:
-            kind, what = ("unknown", "unknown: ") if writes else ("no_quorum", "")
-            raise RequestFailedError(kind, f"{what}the store at {self.address}: {error}") from None
-
-    def one(self, wish: wire.RequestBody) -> wire.Response:
-        (answer,) = self.ask(wish)
-        return answer
-
-    # In short
+            text = f"the store at {self.address}: {error}"
+            if isinstance(body, CHANGING_REQUESTS):
+                raise RequestFailedError("unknown", f"unknown: {text}") from None
+            raise RequestFailedError("no_quorum", text) from None
+
+    def _next_response(self, body: wire.RequestBody, deadline: float) -> wire.Response:
+        while True:
+            while not self.messages:
+                self._wait_for_message(isinstance(body, wire.Watch), deadline)
+            message = self.messages.pop(0)
+            if not isinstance(message, wire.Response) or message.serial != self.serial:
+                continue
+            if message.outcome != "ok":
+                raise RequestFailedError(message.outcome, message.text)
+            return message
+
+    def _wait_for_message(self, forever: bool, deadline: float) -> None:
+        left_s = deadline - time.monotonic()
+        if left_s <= 0 and not forever:
+            raise TimeoutError("it does not answer")
+        self.sock.settimeout(None if forever else left_s)
+        self.receive()
+
+    def request(self, body: wire.RequestBody) -> wire.Response:
+        """The one response to a request; `RequestFailedError` where it is not done."""
+        (response,) = self.responses(body)
+        return response
+
+    # By operation
 
     def get(self, key: str, stale: bool = False) -> Item | None:
-        items = self.one(wire.Get(key, stale)).items
+        """A key with its value; None where it is not there."""
+        items = self.request(wire.Get(key, stale)).items
         return items[0] if items else None
 
     def value(self, key: str, stale: bool = False) -> Any:
+        """A key's value; None where it is not there."""
         item = self.get(key, stale)
         return None if item is None else item.value
 
     def set(self, key: str, value: Any, ttl_ms: int = 0, author: str = "") -> int:
-        return self.one(wire.Transaction((KeyUpdate(key, value, ttl_ms=ttl_ms),), author=author)).revision
+        """Put a key; its revision. `ttl_ms` of log time after it the key ends; 0: never."""
+        update = KeyUpdate(key, value, ttl_ms=ttl_ms)
+        return self.request(wire.Transaction((update,), author=author)).revision
 
     def delete(self, key: str, author: str = "") -> int:
-        return self.one(wire.Transaction((KeyUpdate(key, delete=True),), author=author)).revision
+        """Delete a key; the revision afterwards."""
+        update = KeyUpdate(key, delete=True)
+        return self.request(wire.Transaction((update,), author=author)).revision
 
-    def cas(self, key: str, revision: int, value: Any, author: str = "") -> wire.Response:
+    def compare_and_set(self, key: str, revision: int, value: Any, author: str = "") -> wire.Response:
         """Set it only where it was last changed at `revision`; 0: only where it is not there."""
-        return self.one(wire.Transaction((KeyUpdate(key, value),), (Compare(key, revision),), author=author))
+        write = wire.Transaction((KeyUpdate(key, value),), (Compare(key, revision),), author=author)
+        return self.request(write)
 
     def list(self, prefix: str = "", stale: bool = False) -> list[Item]:
-        return self.one(wire.List(prefix, stale)).items
+        """The keys that begin so, with their values."""
+        return self.request(wire.List(prefix, stale)).items
 
     def watch(self, prefix: str = "", revision: int = 0) -> Iterator[Event]:
-        for answer in self.ask(wire.Watch(prefix, revision)):
-            yield from answer.events
+        """Changes of keys that begin so, from `revision` on; 0: from now on. It does not end by itself."""
+        for response in self.responses(wire.Watch(prefix, revision)):
+            yield from response.events
 
     def in_force(self, revision: int) -> wire.Response:
         """Once all nodes that subscribe have it; else `RequestFailedError` "no", which names who lacks it."""
-        return self.one(wire.InForce(revision))
+        return self.request(wire.InForce(revision))
 
     def status(self) -> dict[str, Any]:
-        return self.one(wire.Status()).status
+        """What the member says of itself and its cluster."""
+        return self.request(wire.Status()).status
 
     def snapshot(self) -> bytes:
-        return b"".join(answer.data for answer in self.ask(wire.Snapshot()))
+        """A backup of all keys, as committed now."""
+        return b"".join(response.data for response in self.responses(wire.Snapshot()))
 
     def close(self) -> None:
+        """End the link."""
         self.sock.close()
 
-    def __enter__(self) -> MemberClient:
+    def __enter__(self) -> Self:
         return self
 
-    def __exit__(self, *args: object) -> None:
+    def __exit__(
+        self,
+        kind: type[BaseException] | None,
+        error: BaseException | None,
+        traceback: TracebackType | None,
+    ) -> None:
         self.close()
--- a/gradegap/store/member_leases.py
+++ b/gradegap/store/member_leases.py
@@ -80,32 +80,32 @@
     def holder_applied(self, holder: str, index: int) -> None:
         """A lease holder has applied the log up to `index`."""
         if self.granter is not None:
-            self.granter.applied(holder, index)
-            self.granter.look(time.monotonic())
+            self.granter.holder_applied(holder, index)
+            self.granter.expire(time.monotonic())
 
     def tick(self, now: float) -> None:
         """Respond to writes whose last lease holders are done by `now`, or whose leases ran out."""
         if self.granter is not None:
-            self.granter.look(now)
+            self.granter.expire(now)
 
     # This member's own lease
 
     def is_fresh(self) -> bool:
         """Whether a decision made now is by committed state."""
-        return self.holder.fresh(time.monotonic())
+        return self.holder.is_fresh(time.monotonic())
 
     def renew(self, now: float) -> None:
         """Request a longer lease in time, where one is wanted."""
         if not self.wanted:
             return
-        if self.holder.wants(now, self.host.settings.lease_s):
-            last_request_at = max(self.holder.asked.values(), default=NEVER)
+        if self.holder.should_renew(now, self.host.settings.lease_s):
+            last_request_at = max(self.holder.requested_at.values(), default=NEVER)
             if now - last_request_at >= REQUEST_PERIOD_S:
                 self._request(now)
         self.changed()
 
     def _request(self, now: float) -> None:
-        request = wire.LeaseRequest(self.holder.name, self.holder.ask(now), self.safe_index())
+        request = wire.LeaseRequest(self.holder.name, self.holder.begin_request(now), self.safe_index())
         if self.host.raft is not None and self.host.raft.is_leader:
             self.granted(self.grant(request))
         else:
@@ -135,7 +135,7 @@
         if not self.wanted or self.holder.until <= now or raft is None:
             return
         if raft.is_leader and self.granter is not None:
-            self.granter.applied(self.holder.name, self.safe_index())
-            self.granter.look(now)
+            self.granter.holder_applied(self.holder.name, self.safe_index())
+            self.granter.expire(now)
         else:
             self.host.send_to_leader(wire.LeaseApplied(self.holder.name, self.safe_index()))
--- a/gradegap/store/membership.py
+++ b/gradegap/store/membership.py
@@ -74,7 +74,7 @@
             host.fail(error)
             return
         host.identity = identity
-        self.links.cluster_is(cluster)
+        self.links.set_cluster(cluster)
         host.metrics.count("store_formed")
         log.info("cluster joined", cluster=cluster, members=[m.name for m in configuration.members])
         host.start_raft(base)
--- a/gradegap/store/schema.py
+++ b/gradegap/store/schema.py
@@ -31,7 +31,7 @@
 
 
 class Out(msgspec.Struct, forbid_unknown_fields=True):
-    """`out/SERVER`: a save server that is out by hand, at every node."""
+    """`out/SERVER`: an endpoint that is administratively disabled at every node."""
 
     at_ms: Annotated[int, msgspec.Meta(ge=0, description="since when, Unix time in ms")] = 0
     by: Annotated[str, msgspec.Meta(max_length=128, description="who took it out")] = ""
@@ -78,14 +78,14 @@
 
 def check_value(key: str, value: Any) -> Any:
     """The value as it takes effect; `ValueError` in one line where it can't."""
-    place, _, name = key.partition("/")
+    prefix, _, name = key.partition("/")
     try:
-        if place == "config":
+        if prefix == "config":
             field = FIELDS.get(name)
             if field is None:
                 raise ValueError(f"there is no {key}; there are {', '.join(sorted(FIELDS))}")
             return msgspec.convert(value, field.type)
-        if place == "out":
+        if prefix == "out":
             return msgspec.convert(value, Out)
         if key.startswith("cluster/invited/"):
             return msgspec.convert(value, Invited)
@@ -98,19 +98,15 @@
     return value
 
 
-def check(op: KeyUpdate) -> None:
+def check(update: KeyUpdate) -> None:
     """`CommandError` where a write doesn't fit its key."""
-    if not op.delete:
+    if not update.delete:
         try:
-            check_value(op.key, op.value)
+            check_value(update.key, update.value)
         except ValueError as error:
             raise CommandError(f"invalid: {error}") from None
 
 
-def default(name: str) -> Any:
-    return FIELDS[name].default
-
-
 def json_schema() -> dict[str, Any]:
     """JSON Schema of all keys, for editors and for review."""
     kinds = (Settings, Out, Invited, SealingKeys, QuicKeys)
--- a/gradegap/store/watches.py
+++ b/gradegap/store/watches.py
@@ -50,7 +50,7 @@
             link.send(wire.Response(serial, revision=revision, events=events, more=True))
         watch = Watch(link, serial, request.prefix)
         self.open.add(watch)
-        link.closing.append(lambda: self.open.discard(watch))
+        link.close_callbacks.append(lambda: self.open.discard(watch))
         link.send(wire.Response(serial, text="watching", revision=revision, more=True))
 
     def _events_since(self, request: wire.Watch) -> list[Event]:
@@ -63,7 +63,7 @@
             matching = [event for event in events if event.key.startswith(watch.prefix)]
             if not matching:
                 continue
-            if watch.link.unsent() > MAX_WATCH_UNSENT_BYTES:
+            if watch.link.unsent_bytes() > MAX_WATCH_UNSENT_BYTES:
                 # It can come again from the revision that it saw last, and will miss nothing.
                 watch.link.end("slow_watcher")
                 continue
--- a/gradegap/store/wire.py
+++ b/gradegap/store/wire.py
@@ -231,6 +231,8 @@
 
 
 class Request(msgspec.Struct, frozen=True, tag="ask"):
+    """A request with the number by which its sender knows the responses."""
+
     serial: int
     body: RequestBody = msgspec.field(name="wish")
     timeout_s: float = msgspec.field(default=5.0, name="left")  # until the requester gives up
--- a/gradegap/verification/observer_cluster.py
+++ b/gradegap/verification/observer_cluster.py
@@ -140,5 +140,5 @@
         tally = InForceTally(revision, [machine.name for machine in self.machines])
         for machine in self.machines:
             if machine.running and not machine.paused and not machine.partitioned:
-                tally.reported(machine.publisher.report(machine.now, revision))
+                tally.add_report(machine.publisher.report(machine.now, revision))
         return tally.verdict()
--- a/gradegap/verification/observer_control.py
+++ b/gradegap/verification/observer_control.py
@@ -80,7 +80,7 @@
         """As the driver: apply what came, renew the lease, report what is safe."""
         self._take_log()
         now = self.now
-        if self.holder.wants(now, MACHINE_LEASE_S) and self.world.rng.random() < 0.3:
+        if self.holder.should_renew(now, MACHINE_LEASE_S) and self.world.rng.random() < 0.3:
             self._request_lease(now)
         self.publisher.tick(now)
         self.settle()
@@ -111,7 +111,7 @@
             self._has_applied()
 
     def _request_lease(self, now: float) -> None:
-        serial, holder = self.holder.ask(now), self.holder
+        serial, holder = self.holder.begin_request(now), self.holder
         safe_index = self.publisher.safe_index(now)
         self.reported_safe_index = max(self.reported_safe_index, safe_index)
         incarnation = self.incarnation
@@ -127,7 +127,7 @@
 
     def _report_safe_index(self, now: float) -> None:
         safe_index = self.publisher.safe_index(now)
-        if safe_index > self.reported_safe_index and self.holder.fresh(now):
+        if safe_index > self.reported_safe_index and self.holder.is_fresh(now):
             self.reported_safe_index = safe_index
             name = self.holder.name
             self.world.to_leader(self, lambda leader: leader.applied(name, safe_index))
@@ -187,13 +187,15 @@
 
     def step(self) -> None:
         """Acknowledge writes that all who decide have."""
-        self.granter.look(self.now)
+        self.granter.expire(self.now)
 
     def write(self) -> None:
         """Commit a change and acknowledge it once all that decide have it."""
         index = self.world.commit()
         revision = self.world.reference.revision
-        self.granter.when_seen(self.now, index, lambda: self.world.invariants.acknowledged(revision))
+        self.granter.when_applied_by_all(
+            self.now, index, lambda: self.world.invariants.acknowledged(revision)
+        )
 
     def grant(
         self, machine: ControlMachine, incarnation: int, holder: str, serial: int, applied_index: int
@@ -208,5 +210,5 @@
 
     def applied(self, holder: str, index: int) -> None:
         """A machine reports what its nodes have."""
-        self.granter.applied(holder, index)
-        self.granter.look(self.now)
+        self.granter.holder_applied(holder, index)
+        self.granter.expire(self.now)
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -121,7 +121,7 @@
         for name in self.running():
             try:
                 with self.remote(name, 2.0) as r:
-                    answer = r.one(wire.Digest())
+                    answer = r.request(wire.Digest())
             except RequestFailedError:
                 return False
             seen.add((answer.revision, answer.text))
--- a/tests/test_lint_rules.py
+++ b/tests/test_lint_rules.py
@@ -42,16 +42,6 @@
 gradegap/resume/switch.py: D
 gradegap/resume/token.py: D N
 gradegap/resume/window.py: D N
-gradegap/store/bootstrap.py: D
-gradegap/store/disabled_endpoints.py: D
-gradegap/store/dynamic_configuration.py: D
-gradegap/store/leases.py: D
-gradegap/store/links.py: D
-gradegap/store/machine.py: D
-gradegap/store/member_client.py: D
-gradegap/store/schema.py: D
-gradegap/store/storage.py: C90 D
-gradegap/store/wire.py: D
 """
 
 Exceptions = Mapping[str, frozenset[str]]  # by file: the families of rules that it does not keep
--- a/tests/test_observer_cluster.py
+++ b/tests/test_observer_cluster.py
@@ -98,7 +98,7 @@
         """Write through the leader; the revision, once no node decides without it."""
         leader = wait_for(lambda: self.machines.leader(among), 15.0)
         with self.machines.remote(leader, 10.0) as r:
-            return r.one(wire.Transaction(ops)).revision
+            return r.request(wire.Transaction(ops)).revision
 
     def level(self, revision: int) -> bool:
         """Whether all nodes have it, and hold a lease."""
--- a/tests/test_observer_core.py
+++ b/tests/test_observer_core.py
@@ -429,13 +429,13 @@
 
 def test_a_revision_is_in_force_when_all_machines_say_so() -> None:
     gathering = InForceTally(9, ["m0", "m1"])
-    gathering.reported(MachineReport("m0", 9, 2, behind=("n1",), lost=("n7", "n8")))
-    gathering.reported(MachineReport("m9", 9, 2, behind=("n5",)))
+    gathering.add_report(MachineReport("m0", 9, 2, behind=("n1",), lost=("n7", "n8")))
+    gathering.add_report(MachineReport("m9", 9, 2, behind=("n5",)))
     verdict = gathering.verdict()
-    assert not verdict.in_force and verdict.unasked == ("m1",) and verdict.missing == ("n1", "n7", "n8")
-    gathering.reported(MachineReport("m1", 9, 3, arrived=("n7", "n8")))
+    assert not verdict.in_force and verdict.unreachable == ("m1",) and verdict.missing == ("n1", "n7", "n8")
+    gathering.add_report(MachineReport("m1", 9, 3, arrived=("n7", "n8")))
     assert gathering.verdict().missing == ("n1",)
-    gathering.reported(MachineReport("m0", 9, 2))
+    gathering.add_report(MachineReport("m0", 9, 2))
     assert gathering.verdict().in_force and gathering.verdict().subscribers == 5
 
 
--- a/tests/test_observer_server.py
+++ b/tests/test_observer_server.py
@@ -648,7 +648,7 @@
         await daemon.start()
         try:
             gathered = InForceTally(1, ["c1"])
-            gathered.reported(daemon.report(1))
+            gathered.add_report(daemon.report(1))
             assert not gathered.verdict().in_force
             assert gathered.verdict().restarted == ("c1",)
         finally:
--- a/tests/test_store_cluster.py
+++ b/tests/test_store_cluster.py
@@ -95,7 +95,7 @@
         if who == "leader":
             try:
                 with c.remote(c.leader()) as r:
-                    r.one(wire.TransferLeadership(victim))
+                    r.request(wire.TransferLeadership(victim))
             except RequestFailedError:
                 pass  # it died on the way
         acked, unknown = {}, set()
@@ -180,9 +180,9 @@
             # Asked while it is stopped: it reads the question before anything that deposes it.
             r.sock.sendall(r.channel.send(wire.Request(1, wire.Get("k"), 6.0)))
             c.thaw(old)
-            while not r.words:
-                r._read()
-            answer = r.words[0]
+            while not r.messages:
+                r.receive()
+            answer = r.messages[0]
         assert isinstance(answer, wire.Response) and answer.items[0].value == 2
         wait_for(c.same_everywhere, 10.0)
 
@@ -326,7 +326,7 @@
                 c.kill(leader)  # which the watch hangs on
         wait_for(lambda: len(seen) >= 30 and seen[-1].key == "w29", 10.0)
         with c.remote(follower) as r:
-            history = r.one(wire.History("w")).events
+            history = r.request(wire.History("w")).events
         assert [(e.revision, e.key) for e in seen] == [(e.revision, e.key) for e in history]
         ended.set()
 
@@ -355,13 +355,13 @@
             outcomes: dict[str, int] = {}
             r.sock.settimeout(15.0)
             while sum(outcomes.values()) < 6000:
-                r._read()
-                for word in r.words:
+                r.receive()
+                for word in r.messages:
                     assert isinstance(word, wire.Response)
                     outcomes[word.text.split(":")[0] if word.outcome == "no" else word.outcome] = (
                         outcomes.get(word.text.split(":")[0] if word.outcome == "no" else word.outcome, 0) + 1
                     )
-                r.words.clear()
+                r.messages.clear()
         assert outcomes.get("busy", 0) > 1000 and "ok" not in outcomes, outcomes
         assert memory() - before < 150_000, "kB"
         for name in c.others(leader):
@@ -424,7 +424,7 @@
         wait_for(lambda: c.leader(rest), 5.0)
         wait_for(lambda: soon(c, rest[0], "t") is None, 8.0)
         with c.remote(rest[0]) as r:
-            (event,) = [e for e in r.one(wire.History("t")).events if e.deleted]
+            (event,) = [e for e in r.request(wire.History("t")).events if e.deleted]
         assert event.cause == "expired"
 
 
@@ -440,7 +440,7 @@
         for name in c.names:
             with c.remote(c.leader()) as r:
                 if c.leader() != name:
-                    r.one(wire.TransferLeadership(name))
+                    r.request(wire.TransferLeadership(name))
             wait_for(lambda name=name: c.leader() == name, 5.0)  # type: ignore[misc]
             put(c, name, "k", name)
         began = time.monotonic()
@@ -489,7 +489,7 @@
                     item = remote.get(key)
                     self.keep(key, Operation.read(item and item.value, began, time.monotonic()))
                     began = time.monotonic()
-                    answer = remote.cas(key, item.modified_revision if item else 0, mine)
+                    answer = remote.compare_and_set(key, item.modified_revision if item else 0, mine)
                     if item is not None:
                         expected = item.value  # values are never written twice
                         done = answer.succeeded
--- a/tests/test_store_parts.py
+++ b/tests/test_store_parts.py
@@ -287,38 +287,38 @@
     seen: list[str] = []
     assert granter.grant(now, "a", 5, now + 1) == DEFAULT_LEASE_S
     assert granter.grant(now, "b", 4, now) == 0.0  # the leader's own lease is over: it gives none
-    granter.when_seen(now, 6, lambda: seen.append("6"))
+    granter.when_applied_by_all(now, 6, lambda: seen.append("6"))
     assert not seen
-    granter.applied("a", 6)
-    granter.look(now)
+    granter.holder_applied("a", 6)
+    granter.expire(now)
     assert seen == ["6"]
-    granter.when_seen(now, 7, lambda: seen.append("7"))
-    granter.look(now + DEFAULT_LEASE_S)
+    granter.when_applied_by_all(now, 7, lambda: seen.append("7"))
+    granter.expire(now + DEFAULT_LEASE_S)
     assert len(seen) == 1
-    granter.look(now + DEFAULT_LEASE_S / 0.9 + 0.001)  # it has run out, by whatever clock
+    granter.expire(now + DEFAULT_LEASE_S / 0.9 + 0.001)  # it has run out, by whatever clock
     assert seen == ["6", "7"]
 
 
 def test_a_new_leader_waits_for_leases_that_it_knows_nothing_of() -> None:
     granter, seen = LeaseGranter(0.0, 0.1), []
-    granter.when_seen(0.0, 1, lambda: seen.append(1))
-    granter.look(DEFAULT_LEASE_S)
+    granter.when_applied_by_all(0.0, 1, lambda: seen.append(1))
+    granter.expire(DEFAULT_LEASE_S)
     assert not seen
-    granter.look(granter.next_look() or 0.0)
+    granter.expire(granter.next_expiry() or 0.0)
     assert seen
 
 
 def test_a_lease_is_good_only_once_what_it_was_given_for_is_applied() -> None:
     holder = LeaseHolder("a", 0.1)
-    serial = holder.ask(10.0)
+    serial = holder.begin_request(10.0)
     holder.granted(10.3, serial, 2, 8, DEFAULT_LEASE_S, applied=7)
-    assert not holder.fresh(10.3)
+    assert not holder.is_fresh(10.3)
     holder.applied(8)
-    assert holder.fresh(10.3) and not holder.fresh(10.0 + DEFAULT_LEASE_S * 0.9)
+    assert holder.is_fresh(10.3) and not holder.is_fresh(10.0 + DEFAULT_LEASE_S * 0.9)
     holder.granted(10.4, serial, 2, 8, DEFAULT_LEASE_S, applied=8)  # an answer that comes twice
-    late = holder.ask(10.5)
+    late = holder.begin_request(10.5)
     holder.granted(30.0, late, 2, 8, DEFAULT_LEASE_S, applied=8)  # the process was stopped meanwhile
-    assert not holder.fresh(30.0)
+    assert not holder.is_fresh(30.0)
 
 
 class LeaseWorld:
@@ -342,13 +342,13 @@
         self.todo.append((self.t + self.rng.uniform(0, most), action))
 
     def write(self, index: int) -> None:
-        self.granter.when_seen(self.clock(self.leader), index, lambda: self.ack(index))
+        self.granter.when_applied_by_all(self.clock(self.leader), index, lambda: self.ack(index))
 
     def ack(self, index: int) -> None:
         self.acked = max(self.acked, index)
 
     def ask(self) -> None:
-        serial, has = self.holder.ask(self.clock(2)), self.applied
+        serial, has = self.holder.begin_request(self.clock(2)), self.applied
 
         def grant() -> None:
             now = self.clock(self.leader)
@@ -366,7 +366,7 @@
         self.applied += 1
         self.holder.applied(self.applied)
         has = self.applied
-        self.later(0.5, lambda: self.granter.applied("h", has))
+        self.later(0.5, lambda: self.granter.holder_applied("h", has))
 
     def depose(self) -> None:
         waiting = [index for index, _ in self.granter.waiting]
@@ -380,7 +380,7 @@
         for due in [x for x in self.todo if x[0] <= self.t]:
             self.todo.remove(due)
             due[1]()
-        self.granter.look(self.clock(self.leader))
+        self.granter.expire(self.clock(self.leader))
         what = self.rng.random()
         if what < 0.4:
             self.ask()
@@ -399,7 +399,7 @@
     world = LeaseWorld(seed)
     while world.t < 12.0:
         world.step()
-        if world.holder.fresh(world.clock(2)):
+        if world.holder.is_fresh(world.clock(2)):
             assert world.applied >= world.acked, (
                 f"it decides at {world.applied}, {world.acked} was acknowledged"
             )
