--- a/gradegap/client.py
+++ b/gradegap/client.py
@@ -18,8 +18,8 @@
 from typing import Literal
 
 from gradegap.resume import lines
-from gradegap.resume.lines import Answer, BadLine, NewToken, Over, Seen
-from gradegap.resume.window import ClientWindow, Full
+from gradegap.resume.lines import Answer, LineError, NewToken, Over, Seen
+from gradegap.resume.window import ClientWindow, WindowFullError
 
 CONNECT_TIMEOUT_S = 1.0  # to a node, beside the time that the node may take
 BACKOFF_MIN_S = 0.02  # between two tries to be placed again
@@ -115,13 +115,13 @@
             try:
                 request = self._window.request(text)
                 break
-            except Full:
+            except WindowFullError:
                 self._window_open.clear()
                 await self._window_open.wait()
         future: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         self._answers[request.number] = future
         self._observe("asked", request.number, text)
-        self._write(lines.write(request))
+        self._write(lines.encode(request))
         return await future
 
     async def close(self) -> None:
@@ -179,7 +179,7 @@
             self._resume(rest, writer)
             self._reader, self._writer, established = reader, writer, True
             return ""
-        except BadLine as error:
+        except LineError as error:
             raise SessionEndedError("position", str(error)) from None
         finally:
             if not established:
@@ -202,9 +202,9 @@
         unexecuted = self._window.resume(int(values["rs"]))
         self._window.told = self._window.seen
         if self._window.seen:
-            writer.write(lines.write(Seen(self._window.seen)))
+            writer.write(lines.encode(Seen(self._window.seen)))
         for request in unexecuted:
-            writer.write(lines.write(request))
+            writer.write(lines.encode(request))
 
     async def _run(self) -> None:
         try:
@@ -228,8 +228,8 @@
             if raw == b"MOVE":
                 return
             try:
-                self._handle_line(lines.read(raw))
-            except BadLine as error:
+                self._handle_line(lines.decode(raw))
+            except LineError as error:
                 raise SessionEndedError("broken", str(error)) from None
 
     def _handle_line(self, line: lines.Line | None) -> None:
@@ -251,7 +251,7 @@
             if future is not None and not future.done():
                 future.set_result(answer.text)
         if (seen := self._window.to_acknowledge()) is not None:
-            self._write(lines.write(Seen(seen)))
+            self._write(lines.encode(Seen(seen)))
 
     def _end(self, error: SessionEndedError) -> None:
         self._ended = error
--- a/gradegap/commands/resume.py
+++ b/gradegap/commands/resume.py
@@ -12,7 +12,7 @@
 from gradegap.commands.store import JSON, NODE, SECRET, WAIT, author, remote, say, stop
 from gradegap.quic.keys import RING_KEY as QUIC_RING
 from gradegap.quic.keys import QuicRing
-from gradegap.resume.token import RING, BadToken, Ring, digest, opened
+from gradegap.resume.token import KEY_RING_KEY, KeyRing, TokenError, digest, open_token
 from gradegap.store.member_client import MemberClient
 from gradegap.store.records import Compare, Item, KeyUpdate
 from gradegap.store.wire import Transaction
@@ -29,13 +29,13 @@
 
 
 RING_OF = typer.Option(Which.RESUME, "--ring", help="which ring")
-KINDS: dict[Which, tuple[str, type[Ring] | type[QuicRing]]] = {
-    Which.RESUME: (RING, Ring),
+KINDS: dict[Which, tuple[str, type[KeyRing] | type[QuicRing]]] = {
+    Which.RESUME: (KEY_RING_KEY, KeyRing),
     Which.QUIC: (QUIC_RING, QuicRing),
 }
 
 
-def read(r: MemberClient, which: Which = Which.RESUME) -> tuple[Ring | QuicRing, Item | None]:
+def read(r: MemberClient, which: Which = Which.RESUME) -> tuple[KeyRing | QuicRing, Item | None]:
     key, kind = KINDS[which]
     item = r.get(key)
     if item is None:
@@ -48,7 +48,7 @@
     return ring, item
 
 
-def write(r: MemberClient, which: Which, ring: Ring | QuicRing, old: Item | None) -> int:
+def write(r: MemberClient, which: Which, ring: KeyRing | QuicRing, old: Item | None) -> int:
     """Only over the ring that was read: of two who rotate at once, one is told."""
     key = KINDS[which][0]
     op = KeyUpdate(key, msgspec.to_builtins(ring))
@@ -60,7 +60,7 @@
     return answer.revision
 
 
-def shown(ring: Ring | QuicRing) -> list[dict[str, Any]]:
+def shown(ring: KeyRing | QuicRing) -> list[dict[str, Any]]:
     """Never the secrets. Newest first."""
     if isinstance(ring, QuicRing):
         newest = ring.keys[-1] if ring.keys else None
@@ -128,11 +128,11 @@
     """Say what a token proves, by the ring of a running cluster; exits 1 where it proves nothing."""
     with remote(node, secret, wait) as r:
         ring, _ = read(r)
-        assert isinstance(ring, Ring)
+        assert isinstance(ring, KeyRing)
         cluster = str(r.status()["cluster"])
     try:
-        place = opened(ring, cluster, text, time.time())
-    except BadToken as error:
+        place = open_token(ring, cluster, text, time.time())
+    except TokenError as error:
         raise stop(f"token {digest(text)}: {error}", 1) from None
     found = msgspec.structs.asdict(place) | {"digest": digest(text)}
     say(found, json, "\n".join(f"{k} {v}" for k, v in found.items()))
--- a/gradegap/node/optional_parts.py
+++ b/gradegap/node/optional_parts.py
@@ -73,7 +73,7 @@
     """What makes sessions resumable; `committed_source` is the store or subscription, where it is there."""
     if operator.resume is None:
         return None
-    from gradegap.resume.part import Resumer
+    from gradegap.resume.resumption import Resumer
 
     source = committed_source if operator.decides_by is not None else None
     return Resumer(node_name, operator.resume, metrics, loop, source)
--- a/gradegap/resume/lines.py
+++ b/gradegap/resume/lines.py
@@ -11,7 +11,7 @@
 _WORD = re.compile(rb"([TX]) ([!-~]{1,400})")
 
 
-class BadLine(ValueError):
+class LineError(ValueError):
     """A line that ends its session; its first word is the reason that is told and counted."""
 
 
@@ -55,8 +55,8 @@
 Line = Request | Answer | Seen | NewToken | Over
 
 
-def write(line: Line) -> bytes:
-    """The line with its CRLF; `BadLine` where it would be too long."""
+def encode(line: Line) -> bytes:
+    """The line with its CRLF; `LineError` where it would be too long."""
     match line:
         case Request(n, text):
             made = b"Q %d %b\r\n" % (n, text)
@@ -69,14 +69,14 @@
         case Over(reason):
             made = b"X %b\r\n" % reason.encode()
     if len(made) > LONGEST:
-        raise BadLine(f"long: a line of {len(made)} bytes")
+        raise LineError(f"long: a line of {len(made)} bytes")
     return made
 
 
-def read(raw: bytes) -> Line | None:
+def decode(raw: bytes) -> Line | None:
     """A line without its CRLF; None for one that is no part of the extension, as `LOAD X`."""
     if len(raw) > LONGEST - 2:
-        raise BadLine(f"long: a line of {len(raw) + 2} bytes")
+        raise LineError(f"long: a line of {len(raw) + 2} bytes")
     if raw[:2] not in (b"Q ", b"A ", b"K ", b"T ", b"X "):
         return None
     if (found := _WORD.fullmatch(raw)) is not None:
@@ -85,9 +85,9 @@
     found = _LINE.fullmatch(raw)
     number = int(found[2]) if found is not None else MOST
     if found is None or number >= MOST or (found[1] == b"K") == (found[3] is not None):
-        raise BadLine(f"malformed: {raw[:40]!r}")
+        raise LineError(f"malformed: {raw[:40]!r}")
     if found[1] == b"K":
         return Seen(number)
     if number == 0:
-        raise BadLine("malformed: numbers begin with 1")
+        raise LineError("malformed: numbers begin with 1")
     return Request(number, found[3]) if found[1] == b"Q" else Answer(number, found[3])
--- a/gradegap/resume/move.py
+++ b/gradegap/resume/migration.py
@@ -16,7 +16,7 @@
 from gradegap.downstream.framing import Opening
 from gradegap.downstream.session import ClientSession
 from gradegap.proxy.request import InvalidRequestError, Request
-from gradegap.resume.switch import Passing
+from gradegap.resume.session_relay import SessionRelay
 from gradegap.upstream.interfaces import UpstreamPipe
 
 log = structlog.get_logger()
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True)
-class Offer:
+class SessionOffer:
     """A session between its first line and the server's word."""
 
     session: str
@@ -38,16 +38,16 @@
     fruitless: int = 0  # moves since, with no answer in between
 
 
-class Mover:
+class InPlaceMigration:
     """Stands where the client session stands, for the next server's fetch, until that is up."""
 
     def __init__(
         self,
         session: ClientSession,
         opening: Opening,
-        offer: Offer,
+        offer: SessionOffer,
         accepts: Callable[[bytes], int | None],
-        token: Callable[[ClientSession, Offer], str],
+        token: Callable[[ClientSession, SessionOffer], str],
     ) -> None:
         self.session, self.opening, self.offer = session, opening, offer
         self.accepts, self.token = accepts, token
@@ -74,7 +74,7 @@
         line, _, rest = data.partition(b"\n")
         executed = self.accepts(line.rstrip(b"\r"))
         session, passing = self.session, self.session.passing
-        if self.over or session.closed or not isinstance(passing, Passing):
+        if self.over or session.closed or not isinstance(passing, SessionRelay):
             self.stop()
             return
         if executed is None:
@@ -135,7 +135,7 @@
         session.mover = None
         session.metrics.count(f"resume_in_place_{reason}")
         log.info("not moved in place", session=self.offer.session, epoch=self.offer.epoch, why=reason)
-        if not session.closed and isinstance(session.passing, Passing):
+        if not session.closed and isinstance(session.passing, SessionRelay):
             session.tell(session.passing.token(self.token(session, self.offer)))
             session.say_move()
         if self.req is not None:
--- a/gradegap/resume/part.py
+++ b/gradegap/resume/resumption.py
@@ -19,14 +19,20 @@
 from gradegap.downstream.framing import Opening, parse_opening
 from gradegap.downstream.session import ClientSession
 from gradegap.metrics import Metrics
-from gradegap.resume.claims import CLAIMS, Claimed, LocalClaims, claim, digest_of
 from gradegap.resume.lines import MOST
-from gradegap.resume.move import WAIT, Mover, Offer
-from gradegap.resume.renew import Renewals
+from gradegap.resume.migration import WAIT, InPlaceMigration, SessionOffer
+from gradegap.resume.reservations import (
+    RESERVATION_PREFIX,
+    LocalReservations,
+    SessionClaimedError,
+    claim,
+    secret_digest,
+)
+from gradegap.resume.session_relay import RelayState, SessionRelay
 from gradegap.resume.settings import ResumeSettings
-from gradegap.resume.switch import Passing, State
-from gradegap.resume.token import RING, BadToken, Place, Ring, digest, opened, seal
-from gradegap.resume.window import WINDOW
+from gradegap.resume.token import KEY_RING_KEY, KeyRing, Place, TokenError, digest, open_token, seal_token
+from gradegap.resume.token_renewal import TokenRenewals
+from gradegap.resume.window import MAX_UNANSWERED
 from gradegap.store import wire
 from gradegap.store.machine import StateMachine
 from gradegap.transport.lines import InvalidLineError
@@ -83,21 +89,21 @@
         store: Callable[[], Store | None] | None,
     ) -> None:
         self.node, self.settings, self.metrics, self.loop, self.store = node, settings, metrics, loop, store
-        self.own = Ring().rotated(time.time_ns() // 1_000_000)  # where there is no store
-        self.claims = LocalClaims()
-        self.renewals: Renewals[ClientSession] = Renewals(settings.life_s)
+        self.own = KeyRing().rotated(time.time_ns() // 1_000_000)  # where there is no store
+        self.claims = LocalReservations()
+        self.renewals: TokenRenewals[ClientSession] = TokenRenewals(settings.life_s)
         self.looking = False
 
-    def ring(self) -> Ring:
+    def ring(self) -> KeyRing:
         if self.store is None:
             return self.own
         store = self.store()
-        item = store.machine.get(RING) if store is not None else None
+        item = store.machine.get(KEY_RING_KEY) if store is not None else None
         try:
-            return msgspec.convert(item.value, Ring) if item is not None else Ring()
+            return msgspec.convert(item.value, KeyRing) if item is not None else KeyRing()
         except msgspec.ValidationError:
             self.metrics.count("resume_ring_unfit")
-            return Ring()
+            return KeyRing()
 
     def cluster(self) -> str:
         store = self.store() if self.store is not None else None
@@ -113,7 +119,7 @@
         if not handed or self.store is not None:
             return
         try:
-            ring = msgspec.msgpack.decode(handed, type=Ring)
+            ring = msgspec.msgpack.decode(handed, type=KeyRing)
             ring.check()
         except ValueError:
             self.metrics.count("resume_ring_unfit")
@@ -137,7 +143,11 @@
         key = sealing.id if sealing is not None else ""
         for session in self.renewals.due(time.monotonic(), key, RENEW_MOST) if key else ():
             offer, passing = session.offer, session.passing
-            if session.mover is not None or not isinstance(offer, Offer) or not isinstance(passing, Passing):
+            if (
+                session.mover is not None
+                or not isinstance(offer, SessionOffer)
+                or not isinstance(passing, SessionRelay)
+            ):
                 # On its way to another life: it gets a token for that one.
                 self.renewals.given(session, time.monotonic(), key)
                 continue
@@ -161,14 +171,14 @@
         ring, token = self.ring(), values.pop("rt", "")
         seen = values.pop("rh", "0")
         try:
-            by = digest_of(values.pop("ra", ""))
+            by = secret_digest(values.pop("ra", ""))
         except ValueError as error:
             raise InvalidLineError(str(error)) from None
         if not token:
             if ring.sealing is None or seen != "0":
                 self.metrics.count("resume_not_offered")
                 return False  # plain lines, as the server does without the node's word
-            made = Offer(secrets.token_hex(8), 1, 0, opening.ask.key, opening.ask.class_name, by)
+            made = SessionOffer(secrets.token_hex(8), 1, 0, opening.ask.key, opening.ask.class_name, by)
             self._go_on(session, head, values, made, 0.0)
             return True
         session.opening = opening
@@ -179,15 +189,15 @@
             self._later(session, "no lease of the store")
             return True
         try:
-            place = opened(ring, self.cluster(), token, time.time())
+            place = open_token(ring, self.cluster(), token, time.time())
             if place.client != opening.ask.key or place.cls != opening.ask.class_name:
-                raise BadToken("stranger: it is another client's or class's")
+                raise TokenError("stranger: it is another client's or class's")
             if not seen.isdecimal() or not place.position <= int(seen) < MOST:
-                raise BadToken("position: the client was further when it got its token")
-        except BadToken as error:
+                raise TokenError("position: the client was further when it got its token")
+        except TokenError as error:
             self._turn(session, token, error)
             return True
-        offer = Offer(place.session, place.epoch + 1, int(seen), place.client, place.cls, by)
+        offer = SessionOffer(place.session, place.epoch + 1, int(seen), place.client, place.cls, by)
         self._claim(session, head, values, offer, place, token)
         return True
 
@@ -198,7 +208,7 @@
         session.turn(reason)
 
     def _go_on(
-        self, session: ClientSession, head: str, values: dict[str, str], offer: Offer, spent: float
+        self, session: ClientSession, head: str, values: dict[str, str], offer: SessionOffer, spent: float
     ) -> None:
         values = values | {"rs": "1", "rn": f"{offer.session}.{offer.epoch}"}
         if offer.seen:
@@ -217,7 +227,7 @@
         session: ClientSession,
         head: str,
         values: dict[str, str],
-        offer: Offer,
+        offer: SessionOffer,
         place: Place,
         token: str,
     ) -> None:
@@ -231,7 +241,7 @@
             log.info(GIVEN, session=offer.session, epoch=offer.epoch, how="return", token=digest(token))
             self._go_on(session, head, values, offer, time.monotonic() - began)
 
-        def claimed(error: Claimed) -> None:
+        def claimed(error: SessionClaimedError) -> None:
             self._turn(session, token, error)
 
         def later(why: str) -> None:
@@ -245,17 +255,18 @@
         place: Place,
         left: float,
         won: Callable[[int], None],
-        claimed: Callable[[Claimed], None],
+        claimed: Callable[[SessionClaimedError], None],
         later: Callable[[str], None],
         by: str,
         returns: bool = True,
     ) -> None:
         """Claim the life after `place`'s, within `left` s: `won`; `claimed` where another has it; `later`
-        where nobody can say. `by` is the client's, for a next try of its own where it `returns`."""
+        where nobody can say. `by` is the client's, for a next try of its own where it `returns`.
+        """
         if self.store is None:
             try:
                 epoch = self.claims.claim(place, time.time(), by, returns)
-            except Claimed as error:
+            except SessionClaimedError as error:
                 claimed(error)
             else:
                 won(epoch)
@@ -273,7 +284,7 @@
             try:
                 item = answer.items[0] if answer.items else None
                 epoch, compare, op = claim(place, self.node, item, by, time.time(), returns)
-            except Claimed as error:
+            except SessionClaimedError as error:
                 claimed(error)
                 return
 
@@ -281,14 +292,14 @@
                 if answer.outcome != "ok":
                     later(answer.text)
                 elif not answer.succeeded:
-                    claimed(Claimed("claimed: another came with it at this moment"))
+                    claimed(SessionClaimedError("claimed: another came with it at this moment"))
                 else:
                     won(epoch)
 
             again = max(0.05, left - (time.monotonic() - began))
             store.service.request(wire.Transaction((op,), (compare,), author=self.node), written, again)
 
-        store.service.request(wire.Get(CLAIMS + place.session), found, left)
+        store.service.request(wire.Get(RESERVATION_PREFIX + place.session), found, left)
 
     def _later(self, session: ClientSession, why: str) -> None:
         """Without a quorum nobody can be said to be the one: come again, at once told so."""
@@ -301,9 +312,10 @@
 
     def up(self, session: ClientSession, first: bytes) -> bytes | None:
         """A server's `UP`, as the client is told it; without the server's consent today's, to the byte. None
-        where the session came to go on and this server would begin anew."""
+        where the session came to go on and this server would begin anew.
+        """
         offer = session.offer
-        assert isinstance(offer, Offer)
+        assert isinstance(offer, SessionOffer)
         line, end, rest = first.partition(b"\n")
         found = _ACCEPTED.fullmatch(line.rstrip(b"\r"))
         if found is None or int(found[2]) < offer.seen:
@@ -315,10 +327,10 @@
             self.metrics.count("resume_refused_server")
             return None
         executed = int(found[2])
-        session.passing = passing = Passing(offer.seen, executed)
+        session.passing = passing = SessionRelay(offer.seen, executed)
         self.metrics.count("resume_accepted")
         token = self._token(session, offer)
-        told = b"UP %b rs=%d,w=%d,t=%b\r\n" % (found[1], executed, WINDOW, token.encode())
+        told = b"UP %b rs=%d,w=%d,t=%b\r\n" % (found[1], executed, MAX_UNANSWERED, token.encode())
         if rest:
             told += passing.from_server(rest, passing.line).to_client
         return told
@@ -327,13 +339,18 @@
 
     def move(self, session: ClientSession) -> bool:
         """Whether a session goes to another server while its client's connection stays: not from a node that
-        leaves itself, and not while its window can't be trusted."""
+        leaves itself, and not while its window can't be trusted.
+        """
         offer, passing, opening = session.offer, session.passing, session.opening
         proxy = session.proxy
-        good = isinstance(offer, Offer) and isinstance(passing, Passing) and passing.state is not State.OVER
+        good = (
+            isinstance(offer, SessionOffer)
+            and isinstance(passing, SessionRelay)
+            and passing.state is not RelayState.OVER
+        )
         if not good or proxy.shutting_down or proxy.drain_deadline is not None or opening is None:
             return False
-        assert isinstance(offer, Offer) and isinstance(passing, Passing)
+        assert isinstance(offer, SessionOffer) and isinstance(passing, SessionRelay)
         # Guards against a request that ends every server it comes to: without an answer in between, a session
         # is not handed from one to the next for ever.
         offer.fruitless = offer.fruitless + 1 if passing.position == offer.position else 0
@@ -358,7 +375,9 @@
             told = values | {"d": str(round(WAIT * 1000)), "again": "1"}
             told |= {"rs": "1", "rn": f"{now.session}.{now.epoch}", "rh": str(now.seen)}
             line = f"{head} {','.join(f'{k}={v}' for k, v in told.items())}\r\n"
-            mover = Mover(session, parse_opening(line.encode()), now, self._accepts(now), self._token)
+            mover = InPlaceMigration(
+                session, parse_opening(line.encode()), now, self._accepts(now), self._token
+            )
             session.mover = mover
             # Only once the core has let the req of the server that is left go: they bear one id.
             self.loop.call_soon(mover.start)
@@ -378,14 +397,14 @@
         self.loop.call_soon(self._next_life, place, WAIT, won, claimed, lost, offer.by, False)
         return True
 
-    def _accepts(self, offer: Offer) -> Callable[[bytes], int | None]:
+    def _accepts(self, offer: SessionOffer) -> Callable[[bytes], int | None]:
         def executed(line: bytes) -> int | None:
             found = _ACCEPTED.fullmatch(line)
             return int(found[2]) if found is not None and int(found[2]) >= offer.seen else None
 
         return executed
 
-    def _token(self, session: ClientSession, offer: Offer) -> str:
+    def _token(self, session: ClientSession, offer: SessionOffer) -> str:
         req = session.req
         server = req.attempt.endpoint.id if req is not None and req.attempt is not None else ""
         until = int(time.time()) + self.settings.life_s
@@ -396,7 +415,7 @@
             self.renewals.given(session, time.monotonic(), sealing.id if sealing is not None else "")
             self._look_soon()
         try:
-            return seal(ring, self.cluster(), place)
+            return seal_token(ring, self.cluster(), place)
         except ValueError as error:
             self.metrics.count("resume_token_not_made")
             log.warning("no token", error=str(error))
--- a/gradegap/resume/switch.py
+++ b/gradegap/resume/session_relay.py
@@ -11,18 +11,18 @@
 from dataclasses import dataclass, field
 
 from gradegap.resume import lines
-from gradegap.resume.lines import LONGEST, Answer, BadLine, NewToken, Over, Request, Seen
+from gradegap.resume.lines import LONGEST, Answer, LineError, NewToken, Over, Request, Seen
 from gradegap.resume.window import NodeWindow
 
 
-class State(enum.Enum):
+class RelayState(enum.Enum):
     PASSING = "passing"  # both ways
     HELD = "held"  # a next server is dialed: the client's lines wait, answers still pass
     OVER = "over"  # nothing passes any more
 
 
 @dataclass(slots=True)
-class Out:
+class RelayOutput:
     """What is to be written, and whether the client may be read on."""
 
     to_client: bytes = b""
@@ -37,7 +37,7 @@
     return data.count(b"\n") == data.count(b"\r") == data.count(b"\r\n")
 
 
-class Passing:
+class SessionRelay:
     """One session, from `UP` on. `seen` and `executed` are where it stood then.
 
     Lines that come whole and in turn go on as the bytes that they came in; whatever else comes is read line
@@ -48,7 +48,7 @@
 
     def __init__(self, seen: int = 0, executed: int = 0) -> None:
         self.window = NodeWindow(seen, executed)
-        self.state = State.PASSING
+        self.state = RelayState.PASSING
         self.line = 0  # which server is heard: counted up at each change
         self.client_part = b""  # of a line whose end has not come
         self.server_part = b""
@@ -64,17 +64,17 @@
         """Answers up to here have passed to the client."""
         return self.window.answered
 
-    def from_client(self, data: bytes) -> Out:
-        if self.state is State.OVER:
-            return Out(read_client=False)
+    def from_client(self, data: bytes) -> RelayOutput:
+        if self.state is RelayState.OVER:
+            return RelayOutput(read_client=False)
         if self.client_part:
             data, self.client_part = self.client_part + data, b""
-        at = self._in_turn(data) if self.state is State.PASSING and not self.waiting else 0
+        at = self._in_turn(data) if self.state is RelayState.PASSING and not self.waiting else 0
         if at == len(data):
-            return Out(to_server=data)
+            return RelayOutput(to_server=data)
         whole, self.client_part = self._split(data[at:])
         if len(self.client_part) >= LONGEST:
-            return self._over(BadLine("long: a line without an end"))
+            return self._over(LineError("long: a line without an end"))
         self.waiting += whole
         out = self._pass_client()
         out.to_server = data[:at] + out.to_server
@@ -82,7 +82,8 @@
 
     def _in_turn(self, data: bytes) -> int:
         """How many bytes of what the client says may go on as they came: the next requests, and what it has
-        seen."""
+        seen.
+        """
         window, at = self.window, 0
         if not tidy(data):
             return 0
@@ -107,13 +108,13 @@
         *whole, part = data.split(b"\n")
         return [line.removesuffix(b"\r") for line in whole], part
 
-    def _pass_client(self) -> Out:
+    def _pass_client(self) -> RelayOutput:
         """What may go to the server now: in order, and none that would be more than the window holds."""
-        out = Out()
+        out = RelayOutput()
         try:
-            while self.waiting and self.state is State.PASSING:
+            while self.waiting and self.state is RelayState.PASSING:
                 raw = self.waiting[0]
-                line = lines.read(raw)
+                line = lines.decode(raw)
                 if isinstance(line, Request) and line.number > self.window.last and self.window.full:
                     break
                 self.waiting.pop(0)
@@ -123,46 +124,46 @@
                             out.to_server += raw + b"\r\n"
                     case Seen(n):
                         self.window.acknowledge(n)
-                        out.to_server += lines.write(line)
+                        out.to_server += lines.encode(line)
                     case None:
                         out.to_server += raw + b"\r\n"
                     case _:
-                        raise BadLine("malformed: a line that only a server sends")
-        except BadLine as error:
+                        raise LineError("malformed: a line that only a server sends")
+        except LineError as error:
             return self._over(error, out)
         out.read_client = not self.waiting
         return out
 
-    def from_server(self, data: bytes, line: int) -> Out:
+    def from_server(self, data: bytes, line: int) -> RelayOutput:
         """`line` is the server's that it came from, as `line` was when it was made."""
-        if self.state is State.OVER or line != self.line:
-            return Out()  # guards against late words of a server that was left
+        if self.state is RelayState.OVER or line != self.line:
+            return RelayOutput()  # guards against late words of a server that was left
         if self.server_part:
             data, self.server_part = self.server_part + data, b""
         at = self._answers_in_turn(data)
         if at == len(data) and not self.waiting:
-            return Out(to_client=data)
+            return RelayOutput(to_client=data)
         whole, self.server_part = self._split(data[at:])
         if len(self.server_part) >= LONGEST:
-            return self._over(BadLine("long: a line without an end"))
-        out = Out(to_client=data[:at])
+            return self._over(LineError("long: a line without an end"))
+        out = RelayOutput(to_client=data[:at])
         try:
             for raw in whole:
-                match found := lines.read(raw):
+                match found := lines.decode(raw):
                     case Answer(n):
                         if self.window.answer(n):
-                            out.to_client += lines.write(found)
+                            out.to_client += lines.encode(found)
                     case Over(reason):
-                        out.to_client += lines.write(found)
-                        self.state = State.OVER
+                        out.to_client += lines.encode(found)
+                        self.state = RelayState.OVER
                         out.over = reason
                         return out
                     case None:
                         out.others.append(raw)
                         out.to_client += raw + b"\r\n"
                     case _:
-                        raise BadLine("malformed: a line that only a client or node sends")
-        except BadLine as error:
+                        raise LineError("malformed: a line that only a client or node sends")
+        except LineError as error:
             return self._over(error, out)
         more = self._pass_client()
         out.to_server, out.read_client, out.over = more.to_server, more.read_client, more.over
@@ -182,12 +183,12 @@
             at = end
         return at
 
-    def _over(self, error: BadLine, out: Out | None = None) -> Out:
+    def _over(self, error: LineError, out: RelayOutput | None = None) -> RelayOutput:
         """Whoever broke the rules: the session can't be trusted to be in step any more."""
         reason = str(error).split(":")[0]
-        self.state = State.OVER
-        out = out or Out()
-        out.to_client += lines.write(Over(reason))
+        self.state = RelayState.OVER
+        out = out or RelayOutput()
+        out.to_client += lines.encode(Over(reason))
         out.read_client, out.over = False, reason
         return out
 
@@ -195,35 +196,35 @@
 
     def hold(self) -> None:
         """A next server is being dialed: what the client says waits for it. Answers still pass."""
-        if self.state is State.PASSING:
-            self.state = State.HELD
+        if self.state is RelayState.PASSING:
+            self.state = RelayState.HELD
 
-    def release(self) -> Out:
+    def release(self) -> RelayOutput:
         """No server took it before its epoch was claimed anywhere: on as before, with the same one."""
-        if self.state is State.HELD:
-            self.state = State.PASSING
+        if self.state is RelayState.HELD:
+            self.state = RelayState.PASSING
         return self._pass_client()
 
-    def changed(self, executed: int) -> Out:
+    def changed(self, executed: int) -> RelayOutput:
         """The next server is up and has proven that requests up to `executed` have run. What the client says
         goes there from now on; half a line of the old server's is forgotten, as its answer comes whole again.
         """
-        if self.state is State.OVER:
-            return Out(read_client=False)
+        if self.state is RelayState.OVER:
+            return RelayOutput(read_client=False)
         try:
             again = self.window.switch(executed)
-        except BadLine as error:
+        except LineError as error:
             return self._over(error)
         self.line += 1
         self.server_part = b""
-        self.state = State.PASSING
+        self.state = RelayState.PASSING
         sent = b"".join(again)
         if self.window.acked:
-            sent = lines.write(Seen(self.window.acked)) + sent
+            sent = lines.encode(Seen(self.window.acked)) + sent
         out = self._pass_client()
         out.to_server = sent + out.to_server
         return out
 
     def token(self, token: str) -> bytes:
         """The line that gives the client a new token, between two of its lines."""
-        return lines.write(NewToken(token))
+        return lines.encode(NewToken(token))
--- a/gradegap/resume/token.py
+++ b/gradegap/resume/token.py
@@ -20,13 +20,13 @@
 NONCE = 12
 KEY = 32
 LONGEST = 400  # characters of a token
-LIFE = 600  # s for which a token may be used
-SKEW = 30  # s by which the clocks of two nodes may differ
-MOST_KEYS = 16
-RING = "keys/resume"  # the ring's key in the store
+TOKEN_LIFETIME_S = 600  # s for which a token may be used
+MAX_CLOCK_SKEW_S = 30  # s by which the clocks of two nodes may differ
+MAX_KEYS = 16
+KEY_RING_KEY = "keys/resume"  # the ring's key in the store
 
 
-class BadToken(ValueError):
+class TokenError(ValueError):
     """A token that proves nothing; its first word is the reason that is told and counted."""
 
 
@@ -49,15 +49,15 @@
     state: Literal["in use", "retired"] = "in use"
 
 
-class Ring(msgspec.Struct, frozen=True):
+class KeyRing(msgspec.Struct, frozen=True):
     """`keys/resume` of the store. Newest first; the first that is in use seals."""
 
     keys: tuple[Key, ...] = ()
 
     def check(self) -> None:
         """`ValueError` where nothing could be sealed with it."""
-        if len(self.keys) > MOST_KEYS or len({k.id for k in self.keys}) != len(self.keys):
-            raise ValueError(f"a ring has at most {MOST_KEYS} keys, each with an id of its own")
+        if len(self.keys) > MAX_KEYS or len({k.id for k in self.keys}) != len(self.keys):
+            raise ValueError(f"a ring has at most {MAX_KEYS} keys, each with an id of its own")
         for key in self.keys:
             try:
                 good = len(bytes.fromhex(key.id)) == ID and len(base64.b64decode(key.secret)) == KEY
@@ -66,22 +66,22 @@
             if not good:
                 raise ValueError(f"key {key.id[:16]!r} is no key")
 
-    def rotated(self, now_ms: int) -> Ring:
+    def rotated(self, now_ms: int) -> KeyRing:
         """With a new key that seals. The oldest retired ones go where there is no room."""
         made = Key(secrets.token_hex(ID), base64.b64encode(secrets.token_bytes(KEY)).decode(), now_ms)
         keys = (made, *self.keys)
-        while len(keys) > MOST_KEYS:
+        while len(keys) > MAX_KEYS:
             gone = next((k for k in reversed(keys) if k.state == "retired"), keys[-1])
             keys = tuple(k for k in keys if k is not gone)
-        return Ring(keys)
+        return KeyRing(keys)
 
-    def retired(self, key: str) -> Ring:
+    def retired(self, key: str) -> KeyRing:
         """Without what that key sealed. `ValueError` where it is not there, or is the one that seals."""
         if key not in {k.id for k in self.keys}:
             raise ValueError(f"there is no key {key}")
         if self.sealing is not None and self.sealing.id == key:
             raise ValueError(f"key {key} seals; rotate first")
-        return Ring(
+        return KeyRing(
             tuple(msgspec.structs.replace(k, state="retired") if k.id == key else k for k in self.keys)
         )
 
@@ -96,7 +96,7 @@
     return AESGCM(base64.b64decode(key.secret))
 
 
-def seal(ring: Ring, cluster: str, place: Place) -> str:
+def seal_token(ring: KeyRing, cluster: str, place: Place) -> str:
     """A token; `ValueError` where the ring has no key or the token would be too long."""
     key = ring.sealing
     if key is None:
@@ -110,35 +110,35 @@
     return made
 
 
-def opened(ring: Ring, cluster: str, token: str, now: float) -> Place:
-    """What a token proves at Unix time `now`; `BadToken` where it proves nothing."""
+def open_token(ring: KeyRing, cluster: str, token: str, now: float) -> Place:
+    """What a token proves at Unix time `now`; `TokenError` where it proves nothing."""
     from cryptography.exceptions import InvalidTag
 
     if len(token) > LONGEST:
-        raise BadToken("long: it has more characters than a token has")
+        raise TokenError("long: it has more characters than a token has")
     try:
         raw = base64.b64decode(token + "=" * (-len(token) % 4), altchars=b"-_", validate=True)
     except (ValueError, binascii.Error):
-        raise BadToken("malformed: it is no token") from None
+        raise TokenError("malformed: it is no token") from None
     if len(raw) < 1 + ID + NONCE + 16:
-        raise BadToken("malformed: it is cut")
+        raise TokenError("malformed: it is cut")
     if raw[0] != VERSION:
-        raise BadToken("version: it is of another version")
+        raise TokenError("version: it is of another version")
     head, nonce, body = raw[: 1 + ID], raw[1 + ID : 1 + ID + NONCE], raw[1 + ID + NONCE :]
     key = next((k for k in ring.keys if k.id == head[1:].hex()), None)
     if key is None:
-        raise BadToken("unknown_key: no key of this cluster sealed it")
+        raise TokenError("unknown_key: no key of this cluster sealed it")
     if key.state == "retired":
-        raise BadToken("retired_key: its key was retired")
+        raise TokenError("retired_key: its key was retired")
     try:
         plain = _cipher(key).decrypt(nonce, body, head + cluster.encode())  # type: ignore[attr-defined]
         place = msgspec.msgpack.decode(plain, type=Place)
     except (InvalidTag, msgspec.MsgspecError):
-        raise BadToken("forged: its seal is broken") from None
-    if place.until < now - SKEW:
-        raise BadToken("expired: its time is over")
-    if place.until > now + LIFE + SKEW:
-        raise BadToken("early: it was made by a clock that is ahead")
+        raise TokenError("forged: its seal is broken") from None
+    if place.until < now - MAX_CLOCK_SKEW_S:
+        raise TokenError("expired: its time is over")
+    if place.until > now + TOKEN_LIFETIME_S + MAX_CLOCK_SKEW_S:
+        raise TokenError("early: it was made by a clock that is ahead")
     return place
 
 
--- a/gradegap/resume/renew.py
+++ b/gradegap/resume/token_renewal.py
@@ -13,7 +13,7 @@
 S = TypeVar("S")
 
 
-class Renewals(Generic[S]):
+class TokenRenewals(Generic[S]):
     """Sessions by when they got their token, the oldest first. Each is looked at once in half a life."""
 
     def __init__(self, life: float) -> None:
@@ -33,7 +33,8 @@
 
     def due(self, now: float, key: str, most: int) -> list[S]:
         """At most `most` sessions whose token is past half its life, or of another key than `key`, which
-        seals now. What is not given one meanwhile is named again at the next call."""
+        seals now. What is not given one meanwhile is named again at the next call.
+        """
         found: list[S] = []
         for session, (at, sealed) in self.made.items():
             # Keys change one after the other, so tokens of an older one stand in front.
--- a/gradegap/resume/window.py
+++ b/gradegap/resume/window.py
@@ -7,14 +7,14 @@
 
 from __future__ import annotations
 
-from gradegap.resume.lines import Answer, BadLine, Request
+from gradegap.resume.lines import Answer, LineError, Request
 
-WINDOW = 64  # requests without an answer, and answers that are not acknowledged
-ANSWERS = 4 * WINDOW  # answers that a server holds for a client that acknowledges none
-ACK_EVERY = 16  # answers after which a client says what it has seen
+MAX_UNANSWERED = 64  # requests without an answer, and answers that are not acknowledged
+MAX_HELD_ANSWERS = 4 * MAX_UNANSWERED  # answers that a server holds for a client that acknowledges none
+ACKNOWLEDGE_EVERY = 16  # answers after which a client says what it has seen
 
 
-class Full(Exception):
+class WindowFullError(Exception):
     """The window is full: wait for an answer."""
 
 
@@ -28,27 +28,27 @@
         self.waiting: dict[int, Request] = {}
 
     def request(self, text: bytes) -> Request:
-        """The next request; `Full` where too many have no answer yet."""
-        if len(self.waiting) >= WINDOW:
-            raise Full
+        """The next request; `WindowFullError` where too many have no answer yet."""
+        if len(self.waiting) >= MAX_UNANSWERED:
+            raise WindowFullError
         self.last += 1
         made = self.waiting[self.last] = Request(self.last, text)
         return made
 
     def answer(self, answer: Answer) -> bool:
-        """Whether this answer is the final one to be delivered; one that was seen is none. `BadLine` where
+        """Whether this answer is the final one to be delivered; one that was seen is none. `LineError` where
         the other side breaks the order or answers what was not asked."""
         if answer.number <= self.seen:
             return False  # sent again, as nobody knew that it had come
         if answer.number != self.seen + 1 or answer.number not in self.waiting:
-            raise BadLine(f"order: answer {answer.number} after {self.seen}")
+            raise LineError(f"order: answer {answer.number} after {self.seen}")
         self.seen = answer.number
         del self.waiting[answer.number]
         return True
 
     def to_acknowledge(self) -> int | None:
         """Up to where the server is to be told now, if it is."""
-        if self.seen - self.told >= ACK_EVERY or (self.seen > self.told and not self.waiting):
+        if self.seen - self.told >= ACKNOWLEDGE_EVERY or (self.seen > self.told and not self.waiting):
             self.told = self.seen
             return self.seen
         return None
@@ -56,7 +56,7 @@
     def resume(self, executed: int) -> list[Request]:
         """What is to be sent again to a server at which requests up to `executed` have run."""
         if not self.seen <= executed <= self.last:
-            raise BadLine(
+            raise LineError(
                 f"position: the server is at {executed}, this client between {self.seen} and {self.last}"
             )
         return [r for n, r in sorted(self.waiting.items()) if n > executed]
@@ -78,16 +78,16 @@
     @property
     def full(self) -> bool:
         """Whether the client is not to be read on: its TCP holds it back."""
-        return len(self.waiting) >= WINDOW
+        return len(self.waiting) >= MAX_UNANSWERED
 
     def request(self, number: int, raw: bytes) -> bool:
-        """Whether it goes on to the server; one that passed before does not. `BadLine` for a gap."""
+        """Whether it goes on to the server; one that passed before does not. `LineError` for a gap."""
         if number <= self.last:
             return False
         if number != self.last + 1:
-            raise BadLine(f"order: request {number} after {self.last}")
+            raise LineError(f"order: request {number} after {self.last}")
         if self.full:
-            raise BadLine("window: more requests without an answer than were agreed on")
+            raise LineError("window: more requests without an answer than were agreed on")
         self.last = number
         self.waiting[number] = raw
         self.size += len(raw)
@@ -98,7 +98,7 @@
         if number <= self.answered:
             return False
         if number != self.answered + 1 or number > self.last:
-            raise BadLine(f"order: answer {number} after {self.answered}")
+            raise LineError(f"order: answer {number} after {self.answered}")
         self.answered = number
         held = self.waiting.pop(number, None)
         if held is not None:
@@ -108,7 +108,7 @@
     def acknowledge(self, seen: int) -> None:
         """The client's word. Guards against one that lies: it can't have seen what did not pass."""
         if not self.acked <= seen <= self.answered:
-            raise BadLine(
+            raise LineError(
                 f"position: the client says {seen}, between {self.acked} and {self.answered} passed"
             )
         self.acked = seen
@@ -117,7 +117,7 @@
         """The next server proved that requests up to `executed` ran: what is to be sent to it. Their
         answers, and no others, come from it of its own accord."""
         if not self.answered <= executed <= self.last:
-            raise BadLine(f"position: the server is at {executed}, {self.answered} to {self.last} passed")
+            raise LineError(f"position: the server is at {executed}, {self.answered} to {self.last} passed")
         return [raw for n, raw in sorted(self.waiting.items()) if n > executed]
 
 
@@ -133,13 +133,13 @@
         if request.number <= self.executed:
             held = self.answers.get(request.number)
             if held is None:
-                raise BadLine(f"position: request {request.number} was answered, and its answer seen")
+                raise LineError(f"position: request {request.number} was answered, and its answer seen")
             return Answer(request.number, held)
         if request.number != self.executed + 1:
-            raise BadLine(f"order: request {request.number} after {self.executed}")
-        if len(self.answers) >= ANSWERS:
+            raise LineError(f"order: request {request.number} after {self.executed}")
+        if len(self.answers) >= MAX_HELD_ANSWERS:
             # Guards memory against a client that acknowledges nothing.
-            raise BadLine("window: too many answers are not acknowledged")
+            raise LineError("window: too many answers are not acknowledged")
         return None
 
     def ran(self, number: int, text: bytes) -> Answer:
@@ -152,7 +152,7 @@
 
     def acknowledge(self, seen: int) -> None:
         if seen > self.executed:
-            raise BadLine(f"position: the client says {seen}, {self.executed} requests ran")
+            raise LineError(f"position: the client says {seen}, {self.executed} requests ran")
         for number in [n for n in self.answers if n <= seen]:
             del self.answers[number]
 
@@ -161,7 +161,7 @@
         on: a node that has passed an answer may die before the client has it, and only the client's own
         word (`acknowledge`) says that it has."""
         if seen > self.executed:
-            raise BadLine(f"position: the client says {seen}, {self.executed} requests ran")
+            raise LineError(f"position: the client says {seen}, {self.executed} requests ran")
         if seen < self.executed and seen + 1 not in self.answers:
-            raise BadLine(f"position: the answers after {seen} are acknowledged already")
+            raise LineError(f"position: the answers after {seen} are acknowledged already")
         return [Answer(n, text) for n, text in sorted(self.answers.items()) if n > seen]
--- a/tests/compatibility/present.py
+++ b/tests/compatibility/present.py
@@ -26,7 +26,7 @@
 from gradegap.quic import keys, relay, tokens
 from gradegap.quic import listener as front
 from gradegap.quic import settings as quic_settings
-from gradegap.resume import claims, token
+from gradegap.resume import reservations, token
 from gradegap.resume import settings as resume_settings
 from gradegap.store import in_force, records, schema, storage, wire
 from gradegap.store import settings as store_settings
@@ -180,7 +180,9 @@
         ),
         _own(known=hot_restart.EndpointState, ask=proxy_request.ConnectionRequest, handed=front.PortTransfer),
     )
-    | _in("resume", _own(place=token.Place, key=token.Key, ring=token.Ring, claim=claims.Claim))
+    | _in(
+        "resume", _own(place=token.Place, key=token.Key, ring=token.KeyRing, claim=reservations.Reservation)
+    )
     | _in(
         "quic",
         _one_of(tokens.RetryToken | tokens.NewToken, retry=tokens.RetryToken, new=tokens.NewToken),
--- a/tests/compatibility/readers.py
+++ b/tests/compatibility/readers.py
@@ -16,7 +16,7 @@
 from gradegap.capture import frames
 from gradegap.metrics import Metrics
 from gradegap.quic import ids, keys, tokens
-from gradegap.resume import claims, lines, token
+from gradegap.resume import lines, reservations, token
 from gradegap.store import machine, records, state_snapshot, storage, wire
 from gradegap.store.channel import LinkChannel
 from gradegap.store.disabled_endpoints import DisabledEndpointsFile
@@ -127,21 +127,21 @@
 
 def open_session_token(ring: dict[str, Any], cluster: str, sealed: str, now: float) -> Any:
     """What a token of a resumable session proves, plain."""
-    return plain(token.opened(msgspec.convert(ring, token.Ring), cluster, sealed, now))
+    return plain(token.open_token(msgspec.convert(ring, token.KeyRing), cluster, sealed, now))
 
 
 def refusal_of_session_token(ring: dict[str, Any], cluster: str, sealed: str, now: float) -> str:
     """The reason for which a token is refused; empty for one that is not."""
     try:
-        token.opened(msgspec.convert(ring, token.Ring), cluster, sealed, now)
-    except token.BadToken as error:
+        token.open_token(msgspec.convert(ring, token.KeyRing), cluster, sealed, now)
+    except token.TokenError as error:
         return str(error).partition(":")[0]
     return ""
 
 
 def kept_of_retry_secret(secret: str) -> str:
     """What a claim keeps of the secret by which a client shows that it is the same."""
-    return claims.digest_of(secret)
+    return reservations.secret_digest(secret)
 
 
 class Quic:
@@ -199,12 +199,12 @@
 
 def read_line(raw: bytes) -> Any:
     """A line of a resumable session, without its CRLF."""
-    return lines.read(raw)
+    return lines.decode(raw)
 
 
 def write_line(line: Any) -> bytes:
     """A line of a resumable session, with its CRLF."""
-    return lines.write(line)
+    return lines.encode(line)
 
 
 def read_node_snapshot(path: Path) -> dict[str, float]:
--- a/tests/resume_world.py
+++ b/tests/resume_world.py
@@ -94,11 +94,11 @@
             self.standing.append(sock)
             sock.sendall(f"UP {self.name} rs={window.executed}\r\n".encode())
             for answer in window.resume(int(values.get("rh", "0"))):
-                sock.sendall(lines.write(answer))
+                sock.sendall(lines.encode(answer))
             self._session(sock, file, session, int(epoch), window)
-        except lines.BadLine as error:
+        except lines.LineError as error:
             with contextlib.suppress(OSError):
-                sock.sendall(lines.write(lines.Over(str(error).split(":")[0])))
+                sock.sendall(lines.encode(lines.Over(str(error).split(":")[0])))
         except OSError:
             pass
         finally:
@@ -128,7 +128,7 @@
             self.frozen.wait()
             if self.dead:
                 return
-            line = lines.read(raw.rstrip(b"\r\n"))
+            line = lines.decode(raw.rstrip(b"\r\n"))
             if isinstance(line, Seen):
                 window.acknowledge(line.number)
                 good = self.store.write(session, epoch, window, None)
@@ -152,4 +152,4 @@
                 sock.sendall(b"X fenced\r\n")
                 return
             if answer is not None:
-                sock.sendall(lines.write(answer))
+                sock.sendall(lines.encode(answer))
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from gradegap.resume.token import RING, Place, Ring, seal
+from gradegap.resume.token import KEY_RING_KEY, KeyRing, Place, seal_token
 from tests.cluster import cluster
 
 
@@ -18,9 +18,9 @@
         assert c.cli("keys", "list", *node).stdout == "no keys\n"
         first = c.cli("keys", "rotate", *node).stdout.strip()
         with c.remote("n1") as r:
-            ring = msgspec.convert(r.value(RING), Ring)
+            ring = msgspec.convert(r.value(KEY_RING_KEY), KeyRing)
             place = Place("s" * 16, "7f3a", "live", "s-1", 4, 2, int(time.time()) + 60)
-            token = seal(ring, r.status()["cluster"], place)
+            token = seal_token(ring, r.status()["cluster"], place)
         second = c.cli("keys", "rotate", *node).stdout.strip()
         listed = c.cli("keys", "list", *node).stdout
         assert [line.split()[:2] for line in listed.splitlines()] == [[second, "seals"], [first, "in"]]
@@ -33,5 +33,5 @@
         retired = c.cli("token", "inspect", token, *node)
         assert retired.returncode == 1 and "retired_key" in retired.stderr and token not in retired.stderr
         assert c.cli("keys", "retire", "00000000", *node).returncode == 1
-        bad = c.cli("store", "set", RING, '{"keys": [{"id": "zz"}]}', *node)
+        bad = c.cli("store", "set", KEY_RING_KEY, '{"keys": [{"id": "zz"}]}', *node)
         assert bad.returncode == 1 and "invalid" in bad.stderr
--- a/tests/test_lint_rules.py
+++ b/tests/test_lint_rules.py
@@ -34,14 +34,13 @@
 gradegap/commands/store.py: D
 gradegap/downstream/framing.py: D
 gradegap/downstream/session.py: D
-gradegap/resume/claims.py: D N
-gradegap/resume/lines.py: N
-gradegap/resume/move.py: D
-gradegap/resume/part.py: D
-gradegap/resume/renew.py: D
-gradegap/resume/switch.py: D
-gradegap/resume/token.py: D N
-gradegap/resume/window.py: D N
+gradegap/resume/migration.py: D
+gradegap/resume/reservations.py: D
+gradegap/resume/resumption.py: D
+gradegap/resume/session_relay.py: D
+gradegap/resume/token.py: D
+gradegap/resume/token_renewal.py: D
+gradegap/resume/window.py: D
 """
 
 Exceptions = Mapping[str, frozenset[str]]  # by file: the families of rules that it does not keep
--- a/tests/test_observer_cluster.py
+++ b/tests/test_observer_cluster.py
@@ -13,7 +13,7 @@
 import msgspec
 import pytest
 
-from gradegap.resume.token import RING, Ring
+from gradegap.resume.token import KEY_RING_KEY, KeyRing
 from gradegap.store import wire
 from gradegap.store.records import KeyUpdate
 from tests.cluster import Cluster
@@ -309,7 +309,7 @@
     saves = SaveStore()
     fleet.backends = [ResumeBackend(name, saves) for name in "ab"]
     fleet.machines.start_all()
-    fleet.put(KeyUpdate(RING, msgspec.to_builtins(Ring().rotated(1))))
+    fleet.put(KeyUpdate(KEY_RING_KEY, msgspec.to_builtins(KeyRing().rotated(1))))
     for name in ("node1", "node2"):
         fleet.start(name, RESUME)
     for made in fleet.nodes.values():
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -14,7 +14,7 @@
 import pytest
 
 from gradegap.client import Session, SessionEndedError
-from gradegap.resume.token import RING, Ring
+from gradegap.resume.token import KEY_RING_KEY, KeyRing
 from gradegap.store.member_client import MemberClient
 from tests.resume_world import ResumeBackend, SaveStore
 from tests.test_quic import QuicClient, quic_world
@@ -117,7 +117,7 @@
 
     async def main(w: World) -> None:
         with MemberClient(f"127.0.0.1:{ports[0]}") as r:
-            r.set(RING, msgspec.to_builtins(Ring().rotated(1)))
+            r.set(KEY_RING_KEY, msgspec.to_builtins(KeyRing().rotated(1)))
         session = await Session.open([w.address], placement_timeout=20.0)
         assert await session.request(b"one") == b"done one"
         w.process.kill()
--- a/tests/test_resume_many.py
+++ b/tests/test_resume_many.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from gradegap.client import Session
-from gradegap.resume.token import RING, Ring
+from gradegap.resume.token import KEY_RING_KEY, KeyRing
 from gradegap.store.member_client import MemberClient
 from gradegap.verification.sessions import Record, from_node, violations
 from tests.resume_world import ResumeBackend, SaveStore
@@ -147,7 +147,7 @@
 
     nodes.start_all("[resume]\n")
     with MemberClient(nodes.direct["n1"], b"", 10.0) as r:
-        r.set(RING, msgspec.to_builtins(Ring().rotated(1)))
+        r.set(KEY_RING_KEY, msgspec.to_builtins(KeyRing().rotated(1)))
     asyncio.run(asyncio.wait_for(main(), 150.0))
 
 
--- a/tests/test_resume_nodes.py
+++ b/tests/test_resume_nodes.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from gradegap.client import Session
-from gradegap.resume.renew import Renewals
-from gradegap.resume.token import RING, Place, Ring, opened
+from gradegap.resume.token import KEY_RING_KEY, KeyRing, Place, open_token
+from gradegap.resume.token_renewal import TokenRenewals
 from gradegap.store.member_client import MemberClient
 from gradegap.verification.sessions import Record, from_node, violations
 from tests.resume_world import ResumeBackend, SaveStore
@@ -30,7 +30,7 @@
     nodes.backends = list(servers)
     nodes.start_all(ON)
     with MemberClient(nodes.direct["n1"], b"", 10.0) as r:
-        r.set(RING, msgspec.to_builtins(Ring().rotated(1)))
+        r.set(KEY_RING_KEY, msgspec.to_builtins(KeyRing().rotated(1)))
     return store, servers
 
 
@@ -192,24 +192,24 @@
     started(nodes)
     c, token = begun(nodes.node["n1"])
 
-    def rotate() -> Ring:
+    def rotate() -> KeyRing:
         with MemberClient(nodes.direct["n2"], b"", 10.0) as r:
-            item = r.get(RING)
+            item = r.get(KEY_RING_KEY)
             assert item is not None
-            ring = msgspec.convert(item.value, Ring)
-            r.set(RING, msgspec.to_builtins(ring.rotated(2)))
+            ring = msgspec.convert(item.value, KeyRing)
+            r.set(KEY_RING_KEY, msgspec.to_builtins(ring.rotated(2)))
             return ring
 
     old = rotate()
     told = c.line()
     assert told.startswith("T ") and told[2:] != token
     with MemberClient(nodes.direct["n1"]) as r:
-        item = r.get(RING)
+        item = r.get(KEY_RING_KEY)
         assert item is not None
-        ring, cluster = msgspec.convert(item.value, Ring), r.status()["cluster"]
+        ring, cluster = msgspec.convert(item.value, KeyRing), r.status()["cluster"]
         now = ring.retired(old.keys[0].id)
-        r.set(RING, msgspec.to_builtins(now))
-    place: Place = opened(now, cluster, told[2:], time.time())
+        r.set(KEY_RING_KEY, msgspec.to_builtins(now))
+    place: Place = open_token(now, cluster, told[2:], time.time())
     assert place.epoch == 1 and place.client == "7f3a"
     c.sock.close()
     wait_for(lambda: opening(nodes.node["n3"].client(), f",rh=0,rt={token}") == "X retired_key")
@@ -247,7 +247,7 @@
 
 
 def test_tokens_are_renewed_at_half_their_life_and_when_the_key_changes() -> None:
-    renewals: Renewals[str] = Renewals(600.0)
+    renewals: TokenRenewals[str] = TokenRenewals(600.0)
     for k in range(5):
         renewals.given(f"s{k}", float(k), "k1")
     assert renewals.due(300.0 - 0.5, "k1", 10) == []
--- a/tests/test_resume_parts.py
+++ b/tests/test_resume_parts.py
@@ -12,10 +12,35 @@
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule, run_state_machine_as_test
 
 from gradegap.resume import lines
-from gradegap.resume.claims import CLAIMS, RETRY, Claim, Claimed, LocalClaims, claim, digest_of
-from gradegap.resume.lines import Answer, BadLine, NewToken, Over, Request, Seen
-from gradegap.resume.token import LIFE, LONGEST, SKEW, BadToken, Place, Ring, digest, opened, seal
-from gradegap.resume.window import ANSWERS, WINDOW, ClientWindow, Full, NodeWindow, ServerWindow
+from gradegap.resume.lines import Answer, LineError, NewToken, Over, Request, Seen
+from gradegap.resume.reservations import (
+    RESERVATION_PREFIX,
+    RETURN_RETRY_S,
+    LocalReservations,
+    Reservation,
+    SessionClaimedError,
+    claim,
+    secret_digest,
+)
+from gradegap.resume.token import (
+    LONGEST,
+    MAX_CLOCK_SKEW_S,
+    TOKEN_LIFETIME_S,
+    KeyRing,
+    Place,
+    TokenError,
+    digest,
+    open_token,
+    seal_token,
+)
+from gradegap.resume.window import (
+    MAX_HELD_ANSWERS,
+    MAX_UNANSWERED,
+    ClientWindow,
+    NodeWindow,
+    ServerWindow,
+    WindowFullError,
+)
 from gradegap.store.machine import StateMachine
 from gradegap.store.records import Command, LogRecord, encode
 
@@ -35,7 +60,7 @@
 @settings(max_examples=200, deadline=None)
 @given(LINES)
 def test_lines_are_read_as_they_were_written(line: lines.Line) -> None:
-    assert lines.read(lines.write(line)[:-2]) == line
+    assert lines.decode(lines.encode(line)[:-2]) == line
 
 
 @pytest.mark.parametrize(
@@ -54,43 +79,45 @@
     ],
 )
 def test_lines_that_are_none_are_refused(raw: bytes, reason: str) -> None:
-    with pytest.raises(BadLine, match=f"^{reason}"):
-        lines.read(raw)
+    with pytest.raises(LineError, match=f"^{reason}"):
+        lines.decode(raw)
 
 
 def test_other_lines_are_not_the_extension_s() -> None:
-    assert [lines.read(raw) for raw in (b"LOAD 3.5", b"BYE", b"MOVE", b"", b"Quit")] == [None] * 5
+    assert [lines.decode(raw) for raw in (b"LOAD 3.5", b"BYE", b"MOVE", b"", b"Quit")] == [None] * 5
 
 
 # Windows
 
 
 def passes(node: NodeWindow, request: Request) -> bool:
-    return node.request(request.number, lines.write(request))
+    return node.request(request.number, lines.encode(request))
 
 
 def test_a_full_window_holds_its_client_back() -> None:
     client, node = ClientWindow(), NodeWindow()
-    for _ in range(WINDOW):
+    for _ in range(MAX_UNANSWERED):
         assert passes(node, client.request(b"x"))
-    with pytest.raises(Full):
+    with pytest.raises(WindowFullError):
         client.request(b"x")
-    assert node.full and node.size == sum(len(lines.write(Request(n, b"x"))) for n in range(1, WINDOW + 1))
-    with pytest.raises(BadLine, match="^window"):
-        passes(node, Request(WINDOW + 1, b"x"))
+    assert node.full and node.size == sum(
+        len(lines.encode(Request(n, b"x"))) for n in range(1, MAX_UNANSWERED + 1)
+    )
+    with pytest.raises(LineError, match="^window"):
+        passes(node, Request(MAX_UNANSWERED + 1, b"x"))
     assert node.answer(1) and client.answer(Answer(1, b"y"))
     assert passes(node, client.request(b"x"))
 
 
 def test_a_client_that_acknowledges_nothing_is_held_no_answers_for_without_end() -> None:
     server = ServerWindow()
-    for n in range(1, ANSWERS + 1):
+    for n in range(1, MAX_HELD_ANSWERS + 1):
         assert server.request(Request(n, b"")) is None
         server.ran(n, b"")
-    with pytest.raises(BadLine, match="^window"):
-        server.request(Request(ANSWERS + 1, b""))
+    with pytest.raises(LineError, match="^window"):
+        server.request(Request(MAX_HELD_ANSWERS + 1, b""))
     server.acknowledge(10)
-    assert server.request(Request(ANSWERS + 1, b"")) is None
+    assert server.request(Request(MAX_HELD_ANSWERS + 1, b"")) is None
 
 
 def test_whoever_lies_about_a_position_is_found_out() -> None:
@@ -113,14 +140,14 @@
         lambda: server.acknowledge(6),
         lambda: server.resume(6),
     ):
-        with pytest.raises(BadLine, match="^(position|order)"):
+        with pytest.raises(LineError, match="^(position|order)"):
             wrong()
     assert server.resume(3) == [Answer(4, b""), Answer(5, b"")]
     assert len(server.resume(1)) == 4  # a node's word lets nothing go
     server.acknowledge(3)  # the client's does
-    with pytest.raises(BadLine, match="^position"):
+    with pytest.raises(LineError, match="^position"):
         server.resume(1)
-    assert client.resume(4) == [Request(5, b"")] and node.switch(4) == [lines.write(Request(5, b""))]
+    assert client.resume(4) == [Request(5, b"")] and node.switch(4) == [lines.encode(Request(5, b""))]
 
 
 # Tokens
@@ -129,43 +156,45 @@
 
 
 def test_a_token_proves_what_was_sealed_until_its_key_is_retired() -> None:
-    ring = Ring().rotated(1)
-    token = seal(ring, "c", PLACE)
-    assert opened(ring, "c", token, 10_000 - LIFE) == PLACE and len(token) <= LONGEST
+    ring = KeyRing().rotated(1)
+    token = seal_token(ring, "c", PLACE)
+    assert open_token(ring, "c", token, 10_000 - TOKEN_LIFETIME_S) == PLACE and len(token) <= LONGEST
     newer = ring.rotated(2)
-    assert opened(newer, "c", token, 9_900) == PLACE  # rolled over while a client held it
+    assert open_token(newer, "c", token, 9_900) == PLACE  # rolled over while a client held it
     old = ring.keys[0].id
-    with pytest.raises(BadToken, match="^retired_key"):
-        opened(newer.retired(old), "c", token, 9_900)
+    with pytest.raises(TokenError, match="^retired_key"):
+        open_token(newer.retired(old), "c", token, 9_900)
     with pytest.raises(ValueError, match="seals"):
         ring.retired(old)
     with pytest.raises(ValueError, match="no key"):
         ring.retired("00000000")
-    assert PLACE.session not in token and digest(token) != digest(seal(ring, "c", PLACE))
+    assert PLACE.session not in token and digest(token) != digest(seal_token(ring, "c", PLACE))
     with pytest.raises(ValueError, match="characters"):
-        seal(ring, "c", Place("s" * 400, "c", "l", "s", 0, 0, 0))
+        seal_token(ring, "c", Place("s" * 400, "c", "l", "s", 0, 0, 0))
 
 
 @pytest.mark.parametrize(
     ("now", "cluster", "reason"),
     [
-        (10_001 + SKEW, "c", "expired"),
-        (9_999 - LIFE - SKEW, "c", "early"),
+        (10_001 + MAX_CLOCK_SKEW_S, "c", "expired"),
+        (9_999 - TOKEN_LIFETIME_S - MAX_CLOCK_SKEW_S, "c", "early"),
         (9_900, "other", "forged"),
     ],
 )
 def test_a_token_out_of_time_or_place_proves_nothing(now: float, cluster: str, reason: str) -> None:
-    ring = Ring().rotated(1)
-    with pytest.raises(BadToken, match=f"^{reason}"):
-        opened(ring, cluster, seal(ring, "c", PLACE), now)
-    assert opened(ring, "c", seal(ring, "c", PLACE), 10_000 + SKEW) == PLACE  # a clock that is behind
+    ring = KeyRing().rotated(1)
+    with pytest.raises(TokenError, match=f"^{reason}"):
+        open_token(ring, cluster, seal_token(ring, "c", PLACE), now)
+    assert (
+        open_token(ring, "c", seal_token(ring, "c", PLACE), 10_000 + MAX_CLOCK_SKEW_S) == PLACE
+    )  # a clock that is behind
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.data())
 def test_a_token_that_was_changed_proves_nothing(data: st.DataObject) -> None:
-    ring = Ring().rotated(1).rotated(2)
-    token = seal(ring, "c", PLACE)
+    ring = KeyRing().rotated(1).rotated(2)
+    token = seal_token(ring, "c", PLACE)
     raw = bytearray(base64.urlsafe_b64decode(token + "=" * (-len(token) % 4)))
     at = data.draw(st.integers(0, len(raw) - 1))
     how = data.draw(st.sampled_from(["flip", "cut", "noise"]))
@@ -176,20 +205,20 @@
         changed = token[: data.draw(st.integers(0, len(token) - 2))]
     else:
         changed = data.draw(st.text(max_size=500).filter(lambda x: x != token))
-    with pytest.raises(BadToken):
-        opened(ring, "c", changed, 9_900)
+    with pytest.raises(TokenError):
+        open_token(ring, "c", changed, 9_900)
 
 
 def test_a_ring_is_bounded_and_checked() -> None:
-    ring = Ring()
+    ring = KeyRing()
     for k in range(40):
         ring = ring.rotated(k)
     ring.check()
     assert len(ring.keys) == 16 and ring.sealing is not None and ring.sealing.made_ms == 39
     with pytest.raises(ValueError, match="an id of its own"):
-        Ring((ring.keys[0], ring.keys[0])).check()
+        KeyRing((ring.keys[0], ring.keys[0])).check()
     with pytest.raises(ValueError, match="no key that seals"):
-        seal(Ring(), "c", PLACE)
+        seal_token(KeyRing(), "c", PLACE)
 
 
 # Claims
@@ -201,7 +230,7 @@
     def write(node: str, place: Place, found_now: bool = True) -> bool:
         nonlocal index
         index += 1
-        _, compare, op = claim(place, node, machine.get(CLAIMS + place.session))
+        _, compare, op = claim(place, node, machine.get(RESERVATION_PREFIX + place.session))
         return commit(compare, op)
 
     def commit(compare: object, op: object) -> bool:
@@ -210,22 +239,22 @@
         body = Command(f"c{index}", 1, 99_000, "n", (compare,), (op,))  # type: ignore[arg-type]
         return machine.apply(index, encode(LogRecord(0, 0, body))).succeeded
 
-    first = [claim(PLACE, n, machine.get(CLAIMS + PLACE.session)) for n in ("n1", "n2")]
+    first = [claim(PLACE, n, machine.get(RESERVATION_PREFIX + PLACE.session)) for n in ("n1", "n2")]
     assert [commit(*each[1:]) for each in first] == [True, False]  # at the same moment
-    with pytest.raises(Claimed, match="^claimed"):
+    with pytest.raises(SessionClaimedError, match="^claimed"):
         write("n2", PLACE)  # a second later
     later = msgspec.structs.replace(PLACE, epoch=4)
-    second = [claim(later, n, machine.get(CLAIMS + PLACE.session)) for n in ("n1", "n2")]
+    second = [claim(later, n, machine.get(RESERVATION_PREFIX + PLACE.session)) for n in ("n1", "n2")]
     assert [commit(*each[1:]) for each in second] == [True, False]
-    held = msgspec.convert(machine.items[CLAIMS + PLACE.session].value, Claim)
+    held = msgspec.convert(machine.items[RESERVATION_PREFIX + PLACE.session].value, Reservation)
     assert (held.epoch, held.node, held.of) == (5, "n1", 4)
-    assert machine.items[CLAIMS + PLACE.session].expires_at_ms > LIFE * 1000
+    assert machine.items[RESERVATION_PREFIX + PLACE.session].expires_at_ms > TOKEN_LIFETIME_S * 1000
 
 
 def test_a_node_alone_takes_a_token_once() -> None:
-    claims = LocalClaims()
+    claims = LocalReservations()
     assert claims.claim(PLACE, 0.0) == 4
-    with pytest.raises(Claimed):
+    with pytest.raises(SessionClaimedError):
         claims.claim(PLACE, 1.0)
     for k in range(30_000):
         claims.claim(Place(f"s{k}", "c", "l", "s", 0, 0, 0), 2.0)
@@ -234,30 +263,34 @@
 
 def test_a_client_that_tries_again_is_known_by_its_secret_for_a_while() -> None:
     """Its node was killed, or no server took it, after its token was claimed and before it had another."""
-    mine, other = digest_of("ab" * 8), digest_of("cd" * 8)
-    claims = LocalClaims()
+    mine, other = secret_digest("ab" * 8), secret_digest("cd" * 8)
+    claims = LocalReservations()
     assert claims.claim(PLACE, 0.0, mine) == 4
     assert claims.claim(PLACE, 1.0, mine) == 5 and claims.claim(PLACE, 20.0, mine) == 6
     for by in ("", other):
-        with pytest.raises(Claimed):
+        with pytest.raises(SessionClaimedError):
             claims.claim(PLACE, 21.0, by)
-    with pytest.raises(Claimed):
-        claims.claim(PLACE, 20.0 + RETRY + SKEW + 1, mine)  # too late: it may be somebody who saw it pass
+    with pytest.raises(SessionClaimedError):
+        claims.claim(
+            PLACE, 20.0 + RETURN_RETRY_S + MAX_CLOCK_SKEW_S + 1, mine
+        )  # too late: it may be somebody who saw it pass
     # A node claimed the next life in place, with the secret of its session, and ended before it told of it.
-    moved = LocalClaims()
+    moved = LocalReservations()
     assert moved.claim(PLACE, 0.0, mine) == 4
-    with pytest.raises(Claimed):
+    with pytest.raises(SessionClaimedError):
         moved.claim(PLACE, 1.0, other)
     assert moved.claim(PLACE, 1.0, mine) == 5
-    with pytest.raises(Claimed):  # its client is back elsewhere: a node that still moves it takes nothing
+    with pytest.raises(
+        SessionClaimedError
+    ):  # its client is back elsewhere: a node that still moves it takes nothing
         moved.claim(PLACE, 2.0, mine, returns=False)
     latest = msgspec.structs.replace(PLACE, epoch=6)
     assert claims.claim(latest, 30.0) == 7  # in place, or at its next return
-    with pytest.raises(Claimed):
+    with pytest.raises(SessionClaimedError):
         claims.claim(PLACE, 31.0, mine)
     for bad in ("short", "xy" * 8, "ab" * 40, "AB" * 8):
         with pytest.raises(ValueError, match="^ra"):
-            digest_of(bad)
+            secret_digest(bad)
 
 
 # All of it, in every order that comes up
@@ -350,7 +383,7 @@
     def ask(self) -> None:
         try:
             made = self.client.request(b"r%d" % (self.client.last + 1))
-        except Full:
+        except WindowFullError:
             return
         if self.node is not None:
             self.up.append(made)
@@ -412,7 +445,7 @@
         self.epoch += 1
         self.line = Line(self.store, self.epoch, self.node.answered)
         for raw in self.node.switch(self.line.executed):
-            line = lines.read(raw.rstrip(b"\r\n"))
+            line = lines.decode(raw.rstrip(b"\r\n"))
             assert isinstance(line, Request)
             self.line.forth.append(line)
 
@@ -487,13 +520,13 @@
     """Planted: the node trusts that nothing ran."""
 
     def switch(self, executed: int) -> list[bytes]:
-        return [lines.write(Request(n + 10_000, raw)) for n, raw in sorted(self.waiting.items())]
+        return [lines.encode(Request(n + 10_000, raw)) for n, raw in sorted(self.waiting.items())]
 
 
 @pytest.mark.parametrize("planted", [NoFence, AnswersForgotten, SendsAllAgain])
 def test_interleavings_find_what_is_planted(planted: type) -> None:
     made = type("Planted", (Sessions,), {"saves" if issubclass(planted, SaveStore) else "windows": planted})
-    with pytest.raises((AssertionError, BadLine)):
+    with pytest.raises((AssertionError, LineError)):
         quick = settings(
             max_examples=400,
             stateful_step_count=60,
--- a/tests/test_resume_switch.py
+++ b/tests/test_resume_switch.py
@@ -9,8 +9,8 @@
 
 from gradegap.resume import lines
 from gradegap.resume.lines import Answer, Over, Request, Seen
-from gradegap.resume.switch import Out, Passing, State
-from gradegap.resume.window import WINDOW, ClientWindow, Full, ServerWindow
+from gradegap.resume.session_relay import RelayOutput, RelayState, SessionRelay
+from gradegap.resume.window import MAX_UNANSWERED, ClientWindow, ServerWindow, WindowFullError
 
 
 class Shared:
@@ -29,14 +29,14 @@
         self.window = ServerWindow(shared.executed, shared.answers)
         self.executed = shared.executed
         self.part = b""
-        self.out = b"".join(lines.write(a) for a in self.window.resume(seen))
+        self.out = b"".join(lines.encode(a) for a in self.window.resume(seen))
 
     def feed(self, data: bytes) -> None:
         *whole, self.part = (self.part + data).split(b"\n")
         for raw in whole:
             if self.epoch != self.shared.epoch:
                 return  # fenced
-            line = lines.read(raw.rstrip(b"\r"))
+            line = lines.decode(raw.rstrip(b"\r"))
             if isinstance(line, Seen):
                 self.window.acknowledge(line.number)
             elif isinstance(line, Request):
@@ -44,7 +44,7 @@
                 if answer is None:
                     self.shared.ran.append(line.text)
                     answer = self.window.ran(line.number, b"done " + line.text)
-                self.out += lines.write(answer)
+                self.out += lines.encode(answer)
             self.shared.executed = self.window.executed
             self.shared.answers = dict(self.window.answers)
 
@@ -54,7 +54,7 @@
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.shared, self.client, self.node = Shared(), ClientWindow(), Passing()
+        self.shared, self.client, self.node = Shared(), ClientWindow(), SessionRelay()
         self.epoch = 1
         self.server = Server(self.shared, 1, 0)
         self.left: list[tuple[Server, int]] = []  # servers that were left, and their line
@@ -64,7 +64,7 @@
         self.next: Server | None = None
         self.reads = True
 
-    def take(self, out: Out) -> None:
+    def take(self, out: RelayOutput) -> None:
         self.down += out.to_client
         self.to_server += out.to_server
         self.reads = out.read_client
@@ -77,8 +77,8 @@
     def step(self, calm: bool = False) -> None:
         what = self.rng.random()
         if what < 0.25 and not calm:
-            with contextlib.suppress(Full):
-                self.up += lines.write(self.client.request(b"r%d" % (self.client.last + 1)))
+            with contextlib.suppress(WindowFullError):
+                self.up += lines.encode(self.client.request(b"r%d" % (self.client.last + 1)))
         elif what < 0.45 and self.reads and self.up:
             data, self.up = self.cut(self.up)
             self.take(self.node.from_client(data))
@@ -97,15 +97,15 @@
     def read(self, data: bytes) -> None:
         *whole, self.part = (self.part + data).split(b"\n")
         for raw in whole:
-            line = lines.read(raw.rstrip(b"\r"))
+            line = lines.decode(raw.rstrip(b"\r"))
             assert isinstance(line, Answer), raw
             if self.client.answer(line):
                 self.got.append(line.text)
             if (seen := self.client.to_acknowledge()) is not None:
-                self.up += lines.write(Seen(seen))
+                self.up += lines.encode(Seen(seen))
 
     def trouble(self) -> None:
-        if self.node.state is State.PASSING:
+        if self.node.state is RelayState.PASSING:
             self.node.hold()
             return
         # The next server claims the session, and has what the old one did; what flies to the old is lost.
@@ -126,7 +126,7 @@
         world = World(seed)
         for _ in range(400):
             world.step()
-        if world.node.state is State.HELD:
+        if world.node.state is RelayState.HELD:
             world.take(world.node.release())
         for _ in range(20_000):
             world.step(calm=True)
@@ -138,13 +138,13 @@
 
 
 def test_a_client_is_not_read_on_while_its_window_is_full() -> None:
-    node = Passing()
-    many = b"".join(lines.write(Request(n, b"x")) for n in range(1, WINDOW + 3))
+    node = SessionRelay()
+    many = b"".join(lines.encode(Request(n, b"x")) for n in range(1, MAX_UNANSWERED + 3))
     out = node.from_client(many)
-    assert out.to_server.count(b"\n") == WINDOW and not out.read_client
-    out = node.from_server(lines.write(Answer(1, b"y")), 0)
-    assert out.to_server == lines.write(Request(WINDOW + 1, b"x")) and not out.read_client
-    out = node.from_server(lines.write(Answer(2, b"y")), 0)
+    assert out.to_server.count(b"\n") == MAX_UNANSWERED and not out.read_client
+    out = node.from_server(lines.encode(Answer(1, b"y")), 0)
+    assert out.to_server == lines.encode(Request(MAX_UNANSWERED + 1, b"x")) and not out.read_client
+    out = node.from_server(lines.encode(Answer(2, b"y")), 0)
     assert out.read_client
 
 
@@ -159,25 +159,25 @@
     ],
 )
 def test_a_client_that_breaks_the_rules_is_told_why_once(raw: bytes, reason: str) -> None:
-    node = Passing()
+    node = SessionRelay()
     out = node.from_client(raw)
     assert out.over == reason and out.to_client == b"X %b\r\n" % reason.encode() and not out.to_server
-    assert node.from_client(b"Q 1 x\r\n") == Out(read_client=False)
-    assert node.from_server(b"A 1 x\r\n", 0) == Out()
+    assert node.from_client(b"Q 1 x\r\n") == RelayOutput(read_client=False)
+    assert node.from_server(b"A 1 x\r\n", 0) == RelayOutput()
 
 
 def test_a_server_s_own_lines_pass_and_its_last_word_ends_it() -> None:
-    node = Passing()
+    node = SessionRelay()
     assert node.from_server(b"LOAD 3.5\r\nhello\r\n", 0).to_client == b"LOAD 3.5\r\nhello\r\n"
     assert node.from_server(b"A 5 never asked\r\n", 0).over == "order"
-    node = Passing()
-    out = node.from_server(lines.write(Over("fenced")), 0)
-    assert out.over == "fenced" and node.state is State.OVER
+    node = SessionRelay()
+    out = node.from_server(lines.encode(Over("fenced")), 0)
+    assert out.over == "fenced" and node.state is RelayState.OVER
 
 
 def test_a_server_that_has_lost_what_it_answered_is_not_gone_on_with() -> None:
-    node = Passing()
+    node = SessionRelay()
     node.from_client(b"Q 1 a\r\nQ 2 b\r\n")
     node.from_server(b"A 1 x\r\nA 2 ", 0)
     out = node.changed(0)
-    assert out.over == "position" and node.state is State.OVER
+    assert out.over == "position" and node.state is RelayState.OVER
