--- a/gradegap/__main__.py
+++ b/gradegap/__main__.py
@@ -1,3 +1,5 @@
+"""`python -m gradegap`: the command line, and one node where no argument is given."""
+
 import sys
 
 if len(sys.argv) == 1:
--- a/gradegap/cli.py
+++ b/gradegap/cli.py
@@ -1,20 +1,22 @@
-"""The command line."""
+"""The command line: `serve`, `check` and `version`, and the groups of `gradegap.commands`."""
 
 from __future__ import annotations
 
 import typer
 
+from gradegap import VERSION
 from gradegap.commands import capture as capture_commands
 from gradegap.commands import quic as quic_commands
 from gradegap.commands import replay as replay_commands
 from gradegap.commands import resume as resume_commands
 from gradegap.commands import store as store_commands
+from gradegap.node.configuration import Configuration
+from gradegap.node.operator_file import OperatorSettings
 from gradegap.node.process import configure_logging, load_all
 from gradegap.node.process import serve as run_serve
 
 app = typer.Typer(add_completion=False, help="gradegap places player connections on save servers.")
 
-
 app.add_typer(store_commands.store, name="store")
 app.add_typer(store_commands.config, name="config")
 app.add_typer(resume_commands.keys, name="keys")
@@ -25,43 +27,52 @@
 app.command("whatif")(replay_commands.whatif_command)
 app.command("explain")(replay_commands.explain_command)
 
-CONFIG = typer.Option(None, help="configuration file, instead of NODE_CONFIG")
-OPERATOR = typer.Option(None, help="operator's file, instead of GRADEGAP_OPERATOR; see deploy/operator.toml")
+CONFIGURATION_FILE = typer.Option(None, help="configuration file, instead of NODE_CONFIG")
+OPERATOR_FILE = typer.Option(
+    None, help="operator's file, instead of GRADEGAP_OPERATOR; see deploy/operator.toml"
+)
 
 
 @app.callback(invoke_without_command=True)
 def main(context: typer.Context) -> None:
-    """Serve, where no sub-command is named."""
+    """Serve, if no sub-command is named."""
     configure_logging()
     if context.invoked_subcommand is None:
         run_serve()
 
 
 @app.command()
-def serve(config: str | None = CONFIG, operator: str | None = OPERATOR) -> None:
+def serve(config: str | None = CONFIGURATION_FILE, operator: str | None = OPERATOR_FILE) -> None:
     """Run one node until SIGTERM; SIGHUP has it read its configuration again."""
     run_serve(config, operator)
 
 
 @app.command()
-def check(config: str | None = CONFIG, operator: str | None = OPERATOR) -> None:
+def check(config: str | None = CONFIGURATION_FILE, operator: str | None = OPERATOR_FILE) -> None:
     """Read a configuration, and say what a node would start with."""
-    loaded, extra = load_all(config, operator)
-    s = loaded.settings
-    typer.echo(f"name {loaded.node.name}, listen {loaded.node.listen}, discovery {loaded.node.discovery}")
-    typer.echo(f"classes {', '.join(s.classes)}; zone {s.zone or '-'}; {s.proxy_count} nodes")
-    typer.echo(f"QUIC front {extra.quic.listen if extra.quic else 'off'}")
-    if extra.observer is not None:
-        typer.echo(f"subscribes at {', '.join(machine.name for machine in extra.observer.machines)}")
+    for line in _summary(*load_all(config, operator)):
+        typer.echo(line)
+
+
+def _summary(configuration: Configuration, operator: OperatorSettings) -> list[str]:
+    node, settings = configuration.node, configuration.settings
+    quic = operator.quic.listen if operator.quic else "off"
+    discovery = f"DNS-SD {operator.dnssd.service}" if operator.dnssd else "HTTP"
+    if operator.observer is not None:
+        store = f"subscribes at {', '.join(machine.name for machine in operator.observer.machines)}"
     else:
-        typer.echo(f"store {extra.store.listen if extra.store else 'in memory, no peers'}")
-    typer.echo(f"director {'DNS-SD ' + extra.dnssd.service if extra.dnssd else 'HTTP'}")
-    typer.echo(f"{len(loaded.node.known_endpoints.servers)} backends known")
+        store = f"store {operator.store.listen if operator.store else 'in memory, no peers'}"
+    return [
+        f"name {node.name}, listen {node.listen}, discovery {node.discovery}",
+        f"classes {', '.join(settings.classes)}; zone {settings.zone or '-'}; {settings.proxy_count} nodes",
+        f"QUIC front {quic}",
+        store,
+        f"director {discovery}",
+        f"{len(node.known_endpoints.servers)} backends known",
+    ]
 
 
 @app.command()
 def version() -> None:
     """Print the version."""
-    from gradegap import VERSION
-
     typer.echo(f"gradegap {VERSION}")
