--- a/bench/capture.py
+++ b/bench/capture.py
@@ -108,7 +108,7 @@
     found: dict[str, Any] = {}
     for held in (100, 1000, 4000, 20_000):
         day = Day(2, 40)
-        for ident in range(1, held + 1):  # each named by its server, as after a handover
+        for ident in range(1, held + 1):  # each named by its server, as after a hot restart
             request = RequestArrived(ident, "live", day.now + 2.0, "", f"k{ident}", f"g{ident % 500}")
             day.feed(ConnectionInherited(request, f"s{ident % 40}"))
         times: list[tuple[float, float, float]] = []
--- a/gradegap/hot_restart/hot_restart.py
+++ b/gradegap/hot_restart/hot_restart.py
@@ -79,7 +79,7 @@
         except TimeoutError:
             received = False
         if not received:
-            self._host.metrics.count("handovers_failed")
+            self._host.metrics.count("hot_restarts_failed")
             log.warning("predecessor did not answer, starting alone")
             link.close()
         return received
@@ -98,7 +98,7 @@
             self._listener = SuccessorListener(self._loop, self._path, self._on_successor)
         except OSError as error:
             # Without it a successor starts alone, and this process shuts down as at any planned stop.
-            self._host.metrics.count("handovers_failed")
+            self._host.metrics.count("hot_restarts_failed")
             log.error("successors can't find this process", error=str(error))
 
     def _stop_listening(self) -> None:
--- a/gradegap/hot_restart/predecessor.py
+++ b/gradegap/hot_restart/predecessor.py
@@ -56,7 +56,7 @@
         listening_socket = host.listening_socket
         assert listening_socket is not None, "a process that listens is followed, and no other"
         self.state = PredecessorState.STATE_SENT
-        host.metrics.count("handovers_begun")
+        host.metrics.count("hot_restarts_begun")
         sealing_keys = host.resuming.handed() if host.resuming is not None else b""
         offer = Offer(dict(host.proxy.disabled), host.descriptors.own(), sealing_keys)
         link.send(offer, listening_socket.fileno())
@@ -71,7 +71,7 @@
         """The successor accepts clients: it gets the store's lease and the QUIC port, then the sessions."""
         host = self._host
         log.info("successor accepts clients", sessions=len(host.channels))
-        host.metrics.count("handovers")
+        host.metrics.count("hot_restarts")
         self.state = PredecessorState.HANDING_OVER
         host.stop_accepting()
         remaining_s = host.leave_store()
@@ -102,7 +102,7 @@
         self._transfer.take_back_all()
         if was is PredecessorState.HANDING_OVER and not self._host.is_leaving:
             log.warning("successor lost, serving again")
-            self._host.metrics.count("handovers_undone")
+            self._host.metrics.count("hot_restarts_undone")
             self._host.resume_service()
 
 
--- a/gradegap/hot_restart/session_adoption.py
+++ b/gradegap/hot_restart/session_adoption.py
@@ -45,7 +45,7 @@
     session.idle = message.pinged
     session.wait(message.first_line_timeout_s)
     host.upstream.dialer.adopt(_client_socket(client_descriptor), channel)
-    host.metrics.count("taken_over_door")
+    host.metrics.count("idle_sessions_adopted")
 
 
 def _adopt_established(
@@ -75,4 +75,4 @@
     # The endpoint's side first: whatever the client says then finds it there.
     dialer.adopt(endpoint, connection)
     dialer.adopt(client, channel)
-    host.metrics.count("taken_over_standing")
+    host.metrics.count("established_sessions_adopted")
--- a/gradegap/hot_restart/session_transfer.py
+++ b/gradegap/hot_restart/session_transfer.py
@@ -130,10 +130,10 @@
             return
         # Our descriptors only: the connections live on in the other process.
         if isinstance(passed, _EstablishedInFlight):
-            self._host.metrics.count("passed_on_standing")
+            self._host.metrics.count("established_sessions_passed")
             _abort(passed.connection)
         else:
-            self._host.metrics.count("passed_on_door")
+            self._host.metrics.count("idle_sessions_passed")
         _abort(passed.channel)
 
     def take_back_all(self) -> None:
@@ -144,7 +144,7 @@
 
     def _take_back(self, passed: _IdleInFlight | _EstablishedInFlight) -> None:
         """Guards against a successor that could not take a session, or died before it said so."""
-        self._host.metrics.count("taken_back")
+        self._host.metrics.count("sessions_taken_back")
         passed.channel.session.closed = False
         if isinstance(passed, _EstablishedInFlight):
             if not self._restore(passed):
--- a/gradegap/node/node.py
+++ b/gradegap/node/node.py
@@ -194,7 +194,7 @@
             self.lifecycle.become_ready()  # the predecessor's endpoint list is the one in force
         self.hot_restart.begin_serving()
         await self._start_added_parts(following)
-        log.info("listening", name=node.name, address=node.listen, following=following)
+        log.info("listening", part="clients", address=node.listen, name=node.name, following=following)
 
     def _use_known_endpoints(self, configuration: Configuration) -> None:
         """Serve by the configuration's endpoint list until discovery has one."""
@@ -214,7 +214,7 @@
             await self._admin_api.start(*split_address(address))
         except OSError as error:
             raise ConfigurationError(f"the admin API can't listen on {address}: {error.strerror}") from None
-        log.info("listening", admin=address)
+        log.info("listening", part="admin", address=address)
 
     async def _start_added_parts(self, following: bool) -> None:
         quic = self.operator.quic
--- a/gradegap/node/quic_part.py
+++ b/gradegap/node/quic_part.py
@@ -64,7 +64,7 @@
             await self._listener.listen(*split_address(settings.listen))
         except (OSError, ValueError) as error:
             raise ConfigurationError(f"the QUIC front can't start: {error}") from None
-        log.info("listening", quic=settings.listen)
+        log.info("listening", part="quic", address=settings.listen)
 
     def _create_listener(self, settings: QuicSettings) -> QuicListener:
         from gradegap.quic.listener import QuicListener
--- a/gradegap/node/shutdown.py
+++ b/gradegap/node/shutdown.py
@@ -57,7 +57,7 @@
         """Leave; only the first call has an effect."""
         if self._lifecycle.is_leaving:
             return
-        log.info("leaving", reqs=len(self._proxy.requests))
+        log.info("leaving", requests=len(self._proxy.requests))
         self._lifecycle.begin_leaving()
         killed_at_s = kill_time(self._proxy.settings)
         self._proxy.begin_shutdown(max(killed_at_s - MIGRATION_MARGIN_S, killed_at_s * MIGRATION_PART))
--- a/gradegap/observer/server.py
+++ b/gradegap/observer/server.py
@@ -67,7 +67,7 @@
         self.listener = await self.loop.create_server(
             lambda: SubscriberConnection(self), host, port, reuse_address=True, backlog=LISTEN_BACKLOG
         )
-        log.info("listening", publish=address)
+        log.info("listening", part="publisher", address=address)
 
     # Called by the member
 
--- a/gradegap/store/member.py
+++ b/gradegap/store/member.py
@@ -113,7 +113,9 @@
         if self.subscription_server is not None:
             await self.subscription_server.start()
         cluster = self.identity.cluster
-        log.info("listening", store=self.settings.listen, member=self.identity.id, cluster=cluster)
+        log.info(
+            "listening", part="store", address=self.settings.listen, member=self.identity.id, cluster=cluster
+        )
         if cluster:
             self.start_raft(self.stored.base)
         else:
--- a/tests/test_capture_index.py
+++ b/tests/test_capture_index.py
@@ -230,7 +230,7 @@
             assert c.ask().startswith("UP")
         with second(w, operator=after) as (n, new):
             wait_for(lambda: ready(new))
-            wait_for(lambda: int(n.counters().get("taken_over_standing", "0")) >= 6)
+            wait_for(lambda: int(n.counters().get("established_sessions_adopted", "0")) >= 6)
             w.process.terminate()
             assert w.process.wait(5) == 0
             for c in standing:
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -52,7 +52,7 @@
         wait_for(lambda: len(a.opens) + len(b.opens) > opens)
         with second(w) as (n, new):
             wait_for(lambda: ready(new))
-            wait_for(lambda: n.counters().get("taken_over_standing") == "30")
+            wait_for(lambda: n.counters().get("established_sessions_adopted") == "30")
             assert slow.line().startswith("BUSY")  # by the process that took it
             a.answer = b.answer = "UP {name}"
             standing[0].send(b"line\r\n")
@@ -87,12 +87,12 @@
         assert c.ask() == "UP a"
         with second(w) as (n, new):
             wait_for(lambda: ready(new))
-            wait_for(lambda: n.counters().get("taken_over_standing") == "1")
+            wait_for(lambda: n.counters().get("established_sessions_adopted") == "1")
             w.process.terminate()
             assert w.process.wait(5) == 0
             with second(n, tmp_path) as (m, console):
                 wait_for(lambda: ready(console))
-                wait_for(lambda: m.counters().get("taken_over_standing") == "1")
+                wait_for(lambda: m.counters().get("established_sessions_adopted") == "1")
                 n.process.terminate()
                 assert n.process.wait(5) == 0
                 c.send("here")
@@ -105,7 +105,7 @@
     with served(tmp_path, [a, b]) as (w, old):
         assert call(old, "save-servers/s-a/offline") == 200
         with second(w) as (n, new):
-            wait_for(lambda: w.counters().get("handovers") == "1")
+            wait_for(lambda: w.counters().get("hot_restarts") == "1")
             here = old if at_first else new
             assert {w.client().ask(f"c=live,d=900,g={k}") for k in range(8)} == {"UP b"}
             assert call(here, "save-servers/s-a/online") == 200
@@ -125,7 +125,7 @@
         assert c.ask() == "UP a"
         with second(w) as (n, new):
             if when == "after":
-                wait_for(lambda: w.counters().get("passed_on_standing") == "1")
+                wait_for(lambda: w.counters().get("established_sessions_passed") == "1")
             n.process.kill()
             n.process.wait()
             wait_for(lambda: w.ready() and w.client().ask() == "UP a")
@@ -144,7 +144,7 @@
         assert c.ask() == "UP a"
         with second(w) as (n, new):
             wait_for(lambda: ready(new))
-            wait_for(lambda: n.counters().get("taken_over_standing") == "1")
+            wait_for(lambda: n.counters().get("established_sessions_adopted") == "1")
             w.process.kill()
             w.process.wait()
             c.send("here")
@@ -162,7 +162,7 @@
         assert n.client().ask() == "UP a" and ready(console)
 
 
-def test_a_drain_is_kept_over_a_handover(tmp_path: Path) -> None:
+def test_a_drain_is_kept_over_a_hot_restart(tmp_path: Path) -> None:
     """The process that passes its sessions on keeps those of a server that leaves, and moves them itself."""
     a, b = Backend("a"), Backend("b")
     with served(tmp_path, [a]) as (w, old):
--- a/tests/test_hot_restart_steps.py
+++ b/tests/test_hot_restart_steps.py
@@ -1,4 +1,4 @@
-"""Each step of a hand-over forced: the test is the successor, and so says when each message is answered."""
+"""Each step of a hot restart forced: the test is the successor, and so says when each message is answered."""
 
 from __future__ import annotations
 
@@ -137,7 +137,7 @@
         successor.die()
         assert client.line() == "said in between"
         assert echoes(client, "after")
-        assert int(w.counters()["taken_back"]) >= (2 if how == "refused" else 1)
+        assert int(w.counters()["sessions_taken_back"]) >= (2 if how == "refused" else 1)
 
 
 def test_a_request_on_an_idle_connection_in_between_is_answered_once(tmp_path: Path) -> None:
@@ -174,7 +174,7 @@
         wait_for(lambda: w.counters()["open_sessions"] == "0")
 
 
-def test_an_answer_that_comes_after_the_hand_over_began_is_given_and_then_passed(tmp_path: Path) -> None:
+def test_an_answer_that_comes_after_the_hot_restart_began_is_given_and_then_passed(tmp_path: Path) -> None:
     a = Backend("a")
     a.hold.clear()
     with followed(tmp_path, [a]) as (w, _, successor):
@@ -182,7 +182,7 @@
         client.send("OPEN one 7f3a c=live,d=1500,g=1")
         wait_for(lambda: a.opens)
         successor.send(SuccessorReady())
-        wait_for(lambda: w.counters().get("handovers") == "1")
+        wait_for(lambda: w.counters().get("hot_restarts") == "1")
         a.hold.set()
         assert client.line() == "UP a"
         given = successor.until(EstablishedSession)
@@ -249,7 +249,7 @@
         assert [client.line(), client.line()] == ["BYE", ""]
 
 
-def test_a_message_that_can_not_be_read_ends_the_hand_over_and_keeps_the_sessions(tmp_path: Path) -> None:
+def test_a_message_that_can_not_be_read_ends_the_hot_restart_and_keeps_the_sessions(tmp_path: Path) -> None:
     with followed(tmp_path, [Backend("a")]) as (w, _, successor):
         client = w.client()
         stands(w, client)
@@ -257,5 +257,5 @@
         successor.until(EstablishedSession)
         successor.sock.send(b"\xc1 no message")
         assert echoes(client, "here")
-        wait_for(lambda: w.counters().get("handovers_undone") == "1")
+        wait_for(lambda: w.counters().get("hot_restarts_undone") == "1")
         assert w.client().ask() == "UP a"
--- a/tests/test_observer_cluster.py
+++ b/tests/test_observer_cluster.py
@@ -334,7 +334,7 @@
     console = f"127.0.0.1:{free_port()}"
     second = fleet.start("node1", place="second", listen=first.address, console=console)
     wait_for(lambda: " following" in second.log.read_text(), 15.0)
-    wait_for(lambda: second.counters().get("taken_over_standing") == "1", 15.0)
+    wait_for(lambda: second.counters().get("established_sessions_adopted") == "1", 15.0)
     # Clients that come at any moment of it are served, or told at once when to come again; never by a.
     said = set()
     end = time.monotonic() + 1.5
--- a/tests/test_quic.py
+++ b/tests/test_quic.py
@@ -349,7 +349,7 @@
             n.process.kill()
             n.process.wait()
             n.process.returncode = 0
-            wait_for(lambda: w.counters().get("handovers_undone") == "1")
+            wait_for(lambda: w.counters().get("hot_restarts_undone") == "1")
             old.send(b"still here\r\n")
             assert old.line() == "still here"
             assert QuicClient(port).ask() == "UP a"
--- a/tests/test_refused.py
+++ b/tests/test_refused.py
@@ -1,8 +1,8 @@
 """The node as the fleet bench starts it: fork, programs, io_uring, splice, sendfile and IPv6 refused.
 
 The refusals are made by `tests/refused.py`, a seccomp filter on the node's own process; nobody comes to its
-Unix sockets. The node must start, serve, be replaced by SIGTERM and end as usual, with its handover's socket
-and a capture asked for, which are the parts of it that could fork or wait on a Unix socket.
+Unix sockets. The node must start, serve, be replaced by SIGTERM and end as usual, with a socket for its
+hot restart and a capture asked for, which are the parts of it that could fork or wait on a Unix socket.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     # shows it, and whether a probe comes before the last client asks is the machine's speed.
     b = Backend("a", load="x0=0.0,inflight=0")
     capture = f'[capture]\nfolder = "{tmp_path / "capture"}"\nstate_s = 1.0\n'
-    env = {"TMPDIR": str(tmp_path)}  # the handover's socket is made, and nobody comes to it
+    env = {"TMPDIR": str(tmp_path)}  # the hot restart's socket is made, and nobody comes to it
     with world(tmp_path, [b], capture, env, launcher=LAUNCHER) as w:
         clients = [w.client() for _ in range(450)]  # more than a state walked in place: one would be forked
         assert {c.ask() for c in clients} == {"UP a"}
--- a/tests/test_store_node.py
+++ b/tests/test_store_node.py
@@ -293,7 +293,7 @@
     console = f"127.0.0.1:{free_port()}"
     second = nodes.start(leader, place="second", listen=first.address, console=console)
     wait_for(lambda: " following" in second.log.read_text(), 15.0)
-    wait_for(lambda: second.counters().get("taken_over_standing") == "1", 15.0)
+    wait_for(lambda: second.counters().get("established_sessions_adopted") == "1", 15.0)
     # Clients that come at any moment of it are served, or told at once when to come again; never by a.
     said = set()
     end = time.monotonic() + 1.5
