--- a/gradegap/capture/description.py
+++ b/gradegap/capture/description.py
@@ -41,7 +41,7 @@
             lines.append(_request_line(requests[name], now))
     ready = len(BALANCER.get(balancer, "ready_endpoints"))
     rate = BALANCER.owner(balancer, "established_rate.slow").get(now)
-    lines.append(f"{ready} ready, {rate:.2f} connections a second stood up here")
+    lines.append(f"{ready} ready, {rate:.2f} connections a second established here")
     return lines
 
 
@@ -52,7 +52,8 @@
     age = f", seen {now - changed_at:.3f} s ago" if changed_at > 0 else ""
     return (
         f"{held['name']}: {held['phase'].name.lower()}, load {load}{age}, {len(held['connections'])} held, "
-        f"{held['consecutive_failures']} failed in a row, {held['unanswered_probes']} silent"
+        f"{held['consecutive_failures']} failed in a row, "
+        f"{held['unanswered_probes']} health checks unanswered"
     )
 
 
@@ -61,6 +62,6 @@
     pair = " and ".join(ENDPOINT.get(each, "name") for each in held["candidates"] or ()) or "none"
     left = held["deadline_at"] - now
     return (
-        f"req {held['id']}: {held['class'].name}, {held['attempts']} attempts, {left:.3f} s left, "
+        f"request {held['id']}: {held['class'].name}, {held['attempts']} attempts, {left:.3f} s left, "
         f"pair {pair}, {held['redraws']} redraws"
     )
--- a/gradegap/capture/errors.py
+++ b/gradegap/capture/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with a recording, or with what is asked of it."""
+"""What can be wrong with a recording, or with what is to be done with it."""
 
 from __future__ import annotations
 
--- a/gradegap/capture/evaluation.py
+++ b/gradegap/capture/evaluation.py
@@ -94,7 +94,7 @@
         for request_id, request in self.requests.items():
             if not request.answered and request.deadline_at + LATENESS_S < self.now:
                 self._violation(
-                    f"req {request_id} has no answer, and its client gave up at {request.deadline_at:.3f}"
+                    f"request {request_id} has no answer, and its client gave up at {request.deadline_at:.3f}"
                 )
         if len(self.waits) > 1:
             percentiles = statistics.quantiles(self.waits, n=100, method="inclusive")
@@ -174,9 +174,9 @@
         if request is None:
             return  # from before the recording
         if request.attempt_at:
-            self._violation(f"req {action.request_id} has an attempt out and is sent again")
+            self._violation(f"request {action.request_id} has an attempt in flight and is forwarded again")
         if request.answered:
-            self._violation(f"req {action.request_id} is sent after its answer")
+            self._violation(f"request {action.request_id} is forwarded after its answer")
         request.attempt_at = action.endpoint
         since = self.unavailable_since.get(action.endpoint)
         request.late_by = self.now - since - self.settings.drain_grace if since is not None else -1.0
@@ -185,9 +185,8 @@
     def _check_grace(self, request_id: int, request: _Request) -> None:
         """The rule for an attempt that the proxy let go out. Later than a drain's grace it lets none."""
         if request.late_by > 0:
-            self._violation(
-                f"req {request_id} went to {request.attempt_at} {request.late_by:.3f} s after its grace"
-            )
+            late = f"{request.late_by:.3f} s after its grace"
+            self._violation(f"request {request_id} was forwarded to {request.attempt_at} {late}")
 
     def _connection_established(self, event: ConnectionEstablished) -> None:
         request = self.requests.get(event.request_id)
@@ -195,10 +194,12 @@
             return
         self._check_grace(event.request_id, request)
         if request.answered:
-            self._violation(f"req {event.request_id} stands after its answer")
+            self._violation(f"request {event.request_id} is established after its answer")
         late = self.now - request.deadline_at
         if late > LATENESS_S:
-            self._violation(f"req {event.request_id} stands {late:.3f} s after its client gave up")
+            self._violation(
+                f"request {event.request_id} is established {late:.3f} s after its client gave up"
+            )
         request.answered, request.established_at, request.attempt_at = True, event.endpoint, ""
         self.figures.established += 1
         self.waits.append(self.now - request.arrived_at)
@@ -238,11 +239,11 @@
         if request is None:
             return
         if request.answered:
-            self._violation(f"req {action.request_id} has two answers")
+            self._violation(f"request {action.request_id} has two answers")
             return
         late = self.now - request.deadline_at
         if late > LATENESS_S:
-            self._violation(f"req {action.request_id} is answered {late:.3f} s after its client gave up")
+            self._violation(f"request {action.request_id} is answered {late:.3f} s after its client gave up")
         request.answered = True
         if isinstance(action, Reject):
             self.figures.rejected += 1
--- a/gradegap/capture/settings.py
+++ b/gradegap/capture/settings.py
@@ -8,7 +8,7 @@
 
 
 class CaptureSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """The `[capture]` table: a record of what the module is told and does, in a ring of files."""
+    """The `[capture]` table: recordings of the balancer's events and actions, in a ring of files."""
 
     folder: str
     on: bool = True  # from the start; `config/capture` of the store, or SIGUSR2, turns it on and off
--- a/gradegap/commands/capture.py
+++ b/gradegap/commands/capture.py
@@ -15,9 +15,9 @@
 from gradegap.capture.frames import Damage, Frame, FrameKind
 from gradegap.commands.recordings import FILE, load_module, read_recording, stop, write_new
 
-capture = typer.Typer(help="Files of what the module was told and did.", no_args_is_help=True)
+capture = typer.Typer(help="Recordings of events and actions of the balancer.", no_args_is_help=True)
 
-FILES = typer.Argument(..., help="captures of several nodes")
+FILES = typer.Argument(..., help="recordings of several nodes")
 SHIFT = typer.Option([], "--shift", help="seconds that a file's clock is behind, one for each file")
 KEY = typer.Option(..., "--key", help="a file with the key of the hash")
 KINDS = typer.Option([], "--kind", help="kinds of events: Request, Outcome, ...")
@@ -27,7 +27,7 @@
 
 @capture.command()
 def info(file: str = FILE, json: bool = typer.Option(False, "--json")) -> None:
-    """What a capture holds, and what of it is damaged or missing."""
+    """What a recording holds, and what of it is damaged or missing."""
     found = _summary(read_recording(file))
     if json:
         typer.echo(msgspec.json.encode(found).decode())
@@ -78,7 +78,7 @@
     since: float = typer.Option(-1e18, "--from", help="clock, or seconds from the beginning where below 1e6"),
     until: float = typer.Option(1e18, "--to", help="the same"),
 ) -> None:
-    """A part of a capture that can be replayed by itself: from the state before `--from` to `--to`."""
+    """A part of a recording that can be replayed by itself: from the state before `--from` to `--to`."""
     data = read_recording(file)
     base = next((frame.first_at for frame in _sound(data)), 0.0)
     since = since + base if abs(since) < CLOCKS_FROM else since
@@ -110,9 +110,9 @@
     file: str = FILE,
     kind: list[str] = KINDS,
     server: str = typer.Option("", "--server"),
-    req: int = typer.Option(-1, "--req"),
+    request_id: int = typer.Option(-1, "--req"),
 ) -> None:
-    """Steps as JSON lines: of some kinds, about one server or req. They explain; they can't be replayed."""
+    """Steps as JSON lines: of some kinds, about one server or request. They can't be replayed."""
     if unknown := set(kind) - records.EVENTS.keys():
         raise stop(f"there is no kind {sorted(unknown)[0]}; there are {', '.join(sorted(records.EVENTS))}")
 
@@ -121,7 +121,7 @@
         return (
             (not kind or records.stored_name(step.event) in kind)
             and (not server or server in about)
-            and (req < 0 or req in about)
+            and (request_id < 0 or request_id in about)
         )
 
     _print_steps(file, wanted)
@@ -131,7 +131,7 @@
 def plot(
     file: str = FILE, out: str = typer.Option(..., "--out", help="the picture to write: .png, .svg, .pdf")
 ) -> None:
-    """Reqs, draws, answers, connections and loads over time, as a picture (`pip install gradegap[plot]`)."""
+    """Requests, attempts, answers, connections and loads over time, as a picture (gradegap[plot])."""
     from gradegap.capture.plot import draw
 
     data = read_recording(file)
@@ -168,7 +168,7 @@
 
 @capture.command("redact")
 def redact_command(file: str = FILE, out: str = OUT, key: str = KEY) -> None:
-    """The same capture with a keyed hash for each id that names a player; says whether it still replays."""
+    """The same recording with a keyed hash for each id that names a player; says whether it still replays."""
     from gradegap.capture.redaction import IdHasher, redact
 
     try:
--- a/gradegap/commands/recordings.py
+++ b/gradegap/commands/recordings.py
@@ -13,7 +13,7 @@
 
 USAGE_STATUS = 2  # exit status where a file, a module or an argument can't be used
 
-FILE = typer.Argument(..., help="a capture")
+FILE = typer.Argument(..., help="a recording")
 MODULE = typer.Option(
     None, "--module", help="a file with another Balancer, or a folder: a changed copy of gradegap/balancing"
 )
--- a/gradegap/commands/replay.py
+++ b/gradegap/commands/replay.py
@@ -21,13 +21,14 @@
 from gradegap.capture.simulation import WhatIfResult
 from gradegap.commands.recordings import FILE, MODULE, load_module, read_recording, stop
 
+REQUEST = typer.Argument(..., metavar="REQ", help="the id of a request")
 SET = typer.Option([], "--set", help="a setting in the place of the recorded one: name=value")
 
 
 def replay_command(
     file: str = FILE,
     module: str | None = MODULE,
-    against: str | None = typer.Option(None, "--against", help="another capture of the same events"),
+    against: str | None = typer.Option(None, "--against", help="another recording of the same events"),
     since: float = typer.Option(-1e18, "--from", help="clock of the state to begin at, at the latest"),
     until_differs: bool = typer.Option(True, help="stop at the first decision that differs"),
     pace: float = typer.Option(0.0, min=0.0, help="1: as fast as it was, 2: twice so; 0: as fast as it goes"),
@@ -80,7 +81,7 @@
 
 
 def _report_lines(report: replay.Report) -> Iterator[str]:
-    yield f"{report.steps} steps, {report.states} states held against the record, {report.digest}"
+    yield f"{report.steps} steps, {report.states} states compared with the recorded ones, {report.digest}"
     for gap in report.gaps:
         yield f"gap: {gap}"
     if report.state_differs:
@@ -93,7 +94,7 @@
         yield from (f"  {line}" for line in difference.state)
         for preceding in difference.preceding:
             yield f"  before: {preceding.at:.6f} {in_one_line(preceding.event)}"
-        yield "  what follows in the record is no evidence for this module: its outcomes are another's"
+        yield "  what follows in the recording proves nothing for this module: its outcomes are another's"
 
 
 def _compare(file: str, other: str) -> None:
@@ -104,7 +105,7 @@
         typer.echo(f"gap: {gap}")
     if found.first is not None:
         first = found.first[0]
-        what = "is told otherwise" if found.events_differ else "decides otherwise"
+        what = "has another event" if found.events_differ else "decides otherwise"
         typer.echo(f"step {first.number} at {first.at:.6f} {what}")
         for path, step in zip((file, other), found.first, strict=True):
             typer.echo(f"  {path}: {in_one_line(step.event)} -> {all_in_one_line(step.actions)}")
@@ -112,22 +113,22 @@
         raise typer.Exit(1)
 
 
-def explain_command(file: str = FILE, req: int = typer.Argument(...)) -> None:
-    """Why a req went where it went."""
-    part = index.seek(read_recording(file), request_id=req)
+def explain_command(file: str = FILE, request_id: int = REQUEST) -> None:
+    """Why a request was placed where it was."""
+    part = index.seek(read_recording(file), request_id=request_id)
     try:
-        lines = list(explain(recording.read(part), load_module(None), req)) if part else []
+        lines = list(explain(recording.read(part), load_module(None), request_id)) if part else []
     except (BadRecordingError, BadStateError, BadRecordError) as error:
         raise stop(error) from None
     if not lines:
-        raise stop(f"req {req} is not in this capture", 1)
+        raise stop(f"request {request_id} is not in this recording", 1)
     typer.echo("\n".join(lines))
 
 
 def whatif_command(
     file: str = FILE,
     module: str | None = MODULE,
-    wishes: list[str] = SET,
+    assignments: list[str] = SET,
     json: bool = typer.Option(False, "--json"),
 ) -> None:
     """The same day under another module or other settings.
@@ -137,7 +138,7 @@
     from gradegap.capture.whatif import whatif
 
     try:
-        result = whatif(recording.read(read_recording(file)), load_module(module), wishes)
+        result = whatif(recording.read(read_recording(file)), load_module(module), assignments)
     except (BadRecordingError, BadWhatIfError, BadRecordError) as error:
         raise stop(error) from None
     if json:
@@ -154,11 +155,11 @@
         recorded, played = getattr(result.recorded, field.name), getattr(result.played, field.name)
         yield f"{field.encode_name:12} {round(recorded, 4):>10} recorded {round(played, 4):>10} played"
     answers = ", ".join(f"{result.answers[k]} {k}" for k in ("near", "far", "modelled"))
-    yield f"what servers said: {answers}"
+    yield f"answers of endpoints: {answers}"
     if (other := result.first_other) is not None:
         place = f"{other.request_id} at {other.at:.3f}, {other.recorded} and now {other.played}"
-        yield f"the first req that is placed otherwise: {place}"
+        yield f"the first request that is placed otherwise: {place}"
     if result.observed_until is not None:
-        yield f"from {result.observed_until:.3f} on the record alone is no evidence of what follows"
+        yield f"from {result.observed_until:.3f} on the recording alone is no proof of what follows"
     yield from (f"gap, at which it ends: {gap}" for gap in result.gaps)
     yield from (f"a rule is broken at {violation}" for violation in result.violations)
--- a/tests/test_capture_days.py
+++ b/tests/test_capture_days.py
@@ -173,7 +173,7 @@
     evaluation.observe(4.2, TimerFired("x"), [Fail(3), Forward(3, "a", 0.2)])
     evaluation.finish()
     told = " ".join(evaluation.violations)
-    for word in ("an attempt out", "two answers", "after its grace", "after its answer", "no answer"):
+    for word in ("an attempt in flight", "two answers", "after its grace", "after its answer", "no answer"):
         assert word in told, evaluation.violations
 
 
@@ -207,6 +207,6 @@
     done = said("--json")
     assert done.returncode == 0, done.stderr
     assert msgspec.json.decode(done.stdout)["played"]["violations"] == 0
-    assert "what servers said" in said("--set", "max_attempts=2").stdout
+    assert "answers of endpoints" in said("--set", "max_attempts=2").stdout
     wrong = said("--set", "nonsense=1")
     assert wrong.returncode == 2 and wrong.stderr.count("\n") == 1
