--- a/bench/scale/subscription.py
+++ b/bench/scale/subscription.py
@@ -7,8 +7,8 @@
 from gradegap.observer import traffic as traffic_counts
 from gradegap.observer.messages import Change
 from gradegap.observer.observed_store import ObservedStore
-from gradegap.observer.settings import ObserverMachine, ObserverSettings
 from gradegap.observer.subscriber import Phase
+from gradegap.store.subscription_settings import ObserverMachine, ObserverSettings
 
 
 class ForwardedTraffic(traffic_counts.Traffic):
--- a/gradegap/node/committed_configuration.py
+++ b/gradegap/node/committed_configuration.py
@@ -17,11 +17,11 @@
 from gradegap.metrics import Metrics
 from gradegap.node.operator_file import OperatorSettings
 from gradegap.node.subscriptions import subscription_server_factory
-from gradegap.observer.settings import ObserverSettings
 from gradegap.proxy.proxy import Proxy
 from gradegap.setting_checks import read_secret
 from gradegap.store.dynamic_configuration import DynamicConfiguration
 from gradegap.store.settings import StoreSettings
+from gradegap.store.subscription_settings import ObserverSettings
 
 if TYPE_CHECKING:
     from gradegap.observer.observed_store import ObservedStore
--- a/gradegap/node/operator_file.py
+++ b/gradegap/node/operator_file.py
@@ -13,10 +13,10 @@
 from gradegap.capture.settings import CaptureSettings
 from gradegap.discovery.settings import DnsSdSettings
 from gradegap.errors import OperatorFileError
-from gradegap.observer.settings import ObserverSettings
 from gradegap.quic.settings import QuicSettings
 from gradegap.resume.settings import ResumeSettings
 from gradegap.store.settings import StoreSettings, check_store_table_form
+from gradegap.store.subscription_settings import ObserverSettings
 
 
 class TraceSettings(msgspec.Struct, forbid_unknown_fields=True):
--- a/gradegap/observer/client.py
+++ b/gradegap/observer/client.py
@@ -21,7 +21,6 @@
 from gradegap.observer.messages import Change, CloseCode, Renew
 from gradegap.observer.publisher_connection import PublisherConnection
 from gradegap.observer.selection import MachineAddress
-from gradegap.observer.settings import ObserverSettings
 from gradegap.observer.store_requests import ResponseCallback, StoreRequests
 from gradegap.observer.subscriber import (
     Apply,
@@ -37,6 +36,7 @@
 from gradegap.observer.traffic import Traffic
 from gradegap.setting_checks import read_secret
 from gradegap.store import wire
+from gradegap.store.subscription_settings import ObserverSettings
 from gradegap.transport.addresses import split_address
 
 log = structlog.get_logger()
--- a/gradegap/observer/observed_store.py
+++ b/gradegap/observer/observed_store.py
@@ -16,7 +16,6 @@
 from gradegap.metrics import Metrics
 from gradegap.observer.client import ObserverClient
 from gradegap.observer.messages import Change
-from gradegap.observer.settings import ObserverSettings
 from gradegap.proxy.proxy import Proxy
 from gradegap.store import wire
 from gradegap.store.committed_state import (
@@ -28,6 +27,7 @@
 from gradegap.store.dynamic_configuration import DynamicConfiguration
 from gradegap.store.endpoint_operations import EndpointOperations, report_lease_change
 from gradegap.store.records import Item
+from gradegap.store.subscription_settings import ObserverSettings
 
 log = structlog.get_logger()
 
--- a/tests/compatibility/present.py
+++ b/tests/compatibility/present.py
@@ -21,7 +21,6 @@
 from gradegap.node import configuration, operator_file
 from gradegap.observer import messages as subscription
 from gradegap.observer import selection
-from gradegap.observer import settings as observer_settings
 from gradegap.proxy import request as proxy_request
 from gradegap.quic import keys, relay, tokens
 from gradegap.quic import listener as front
@@ -30,6 +29,7 @@
 from gradegap.resume import settings as resume_settings
 from gradegap.store import in_force, records, schema, storage, wire
 from gradegap.store import settings as store_settings
+from gradegap.store import subscription_settings as observer_settings
 from gradegap.verification import sessions as checked_sessions
 
 
--- a/tests/test_observer_server.py
+++ b/tests/test_observer_server.py
@@ -40,7 +40,6 @@
 )
 from gradegap.observer.selection import MachineAddress
 from gradegap.observer.server import PublisherServer
-from gradegap.observer.settings import ObserverMachine, ObserverSettings
 from gradegap.observer.subscriber import Phase, Subscriber
 from gradegap.observer.subscriber_connection import HIGH_WATER_BYTES
 from gradegap.observer.token_bucket import TokenBucket
@@ -51,6 +50,7 @@
 from gradegap.store.member import StoreMember
 from gradegap.store.records import KeyUpdate
 from gradegap.store.settings import Peer, StoreSettings
+from gradegap.store.subscription_settings import ObserverMachine, ObserverSettings
 from gradegap.transport.addresses import split_address
 from tests.world import ROOT, SETTINGS, free_port
 
