--- a/gradegap/cli.py
+++ b/gradegap/cli.py
@@ -6,6 +6,7 @@
 
 from gradegap import VERSION
 from gradegap.commands import capture as capture_commands
+from gradegap.commands import config as config_commands
 from gradegap.commands import quic as quic_commands
 from gradegap.commands import replay as replay_commands
 from gradegap.commands import resume as resume_commands
@@ -18,7 +19,7 @@
 app = typer.Typer(add_completion=False, help="gradegap places player connections on save servers.")
 
 app.add_typer(store_commands.store, name="store")
-app.add_typer(store_commands.config, name="config")
+app.add_typer(config_commands.config, name="config")
 app.add_typer(resume_commands.keys, name="keys")
 app.add_typer(resume_commands.token, name="token")
 app.add_typer(capture_commands.capture, name="capture")
--- a/gradegap/commands/quic.py
+++ b/gradegap/commands/quic.py
@@ -2,11 +2,10 @@
 
 from __future__ import annotations
 
-import sys
-
-import msgspec
 import typer
 
+from gradegap.commands.base import ExitCode, failure, to_json
+
 conformance = typer.Typer(help="Holds a running server to its protocol.", no_args_is_help=True)
 
 
@@ -27,15 +26,13 @@
         from conformance.quic.cases import CASES, Target
         from conformance.quic.suite import counted, line, run
     except ModuleNotFoundError as error:
-        sys.stderr.write(f"gradegap: the suite is not installed: {error}\n")
-        raise typer.Exit(2) from None
+        raise failure(f"the suite is not installed: {error}", ExitCode.BAD_CALL) from None
     host, _, port = address.rpartition(":")
     chosen = [c for c in CASES if c.section.startswith(section)]
     if not host or not port.isdecimal() or not chosen:
         what = f"{address!r} is no address" if chosen else f"there is no section {section!r}"
-        sys.stderr.write(f"gradegap: {what}\n")
-        raise typer.Exit(2)
+        raise failure(what, ExitCode.BAD_CALL)
     found = run(Target((host, int(port)), alpn), chosen, lambda r: None if json else typer.echo(line(r)))
-    typer.echo(msgspec.json.encode(found).decode() if json else counted(found))
+    typer.echo(to_json(found) if json else counted(found))
     if any(r.outcome == "fail" for r in found):
-        raise typer.Exit(1)
+        raise typer.Exit(ExitCode.NO)
--- a/gradegap/commands/resume.py
+++ b/gradegap/commands/resume.py
@@ -1,4 +1,7 @@
-"""`gradegap keys` and `gradegap token`: the ring that seals tokens, and what a token holds."""
+"""`gradegap keys` and `gradegap token`: the rings of keys that nodes share, and what a token holds.
+
+Exit codes: `base.ExitCode`.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 import msgspec
 import typer
 
-from gradegap.commands.store import JSON, NODE, SECRET, WAIT, author, remote, say, stop
+from gradegap.commands.base import ExitCode, Output, author, failure, member_command
 from gradegap.quic.keys import RING_KEY as QUIC_RING
 from gradegap.quic.keys import QuicRing
 from gradegap.resume.token import KEY_RING_KEY, KeyRing, TokenError, digest, open_token
@@ -21,118 +24,109 @@
 token = typer.Typer(help="Tokens of sessions.", no_args_is_help=True)
 
 
-class Which(StrEnum):
+class RingName(StrEnum):
     """A ring of the store."""
 
     RESUME = "resume"  # seals tokens of sessions
     QUIC = "quic"  # makes QUIC's ids, resets and address tokens
 
 
-RING_OF = typer.Option(Which.RESUME, "--ring", help="which ring")
-KINDS: dict[Which, tuple[str, type[KeyRing] | type[QuicRing]]] = {
-    Which.RESUME: (KEY_RING_KEY, KeyRing),
-    Which.QUIC: (QUIC_RING, QuicRing),
+RING_NAME = typer.Option(RingName.RESUME, "--ring", help="which ring")
+RINGS: dict[RingName, tuple[str, type[KeyRing] | type[QuicRing]]] = {
+    RingName.RESUME: (KEY_RING_KEY, KeyRing),
+    RingName.QUIC: (QUIC_RING, QuicRing),
 }
+"""The key of each ring in the store, and its type."""
 
 
-def read(r: MemberClient, which: Which = Which.RESUME) -> tuple[KeyRing | QuicRing, Item | None]:
-    key, kind = KINDS[which]
-    item = r.get(key)
+def read_ring(
+    member: MemberClient, name: RingName = RingName.RESUME
+) -> tuple[KeyRing | QuicRing, Item | None]:
+    """A ring, and the key that it was read from; an empty one and None where it is not there."""
+    key, kind = RINGS[name]
+    item = member.get(key)
     if item is None:
         return kind(), None
     try:
         ring = msgspec.convert(item.value, kind)
         ring.check()
     except ValueError as error:
-        raise stop(f"{key} can't be read: {error}", 1) from None
+        raise failure(f"{key} can't be read: {error}", ExitCode.NO) from None
     return ring, item
 
 
-def write(r: MemberClient, which: Which, ring: KeyRing | QuicRing, old: Item | None) -> int:
-    """Only over the ring that was read: of two who rotate at once, one is told."""
-    key = KINDS[which][0]
-    op = KeyUpdate(key, msgspec.to_builtins(ring))
-    answer = r.request(
-        Transaction((op,), (Compare(key, old.modified_revision if old is not None else 0),), author=author())
-    )
-    if not answer.succeeded:
-        raise stop("somebody changed the ring at this moment; nothing was done", 1)
-    return answer.revision
+def write_ring(member: MemberClient, name: RingName, ring: KeyRing | QuicRing, old: Item | None) -> int:
+    """Write a ring only over the one that was read: of two who rotate at once, one is told."""
+    key = RINGS[name][0]
+    update = KeyUpdate(key, msgspec.to_builtins(ring))
+    unchanged = Compare(key, old.modified_revision if old is not None else 0)
+    response = member.request(Transaction((update,), (unchanged,), author=author()))
+    if not response.succeeded:
+        raise failure("somebody changed the ring at this moment; nothing was done", ExitCode.NO)
+    return response.revision
 
 
-def shown(ring: KeyRing | QuicRing) -> list[dict[str, Any]]:
-    """Never the secrets. Newest first."""
+def describe_ring(ring: KeyRing | QuicRing) -> list[dict[str, Any]]:
+    """Its keys as they are printed, newest first; never the secrets."""
     if isinstance(ring, QuicRing):
         newest = ring.keys[-1] if ring.keys else None
         return [
-            {"id": str(k.bits), "made_ms": k.made_ms, "state": "makes" if k == newest else "reads"}
-            for k in reversed(ring.keys)
+            {"id": str(key.bits), "made_ms": key.made_ms, "state": "makes" if key == newest else "reads"}
+            for key in reversed(ring.keys)
         ]
     sealing = ring.sealing
     return [
-        {"id": k.id, "made_ms": k.made_ms, "state": "seals" if k == sealing else k.state} for k in ring.keys
+        {"id": key.id, "made_ms": key.made_ms, "state": "seals" if key == sealing else key.state}
+        for key in ring.keys
     ]
 
 
-@keys.command("list")
-def keys_list(
-    ring: Which = RING_OF, node: str = NODE, json: bool = JSON, wait: float = WAIT, secret: str = SECRET
-) -> None:
+@member_command(keys, "list")
+def keys_list(member: MemberClient, output: Output, ring: RingName = RING_NAME) -> None:
     """Print a ring, newest first, without its secrets."""
-    with remote(node, secret, wait) as r:
-        found, _ = read(r, ring)
-    rows = shown(found)
-    say(rows, json, "\n".join(f"{k['id']} {k['state']} made_ms={k['made_ms']}" for k in rows) or "no keys")
+    found, _ = read_ring(member, ring)
+    rows = describe_ring(found)
+    plain = "\n".join(f"{row['id']} {row['state']} made_ms={row['made_ms']}" for row in rows)
+    output.write(rows, plain or "no keys")
 
 
-@keys.command("rotate")
-def keys_rotate(
-    ring: Which = RING_OF, node: str = NODE, json: bool = JSON, wait: float = WAIT, secret: str = SECRET
-) -> None:
+@member_command(keys, "rotate")
+def keys_rotate(member: MemberClient, output: Output, ring: RingName = RING_NAME) -> None:
     """Use a new key from now on; what clients hold of the others is still taken."""
-    with remote(node, secret, wait) as r:
-        found, old = read(r, ring)
-        found = found.rotated(time.time_ns() // 1_000_000)
-        write(r, ring, found, old)
-    made = str(found.keys[-1].bits) if isinstance(found, QuicRing) else found.keys[0].id
-    say({"id": made}, json, made)
-
-
-@keys.command("retire")
-def keys_retire(
-    key: str,
-    ring: Which = RING_OF,
-    node: str = NODE,
-    json: bool = JSON,
-    wait: float = WAIT,
-    secret: str = SECRET,
-) -> None:
+    found, old = read_ring(member, ring)
+    rotated = found.rotated(time.time_ns() // 1_000_000)
+    write_ring(member, ring, rotated, old)
+    new_id = str(rotated.keys[-1].bits) if isinstance(rotated, QuicRing) else rotated.keys[0].id
+    output.write({"id": new_id}, new_id)
+
+
+@member_command(keys, "retire")
+def keys_retire(member: MemberClient, output: Output, key: str, ring: RingName = RING_NAME) -> None:
     """Take nothing any more that a key has made. The one in use can't be retired: rotate first."""
-    with remote(node, secret, wait) as r:
-        found, old = read(r, ring)
-        try:
-            if isinstance(found, QuicRing):
-                found = found.retired(int(key) if key.isdecimal() else -1)
-            else:
-                found = found.retired(key)
-        except ValueError as error:
-            raise stop(str(error), 1) from None
-        write(r, ring, found, old)
-    say({"id": key, "state": "retired"}, json, f"{key} retired")
-
-
-@token.command("inspect")
-def token_inspect(
-    text: str, node: str = NODE, json: bool = JSON, wait: float = WAIT, secret: str = SECRET
-) -> None:
+    found, old = read_ring(member, ring)
+    try:
+        retired = _retire(found, key)
+    except ValueError as error:
+        raise failure(str(error), ExitCode.NO) from None
+    write_ring(member, ring, retired, old)
+    output.write({"id": key, "state": "retired"}, f"{key} retired")
+
+
+def _retire(ring: KeyRing | QuicRing, key: str) -> KeyRing | QuicRing:
+    if isinstance(ring, QuicRing):
+        return ring.retired(int(key) if key.isdecimal() else -1)
+    return ring.retired(key)
+
+
+@member_command(token, "inspect")
+def token_inspect(member: MemberClient, output: Output, text: str) -> None:
     """Say what a token proves, by the ring of a running cluster; exits 1 where it proves nothing."""
-    with remote(node, secret, wait) as r:
-        ring, _ = read(r)
-        assert isinstance(ring, KeyRing)
-        cluster = str(r.status()["cluster"])
+    ring, _ = read_ring(member)
+    assert isinstance(ring, KeyRing)
+    cluster = str(member.status()["cluster"])
     try:
         place = open_token(ring, cluster, text, time.time())
     except TokenError as error:
-        raise stop(f"token {digest(text)}: {error}", 1) from None
+        raise failure(f"token {digest(text)}: {error}", ExitCode.NO) from None
     found = msgspec.structs.asdict(place) | {"digest": digest(text)}
-    say(found, json, "\n".join(f"{k} {v}" for k, v in found.items()))
+    output.write(found, "\n".join(f"{name} {value}" for name, value in found.items()))
--- a/gradegap/commands/store_server.py
+++ b/gradegap/commands/store_server.py
@@ -18,7 +18,7 @@
 
 log = structlog.get_logger()
 
-HAND_OVER_WAIT_S = 0.6  # s that a leader which ends waits for its successor
+HAND_OVER_WAIT_S = 0.6  # that a leader which ends waits for its successor
 
 
 def serve(operator: OperatorSettings) -> None:
@@ -39,7 +39,7 @@
             if not done.done():
                 done.set_result(error)
 
-        daemon = StoreMember(
+        member = StoreMember(
             settings,
             secret,
             data_folder(settings),
@@ -50,7 +50,7 @@
         )
 
         def stop() -> None:
-            loop.call_later(HAND_OVER_WAIT_S if daemon.hand_over() else 0.0, end)
+            loop.call_later(HAND_OVER_WAIT_S if member.hand_over() else 0.0, end)
 
         def print_counters() -> None:
             log.info("counters", **metrics.snapshot())
@@ -59,14 +59,14 @@
         loop.add_signal_handler(signal.SIGINT, stop)
         loop.add_signal_handler(signal.SIGUSR1, print_counters)
         try:
-            await daemon.start()
+            await member.start()
         except OSError as error:
-            daemon.close()
+            member.close()
             raise OperatorFileError(
                 f"store.listen: can't listen on {settings.listen}: {error.strerror}"
             ) from None
         failed = await done
-        daemon.close()
+        member.close()
         print_counters()
         if failed is not None:
             raise failed
