--- a/gradegap/downstream/framing.py
+++ b/gradegap/downstream/framing.py
@@ -18,7 +18,7 @@
 class Opening:
     """A client's first line: what it asks for, and the bytes as they came, before and after its wait."""
 
-    ask: ConnectionRequest
+    request: ConnectionRequest
     before: bytes
     after: bytes
 
--- a/gradegap/downstream/session.py
+++ b/gradegap/downstream/session.py
@@ -266,7 +266,7 @@
                     raise InvalidLineError("more than a first line")
                 if self.resuming is not None and self.resuming.begin(self, line, opening):
                     return
-                self.req = self.proxy.open_request(self, opening.ask)
+                self.req = self.proxy.open_request(self, opening.request)
             except (InvalidLineError, InvalidRequestError) as error:
                 self._bad(str(error))
                 return
@@ -280,7 +280,7 @@
             return
         self.opening = opening
         try:
-            self.req = self.proxy.open_request(self, opening.ask)
+            self.req = self.proxy.open_request(self, opening.request)
         except InvalidRequestError as error:
             self._bad(str(error))
             return
--- a/gradegap/proxy/adoption.py
+++ b/gradegap/proxy/adoption.py
@@ -32,18 +32,22 @@
         self,
         handlers: RequestHandlers,
         session: SessionPort,
-        asked: ConnectionRequest,
+        connection_request: ConnectionRequest,
         endpoint_name: str,
         last_response_at: float,
         unanswered_since: float | None,
     ) -> Request | None:
         """The request of a connection that is established already; None where it can't be taken over."""
         endpoint = self.endpoints.by_id.get(endpoint_name)
-        if endpoint is None or endpoint.phase is EndpointPhase.REMOVED or self.requests.is_open(asked):
+        if (
+            endpoint is None
+            or endpoint.phase is EndpointPhase.REMOVED
+            or self.requests.is_open(connection_request)
+        ):
             return None
         now = self.context.now()
         request = Request(
-            handlers, self.requests.next_id, asked, session, now, state=RequestState.ESTABLISHED
+            handlers, self.requests.next_id, connection_request, session, now, state=RequestState.ESTABLISHED
         )
         request.last_response_at = min(last_response_at, now)
         request.unanswered_since = unanswered_since
--- a/gradegap/proxy/endpoint.py
+++ b/gradegap/proxy/endpoint.py
@@ -22,7 +22,7 @@
     address: str = ""
     phase: EndpointPhase = EndpointPhase.REMOVED  # as the balancer knows it
     started_at: float = 0.0  # Unix time
-    entry: EndpointEntry | None = None  # the last that discovery said, whatever an operator laid over that
+    entry: EndpointEntry | None = None  # the last from discovery, whatever an operator laid over it
     drain_notified_at: float = NEVER  # when this node learned that it drains or is removed
     report: Mapping[str, float] | None = None  # its last load report, and when that came
     report_at: float = NEVER
--- a/gradegap/proxy/endpoints.py
+++ b/gradegap/proxy/endpoints.py
@@ -87,7 +87,7 @@
     def disable(self, name: str, at: float | None = None) -> bool:
         """Send nothing more to this endpoint until it is enabled; whether there is such an endpoint.
 
-        `at` says when it was disabled, by a process before this one.
+        `at` is when it was disabled, by a process before this one.
         """
         if at is not None and name not in self.by_id:
             # Guards against a disabled endpoint that is not in the list now: it must not come back enabled.
--- a/gradegap/proxy/health_checks.py
+++ b/gradegap/proxy/health_checks.py
@@ -33,7 +33,7 @@
         if endpoint is None or not self.endpoints.within_drain_grace(endpoint):
             # An endpoint that drains past its grace gets nothing new, health checks included. Guards against
             # that being taken for its silence, on which the balancer would migrate all its connections at
-            # once: FULL says nothing.
+            # once: FULL tells the balancer nothing.
             self.context.loop.call_soon(done, AttemptResult.FULL, None)
         else:
             timeout = self.latency.late(HEALTH_CHECK_TIMEOUT_S, HEALTH_CHECK_TIMEOUT_MAX_S)
--- a/gradegap/proxy/lifecycle.py
+++ b/gradegap/proxy/lifecycle.py
@@ -36,12 +36,14 @@
         self.attempts = attempts
         self.inherited = inherited
 
-    def open(self, handlers: RequestHandlers, session: SessionPort, asked: ConnectionRequest) -> Request:
+    def open(
+        self, handlers: RequestHandlers, session: SessionPort, connection_request: ConnectionRequest
+    ) -> Request:
         """A client session's request; raises `InvalidRequestError`."""
-        request, wait = self.requests.open(handlers, session, asked)
+        request, wait = self.requests.open(handlers, session, connection_request)
         # Guards against a balancer that never answers: the answer is given here, still within the slack.
         request.deadline_timer = self.context.loop.call_later(max(0.0, wait), self.on_deadline, request)
-        if asked.inherited_from:
+        if connection_request.inherited_from:
             self.inherited.connect(request)
         elif not self.requests.reject_if_gated(request):
             self.context.feed(request.arrival())
@@ -80,7 +82,7 @@
             self.requests.drop(request)
 
     def _feed_disconnect(self, request: Request) -> None:
-        """The balancer has never heard of an inherited connection that is not established."""
+        """The balancer doesn't know an inherited connection that is not established."""
         if not request.connection_request.inherited_from:
             self.context.feed(ClientDisconnected(request.id))
 
@@ -112,7 +114,7 @@
             self.migrate(request)
 
     def migrate(self, request: Request) -> None:
-        """End an established connection politely: its session tells the client between two lines."""
+        """End an established connection politely: its session sends the client away between two lines."""
         attempt = request.attempt
         if request.state is RequestState.ESTABLISHED and attempt is not None:
             request.transition(RequestState.MIGRATING)
--- a/gradegap/proxy/observations.py
+++ b/gradegap/proxy/observations.py
@@ -50,7 +50,7 @@
             self._observe(request, endpoint, delay=excess)
 
     def on_load(self, attempt: Attempt, value: float) -> None:
-        """The endpoint said what load this connection makes."""
+        """The endpoint reported what load this connection makes."""
         self._observe(attempt.request, attempt.endpoint, load=value)
 
     def _observe(
--- a/gradegap/proxy/proxy.py
+++ b/gradegap/proxy/proxy.py
@@ -136,21 +136,21 @@
         """Ask `gate` before decisions: None if one may be made now, else the s until a client may retry."""
         self._requests.admission_gate = gate
 
-    def open_request(self, session: SessionPort, asked: ConnectionRequest) -> Request:
+    def open_request(self, session: SessionPort, connection_request: ConnectionRequest) -> Request:
         """Take a client session's request; raises `InvalidRequestError`."""
-        return self._lifecycle.open(self._handlers, session, asked)
+        return self._lifecycle.open(self._handlers, session, connection_request)
 
     def adopt_connection(
         self,
         session: SessionPort,
-        asked: ConnectionRequest,
+        connection_request: ConnectionRequest,
         endpoint_name: str,
         last_response_at: float,
         unanswered_since: float | None,
     ) -> Request | None:
         """Take over a connection that another process of this node established; None where it can't be."""
         return self._adoption.adopt(
-            self._handlers, session, asked, endpoint_name, last_response_at, unanswered_since
+            self._handlers, session, connection_request, endpoint_name, last_response_at, unanswered_since
         )
 
     def release_connection(self, request: Request) -> None:
--- a/gradegap/proxy/request.py
+++ b/gradegap/proxy/request.py
@@ -50,13 +50,13 @@
         """An endpoint confirmed the connection: what the client sends goes there."""
 
     def reject(self, after: float) -> None:
-        """Answer that nothing was done, and when to come again, in s; 0: not said."""
+        """Answer that nothing was done, and when to come again, in s; 0: not given."""
 
     def fail(self) -> None:
         """Answer that promises nothing."""
 
     def migrate(self) -> None:
-        """Tell the client of an established connection to come again, between two lines."""
+        """Have the client of an established connection come again; sent between two lines."""
 
     def on_endpoint_closed(self) -> None:
         """The endpoint's side of an established connection has ended."""
@@ -82,7 +82,7 @@
 
     PENDING = "pending"  # has no final answer yet
     ESTABLISHED = "established"  # answered: an endpoint confirmed its connection
-    MIGRATING = "migrating"  # established, and its client is being told to come again
+    MIGRATING = "migrating"  # established, and its client has been sent away
     ENDED = "ended"  # rejected, failed or disconnected, or its connection has ended
 
 
@@ -151,18 +151,18 @@
 
     def arrival(self) -> RequestArrived:
         """The request as an event of the balancer."""
-        asked = self.connection_request
+        fields = self.connection_request
         return RequestArrived(
             self.id,
-            asked.class_name,
+            fields.class_name,
             self.deadline,
-            asked.tenant,
-            asked.key,
-            asked.group,
-            asked.load,
-            asked.retry,
+            fields.tenant,
+            fields.key,
+            fields.group,
+            fields.load,
+            fields.retry,
             False,
-            asked.reconnect,
+            fields.reconnect,
         )
 
     def on_disconnect(self) -> None:
--- a/gradegap/proxy/requests.py
+++ b/gradegap/proxy/requests.py
@@ -32,26 +32,28 @@
         self.admission_gate: Callable[[], float | None] | None = None
 
     def open(
-        self, handlers: RequestHandlers, session: SessionPort, asked: ConnectionRequest
+        self, handlers: RequestHandlers, session: SessionPort, connection_request: ConnectionRequest
     ) -> tuple[Request, float]:
         """Enter a request, with the time in s that it may take; raises `InvalidRequestError`."""
         context = self.context
-        traffic_class = context.settings.classes.get(asked.class_name)
+        traffic_class = context.settings.classes.get(connection_request.class_name)
         if traffic_class is None:
             raise InvalidRequestError("unknown class")
-        if self.is_open(asked):
+        if self.is_open(connection_request):
             # Guards against two connections under one id, of which an endpoint could serve but one.
             raise InvalidRequestError("the id of another client's request")
         context.metrics.count("taken")
-        wait = traffic_class.time_limit if asked.wait is None else asked.wait
+        wait = traffic_class.time_limit if connection_request.wait is None else connection_request.wait
         deadline = context.now() + wait
-        request = Request(handlers, self.next_id, asked, session, deadline, context.settings.max_attempts)
+        request = Request(
+            handlers, self.next_id, connection_request, session, deadline, context.settings.max_attempts
+        )
         self.enter(request)
         return request, wait
 
-    def is_open(self, asked: ConnectionRequest) -> bool:
+    def is_open(self, connection_request: ConnectionRequest) -> bool:
         """Whether a request under the same connection id is open."""
-        return asked.id in self.connection_ids
+        return connection_request.id in self.connection_ids
 
     def enter(self, request: Request) -> None:
         """Add a request that has the next id."""
--- a/gradegap/resume/migration.py
+++ b/gradegap/resume/migration.py
@@ -62,7 +62,7 @@
             self.stop()
             return
         try:
-            self.req = self.proxy.open_request(self, self.opening.ask)
+            self.req = self.proxy.open_request(self, self.opening.request)
         except InvalidRequestError as error:
             log.warning("a session could not be moved in place", reason=str(error))
             self.give_up("unfit")
--- a/gradegap/resume/resumption.py
+++ b/gradegap/resume/resumption.py
@@ -178,7 +178,9 @@
             if ring.sealing is None or seen != "0":
                 self.metrics.count("resume_not_offered")
                 return False  # plain lines, as the server does without the node's word
-            made = SessionOffer(secrets.token_hex(8), 1, 0, opening.ask.key, opening.ask.class_name, by)
+            made = SessionOffer(
+                secrets.token_hex(8), 1, 0, opening.request.key, opening.request.class_name, by
+            )
             self._go_on(session, head, values, made, 0.0)
             return True
         session.opening = opening
@@ -190,7 +192,7 @@
             return True
         try:
             place = open_token(ring, self.cluster(), token, time.time())
-            if place.client != opening.ask.key or place.cls != opening.ask.class_name:
+            if place.client != opening.request.key or place.cls != opening.request.class_name:
                 raise TokenError("stranger: it is another client's or class's")
             if not seen.isdecimal() or not place.position <= int(seen) < MOST:
                 raise TokenError("position: the client was further when it got its token")
@@ -215,9 +217,9 @@
             values["rh"] = str(offer.seen)
         line = f"{head} {','.join(f'{k}={v}' for k, v in values.items())}\r\n"
         opening = parse_opening(line.encode())
-        if spent and opening.ask.wait is not None:
-            ask = msgspec.structs.replace(opening.ask, wait=max(LEAST_WAIT, opening.ask.wait - spent))
-            opening = dataclasses.replace(opening, ask=ask)
+        if spent and opening.request.wait is not None:
+            ask = msgspec.structs.replace(opening.request, wait=max(LEAST_WAIT, opening.request.wait - spent))
+            opening = dataclasses.replace(opening, request=ask)
         session.offer = offer
         self.metrics.count("resume_offered" if offer.epoch == 1 else "resume_returns")
         session.go_on(opening)
@@ -247,7 +249,7 @@
         def later(why: str) -> None:
             self._later(session, why)
 
-        wait = session.opening.ask.wait if session.opening is not None else None
+        wait = session.opening.request.wait if session.opening is not None else None
         self._next_life(place, min(wait or 1.0, 5.0) * 0.8, won, claimed, later, offer.by)
 
     def _next_life(
--- a/tests/compatibility/surface.py
+++ b/tests/compatibility/surface.py
@@ -177,7 +177,7 @@
 def opening_line(line: bytes) -> Any:
     """A client's first line: what it requests, plain, and the line as it goes on to a server."""
     opening = framing.parse_opening(line)
-    return [plain(opening.ask), opening.with_wait(1.25).decode()]
+    return [plain(opening.request), opening.with_wait(1.25).decode()]
 
 
 def report_of_line(text: str) -> Any:
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -13,7 +13,7 @@
     line = b"OPEN 9b1f 7f3a c=chat,d=2000,g=5c0f,r=1,again=1,h=12.5,x=d=7\r\n"
     opening = framing.parse_opening(line)
     assert opening.with_wait(0.7315) == line.replace(b"d=2000", b"d=731")
-    ask = opening.ask
+    ask = opening.request
     assert (ask.class_name, ask.wait, ask.key, ask.group) == ("chat", 2.0, "7f3a", "5c0f")
     assert ask.retry and ask.reconnect and ask.inherited_from == ""
 
@@ -24,13 +24,13 @@
     """A wait that was not plain once went on as the client had it; names that are not known are kept."""
     opening = framing.parse_opening(f"OPEN 1 2 {fields % wait}\r\n".encode())
     assert opening.with_wait(0.25) == f"OPEN 1 2 {fields % 250}\r\n".encode()
-    assert opening.ask.wait == float(wait) / 1000
+    assert opening.request.wait == float(wait) / 1000
 
 
 def test_connections_from_before_the_run_may_wait_for_hours() -> None:
     """Waits over an hour were once read as bad lines, and every such connection was lost."""
-    ask = framing.parse_opening(b"OPEN 1 2 c=chat,d=4294967,at=s-1\r\n").ask
-    assert framing.parse_opening(b"OPEN 1 2 c=chat,d=4294967295,at=s-1\r\n").ask.inherited_from == "s-1"
+    ask = framing.parse_opening(b"OPEN 1 2 c=chat,d=4294967,at=s-1\r\n").request
+    assert framing.parse_opening(b"OPEN 1 2 c=chat,d=4294967295,at=s-1\r\n").request.inherited_from == "s-1"
     assert ask.inherited_from == "s-1" and ask.wait == 4294.967
 
 
--- a/tests/test_proxy_attempts.py
+++ b/tests/test_proxy_attempts.py
@@ -50,7 +50,7 @@
     assert [type(e) for e in harness.balancer.events[-2:]] == [EndpointList, AttemptEnded]
     assert [each.endpoint.id for each in harness.upstream.connections] == ["a", "b"]
     del harness.balancer.answers[AttemptEnded], harness.upstream.connections[1]
-    harness.open_request(wait=9.0)  # and nothing new is sent there, though the balancer asks for it
+    harness.open_request(wait=9.0)  # and nothing new is sent there, though the balancer decides so
     harness.loop.run(0.1)
     assert len(harness.upstream.connections) == 1 and harness.balancer.results()[1:] == [
         AttemptResult.NOT_SENT
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -80,8 +80,8 @@
 
 def test_the_lines_tenant_is_the_requests() -> None:
     line = b"OPEN 9b1f 7f3a c=edit,t=capital,d=2000,g=5c0f\r\n"
-    assert parse_opening(line).ask.tenant == "capital"
-    assert parse_opening(b"OPEN 9b1f 7f3a c=edit,d=2000\r\n").ask.tenant == ""
+    assert parse_opening(line).request.tenant == "capital"
+    assert parse_opening(b"OPEN 9b1f 7f3a c=edit,d=2000\r\n").request.tenant == ""
 
 
 @pytest.mark.parametrize("noise", [0.0, 0.08, 0.2])
