--- a/gradegap/capture/state.py
+++ b/gradegap/capture/state.py
@@ -27,7 +27,7 @@
 from gradegap.capture.errors import BadStateError, LaterStateError, OtherAlgorithmError
 from gradegap.capture.schema import CLASS_SETTINGS, ENUMS, FORMS, VERSION, Form
 
-MOST_OBJECTS = 1_000_000
+MAX_OBJECTS = 1_000_000
 PLAIN = frozenset({type(None), bool, int, float, str})
 PROGRAM = __name__.partition(".")[0]  # the package that the program's own classes are of
 _SEQUENCES: dict[type, str] = {list: "l", tuple: "t", deque: "d"}
@@ -63,7 +63,9 @@
     return found
 
 
-class _Dump:
+class _Dumper:
+    """Values of one state, and a queue of the objects that they refer to."""
+
     def __init__(self, forms: Mapping[type, Form]) -> None:
         self.forms = forms
         self.numbers: dict[int, int] = {}  # by identity
@@ -105,12 +107,12 @@
 def dump(balancer: Any) -> dict[str, Any]:
     """The state between two events. Linear in what the module holds."""
     forms = _forms_by_class(type(balancer))
-    found = _Dump(forms)
-    found.reference(balancer)
-    value = found.value
+    dumper = _Dumper(forms)
+    dumper.reference(balancer)
+    value = dumper.value
     objects: list[Any] = []
     used: dict[str, list[str]] = {}
-    for obj in found.queue:  # grows while it is gone through
+    for obj in dumper.queue:  # grows while it is gone through
         form = forms.get(type(obj))
         if form is None:
             objects.append([CLASS_SETTINGS, records.CLASS_SETTINGS.to_plain(obj)])
@@ -145,14 +147,16 @@
         raise LaterStateError(version, VERSION)
 
 
-class _Load:
+class _Loader:
+    """Makes the objects of one state blank, so that they can refer to one another, and then fills them."""
+
     def __init__(self, module: ModuleType, raw: Mapping[str, Any], settings: Settings) -> None:
         self.module, self.settings = module, settings
         self.rows: Any = raw.get("objects")
         self.fields: Any = raw.get("fields")
         if not isinstance(self.rows, list) or not self.rows or not isinstance(self.fields, Mapping):
             raise BadStateError("no state of a module")
-        if len(self.rows) > MOST_OBJECTS:
+        if len(self.rows) > MAX_OBJECTS:
             raise BadStateError("more objects than a module holds")
         for name, form in FORMS.items():
             if odd := set(self.fields.get(name, form.fields)) ^ set(form.fields):
@@ -234,8 +238,8 @@
         if not isinstance(raw, Mapping):
             raise BadStateError("no state of a module")
         _check_version(raw)
-        loading = _Load(module, raw if "version" in raw else state_v1.upgraded(raw), settings)
-        balancer = loading.balancer()
+        loader = _Loader(module, raw if "version" in raw else state_v1.upgraded(raw), settings)
+        balancer = loader.balancer()
     except BadStateError:
         raise
     except (AttributeError, LookupError, TypeError, ValueError, RecursionError) as error:
