--- a/bench/capture.py
+++ b/bench/capture.py
@@ -28,7 +28,7 @@
 from gradegap.capture.settings import CaptureSettings
 from gradegap.capture.switch import RecordedBalancer
 from gradegap.metrics import Metrics
-from tests.test_capture import Day
+from tests.recorded_day import Day
 from tests.world import Backend, Client, World, wait_for
 
 STEPS = 20_000
--- a/tests/test_capture_days.py
+++ b/tests/test_capture_days.py
@@ -35,7 +35,7 @@
 from gradegap.capture.whatif import changed, whatif
 from tests.helpers import settings
 from tests.mutants import mutant
-from tests.test_capture import cli, taken
+from tests.recorded_day import day_recording, run_gradegap
 from tests.world import ROOT
 
 FOLDER = Path(__file__).parent / "captures"
@@ -81,7 +81,7 @@
 
 
 def test_a_captured_day_of_this_algorithm_is_replayed_whole() -> None:
-    done = cli("replay", str(FOLDER / "rolling_deploy.ggc"))
+    done = run_gradegap("replay", str(FOLDER / "rolling_deploy.ggc"))
     assert done.returncode == 0 and done.stdout.count("\n") == 1, done.stdout
     assert done.stdout.startswith("1000 steps, ")
     assert {"rolling_deploy", *OLDER} == DAYS.keys()
@@ -95,7 +95,7 @@
         "recorded by version 0.2.0 (decisions af06a3bfd027), whose algorithm is not that of "
         f"version {VERSION} (decisions {present}): its Balancer differs in "
     )
-    done = cli("replay", str(path))
+    done = run_gradegap("replay", str(path))
     assert done.returncode == 1
     gaps = [said for said in done.stdout.splitlines() if said.startswith("gap: ")]
     assert len(gaps) == 1 and gaps[0].startswith(f"gap: {line}"), done.stdout
@@ -105,21 +105,21 @@
         for item in recording.read(path.read_bytes())
         if isinstance(item, recording.Step) and isinstance(item.event, RequestArrived)
     )
-    done = cli("explain", str(path), str(request))
+    done = run_gradegap("explain", str(path), str(request))
     assert done.returncode == 2 and done.stderr.startswith(f"gradegap: {line}")
     assert done.stderr.count("\n") == 1
 
 
 def test_a_state_of_a_later_version_ends_a_replay_in_one_line(tmp_path: Path) -> None:
     made = [frames.MAGIC]
-    for f in frames.read(taken(22, 40, 1)):
+    for f in frames.read(day_recording(22, 40, 1)):
         assert not isinstance(f, Damage)
         body = f.body | {"version": 3} if f.kind is FrameKind.STATE else f.body
         made.append(frames.pack(f.kind, body, f.record_count, f.first_number, f.first_at, f.last_at))
     path = tmp_path / "later.ggc"
     path.write_bytes(b"".join(made))
     for words in (("replay", str(path)), ("explain", str(path), "1")):
-        done = cli(*words)
+        done = run_gradegap(*words)
         assert done.returncode == 2, done.stdout
         assert done.stderr == "gradegap: a state of format 3; this program reads formats up to 2\n"
 
@@ -186,7 +186,7 @@
     with pytest.raises(BadWhatIfError, match="no state"):
         whatif([], gradegap.balancing.balancer)
     # Servers that the record never heard of: their answers are the model's, and said to be.
-    day = taken(21, 400, 2)
+    day = day_recording(21, 400, 2)
     cut = [frames.MAGIC]
     for f in frames.read(day):
         assert not isinstance(f, Damage)
--- a/tests/test_capture_decision_module.py
+++ b/tests/test_capture_decision_module.py
@@ -17,7 +17,7 @@
 from gradegap.capture.schema import BALANCER
 from tests.helpers import settings
 from tests.mutants import BALANCING, mutant, mutated_copy
-from tests.test_capture import Day, again, taken
+from tests.recorded_day import Day, day_recording, replayed
 
 
 def package(folder: Path, **modules: str) -> Path:
@@ -110,8 +110,8 @@
     shutil.copytree(BALANCING, copy)
     module = decision_module.load(str(copy))
     assert module.Balancer is not balancer.Balancer
-    data = taken(17, 400, 3)
-    found, own = again(data, module), again(data)
+    data = day_recording(17, 400, 3)
+    found, own = replayed(data, module), replayed(data)
     assert found.difference is None and not found.state_differs and not found.gaps
     assert (found.digest, found.states) == (own.digest, 3)
     day = Day(17).live(300)
@@ -124,7 +124,7 @@
 
 def test_a_changed_copy_decides_otherwise(tmp_path: Path) -> None:
     module = mutant(tmp_path, "FULL_LOAD = 0.9\n", "FULL_LOAD = 0.05\n")
-    assert again(taken(11, 3000, 1), module).difference is not None
+    assert replayed(day_recording(11, 3000, 1), module).difference is not None
 
 
 SUBCLASS = """
@@ -146,12 +146,12 @@
     path = tmp_path / "candidate.py"
     path.write_text(SUBCLASS)
     module = decision_module.load(str(path))
-    data = taken(18, 400, 3)
-    found = again(data, module)
-    assert found.difference is None and not found.state_differs and found.digest == again(data).digest
+    data = day_recording(18, 400, 3)
+    found = replayed(data, module)
+    assert found.difference is None and not found.state_differs and found.digest == replayed(data).digest
     other = tmp_path / "other.py"
     other.write_text(SUBCLASS.replace("super().handle(now, event)", "super().handle(now, event)[:-1]"))
-    assert again(data, decision_module.load(str(other))).difference is not None
+    assert replayed(data, decision_module.load(str(other))).difference is not None
 
 
 @pytest.mark.parametrize(
--- a/tests/test_capture_index.py
+++ b/tests/test_capture_index.py
@@ -22,13 +22,13 @@
 from gradegap.capture.frames import FrameKind
 from gradegap.capture.plot import REQUESTS, draw, series
 from gradegap.capture.schema import BALANCER
+from tests.recorded_day import Day, day_recording, record_day, replayed, run_gradegap
 from tests.test_admin_api import call, served
-from tests.test_capture import Day, again, cli, recorded, taken
 from tests.test_hot_restart import ready, second
 from tests.world import Backend, wait_for
 
 NUMBERS = st.integers(-(2**63), 2**63)
-FILE = index.sealed(taken(31, 1200, 6))
+FILE = index.sealed(day_recording(31, 1200, 6))
 
 
 def told(data: bytes, req: int) -> list[str]:
@@ -40,7 +40,7 @@
     assert index.indexed(FILE) and not index.indexed(plain)
     assert index.load(FILE) == index.load(plain)
     assert list(recording.read(FILE)) == list(recording.read(plain))
-    recorded(tmp_path, Day(32))
+    record_day(tmp_path, Day(32))
     (path,) = tmp_path.iterdir()
     data = path.read_bytes()
     assert index.indexed(data) and index.load(data) == index.build(data)
@@ -56,14 +56,14 @@
     part = index.seek(FILE, request_id=late)
     assert len(part) < len(FILE) / 2 and told(part, late)
     assert index.seek(FILE, request_id=10**9) == b"" == index.seek(FILE, endpoint="nobody")
-    assert again(index.seek(FILE, endpoint="s3")).difference is None
+    assert replayed(index.seek(FILE, endpoint="s3")).difference is None
 
 
 def test_a_replay_from_a_clock_reads_from_the_state_before_it() -> None:
     states = [e for e in index.load(FILE) if e.kind is FrameKind.STATE]
     for e in states[:-1]:
         part = index.seek(FILE, since=e.first_at + 0.001)
-        found = again(part)
+        found = replayed(part)
         assert found.steps > 0 and found.difference is None and not found.state_differs and not found.gaps
         first = next(i for i in recording.read(part) if isinstance(i, recording.State))
         assert first.at <= e.first_at + 0.001
@@ -88,7 +88,7 @@
     more = day.steps[first:]
     data += frames.pack(FrameKind.STEPS, more, len(more), first, more[0][2], more[-1][2]) + day.state()
     part = index.seek(index.sealed(data), since=at + 0.0001)
-    found = again(part)
+    found = replayed(part)
     assert found.steps == len(more) and found.difference is None and not found.state_differs
 
 
@@ -166,9 +166,9 @@
 
 def test_a_recording_of_a_large_module_replays_across_forked_states(tmp_path: Path) -> None:
     day = large(1200)
-    metrics = recorded(tmp_path, day)
+    metrics = record_day(tmp_path, day)
     (path,) = tmp_path.iterdir()
-    found = again(path.read_bytes())
+    found = replayed(path.read_bytes())
     assert found.difference is None and not found.state_differs and not found.gaps and found.steps > 10_000
     assert "capture_states_lost" not in metrics.counts and "capture_failed" not in metrics.counts
 
@@ -180,7 +180,7 @@
         raise OSError(11, "Resource temporarily unavailable")
 
     monkeypatch.setattr(os, "fork", none)
-    metrics = recorded(tmp_path, large(1200))
+    metrics = record_day(tmp_path, large(1200))
     assert metrics.counts["capture_states_lost"] >= 1 and "capture_failed" not in metrics.counts
 
 
@@ -195,19 +195,19 @@
     assert head[:8] == b"\x89PNG\r\n\x1a\n" and struct.unpack(">I", head[16:20])[0] > 800
     path = tmp_path / "day.ggc"
     path.write_bytes(FILE)
-    assert cli("capture", "plot", str(path), "--out", str(tmp_path / "other.png")).returncode == 0
-    assert cli("capture", "plot", str(path), "--out", str(tmp_path / "other.png")).returncode == 2
+    assert run_gradegap("capture", "plot", str(path), "--out", str(tmp_path / "other.png")).returncode == 0
+    assert run_gradegap("capture", "plot", str(path), "--out", str(tmp_path / "other.png")).returncode == 2
 
 
 def test_a_slow_replay_decides_the_same(tmp_path: Path) -> None:
     path = tmp_path / "day.ggc"
-    path.write_bytes(index.sealed(taken(34, 120, 2)))
+    path.write_bytes(index.sealed(day_recording(34, 120, 2)))
     span = [i.at for i in recording.read(path.read_bytes()) if isinstance(i, recording.Step)]
     began = time.monotonic()
-    done = cli("replay", str(path), "--pace", "0.5")
+    done = run_gradegap("replay", str(path), "--pace", "0.5")
     assert done.returncode == 0, done.stdout
     assert time.monotonic() - began >= 2 * (span[-1] - span[0])
-    assert done.stdout == cli("replay", str(path)).stdout
+    assert done.stdout == run_gradegap("replay", str(path)).stdout
 
 
 # Real nodes
@@ -243,7 +243,7 @@
     for folder in folders:
         (path,) = folder.iterdir()
         data = path.read_bytes()
-        found = again(data)
+        found = replayed(data)
         assert found.steps > 10 and found.difference is None and not found.state_differs and not found.gaps
         assert index.indexed(data)  # it ended in order
     lists = [
--- a/tests/test_capture_state.py
+++ b/tests/test_capture_state.py
@@ -19,7 +19,7 @@
 from gradegap.capture.frames import Damage, FrameKind
 from gradegap.capture.schema import BALANCER, ENDPOINT, REQUEST
 from tests.helpers import settings
-from tests.test_capture import Day
+from tests.recorded_day import Day
 
 CAPTURES = Path(__file__).parent / "captures"
 # As files of version 2 have them. These lists are the format.
