--- a/gradegap/hot_restart/host.py
+++ b/gradegap/hot_restart/host.py
@@ -8,7 +8,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from gradegap.downstream.session import Resuming, TcpChannel
+from gradegap.downstream.session import SessionResumption
+from gradegap.downstream.tcp_channel import TcpChannel
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
 from gradegap.transport.descriptors import DescriptorBudget
@@ -31,7 +32,7 @@
     proxy: Proxy
     upstream: TcpUpstream
     descriptors: DescriptorBudget
-    resuming: Resuming | None  # what makes sessions resumable here, where the operator has it so
+    resuming: SessionResumption | None  # what makes sessions resumable here, where the operator has it so
     listening_socket: socket.socket | None  # of clients; None until it is there
 
     @property
--- a/gradegap/hot_restart/session_adoption.py
+++ b/gradegap/hot_restart/session_adoption.py
@@ -6,7 +6,7 @@
 
 from gradegap.balancing.events import AttemptResult
 from gradegap.downstream.framing import Opening
-from gradegap.downstream.session import TcpChannel
+from gradegap.downstream.tcp_channel import TcpChannel
 from gradegap.hot_restart.errors import SessionNotAdoptedError
 from gradegap.hot_restart.host import Host
 from gradegap.hot_restart.link import close_descriptors
@@ -41,9 +41,9 @@
 
 def _adopt_idle(host: Host, message: IdleSession, channel: TcpChannel, client_descriptor: int) -> None:
     session = channel.session
-    session.buffer += message.buffer
-    session.idle = message.pinged
-    session.wait(message.first_line_timeout_s)
+    session.first_line.buffer += message.buffer
+    session.first_line.pinged = message.pinged
+    session.first_line.deadline.start(message.first_line_timeout_s)
     host.upstream.dialer.adopt(_client_socket(client_descriptor), channel)
     host.metrics.count("idle_sessions_adopted")
 
@@ -56,8 +56,7 @@
     endpoint_descriptor: int,
 ) -> None:
     session, dialer = channel.session, host.upstream.dialer
-    session.unwait()
-    session.opening = Opening(message.request, message.opening_before_wait, message.opening_after_wait)
+    session.hold(Opening(message.request, message.opening_before_wait, message.opening_after_wait))
     request = host.proxy.adopt_connection(
         session, message.request, message.endpoint, message.last_response_at, message.unanswered_since
     )
@@ -67,8 +66,8 @@
     announced = None if message.announced_result is None else AttemptResult(message.announced_result)
     connection = UpstreamConnection.adopt(session, request.attempt, announced, message.report)
     request.attempt.connection = connection
-    session.req, session.pipe, session.standing = request, connection, True
-    session.watch.part = message.partial_line
+    session.request, session.upstream, session.established = request, connection, True
+    session.scanner.partial = message.partial_line
     client = _client_socket(client_descriptor)
     endpoint = DialedSocket(host.descriptors, client.family, endpoint_descriptor)
     endpoint.setblocking(False)
--- a/gradegap/hot_restart/session_transfer.py
+++ b/gradegap/hot_restart/session_transfer.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from gradegap.balancing.events import EndpointPhase
-from gradegap.downstream.session import TcpChannel
+from gradegap.downstream.tcp_channel import TcpChannel
 from gradegap.hot_restart.host import Host
 from gradegap.hot_restart.link import Link
 from gradegap.hot_restart.messages import EstablishedSession, IdleSession
@@ -49,12 +49,12 @@
 
     def _send(self, link: Link, channel: TcpChannel) -> None:
         session, transport = channel.session, channel.transport
-        if transport is None or session.closed or not channel.at_rest():
+        if transport is None or session.closed or not channel.is_idle():
             return
         if session.opening is None:
             self._send_idle(link, channel)
             return
-        connection, request = session.pipe, session.req
+        connection, request = session.upstream, session.request
         if (
             isinstance(connection, UpstreamConnection)
             and request is not None
@@ -63,10 +63,10 @@
             self._send_established(link, channel, connection, request)
 
     def _can_pass(self, channel: TcpChannel, connection: UpstreamConnection) -> bool:
-        request = channel.session.req
+        request = channel.session.request
         if request is None or request.attempt is None or connection.transport is None:
             return False
-        if request.state is not RequestState.ESTABLISHED or channel.session.moving:
+        if request.state is not RequestState.ESTABLISHED or channel.session.migrating:
             return False
         return connection.is_idle() and request.attempt.endpoint.phase is EndpointPhase.READY
 
@@ -79,14 +79,14 @@
         assert transport is not None
         message = IdleSession(
             self._next_serial(),
-            buffer=bytes(session.buffer),
-            pinged=session.idle,
-            first_line_timeout_s=session.time_left(),
+            buffer=bytes(session.first_line.buffer),
+            pinged=session.first_line.pinged,
+            first_line_timeout_s=session.first_line.deadline.time_left(),
         )
         self._in_flight[message.serial] = _IdleInFlight(channel)
         transport.pause_reading()
         session.closed = True
-        session.unwait()
+        session.first_line.deadline.stop()
         self._host.descriptors.set_rank(channel, None)
         link.send(message, transport.get_extra_info("socket").fileno())
 
@@ -99,10 +99,10 @@
         message = EstablishedSession(
             self._next_serial(),
             request=request.connection_request,
-            opening_before_wait=session.opening.before,
-            opening_after_wait=session.opening.after,
+            opening_before_wait=session.opening.before_wait,
+            opening_after_wait=session.opening.after_wait,
             endpoint=request.attempt.endpoint.id,
-            partial_line=session.watch.part,
+            partial_line=session.scanner.partial,
             last_response_at=request.last_response_at,
             unanswered_since=request.unanswered_since,
             announced_result=None
@@ -152,19 +152,19 @@
             _resume_reading(passed.connection)
         else:
             session = passed.channel.session
-            session.wait(FIRST_LINE_TIMEOUT_S)
-            self._host.descriptors.on_taken_back(passed.channel, session.idle)
+            session.first_line.deadline.start(FIRST_LINE_TIMEOUT_S)
+            self._host.descriptors.on_taken_back(passed.channel, session.first_line.pinged)
         _resume_reading(passed.channel)
 
     def _restore(self, passed: _EstablishedInFlight) -> bool:
         """Whether the proxy has the session again; otherwise its client's connection is ended."""
         session, connection, message = passed.channel.session, passed.connection, passed.message
         connection.take_back()
-        session.req = request = self._host.proxy.adopt_connection(
+        session.request = request = self._host.proxy.adopt_connection(
             session, message.request, message.endpoint, message.last_response_at, message.unanswered_since
         )
         if request is None or request.attempt is None:
-            session.lost()
+            session.on_channel_closed()
             return False
         connection.attempt, request.attempt.connection = request.attempt, connection
         return True
--- a/gradegap/node/client_listener.py
+++ b/gradegap/node/client_listener.py
@@ -6,7 +6,7 @@
 import socket
 from collections.abc import Callable
 
-from gradegap.downstream.session import TcpChannel
+from gradegap.downstream.tcp_channel import TcpChannel
 from gradegap.errors import ConfigurationError
 from gradegap.transport.addresses import split_address
 
@@ -74,7 +74,7 @@
     def end_idle(self, retry_after_s: float) -> None:
         """Reject each idle connection; its client may come again elsewhere after that time."""
         for channel in list(self.channels):
-            channel.end_rest(retry_after_s)
+            channel.dismiss_idle(retry_after_s)
 
     def close(self) -> None:
         """End the port, and each channel as soon as all that was written to it is out."""
@@ -82,4 +82,4 @@
             self.socket.close()
         self.stop_accepting()
         for channel in list(self.channels):
-            channel.end_soon()
+            channel.close_when_sent()
--- a/gradegap/node/node.py
+++ b/gradegap/node/node.py
@@ -9,7 +9,7 @@
 from gradegap.admin.http_api import CALLERS_MAX, AdminApi
 from gradegap.balancing.events import EndpointListKind
 from gradegap.discovery.http_discovery import HttpDiscovery
-from gradegap.downstream.session import TcpChannel
+from gradegap.downstream.tcp_channel import TcpChannel
 from gradegap.errors import ConfigurationError
 from gradegap.hot_restart import HotRestart
 from gradegap.metrics import Metrics
@@ -164,7 +164,7 @@
 
     def _create_channel(self, channels: set[TcpChannel]) -> TcpChannel:
         channel = TcpChannel(self.proxy, self.metrics, self.accepts_clients, channels, self.descriptors)
-        channel.session.resuming = self.resuming
+        channel.session.resumption = self.resuming
         return channel
 
     # The start
--- a/gradegap/node/optional_parts.py
+++ b/gradegap/node/optional_parts.py
@@ -11,7 +11,7 @@
 from gradegap.capture.settings import CaptureSettings
 from gradegap.discovery.http_discovery import HttpDiscovery
 from gradegap.discovery.settings import DnsSdSettings
-from gradegap.downstream.session import Resuming
+from gradegap.downstream.session import SessionResumption
 from gradegap.errors import ConfigurationError
 from gradegap.metrics import Metrics
 from gradegap.node.configuration import Configuration
@@ -69,7 +69,7 @@
     metrics: Metrics,
     loop: asyncio.AbstractEventLoop,
     committed_source: Callable[[], Any],
-) -> Resuming | None:
+) -> SessionResumption | None:
     """What makes sessions resumable; `committed_source` is the store or subscription, where it is there."""
     if operator.resume is None:
         return None
--- a/gradegap/node/quic_part.py
+++ b/gradegap/node/quic_part.py
@@ -9,7 +9,7 @@
 import msgspec
 import structlog
 
-from gradegap.downstream.session import Resuming
+from gradegap.downstream.session import SessionResumption
 from gradegap.errors import ConfigurationError
 from gradegap.hot_restart.host import ReleasedQuicPort
 from gradegap.hot_restart.link import close_descriptors
@@ -35,7 +35,7 @@
         proxy: Proxy,
         metrics: Metrics,
         dynamic_configuration: DynamicConfiguration,
-        resuming: Resuming | None,
+        resuming: SessionResumption | None,
         accepts_clients: Callable[[], bool],
         store_machine: Callable[[], StateMachine | None],
     ) -> None:
--- a/gradegap/node/restart_host.py
+++ b/gradegap/node/restart_host.py
@@ -7,7 +7,8 @@
 from collections.abc import Callable, Coroutine, Mapping
 from typing import Any
 
-from gradegap.downstream.session import Resuming, TcpChannel
+from gradegap.downstream.session import SessionResumption
+from gradegap.downstream.tcp_channel import TcpChannel
 from gradegap.hot_restart.host import ReleasedQuicPort
 from gradegap.metrics import Metrics
 from gradegap.node.admin_operations import apply_operation
@@ -33,7 +34,7 @@
         listener: ClientListener,
         committed: CommittedConfiguration,
         quic: QuicPart,
-        resuming: Resuming | None,
+        resuming: SessionResumption | None,
         serve_again: Callable[[], Coroutine[Any, Any, None]],
     ) -> None:
         """`serve_again` starts what a successor that died had taken over."""
--- a/gradegap/quic/channel.py
+++ b/gradegap/quic/channel.py
@@ -8,14 +8,16 @@
 
 from aioquic.quic import events
 
-from gradegap.downstream.session import FIRST_LINE_WAIT, LINGER, Resuming
+from gradegap.downstream.first_line import FIRST_LINE_TIMEOUT_S
+from gradegap.downstream.interfaces import LINGER_S
+from gradegap.downstream.session import SessionResumption
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
 from gradegap.quic.connection import HeldConnection
 from gradegap.quic.stream import CloseCode, StreamChannel
 from gradegap.quic.tokens import AddressTokens
 
-HANDSHAKE_TIMEOUT_S = FIRST_LINE_WAIT  # s that a handshake may take; with the first line behind it no longer
+HANDSHAKE_TIMEOUT_S = FIRST_LINE_TIMEOUT_S  # with the first line behind it a handshake has no longer
 MAX_CONCURRENT_STREAMS = 32  # sessions of one connection at once
 MAX_STREAMS = 5000  # sessions of one connection in all; then it begins no more, and its client comes anew
 NEXT_STREAM_TIMEOUT_S = 5.0  # s in which a client that has had several sessions may begin another
@@ -27,7 +29,7 @@
     proxy: Proxy
     metrics: Metrics
     loop: asyncio.AbstractEventLoop
-    resuming: Resuming | None
+    resuming: SessionResumption | None
     tokens: AddressTokens
 
     def ready(self) -> bool:
@@ -91,7 +93,7 @@
         return self.front.metrics
 
     @property
-    def resuming(self) -> Resuming | None:
+    def resuming(self) -> SessionResumption | None:
         """The node's resumable sessions, where it has any."""
         return self.front.resuming
 
@@ -170,7 +172,7 @@
         # Proves this address next time, without a Retry.
         self.connection.pending_token = self.front.tokens.make_new_token(self.address, time.time())
         self.next_step_timer.cancel()
-        left = max(0.0, FIRST_LINE_WAIT - (self.loop.time() - self.began_at))
+        left = max(0.0, FIRST_LINE_TIMEOUT_S - (self.loop.time() - self.began_at))
         self.next_step_timer = self.loop.call_later(left, self._never_spoke)
 
     def _stream_data(self, event: events.StreamDataReceived) -> None:
@@ -220,7 +222,7 @@
         self.front.on_channel_closed(self)
         streams, self.streams = self.streams, {}
         for stream in streams.values():
-            stream.session.lost(reset=reset)
+            stream.session.on_channel_closed(reset=reset)
 
     def discard(self) -> None:
         """Nothing came of it: no word to its client, who may never have asked."""
@@ -235,7 +237,7 @@
             return
         self.abort(CloseCode.FAILED)
         # Guards against first packets that nothing can be made of: their connection has no way to end.
-        self.loop.call_later(LINGER, self._terminated, True)
+        self.loop.call_later(LINGER_S, self._terminated, True)
 
     def _never_spoke(self) -> None:
         """Guards against clients that shake hands and say nothing; there is no stream to answer on."""
--- a/gradegap/quic/listener.py
+++ b/gradegap/quic/listener.py
@@ -19,7 +19,7 @@
 import structlog
 from aioquic.quic.packet import encode_quic_retry, encode_quic_version_negotiation
 
-from gradegap.downstream.session import Resuming
+from gradegap.downstream.session import SessionResumption
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
 from gradegap.quic.certificate import ServerCertificate
@@ -76,7 +76,7 @@
         self.machine = machine
         self.max_sessions = settings.max_sessions
         self.accept = True
-        self.resuming: Resuming | None = None
+        self.resuming: SessionResumption | None = None
         self.retry_from = settings.retry_from
         self.transport: asyncio.DatagramTransport | None = None
         number = settings.node if settings.node is not None else zlib.crc32(name.encode()) & 0xFFFF
--- a/gradegap/quic/stream.py
+++ b/gradegap/quic/stream.py
@@ -11,7 +11,8 @@
 from enum import IntEnum
 from typing import Protocol
 
-from gradegap.downstream.session import LINGER, ClientSession, Ending, Resuming
+from gradegap.downstream.interfaces import LINGER_S, CloseReason
+from gradegap.downstream.session import ClientSession, SessionResumption
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
 from gradegap.quic.connection import HeldConnection
@@ -35,12 +36,12 @@
 
 
 CODES = {
-    Ending.SERVED: CloseCode.SERVED,
-    Ending.REFUSED: CloseCode.REFUSED,
-    Ending.FAILED: CloseCode.FAILED,
-    Ending.BAD: CloseCode.BAD_LINE,
-    Ending.MOVED: CloseCode.MOVED,
-    Ending.RESET: CloseCode.RESET,
+    CloseReason.SERVED: CloseCode.SERVED,
+    CloseReason.REJECTED: CloseCode.REFUSED,
+    CloseReason.FAILED: CloseCode.FAILED,
+    CloseReason.INVALID_LINE: CloseCode.BAD_LINE,
+    CloseReason.MIGRATED: CloseCode.MOVED,
+    CloseReason.RESET: CloseCode.RESET,
 }
 
 
@@ -62,7 +63,7 @@
         ...
 
     @property
-    def resuming(self) -> Resuming | None:
+    def resuming(self) -> SessionResumption | None:
         """The node's resumable sessions, where it has any."""
         ...
 
@@ -90,7 +91,7 @@
         self.paused = False  # the backend is not read while the client is slow
         self.client_ended = False
         self.session = ClientSession(link.proxy, link.metrics, self, link.ready, spent)
-        self.session.resuming = link.resuming
+        self.session.resumption = link.resuming
 
     # From the connection
 
@@ -100,24 +101,24 @@
         if self.closing:
             return
         if data:
-            self.session.data(data)
+            self.session.on_data(data)
         if end:
-            self.session.eof()
+            self.session.on_eof()
 
     def on_reset(self) -> None:
         """The client has reset its side, or hears no more."""
-        self.session.lost(reset=True)
+        self.session.on_channel_closed(reset=True)
 
     # The channel of the session
 
-    def left(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Whether the client has gone away."""
         return self.connection_channel.terminated or self.client_ended
 
-    def pinged(self) -> None:
+    def on_ping(self) -> None:
         """Nothing to do: streams are not evicted."""
 
-    def opened(self) -> None:
+    def on_request(self) -> None:
         """Nothing to do: streams are not evicted."""
 
     def write(self, data: bytes) -> None:
@@ -131,10 +132,10 @@
         if waiting > MAX_UNSENT_BYTES:
             link.metrics.count("quic_overrun")
             self._broke(CloseCode.OVERRUN)
-            self.session.lost(reset=True)
+            self.session.on_channel_closed(reset=True)
         elif waiting > WRITE_BUFFER_HIGH_BYTES and not self.paused:
             self.paused = True
-            self.session.drained(full=True)
+            self.session.on_backpressure(full=True)
             self.loop.call_later(DRAIN_POLL_S, self._look_drained)
 
     def _look_drained(self) -> None:
@@ -144,7 +145,7 @@
             self.loop.call_later(DRAIN_POLL_S, self._look_drained)
         else:
             self.paused = False
-            self.session.drained(full=False)
+            self.session.on_backpressure(full=False)
 
     def pause(self) -> None:
         """Raise the client's window no further."""
@@ -158,19 +159,19 @@
                 self.connection_channel.connection.send_ping(0)  # something to carry the raised windows
                 self.connection_channel.flush_soon()
 
-    def close(self, ending: Ending) -> None:
+    def close(self, reason: CloseReason) -> None:
         """End our side; the connection is told once the client has all that was said."""
         if self.connection_channel.terminated or self.closing:
             return
-        code = CODES[ending]
+        code = CODES[reason]
         self.connection_channel.metrics.count(f"quic_closed_{code.name.lower()}")
-        if ending is Ending.RESET:
+        if reason is CloseReason.RESET:
             self._broke(code)
             return
         self.closing = True
         self.connection_channel.connection.send_on_stream(self.number, b"", end=True)
         self.connection_channel.flush_soon()
-        self._close_delivered(code, self.loop.time() + LINGER)
+        self._close_delivered(code, self.loop.time() + LINGER_S)
 
     def _broke(self, code: CloseCode) -> None:
         if not self.closing:
--- a/gradegap/resume/migration.py
+++ b/gradegap/resume/migration.py
@@ -73,7 +73,7 @@
         """The endpoint has confirmed it: the session goes on there."""
         line, _, rest = data.partition(b"\n")
         executed = self.accepts(line.rstrip(b"\r"))
-        session, passing = self.session, self.session.passing
+        session, passing = self.session, self.session.relay
         if self.over or session.closed or not isinstance(passing, SessionRelay):
             self.stop()
             return
@@ -81,7 +81,7 @@
             self.give_up("server")
             return
         self.over = True
-        old, session.pipe = session.pipe, upstream
+        old, session.upstream = session.upstream, upstream
         if old is not None:
             # Guards against its last words being taken for the next one's.
             old.write_eof()
@@ -89,14 +89,14 @@
         upstream.session = session
         req = self.req
         assert req is not None
-        req.session, session.req = session, req
-        session.offer, session.mover = self.offer, None
+        req.session, session.request = session, req
+        session.offer, session.migration = self.offer, None
         session.metrics.count("resume_in_place")
-        session.take(passing.changed(executed))
+        session.pass_on(passing.changed(executed))
         if not session.closed:
-            session.tell(passing.token(self.token(session, self.offer)))
+            session.send_line(passing.token(self.token(session, self.offer)))
         if rest and not session.closed:
-            session.take(passing.from_server(rest, passing.line))
+            session.pass_on(passing.from_server(rest, passing.line))
         spent = round((time.monotonic() - self.began) * 1000)
         log.info("session moved in place", session=self.offer.session, epoch=self.offer.epoch, ms=spent)
 
@@ -132,12 +132,12 @@
             return
         self.over = True
         session = self.session
-        session.mover = None
+        session.migration = None
         session.metrics.count(f"resume_in_place_{reason}")
         log.info("not moved in place", session=self.offer.session, epoch=self.offer.epoch, why=reason)
-        if not session.closed and isinstance(session.passing, SessionRelay):
-            session.tell(session.passing.token(self.token(session, self.offer)))
-            session.say_move()
+        if not session.closed and isinstance(session.relay, SessionRelay):
+            session.send_line(session.relay.token(self.token(session, self.offer)))
+            session.send_migrate()
         if self.req is not None:
             self.req.on_disconnect()
 
--- a/gradegap/resume/resumption.py
+++ b/gradegap/resume/resumption.py
@@ -142,9 +142,9 @@
         # Without a key there is nothing to seal with: what clients hold is kept until there is one.
         key = sealing.id if sealing is not None else ""
         for session in self.renewals.due(time.monotonic(), key, RENEW_MOST) if key else ():
-            offer, passing = session.offer, session.passing
+            offer, passing = session.offer, session.relay
             if (
-                session.mover is not None
+                session.migration is not None
                 or not isinstance(offer, SessionOffer)
                 or not isinstance(passing, SessionRelay)
             ):
@@ -153,7 +153,7 @@
                 continue
             token = self._token(session, offer)
             if token != NO_TOKEN:
-                session.tell(passing.token(token))
+                session.send_line(passing.token(token))
                 self.metrics.count("resume_tokens_renewed")
         self._look_soon()
 
@@ -183,8 +183,7 @@
             )
             self._go_on(session, head, values, made, 0.0)
             return True
-        session.opening = opening
-        session.unwait()
+        session.hold(opening)
         store = self.store() if self.store is not None else None
         if self.store is not None and (store is None or not store.fresh()):
             # Guards against a ring that is not read yet: a good token would be refused for good.
@@ -207,7 +206,7 @@
         reason = str(error).split(":")[0]
         self.metrics.count(f"resume_refused_{reason}")
         log.info("session not resumed", token=digest(token), reason=str(error))
-        session.turn(reason)
+        session.reject_resumption(reason)
 
     def _go_on(
         self, session: ClientSession, head: str, values: dict[str, str], offer: SessionOffer, spent: float
@@ -222,7 +221,7 @@
             opening = dataclasses.replace(opening, request=ask)
         session.offer = offer
         self.metrics.count("resume_offered" if offer.epoch == 1 else "resume_returns")
-        session.go_on(opening)
+        session.open_with(opening)
 
     def _claim(
         self,
@@ -329,7 +328,7 @@
             self.metrics.count("resume_refused_server")
             return None
         executed = int(found[2])
-        session.passing = passing = SessionRelay(offer.seen, executed)
+        session.relay = passing = SessionRelay(offer.seen, executed)
         self.metrics.count("resume_accepted")
         token = self._token(session, offer)
         told = b"UP %b rs=%d,w=%d,t=%b\r\n" % (found[1], executed, MAX_UNANSWERED, token.encode())
@@ -343,7 +342,7 @@
         """Whether a session goes to another server while its client's connection stays: not from a node that
         leaves itself, and not while its window can't be trusted.
         """
-        offer, passing, opening = session.offer, session.passing, session.opening
+        offer, passing, opening = session.offer, session.relay, session.opening
         proxy = session.proxy
         good = (
             isinstance(offer, SessionOffer)
@@ -361,12 +360,14 @@
             self.metrics.count("resume_in_place_fruitless")
             log.warning("a session is not moved again: no answer came of the last moves")
             return False
-        head, _, fields = (opening.before + b"1" + opening.after).decode().rstrip("\r\n").rpartition(" ")
+        head, _, fields = (
+            (opening.before_wait + b"1" + opening.after_wait).decode().rstrip("\r\n").rpartition(" ")
+        )
         values = dict(pair.split("=", 1) for pair in fields.split(","))
         following = dataclasses.replace(offer, epoch=offer.epoch + 1)
         place = Place(offer.session, offer.client, offer.cls, "", 0, offer.epoch, 0)
         passing.hold()
-        session.mover = waiting = Waiting()
+        session.migration = waiting = Waiting()
 
         def won(epoch: int) -> None:
             if waiting.stopped or session.closed:
@@ -380,7 +381,7 @@
             mover = InPlaceMigration(
                 session, parse_opening(line.encode()), now, self._accepts(now), self._token
             )
-            session.mover = mover
+            session.migration = mover
             # Only once the core has let the req of the server that is left go: they bear one id.
             self.loop.call_soon(mover.start)
 
@@ -389,8 +390,8 @@
             self.metrics.count("resume_in_place_unclaimed")
             log.warning("not moved in place", session=offer.session, why=why)
             if not waiting.stopped and not session.closed:
-                session.mover = None
-                session.say_move()
+                session.migration = None
+                session.send_migrate()
 
         # Later: the core first ends what it has of the server that is left.
         # The client's secret goes into the claim: if this node ends before it has told of the new life, the
@@ -407,13 +408,13 @@
         return executed
 
     def _token(self, session: ClientSession, offer: SessionOffer) -> str:
-        req = session.req
+        req = session.request
         server = req.attempt.endpoint.id if req is not None and req.attempt is not None else ""
         until = int(time.time()) + self.settings.life_s
         place = Place(offer.session, offer.client, offer.cls, server, offer.seen, offer.epoch, until)
         ring = self.ring()
         sealing = ring.sealing
-        if session.passing is not None:
+        if session.relay is not None:
             self.renewals.given(session, time.monotonic(), sealing.id if sealing is not None else "")
             self._look_soon()
         try:
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -11,7 +11,8 @@
 import pytest
 import uvloop
 
-from gradegap.downstream.session import LINGER, LINGER_MOST, Ending, TcpChannel
+from gradegap.downstream.interfaces import LINGER_S, CloseReason
+from gradegap.downstream.tcp_channel import LINGER_MAX_S, TcpChannel
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
 from gradegap.transport.descriptors import DescriptorBudget
@@ -29,7 +30,7 @@
         self.metrics = Metrics()
         self.descriptors = DescriptorBudget(1000, self.metrics)
         self.proxy = Proxy(settings(), 1, cast(Any, None), self.metrics, self.loop)
-        self.live: set[TcpChannel] = set()
+        self.channels: set[TcpChannel] = set()
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.setblocking(False)
 
@@ -37,15 +38,15 @@
         await self.loop.create_server(self._made, sock=self.listener)
 
     def _made(self) -> TcpChannel:
-        return TcpChannel(self.proxy, self.metrics, lambda: True, self.live, self.descriptors)
+        return TcpChannel(self.proxy, self.metrics, lambda: True, self.channels, self.descriptors)
 
     async def client(self, small: bool = False) -> tuple[socket.socket, TcpChannel]:
         sock = socket.socket()
         if small:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.connect(self.listener.getsockname())
-        before = set(self.live)
-        while not (new := self.live - before):
+        before = set(self.channels)
+        while not (new := self.channels - before):
             await asyncio.sleep(0)
         return sock, new.pop()
 
@@ -96,17 +97,17 @@
     in_loop(test)
 
 
-@pytest.mark.parametrize("ending", [Ending.MOVED, Ending.FAILED, Ending.SERVED])
-def test_the_end_of_a_linger_over_unread_bytes_is_no_reset(ending: Ending) -> None:
+@pytest.mark.parametrize("ending", [CloseReason.MIGRATED, CloseReason.FAILED, CloseReason.SERVED])
+def test_the_end_of_a_linger_over_unread_bytes_is_no_reset(ending: CloseReason) -> None:
     """The client writes as the linger ends; it finds the last line and an end."""
 
     async def test(door: Door) -> None:
         sock, channel = await door.client()
         channel.write(b"MOVE\r\n")
         channel.close(ending)
-        await asyncio.sleep(LINGER / 2)
+        await asyncio.sleep(LINGER_S / 2)
         sock.send(FIRST_LINE)
-        channel._last()
+        channel._on_linger_over()
         assert await read_to_end(sock) == b"MOVE\r\n"
         await door.until(lambda: door.descriptors.held == 0, 2.0)
         assert not was_reset(sock)
@@ -122,10 +123,10 @@
     async def test(door: Door) -> None:
         _sock, channel = await door.client(small=True)
         channel.write(b"x" * 16_000_000 + b"\r\n")
-        channel.close(Ending.MOVED)
+        channel.close(CloseReason.MIGRATED)
         if evicted:
             channel.evict()
-        await door.until(lambda: door.descriptors.held == 0, LINGER / 2 if evicted else LINGER_MOST)
+        await door.until(lambda: door.descriptors.held == 0, LINGER_S / 2 if evicted else LINGER_MAX_S)
 
     in_loop(test)
 
@@ -137,13 +138,13 @@
         sock, channel = await door.client()
         size = 40_000_000
         channel.write(b"x" * size + b"MOVE\r\n")
-        channel.close(Ending.MOVED)
+        channel.close(CloseReason.MIGRATED)
         sock.setblocking(False)
         got = b""
-        end = door.loop.time() + 1.5 * LINGER
+        end = door.loop.time() + 1.5 * LINGER_S
         while door.loop.time() < end:
             got += await door.loop.sock_recv(sock, size // 50)
-            await asyncio.sleep(LINGER / 20)
+            await asyncio.sleep(LINGER_S / 20)
         assert len(got) < size and channel.transport is not None
         assert (got + await read_to_end(sock)).endswith(b"xMOVE\r\n")
 
@@ -168,8 +169,8 @@
                 sock.close()
             case "resets":
                 hard_reset(sock)
-        assert channel.left() is left  # in the same turn of the loop
-        assert channel.left() is left and (channel.transport is not None)
+        assert channel.is_disconnected() is left  # in the same turn of the loop
+        assert channel.is_disconnected() is left and (channel.transport is not None)
 
     in_loop(test)
 
@@ -199,7 +200,7 @@
             sock.send(said)
             hard_reset(sock)
         sock, _channel = await door.client()
-        await door.until(lambda: door.descriptors.held == 1 and len(door.live) == 1, 2.0)
+        await door.until(lambda: door.descriptors.held == 1 and len(door.channels) == 1, 2.0)
         sock.close()
         await door.until(lambda: door.descriptors.held == 0, 2.0)
         assert not door.proxy.requests
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -74,9 +74,9 @@
 
 def test_lines_are_seen_however_they_are_cut() -> None:
     seen: list[bytes] = []
-    watch = framing.LineWatch(seen.append)
+    watch = framing.LineScanner(seen.append)
     for piece in (b"LO", b"AD 5\r", b"\nBYE\r\nPA"):
         watch.feed(piece)
-    assert seen == [b"LOAD 5", b"BYE"] and not watch.between
+    assert seen == [b"LOAD 5", b"BYE"] and not watch.at_line_end
     watch.feed(b"RT\r\n")
-    assert watch.between
+    assert watch.at_line_end
--- a/tests/test_lint_rules.py
+++ b/tests/test_lint_rules.py
@@ -29,8 +29,6 @@
 gradegap/balancing/priority.py: D
 gradegap/balancing/rates.py: D
 gradegap/balancing/settings_reader.py: D
-gradegap/downstream/framing.py: D
-gradegap/downstream/session.py: D
 gradegap/resume/migration.py: D
 gradegap/resume/reservations.py: D
 gradegap/resume/resumption.py: D
