--- a/gradegap/commands/resume.py
+++ b/gradegap/commands/resume.py
@@ -56,7 +56,7 @@
 
 
 def write_ring(member: MemberClient, name: RingName, ring: KeyRing | QuicRing, old: Item | None) -> int:
-    """Write a ring only over the one that was read: of two who rotate at once, one is told."""
+    """Write a ring only over the one that was read: of two who rotate at once, one fails."""
     key = RINGS[name][0]
     update = KeyUpdate(key, msgspec.to_builtins(ring))
     unchanged = Compare(key, old.modified_revision if old is not None else 0)
--- a/gradegap/commands/store.py
+++ b/gradegap/commands/store.py
@@ -136,10 +136,10 @@
 
 
 def _wait_until_in_force(member: MemberClient, revision: int, timeout_s: float) -> dict[str, Any]:
-    """What is known once all nodes have it; else an end that says who is missing."""
+    """What is known once all nodes have it; else a failure that names who is missing."""
     try:
-        with MemberClient(member.address, member.channel.secret, timeout_s) as asking:
-            return asking.in_force(revision).status
+        with MemberClient(member.address, member.channel.secret, timeout_s) as client:
+            return client.in_force(revision).status
     except RequestFailedError as error:
         text = f"committed at revision {revision}, and not known to be in force: {error}"
         raise failure(text, ExitCode.NOT_IN_FORCE) from None
@@ -268,7 +268,7 @@
 
 def _digest(member: MemberClient, other: dict[str, Any]) -> wire.Response:
     try:
-        with MemberClient(other["address"], member.channel.secret, member.timeout_s) as asked:
-            return asked.request(wire.Digest())
+        with MemberClient(other["address"], member.channel.secret, member.timeout_s) as client:
+            return client.request(wire.Digest())
     except RequestFailedError as error:
         raise failure(f"{other['name']}: {error}", ExitCode.NO) from None
--- a/gradegap/store/bootstrap.py
+++ b/gradegap/store/bootstrap.py
@@ -1,9 +1,9 @@
 """How a new cluster comes about, and why a member that lost its disk never begins one. No I/O.
 
 A member whose folder is new belongs to no cluster. One is begun only when every peer of the operator's file
-was met and none belongs to one either; then the member with the smallest name says who is in it: the first
+was met and none belongs to one either; then the member with the smallest name names its members: the first
 `voters` members by name as voters, the rest as learners, which are promoted when a voter goes. If any of them
-belongs to a cluster, this one asks to be admitted, under its new identity.
+belongs to a cluster, this one requests to be admitted, under its new identity.
 """
 
 from __future__ import annotations
@@ -53,19 +53,19 @@
         self.member = member
         self.peers = {peer.name: peer.address for peer in settings.peers if peer.name != member.name}
         self.voters = set(settings.first_voters)
-        self.seen: dict[str, Hello] = {}  # by name, what a peer said last
+        self.seen: dict[str, Hello] = {}  # by name, the latest of a peer
 
     def alone(self) -> NewCluster | None:
         """A cluster of one, where no peers are listed."""
         return None if self.peers else self._new_cluster(())
 
     def met(self, hello: Hello) -> None:
-        """A peer has said who it is."""
+        """A link to a peer is authenticated."""
         if hello.name in self.peers:
             self.seen[hello.name] = hello
 
     def waits_for(self, hello: Hello | None) -> bool:
-        """Whether a peer was without a cluster when it was last asked, and is not to be told of one here."""
+        """Whether a peer was without a cluster at its last hello, and none can be formed with it now."""
         return hello is not None and not hello.cluster and self.form() is None
 
     def form(self) -> NewCluster | None:
--- a/gradegap/store/channel.py
+++ b/gradegap/store/channel.py
@@ -132,7 +132,7 @@
         return self.send_encoded(encode_message(message))
 
     def send_encoded(self, body: bytes) -> bytes:
-        """One frame with a body that is encoded already, once for all links that it goes to."""
+        """One frame with a body that is encoded already, once for all links that it is sent on."""
         if len(body) > self.max_frame_bytes:
             raise ValueError(f"a frame of {len(body)} bytes")
         checksum = frame_checksum(self._send_key, self._sent_frames, body)
--- a/gradegap/store/committed_state.py
+++ b/gradegap/store/committed_state.py
@@ -34,7 +34,7 @@
         try:
             since = msgspec.convert(value, schema.Out).at_ms / 1000
         except msgspec.ValidationError:
-            since = 0.0  # long ago where nobody said when: no grace is left, then
+            since = 0.0  # long ago where no time is given: no grace is left, then
         self.proxy.disable_endpoint(endpoint_id, min(since, self.proxy.now()))
 
     def _apply_configuration(self, name: str, value: object, deleted: bool) -> None:
--- a/gradegap/store/disabled_endpoints.py
+++ b/gradegap/store/disabled_endpoints.py
@@ -38,7 +38,7 @@
             temporary.write_bytes(zlib.crc32(body).to_bytes(CHECKSUM_BYTES, "big") + body)
             os.replace(temporary, self.path)
         except OSError as error:
-            # The state is in force all the same, and a process that finds this one is told it.
+            # The state is in force all the same, and a process that finds this one running gets it from here.
             self.metrics.count("snapshots_failed")
             log.error("snapshot not written", error=str(error))
 
--- a/gradegap/store/embedded.py
+++ b/gradegap/store/embedded.py
@@ -2,7 +2,7 @@
 
 Administratively disabled endpoints and configuration come from committed keys. A node without a lease rejects
 new requests at once, with a time to come again, and says no to `PING`; what is established stays. With
-`when_stale = "serve"` it goes on, which is counted and logged.
+`when_stale = "serve"` it continues, which is counted and logged.
 """
 
 from __future__ import annotations
@@ -51,10 +51,10 @@
         metrics: Metrics,
         loop: asyncio.AbstractEventLoop,
         state: Callable[[], dict[str, object]],
-        told: Callable[[], bool],
+        has_endpoint_list: Callable[[], bool],
         make_subscription_server: SubscriptionServerFactory | None = None,
     ) -> None:
-        """`state` is what the node tells its siblings of itself; `told`, whether discovery named a list.
+        """`state` is what siblings get to know of the node; `has_endpoint_list`: discovery gave one.
 
         Raises:
             FolderError: where the folder can't be started with.
@@ -77,7 +77,7 @@
         self.member.gossip_received = self._gossip_received
         self.member.peer_linked = self._peer_linked
         self.member.machine.listeners.append(self._apply_events)
-        self.gossip = GossipExchange(settings.name, proxy, metrics, told)
+        self.gossip = GossipExchange(settings.name, proxy, metrics, has_endpoint_list)
         self._was_fresh: bool | None = None
         self._is_synchronized = False  # once the first lease has put the store's keys in force
         self._gossip_timer: asyncio.TimerHandle | None = None
@@ -121,7 +121,7 @@
 
     def _member_failed(self, error: FolderError) -> None:
         # The lease runs out, and the node rejects requests; its clients stay.
-        log.error("the node goes on without its store", error=str(error))
+        log.error("store failed, node continues without it", error=str(error))
 
     # What it decides by
 
@@ -141,7 +141,7 @@
         for event in events:
             self.committed.apply(event.key, event.value, event.deleted)
 
-    # What operators ask of the node
+    # Operators' calls
 
     def disable_endpoint(self, server: str, done: ResultCallback) -> None:
         """Yes, once it is committed and every node with a lease decides by it."""
@@ -159,7 +159,7 @@
             self._gossip_timer = self.loop.call_later(GOSSIP_PERIOD_S, self._send_gossip)
 
     def _peer_linked(self, link: Link) -> None:
-        """A sibling that has just started is told at once: it is about to serve."""
+        """A sibling that has just started gets a message at once: it is about to serve."""
         link.send(self.gossip.message(self.state()))
 
     def _gossip_received(self, gossip: wire.Gossip) -> None:
@@ -171,7 +171,7 @@
     def leave(self) -> float:
         """Give the folder and the port up, for the next process; s of the lease that are left.
 
-        Nothing more is said of what this node has applied, so no write is acknowledged that it does not know.
+        This node's applied index is not reported any more, so no write is acknowledged that it does not know.
         """
         left_s = max(0.0, self.member.leases.holder.until - time.monotonic())
         self.member.hand_over()
--- a/gradegap/store/endpoint_operations.py
+++ b/gradegap/store/endpoint_operations.py
@@ -1,4 +1,4 @@
-"""What operators ask of a node about endpoints, as writes to the store by whichever way the node has."""
+"""Operators' calls about endpoints, as writes to the store by whichever way the node has."""
 
 from __future__ import annotations
 
--- a/gradegap/store/errors.py
+++ b/gradegap/store/errors.py
@@ -1,6 +1,6 @@
 """What goes wrong in the store: one base, and a type for each of its parts.
 
-The text of each is one line for operators. Where it begins with a word and a colon, that word is the reason
+The text of each is one line for operators. Where it begins with a name and a colon, that is the reason
 by which it is counted.
 """
 
--- a/gradegap/store/gossip.py
+++ b/gradegap/store/gossip.py
@@ -1,7 +1,7 @@
 """What nodes see of endpoints, passed between them: bounded, with its age, never through the log.
 
 A node that has just started knows no loads, and an endpoint list that may be out of date. What its siblings
-tell it reaches the balancer as its own events: load reports at the time they were made, so that they are
+report reaches the balancer as its own events: load reports at the time they were made, so that they are
 weighed by their age; draining and restarted endpoints as changes of the list, until discovery itself has
 named one; unresponsive endpoints as health checks that timed out.
 """
@@ -36,7 +36,7 @@
 
 
 class GossipExchange:
-    """One node's part: what it tells its siblings, and what it takes of what they tell."""
+    """One node's part: what it reports to its siblings, and what it takes of their reports."""
 
     def __init__(
         self, node: str, proxy: Proxy, metrics: Metrics, has_endpoint_list: Callable[[], bool]
@@ -46,10 +46,10 @@
         self.has_endpoint_list = has_endpoint_list
         self._unresponsive_at: dict[str, float] = {}  # by endpoint, as siblings saw it; steady time, s
 
-    # What this node tells
+    # Outgoing
 
     def message(self, state: dict[str, object]) -> Gossip:
-        """Only what this node saw itself: what siblings told it goes no further, so nothing circulates."""
+        """Only what this node saw itself: reports of siblings are not passed on, so nothing circulates."""
         reports = self._load_reports() + self._unanswered()
         if self.has_endpoint_list():
             reports += self._listed()
@@ -80,7 +80,7 @@
             if (entry := endpoint.entry) is not None
         ]
 
-    # What siblings tell
+    # Incoming
 
     def receive(self, gossip: Gossip) -> None:
         """Pass what a sibling has seen to the balancer, where this node knows nothing newer."""
@@ -125,7 +125,7 @@
     def _receive_unanswered(self, report: GossipReport, endpoint: Endpoint) -> None:
         """A sibling's health check was left unanswered.
 
-        The balancer is told of it as of one of this node's own, and no more often than of these, where this
+        The balancer gets it as one of this node's own, and no more often than of these, where this
         node has no later answer.
         """
         unanswered_at = self.proxy.now() - report.age_s
--- a/gradegap/store/in_force.py
+++ b/gradegap/store/in_force.py
@@ -43,7 +43,7 @@
         self.reports: dict[str, MachineReport] = {}
 
     def add_report(self, report: MachineReport) -> None:
-        """The latest report of a machine counts; one of a machine that was not asked is left out."""
+        """The latest report of a machine counts; one of an unknown machine is left out."""
         if report.machine in self.machines:
             self.reports[report.machine] = report
 
--- a/gradegap/store/in_force_check.py
+++ b/gradegap/store/in_force_check.py
@@ -1,7 +1,7 @@
 """Whether a revision is in force at all nodes that subscribe: one member collects what all know, in rounds.
 
-Each member knows the nodes that subscribe there. One that can't be asked, or that was started lately, leaves
-nodes unknown; the revision then counts as not in force.
+Each member knows the nodes that subscribe there. One that can't be reached, or that was started lately,
+leaves nodes unknown; the revision then counts as not in force.
 """
 
 from __future__ import annotations
@@ -62,7 +62,7 @@
         self._awaited_reports = 0
 
     def start(self) -> None:
-        """Begin a round: ask all members."""
+        """Begin a round: request the reports of all members."""
         members = self.host.members()
         tally = InForceTally(self.revision, [member.name for member in members])
         self._awaited_reports = len(members)
--- a/gradegap/store/leader_requests.py
+++ b/gradegap/store/leader_requests.py
@@ -129,7 +129,7 @@
         self.host.settle()
 
     def _admit(self, pending: PendingRequest, member: Member) -> None:
-        """Add the member; an earlier incarnation is removed first, and the member then asks once more."""
+        """Add the member; an earlier incarnation is removed first, and the member then comes again."""
         if self.raft.configuration.get(member.id) is not None:
             self.responder.respond(pending, wire.Response(0, text="taken in"))
             return
@@ -137,7 +137,7 @@
         if earlier is not None:
             self._remove_incarnation(earlier, member)
             self.responder.respond(
-                pending, wire.Response(0, "no", "again: its earlier life is removed first")
+                pending, wire.Response(0, "no", "again: its earlier incarnation is removed first")
             )
             return
         if self.host.machine.get(INVITED_PREFIX + member.name) is None:
@@ -150,7 +150,7 @@
         progress = self.raft.peers.get(earlier.id)
         answers = progress is not None and now - progress.last_response_at < INCARNATION_SILENCE_S
         if earlier.id == self.host.identity.id or answers:
-            raise RequestRejectedError(f"alive: another daemon is {member.name} and answers")
+            raise RequestRejectedError(f"alive: another process is {member.name} and answers")
         self.raft.remove_member(now, earlier.id)
         self.metrics.count("store_lives_replaced")
         log.warning("earlier incarnation removed", member=member.name, id=earlier.id)
@@ -162,7 +162,7 @@
         pending.wait_for_commit(index, self.raft.term)
         self.by_index.setdefault(index, []).append(pending)
 
-    # What the log says
+    # Progress of the log
 
     def entry_applied(self, entry: Entry, result: Result) -> None:
         """An entry is committed and applied: respond to the request that it came from."""
@@ -185,7 +185,7 @@
         if isinstance(body, wire.Transaction) and granter is not None:
             keys = [update.key for update in (*body.then, *body.otherwise)]
             if affects_decisions(keys):
-                # Nobody may decide by what was there before, once it is said to be replaced.
+                # Nobody may decide by what was there before, once its replacement is acknowledged.
                 pending.wait(RequestState.LEASE_HOLDERS)
                 done = self._responds(pending, response)
                 granter.when_applied_by_all(time.monotonic(), entry.index, done)
--- a/gradegap/store/leases.py
+++ b/gradegap/store/leases.py
@@ -70,7 +70,7 @@
         self.expire(now)
 
     def expire(self, now: float) -> None:
-        """Drop the leases that are over, and tell those who wait for nobody any more."""
+        """Drop the leases that are over, and call those who wait for nobody any more."""
         for holder in [holder for holder, grant in self.grants.items() if grant.until <= now]:
             del self.grants[holder]
         if now < self.unknown_until or not self.waiting:
@@ -89,7 +89,7 @@
 
 
 class LeaseHolder:
-    """A node's own lease: `is_fresh` is asked before each decision."""
+    """A node's own lease: `is_fresh` is checked before each decision."""
 
     def __init__(self, name: str, max_clock_drift: float) -> None:
         self.name = name
--- a/gradegap/store/links.py
+++ b/gradegap/store/links.py
@@ -106,7 +106,7 @@
         if transport is None or transport.is_closing() or not self.channel.authenticated:
             return False
         if transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
-            # Guards memory against a member that is stopped: the consensus core repeats what it says anyway.
+            # Guards memory against a member that is stopped: the consensus core repeats its messages anyway.
             self.links.metrics.count("store_dropped_slow")
             return False
         transport.write(self.channel.send(message))
@@ -215,7 +215,7 @@
         self._server: asyncio.Server | None = None
 
     def introduce(self, member: Member, cluster: str, lease_s: float) -> None:
-        """What this member's end of each link says of itself."""
+        """What this member's hello on each new link names."""
         self.member, self.cluster, self.lease_s = member, cluster, lease_s
 
     def channel(self, is_dialer: bool) -> LinkChannel:
--- a/gradegap/store/member.py
+++ b/gradegap/store/member.py
@@ -105,7 +105,7 @@
         metrics.gauge("store_role", lambda: self.raft.role.value if self.raft is not None else "forming")
         metrics.gauge("store_term", lambda: self.raft.term if self.raft is not None else 0)
 
-    # The life of the process
+    # Start and end
 
     async def start(self) -> None:
         """Listen and take part; `OSError` where an address can't be had."""
@@ -140,7 +140,7 @@
         self.membership.want_links()
 
     def hand_over(self) -> bool:
-        """Have another voter lead, where this member does; whether one was told to.
+        """Transfer leadership, where this member leads, to another voter; whether that was begun.
 
         Guards against the time without a leader that a planned end would cost.
         """
@@ -237,7 +237,7 @@
         return self.leases.is_fresh()
 
     def report_applied(self) -> None:
-        """Tell the leader what this member, and the nodes that subscribe here, have applied."""
+        """Report to the leader what this member, and the nodes that subscribe here, have applied."""
         self.leases.report_applied()
 
     def report(self, revision: int) -> MachineReport:
--- a/gradegap/store/member_client.py
+++ b/gradegap/store/member_client.py
@@ -138,7 +138,7 @@
         return self.request(wire.InForce(revision))
 
     def status(self) -> dict[str, Any]:
-        """What the member says of itself and its cluster."""
+        """The member's status and its cluster's."""
         return self.request(wire.Status()).status
 
     def snapshot(self) -> bytes:
--- a/gradegap/store/member_leases.py
+++ b/gradegap/store/member_leases.py
@@ -130,7 +130,7 @@
         return self.subscription_server.safe_index()
 
     def report_applied(self) -> None:
-        """Tell the leader, so that a write that nodes decide by can be acknowledged."""
+        """Report to the leader, so that a write that nodes decide by can be acknowledged."""
         now, raft = time.monotonic(), self.host.raft
         if not self.wanted or self.holder.until <= now or raft is None:
             return
--- a/gradegap/store/membership.py
+++ b/gradegap/store/membership.py
@@ -19,7 +19,7 @@
 
 JOIN_PERIOD_S = 0.5  # between two requests to be admitted to a cluster
 PROMOTION_PERIOD_S = 0.2  # between two looks whether a learner has caught up
-REMOVED = "removed"  # the reason by which a former member is told that it is none any more
+REMOVED = "removed"  # the reason of a `LinkRejected` to a former member
 
 
 class MembershipHost(Protocol):
@@ -62,7 +62,7 @@
             self.form(*formed)
 
     def form(self, cluster: str, configuration: ClusterConfiguration) -> None:
-        """Belong to a cluster from now on. Written before anybody hears of it."""
+        """Belong to a cluster from now on. Written before anybody learns of it."""
         host = self.host
         if host.identity.cluster:
             return
@@ -84,13 +84,13 @@
                 self.links.send(member.id, member.address, formed)
 
     def cluster_formed(self, formed: wire.ClusterFormed) -> None:
-        """Another member says that this one belongs to a cluster."""
+        """Another member has named the cluster that this one belongs to."""
         if formed.configuration.get(self.host.identity.id) is not None:
             self.form(formed.cluster, formed.configuration)
             self.want_links()
 
     def linked(self, link: Link, peer: wire.Hello) -> None:
-        """A link to a member stands, who is `peer`."""
+        """A link to the member `peer` is authenticated."""
         host = self.host
         if not host.identity.cluster:
             self.bootstrap.met(peer)
@@ -101,7 +101,7 @@
             link.send(wire.ClusterFormed(host.identity.cluster, host.raft.configuration))
 
     def request_admission(self, now: float) -> None:
-        """Ask the members of a cluster to admit this one, which belongs to none; `now` is the steady time."""
+        """Request the members of a cluster to admit this one; `now` is the steady time."""
         if now - self._joined_at <= JOIN_PERIOD_S:
             return
         self._joined_at = now
@@ -116,7 +116,7 @@
         if peer is not None and peer.cluster:
             link.send(wire.Join(self.member))
         elif link.transport is not None and self.bootstrap.waits_for(peer):
-            link.transport.close()  # asked again who it is: it may have formed since
+            link.transport.close()  # its next hello may name a cluster that was formed since
 
     # Changes
 
@@ -153,7 +153,7 @@
                 link.send(wire.LinkRejected(REMOVED))
 
     def link_rejected(self, reason: str) -> None:
-        """The leader says that this member was removed."""
+        """The leader has rejected a link of this member."""
         if reason == REMOVED and self.host.raft is not None and not self.host.removed:
             self.host.mark_removed()
 
@@ -164,7 +164,7 @@
         settings, raft = self.host.settings, self.host.raft
         addresses = {peer.address for peer in settings.peers if peer.name != settings.name}
         if raft is not None:
-            # A configuration that is in force goes over the file of the first start.
+            # A committed configuration takes precedence over the file of the first start.
             members = raft.configuration.members
             known = {member.name for member in members}
             listed = {peer.address for peer in settings.peers if peer.name in known}
--- a/gradegap/store/records.py
+++ b/gradegap/store/records.py
@@ -33,7 +33,7 @@
 
 
 class Event(msgspec.Struct, frozen=True, array_like=True):
-    """One change, with what stood there before."""
+    """One change, with the previous value."""
 
     revision: int
     key: str
--- a/gradegap/store/service.py
+++ b/gradegap/store/service.py
@@ -1,7 +1,7 @@
 """Requests of clients to a member: answered here, or by the leader, and retried until the outcome is known.
 
 A write is stamped (client, number, deadline) before it is first proposed, so that it can be proposed again
-when a leader is lost, and is applied once. Three outcomes are told apart: done; "no_quorum", where nobody
+when a leader is lost, and is applied once. Three outcomes are distinguished: done; "no_quorum", where nobody
 ever had it; and "unknown", where a leader had it and nobody can say by now what came of it.
 """
 
@@ -48,7 +48,7 @@
         self.host = host
         self.metrics = host.metrics
         self.pending: dict[int, PendingRequest] = {}  # by serial
-        self.nodes: dict[str, tuple[float, dict[str, Any]]] = {}  # when a node said what of itself
+        self.nodes: dict[str, tuple[float, dict[str, Any]]] = {}  # when a node reported which state
         self.clock = LogClockEstimate(host)
         self.stamper = WriteStamper(self.clock)
         self.led = LeaderRequests(host, self, self.stamper)
@@ -84,7 +84,7 @@
         """`respond` with one response, at the latest after `timeout_s`."""
         if len(self.pending) >= MAX_PENDING_REQUESTS:
             self.metrics.count("store_busy")
-            respond(wire.Response(0, "no", "busy: too many wishes are under way"))
+            respond(wire.Response(0, "no", "busy: too many requests are under way"))
             return
         try:
             if isinstance(body, wire.Transaction):
@@ -227,7 +227,7 @@
         else:
             self.respond(pending, response)
 
-    # When leaders change, and when time goes by
+    # Changes of leader, and time
 
     def leadership_changed(self) -> None:
         """This member leads no more, or anew: what it carried out is only answered after another attempt."""
@@ -249,7 +249,7 @@
         leader_id = raft.leader_id if raft is not None else ""
         for pending in list(self.pending.values()):
             if isinstance(pending.body, wire.InForce):
-                continue  # asked of each member, whoever leads
+                continue  # sent to each member, whoever leads
             if pending.state is RequestState.MEMBER and pending.member_id != leader_id:
                 pending.wait(RequestState.LEADER)
         self._last_retry_at = 0.0
@@ -287,7 +287,7 @@
     # Members that come
 
     def admit(self, link: Link, member: Member) -> None:
-        """Add a member that asked for it on `link`, and tell it its cluster once that is committed."""
+        """Add a member that came on `link`, and send it its cluster once that is committed."""
 
         def respond(response: wire.Response) -> None:
             raft = self.host.raft
@@ -305,7 +305,7 @@
             self.request(body, respond, ADMISSION_TIMEOUT_S)
 
     def status(self) -> dict[str, Any]:
-        """What this member says of itself and its cluster."""
+        """This member's status and its cluster's."""
         now = time.monotonic()
         nodes = {
             name: state | {"age_ms": round((now - at) * 1000)} for name, (at, state) in self.nodes.items()
--- a/gradegap/store/storage.py
+++ b/gradegap/store/storage.py
@@ -172,7 +172,7 @@
         return True
 
     def _create(self) -> None:
-        # Written before anybody hears of it: a member is who its folder says.
+        # Written before anybody learns of it: a member is who its folder names.
         identity = Identity(secrets.token_hex(IDENTITY_BYTES))
         base = SnapshotMetadata(0, 0, ClusterConfiguration())
         batch = WriteBatch(HardState(), identity, base, applied=(0, 0, 0))
--- a/gradegap/store/wire.py
+++ b/gradegap/store/wire.py
@@ -108,7 +108,7 @@
 
 
 class Gossip(msgspec.Struct, frozen=True, tag="gossip"):
-    """What a node tells its siblings: its own state, and what it has seen of endpoints."""
+    """A node's report to its siblings: its own state, and what it has seen of endpoints."""
 
     node: str
     state: dict[str, Any]
@@ -119,7 +119,7 @@
 
 
 class Get(msgspec.Struct, frozen=True, tag="get"):
-    """One key; `stale`: as the member that is asked has it, else linearizable."""
+    """One key; `stale`: as the requested member has it, else linearizable."""
 
     key: str
     stale: bool = False
--- a/gradegap/store/write_stamps.py
+++ b/gradegap/store/write_stamps.py
@@ -29,7 +29,7 @@
         self._observed_ms = 0
 
     def observe(self, clock_ms: int) -> None:
-        """A leader has said its log time."""
+        """A response named the leader's log time."""
         self._observed_at, self._observed_ms = time.monotonic(), clock_ms
 
     def now_ms(self) -> int:
