--- /dev/null
+++ b/tests/test_store_schema.py
@@ -0,0 +1,68 @@
+"""What the operator's `[store]` table and keys of the store may hold."""
+
+from __future__ import annotations
+
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from gradegap.errors import OperatorFileError
+from gradegap.node.operator_file import load_operator
+from gradegap.store import schema
+from gradegap.store.errors import CommandError
+from gradegap.store.records import KeyUpdate
+
+
+@pytest.mark.parametrize(
+    ("text", "said"),
+    [
+        ('listen = "127.0.0.1:1"\npeers = ["127.0.0.1:2"]', "peers = [{ name ="),
+        ('listen = "127.0.0.1:1"', "store has no name"),
+        ('name = "a b"\nlisten = "127.0.0.1:1"', "no name of letters"),
+        ('name = "a"\nlisten = "10.0.0.1:1"', "no loopback address"),
+        (
+            'name = "a"\nlisten = "127.0.0.1:1"\npeers = [{name = "a", address = "127.0.0.1:2"}]',
+            "is and is not",
+        ),
+        ('name = "a"\nlisten = "127.0.0.1:1"\nwhen_stale = "maybe"', "when_stale"),
+        ('name = "a"\nlisten = "127.0.0.1:1"\nfoo = 1', "foo"),
+    ],
+)
+def test_a_wrong_store_table_is_one_plain_line(tmp_path: Path, text: str, said: str) -> None:
+    path = tmp_path / "o.toml"
+    path.write_text(f"[store]\n{text}\n")
+    with pytest.raises(OperatorFileError) as error:
+        load_operator(str(path))
+    assert said in str(error.value) and "\n" not in str(error.value)
+
+
+@pytest.mark.parametrize(
+    ("key", "value", "good"),
+    [
+        ("config/log_level", "debug", True),
+        ("config/log_level", "loud", False),
+        ("config/quic_max_sessions", -1, False),
+        ("config/quic_max_sessions", True, False),
+        ("config/nothing", 1, False),
+        ("out/s-1", {"at_ms": 5}, True),
+        ("out/s-1", {"when": 5}, False),
+        ("cluster/invited/n9", {"address": "nowhere"}, False),
+        ("anything/else", [1], True),
+        ("keys/resume", {"keys": []}, True),
+        ("keys/resume", {"keys": [{"id": "0", "secret": "x"}]}, False),
+    ],
+)
+def test_values_fit_their_keys(key: str, value: Any, good: bool) -> None:
+    if good:
+        schema.check(KeyUpdate(key, value))
+    else:
+        with pytest.raises(CommandError, match="^invalid: "):
+            schema.check(KeyUpdate(key, value))
+
+
+def test_the_schema_is_json_schema() -> None:
+    made = schema.json_schema()
+    config = made["$defs"]["Settings"]["properties"]
+    assert config["log_level"]["enum"] == ["debug", "error", "info", "warning"]
+    assert config["quic_max_sessions"]["maximum"] == 1_000_000
