--- a/gradegap/hot_restart/link.py
+++ b/gradegap/hot_restart/link.py
@@ -44,16 +44,15 @@
     body, descriptors, flags, _ = socket.recv_fds(sock, MAX_MESSAGE_BYTES, MAX_MESSAGE_DESCRIPTORS)
     if not body:
         return None
+    if flags & (socket.MSG_CTRUNC | socket.MSG_TRUNC):
+        close_descriptors(descriptors)
+        raise MalformedMessageError("cut short")
     try:
-        if flags & (socket.MSG_CTRUNC | socket.MSG_TRUNC):
-            raise MalformedMessageError("cut short")
-        return _decoder.decode(body), list(descriptors)
+        message = _decoder.decode(body)
     except ValueError as error:
         close_descriptors(descriptors)
         raise MalformedMessageError(str(error)) from error
-    except MalformedMessageError:
-        close_descriptors(descriptors)
-        raise
+    return message, list(descriptors)
 
 
 class Link:
--- a/gradegap/hot_restart/session_transfer.py
+++ b/gradegap/hot_restart/session_transfer.py
@@ -94,8 +94,10 @@
         self, link: Link, channel: TcpChannel, connection: UpstreamConnection, request: Request
     ) -> None:
         session, transport = channel.session, channel.transport
-        assert transport is not None and connection.transport is not None
-        assert session.opening is not None and request.attempt is not None
+        assert transport is not None
+        assert connection.transport is not None
+        assert session.opening is not None
+        assert request.attempt is not None
         message = EstablishedSession(
             self._next_serial(),
             request=request.connection_request,
--- a/gradegap/node/deferred_start.py
+++ b/gradegap/node/deferred_start.py
@@ -50,9 +50,11 @@
             is_last = not self._has_predecessor()
             await asyncio.sleep(RETRY_INTERVAL_S)
             try:
-                return await start_part()
+                await start_part()
             except ConfigurationError as error:
                 if is_last:
                     self._metrics.count("ports_not_free")
                     log.error("part not started", error=str(error))
                     return
+            else:
+                return
