--- a/gradegap/client.py
+++ b/gradegap/client.py
@@ -18,8 +18,9 @@
 from typing import Literal
 
 from gradegap.resume import lines
-from gradegap.resume.lines import Answer, LineError, NewToken, Over, Seen
-from gradegap.resume.window import ClientWindow, WindowFullError
+from gradegap.resume.errors import LineError, WindowFullError
+from gradegap.resume.lines import Answer, NewToken, Over, Seen
+from gradegap.resume.window import ClientWindow
 
 CONNECT_TIMEOUT_S = 1.0  # to a node, beside the time that the node may take
 BACKOFF_MIN_S = 0.02  # between two tries to be placed again
--- a/gradegap/commands/resume.py
+++ b/gradegap/commands/resume.py
@@ -15,7 +15,8 @@
 from gradegap.commands.base import ExitCode, Output, author, failure, member_command
 from gradegap.quic.keys import RING_KEY as QUIC_RING
 from gradegap.quic.keys import QuicRing
-from gradegap.resume.token import KEY_RING_KEY, KeyRing, TokenError, digest, open_token
+from gradegap.resume.errors import TokenError
+from gradegap.resume.token import KEY_RING_KEY, KeyRing, digest, open_token
 from gradegap.store.member_client import MemberClient
 from gradegap.store.records import Compare, Item, KeyUpdate
 from gradegap.store.wire import Transaction
--- a/gradegap/resume/lines.py
+++ b/gradegap/resume/lines.py
@@ -5,16 +5,14 @@
 import re
 from dataclasses import dataclass
 
+from gradegap.resume.errors import LineError
+
 LONGEST = 4096  # bytes, with CRLF, as for all lines of the protocol
 MOST = 2**53  # numbers from here on are none
 _LINE = re.compile(rb"([QAK]) (0|[1-9][0-9]{0,15})(?: ([^\r\n]*))?")
 _WORD = re.compile(rb"([TX]) ([!-~]{1,400})")
 
 
-class LineError(ValueError):
-    """A line that ends its session; its first word is the reason that is told and counted."""
-
-
 @dataclass(slots=True, frozen=True)
 class Request:
     """`Q N text`: from the client."""
--- a/gradegap/resume/migration.py
+++ b/gradegap/resume/migration.py
@@ -1,104 +1,139 @@
-"""In place: a standing session goes on at another server, while its client's connection stays.
+"""In place: an established session goes on at another endpoint, while its client's connection stays.
 
-The module says that it moves, and whereto is a req like any other. Until the next server is up, what the
-client says waits; then what has no answer is sent to it, and the client notices nothing. Where none takes it
-in time the client is told `MOVE`, with a token that is good for its return.
+The balancer says that it migrates, and whereto is a request like any other. Until the next endpoint is up,
+what the client sends waits; then what has no answer is sent to it, and the client notices nothing. Where none
+takes it in time the client gets `MOVE`, with a token that is good for its return.
 """
 
 from __future__ import annotations
 
+import asyncio
+import dataclasses
 import time
-from collections.abc import Callable
-from dataclasses import dataclass
 
 import structlog
 
 from gradegap.downstream.framing import Opening
 from gradegap.downstream.session import ClientSession
 from gradegap.proxy.request import InvalidRequestError, Request
+from gradegap.resume.acceptance import read_acceptance
+from gradegap.resume.first_line import FirstLine, SessionOffer, offer_fields
 from gradegap.resume.session_relay import SessionRelay
+from gradegap.resume.token_issuer import TokenIssuer
 from gradegap.upstream.interfaces import UpstreamPipe
 
 log = structlog.get_logger()
 
-WAIT = 1.0  # s that the next server may take; then the client returns by itself
+MIGRATION_TIMEOUT_S = 1.0  # that the next endpoint may take; then the client returns by itself
+GENERATION_GRANTED = "life of a session given"  # one line for each; checked against what endpoints claim
 
 
-@dataclass(slots=True)
-class SessionOffer:
-    """A session between its first line and the server's word."""
+class PendingMigration:
+    """A session whose next generation is being reserved; then its migration begins."""
 
-    session: str
-    epoch: int
-    seen: int
-    client: str
-    cls: str
-    by: str = ""  # a digest of the client's secret, by which it may come back for a life it never heard of
-    position: int = -1  # answers that had passed when it was last moved in place
-    fruitless: int = 0  # moves since, with no answer in between
+    def __init__(
+        self,
+        session: ClientSession,
+        first: FirstLine,
+        offer: SessionOffer,
+        relay: SessionRelay,
+        tokens: TokenIssuer,
+        loop: asyncio.AbstractEventLoop,
+    ) -> None:
+        self.session, self.first, self.relay, self.tokens, self.loop = session, first, relay, tokens, loop
+        self.following = dataclasses.replace(offer, epoch=offer.epoch + 1)
+        self.stopped = False
+
+    def stop(self) -> None:
+        """The client has disconnected."""
+        self.stopped = True
+
+    def reserved(self, epoch: int) -> None:
+        """The next generation is this node's."""
+        session = self.session
+        if self.stopped or session.closed:
+            log.info("client left while its session migrated", session=self.following.session)
+            return
+        offer = dataclasses.replace(self.following, seen=self.relay.position)
+        log.info(GENERATION_GRANTED, session=offer.session, epoch=offer.epoch, how="in place")
+        fields = {"d": str(round(MIGRATION_TIMEOUT_S * 1000)), "again": "1"}
+        fields |= offer_fields(offer) | {"rh": str(offer.seen)}
+        migration = InPlaceMigration(session, self.first.opening_with(fields), offer, self.tokens)
+        session.migration = migration
+        # Only once the proxy has ended the request at the endpoint that is left: they bear one id.
+        self.loop.call_soon(migration.start)
+
+    def not_reserved(self, why: str) -> None:
+        """The generation in force is not this node's to go on with: the client's own token says more."""
+        session = self.session
+        session.metrics.count("resume_in_place_unclaimed")
+        log.warning("session not migrated", session=self.following.session, why=why)
+        if not self.stopped and not session.closed:
+            session.migration = None
+            session.send_migrate()
 
 
 class InPlaceMigration:
-    """Stands where the client session stands, for the next server's fetch, until that is up."""
+    """In the client session's place, for the attempt at the next endpoint, until that is established."""
 
     def __init__(
         self,
         session: ClientSession,
         opening: Opening,
         offer: SessionOffer,
-        accepts: Callable[[bytes], int | None],
-        token: Callable[[ClientSession, SessionOffer], str],
+        tokens: TokenIssuer,
     ) -> None:
         self.session, self.opening, self.offer = session, opening, offer
-        self.accepts, self.token = accepts, token
+        self.tokens = tokens
         self.proxy = session.proxy
         self.channel = session.channel
-        self.req: Request | None = None
-        self.over = False
-        self.began = time.monotonic()
+        self.request: Request | None = None
+        self.finished = False
+        self.started_at = time.monotonic()
 
     def start(self) -> None:
+        """Open the request that chooses the next endpoint."""
         if self.session.closed:
             self.stop()
             return
         try:
-            self.req = self.proxy.open_request(self, self.opening.request)
+            self.request = self.proxy.open_request(self, self.opening.request)
         except InvalidRequestError as error:
-            log.warning("a session could not be moved in place", reason=str(error))
+            log.warning("session not migrated", reason=str(error))
             self.give_up("unfit")
 
-    # As a fetch sees it
+    # Called by the attempt's connection
 
     def on_upstream_established(self, upstream: UpstreamPipe, data: bytes) -> None:
         """The endpoint has confirmed it: the session goes on there."""
         line, _, rest = data.partition(b"\n")
-        executed = self.accepts(line.rstrip(b"\r"))
+        acceptance = read_acceptance(line.rstrip(b"\r"), self.offer.seen)
         session, passing = self.session, self.session.relay
-        if self.over or session.closed or not isinstance(passing, SessionRelay):
+        if self.finished or session.closed or not isinstance(passing, SessionRelay):
             self.stop()
             return
-        if executed is None:
+        if acceptance is None:
             self.give_up("server")
             return
-        self.over = True
-        old, session.upstream = session.upstream, upstream
-        if old is not None:
-            # Guards against its last words being taken for the next one's.
-            old.write_eof()
-            old.release()
+        self.finished = True
+        previous, session.upstream = session.upstream, upstream
+        if previous is not None:
+            # Guards against its last lines being taken for the next one's.
+            previous.write_eof()
+            previous.release()
         upstream.session = session
-        req = self.req
-        assert req is not None
-        req.session, session.request = session, req
+        request = self.request
+        assert request is not None
+        request.session, session.request = session, request
         session.offer, session.migration = self.offer, None
         session.metrics.count("resume_in_place")
-        session.pass_on(passing.changed(executed))
+        session.pass_on(passing.changed(acceptance.executed))
         if not session.closed:
-            session.send_line(passing.token(self.token(session, self.offer)))
+            session.send_line(passing.token(self.tokens.issue(session, self.offer)))
         if rest and not session.closed:
             session.pass_on(passing.from_server(rest, passing.line))
-        spent = round((time.monotonic() - self.began) * 1000)
-        log.info("session moved in place", session=self.offer.session, epoch=self.offer.epoch, ms=spent)
+        spent = round((time.monotonic() - self.started_at) * 1000)
+        log.info("session migrated", session=self.offer.session, epoch=self.offer.epoch, ms=spent)
 
     def on_upstream_data(self, data: bytes) -> None:
         """Nothing passes before it is established."""
@@ -106,44 +141,50 @@
     def on_upstream_lost(self, reset: bool) -> None:
         """Its attempt's end, which follows, gives the move up."""
 
-    # As the core sees it
+    # Called by the proxy
 
     def is_disconnected(self) -> bool:
+        """Whether the client has disconnected."""
         return self.session.is_disconnected()
 
     def on_established(self) -> None:
+        """The request's connection is established."""
         self.session.on_established()
 
     def reject(self, after: float) -> None:
+        """No endpoint takes it now."""
         self.give_up("refused")
 
     def fail(self) -> None:
+        """Nothing can be promised of it."""
         self.give_up("failed")
 
     def migrate(self) -> None:
+        """It is to leave the next endpoint again."""
         self.give_up("moved")
 
     def on_endpoint_closed(self) -> None:
+        """The next endpoint has ended the connection."""
         self.give_up("ended")
 
     def give_up(self, reason: str) -> None:
-        """The client returns by itself, with a token for the life that was claimed for it."""
-        if self.over:
+        """The client returns by itself, with a token for the generation that was reserved for it."""
+        if self.finished:
             return
-        self.over = True
+        self.finished = True
         session = self.session
         session.migration = None
         session.metrics.count(f"resume_in_place_{reason}")
-        log.info("not moved in place", session=self.offer.session, epoch=self.offer.epoch, why=reason)
+        log.info("session not migrated", session=self.offer.session, epoch=self.offer.epoch, why=reason)
         if not session.closed and isinstance(session.relay, SessionRelay):
-            session.send_line(session.relay.token(self.token(session, self.offer)))
+            session.send_line(session.relay.token(self.tokens.issue(session, self.offer)))
             session.send_migrate()
-        if self.req is not None:
-            self.req.on_disconnect()
+        if self.request is not None:
+            self.request.on_disconnect()
 
     def stop(self) -> None:
-        """The client has gone."""
-        if not self.over:
-            self.over = True
-            if self.req is not None:
-                self.req.on_disconnect()
+        """The client has disconnected."""
+        if not self.finished:
+            self.finished = True
+            if self.request is not None:
+                self.request.on_disconnect()
--- a/gradegap/resume/reservations.py
+++ b/gradegap/resume/reservations.py
@@ -7,6 +7,7 @@
 
 import msgspec
 
+from gradegap.resume.errors import SessionClaimedError
 from gradegap.resume.token import MAX_CLOCK_SKEW_S, TOKEN_LIFETIME_S, Place
 from gradegap.store.records import Compare, Item, KeyUpdate
 
@@ -16,10 +17,6 @@
 _RETRY = re.compile(r"[0-9a-f]{16,64}")
 
 
-class SessionClaimedError(ValueError):
-    """The session has moved on; its first word is the reason that is told and counted."""
-
-
 class Reservation(msgspec.Struct, frozen=True):
     """`claims/SESSION`: the life of the session that is in force, and whose it is."""
 
--- a/gradegap/resume/session_relay.py
+++ b/gradegap/resume/session_relay.py
@@ -11,7 +11,8 @@
 from dataclasses import dataclass, field
 
 from gradegap.resume import lines
-from gradegap.resume.lines import LONGEST, Answer, LineError, NewToken, Over, Request, Seen
+from gradegap.resume.errors import LineError
+from gradegap.resume.lines import LONGEST, Answer, NewToken, Over, Request, Seen
 from gradegap.resume.window import NodeWindow
 
 
--- a/gradegap/resume/token.py
+++ b/gradegap/resume/token.py
@@ -15,6 +15,8 @@
 
 import msgspec
 
+from gradegap.resume.errors import TokenError
+
 VERSION = 1
 ID = 4  # bytes of a key's id
 NONCE = 12
@@ -26,10 +28,6 @@
 KEY_RING_KEY = "keys/resume"  # the ring's key in the store
 
 
-class TokenError(ValueError):
-    """A token that proves nothing; its first word is the reason that is told and counted."""
-
-
 class Place(msgspec.Struct, frozen=True, array_like=True):
     """What a token proves."""
 
--- a/gradegap/resume/window.py
+++ b/gradegap/resume/window.py
@@ -7,17 +7,14 @@
 
 from __future__ import annotations
 
-from gradegap.resume.lines import Answer, LineError, Request
+from gradegap.resume.errors import LineError, WindowFullError
+from gradegap.resume.lines import Answer, Request
 
 MAX_UNANSWERED = 64  # requests without an answer, and answers that are not acknowledged
 MAX_HELD_ANSWERS = 4 * MAX_UNANSWERED  # answers that a server holds for a client that acknowledges none
 ACKNOWLEDGE_EVERY = 16  # answers after which a client says what it has seen
 
 
-class WindowFullError(Exception):
-    """The window is full: wait for an answer."""
-
-
 class ClientWindow:
     """The client's side."""
 
@@ -30,7 +27,7 @@
     def request(self, text: bytes) -> Request:
         """The next request; `WindowFullError` where too many have no answer yet."""
         if len(self.waiting) >= MAX_UNANSWERED:
-            raise WindowFullError
+            raise WindowFullError(f"window: {MAX_UNANSWERED} requests have no answer")
         self.last += 1
         made = self.waiting[self.last] = Request(self.last, text)
         return made
--- a/tests/compatibility/readers.py
+++ b/tests/compatibility/readers.py
@@ -17,6 +17,7 @@
 from gradegap.metrics import Metrics
 from gradegap.quic import ids, keys, tokens
 from gradegap.resume import lines, reservations, token
+from gradegap.resume.errors import TokenError
 from gradegap.store import machine, records, state_snapshot, storage, wire
 from gradegap.store.channel import LinkChannel
 from gradegap.store.disabled_endpoints import DisabledEndpointsFile
@@ -134,7 +135,7 @@
     """The reason for which a token is refused; empty for one that is not."""
     try:
         token.open_token(msgspec.convert(ring, token.KeyRing), cluster, sealed, now)
-    except token.TokenError as error:
+    except TokenError as error:
         return str(error).partition(":")[0]
     return ""
 
--- a/tests/resume_world.py
+++ b/tests/resume_world.py
@@ -8,6 +8,7 @@
 from collections import defaultdict
 
 from gradegap.resume import lines
+from gradegap.resume.errors import LineError
 from gradegap.resume.lines import Request, Seen
 from gradegap.resume.window import ServerWindow
 from gradegap.verification.sessions import Record
@@ -96,7 +97,7 @@
             for answer in window.resume(int(values.get("rh", "0"))):
                 sock.sendall(lines.encode(answer))
             self._session(sock, file, session, int(epoch), window)
-        except lines.LineError as error:
+        except LineError as error:
             with contextlib.suppress(OSError):
                 sock.sendall(lines.encode(lines.Over(str(error).split(":")[0])))
         except OSError:
--- a/tests/test_lint_rules.py
+++ b/tests/test_lint_rules.py
@@ -29,9 +29,7 @@
 gradegap/balancing/priority.py: D
 gradegap/balancing/rates.py: D
 gradegap/balancing/settings_reader.py: D
-gradegap/resume/migration.py: D
 gradegap/resume/reservations.py: D
-gradegap/resume/resumption.py: D
 gradegap/resume/session_relay.py: D
 gradegap/resume/token.py: D
 gradegap/resume/token_renewal.py: D
--- a/tests/test_resume_parts.py
+++ b/tests/test_resume_parts.py
@@ -12,13 +12,13 @@
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule, run_state_machine_as_test
 
 from gradegap.resume import lines
-from gradegap.resume.lines import Answer, LineError, NewToken, Over, Request, Seen
+from gradegap.resume.errors import LineError, SessionClaimedError, TokenError, WindowFullError
+from gradegap.resume.lines import Answer, NewToken, Over, Request, Seen
 from gradegap.resume.reservations import (
     RESERVATION_PREFIX,
     RETURN_RETRY_S,
     LocalReservations,
     Reservation,
-    SessionClaimedError,
     claim,
     secret_digest,
 )
@@ -28,7 +28,6 @@
     TOKEN_LIFETIME_S,
     KeyRing,
     Place,
-    TokenError,
     digest,
     open_token,
     seal_token,
@@ -39,7 +38,6 @@
     ClientWindow,
     NodeWindow,
     ServerWindow,
-    WindowFullError,
 )
 from gradegap.store.machine import StateMachine
 from gradegap.store.records import Command, LogRecord, encode
--- a/tests/test_resume_switch.py
+++ b/tests/test_resume_switch.py
@@ -8,9 +8,10 @@
 import pytest
 
 from gradegap.resume import lines
+from gradegap.resume.errors import WindowFullError
 from gradegap.resume.lines import Answer, Over, Request, Seen
 from gradegap.resume.session_relay import RelayOutput, RelayState, SessionRelay
-from gradegap.resume.window import MAX_UNANSWERED, ClientWindow, ServerWindow, WindowFullError
+from gradegap.resume.window import MAX_UNANSWERED, ClientWindow, ServerWindow
 
 
 class Shared:
