--- a/gradegap/capture/records.py
+++ b/gradegap/capture/records.py
@@ -11,7 +11,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping, Sequence
+from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
 from typing import Any
 
@@ -174,20 +174,58 @@
 
 
 def names(value: Event | Action) -> set[Any]:
-    """The servers and requests that an event or action is about."""
-    match value:
-        case EndpointList():
-            return {entry.name for entry in value.entries}
-        case ConnectionInherited():
-            return {value.request.request_id, value.endpoint}
-        case ConnectionEstablished() | ConnectionObserved() | AttemptEnded() | Forward():
-            return {value.request_id, value.endpoint}
-        case RequestArrived() | ClientDisconnected() | Reject() | Fail() | Migrate():
-            return {value.request_id}
-        case HealthCheckEnded() | CheckHealth():
-            return {value.endpoint}
-        case _:
-            return set()
+    """The endpoints and requests that an event or action is about."""
+    return _NAMES[type(value)](value)
+
+
+def _listed_endpoints(value: EndpointList) -> set[Any]:
+    return {entry.name for entry in value.entries}
+
+
+def _inherited(value: ConnectionInherited) -> set[Any]:
+    return {value.request.request_id, value.endpoint}
+
+
+def _request_and_endpoint(
+    value: ConnectionEstablished | ConnectionObserved | AttemptEnded | Forward,
+) -> set[Any]:
+    return {value.request_id, value.endpoint}
+
+
+def _request(value: RequestArrived | ClientDisconnected | Reject | Fail | Migrate) -> set[Any]:
+    return {value.request_id}
+
+
+def _endpoint(value: HealthCheckEnded | CheckHealth) -> set[Any]:
+    return {value.endpoint}
+
+
+def _nothing(value: Event | Action) -> set[Any]:
+    return set()
+
+
+# By class and not by matching one after the other: the recorder does this for each step.
+_NAMES: dict[type, Callable[[Any], set[Any]]] = {
+    EndpointList: _listed_endpoints,
+    ConnectionInherited: _inherited,
+    ConnectionEstablished: _request_and_endpoint,
+    ConnectionObserved: _request_and_endpoint,
+    AttemptEnded: _request_and_endpoint,
+    Forward: _request_and_endpoint,
+    RequestArrived: _request,
+    ClientDisconnected: _request,
+    Reject: _request,
+    Fail: _request,
+    Migrate: _request,
+    HealthCheckEnded: _endpoint,
+    CheckHealth: _endpoint,
+    TimerFired: _nothing,
+    ProxyDraining: _nothing,
+    ProxyResumed: _nothing,
+    SetTimer: _nothing,
+    WatchEndpoints: _nothing,
+    LogMessage: _nothing,
+}
 
 
 def plain_settings(settings: Settings) -> dict[str, Any]:
