--- a/gradegap/quic/stateless.py
+++ b/gradegap/quic/stateless.py
@@ -1,4 +1,4 @@
-"""Answers to datagrams of no connection: Version Negotiation, Retry and stateless reset. They keep no state."""
+"""Answers to datagrams of no connection: Version Negotiation, Retry, stateless reset. None keeps state."""
 
 from __future__ import annotations
 
