--- a/gradegap/raft/replication.py
+++ b/gradegap/raft/replication.py
@@ -13,6 +13,9 @@
 from gradegap.raft.messages import AppendEntries, AppendEntriesResponse
 from gradegap.raft.progress import Progress, ProgressState, majority_value
 
+# Bound once: before Python 3.12 each look-up of an enum's member is a call.
+REPLICATE, SNAPSHOT = ProgressState.REPLICATE, ProgressState.SNAPSHOT
+
 PROBE_BYTES = 4096  # of entries in a message while it is not known where the logs agree
 
 
@@ -84,11 +87,11 @@
     def send_to(self, peer: str, progress: Progress, always: bool = False) -> None:
         """Send a member the entries or the chunk that it is due; with `always`, one message at least."""
         raft = self.raft
-        if progress.state is ProgressState.SNAPSHOT or progress.next_index <= raft.log.base.index:
+        if progress.state is SNAPSHOT or progress.next_index <= raft.log.base.index:
             raft.snapshot_sender.send_chunk(peer, progress, again=always)
             return
         sent = self._stream(peer, progress)
-        if progress.state is not ProgressState.REPLICATE and not progress.awaiting_response:
+        if progress.state is not REPLICATE and not progress.awaiting_response:
             progress.awaiting_response = sent = True
             self._send_entries(
                 peer,
@@ -103,7 +106,7 @@
         raft = self.raft
         sent = False
         while (
-            progress.state is ProgressState.REPLICATE
+            progress.state is REPLICATE
             and len(progress.inflight) < raft.settings.max_inflight_messages
             and progress.next_index <= raft.log.last_index
         ):
@@ -122,7 +125,7 @@
             raft.term, previous, term, raft.commit_index, raft.heartbeats.current_round, tuple(entries)
         )
         raft.send_immediately(peer, message)
-        if entries and progress.state is ProgressState.REPLICATE:
+        if entries and progress.state is REPLICATE:
             last = entries[-1].index
             progress.next_index = last + 1
             progress.inflight.append(last)
@@ -142,10 +145,10 @@
     def _on_mismatch(self, sender: str, progress: Progress, response: AppendEntriesResponse) -> None:
         # Guards against a late rejection of entries that were since sent again and appended.
         if response.prev_log_index <= progress.match_index or (
-            progress.state is ProgressState.REPLICATE and response.prev_log_index >= progress.next_index
+            progress.state is REPLICATE and response.prev_log_index >= progress.next_index
         ):
             return
-        if progress.state is ProgressState.REPLICATE:
+        if progress.state is REPLICATE:
             progress.become_probe()
         hint = min(response.match_index, response.prev_log_index - 1)
         progress.next_index = (
@@ -156,10 +159,10 @@
     def _on_match(self, now: float, sender: str, progress: Progress, response: AppendEntriesResponse) -> None:
         while progress.inflight and progress.inflight[0] <= response.match_index:
             progress.inflight.popleft()
-        if progress.state is ProgressState.SNAPSHOT:
+        if progress.state is SNAPSHOT:
             progress.become_probe()
         if response.match_index >= progress.match_index:
-            sent_up_to = progress.next_index if progress.state is ProgressState.REPLICATE else 0
+            sent_up_to = progress.next_index if progress.state is REPLICATE else 0
             progress.become_replicate(response.match_index)
             progress.next_index = max(sent_up_to, progress.next_index)
         self.advance_commit(now)
@@ -197,7 +200,7 @@
             entry.size_bytes for entry in raft.log.slice(first, UNBOUNDED_BYTES, index)
         )
         for peer, progress in self.peers.items():
-            if progress.state is ProgressState.REPLICATE and progress.next_index > raft.log.last_index:
+            if progress.state is REPLICATE and progress.next_index > raft.log.last_index:
                 self._send_entries(peer, progress, [])  # so that they apply it before the next heartbeat
         if (
             raft.log.configuration_index <= raft.commit_index
