--- a/gradegap/balancing/settings_reader.py
+++ b/gradegap/balancing/settings_reader.py
@@ -1,4 +1,8 @@
-"""The one reader of settings: flat `path=value` pairs on the simulator's wire, nested JSON at a node."""
+"""The one reader of settings: flat `path=value` pairs on the simulator's wire, nested JSON at a node.
+
+The names are those of the operators' pages; what they become is named in `settings.py`. Errors are those of
+the values: `KeyError` names what is missing, `ValueError` what is no number, or of the wrong kind.
+"""
 
 from __future__ import annotations
 
@@ -15,6 +19,8 @@
 )
 
 NS = 1e-9
+"""Seconds in a nanosecond, the unit of times on the wire."""
+
 SOURCES = {"inline": ReportSource.ANSWERS, "on_probe": ReportSource.PROBE, "off": ReportSource.NONE}
 FIELDS = {
     "concurrent": "inflight",
@@ -24,79 +30,69 @@
     "tps": "qps",
     "err_ps": "eps",
 }
-WEIGHTS = {"off": WeightMeaning.NONE} | {w.value: w for w in WeightMeaning}
+"""Names of a load report on the wire, and in `Settings.report_fields`."""
+
+WEIGHTS = {"off": WeightMeaning.NONE} | {meaning.value: meaning for meaning in WeightMeaning}
 
 Fields = dict[str, str]
+"""Flat pairs; a value that is missing is the text `null`."""
 
 
 def report(text: str | None) -> dict[str, float] | None:
-    """A load report, `name:value` pairs set apart by commas, under the names of `Settings.report_fields`."""
+    """Returns a load report, `name:value` pairs set apart by commas, under the names of the settings."""
     if not text or text == "-":
         return None
-    out = {}
+    values = {}
     for pair in text.split(","):
         name, _, value = pair.partition(":")
-        out[FIELDS.get(name, name)] = float(value)
-    return out
+        values[FIELDS.get(name, name)] = float(value)
+    return values
 
 
-def read(fields: Fields) -> dict[str, Any]:
-    """The settings of an instance, from the pairs of its first message; ready for `interface.Settings`."""
-    f = {key: value for key, value in fields.items() if value != "null"}
+class _Pairs:
+    """Flat pairs, and their values by type; a missing one has a default."""
 
-    def seconds(name: str, default: float = 0.0) -> float:
-        return float(f[name]) * NS if f.get(name) else default
+    def __init__(self, fields: Fields) -> None:
+        self.values = {key: value for key, value in fields.items() if value != "null"}
 
-    def number(name: str, default: float = 0.0) -> float:
-        return float(f[name]) if f.get(name) else default
+    def text(self, name: str, default: str = "") -> str:
+        return self.values.get(name, default)
 
-    def yes(name: str, default: bool = False) -> bool:
-        return f[name] in ("true", "1") if name in f else default
+    def number(self, name: str, default: float = 0.0) -> float:
+        return float(self.values[name]) if self.values.get(name) else default
 
-    def texts(name: str) -> list[str]:
-        return [t for t in f.get(name, "").split(",") if t]
+    def seconds(self, name: str, default: float = 0.0) -> float:
+        return float(self.values[name]) * NS if self.values.get(name) else default
 
-    aims = texts("FamilyInfo.MessageAimNs")
-    classes = {}
-    for k in range(int(f.get("Lanes.count", 0))):
-        p = f"Lanes.{k}."
-        name = f[p + "Name"]
-        classes[name] = ClassSettings(
-            name,
-            seconds(p + "AimNs"),
-            seconds(p + "HardLimitNs"),
-            number(p + "Points", 1.0),
-            Idempotency(f.get(p + "Idempotency", "safe")),
-            DeduplicationScope(f.get(p + "Group", "all")),
-            seconds(p + "DedupWindowNs"),
-            float(aims[k]) * NS if k < len(aims) and aims[k] != "null" else 0.0,
-        )
-    tenants = {}
-    quotas = texts("FamilyInfo.TenantQuotaConnections")
-    for k in range(int(f.get("Tenants.count", 0) or 0)):
-        p = f"Tenants.{k}."
-        name = f[p + "Name"]
-        quota = number(p + "QuotaPerS")
-        if k < len(quotas) and quotas[k] != "null":
-            quota = float(quotas[k])
-        tenants[name] = TenantSettings(name, quota, number(p + "Fraction"))
+    def flag(self, name: str) -> bool:
+        return self.values.get(name) in ("true", "1")
+
+    def texts(self, name: str) -> list[str]:
+        return [each for each in self.values.get(name, "").split(",") if each]
+
+
+def read(fields: Fields) -> dict[str, Any]:
+    """Returns the settings of an instance, from the pairs of its first message; ready for `Settings`."""
+    pairs = _Pairs(fields)
+    classes, tenants = _classes(pairs), _tenants(pairs)
+    seconds, number, flag = pairs.seconds, pairs.number, pairs.flag
     return {
         "classes": classes,
         "proxy_count": int(number("ReplicasOfMe", 1)),
-        "zone": f.get("Locality", ""),
-        "polls_endpoints": f.get("MembershipMode") == "on_request",
+        "zone": pairs.text("Locality"),
+        "polls_endpoints": pairs.text("MembershipMode") == "on_request",
         "poll_within": seconds("Rules.AskWithinNs", 10.0),
         "drain_grace": seconds("Rules.DrainGraceNs"),
         "response_slack": seconds("Rules.AnswerSlackNs"),
         "connect_timeout": seconds("Bounds.ConnectTimeoutNs", 0.2),
         "max_attempts": int(number("Bounds.MaxAttempts", 1)),
-        "max_retry_after": seconds("Bounds.MaxRetryAfterNs") if yes("Bounds.RetryAfter") else 0.0,
-        "health_checks": yes("Bounds.Probes"),
-        "report_source": SOURCES.get(f.get("Telemetry.Source", "off"), ReportSource.NONE),
-        "report_fields": tuple(FIELDS.get(t, t) for t in texts("Telemetry.Fields")),
-        "weight_meaning": WEIGHTS.get(f.get("Weights", "off"), WeightMeaning.NONE),
-        "connection_groups": yes("FamilyInfo.Groups"),
-        "passthrough": f.get("FamilyInfo.Mode") == "pass",
+        "max_retry_after": seconds("Bounds.MaxRetryAfterNs") if flag("Bounds.RetryAfter") else 0.0,
+        "health_checks": flag("Bounds.Probes"),
+        "report_source": SOURCES.get(pairs.text("Telemetry.Source", "off"), ReportSource.NONE),
+        "report_fields": tuple(FIELDS.get(name, name) for name in pairs.texts("Telemetry.Fields")),
+        "weight_meaning": WEIGHTS.get(pairs.text("Weights", "off"), WeightMeaning.NONE),
+        "connection_groups": flag("FamilyInfo.Groups"),
+        "passthrough": pairs.text("FamilyInfo.Mode") == "pass",
         "slow_start_share": number("Rules.ColdShare", 1.0),
         "slow_start_time": seconds("Rules.ColdNs"),
         "overload_multiple": number("Rules.FallMultiple", 3.0),
@@ -110,32 +106,81 @@
     }
 
 
+def _classes(pairs: _Pairs) -> dict[str, ClassSettings]:
+    """Returns the classes of requests by name."""
+    message_objectives = pairs.texts("FamilyInfo.MessageAimNs")
+    classes = {}
+    for position in range(int(pairs.values.get("Lanes.count", 0))):
+        prefix = f"Lanes.{position}."
+        name = pairs.values[prefix + "Name"]
+        classes[name] = ClassSettings(
+            name,
+            latency_objective=pairs.seconds(prefix + "AimNs"),
+            time_limit=pairs.seconds(prefix + "HardLimitNs"),
+            priority_weight=pairs.number(prefix + "Points", 1.0),
+            idempotency=Idempotency(pairs.text(prefix + "Idempotency", "safe")),
+            deduplication_scope=DeduplicationScope(pairs.text(prefix + "Group", "all")),
+            deduplication_window=pairs.seconds(prefix + "DedupWindowNs"),
+            message_latency_objective=(_entry(message_objectives, position) or 0.0) * NS,
+        )
+    return classes
+
+
+def _tenants(pairs: _Pairs) -> dict[str, TenantSettings]:
+    """Returns the tenants by name; a quota of connections goes before one of requests a second."""
+    quotas = pairs.texts("FamilyInfo.TenantQuotaConnections")
+    tenants = {}
+    for position in range(int(pairs.values.get("Tenants.count", 0) or 0)):
+        prefix = f"Tenants.{position}."
+        name = pairs.values[prefix + "Name"]
+        quota = pairs.number(prefix + "QuotaPerS")
+        by_connections = _entry(quotas, position)
+        quota = quota if by_connections is None else by_connections
+        tenants[name] = TenantSettings(name, quota, pairs.number(prefix + "Fraction"))
+    return tenants
+
+
+def _entry(texts: list[str], position: int) -> float | None:
+    """Returns the number at a position of a list; None where there is none."""
+    if position >= len(texts) or texts[position] == "null":
+        return None
+    return float(texts[position])
+
+
 def check(nested: dict[str, Any]) -> None:
-    """Guards against settings whose gaps `read` would fill: a node with a class that has no deadline, with
-    one attempt for four, or that takes itself for the only one, looks healthy and serves badly. A KeyError
-    names what is missing."""
+    """Raises for settings whose gaps `read` would fill.
+
+    A node with a class that has no deadline, with one attempt for four, or that takes itself for the only
+    one, looks healthy and serves badly.
+
+    Raises:
+        KeyError: Names what is missing.
+        ValueError: Says what is of the wrong kind.
+    """
     lanes, bounds = nested["Lanes"], nested["Bounds"]
     if not isinstance(lanes, list) or not isinstance(bounds, dict):
         raise ValueError("Lanes or Bounds of the wrong kind")
-    _above_0("MaxAttempts", bounds["MaxAttempts"])
-    _above_0("ReplicasOfMe", nested["ReplicasOfMe"])
+    _require_positive("MaxAttempts", bounds["MaxAttempts"])
+    _require_positive("ReplicasOfMe", nested["ReplicasOfMe"])
     names = set()
     for lane in lanes:
         if not isinstance(lane, dict) or not isinstance(lane["Name"], str) or lane["Name"] in names:
             raise ValueError("a class without a name of its own")
         names.add(lane["Name"])
-        _above_0(f"HardLimitNs of {lane['Name']}", lane["HardLimitNs"])
+        _require_positive(f"HardLimitNs of {lane['Name']}", lane["HardLimitNs"])
 
 
-def _above_0(name: str, value: Any) -> None:
+def _require_positive(name: str, value: Any) -> None:
     number = isinstance(value, int | float) and not isinstance(value, bool)
     if not number or not math.isfinite(value) or value <= 0:
         raise ValueError(f"{name} is no number above 0: {value!r}")
 
 
-def lacking(old: Any, new: Any, path: str = "") -> str:
-    """The first name that `old` has a value for and `new` lacks; empty: none. Each entry of a list is held
-    against the first of the old one."""
+def first_missing(old: Any, new: Any, path: str = "") -> str:
+    """Returns the first name that `old` has a value for and `new` lacks; empty: none.
+
+    Each entry of a list is compared with the first of the old one.
+    """
     if isinstance(old, dict):
         if not isinstance(new, dict):
             return path
@@ -143,26 +188,26 @@
             here = f"{path}.{name}" if path else name
             if value is not None and new.get(name) is None:
                 return here
-            if found := lacking(value, new.get(name), here):
+            if found := first_missing(value, new.get(name), here):
                 return found
     elif isinstance(old, list) and old and isinstance(old[0], dict):
         if not isinstance(new, list):
             return path
-        missing = (lacking(old[0], each, f"{path}.{k}") for k, each in enumerate(new))
+        missing = (first_missing(old[0], each, f"{path}.{position}") for position, each in enumerate(new))
         return next((name for name in missing if name), "")
     return ""
 
 
 def flatten(value: Any, path: str = "", into: Fields | None = None) -> Fields:
-    """The nested object of config.json as the pairs that `read` takes."""
+    """Returns the nested object of config.json as the pairs that `read` takes."""
     out: Fields = {} if into is None else into
     if isinstance(value, dict):
         for name, each in value.items():
             flatten(each, f"{path}.{name}" if path else name, out)
     elif isinstance(value, list) and any(isinstance(each, dict) for each in value):
         out[f"{path}.count"] = str(len(value))
-        for k, each in enumerate(value):
-            flatten(each, f"{path}.{k}", out)
+        for position, each in enumerate(value):
+            flatten(each, f"{path}.{position}", out)
     elif isinstance(value, list):
         out[path] = ",".join("null" if each is None else _text(each) for each in value)
     elif value is not None:
--- a/gradegap/node/configuration.py
+++ b/gradegap/node/configuration.py
@@ -135,7 +135,7 @@
     """
     new = load(old.path)
     # Guards against a file that was cut between two of its keys: what it lacks would become a default.
-    if missing := settings_reader.lacking(old.keys, new.keys):
+    if missing := settings_reader.first_missing(old.keys, new.keys):
         raise ConfigurationError(f"{old.path} lacks {missing}, which the one in force has")
     for attribute in _RELOADED:
         if getattr(new.as_written, attribute) != getattr(old.as_written, attribute):
