--- a/gradegap/balancing/actions.py
+++ b/gradegap/balancing/actions.py
@@ -1,4 +1,4 @@
-"""What the decisions answer with: actions, to be carried out in their order.
+"""Actions, which the decisions come to; to be carried out in their order.
 
 All times are lengths in seconds, as floats. Nothing in this file decides anything.
 """
@@ -45,13 +45,13 @@
 
 
 class CheckHealth(NamedTuple):
-    """Ask an endpoint for its load report; `HealthCheckEnded` has the result."""
+    """Fetch an endpoint's load report; `HealthCheckEnded` has the result."""
 
     endpoint: str
 
 
 class WatchEndpoints(NamedTuple):
-    """Ask discovery for changes of the endpoint list from now on."""
+    """Call discovery for changes of the endpoint list from now on."""
 
 
 class LogMessage(NamedTuple):
--- a/gradegap/balancing/events.py
+++ b/gradegap/balancing/events.py
@@ -1,4 +1,4 @@
-"""What the decisions are told: events, and the values that they are made of.
+"""Events, which the decisions are made on, and the values that they consist of.
 
 All times are seconds as floats: clock times where a field ends in `_at`, lengths otherwise.
 Nothing in this file decides anything.
@@ -12,7 +12,7 @@
 
 
 class EndpointPhase(IntEnum):
-    """Where an endpoint stands in its life, as discovery says."""
+    """The phase of an endpoint's life, as discovery says."""
 
     REMOVED = 0
     READY = 1
@@ -53,7 +53,7 @@
     phase: EndpointPhase = EndpointPhase.READY
     weight: float = 1.0
     started_at: float = 0.0  # latest start; 0: long ago
-    stops_within: float = 0.0  # s that it stays from when it is told to drain; 0: not told
+    stops_within: float = 0.0  # s that it stays once it is draining; 0: not known
 
 
 class EndpointList(NamedTuple):
@@ -72,14 +72,14 @@
     tenant: str = ""
     key: str = ""
     group: str = ""  # connections of one group share work on an endpoint
-    load: float = 0.0  # expected load; 0: not told
+    load: float = 0.0  # expected load; 0: not known
     retry: bool = False
     mid_flow: bool = False
     reconnect: bool = False
 
 
 class ConnectionInherited(NamedTuple):
-    """A connection that already stands, through this proxy, at its start: its attempt 0."""
+    """A connection that was established through this proxy before it started: its attempt 0."""
 
     request: RequestArrived
     endpoint: str
@@ -116,13 +116,13 @@
 
 
 class ClientDisconnected(NamedTuple):
-    """The client has gone away."""
+    """The client has closed its connection."""
 
     request_id: int
 
 
 class TimerFired(NamedTuple):
-    """A timer that `SetTimer` asked for is due."""
+    """A timer that `SetTimer` set is due."""
 
     token: str
 
@@ -137,12 +137,10 @@
 
 
 class ProxyDraining(NamedTuple):
-    """This proxy is about to stop: every connection it holds must have been told to migrate by then."""
+    """This proxy is about to stop: all its connections must be migrated by then."""
 
     deadline_at: float
-    process_ends: bool = (
-        False  # its process ends as well: whatever is not out to an endpoint by now never will be
-    )
+    process_ends: bool = False  # its process ends as well: what is not forwarded by now never will be
 
 
 class ProxyResumed(NamedTuple):
--- a/gradegap/balancing/settings.py
+++ b/gradegap/balancing/settings.py
@@ -1,4 +1,4 @@
-"""What a proxy is told at its start: classes of requests, tenants, limits and costs.
+"""Settings of one proxy: classes of requests, tenants, limits and costs.
 
 All times are seconds as floats. Nothing in this file decides anything.
 """
@@ -14,12 +14,12 @@
     """What a second run of a request of a class would do."""
 
     IDEMPOTENT = "safe"  # nothing: repeat at will
-    KEYED = "keyed"  # nothing, inside the group of servers that drops repeats, for a while
+    KEYED = "keyed"  # nothing, within the group of endpoints that drops repeats, for a while
     NON_IDEMPOTENT = "unsafe"  # harm: repeat only when no earlier attempt can have run
 
 
 class DeduplicationScope(Enum):
-    """Which servers drop the repeats of a keyed request."""
+    """Which endpoints drop the repeats of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -27,15 +27,15 @@
 
 
 class ReportSource(Enum):
-    """How servers report their load."""
+    """How endpoints report their load."""
 
-    ANSWERS = "answers"  # with outcomes and with probe results
-    PROBE = "probe"  # with probe results only
+    ANSWERS = "answers"  # with outcomes and with the results of health checks
+    PROBE = "probe"  # with the results of health checks only
     NONE = "none"
 
 
 class WeightMeaning(Enum):
-    """What the weight in the server list means."""
+    """What the weight in the endpoint list means."""
 
     NONE = "none"
     NOMINAL = "nominal"
@@ -48,13 +48,13 @@
     """One class of requests."""
 
     name: str
-    latency_objective: float = 0.5  # an answer within this has its full worth
+    latency_objective: float = 0.5  # an answer within this has its full weight
     time_limit: float = 2.0  # the client's whole wait
     priority_weight: float = 1.0
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
-    deduplication_window: float = 0.0  # keyed: how long servers remember a request
-    message_latency_objective: float = 0.0  # wanted time of one message on a standing connection; 0: none
+    deduplication_window: float = 0.0  # keyed: how long endpoints remember a request
+    message_latency_objective: float = 0.0  # wanted time of one message on an established connection; 0: none
 
 
 @dataclass(slots=True, frozen=True)
@@ -68,34 +68,34 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What one proxy is told at its start."""
+    """Settings of one proxy; raises `ValueError` for those that no proxy can serve by."""
 
     classes: Mapping[str, ClassSettings]
     proxy_count: int = 1
     zone: str = ""
-    polls_endpoints: bool = False  # the list comes only when asked for
+    polls_endpoints: bool = False  # the endpoint list comes only when called for
     poll_within: float = 10.0
     drain_grace: float = 1.0
     response_slack: float = 0.0
-    connect_timeout: float = 0.2  # a connection not up within this has failed
+    connect_timeout: float = 0.2  # a connection not established within this has failed
     max_attempts: int = 3
     max_retry_after: float = 0.0  # 0: no advice is passed on to clients
     health_checks: bool = True
     report_source: ReportSource = ReportSource.NONE
     report_fields: tuple[str, ...] = ()
     weight_meaning: WeightMeaning = WeightMeaning.NONE
-    connection_groups: bool = False  # connections of one group share work on a server
+    connection_groups: bool = False  # connections of one group share work on an endpoint
     passthrough: bool = False  # packets pass through: connections outlive the proxy
-    slow_start_share: float = 1.0  # a server starts with at least this part of its capacity
+    slow_start_share: float = 1.0  # an endpoint starts with at least this part of its capacity
     slow_start_time: float = 0.0  # and is warm within this time
     overload_multiple: float = 3.0
     overload_window: float = 1.0
     cross_zone_cost: float = 0.0  # points of service for a request that crosses zones
-    migration_cost: float = 0.0  # points of service for a client moved once
-    health_check_cost: float = 0.0  # points of service for one probe a request
+    migration_cost: float = 0.0  # points of service for a client migrated once
+    health_check_cost: float = 0.0  # points of service for one health check a request
     cpu_per_request: float = 0.0  # seconds; 0: no limit
     tenants: Mapping[str, TenantSettings] = field(default_factory=dict)
-    over_share_weight: float = 1.0  # part of its worth that a request beyond its tenant's share has
+    over_share_weight: float = 1.0  # part of its weight that a request beyond its tenant's quota has
 
     def __post_init__(self) -> None:
         if not self.classes:
