--- a/gradegap/balancing/admission.py
+++ b/gradegap/balancing/admission.py
@@ -60,8 +60,8 @@
         headroom -= 0.0 if is_home(endpoint, request) else GROUP_SETUP_CONNECTIONS
         if headroom <= 0:
             return False
-        interval = self.statistics.pace()
+        interval = self.statistics.interval()
         lag = interval + min(age, interval)  # over longer, those who leave make room for those who come
-        sent_by_all = 2.0 * self.rates.sent.get(now) * context.settings.proxy_count * lag
+        sent_by_all = 2.0 * self.rates.sent.rate(now) * context.settings.proxy_count * lag
         rivals = sent_by_all / max(1, len(estimates.ready))
         return rivals <= headroom or context.random() * rivals < headroom
--- a/gradegap/balancing/balancer.py
+++ b/gradegap/balancing/balancer.py
@@ -1,7 +1,7 @@
 """Every decision of gradegap, behind one class. Events are in `events.py`, actions in `actions.py`.
 
 A `Balancer` is one proxy. It is fed events with the clock and answers with actions, and knows no more: no
-I/O, and no clock but the one it is given. Each module of the package decides or reckons one thing; this one
+I/O, and no clock but the one it is given. Each module of the package decides or computes one thing; this one
 puts them together and passes events on.
 """
 
@@ -136,7 +136,7 @@
         context = self.context
         context.now = now
         if context.started_at == NEVER:
-            context.started_at = self.slow_start.born = now
+            context.started_at = self.slow_start.started_at = now
         actions = context.actions = []
         self.handlers[type(event)](event)
         return actions
@@ -160,7 +160,7 @@
     def _connection_observed(self, event: ConnectionObserved) -> None:
         request = self.table.requests.get(event.request_id)
         if event.load and request is not None:
-            self.priority_weights.told(request.class_settings.name, event.load)
+            self.priority_weights.observe_load(request.class_settings.name, event.load)
         self.health_checks.observe(event)
 
     def _health_check_ended(self, event: HealthCheckEnded) -> None:
--- a/gradegap/balancing/connection_growth.py
+++ b/gradegap/balancing/connection_growth.py
@@ -25,7 +25,7 @@
         """Returns the present number of requests over the usual one, at least 1."""
         context = self.context
         count = len(self.table.requests)
-        self.baseline.seen(context.now, count, REPORT_DELAY_S)
+        self.baseline.observe(context.now, count, REPORT_DELAY_S)
         if context.now - context.started_at < REPORT_DELAY_S and not self.inherited_count:
             return 1.0
         return max(1.0, (count + 1.0) / (self.baseline.number + 1.0))
--- a/gradegap/balancing/endpoint_registry.py
+++ b/gradegap/balancing/endpoint_registry.py
@@ -103,7 +103,7 @@
             endpoint.cores and is_change and endpoint.ready_index >= 0 and entry.phase is EndpointPhase.READY
         ):
             # Where a phase changes, and in whole lists, the weight is the size: it says nothing else.
-            endpoint.estimated_connections = connection_estimates.held(
+            endpoint.estimated_connections = connection_estimates.connections(
                 endpoint.size, entry.weight, endpoint.cores
             )
             endpoint.estimated_at = self.context.now
@@ -146,4 +146,4 @@
 
 
 def _ignore(endpoint: Endpoint) -> None:
-    """Stands in until the part that migrates connections is there."""
+    """Placeholder until the part that migrates connections is there."""
--- a/gradegap/balancing/grouping.py
+++ b/gradegap/balancing/grouping.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from gradegap.balancing import hash_ring
-from gradegap.balancing.capacity import Capacity, is_cold
+from gradegap.balancing.capacity import Capacity, is_warming_up
 from gradegap.balancing.context import Context
 from gradegap.balancing.endpoint_registry import EndpointRegistry
 from gradegap.balancing.events import RequestArrived
@@ -59,9 +59,9 @@
         """
         context = self.context
         ready = self.registry.ready
-        capacity_known = self.capacity.per_size > 0
+        capacity_known = self.capacity.load_per_size > 0
         drawn = ready[int(context.random() * len(ready))]
-        if not capacity_known and is_cold(drawn, context.now, context.settings):
+        if not capacity_known and is_warming_up(drawn, context.now, context.settings):
             return drawn
         if request.ring_candidates is None:
             request.ring_candidates = self._candidates(request.hash_key)
@@ -70,7 +70,7 @@
             request.next_ring_candidate = position + 1
             endpoint = candidates[position]
             if endpoint.ready_index >= 0 and (
-                capacity_known or not is_cold(endpoint, context.now, context.settings)
+                capacity_known or not is_warming_up(endpoint, context.now, context.settings)
             ):
                 return endpoint
         return None
--- a/gradegap/balancing/hash_ring.py
+++ b/gradegap/balancing/hash_ring.py
@@ -1,8 +1,9 @@
-"""A ring of servers that all proxies read alike, as a sorted list of points. It decides nothing.
+"""A consistent hash ring of endpoints that all proxies read alike, as a sorted list of points.
 
-Consistent hashing (Karger et al., STOC 1997): each server stands at `POINTS` places, a key's walk begins at
-its own place and goes upwards. What joins or leaves changes the walks that pass its points and no others, and
-proxies that share no more than the list of servers agree on every key's order.
+It decides nothing. Consistent hashing (Karger et al., STOC 1997): each endpoint has `POINTS_PER_ENDPOINT`
+places, a key's walk begins at its own place and goes upwards. What joins or leaves changes the walks that
+pass its points and no others, and proxies that share no more than the endpoint list agree on every key's
+order.
 """
 
 from __future__ import annotations
@@ -10,8 +11,11 @@
 from bisect import bisect_left, bisect_right, insort
 from hashlib import blake2b
 
-POINTS = 16  # places of a server; more spread a leaver's keys more evenly, and cost more to keep
-Ring = list[tuple[int, str]]  # (place in 0 to 2**64 - 1, server), sorted
+POINTS_PER_ENDPOINT = 16
+"""Places of an endpoint; more would spread the keys of one that leaves more evenly, and cost more to keep."""
+
+Ring = list[tuple[int, str]]
+"""Places in 0 to 2**64 - 1 with the endpoint of each, sorted."""
 
 
 def _place(text: str) -> int:
@@ -19,26 +23,27 @@
 
 
 def _points(name: str) -> Ring:
-    return [(_place(f"{name}#{i}"), name) for i in range(POINTS)]
+    return [(_place(f"{name}#{i}"), name) for i in range(POINTS_PER_ENDPOINT)]
 
 
 def add(ring: Ring, name: str) -> None:
+    """Puts an endpoint on the ring."""
     for point in _points(name):
         insort(ring, point)
 
 
 def remove(ring: Ring, name: str) -> None:
-    """Take out a server that is on the ring."""
+    """Takes an endpoint off the ring, which must be on it."""
     for point in _points(name):
         del ring[bisect_left(ring, point)]
 
 
 def order(ring: Ring, key: str, most: int) -> list[str]:
-    """The first `most` servers (fewer where there are fewer) on the key's walk, nearest first."""
+    """Returns the first `most` endpoints (fewer where there are fewer) on the key's walk, nearest first."""
     start = bisect_right(ring, (_place(key), ""))
     names: dict[str, None] = {}
-    for k in range(start, start + len(ring)):
-        names[ring[k % len(ring)][1]] = None
+    for position in range(start, start + len(ring)):
+        names[ring[position % len(ring)][1]] = None
         if len(names) >= most:
             break
     return list(names)
--- a/gradegap/balancing/health_checks.py
+++ b/gradegap/balancing/health_checks.py
@@ -1,4 +1,4 @@
-"""When endpoints are asked for their load: on a schedule, and before a comparison; within a budget.
+"""When endpoints are checked for their load: on a schedule, and before a comparison; within a budget.
 
 Requests earn the budget, so that the cost of health checks is bounded by the traffic that they serve.
 """
--- a/gradegap/balancing/load_estimates.py
+++ b/gradegap/balancing/load_estimates.py
@@ -4,7 +4,7 @@
 
 import math
 
-from gradegap.balancing.capacity import LOOK_EVERY, SURE_FROM, Capacity
+from gradegap.balancing.capacity import CERTAIN_CONNECTIONS, UPDATE_INTERVAL_S, Capacity
 from gradegap.balancing.context import Context
 from gradegap.balancing.grouping import GROUP_SETUP_CONNECTIONS, is_home
 from gradegap.balancing.model import Endpoint, Request
@@ -68,8 +68,8 @@
         its size report is taken then.
         """
         context, capacity = self.context, self.capacity
-        if context.now - capacity.looked_at >= LOOK_EVERY:  # checked here: most calls come sooner
-            capacity.look(context.now, self.ready, context.settings)
-        if endpoint.load_per_connection and (endpoint.last_report[1] or 0) >= SURE_FROM:
+        if context.now - capacity.updated_at >= UPDATE_INTERVAL_S:  # checked here: most calls come sooner
+            capacity.update(context.now, self.ready, context.settings)
+        if endpoint.load_per_connection and (endpoint.last_report[1] or 0) >= CERTAIN_CONNECTIONS:
             return endpoint.load_per_connection
-        return capacity.unit(endpoint.size) or endpoint.load_per_connection
+        return capacity.load_per_connection(endpoint.size) or endpoint.load_per_connection
--- a/gradegap/balancing/load_reports.py
+++ b/gradegap/balancing/load_reports.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 
 from gradegap.balancing import connection_estimates
-from gradegap.balancing.capacity import SURE_FROM
+from gradegap.balancing.capacity import CERTAIN_CONNECTIONS
 from gradegap.balancing.context import Context
 from gradegap.balancing.model import Endpoint
 from gradegap.balancing.report_statistics import ReportStatistics
@@ -40,11 +40,11 @@
             return
         gap = now - endpoint.last_report_at
         repeated = (value, count) == endpoint.last_report and value > 0
-        self.statistics.saw(gap, repeated)
+        self.statistics.observe(gap, repeated)
         endpoint.last_report_at = now
         if repeated:
             return  # the same report again: its load is older than the health check
-        self.statistics.changed(gap, endpoint.last_report, (value, count))
+        self.statistics.observe_change(gap, endpoint.last_report, (value, count))
         endpoint.last_report = (value, count)
         endpoint.report_changed_at = now
         if self.context.settings.weight_meaning is WeightMeaning.LIVE:
@@ -62,7 +62,7 @@
 
     A few slow endpoints would otherwise make all the others look too full to take any.
     """
-    least = SURE_FROM if endpoint.load_per_connection else 1.0
+    least = CERTAIN_CONNECTIONS if endpoint.load_per_connection else 1.0
     if count is None or load >= HUNG_LOAD or count < least:
         return
     seen = min(1.0, load / count)
--- a/gradegap/balancing/migration.py
+++ b/gradegap/balancing/migration.py
@@ -97,7 +97,7 @@
         room /= self.context.settings.proxy_count
         excess = len(endpoint.connections) * (load - MIGRATION_TARGET_LOAD * tolerance) / load
         count = int(min(excess, room) + random())
-        pause = MIGRATION_PAUSE_REPORTS * self.statistics.pace()
+        pause = MIGRATION_PAUSE_REPORTS * self.statistics.interval()
         endpoint.migration_paused_until = now + pause * (0.75 + 0.5 * random())
         if count:
             reported = endpoint.last_report[1]
--- a/gradegap/balancing/outcome_rates.py
+++ b/gradegap/balancing/outcome_rates.py
@@ -23,5 +23,5 @@
 
         Most attempts of late failed then, wherever they went, so no single endpoint is at fault.
         """
-        established, failed = self.established.late(now), self.failed.late(now)
+        established, failed = self.established.recent(now), self.failed.recent(now)
         return (failed - established - TOLERATED_FAILURES_PER_S) / (failed + established + 1.0)
--- a/gradegap/balancing/priority.py
+++ b/gradegap/balancing/priority.py
@@ -1,57 +1,68 @@
-"""What it is worth to serve a request, for the load that it brings. It decides nothing.
+"""The priority of requests: their weight for the load that they bring. It decides nothing.
 
-Settings tell a class's worth, a tenant's share (as a number of open connections over all proxies) and what is
-left of the worth beyond it. What a connection of a class asks of a server is told nowhere beforehand; it is
-learned from what servers tell of standing ones (`Note.load`). Until all classes are known, all count alike.
+Settings give a class's priority weight, a tenant's quota (a number of open connections over all proxies) and
+what is left of the weight beyond it. The load of a class's connections is given nowhere beforehand; it is
+learned from what endpoints report of established ones (`ConnectionObserved.load`). Until all classes are
+known, all count alike.
 """
 
 from __future__ import annotations
 
 from gradegap.balancing.settings import ClassSettings, Settings
 
-LEARN = 0.02  # part of one connection's load in its class's mean
-SLACK = 1.1  # how far over its share a tenant is reckoned before it counts: own connections are but a sample
+LOAD_GAIN = 0.02
+"""Weight of one connection's load in the mean of its class."""
+
+QUOTA_SLACK = 1.1
+"""How far over its quota a tenant may be estimated before it counts: our own connections are but a sample."""
 
 
 class PriorityWeights:
-    """Worth by class and tenant, as one proxy knows it."""
+    """Priorities by class and tenant, as one proxy knows them."""
+
+    __slots__ = ("connections_by_tenant", "load_by_class", "settings")
 
-    __slots__ = ("held", "loads", "set")
+    settings: Settings
 
     def __init__(self, settings: Settings) -> None:
-        self.held: dict[str, int] = {}  # own connections by tenant
-        self.loads: dict[str, float] = {}  # of a connection, by class, in no certain unit
+        self.connections_by_tenant: dict[str, int] = {}  # this proxy's own
+        self.load_by_class: dict[str, float] = {}  # of one connection, in any unit, the same for all classes
         self.adopt(settings)
 
     def adopt(self, settings: Settings) -> None:
-        self.set = settings
-
-    def _rate(self, cls: ClassSettings) -> float:
-        """Worth a second for a unit of load; where a class's load is not known, no class's is used."""
-        known = len(self.loads) >= len(self.set.classes)
-        return cls.priority_weight / self.loads.get(cls.name, 1.0) if known else cls.priority_weight
+        """Computes by these settings from now on."""
+        self.settings = settings
 
-    def told(self, cls: str, load: float) -> None:
-        """What one standing connection asks of its server now."""
-        if load > 0.0 and cls in self.set.classes:
-            known = self.loads.get(cls, load)
-            self.loads[cls] = known + LEARN * (load - known)
+    def observe_load(self, class_name: str, load: float) -> None:
+        """Takes over the present load of one established connection; unknown classes are ignored."""
+        if load > 0.0 and class_name in self.settings.classes:
+            known = self.load_by_class.get(class_name, load)
+            self.load_by_class[class_name] = known + LOAD_GAIN * (load - known)
 
-    def stands(self, tenant: str, more: int) -> None:
+    def count_connections(self, tenant: str, change: int) -> None:
+        """Adds to the established connections of a tenant; an empty name is none."""
         if tenant:
-            self.held[tenant] = self.held.get(tenant, 0) + more
+            self.connections_by_tenant[tenant] = self.connections_by_tenant.get(tenant, 0) + change
 
-    def over(self, tenant: str) -> float:
-        """The part of one more connection of this tenant that lies beyond its share, by what stands here
-        times the proxies."""
-        told = self.set.tenants.get(tenant)
-        if told is None or told.quota <= 0.0:
+    def excess_share(self, tenant: str) -> float:
+        """Returns the part of one more connection of a tenant that lies beyond its quota.
+
+        The connections here times the number of proxies are held against it.
+        """
+        tenant_settings = self.settings.tenants.get(tenant)
+        if tenant_settings is None or tenant_settings.quota <= 0.0:
             return 0.0
-        stand = (self.held.get(tenant, 0) + 1) * self.set.proxy_count
-        return max(0.0, 1.0 - SLACK * told.quota / stand)
-
-    def of(self, cls: ClassSettings, tenant: str) -> float:
-        """From 0 to 1: the worth of serving one more, for its load, over the most that any class is worth."""
-        beyond = (1.0 - self.set.over_share_weight) * self.over(tenant)
-        top = max(self._rate(c) for c in self.set.classes.values()) or 1.0
-        return min(1.0, self._rate(cls) / top) * (1.0 - beyond)
+        everywhere = (self.connections_by_tenant.get(tenant, 0) + 1) * self.settings.proxy_count
+        return max(0.0, 1.0 - QUOTA_SLACK * tenant_settings.quota / everywhere)
+
+    def priority(self, class_settings: ClassSettings, tenant: str) -> float:
+        """Returns the weight of one more request for its load, over the largest of any class: 0 to 1."""
+        lost = (1.0 - self.settings.over_share_weight) * self.excess_share(tenant)
+        largest = max(self._weight_per_load(each) for each in self.settings.classes.values()) or 1.0
+        return min(1.0, self._weight_per_load(class_settings) / largest) * (1.0 - lost)
+
+    def _weight_per_load(self, class_settings: ClassSettings) -> float:
+        """Returns the priority weight for a unit of load; no load counts while any class's is unknown."""
+        if len(self.load_by_class) < len(self.settings.classes):
+            return class_settings.priority_weight
+        return class_settings.priority_weight / self.load_by_class.get(class_settings.name, 1.0)
--- a/gradegap/balancing/rates.py
+++ b/gradegap/balancing/rates.py
@@ -1,43 +1,52 @@
-"""How often something happens, as of late. It decides nothing."""
+"""How often something happens, and how long it takes, as of late. It decides nothing.
+
+Times are seconds.
+"""
 
 from __future__ import annotations
 
 import math
 
-SLOW = 20.0  # s: memory of the usual rate
-FAST = 2.0  # s: memory of the rate in a wave
+SLOW_MEMORY_S = 20.0
+"""Time constant of the usual rate, in seconds."""
+
+FAST_MEMORY_S = 2.0
+"""Time constant of the rate in a wave, in seconds."""
 
 
 class DecayingRate:
-    """Events a second of late: the larger of a long and a short memory, so it rises at once in a wave."""
+    """Events a second, by two exponentially decaying counts."""
 
     __slots__ = ("at", "fast", "slow")
 
     def __init__(self) -> None:
-        self.fast = self.slow = self.at = 0.0
+        self.fast = self.slow = self.at = 0.0  # events a second, when the last one came
 
     def add(self, now: float) -> None:
-        self.slow = self.slow * math.exp((self.at - now) / SLOW) + 1 / SLOW
-        self.fast = self.fast * math.exp((self.at - now) / FAST) + 1 / FAST
+        """Counts one event."""
+        self.slow = self.slow * math.exp((self.at - now) / SLOW_MEMORY_S) + 1 / SLOW_MEMORY_S
+        self.fast = self.fast * math.exp((self.at - now) / FAST_MEMORY_S) + 1 / FAST_MEMORY_S
         self.at = now
 
-    def late(self, now: float) -> float:
-        return self.fast * math.exp((self.at - now) / FAST)
+    def recent(self, now: float) -> float:
+        """Returns the rate by the short memory."""
+        return self.fast * math.exp((self.at - now) / FAST_MEMORY_S)
 
-    def get(self, now: float) -> float:
-        return max(self.slow * math.exp((self.at - now) / SLOW), self.late(now))
+    def rate(self, now: float) -> float:
+        """Returns the larger of the rates by the two memories, so that it rises at once in a wave."""
+        return max(self.slow * math.exp((self.at - now) / SLOW_MEMORY_S), self.recent(now))
 
 
 class BaselineRate:
-    """The usual number of something, as of late."""
+    """The usual value of a number: its exponential moving average."""
 
     __slots__ = ("at", "number")
 
     def __init__(self) -> None:
         self.number = self.at = 0.0
 
-    def seen(self, now: float, number: float, memory: float) -> None:
-        """So many there are now; `memory` is the time constant (s)."""
+    def observe(self, now: float, number: float, memory: float) -> None:
+        """Takes over the number at a time; `memory` is the time constant in seconds."""
         if now > self.at:
             part = 1.0 - math.exp((self.at - now) / memory)
             self.number += part * (number - self.number) if self.number else number
@@ -45,20 +54,21 @@
 
 
 class LatencyEstimate:
-    """How long something takes: a smoothed mean and deviation, and when it is late (RFC 6298)."""
+    """How long something takes: smoothed mean and mean deviation, and a timeout, as TCP's (RFC 6298)."""
 
-    __slots__ = ("apart", "mean")
+    __slots__ = ("deviation", "mean")
 
     def __init__(self) -> None:
-        self.mean = self.apart = 0.0
+        self.mean = self.deviation = 0.0
 
-    def took(self, spent: float) -> None:
+    def observe(self, elapsed: float) -> None:
+        """Takes over one measured time in seconds, with the gains of RFC 6298 (1/8 and 1/4)."""
         if self.mean <= 0.0:
-            self.mean, self.apart = spent, spent / 2
+            self.mean, self.deviation = elapsed, elapsed / 2
         else:
-            self.apart += (abs(spent - self.mean) - self.apart) / 4
-            self.mean += (spent - self.mean) / 8
+            self.deviation += (abs(elapsed - self.mean) - self.deviation) / 4
+            self.mean += (elapsed - self.mean) / 8
 
-    def late(self, least: float, most: float) -> float:
-        """Seconds from which one more is late: `least` until something is known."""
-        return max(least, min(most, self.mean + 4.0 * self.apart))
+    def timeout(self, least: float, most: float) -> float:
+        """Returns the seconds from which one more is late, within bounds; `least` until anything is known."""
+        return max(least, min(most, self.mean + 4.0 * self.deviation))
--- a/gradegap/balancing/request_lifecycle.py
+++ b/gradegap/balancing/request_lifecycle.py
@@ -156,7 +156,7 @@
             event.tenant,
         )
         request.hash_key = hash_key(event, self.context)
-        request.priority = self.table.priority_weights.of(class_settings, event.tenant)
+        request.priority = self.table.priority_weights.priority(class_settings, event.tenant)
         return request
 
     def _release(self, request: Request, result: AttemptResult) -> None:
--- a/gradegap/balancing/request_table.py
+++ b/gradegap/balancing/request_table.py
@@ -21,7 +21,7 @@
     def hold(self, endpoint: Endpoint, request: Request) -> None:
         """Records a request's connection at an endpoint."""
         endpoint.connections[request.id] = request
-        self.priority_weights.stands(request.tenant, 1)
+        self.priority_weights.count_connections(request.tenant, 1)
         groups = endpoint.connections_by_group
         groups[request.hash_key] = groups.get(request.hash_key, 0) + 1
 
@@ -29,7 +29,7 @@
         """Drops a connection; returns whether the endpoint held it."""
         if endpoint.connections.pop(request.id, None) is None:
             return False
-        self.priority_weights.stands(request.tenant, -1)
+        self.priority_weights.count_connections(request.tenant, -1)
         groups = endpoint.connections_by_group
         groups[request.hash_key] -= 1
         if not groups[request.hash_key]:
--- a/gradegap/balancing/selection.py
+++ b/gradegap/balancing/selection.py
@@ -21,7 +21,7 @@
 from gradegap.balancing.actions import SetTimer
 from gradegap.balancing.admission import Admission
 from gradegap.balancing.attempts import DEADLINE_MARGIN_S, Attempts, deduplication_group
-from gradegap.balancing.capacity import is_cold
+from gradegap.balancing.capacity import is_warming_up
 from gradegap.balancing.context import Context
 from gradegap.balancing.endpoint_registry import EndpointRegistry
 from gradegap.balancing.grouping import Grouping
@@ -149,7 +149,7 @@
     def beta(self, older_age: float) -> float:
         """Returns the probability of a comparison, for reports of which the older has this age in seconds."""
         n_log_n = self.registry.n_log_n
-        b = self.rates.established.get(self.context.now) * self.context.settings.proxy_count * older_age
+        b = self.rates.established.rate(self.context.now) * self.context.settings.proxy_count * older_age
         if b <= n_log_n:
             return 1.0
         return min(1.0, BETA_SCALE * math.sqrt(n_log_n / b))
@@ -226,7 +226,7 @@
             endpoint = on_ring or ready[int(random() * count)]
             # All proxies together must not overrun a warming endpoint.
             if endpoint is other or (
-                is_cold(endpoint, now, settings) and not self._may_warm_up(endpoint, request)
+                is_warming_up(endpoint, now, settings) and not self._may_warm_up(endpoint, request)
             ):
                 continue
             if endpoint in request.attempted_endpoints or endpoint.ejected_until > now:
@@ -270,7 +270,7 @@
         if first_load is None or second_load is None or first_load == second_load:
             # A warming one wins a tie: its draws have been thinned already.
             pair = (first, second)
-            tied = [each for each in pair if is_cold(each, context.now, context.settings)] or pair
+            tied = [each for each in pair if is_warming_up(each, context.now, context.settings)] or pair
             return tied[int(context.random() * len(tied))]
         return first if first_load < second_load else second
 
--- a/gradegap/capture/description.py
+++ b/gradegap/capture/description.py
@@ -40,7 +40,7 @@
         if name in requests:
             lines.append(_request_line(requests[name], now))
     ready = len(BALANCER.get(balancer, "ready_endpoints"))
-    rate = BALANCER.owner(balancer, "established_rate.slow").get(now)
+    rate = BALANCER.owner(balancer, "established_rate.slow").rate(now)
     lines.append(f"{ready} ready, {rate:.2f} connections a second established here")
     return lines
 
--- a/gradegap/proxy/health_checks.py
+++ b/gradegap/proxy/health_checks.py
@@ -36,7 +36,7 @@
             # once: FULL tells the balancer nothing.
             self.context.loop.call_soon(done, AttemptResult.FULL, None)
         else:
-            timeout = self.latency.late(HEALTH_CHECK_TIMEOUT_S, HEALTH_CHECK_TIMEOUT_MAX_S)
+            timeout = self.latency.timeout(HEALTH_CHECK_TIMEOUT_S, HEALTH_CHECK_TIMEOUT_MAX_S)
             self.context.upstream.check_health(endpoint, timeout, done)
 
     def _on_done(
@@ -55,7 +55,7 @@
         elif endpoint is not None and result is AttemptResult.TIMEOUT:
             endpoint.unanswered_at = self.context.now()
         if result in (AttemptResult.OK, AttemptResult.TIMEOUT):
-            self.latency.took(self.context.now() - started_at)
+            self.latency.observe(self.context.now() - started_at)
         self.context.feed(HealthCheckEnded(name, result, self.context.now() - started_at, report))
 
     def record_report(self, at: float, name: str, report: Report) -> None:
--- a/tests/test_beta.py
+++ b/tests/test_beta.py
@@ -29,7 +29,7 @@
         d.balancer.rates.established.add(d.now)
         d.now += 0.5
     d.balancer.context.now = d.now
-    rate = d.balancer.rates.established.get(d.now)
+    rate = d.balancer.rates.established.rate(d.now)
     assert rate == pytest.approx(2.0, rel=0.3)
     limit = 20 * math.log(20)
     edge = limit / (rate * 50)
@@ -44,7 +44,7 @@
     for _ in range(20):
         out = d.answer_probes(d.request(after=2.0), 0.2)
         d.outcome(sends(out)[0], AttemptResult.ERROR)
-    assert d.balancer.rates.established.get(d.now) == 0.0
+    assert d.balancer.rates.established.rate(d.now) == 0.0
     assert d.balancer.selection.beta(1000.0) == 1.0
 
 
--- a/tests/test_capture_decision_module.py
+++ b/tests/test_capture_decision_module.py
@@ -201,7 +201,7 @@
     copy = tmp_path / "same" / "balancing"
     shutil.copytree(BALANCING, copy)
     assert decision_module.digest_of(decision_module.load(str(copy))) == own
-    changed = mutated_copy(tmp_path, "SLOW = 20.0", "SLOW = 20.5")
+    changed = mutated_copy(tmp_path, "SLOW_MEMORY_S = 20.0", "SLOW_MEMORY_S = 20.5")
     assert decision_module.digest_of(decision_module.load(str(changed))) != own
     path = tmp_path / "candidate.py"
     path.write_text(SUBCLASS)
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from gradegap.balancing import hash_ring as ring
+from gradegap.balancing import hash_ring
 from gradegap.balancing.actions import CheckHealth, Fail, Forward, Migrate, Reject, SetTimer
 from gradegap.balancing.balancer import Balancer
 from gradegap.balancing.events import (
@@ -219,11 +219,11 @@
 
     def group_at_home_in(self, server: str) -> None:
         """The group that asks most is one whose draws begin at this server, at every process."""
-        servers: ring.Ring = []
+        servers: hash_ring.Ring = []
         for name in self.held:
-            ring.add(servers, name)
+            hash_ring.add(servers, name)
         names = (f"h{k}" for k in count())
-        self.teams[0] = next(name for name in names if ring.order(servers, name, 1) == [server])
+        self.teams[0] = next(name for name in names if hash_ring.order(servers, name, 1) == [server])
 
     def worst(self) -> float:
         """The most that any window of any cold server got, over what it bears with chance."""
--- a/tests/test_told.py
+++ b/tests/test_connection_estimates.py
@@ -7,8 +7,7 @@
 
 import pytest
 
-from gradegap.balancing import connection_estimates as told
-from gradegap.balancing import hash_ring as ring
+from gradegap.balancing import connection_estimates, hash_ring
 from gradegap.balancing.events import (
     ConnectionInherited,
     EndpointEntry,
@@ -79,13 +78,20 @@
 def test_cores_are_learned_from_reports_and_weights(noise: float) -> None:
     rng = Random(3)
     print("seed 3")
-    known = told.cores(0.0, SIZE, SIZE, 0.0)  # an empty server says nothing
+    known = connection_estimates.cores(0.0, SIZE, SIZE, 0.0)  # an empty server says nothing
     for _ in range(60):
         held = rng.uniform(10.0, 90.0)
-        known = told.cores(known, SIZE, SIZE / (1.0 + held / CORES), held * rng.uniform(1 - noise, 1 + noise))
+        known = connection_estimates.cores(
+            known, SIZE, SIZE / (1.0 + held / CORES), held * rng.uniform(1 - noise, 1 + noise)
+        )
     assert known == pytest.approx(CORES, rel=noise + 1e-6)
-    assert told.held(SIZE, SIZE / (1.0 + 50.0 / CORES), known) == pytest.approx(50.0, rel=noise + 1e-6)
-    assert told.held(SIZE, 0.0, known) < float("inf") and told.cores(known, 0.0, 0.0, 9.0) == known
+    assert connection_estimates.connections(SIZE, SIZE / (1.0 + 50.0 / CORES), known) == pytest.approx(
+        50.0, rel=noise + 1e-6
+    )
+    assert (
+        connection_estimates.connections(SIZE, 0.0, known) < float("inf")
+        and connection_estimates.cores(known, 0.0, 0.0, 9.0) == known
+    )
 
 
 def test_a_group_s_connections_meet_though_no_proxy_sees_the_others() -> None:
@@ -118,7 +124,7 @@
     sent = 0
     for seed in range(40):
         d = Driver(servers=20, seed=seed, connection_groups=True)
-        (home,) = ring.order(d.balancer.registry.hash_ring, "board-9", 1)
+        (home,) = hash_ring.order(d.balancer.registry.hash_ring, "board-9", 1)
         out = d.answer_probes(d.request(group="board-9"), lambda s, h=home: 1.3 if s == h else x0, 20.0)
         sent += len(sends(out))
     return sent
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -93,16 +93,16 @@
 def test_what_probes_take_is_learned_and_bounded() -> None:
     """Probes that wait like a request were held unanswered after 0.25 s, and their servers for silent."""
     usual = LatencyEstimate()
-    assert usual.late(HEALTH_CHECK_TIMEOUT_S, HEALTH_CHECK_TIMEOUT_MAX_S) == 0.25
+    assert usual.timeout(HEALTH_CHECK_TIMEOUT_S, HEALTH_CHECK_TIMEOUT_MAX_S) == 0.25
     for k in range(40):
-        usual.took(0.2 + 0.05 * (k % 2))
-    assert 0.25 < usual.late(HEALTH_CHECK_TIMEOUT_S, HEALTH_CHECK_TIMEOUT_MAX_S) < 0.4
+        usual.observe(0.2 + 0.05 * (k % 2))
+    assert 0.25 < usual.timeout(HEALTH_CHECK_TIMEOUT_S, HEALTH_CHECK_TIMEOUT_MAX_S) < 0.4
     for _ in range(40):
-        usual.took(2.0)
-    assert usual.late(HEALTH_CHECK_TIMEOUT_S, HEALTH_CHECK_TIMEOUT_MAX_S) == 0.5
+        usual.observe(2.0)
+    assert usual.timeout(HEALTH_CHECK_TIMEOUT_S, HEALTH_CHECK_TIMEOUT_MAX_S) == 0.5
     for _ in range(80):
-        usual.took(0.002)
-    assert usual.late(HEALTH_CHECK_TIMEOUT_S, HEALTH_CHECK_TIMEOUT_MAX_S) == 0.25
+        usual.observe(0.002)
+    assert usual.timeout(HEALTH_CHECK_TIMEOUT_S, HEALTH_CHECK_TIMEOUT_MAX_S) == 0.25
 
 
 def test_eight_nodes_wait_in_turn_at_one_discovery_that_is_short_of_room(tmp_path: Path) -> None:
--- a/tests/test_worth.py
+++ b/tests/test_priority.py
@@ -14,7 +14,7 @@
 from gradegap.balancing.admission import ADMISSION_LOAD_LIMIT, LOW_PRIORITY_RESERVE
 from gradegap.balancing.connection_growth import REPORT_DELAY_S
 from gradegap.balancing.events import ConnectionInherited, RequestArrived
-from gradegap.balancing.priority import SLACK, PriorityWeights
+from gradegap.balancing.priority import QUOTA_SLACK, PriorityWeights
 from gradegap.balancing.report_statistics import ReportStatistics
 from gradegap.balancing.settings import ClassSettings, TenantSettings
 from gradegap.downstream.framing import parse_opening
@@ -40,28 +40,30 @@
     None
 ):
     w = worth()
-    assert [w.of(c, "") for c in (FEED, EDIT, MARKS)] == pytest.approx([0.6, 1.0, 0.2])
-    w.told("feed", 10.0)
-    w.told("edit", 30.0)
-    assert w.of(EDIT, "") == 1.0  # a class without a load would look cheap
-    w.told("marks", 30.0)
-    assert [w.of(c, "") for c in (FEED, EDIT, MARKS)] == pytest.approx([1.0, 5 / 9, 1 / 9])
-    w.told("nobody's", 1.0)
-    w.told("feed", -1.0)
-    assert w.of(FEED, "") == 1.0
+    assert [w.priority(c, "") for c in (FEED, EDIT, MARKS)] == pytest.approx([0.6, 1.0, 0.2])
+    w.observe_load("feed", 10.0)
+    w.observe_load("edit", 30.0)
+    assert w.priority(EDIT, "") == 1.0  # a class without a load would look cheap
+    w.observe_load("marks", 30.0)
+    assert [w.priority(c, "") for c in (FEED, EDIT, MARKS)] == pytest.approx([1.0, 5 / 9, 1 / 9])
+    w.observe_load("nobody's", 1.0)
+    w.observe_load("feed", -1.0)
+    assert w.priority(FEED, "") == 1.0
 
 
 @pytest.mark.parametrize(("stand", "beyond"), [(0, 0.0), (10, 0.0), (15, 1 - 44 / 64), (21, 0.5)])
 def test_beyond_its_share_a_tenant_s_traffic_is_worth_little(stand: int, beyond: float) -> None:
     """Four proxies, a share of 40 connections over all: what stands here stands at the others alike."""
-    assert SLACK == 1.1
+    assert QUOTA_SLACK == 1.1
     w = worth()
-    w.stands("capital", stand)
-    assert w.over("capital") == pytest.approx(beyond)
-    assert w.of(EDIT, "capital") == pytest.approx(1.0 - 0.95 * beyond)
-    assert w.of(EDIT, "coban") == w.of(EDIT, "unheard of") == w.of(EDIT, "") == 1.0  # no share is told
-    w.stands("capital", -stand)
-    assert w.over("capital") == 0.0
+    w.count_connections("capital", stand)
+    assert w.excess_share("capital") == pytest.approx(beyond)
+    assert w.priority(EDIT, "capital") == pytest.approx(1.0 - 0.95 * beyond)
+    assert (
+        w.priority(EDIT, "coban") == w.priority(EDIT, "unheard of") == w.priority(EDIT, "") == 1.0
+    )  # no share is told
+    w.count_connections("capital", -stand)
+    assert w.excess_share("capital") == 0.0
 
 
 @pytest.mark.parametrize(("held", "room"), [(5, True), (60, False)])
@@ -92,7 +94,7 @@
     for _ in range(600):
         count = rng.randrange(20, 40)
         now = (count * 0.02 * rng.gauss(1.0, noise), float(count))
-        figures.changed(0.3, last, now)
+        figures.observe_change(0.3, last, now)
         last = now
     assert figures.noise == pytest.approx(noise, abs=0.04)
 
--- a/tests/test_cold.py
+++ b/tests/test_slow_start.py
@@ -9,9 +9,8 @@
 
 import pytest
 
-from gradegap.balancing import hash_ring as ring
-from gradegap.balancing import settings_reader as reader
-from gradegap.balancing.capacity import Capacity, is_cold
+from gradegap.balancing import hash_ring, settings_reader
+from gradegap.balancing.capacity import Capacity, is_warming_up
 from gradegap.balancing.events import (
     AttemptResult,
     EndpointEntry,
@@ -21,7 +20,14 @@
 )
 from gradegap.balancing.rates import DecayingRate
 from gradegap.balancing.settings import ClassSettings, DeduplicationScope, Idempotency, ReportSource
-from gradegap.balancing.slow_start import DRAWN, KEPT, SAFETY, SHARE_EARNED_IN, SHARE_SAFETY, SlowStart
+from gradegap.balancing.slow_start import (
+    BUDGET_SAFETY,
+    DRAW_SHARE,
+    KEPT_WINDOWS,
+    SHARE_EARNED_WINDOWS,
+    SHARE_SAFETY,
+    SlowStart,
+)
 from tests.helpers import Driver, sends, settings
 from tests.world import SETTINGS
 
@@ -40,9 +46,9 @@
 def of(ready: list[Server], **changes: Any) -> SlowStart:
     """The part of a node that has served for long, and knows what the servers report."""
     capacity = Capacity()
-    capacity.look(NOW, ready, settings(**changes))
+    capacity.update(NOW, ready, settings(**changes))
     cold = SlowStart(capacity)
-    cold.born = NOW - 1000.0
+    cold.started_at = NOW - 1000.0
     return cold
 
 
@@ -59,7 +65,7 @@
     ready = [one] + [Server() for _ in range(9)]
     cold = of(ready, overload_multiple=2.0)
     # One pair in five comes upon it, so what five pairs may give it is kept for one draw.
-    kept = min(SHARE_SAFETY * 2.0 / 10 * 5, DRAWN * 2.0)
+    kept = min(SHARE_SAFETY * 2.0 / 10 * 5, DRAW_SHARE * 2.0)
     for k in range(1, 5):
         assert chance(cold, one, ready, NOW + 1000.0 * k, overload_multiple=2.0) == pytest.approx(kept * 0.3)
 
@@ -77,8 +83,12 @@
     total = sum(chance(cold, one, ready, now, overload_window=window) for now in clocks)
     grown = 0.3 + 0.7 * window / 10.0  # its part of its capacity at the window's end
     share = SHARE_SAFETY * 3.0 / 10
-    most = share * (5.0 + 1.0 / SHARE_EARNED_IN) * grown
-    told = SAFETY * 3.0 * (1.0 / 0.01) / 10.0 / 10 * (KEPT + 1.0) * window * grown if unit else 0.0
+    most = share * (5.0 + 1.0 / SHARE_EARNED_WINDOWS) * grown
+    told = (
+        BUDGET_SAFETY * 3.0 * (1.0 / 0.01) / 10.0 / 10 * (KEPT_WINDOWS + 1.0) * window * grown
+        if unit
+        else 0.0
+    )
     print(f"{total:.3f} of {max(most, told):.3f}")
     assert total <= max(most, told) * (1.0 + 1e-9)
 
@@ -105,7 +115,7 @@
 def test_a_node_that_has_just_started_has_kept_nothing() -> None:
     one = just_started()
     cold = SlowStart(Capacity())
-    cold.born = NOW
+    cold.started_at = NOW
     assert chance(cold, one, [one, Server()], NOW) == 0.0
     assert chance(cold, one, [one, Server()], NOW + 1.0) > 0.0
 
@@ -115,36 +125,38 @@
     small, even, large = (just_started(size=size) for size in (0.5, 1.0, 4.0))
     capacity = Capacity()
     assert capacity.present_share(even, NOW, set_) == pytest.approx(0.3)  # a list without weights
-    capacity.look(NOW, [Server(), Server()], set_)
+    capacity.update(NOW, [Server(), Server()], set_)
     assert capacity.present_share(small, NOW, set_) == pytest.approx(0.15)
     assert capacity.present_share(even, NOW, set_) == pytest.approx(0.3)
     assert capacity.present_share(large, NOW, set_) == pytest.approx(0.3)
 
 
 def test_no_server_is_cold_where_settings_tell_no_time() -> None:
-    assert not is_cold(just_started(), NOW, settings(slow_start_time=0.0, overload_window=0.0))
+    assert not is_warming_up(just_started(), NOW, settings(slow_start_time=0.0, overload_window=0.0))
 
 
 def test_a_few_servers_that_hang_do_not_make_others_look_full() -> None:
     capacity = Capacity()
-    capacity.look(
+    capacity.update(
         NOW,
         [Server(load_per_connection=0.01) for _ in range(5)]
         + [Server(load_per_connection=0.9) for _ in range(4)],
         settings(),
     )
-    assert capacity.unit(1.0) == pytest.approx(0.01) and capacity.filled_by() == pytest.approx(100.0)
+    assert capacity.load_per_connection(1.0) == pytest.approx(
+        0.01
+    ) and capacity.connections_when_full() == pytest.approx(100.0)
 
 
 def test_only_cold_servers_tell_too_little_and_only_where_nothing_else_is_known() -> None:
     capacity = Capacity()
     young = [just_started(load_per_connection=0.04) for _ in range(3)]
-    capacity.look(NOW, young, settings())
-    assert capacity.filled_by() == pytest.approx(25.0) and capacity.cold_count == 3
-    capacity.look(NOW + 1.0, [*young, Server(load_per_connection=0.01)], settings())
-    assert capacity.filled_by() == pytest.approx(100.0)
-    capacity.look(NOW + 2.0, young, settings())
-    assert capacity.filled_by() == pytest.approx(100.0)
+    capacity.update(NOW, young, settings())
+    assert capacity.connections_when_full() == pytest.approx(25.0) and capacity.warming_count == 3
+    capacity.update(NOW + 1.0, [*young, Server(load_per_connection=0.01)], settings())
+    assert capacity.connections_when_full() == pytest.approx(100.0)
+    capacity.update(NOW + 2.0, young, settings())
+    assert capacity.connections_when_full() == pytest.approx(100.0)
 
 
 def test_a_server_that_hung_is_not_refused_as_full_once_it_is_back() -> None:
@@ -166,10 +178,10 @@
 def test_without_reports_a_group_that_all_ask_for_does_not_begin_at_a_cold_server() -> None:
     """Of 14 requests that a cold server got within its window all were one group's, each from another node
     that saw one of them. Each draw alone was thinned; all began at that server."""
-    names: ring.Ring = []
+    names: hash_ring.Ring = []
     for k in range(20):
-        ring.add(names, f"s{k}")
-    team = next(f"g{k}" for k in count() if ring.order(names, f"g{k}", 1) == ["s7"])
+        hash_ring.add(names, f"s{k}")
+    team = next(f"g{k}" for k in count() if hash_ring.order(names, f"g{k}", 1) == ["s7"])
     hits = total = 0
     for seed in range(600):
         driver = Driver(
@@ -223,9 +235,9 @@
 def test_settings_without_a_count_of_proxies_are_refused(count: Any) -> None:
     """A proxy that takes itself for the only one overfills what all see."""
     without = {name: value for name, value in SETTINGS.items() if name != "ReplicasOfMe"}
-    reader.check(SETTINGS)
+    settings_reader.check(SETTINGS)
     with pytest.raises((KeyError, ValueError), match="ReplicasOfMe"):
-        reader.check(without if count is None else without | {"ReplicasOfMe": count})
+        settings_reader.check(without if count is None else without | {"ReplicasOfMe": count})
 
 
 def test_a_keyed_repeat_bound_to_a_cold_cell_has_no_budget_of_its_own() -> None:
--- a/tests/test_trouble.py
+++ b/tests/test_trouble.py
@@ -86,7 +86,7 @@
     d = Driver(servers=4)
     for _ in range(30):
         assert finals(d.answer_probes(d.request(after=0.02, retry=True, reconnect=True), 1.4))
-    assert d.balancer.rates.sent.get(d.now) == 0.0
+    assert d.balancer.rates.sent.rate(d.now) == 0.0
 
 
 @pytest.mark.parametrize("everywhere", [True, False])
