--- a/gradegap/balancing/admission.py
+++ b/gradegap/balancing/admission.py
@@ -57,7 +57,8 @@
         # The lowest priority is rejected first, and a group's first connection takes the room of several.
         limit = ADMISSION_LOAD_LIMIT - LOW_PRIORITY_RESERVE * (1.0 - request.priority)
         headroom = (limit - load) / per_connection
-        headroom -= 0.0 if is_home(endpoint, request) else GROUP_SETUP_CONNECTIONS
+        if request.hash_key and not is_home(endpoint, request):
+            headroom -= GROUP_SETUP_CONNECTIONS
         if headroom <= 0:
             return False
         interval = self.statistics.interval()
--- a/gradegap/balancing/load_estimates.py
+++ b/gradegap/balancing/load_estimates.py
@@ -57,7 +57,8 @@
         if load is None:
             return None
         added = recent_placements(endpoint, self.context.now)
-        added += 0.0 if is_home(endpoint, request) else GROUP_SETUP_CONNECTIONS + 1.0
+        if request.hash_key and not is_home(endpoint, request):
+            added += GROUP_SETUP_CONNECTIONS + 1.0
         load += self.load_per_connection(endpoint) * added
         return load if endpoint.is_local else load + self.context.cross_zone_load
 
