--- a/tests/test_capture_state.py
+++ b/tests/test_capture_state.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import dataclasses
+from collections import Counter
 from collections.abc import Iterator, Mapping
 from pathlib import Path
 from typing import Any
@@ -210,6 +211,16 @@
         assert len(BALANCER.get(made, "endpoints")) == sum(name == "_Server" for name, _ in raw["objects"])
 
 
+def test_a_state_that_was_written_in_version_2_is_loaded_and_dumped_to_the_same_bytes() -> None:
+    """The file is never made anew: a change that can no longer read it needs a version of its own."""
+    ((raw, start),) = recorded_states("format_2")
+    assert raw["version"] == 2
+    kinds = Counter(name for name, _ in raw["objects"])
+    assert kinds["Endpoint"] == 8 and kinds["Request"] > 20
+    made = state.load(gradegap.balancing.balancer, raw, records.settings(start["settings"]))
+    assert msgspec.msgpack.encode(state.dump(made)) == msgspec.msgpack.encode(raw)
+
+
 def test_the_table_of_version_1_names_every_stored_field() -> None:
     assert sorted(state_v1.BALANCER.values()) == sorted(BALANCER_FIELDS)
     assert sorted(state_v1.ENDPOINT.values()) == sorted(ENDPOINT_FIELDS)
