--- a/bench/scale/limits_met.py
+++ b/bench/scale/limits_met.py
@@ -88,7 +88,7 @@
 
 def _cold_servers() -> Met:
     bound = cold_bound()
-    what, module = "cold servers kept from being pushed over", "cold.py"
+    what, module = "cold servers kept from being pushed over", "balancing/slow_start.py"
     if bound.red:
         failed = f"{TEST} fails at {RED_AT} processes, by {RED_FACTOR} times"
         return Met(RED_AT / t.NODES, what, f"up to {RED_AT} processes", failed, module)
@@ -104,7 +104,7 @@
     zone = t.RETURN_S / (returning(t.NODES_PER_ZONE) * opened.value * US)
     region = t.RETURN_S / (returning(t.NODES_PER_REGION) * opened.value * US)
     probes = probes_per_s(t.SERVERS, t.ARRIVALS_PER_NODE, HEALTH_CHECK_INTERVAL_IDLE_S) * PROBE_BYTES
-    choice, core = "balancing/balancer.py", "proxy/proxy.py, balancing/balancer.py"
+    health_checks, proxy = "balancing/health_checks.py", "proxy/proxy.py, balancing/selection.py"
     return [
         _cold_servers(),
         Met(
@@ -119,14 +119,14 @@
             "a region's clients placed within a second",
             f"{figure(region * t.CONNECTIONS_PER_NODE)} connections a node",
             f"{figure(returning(t.NODES_PER_REGION))} at each node; {opened.how}; one core",
-            core,
+            proxy,
         ),
         Met(
             zone,
             "a zone's clients placed within a second",
             f"{figure(zone * t.CONNECTIONS_PER_NODE)} connections a node",
             f"{figure(returning(t.NODES_PER_ZONE))} at each node; {opened.how}; one core",
-            core,
+            proxy,
         ),
         Met(
             t.CONTROL_BYTES_PER_S / probes,
@@ -134,7 +134,7 @@
             f"{figure(t.CONTROL_BYTES_PER_S / PROBE_BYTES)} probes/s",
             f"{PROBE_BYTES} bytes a probe, {figure(probes / PROBE_BYTES)}/s at the target; nothing "
             "else counted",
-            choice,
+            health_checks,
         ),
         Met(
             collected / t.CONNECTIONS_PER_NODE,
@@ -148,7 +148,7 @@
             "a list in which all are new within 220 ms",
             f"{figure(listed)} servers",
             f"{book.at('stop_list', t.SERVERS).how}; {t.SERVERS} servers assumed",
-            f"discovery/http_discovery.py, {choice}",
+            "discovery/http_discovery.py, balancing/endpoint_registry.py",
         ),
         Met(
             lines / t.LINES_PER_NODE,
--- a/bench/scale/verdicts.py
+++ b/bench/scale/verdicts.py
@@ -124,7 +124,7 @@
         Verdict(
             "7 regions with 16 zones",
             BY_SLOPE,
-            "a node knows its region (observer/selection.py) and its zone (balancing/balancer.py); no cost "
+            "a node knows its region (observer/selection.py) and its zone (balancing/selection.py); no cost "
             "grows with their number. Zones as discovery names them are not held against machines",
         ),
     ]
--- a/bench/scale/worked.py
+++ b/bench/scale/worked.py
@@ -118,7 +118,7 @@
             f"{share(opened.value * US * t.ARRIVALS_PER_NODE)} of a core",
             f"{opened.how}; {figure(t.ARRIVALS_PER_NODE)}/s by a mean life of an hour, assumed; "
             f"{share(opened.value * US * t.ARRIVALS_PER_NODE_2)} at ten minutes",
-            "proxy/proxy.py, balancing/balancer.py",
+            "proxy/proxy.py, balancing/selection.py",
         ),
         Row(
             "ordinary hour",
@@ -126,7 +126,7 @@
             f"{figure(arrivals.value)} µs a request, {figure(grouped.value)} µs one of a group",
             f"{arrivals.how}; {grouped.how}; with {t.SERVERS_2:,} servers {figure(grouped_2.value)} µs, "
             f"and {figure(empty_2.value)} µs where they hold hardly any connections",
-            "balancing/balancer.py",
+            "balancing/selection.py",
         ),
         Row(
             "ordinary hour",
@@ -140,14 +140,14 @@
             f"loop stands, {t.SERVERS} servers",
             f"{figure(listed.value)} ms",
             listed.how,
-            "discovery/http_discovery.py, balancing/balancer.py",
+            "discovery/http_discovery.py, balancing/endpoint_registry.py",
         ),
         Row(
             "worst: a list in which all are new",
             f"loop stands, {t.SERVERS_2} servers",
             f"{figure(listed_2.value)} ms",
             listed_2.how,
-            "discovery/http_discovery.py, balancing/balancer.py",
+            "discovery/http_discovery.py, balancing/endpoint_registry.py",
         ),
         Row(
             "skew: the fullest node, twice the mean assumed",
@@ -174,7 +174,7 @@
             f"{figure(opened.value)} µs; "
             f"within {figure(t.RETURN_S)} s, "
             f"{figure(returning(nodes) * opened.value * US / t.RETURN_S)} cores",
-            "proxy/proxy.py, balancing/balancer.py, client.py",
+            "proxy/proxy.py, balancing/selection.py, client.py",
         )
         for what, nodes in GONE
     ]
@@ -242,7 +242,7 @@
             f"{HEALTH_CHECK_INTERVAL_IDLE_S:g} s, at most "
             f"{HEALTH_CHECKS_PER_REQUEST:g} a request; {figure(probes_2)}/s, "
             f"{in_bytes(probes_2 * PROBE_BYTES)}/s, with a life of ten minutes and full servers",
-            "balancing/balancer.py, upstream/connections.py",
+            "balancing/health_checks.py, upstream/connections.py",
         ),
         Row(
             "ordinary hour",
@@ -272,7 +272,7 @@
             "processor, the list",
             f"{figure(started.value)} ms",
             f"{started.how}; {figure(started_2.value)} ms with {t.SERVERS_2:,} servers",
-            "discovery/http_discovery.py, balancing/balancer.py",
+            "discovery/http_discovery.py, balancing/endpoint_registry.py",
         ),
         Row(
             "worst: the node starts",
@@ -462,7 +462,7 @@
             "connections",
             figure(t.CONNECTIONS_PER_SERVER),
             f"100 M / {t.SERVERS} assumed; {figure(t.CONNECTIONS / t.SERVERS_2)} with {t.SERVERS_2:,}",
-            "balancing/balancer.py",
+            "balancing/selection.py",
         ),
         Row(
             "ordinary hour",
@@ -487,14 +487,14 @@
             f"{figure(probes_per_s(t.SERVERS, t.ARRIVALS_PER_NODE, HEALTH_CHECK_INTERVAL_IDLE_S))}/s "
             "over its "
             f"servers; {figure(probes_2)}/s with {t.SERVERS_2:,} servers",
-            "balancing/balancer.py, upstream/connections.py",
+            "balancing/health_checks.py, upstream/connections.py",
         ),
         Row(
             "worst: it has started anew",
             "what all nodes send it",
             "see the verdict on cold servers",
             "its fall multiple times what it can do",
-            "cold.py",
+            "balancing/slow_start.py",
         ),
         *[
             Row(
@@ -503,7 +503,7 @@
                 figure(nodes * t.CONNECTIONS_PER_NODE / t.SERVERS),
                 f"{figure(nodes)} nodes × {figure(t.CONNECTIONS_PER_NODE)} / {t.SERVERS}, "
                 f"beside the {figure(t.CONNECTIONS_PER_SERVER)} that stand",
-                "balancing/balancer.py",
+                "balancing/selection.py",
             )
             for what, nodes in GONE
         ],
@@ -551,7 +551,7 @@
             f"{figure(t.LARGEST_GROUP / (t.CONNECTIONS / t.SERVERS_2))} with {t.SERVERS_2:,}",
             f"at the mean of {figure(t.CONNECTIONS_PER_SERVER)} connections a server; draws walk "
             f"{RING_CANDIDATES} servers of the ring and then the whole list",
-            "balancing/balancer.py, balancing/hash_ring.py",
+            "balancing/grouping.py, balancing/hash_ring.py",
         ),
         Row(
             "the group of 850,000",
@@ -565,7 +565,7 @@
             "its coming back at once, at servers",
             f"{figure(t.LARGEST_GROUP / RING_CANDIDATES)} at each of {RING_CANDIDATES}",
             f"all nodes walk the same {RING_CANDIDATES} servers first",
-            "balancing/balancer.py, balancing/hash_ring.py",
+            "balancing/grouping.py, balancing/hash_ring.py",
         ),
         Row(
             "a line to the whole group",
@@ -579,14 +579,14 @@
             "members, nodes",
             f"{figure(t.CONNECTIONS / t.GROUPS)} members on as many nodes at most",
             "100 M / 800,000",
-            "balancing/balancer.py",
+            "balancing/grouping.py",
         ),
         Row(
             "groups of a node",
             "the module's request",
             f"{figure(by_groups.value)} µs",
             by_groups.how,
-            "balancing/balancer.py",
+            "balancing/selection.py",
         ),
     ]
 
