--- a/tests/test_leaving.py
+++ b/tests/test_draining.py
@@ -18,7 +18,7 @@
     TimerFired,
 )
 from tests.helpers import Driver
-from tests.test_trouble import stood_on_one
+from tests.test_faults import stood_on_one
 
 
 def moves_until(d: Driver, first: list[Action], token: str, end: float) -> list[tuple[float, int]]:
--- a/tests/test_priority.py
+++ b/tests/test_priority.py
@@ -19,7 +19,7 @@
 from gradegap.balancing.settings import ClassSettings, TenantSettings
 from gradegap.downstream.framing import parse_opening
 from tests.helpers import Driver, sends, settings
-from tests.test_trouble import held_from_before
+from tests.test_faults import held_from_before
 
 FEED = ClassSettings("feed", latency_objective=0.5, time_limit=3.0, priority_weight=3.0)
 EDIT = ClassSettings("edit", latency_objective=0.5, time_limit=2.0, priority_weight=5.0)
