--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -149,3 +149,38 @@
                 assert "Traceback" not in made.log(name), made.log(name)
     finally:
         made.stop()
+
+
+def put(c: Cluster, name: str, key: str, value: Any, wait: float = 5.0) -> int:
+    with c.remote(name, wait) as r:
+        return r.set(key, value)
+
+
+def value(c: Cluster, name: str, key: str) -> Any:
+    with c.remote(name) as r:
+        return r.value(key)
+
+
+def value_if_reachable(c: Cluster, name: str, key: str) -> Any:
+    """What a member has, or None while it can't be asked."""
+    try:
+        return value(c, name, key)
+    except RequestFailedError:
+        return None
+
+
+def status_if_reachable(c: Cluster, name: str) -> dict[str, Any]:
+    try:
+        return c.status(name)
+    except RequestFailedError:
+        return {"role": "", "members": [], "removed": False}
+
+
+def write_through_any(c: Cluster, name: str, key: str, among: list[str]) -> Any:
+    """Write through any of `among` until one says yes."""
+    for other in among:
+        try:
+            return put(c, other, key, name, 2.0)
+        except RequestFailedError:
+            pass
+    return None
