--- a/tests/test_resume_many.py
+++ b/tests/test_resume_many.py
@@ -22,8 +22,8 @@
 from gradegap.store.member_client import MemberClient
 from gradegap.verification.sessions import Record, from_node, violations
 from tests.resume_world import ResumeBackend, SaveStore
+from tests.store_nodes import Nodes, nodes
 from tests.test_admin_api import call
-from tests.test_store_node import Nodes, nodes
 from tests.world import World, free_port, world
 
 __all__ = ["nodes"]
--- a/tests/test_resume_nodes.py
+++ b/tests/test_resume_nodes.py
@@ -15,10 +15,10 @@
 from gradegap.store.member_client import MemberClient
 from gradegap.verification.sessions import Record, from_node, violations
 from tests.resume_world import ResumeBackend, SaveStore
+from tests.store_nodes import Nodes, nodes
 from tests.test_hot_restart import second
 from tests.test_resume import ON, returned, run, token_of
 from tests.test_resume import opened as opening
-from tests.test_store_node import Nodes, nodes
 from tests.world import Client, World, wait_for, world
 
 __all__ = ["nodes"]
--- a/tests/test_store_node.py
+++ b/tests/test_store_node.py
@@ -7,108 +7,20 @@
 import signal
 import socket
 import time
-from collections.abc import Iterator
-from contextlib import ExitStack
 from pathlib import Path
-from typing import Any
-
-import pytest
 
 from gradegap.balancing.actions import Action
 from gradegap.balancing.events import EndpointEntry, EndpointListKind, EndpointPhase, Event, HealthCheckEnded
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
-from gradegap.store.errors import RequestFailedError
 from gradegap.store.gossip import GossipExchange
 from gradegap.store.member_client import MemberClient
 from gradegap.store.wire import Gossip, GossipReport
 from tests.helpers import settings
-from tests.relay import Relay
-from tests.test_admin_api import call as plain_call
+from tests.store_nodes import Nodes, call, nodes
 from tests.world import BUSY_MACHINE, Backend, World, free_port, wait_for, world
 
-
-def call(console: str, path: str) -> int:
-    """A call whose yes waits for every node that holds a lease."""
-    return plain_call(console, path, most=3.0)
-
-
-class Nodes:
-    """Three nodes, each with a member of the store in its process, behind a relay."""
-
-    def __init__(self, folder: Path, stack: ExitStack) -> None:
-        self.folder, self.stack = folder, stack
-        self.backends = [Backend("a"), Backend("b")]
-        self.relay = Relay()
-        self.names = ["n1", "n2", "n3"]
-        self.direct = {n: f"127.0.0.1:{free_port()}" for n in self.names}
-        self.consoles = {n: f"127.0.0.1:{free_port()}" for n in self.names}
-        for n in self.names:
-            self.relay.before(n, self.direct[n])
-        self.relay.start()
-        self.node: dict[str, World] = {}
-
-    def operator(self, name: str, more: str = "") -> str:
-        listed = ", ".join(
-            f'{{name = "{p}", address = "{self.relay.addresses[p]}"}}' for p in self.names if p != name
-        )
-        return (
-            f'[store]\nname = "{name}"\nlisten = "{self.direct[name]}"\npeers = [{listed}]\n'
-            f'advertise = "{self.relay.addresses[name]}"\ndata = "{self.folder / name / "data"}"\n{more}'
-        )
-
-    def start(self, name: str, more: str = "", place: str = "", **config: Any) -> World:
-        folder = self.folder / (place or name)
-        folder.mkdir(exist_ok=True)
-        config = {"name": name, "console": self.consoles[name]} | config
-        env = {"TMPDIR": str(self.folder / name)}
-        made = World(folder, self.backends, self.operator(name, more), env, **config)
-        self.stack.callback(self.end, made)
-        if not place:
-            self.node[name] = made
-        return made
-
-    def end(self, made: World) -> None:
-        made.process.kill()
-        made.process.wait()
-        made.director.server.shutdown()
-        assert "Traceback" not in made.log.read_text(), made.log.read_text()
-
-    def start_all(self, more: str = "") -> None:
-        for name in self.names:
-            self.start(name, more)
-        for name in self.names:
-            wait_for(self.node[name].ready, 20.0)
-
-    def remote(self, name: str) -> MemberClient:
-        return MemberClient(self.direct[name])
-
-    def leader(self) -> str:
-        for name in self.names:
-            try:
-                with self.remote(name) as r:
-                    if r.status()["role"] == "leader":
-                        return name
-            except RequestFailedError:
-                pass
-        return ""
-
-    def others(self, name: str) -> list[str]:
-        return [n for n in self.names if n != name]
-
-    def cut_off(self, name: str) -> None:
-        self.relay.part({name}, set(self.others(name)))
-
-    def served_by(self, name: str, times: int = 8) -> set[str]:
-        return {self.node[name].client().ask(f"c=live,d=900,g={k}") for k in range(times)}
-
-
-@pytest.fixture
-def nodes(tmp_path: Path) -> Iterator[Nodes]:
-    with ExitStack() as stack:
-        made = Nodes(tmp_path, stack)
-        yield made
-    made.relay.stop()
+__all__ = ["nodes"]
 
 
 def test_a_server_out_by_hand_is_out_everywhere_once_it_is_said(nodes: Nodes) -> None:
