--- a/gradegap/balancing/capacity.py
+++ b/gradegap/balancing/capacity.py
@@ -35,7 +35,7 @@
     mean of few endpoints would follow, and one that holds few connections reports too much for each.
     """
 
-    __slots__ = ("warming_count", "updated_at", "mean_size", "load_per_size")
+    __slots__ = ("load_per_size", "mean_size", "updated_at", "warming_count")
 
     def __init__(self) -> None:
         self.updated_at = -math.inf
--- a/gradegap/balancing/slow_start.py
+++ b/gradegap/balancing/slow_start.py
@@ -67,7 +67,7 @@
 class SlowStart:
     """One proxy's part in what all proxies send to warming endpoints."""
 
-    __slots__ = ("started_at", "budget", "capacity", "refilled_at", "settled_at", "settled_rate")
+    __slots__ = ("budget", "capacity", "refilled_at", "settled_at", "settled_rate", "started_at")
 
     def __init__(self, capacity: Capacity) -> None:
         self.capacity = capacity
