--- a/gradegap/balancing/admission.py
+++ b/gradegap/balancing/admission.py
@@ -36,7 +36,7 @@
         self.growth = growth
         self.rates = rates
 
-    def has_room(self, endpoint: Endpoint, request: Request) -> bool:
+    def has_headroom(self, endpoint: Endpoint, request: Request) -> bool:
         """Returns whether a request may be sent to an endpoint.
 
         Every proxy sees the same little headroom at once. Each takes it with the chance that makes them,
@@ -54,7 +54,7 @@
         # What the endpoint list said since the report has our own connections in it, and needs no guess.
         load *= 1.0 if endpoint.estimated_at > endpoint.report_changed_at else self.growth.factor()
         load += per_connection * recent_placements(endpoint, now)
-        # The lowest priority is rejected first, and a group's first connection takes the room of several.
+        # The lowest priority is rejected first, and a group's first connection takes the headroom of several.
         limit = ADMISSION_LOAD_LIMIT - LOW_PRIORITY_RESERVE * (1.0 - request.priority)
         headroom = (limit - load) / per_connection
         if request.hash_key and not is_home(endpoint, request):
--- a/gradegap/balancing/balancer.py
+++ b/gradegap/balancing/balancer.py
@@ -181,7 +181,7 @@
             return
         match timer.kind:
             case TimerKind.REQUEST:
-                self.selection.waited(int(timer.subject))
+                self.selection.request_timer_fired(int(timer.subject))
             case TimerKind.HEALTH_CHECKS:
                 self.health_checks.run_schedule()
             case TimerKind.ENDPOINT_LIST:
--- a/gradegap/balancing/health_checks.py
+++ b/gradegap/balancing/health_checks.py
@@ -62,9 +62,9 @@
         self.answered_share = 1.0  # of late
         self.scheduled = False  # whether the timer of the schedule is set
 
-    def earn(self, comes_again: bool) -> None:
+    def earn(self, is_returning: bool) -> None:
         """Adds to the budget what one request brings."""
-        earned = HEALTH_CHECKS_PER_RETRY if comes_again else HEALTH_CHECKS_PER_REQUEST
+        earned = HEALTH_CHECKS_PER_RETRY if is_returning else HEALTH_CHECKS_PER_REQUEST
         self.budget = min(MAX_HEALTH_CHECK_BUDGET, self.budget + earned)
 
     def send(self, endpoint: Endpoint) -> None:
--- a/gradegap/balancing/migration.py
+++ b/gradegap/balancing/migration.py
@@ -81,7 +81,7 @@
         now, random = self.context.now, self.context.random
         unresponsive = endpoint.unanswered_health_checks > 0
         load = self._overload(endpoint, most_answer)
-        # Reports are noisy and late: by one high figure, endpoints with room would be emptied.
+        # Reports are noisy and late: by one high figure, endpoints with headroom would be emptied.
         tolerance = 1.0 if unresponsive else 1.0 + self.statistics.noise
         last_round_unseen = (
             not unresponsive
@@ -92,11 +92,11 @@
             return
         if now < endpoint.migration_paused_until or last_round_unseen:
             return
-        room = self._room_elsewhere(endpoint)
-        room = math.inf if unresponsive else room
-        room /= self.context.settings.proxy_count
+        headroom = self._headroom_elsewhere(endpoint)
+        headroom = math.inf if unresponsive else headroom
+        headroom /= self.context.settings.proxy_count
         excess = len(endpoint.connections) * (load - MIGRATION_TARGET_LOAD * tolerance) / load
-        count = int(min(excess, room) + random())
+        count = int(min(excess, headroom) + random())
         pause = MIGRATION_PAUSE_REPORTS * self.statistics.interval()
         endpoint.migration_paused_until = now + pause * (0.75 + 0.5 * random())
         if count:
@@ -115,8 +115,8 @@
             load = UNRESPONSIVE_LOAD if unresponsive and most_answer else None
         return load
 
-    def _room_elsewhere(self, endpoint: Endpoint) -> float:
-        """Returns how many connections the other endpoints have room for; more would only be rejected."""
+    def _headroom_elsewhere(self, endpoint: Endpoint) -> float:
+        """Returns how many connections the other endpoints have headroom for; more would only be rejected."""
         estimates = self.load_estimates
         others = [
             (estimates.load(other) or 0.0, other.load_per_connection)
@@ -128,8 +128,8 @@
     def _cheapest(self, endpoint: Endpoint, count: int) -> list[Request]:
         """Returns the connections to migrate first.
 
-        The lowest priority goes first, as where no endpoint has room it will be rejected, and the smallest
-        group, as with its last connection goes what the endpoint pays for the group.
+        The lowest priority goes first, as where no endpoint has headroom it will be rejected, and the
+        smallest group, as with its last connection goes what the endpoint pays for the group.
         """
         groups, random = endpoint.connections_by_group, self.context.random
         order = [
--- a/gradegap/balancing/observer.py
+++ b/gradegap/balancing/observer.py
@@ -20,7 +20,7 @@
         """The candidates are compared with this probability; the older report has this age in seconds."""
 
     def headroom_checked(self, request: Request, endpoint: Endpoint, has_headroom: bool) -> None:
-        """An endpoint was found to have room for the request, or not."""
+        """An endpoint was found to have headroom for the request, or not."""
 
     def request_forwarded(self, request: Request, endpoint: Endpoint) -> None:
         """An attempt was sent."""
--- a/gradegap/balancing/selection.py
+++ b/gradegap/balancing/selection.py
@@ -143,7 +143,7 @@
                 return self.draw(request)
         chosen = first if first is second else self._two_choices(first, second, request)
         if context.uses_health_checks:
-            self._send_if_room(chosen, request)
+            self._forward_if_headroom(chosen, request)
         else:
             self.attempts.forward(request, chosen)
         return None
@@ -167,7 +167,7 @@
             if request.pending_health_checks <= 0:
                 self.decide(request)
 
-    def waited(self, request_id: int) -> None:
+    def request_timer_fired(self, request_id: int) -> None:
         """Goes on with a request that has waited long enough, for health checks or to draw again."""
         request = self.table.requests.get(request_id)
         if request is None or request.finished or request.attempt_in_flight or request.established:
@@ -283,12 +283,12 @@
         # Our own connections are all that can be counted.
         return len(endpoint.connections) / max(endpoint.weight, 1e-9)
 
-    def _send_if_room(self, chosen: Endpoint, request: Request) -> None:
-        """Sends the attempt to the lightest endpoint drawn so far, if that has room.
+    def _forward_if_headroom(self, chosen: Endpoint, request: Request) -> None:
+        """Sends the attempt to the lightest endpoint drawn so far, if that has headroom.
 
         Condition: what was chosen is full, or costs as much by crossing zones. Another pair is drawn then,
-        and the lightest of all is kept. Where none has room, one more would spoil what is established: the
-        client has to come again later.
+        and the lightest of all is kept. Where none has headroom, one more would spoil what is established:
+        the client has to come again later.
         """
         load = self.load_estimates.comparable_load(chosen, request)
         fallback = request.fallback_endpoint
@@ -296,17 +296,17 @@
             fallback_load = self.load_estimates.comparable_load(fallback, request)
             if fallback_load is not None and (load is None or fallback_load < load):
                 chosen, load = fallback, fallback_load
-        room = self.admission.has_room(chosen, request)
+        has_headroom = self.admission.has_headroom(chosen, request)
         if self.observer is not None:
-            self.observer.headroom_checked(request, chosen, room)
-        if not room or (load is not None and load >= FULL_LOAD):
+            self.observer.headroom_checked(request, chosen, has_headroom)
+        if not has_headroom or (load is not None and load >= FULL_LOAD):
             request.fallback_endpoint = chosen
             waited = self.context.now - request.arrived_at
             patience = FRESH_REPORT_SHARE * request.class_settings.latency_objective
             if request.redraws < MAX_REDRAWS and waited < patience:
                 request.redraws += 1
                 return self.draw(request)
-            if not room:
+            if not has_headroom:
                 return self.attempts.give_up(request)
         self.attempts.forward(request, chosen)
         return None
