--- a/gradegap/commands/capture.py
+++ b/gradegap/commands/capture.py
@@ -13,7 +13,8 @@
 from gradegap.capture import frames, index, recording, records, replay
 from gradegap.capture.errors import BadRecordError
 from gradegap.capture.frames import Damage, Frame, FrameKind
-from gradegap.commands.recordings import FILE, load_module, read_recording, stop, write_new
+from gradegap.commands.base import ExitCode, failure, to_json
+from gradegap.commands.recordings import FILE, load_module, read_recording, write_new
 
 capture = typer.Typer(help="Recordings of events and actions of the balancer.", no_args_is_help=True)
 
@@ -30,7 +31,7 @@
     """What a recording holds, and what of it is damaged or missing."""
     found = _summary(read_recording(file))
     if json:
-        typer.echo(msgspec.json.encode(found).decode())
+        typer.echo(to_json(found))
     else:
         for name, value in found.items():
             typer.echo(f"{name}: {value}")
@@ -85,7 +86,7 @@
     until = until + base if abs(until) < CLOCKS_FROM else until
     part = index.seek(data, since, until)
     if not part:
-        raise stop("there is no state to begin at")
+        raise failure("there is no state to begin at", ExitCode.BAD_CALL)
     packed = b"".join(_packed_until(frame, until) for frame in _sound(part))
     write_new(out, index.sealed(frames.MAGIC + packed))
 
@@ -114,7 +115,10 @@
 ) -> None:
     """Steps as JSON lines: of some kinds, about one server or request. They can't be replayed."""
     if unknown := set(kind) - records.EVENTS.keys():
-        raise stop(f"there is no kind {sorted(unknown)[0]}; there are {', '.join(sorted(records.EVENTS))}")
+        raise failure(
+            f"there is no kind {sorted(unknown)[0]}; there are {', '.join(sorted(records.EVENTS))}",
+            ExitCode.BAD_CALL,
+        )
 
     def wanted(step: recording.Step) -> bool:
         about = {name for value in (step.event, *step.actions) for name in records.names(value)}
@@ -136,13 +140,13 @@
 
     data = read_recording(file)
     if Path(out).exists():
-        raise stop(f"{out} is there already")
+        raise failure(f"{out} is there already", ExitCode.BAD_CALL)
     try:
         draw(recording.read(data), out, Path(file).name)
     except ModuleNotFoundError:
-        raise stop("a plot needs matplotlib: pip install gradegap[plot]") from None
+        raise failure("a plot needs matplotlib: pip install gradegap[plot]", ExitCode.BAD_CALL) from None
     except (OSError, ValueError) as error:
-        raise stop(f"{out} can't be written: {error}") from None
+        raise failure(f"{out} can't be written: {error}", ExitCode.BAD_CALL) from None
 
 
 @capture.command()
@@ -174,11 +178,11 @@
     try:
         hasher = IdHasher(Path(key).read_bytes().strip())
     except OSError as error:
-        raise stop(f"{key} can't be read: {error.strerror}") from None
+        raise failure(f"{key} can't be read: {error.strerror}", ExitCode.BAD_CALL) from None
     try:
         data = redact(read_recording(file), hasher.hashed)
     except (BadRecordError, KeyError, TypeError, ValueError) as error:
-        raise stop(f"it can't be redacted: {error}") from None
+        raise failure(f"it can't be redacted: {error}", ExitCode.BAD_CALL) from None
     write_new(out, index.sealed(data))
     report = replay.replay(recording.read(data), load_module(None))
     if report.difference is not None or report.state_differs:
@@ -192,7 +196,7 @@
     `--shift` S for each file adds S seconds to its clock, where it is known to be behind.
     """
     if shift and len(shift) != len(files):
-        raise stop(f"{len(files)} files and {len(shift)} shifts")
+        raise failure(f"{len(files)} files and {len(shift)} shifts", ExitCode.BAD_CALL)
     rows: list[tuple[float, int, int, str, recording.Step]] = []
     for place, path in enumerate(files):
         data, node = read_recording(path), path
--- a/gradegap/commands/recordings.py
+++ b/gradegap/commands/recordings.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import sys
 from pathlib import Path
 from types import ModuleType
 
@@ -10,8 +9,7 @@
 
 from gradegap.capture import decision_module, frames, recording
 from gradegap.capture.errors import BadModuleError, BadRecordingError
-
-USAGE_STATUS = 2  # exit status where a file, a module or an argument can't be used
+from gradegap.commands.base import ExitCode, failure
 
 FILE = typer.Argument(..., help="a recording")
 MODULE = typer.Option(
@@ -19,19 +17,13 @@
 )
 
 
-def stop(error: Exception | str, code: int = USAGE_STATUS) -> typer.Exit:
-    """Print an error as one line, and make the exit that ends the command."""
-    sys.stderr.write(f"gradegap: {' '.join(str(error).split())}\n")
-    return typer.Exit(code)
-
-
 def read_recording(path: str) -> bytes:
     """A file's bytes, known to be a recording."""
     try:
         data = recording.read_file(path)
         frames.check_magic(data)
     except BadRecordingError as error:
-        raise stop(error) from None
+        raise failure(str(error), ExitCode.BAD_CALL) from None
     return data
 
 
@@ -41,7 +33,7 @@
         with Path(path).open("xb") as file:
             file.write(data)
     except OSError as error:
-        raise stop(f"{path} can't be written: {error.strerror}") from None
+        raise failure(f"{path} can't be written: {error.strerror}", ExitCode.BAD_CALL) from None
 
 
 def load_module(path: str | None) -> ModuleType:
@@ -49,4 +41,4 @@
     try:
         return decision_module.load(path)
     except BadModuleError as error:
-        raise stop(error) from None
+        raise failure(str(error), ExitCode.BAD_CALL) from None
--- a/gradegap/commands/replay.py
+++ b/gradegap/commands/replay.py
@@ -19,7 +19,8 @@
 )
 from gradegap.capture.explain import explain
 from gradegap.capture.simulation import WhatIfResult
-from gradegap.commands.recordings import FILE, MODULE, load_module, read_recording, stop
+from gradegap.commands.base import ExitCode, failure, to_json
+from gradegap.commands.recordings import FILE, MODULE, load_module, read_recording
 
 REQUEST = typer.Argument(..., metavar="REQ", help="the id of a request")
 SET = typer.Option([], "--set", help="a setting in the place of the recorded one: name=value")
@@ -46,16 +47,16 @@
     try:
         report = replay.replay(_paced(source, pace) if pace else source, candidate, since, until_differs)
     except (BadRecordingError, LaterStateError) as error:
-        raise stop(error) from None
+        raise failure(str(error), ExitCode.BAD_CALL) from None
     if json:
         typer.echo(_report_json(report))
     else:
         for line in _report_lines(report):
             typer.echo(line)
     if report.difference is not None or report.state_differs:
-        raise typer.Exit(1)
+        raise typer.Exit(ExitCode.NO)
     if not report.steps:
-        raise stop("nothing could be replayed", 1)
+        raise failure("nothing could be replayed", ExitCode.NO)
 
 
 def _paced(source: Iterator[recording.Item], pace: float) -> Iterator[recording.Item]:
@@ -77,7 +78,7 @@
         "differs_at": report.difference.step.number if report.difference else None,
         "state_differs": report.state_differs,
     }
-    return msgspec.json.encode(fields).decode()
+    return to_json(fields)
 
 
 def _report_lines(report: replay.Report) -> Iterator[str]:
@@ -110,7 +111,7 @@
         for path, step in zip((file, other), found.first, strict=True):
             typer.echo(f"  {path}: {in_one_line(step.event)} -> {all_in_one_line(step.actions)}")
     if found.first is not None or not found.steps:
-        raise typer.Exit(1)
+        raise typer.Exit(ExitCode.NO)
 
 
 def explain_command(file: str = FILE, request_id: int = REQUEST) -> None:
@@ -119,9 +120,9 @@
     try:
         lines = list(explain(recording.read(part), load_module(None), request_id)) if part else []
     except (BadRecordingError, BadStateError, BadRecordError) as error:
-        raise stop(error) from None
+        raise failure(str(error), ExitCode.BAD_CALL) from None
     if not lines:
-        raise stop(f"request {request_id} is not in this recording", 1)
+        raise failure(f"request {request_id} is not in this recording", ExitCode.NO)
     typer.echo("\n".join(lines))
 
 
@@ -140,14 +141,14 @@
     try:
         result = whatif(recording.read(read_recording(file)), load_module(module), assignments)
     except (BadRecordingError, BadWhatIfError, BadRecordError) as error:
-        raise stop(error) from None
+        raise failure(str(error), ExitCode.BAD_CALL) from None
     if json:
-        typer.echo(msgspec.json.encode(result).decode())
+        typer.echo(to_json(result))
     else:
         for line in _result_lines(result):
             typer.echo(line)
     if result.violations:
-        raise typer.Exit(1)
+        raise typer.Exit(ExitCode.NO)
 
 
 def _result_lines(result: WhatIfResult) -> Iterator[str]:
