--- a/bench/capture.py
+++ b/bench/capture.py
@@ -19,8 +19,8 @@
 from typing import Any
 
 import gradegap.balancing.balancer
-from bench.resume import resident
-from bench.store import cpu
+from bench.resume import private_kib
+from bench.store import cpu_seconds
 from gradegap.balancing.balancer import Balancer
 from gradegap.balancing.events import ConnectionInherited, RequestArrived
 from gradegap.capture import recording, records, replay, snapshot, state
@@ -42,7 +42,7 @@
     return [(row[2], records.event(row[3])) for row in day.steps]
 
 
-def alone(told: list[tuple[float, Any]]) -> float:
+def balancer_cpu_s(told: list[tuple[float, Any]]) -> float:
     """CPU seconds of the balancer without a recorder."""
     balancer = Balancer(Day(1, 40).settings, 1)
     began = time.process_time()
@@ -72,12 +72,12 @@
     return time.process_time() - began, metrics
 
 
-def module() -> dict[str, Any]:
+def recording_cost() -> dict[str, Any]:
     """What recording and replaying cost beside the balancer alone."""
     told = events()
     plain, taped, again, size, steps = [], [], [], 0, 1
     for _ in range(ROUNDS):
-        plain.append(alone(told))
+        plain.append(balancer_cpu_s(told))
         with tempfile.TemporaryDirectory() as name:
             spent, metrics = asyncio.run(under_recorder(told, Path(name)))
             assert not metrics.counts["capture_dropped"]
@@ -136,10 +136,10 @@
             wait_for(w.ready, 15.0)
             for _ in range(100):
                 one(w.client())
-            before = cpu(w.process.pid)
+            before = cpu_seconds(w.process.pid)
             for _ in range(REQS):
                 one(w.client())
-            return (cpu(w.process.pid) - before) / REQS * 1e6, resident(w.process.pid)
+            return (cpu_seconds(w.process.pid) - before) / REQS * 1e6, private_kib(w.process.pid)
         finally:
             w.process.kill()
             w.process.wait()
@@ -155,7 +155,7 @@
     """Measure in turn, and print the result as JSON."""
     pairs = [(node(False), node(True)) for _ in range(3)]
     said = {
-        "module": module(),
+        "module": recording_cost(),
         "a state, ms": states(),
         "node, CPU us a req": {
             "plain": round(statistics.median(a[0] for a, _ in pairs)),
--- a/bench/quic.py
+++ b/bench/quic.py
@@ -23,8 +23,8 @@
 from aioquic.quic.configuration import QuicConfiguration
 from aioquic.quic.connection import QuicConnection
 
-from bench.resume import resident
-from bench.store import cpu
+from bench.resume import private_kib
+from bench.store import cpu_seconds
 from gradegap.metrics import Metrics
 from gradegap.quic.keys import DerivedKeys, Holder, QuicRing
 from gradegap.quic.relay import DatagramForwarder, ForwardedDatagrams, socket_pair
@@ -197,14 +197,14 @@
         for front in ("QUIC", "TCP"):
             make: Callable[[], Any] = (lambda: QuicClient(port)) if front == "QUIC" else w.client
             standing(make)
-            began, size = cpu(pid), resident(pid)
+            began, size = cpu_seconds(pid), private_kib(pid)
             clients = [standing(make) for _ in range(SESSIONS)]
-            opened, grown = cpu(pid), resident(pid)
+            opened, grown = cpu_seconds(pid), private_kib(pid)
             c = clients[-1]
             for _ in range(LINES):
                 c.send(b"hello\r\n")
                 c.line()
-            spoken = cpu(pid)
+            spoken = cpu_seconds(pid)
             said[front] = {
                 "a session's start, us": round((opened - began) / SESSIONS * 1e6),
                 "a line and its answer, us": round((spoken - opened) / LINES * 1e6),
--- a/bench/resume.py
+++ b/bench/resume.py
@@ -23,20 +23,20 @@
 from pathlib import Path
 from typing import Any
 
-from bench.store import cpu, fresh, told
+from bench.store import cpu_seconds, new_histogram, percentiles
 from gradegap.client import Session
 from tests.resume_world import ResumeBackend, SaveStore
 from tests.world import Backend, World, fresh_id, wait_for
 
 PLAYERS = 60 if "--quick" in sys.argv else 200
-TURNS = 2 if "--quick" in sys.argv else 4
-EVERY = 0.02  # s between two requests of a player
+DRAINS = 2 if "--quick" in sys.argv else 4
+REQUEST_INTERVAL_S = 0.02  # s between two requests of a player
 LINES = 4000 if "--quick" in sys.argv else 20_000
 STANDING = 300  # sessions whose memory is counted
 ROUNDS = 3 if "--cost" in sys.argv else 1
 
 
-class Plain:
+class ReconnectingPlayer:
     """A client of today: told to move, it pauses and opens anew."""
 
     def __init__(self, address: str) -> None:
@@ -69,7 +69,7 @@
             await self.come()
 
 
-async def play(player: Any, gaps: list[float], ended: asyncio.Event) -> None:
+async def play_until(player: Any, gaps: list[float], ended: asyncio.Event) -> None:
     """One player: request after request until the day ends; its longest gap goes to `gaps`."""
     last, most, k = time.monotonic(), 0.0, 0
     while not ended.is_set():
@@ -77,16 +77,16 @@
         await player.request(b"r%d" % k)
         now = time.monotonic()
         most, last = max(most, now - last), now
-        await asyncio.sleep(EVERY)
-    gaps.append(most - EVERY)
+        await asyncio.sleep(REQUEST_INTERVAL_S)
+    gaps.append(most - REQUEST_INTERVAL_S)
 
 
-async def drains(w: World, players: list[Any], servers: list[Backend]) -> list[float]:
+async def gaps_over_drains(w: World, players: list[Any], servers: list[Backend]) -> list[float]:
     """The longest gap of each player, over drains of all servers in turn."""
     ended = asyncio.Event()
     gaps: list[float] = []
-    tasks = [asyncio.create_task(play(p, gaps, ended)) for p in players]
-    for turn in range(TURNS):
+    tasks = [asyncio.create_task(play_until(p, gaps, ended)) for p in players]
+    for turn in range(DRAINS):
         await asyncio.sleep(1.0)
         leaves = servers[turn % 2]
         await asyncio.to_thread(w.director.tell, leaves, state="Terminating")
@@ -97,12 +97,12 @@
     return gaps
 
 
-def summed(gaps: list[float]) -> dict[str, float]:
+def gap_percentiles(gaps: list[float]) -> dict[str, float]:
     """Percentiles of the gaps, in milliseconds."""
-    histogram = fresh()
+    histogram = new_histogram()
     for gap in gaps:
         histogram.record_value(max(1, round(gap * 1e6)))
-    return told(histogram)
+    return percentiles(histogram)
 
 
 async def gaps_of(w: World, servers: list[Backend], resumable: bool) -> dict[str, float]:
@@ -112,14 +112,14 @@
         if resumable:
             players.append(await Session.open([w.address], key=f"k{k}", placement_timeout=30.0))
         else:
-            made = Plain(w.address)
+            made = ReconnectingPlayer(w.address)
             await made.come()
             players.append(made)
         await asyncio.sleep(0.01)
-    return summed(await drains(w, players, servers))
+    return gap_percentiles(await gaps_over_drains(w, players, servers))
 
 
-class Answers(Backend):
+class EchoServer(Backend):
     """A save server that answers what it has read in one write, plain or resumable, and keeps nothing.
 
     The node is to meet the same pieces both ways.
@@ -141,7 +141,7 @@
         sock.close()
 
 
-class Wire:
+class RawSession:
     """One session spoken by hand, in the same pieces whether it is plain or resumable.
 
     What a client library costs, and how it cuts its writes, is no part of the measurement.
@@ -151,7 +151,7 @@
         self.reader, self.writer, self.resumable, self.asked = reader, writer, resumable, 0
 
     @classmethod
-    async def open(cls, w: World, resumable: bool) -> Wire:
+    async def open(cls, w: World, resumable: bool) -> RawSession:
         """An established session; a rejected one comes again."""
         host, _, port = w.address.rpartition(":")
         while True:
@@ -160,7 +160,7 @@
             said = await reader.readline()
             if said.startswith(b"UP"):
                 assert (b",t=" in said) is resumable, said
-                return Wire(reader, writer, resumable)
+                return RawSession(reader, writer, resumable)
             writer.close()
             await asyncio.sleep(int(said.split()[1]) / 1000)  # BUSY: so many at once are refused
 
@@ -177,33 +177,33 @@
         self.asked += many
 
 
-async def lines_cost(w: World, resumable: bool, many: int) -> float:
+async def cpu_per_request_us(w: World, resumable: bool, many: int) -> float:
     """Node's CPU microseconds for a request and its answer, one session, `many` at a time."""
-    wire = await Wire.open(w, resumable)
+    wire = await RawSession.open(w, resumable)
     await wire.ask(many)
-    before = cpu(w.process.pid)
+    before = cpu_seconds(w.process.pid)
     for _ in range(0, LINES, many):
         await wire.ask(many)
-    spent = (cpu(w.process.pid) - before) / LINES * 1e6
+    spent = (cpu_seconds(w.process.pid) - before) / LINES * 1e6
     wire.writer.close()
     return spent
 
 
-def resident(pid: int) -> int:
+def private_kib(pid: int) -> int:
     """KiB of memory that are the process's own."""
     text = Path(f"/proc/{pid}/smaps_rollup").read_text()
     return sum(int(line.split()[1]) for line in text.splitlines() if line.startswith("Private_"))
 
 
-async def session_memory(w: World, resumable: bool) -> float:
+async def kib_per_session(w: World, resumable: bool) -> float:
     """KiB of the node for each standing session, one request of it under way."""
-    stand = [await Wire.open(w, resumable) for _ in range(50)]  # what is made once
-    before = resident(w.process.pid)
+    stand = [await RawSession.open(w, resumable) for _ in range(50)]  # what is made once
+    before = private_kib(w.process.pid)
     for _ in range(STANDING):
         await asyncio.sleep(0.01)
-        stand.append(await Wire.open(w, resumable))
+        stand.append(await RawSession.open(w, resumable))
         await stand[-1].ask(2)
-    kib = (resident(w.process.pid) - before) / STANDING
+    kib = (private_kib(w.process.pid) - before) / STANDING
     for wire in stand:
         wire.writer.close()
     return kib
@@ -222,13 +222,13 @@
             w.process.wait()
 
 
-def one(resumable: bool) -> dict[str, Any]:
+def measure_one_way(resumable: bool) -> dict[str, Any]:
     """All figures of one way to play."""
     found: dict[str, Any] = {"gaps": {}}
-    with node([Answers("a")], resumable) as w:
+    with node([EchoServer("a")], resumable) as w:
         for many in (1, 10):
-            found[f"us_{many}"] = asyncio.run(lines_cost(w, resumable, many))
-        found["kib"] = asyncio.run(session_memory(w, resumable))
+            found[f"us_{many}"] = asyncio.run(cpu_per_request_us(w, resumable, many))
+        found["kib"] = asyncio.run(kib_per_session(w, resumable))
     if "--cost" not in sys.argv:
         store = SaveStore()
         servers: list[Backend] = [ResumeBackend(n, store, resumable) for n in "ab"]
@@ -242,8 +242,8 @@
     rounds: dict[bool, list[dict[str, Any]]] = {False: [], True: []}
     for _ in range(ROUNDS):
         for resumable in (False, True):
-            rounds[resumable].append(one(resumable))
-    said: dict[str, Any] = {"players": PLAYERS, "drains": TURNS, "rounds": ROUNDS}
+            rounds[resumable].append(measure_one_way(resumable))
+    said: dict[str, Any] = {"players": PLAYERS, "drains": DRAINS, "rounds": ROUNDS}
     for key, what in (
         ("us_1", "node CPU a request and answer, us, one at a time"),
         ("us_10", "node CPU a request and answer, us, ten at a time"),
--- a/bench/scale/slopes_data.py
+++ b/bench/scale/slopes_data.py
@@ -22,11 +22,11 @@
 import uvloop
 from hdrh.histogram import HdrHistogram
 
-from bench.resume import resident
+from bench.resume import private_kib
 from bench.scale.fit import Point, point
 from bench.scale.results_file import Measurement, measured
 from bench.scale.slopes_module import listed
-from bench.store import cpu
+from bench.store import cpu_seconds
 from tests.world import Backend, Director, World, free_port, fresh_id, world
 
 CONNECTIONS = (500, 1_000, 2_000)
@@ -166,7 +166,7 @@
 
     async def pass_lines(self, rate: int, size: int, seconds: float = SECONDS) -> float:
         """The node's processor seconds for lines at a rate; each is checked to have come."""
-        before, spent = sum(c.lines for c in self.clients), cpu(self.pid)
+        before, spent = sum(c.lines for c in self.clients), cpu_seconds(self.pid)
         sides, sent, began = self.server.standing, 0, time.perf_counter()
         filling = b"x" * (size - 18) + b"\r\n"
         while (now := time.perf_counter() - began) < seconds:
@@ -175,7 +175,7 @@
                 sent += 1
             await asyncio.sleep(STEP)
         await asyncio.sleep(SETTLE)
-        spent = cpu(self.pid) - spent
+        spent = cpu_seconds(self.pid) - spent
         came = sum(c.lines for c in self.clients) - before
         if came != sent:
             raise RuntimeError(f"{sent - came} of {sent} lines did not come")
@@ -183,9 +183,9 @@
 
     async def idle(self) -> float:
         """The part of a core that the node uses while nothing happens."""
-        began, spent = time.perf_counter(), cpu(self.pid)
+        began, spent = time.perf_counter(), cpu_seconds(self.pid)
         await asyncio.sleep(SECONDS)
-        return (cpu(self.pid) - spent) / (time.perf_counter() - began)
+        return (cpu_seconds(self.pid) - spent) / (time.perf_counter() - began)
 
     async def new_list(self, servers: int) -> None:
         """Discovery is elsewhere from now on: a full list, of which all but the one in use are new."""
@@ -262,10 +262,10 @@
 
     async def life(site: Site) -> None:
         for count in CONNECTIONS:
-            before, opened = cpu(site.pid), count - len(site.clients)
+            before, opened = cpu_seconds(site.pid), count - len(site.clients)
             await site.grow(count)
-            add(samples, "open", count, (cpu(site.pid) - before) / opened * 1e6)
-            add(samples, "memory", count, resident(site.pid) * 1024.0)
+            add(samples, "open", count, (cpu_seconds(site.pid) - before) / opened * 1e6)
+            add(samples, "memory", count, private_kib(site.pid) * 1024.0)
             add(samples, "idle", count, await site.idle() * 100.0)
             site.late.reset()
             add(samples, "line", count, await site.pass_lines(USUAL_RATE, USUAL_LINE))
--- a/bench/store.py
+++ b/bench/store.py
@@ -33,12 +33,12 @@
 from tests.world import Backend, World, free_port, wait_for
 
 QUICK = "--quick" in sys.argv
-SECONDS = 3.0 if QUICK else 8.0
-KILLS = 8 if QUICK else 30
+MEASURE_S = 3.0 if QUICK else 8.0
+LEADER_KILLS = 8 if QUICK else 30
 KEYS = 20_000 if QUICK else 100_000
 
 
-class Found(dict[str, Any]):
+class PrintedResults(dict[str, Any]):
     """What was measured, said as it comes: a run that is ended early has told something."""
 
     def __setitem__(self, key: str, value: Any) -> None:
@@ -46,21 +46,21 @@
         print(f"{key}: {json.dumps(value)}", flush=True)
 
 
-def told(histogram: HdrHistogram) -> dict[str, float]:
+def percentiles(histogram: HdrHistogram) -> dict[str, float]:
     """Percentiles in milliseconds of a histogram of microseconds."""
     return {f"p{p:g}_ms": round(histogram.get_value_at_percentile(p) / 1000, 2) for p in (50, 99, 99.9)}
 
 
-def fresh() -> HdrHistogram:
+def new_histogram() -> HdrHistogram:
     """A histogram of microseconds, up to a minute."""
     return HdrHistogram(1, 60_000_000, 3)
 
 
-def floor(folder: Path) -> dict[str, Any]:
+def machine_floor(folder: Path) -> dict[str, Any]:
     """An append of 200 bytes with fsync, and a round trip between two threads' sockets."""
-    syncs, trips = fresh(), fresh()
+    syncs, trips = new_histogram(), new_histogram()
     fd = os.open(folder / "floor", os.O_WRONLY | os.O_CREAT | os.O_APPEND)
-    end = time.perf_counter() + SECONDS / 2
+    end = time.perf_counter() + MEASURE_S / 2
     while time.perf_counter() < end:
         began = time.perf_counter_ns()
         os.write(fd, b"x" * 200)
@@ -76,7 +76,7 @@
 
     threading.Thread(target=echo, daemon=True).start()
     sock = socket.create_connection(listener.getsockname())
-    end = time.perf_counter() + SECONDS / 4
+    end = time.perf_counter() + MEASURE_S / 4
     while time.perf_counter() < end:
         began = time.perf_counter_ns()
         sock.sendall(b"x" * 200)
@@ -84,9 +84,9 @@
         trips.record_value((time.perf_counter_ns() - began) // 1000)
     sock.close()
     return {
-        "fsync_a_second": round(syncs.get_total_count() / (SECONDS / 2)),
-        "fsync": told(syncs),
-        "round_trip": told(trips),
+        "fsync_a_second": round(syncs.get_total_count() / (MEASURE_S / 2)),
+        "fsync": percentiles(syncs),
+        "round_trip": percentiles(trips),
     }
 
 
@@ -136,10 +136,10 @@
 
 async def commits(address: str, writers: int) -> dict[str, Any]:
     """Commits a second and their latency, for so many writers."""
-    histogram = fresh()
+    histogram = new_histogram()
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
-    until = time.perf_counter() + SECONDS
+    until = time.perf_counter() + MEASURE_S
     made = []
     for k in range(writers):
         _, writer = await loop.create_connection(lambda k=k: Writer(k, histogram, until), host, int(port))  # type: ignore[misc]
@@ -148,13 +148,15 @@
         await writer.done
         writer.transport.close()
     refused = sum(w.refused for w in made)
-    return {"a_second": round(histogram.get_total_count() / SECONDS), "refused": refused} | told(histogram)
+    return {"a_second": round(histogram.get_total_count() / MEASURE_S), "refused": refused} | percentiles(
+        histogram
+    )
 
 
-def without_a_leader(c: Cluster) -> dict[str, Any]:
+def time_without_leader(c: Cluster) -> dict[str, Any]:
     """From kill -9 of the leader until another commits a write."""
     spent = []
-    for _ in range(KILLS):
+    for _ in range(LEADER_KILLS):
         leader = wait_for(c.leader, 15.0)
         wait_for(c.same_everywhere, 15.0)
         rest = c.others(leader)
@@ -168,20 +170,20 @@
         c.start(leader)
     spent.sort()
     return {
-        "kills": KILLS,
+        "kills": LEADER_KILLS,
         "median_s": round(statistics.median(spent), 3),
         "p99_s": round(spent[min(len(spent) - 1, int(len(spent) * 0.99))], 3),
         "most_s": round(spent[-1], 3),
     }
 
 
-def rss(pid: int) -> int:
+def resident_kib(pid: int) -> int:
     """KiB that a process holds."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     return int(next(x for x in lines if x.startswith("VmRSS")).split()[1])
 
 
-def cpu(pid: int) -> float:
+def cpu_seconds(pid: int) -> float:
     """CPU seconds that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
@@ -192,18 +194,18 @@
     c = Cluster(folder, 1, relayed=False)
     try:
         c.start_all()
-        empty = rss(c.processes["n1"].pid)
+        empty = resident_kib(c.processes["n1"].pid)
         with c.remote("n1", 30.0) as r:
             for k in range(0, KEYS, 100):
                 r.request(wire.Transaction(tuple(KeyUpdate(f"key/{i:08}", i) for i in range(k, k + 100))))
-        full = rss(c.processes["n1"].pid)
+        full = resident_kib(c.processes["n1"].pid)
         c.processes["n1"].terminate()
         c.processes["n1"].wait(10)
         began = time.monotonic()
         c.start("n1")
-        wait_for(lambda: answers(c, "n1"), 30.0)
+        wait_for(lambda: has_keys(c, "n1"), 30.0)
         spent = time.monotonic() - began
-        again = rss(c.processes["n1"].pid)
+        again = resident_kib(c.processes["n1"].pid)
     finally:
         c.stop()
     return {
@@ -215,7 +217,7 @@
     }
 
 
-def answers(c: Cluster, name: str) -> bool:
+def has_keys(c: Cluster, name: str) -> bool:
     """Whether a member serves the keys that were written."""
     with contextlib.suppress(RequestFailedError), c.remote(name, 1.0) as r:
         return bool(r.value("key/00000007") == 7)
@@ -233,15 +235,15 @@
     try:
         wait_for(made.ready, 15.0)
         time.sleep(1.0)
-        before, began = cpu(made.process.pid), time.monotonic()
+        before, began = cpu_seconds(made.process.pid), time.monotonic()
         rng = random.Random(1)
         served = 0
-        while time.monotonic() - began < SECONDS * 2:
+        while time.monotonic() - began < MEASURE_S * 2:
             client = made.client()
             served += client.ask(f"c=live,d=1500,g={rng.randrange(99)}").startswith("UP")
             client.sock.close()
             time.sleep(0.005)
-        return (cpu(made.process.pid) - before) / (time.monotonic() - began)
+        return (cpu_seconds(made.process.pid) - before) / (time.monotonic() - began)
     finally:
         made.process.kill()
         made.process.wait()
@@ -250,10 +252,10 @@
 
 def main() -> None:
     """Measure all, and print each figure as it comes."""
-    found = Found()
+    found = PrintedResults()
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        found["floor"] = floor(folder)
+        found["floor"] = machine_floor(folder)
         (folder / "three").mkdir()
         c = Cluster(folder / "three", relayed=False)
         try:
@@ -261,7 +263,7 @@
             leader = c.leader()
             for writers in (1, 16, 256):
                 found[f"commits, {writers} writers"] = asyncio.run(commits(c.direct[leader], writers))
-            found["without a leader"] = without_a_leader(c)
+            found["without a leader"] = time_without_leader(c)
         finally:
             c.stop()
         (folder / "keys").mkdir()
--- a/bench/wave.py
+++ b/bench/wave.py
@@ -12,14 +12,14 @@
 
 import statistics
 import sys
-from typing import Any
 
 from gradegap.balancing.actions import Forward
+from gradegap.balancing.balancer import Balancer
 from gradegap.balancing.events import Event, RequestArrived
 from tests.test_wave import INVENTORY, Fleet
 
 
-class AtTheAim(Fleet):
+class CutAtObjective(Fleet):
     """The rule before: an attempt with tries left waits `max(aim, left / tries_left / 2)`, the last all.
 
     The module's other reason to give all (most attempts failing) can't be seen from here.
@@ -30,22 +30,22 @@
         self.deadlines: dict[int, float] = {}
         super().__post_init__()
 
-    def feed(self, node: Any, event: Event) -> None:
+    def feed(self, node: Balancer, event: Event) -> None:
         """Keep each request's deadline."""
         if isinstance(event, RequestArrived):
             self.deadlines[event.request_id] = event.deadline_at
         super().feed(node, event)
 
-    def send(self, node: Any, send: Forward) -> None:
+    def send(self, node: Balancer, send: Forward) -> None:
         """Cut the attempt's timeout by the rule before."""
         tries = self.tries[send.request_id] = self.tries.get(send.request_id, 0) + 1
         left = self.deadlines[send.request_id] - self.now
-        tries_left = node.set.max_attempts - tries + 1
+        tries_left = node.context.settings.max_attempts - tries + 1
         wait = left if tries_left <= 1 else min(left, max(INVENTORY.latency_objective, left / tries_left / 2))
         super().send(node, send._replace(timeout=min(send.timeout, wait)))
 
 
-def played(kind: type[Fleet], requests: int, seed: int) -> tuple[float, float]:
+def play_wave(kind: type[Fleet], requests: int, seed: int) -> tuple[float, float]:
     """Setups for each established connection, and the part that was established."""
     fleet = kind(seed=seed)
     fleet.wave(requests=requests, over=1.0)
@@ -57,8 +57,8 @@
     seeds = int(sys.argv[sys.argv.index("--seeds") + 1]) if "--seeds" in sys.argv else 10
     print(f"{'wave':>5} {'setups/up':>10} {'up':>6} {'peer setups/up':>15} {'up':>6} {'peer/module':>12}")
     for requests in (20, 40, 60, 80, 120):
-        ours = [played(Fleet, requests, seed) for seed in range(seeds)]
-        peer = [played(AtTheAim, requests, seed) for seed in range(seeds)]
+        ours = [play_wave(Fleet, requests, seed) for seed in range(seeds)]
+        peer = [play_wave(CutAtObjective, requests, seed) for seed in range(seeds)]
         cost, up = (statistics.mean(x) for x in zip(*ours, strict=True))
         p_cost, p_up = (statistics.mean(x) for x in zip(*peer, strict=True))
         print(f"{requests:>5} {cost:>10.2f} {up:>6.2f} {p_cost:>15.2f} {p_up:>6.2f} {p_cost / cost:>12.2f}")
