--- a/bench/captures.py
+++ b/bench/captures.py
@@ -137,7 +137,7 @@
 
     async def tell(self, server: SaveServer, **changes: Any) -> None:
         """Change what discovery says of a server."""
-        await asyncio.to_thread(self.w.director.tell, server, **changes)
+        await asyncio.to_thread(self.w.discovery.announce, server, **changes)
 
 
 async def quarter_dies(day: Day) -> None:
@@ -193,12 +193,12 @@
 async def parted_discovery(day: Day) -> None:
     """Discovery answers nobody while two servers die, and one that is not known yet comes."""
     await asyncio.sleep(2.0)
-    day.w.director.hold = threading.Event()
+    day.w.discovery.hold = threading.Event()
     await asyncio.sleep(0.5)
     for server in day.servers[:2]:
         await asyncio.to_thread(server.die)
     await asyncio.sleep(2.5)
-    held, day.w.director.hold = day.w.director.hold, None
+    held, day.w.discovery.hold = day.w.discovery.hold, None
     held.set()
     for server in day.servers[:2]:
         await day.tell(server, state="Gone")
--- a/bench/resume.py
+++ b/bench/resume.py
@@ -89,9 +89,9 @@
     for turn in range(DRAINS):
         await asyncio.sleep(1.0)
         leaves = servers[turn % 2]
-        await asyncio.to_thread(w.director.tell, leaves, state="Terminating")
+        await asyncio.to_thread(w.discovery.announce, leaves, state="Terminating")
         await asyncio.sleep(4.5)
-        await asyncio.to_thread(w.director.tell, leaves, state="Ready")
+        await asyncio.to_thread(w.discovery.announce, leaves, state="Ready")
     ended.set()
     await asyncio.gather(*tasks)
     return gaps
--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -1,6 +1,6 @@
 """Hollow nodes, many in a process: the real control side of each, over real sockets, and no data side.
 
-A hollow node has a node's own core with its decision module, its director against discovery, its dialer and
+A hollow node has a node's own core with its decision module, its discovery client, its dialer and
 probes, its live configuration, and its session with the store. It takes no clients. Run as a child:
 
     python -m bench.scale.hollow SPEC.json
--- a/bench/scale/slopes_data.py
+++ b/bench/scale/slopes_data.py
@@ -27,7 +27,7 @@
 from bench.scale.results_file import Measurement, measured
 from bench.scale.slopes_module import listed
 from bench.store import cpu_seconds
-from tests.world import Backend, Director, World, free_port, fresh_id, world
+from tests.world import Backend, DiscoveryServer, World, free_port, fresh_id, world
 
 CONNECTIONS = (500, 1_000, 2_000)
 RATES = (1_000, 3_000, 6_000)  # lines a second
@@ -191,13 +191,13 @@
         """Discovery is elsewhere from now on: a full list, of which all but the one in use are new."""
         self.version += 1
         others = [listed(k, self.version) for k in range(1, servers)]
-        director = Director([self.server.entry, *others])
-        self.world.directors.append(director)
+        discovery = DiscoveryServer([self.server.entry, *others])
+        self.world.discovery_servers.append(discovery)
         config = json.loads(self.world.config.read_text())
-        self.world.config.write_text(json.dumps(config | {"discovery": director.address}))
+        self.world.config.write_text(json.dumps(config | {"discovery": discovery.address}))
         self.world.process.send_signal(signal.SIGHUP)
         until = time.monotonic() + 10.0
-        while len(director.calls) < 2:  # the second is the watch: the list is taken
+        while len(discovery.calls) < 2:  # the second is the watch: the list is taken
             if time.monotonic() > until:
                 raise RuntimeError("the node did not ask for the new list")
             await asyncio.sleep(0.01)
--- a/bench/store.py
+++ b/bench/store.py
@@ -247,7 +247,7 @@
     finally:
         made.process.kill()
         made.process.wait()
-        made.director.server.shutdown()
+        made.discovery.server.shutdown()
 
 
 def main() -> None:
--- a/gradegap/hot_restart/host.py
+++ b/gradegap/hot_restart/host.py
@@ -68,4 +68,4 @@
         """Take the predecessor's QUIC port; owns the descriptors."""
 
     def keep_quic_port(self) -> None:
-        """The other process is gone, and with it what it held over QUIC."""
+        """The other process has ended, and with it what it held over QUIC."""
--- a/gradegap/hot_restart/link.py
+++ b/gradegap/hot_restart/link.py
@@ -79,7 +79,7 @@
 
     @property
     def is_closed(self) -> bool:
-        """Whether the other process is gone, or was given up."""
+        """Whether the other process has ended, or was given up."""
         return self._closed
 
     def send(self, message: Message, *descriptors: int) -> None:
@@ -96,7 +96,7 @@
     def send_admin_command(self, operation: str, endpoint: str, done: Callable[[], None]) -> None:
         """Have a call take effect in the other process too.
 
-        `done` is called when it has, when the other process is gone, or after `ADMIN_COMMAND_TIMEOUT_S`.
+        `done` is called when it has, when the other process has ended, or after `ADMIN_COMMAND_TIMEOUT_S`.
         """
         self._last_serial += 1
         serial = self._last_serial
--- a/gradegap/hot_restart/messages.py
+++ b/gradegap/hot_restart/messages.py
@@ -122,7 +122,7 @@
 class QuicPort(msgspec.Struct, tag="port"):
     """The QUIC front's port goes to the successor; its sockets come along."""
 
-    state: bytes = msgspec.field(name="told")  # `gradegap.quic.listener.Handed`, encoded
+    state: bytes = msgspec.field(name="told")  # `gradegap.quic.listener.PortTransfer`, encoded
 
 
 Message = (
--- a/gradegap/hot_restart/predecessor.py
+++ b/gradegap/hot_restart/predecessor.py
@@ -82,7 +82,7 @@
             link.send(QuicPort(port.state), *port.descriptors)
 
     def pass_sessions(self, link: Link) -> None:
-        """Pass on what can be passed, again and again until the successor is gone."""
+        """Pass on what can be passed, again and again until the successor has ended."""
         if link.is_closed or self.state is not PredecessorState.HANDING_OVER:
             return
         self._transfer.send_sessions(link)
@@ -93,7 +93,7 @@
         self._transfer.finish(serial, accepted)
 
     def lose_successor(self) -> None:
-        """The successor is gone.
+        """The successor has ended.
 
         Guards against its death: what it has not taken stays, and unless this process is leaving, it serves
         again.
--- a/gradegap/hot_restart/session_transfer.py
+++ b/gradegap/hot_restart/session_transfer.py
@@ -139,7 +139,7 @@
         _abort(passed.channel)
 
     def take_back_all(self) -> None:
-        """The successor is gone: what it has not answered for stays here."""
+        """The successor has ended: what it has not answered for stays here."""
         in_flight, self._in_flight = self._in_flight, {}
         for passed in in_flight.values():
             self._take_back(passed)
--- a/gradegap/hot_restart/successor.py
+++ b/gradegap/hot_restart/successor.py
@@ -38,7 +38,7 @@
         self.state = SuccessorState.ALONE
 
     def begin(self) -> asyncio.Future[bool]:
-        """Wait for a predecessor's state: whether it came, before that process was gone."""
+        """Wait for a predecessor's state: whether it came, before that process ended."""
         self.state = SuccessorState.RECEIVING_STATE
         self._state_received = self._host.loop.create_future()
         return self._state_received
@@ -75,7 +75,7 @@
         return True
 
     def lose_predecessor(self) -> None:
-        """The predecessor is gone, or was given up."""
+        """The predecessor has ended, or was given up."""
         self.state = SuccessorState.ALONE
         if self._state_received is not None and not self._state_received.done():
             self._state_received.set_result(False)
--- a/gradegap/node/configuration.py
+++ b/gradegap/node/configuration.py
@@ -67,7 +67,7 @@
 
     @property
     def seed(self) -> int:
-        """The seed of random draws: hexadecimal in the file, or else a checksum of what stands there."""
+        """The seed of random draws: hexadecimal in the file, or else a checksum of its text."""
         try:
             return int(self.node.seed, 16)
         except ValueError:
--- a/gradegap/node/quic_part.py
+++ b/gradegap/node/quic_part.py
@@ -113,7 +113,7 @@
         close_descriptors(descriptors)
 
     def keep_port(self) -> None:
-        """The other process is gone, and with it what it held."""
+        """The other process has ended, and with it what it held."""
         if self._listener is not None:
             self._listener.drop_predecessors()
 
--- a/gradegap/node/restart_host.py
+++ b/gradegap/node/restart_host.py
@@ -103,5 +103,5 @@
         self._quic.adopt_port(state, descriptors)
 
     def keep_quic_port(self) -> None:
-        """The other process is gone."""
+        """The other process has ended."""
         self._quic.keep_port()
--- a/gradegap/node/shutdown.py
+++ b/gradegap/node/shutdown.py
@@ -22,7 +22,7 @@
 FINAL_MARGIN_S, FINAL_PART = 0.7, 0.6  # whatever is left is migrated or answered
 END_MARGIN_S = 0.2  # the process ends, whatever is left
 MIN_ACCEPT_TIME_S = 0.7  # from SIGTERM, during which clients may still come
-EMPTY_CHECK_INTERVAL_S = 0.05  # between two looks whether the last client is gone
+EMPTY_CHECK_INTERVAL_S = 0.05  # between two looks whether the last client has left
 IDLE_RETRY_AFTER_S = 0.3  # after which a client that was idle here until the end may come again, elsewhere
 
 
@@ -78,7 +78,7 @@
         self._proxy.answer_all()
 
     def _end_when_empty(self, was_empty: bool = False) -> None:
-        """End once the last client is gone, and none has come since the look before."""
+        """End once the last client has left, and none has come since the look before."""
         if not self._hot_restart.is_handing_over:
             # Guards against a request that comes to a connection as it is closed: each idle one is rejected
             # first, so that whatever its client has written meanwhile has its answer.
--- a/tests/silent_discovery.py
+++ b/tests/silent_discovery.py
@@ -109,7 +109,7 @@
         with self.changed:
             self.phase, self.left = phase, calls
 
-    def tell(self, entry: dict[str, Any], **changes: Any) -> float:
+    def announce(self, entry: dict[str, Any], **changes: Any) -> float:
         with self.changed:
             self.version += 1
             self.entries[entry["id"]] = new = {**entry, **changes}
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -97,12 +97,12 @@
         said = time.monotonic()
         count = len(a.opens)
         for changes in ({}, {"state": "Gone"}, {"started_ms": time.time() * 1000}, {"state": "Ready"}):
-            w.director.tell(a, **changes)
+            w.discovery.announce(a, **changes)
             assert {w.client().ask(f"c=live,d=900,g={k}") for k in range(8)} == {"UP b"}
         assert [c.line() for c in on_a] == ["MOVE"] * len(on_a)  # told in time
         assert time.monotonic() - said < 4.0 + BUSY_MACHINE
         assert len(a.opens) == count
-        w.director.tell(a, started_ms=(time.time() - 60) * 1000)
+        w.discovery.announce(a, started_ms=(time.time() - 60) * 1000)
         assert call(console, "save-servers/s-a/online") == 200  # one call for two
         wait_for(lambda: w.client().ask() == "UP a")
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -33,13 +33,13 @@
     b = Backend("a")
     with world(tmp_path, [b]) as w:
         head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body)
-        w.director.garbage.append(head + body)
-        w.director.tell(b, weight=0.5)
+        w.discovery.garbage.append(head + body)
+        w.discovery.announce(b, weight=0.5)
         wait_for(lambda: w.counters().get("lists_malformed") == "1")
         assert w.counters()["lists_refused_malformed"] == "1"
         assert w.log.read_text().count('event="endpoint list rejected"') == 1
         assert w.client().ask() == "UP a"
-        wait_for(lambda: f"index={w.director.version}&" in w.director.calls[-1][1])  # and the watch goes on
+        wait_for(lambda: f"index={w.discovery.version}&" in w.discovery.calls[-1][1])  # and the watch goes on
 
 
 @pytest.mark.parametrize("part", ["head", "body", "chunk"])
@@ -52,8 +52,8 @@
             "body": b"HTTP/1.1 200 OK\r\nContent-Length: 999999999\r\n\r\n",
             "chunk": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n7fffffff\r\n",
         }[part]
-        w.director.garbage.append(head + b"x" * 40_000_000)
-        w.director.tell(b, weight=0.5)
+        w.discovery.garbage.append(head + b"x" * 40_000_000)
+        w.discovery.announce(b, weight=0.5)
         refused = ("lists_refused_too_large", "lists_refused_not_http")
         wait_for(lambda: any(name in w.counters() for name in refused))
         assert w.client().ask() == "UP a"
--- a/tests/test_capture_recorder.py
+++ b/tests/test_capture_recorder.py
@@ -121,7 +121,7 @@
         clients = [w.client() for _ in range(12)]
         for c in clients:
             assert c.ask().startswith("UP")
-        w.director.tell(servers[0], state="Terminating")
+        w.discovery.announce(servers[0], state="Terminating")
         settings_now = w.config.read_text()
         w.config.write_text(settings_now.replace('"MaxAttempts": 4', '"MaxAttempts": 3'))
         w.process.send_signal(signal.SIGHUP)
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -27,7 +27,7 @@
         wait_for(lambda: len(day.seen.standing) >= 30, 10.0)
         # A server drains while all watches are open.
         first, second, third = day.servers[:3]
-        day.told[first.name] = day.discovery.tell(first.entry, state="Terminating")
+        day.told[first.name] = day.discovery.announce(first.entry, state="Terminating")
         if asked:
             first.send_away()
         wait_for(lambda: time.time() > day.told[first.name] + day.grace + 0.2)
@@ -39,7 +39,7 @@
         wait_for(lambda: len(day.seen.standing) >= 30, 10.0)
         # Discovery falls silent in the middle of all three watches, and another server drains meanwhile.
         day.discovery.fall_silent("in_body", 3)
-        at = day.discovery.tell(second.entry, state="Terminating")
+        at = day.discovery.announce(second.entry, state="Terminating")
         # 2 s after the wait of a silent watch, or 6 s after its silence began, what it hid counts as told.
         waits = [(began, re.search(r"wait=(\d+)", path)) for began, path in day.discovery.calls if began < at]
         ends = [began + int(found[1]) / 1000 for began, found in waits if found is not None]
@@ -51,7 +51,7 @@
         third.stop()
         for sock in list(third.standing):
             hard_reset(sock)
-        day.discovery.tell(third.entry, state="Gone")
+        day.discovery.announce(third.entry, state="Gone")
         wait_for(lambda: time.time() > day.told[second.name] + day.grace + 0.5, 12.0)
         wait_for(lambda: len(day.seen.standing) >= 30, 10.0)
     finally:
@@ -117,14 +117,14 @@
     d = TurnDiscovery([live.entry, gone.entry], each=0.25, patience=0.7)
     nodes = [NodeProcess(tmp_path, k, ASKED | {"ReplicasOfMe": 8}, d, wait=False) for k in range(8)]
     try:
-        d.tell(gone.entry, state="Gone")
+        d.announce(gone.entry, state="Gone")
         for node in nodes:
             wait_for(node.answers, 15.0)
             assert Client(node.address).ask("c=album-edit,d=2000,g=1,t=large").split(" ")[0] in ("UP", "BUSY")
         wait_for(lambda: all("lists_delta" in n.counters() for n in nodes), 10.0)
         assert all("index=" in path for _, path in d.calls)  # what they knew was asked on from
         began, before = time.time(), len(d.calls)
-        told = d.tell(live.entry, weight=2.0)
+        told = d.announce(live.entry, weight=2.0)
         news = f"'version': {d.version},"
         wait_for(lambda: all(n.counters() and news in n.log.read_text() for n in nodes), 8.0)
         took, made = time.time() - told, len(d.calls) - before
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -21,7 +21,7 @@
     console = f"127.0.0.1:{free_port()}"
     folder = w.config.parent / "second"
     folder.mkdir()
-    extra = {"TMPDIR": str(shared or w.config.parent), "NODE_DISCOVERY": w.director.address}
+    extra = {"TMPDIR": str(shared or w.config.parent), "NODE_DISCOVERY": w.discovery.address}
     with world(folder, w.backends, operator, env=extra, console=console, listen=w.address) as n:
         yield n, console
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -143,7 +143,7 @@
         clients = [w.client() for _ in range(8)]
         names = [c.ask(ident=f"{k}") for k, c in enumerate(clients)]
         on_a = [c for c, name in zip(clients, names, strict=True) if name == "UP a"]
-        told = w.director.tell(a, state="Terminating")
+        told = w.discovery.announce(a, state="Terminating")
         for c in on_a:
             assert [c.line(), c.line()] == ["MOVE", ""]
         assert time.time() - told < 4.2
@@ -207,13 +207,13 @@
 def test_the_watch_goes_on_at_once_and_survives_bad_answers(tmp_path: Path) -> None:
     a, b = Backend("a"), Backend("b")
     with world(tmp_path, [a]) as w:
-        d = w.director
+        d = w.discovery
         d.garbage += [b"nonsense\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n[1,2}"]
         d.garbage += [b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", b""]
-        d.tell(a, weight=0.5)
+        d.announce(a, weight=0.5)
         assert w.client().ask() == "UP a"  # the last list is kept
         wait_for(lambda: not d.garbage)
-        d.tell(b)
+        d.announce(b)
         wait_for(lambda: w.client().ask() == "UP b")
         answers = d.answered[-2:]
         wait_for(lambda: all(any(0 <= at - said < 0.2 for at, _ in list(d.calls)) for said in answers), 2.0)
@@ -238,9 +238,9 @@
         bad_c = c.entry | {"weight": None}  # what was told of it last still holds
         listing = {"version": 9, "full": True, "servers": [*BAD_ENTRIES, b.entry, bad_c]}
         body = json.dumps(listing).encode()
-        wait_for(lambda: any("index" in path for _, path in list(w.director.calls)))
-        w.director.garbage.append(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
-        w.director.tell(a, weight=0.5)
+        wait_for(lambda: any("index" in path for _, path in list(w.discovery.calls)))
+        w.discovery.garbage.append(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
+        w.discovery.announce(a, weight=0.5)
         wait_for(lambda: w.counters().get("list_items_bad") == str(len(BAD_ENTRIES) + 1))
         assert {w.client().ask() for _ in range(20)} == {"UP b", "UP c"}
 
@@ -278,14 +278,14 @@
     """Every node once asked it for the full list every 0.1 s, and none was answered for seconds."""
     a, b = Backend("a"), Backend("b")
     with world(tmp_path, [a], settings=SETTINGS | {"MembershipMode": "on_request"}) as w:
-        calls = w.director.calls
+        calls = w.discovery.calls
         wait_for(lambda: any("index" in path for _, path in list(calls)))
         before = len(calls)
-        w.director.garbage += [b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"] * 6
-        with w.director.changed:
-            w.director.version += 1
-            w.director.changes.append((w.director.version, b.entry))
-            w.director.changed.notify_all()
+        w.discovery.garbage += [b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"] * 6
+        with w.discovery.changed:
+            w.discovery.version += 1
+            w.discovery.changes.append((w.discovery.version, b.entry))
+            w.discovery.changed.notify_all()
         wait_for(lambda: len(calls) >= before + 7, 12.0)
         wait_for(lambda: w.client().ask() == "UP b")
         made = calls[before:]
--- a/tests/test_observer_cluster.py
+++ b/tests/test_observer_cluster.py
@@ -77,7 +77,7 @@
     def end(self, made: World) -> None:
         made.process.kill()
         made.process.wait()
-        made.director.server.shutdown()
+        made.discovery.server.shutdown()
         assert "Traceback" not in made.log.read_text(), made.log.read_text()
 
     def start_all(self, count: int = 3, more: str = "") -> None:
--- a/tests/test_quic.py
+++ b/tests/test_quic.py
@@ -238,7 +238,7 @@
         names = [c.ask(ident=f"{k}") for k, c in enumerate(clients)]
         on_a = [c for c, name in zip(clients, names, strict=True) if name == "UP a"]
         assert on_a
-        told = w.director.tell(a, state="Terminating")
+        told = w.discovery.announce(a, state="Terminating")
         while time.time() < told + 2.05:
             for c in clients:
                 c.step(0.005)
@@ -508,7 +508,7 @@
         assert c.data[100].startswith(b"BUSY") and c.data[104] == b"ERR\r\n"
         # A drain moves those of its server, and no others.
         left = [n for n in numbers if n not in (ended, broken)]
-        w.director.tell(a, state="Terminating")
+        w.discovery.announce(a, state="Terminating")
         on_a = [n for n in left if servers[n] == "UP a"]
         c.until(lambda: all(c.data[n].endswith(b"MOVE\r\n") for n in on_a), "MOVE to each", 5.0)
         for n in left:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -14,7 +14,7 @@
 from gradegap.balancing.actions import CheckHealth
 from gradegap.balancing.events import AttemptResult, TimerFired
 from tests.helpers import CLASS, Driver, sends, settings
-from tests.world import SETTINGS, Backend, Director, World, wait_for, world
+from tests.world import SETTINGS, Backend, DiscoveryServer, World, wait_for, world
 
 
 def rewrite(w: World, **changes: Any) -> None:
@@ -31,12 +31,12 @@
     with world(tmp_path, made[:1], env=env if by_environment else None) as w:
         assert w.client().ask() == "UP a"
         for b in made[1:]:
-            old, w.director = w.director, Director([b.entry])
-            w.directors.append(w.director)
-            rewrite(w, discovery=w.director.address)
+            old, w.discovery = w.discovery, DiscoveryServer([b.entry])
+            w.discovery_servers.append(w.discovery)
+            rewrite(w, discovery=w.discovery.address)
             wait_for(lambda name=b.name: w.client().ask() == f"UP {name}")  # type: ignore[misc]
-            assert "index" not in w.director.calls[0][1]  # the full list first, then the watch
-            wait_for(lambda: any("index" in path for _, path in w.director.calls))
+            assert "index" not in w.discovery.calls[0][1]  # the full list first, then the watch
+            wait_for(lambda: any("index" in path for _, path in w.discovery.calls))
             # What the old address says from now on is not heard.
             with old.changed:
                 old.version += 1
@@ -53,9 +53,9 @@
     with world(tmp_path, [a]) as w:
         standing = w.client()
         assert standing.ask() == "UP a"
-        late = Director([b.entry])
+        late = DiscoveryServer([b.entry])
         late.hold = threading.Event()
-        w.directors.append(late)
+        w.discovery_servers.append(late)
         rewrite(w, discovery=late.address)
         wait_for(lambda: late.calls)
         assert w.client().ask() == "UP a"
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -61,7 +61,7 @@
             assert got == [b"done " + r for r in asked[k : k + 10]]
             if k == 100:
                 leaves = a if session.receipt == "a" else b
-                await asyncio.to_thread(w.director.tell, leaves, state="Terminating")
+                await asyncio.to_thread(w.discovery.announce, leaves, state="Terminating")
         (ran,) = store.ran.values()
         assert ran == asked
         goes_to = b if leaves is a else a
@@ -235,8 +235,8 @@
     async def main(w: World) -> None:
         session = await Session.open([w.address])
         assert await session.request(b"x") == b"done x"
-        await asyncio.to_thread(w.director.tell, plain)
-        await asyncio.to_thread(w.director.tell, a, state="Terminating")
+        await asyncio.to_thread(w.discovery.announce, plain)
+        await asyncio.to_thread(w.discovery.announce, a, state="Terminating")
         with pytest.raises(SessionEndedError) as error:
             while True:
                 await session.request(b"y")
@@ -307,7 +307,7 @@
         players = [asyncio.create_task(player(w, k, ended)) for k in range(40)]
         await asyncio.to_thread(wait_for, lambda: len(store.ran) == 40, 20.0)
         on_a = len(a.opens)
-        await asyncio.to_thread(w.director.tell, a, state="Terminating")
+        await asyncio.to_thread(w.discovery.announce, a, state="Terminating")
         await asyncio.to_thread(wait_for, lambda: len(b.opens) + len(a.opens) >= 40 + on_a, 15.0)
         await asyncio.sleep(0.2)
         ended.set()
@@ -332,14 +332,14 @@
         token = token_of(opened(c))
         c.send("Q 1 x")
         assert c.line() == "A 1 done x"
-        w.director.tell(plain)  # it does not know the extension
-        w.director.tell(a, state="Terminating")
+        w.discovery.announce(plain)  # it does not know the extension
+        w.discovery.announce(a, state="Terminating")
         told = c.line()
         assert told.startswith("T ") and told[2:] != token
         assert [c.line(), c.line()] == ["MOVE", ""]
         assert opened(w.client(), f",rh=1,rt={token}") == "X claimed"
-        w.director.tell(a, state="Ready")
-        w.director.tell(plain, state="Gone")
+        w.discovery.announce(a, state="Ready")
+        w.discovery.announce(plain, state="Gone")
         again = w.client()
         wait_for(lambda: not opened(w.client(), key="else").startswith("BUSY"))
         assert token_of(opened(again, f",rh=1,rt={told[2:]}"))
@@ -354,8 +354,8 @@
     with world(tmp_path, [a], ON) as w:
         c = w.client()
         token_of(opened(c))
-        w.director.tell(silent)
-        w.director.tell(a, state="Terminating")
+        w.discovery.announce(silent)
+        w.discovery.announce(a, state="Terminating")
         wait_for(lambda: silent.opens)
         c.sock.close()
         wait_for(lambda: silent.ended, 3.0)
@@ -381,7 +381,7 @@
             assert line == f"A {number} done r{number}"
 
         ask()
-        w.director.tell(leaves, state="Terminating")
+        w.discovery.announce(leaves, state="Terminating")
         c.hop()
         while not stays.opens:
             ask()
--- a/tests/test_resume_many.py
+++ b/tests/test_resume_many.py
@@ -105,7 +105,7 @@
 
     async def tell(backend: ResumeBackend, state: str) -> None:
         alive = [w for w in nodes.node.values() if w.process.poll() is None]
-        await asyncio.gather(*(asyncio.to_thread(w.director.tell, backend, state=state) for w in alive))
+        await asyncio.gather(*(asyncio.to_thread(w.discovery.announce, backend, state=state) for w in alive))
 
     async def main() -> None:
         players = Players([nodes.node[n].address for n in nodes.names], seed=3)
--- a/tests/test_resume_nodes.py
+++ b/tests/test_resume_nodes.py
@@ -136,7 +136,9 @@
         c.send(f"Q 1 turn-{turn}")
         assert c.line() == f"A 1 done turn-{turn}"
         leaves = a if store.log[-1].who == "a" else b
-        drains = threading.Thread(target=w.director.tell, args=(leaves,), kwargs={"state": "Terminating"})
+        drains = threading.Thread(
+            target=w.discovery.announce, args=(leaves,), kwargs={"state": "Terminating"}
+        )
         drains.start()
         time.sleep(0.01 * turn)  # not waited for: which of them is first is what varies
         again, said = returned(other, f",rh=1,rt={token},ra={'5e' * 16}")
@@ -154,7 +156,7 @@
         assert line == f"A 2 done more-{turn}"
         for end in (c, again):
             end.sock.close()
-        w.director.tell(leaves, state="Ready")
+        w.discovery.announce(leaves, state="Ready")
     log = [r for n in nodes.names for r in from_node(n, nodes.node[n].log.read_text())]
     assert not list(violations([*log, *store.log])) and seen
 
--- a/tests/test_silent_watches.py
+++ b/tests/test_silent_watches.py
@@ -84,7 +84,7 @@
         wait_for(lambda: all(asker.last for asker in askers))
         discovery.fall_silent("unread", NODES)
         silent_at = time.time()
-        drained_at = discovery.tell(a.entry, state="Terminating")
+        drained_at = discovery.announce(a.entry, state="Terminating")
         told = [notified_at(discovery, address, silent_at, drained_at) for address in addresses]
         wait_for(lambda: time.time() > max(told) + 2.5, 15.0)
     finally:
@@ -117,7 +117,7 @@
         wait_for(lambda: asker.last > 0.0)
         discovery.fall_silent("unread", 1)
         silent_at = time.time()
-        drained_at = discovery.tell(a.entry, state="Terminating")
+        drained_at = discovery.announce(a.entry, state="Terminating")
         told = notified_at(discovery, "127.0.0.1", silent_at, drained_at)
         wait_for(lambda: len([path for _, path in discovery.calls if "wait=0" in path]) == 1, 10.0)
         asked_again = time.time()
--- a/tests/test_store_node.py
+++ b/tests/test_store_node.py
@@ -246,4 +246,4 @@
     made = World(tmp_path, [], operator)
     assert made.process.wait(10) == 2
     assert made.log.read_text().splitlines()[-1].startswith("gradegap: the store's folder")
-    made.director.server.shutdown()
+    made.discovery.server.shutdown()
--- a/tests/test_watch_schedule.py
+++ b/tests/test_watch_schedule.py
@@ -182,7 +182,7 @@
     asking = threading.Thread(target=ask_until, args=(w, ended), daemon=True)
     asking.start()
     wait_for(lambda: a.opens)
-    told = d.tell(a.entry, state="Terminating")
+    told = d.announce(a.entry, state="Terminating")
     wait_for(lambda: time.time() > told + bound + 0.3, bound + 5.0)
     ended.set()
     asking.join()
@@ -233,7 +233,7 @@
         wait_for(lambda: any("index" in path for _, path in d.calls))
         with d.changed:
             d.twice = 1 if spoilt == "twice" else 0
-        d.tell(a.entry, state="Terminating")
+        d.announce(a.entry, state="Terminating")
         wait_for(lambda: w.counters().get("lists_delta") == "1")
         if spoilt == "older":
             with d.changed:
@@ -243,6 +243,6 @@
         wait_for(lambda: any(f"lists_refused_{why}" in n or "behind" in n for n in w.counters()))
         for _ in range(30):
             assert w.client().ask() == "UP b"
-        d.tell(b.entry, state="Terminating")
-        d.tell(a.entry, state="Ready")
+        d.announce(b.entry, state="Terminating")
+        d.announce(a.entry, state="Ready")
         wait_for(lambda: w.client().ask() == "UP a")
--- a/tests/world.py
+++ b/tests/world.py
@@ -151,8 +151,8 @@
         self.listener.close()
 
 
-class Director:
-    """Discovery: answers with what `entries` holds, and holds a watch until `tell` changes it."""
+class DiscoveryServer:
+    """Discovery: answers with what `entries` holds, and holds a watch until `announce` changes it."""
 
     def __init__(self, entries: list[dict[str, Any]]) -> None:
         self.changed = threading.Condition()
@@ -163,22 +163,22 @@
         self.answered: list[float] = []
         self.garbage: list[bytes] = []  # what the next answers are instead
         self.hold: threading.Event | None = None  # no answer until it is set
-        director = self
+        discovery = self
 
         class Handler(BaseHTTPRequestHandler):
             protocol_version = "HTTP/1.1"
 
             def do_GET(self) -> None:
-                director.calls.append((time.time(), self.path))
-                if director.hold is not None:
-                    director.hold.wait(10)
-                if director.garbage:
-                    self.wfile.write(director.garbage.pop(0))
+                discovery.calls.append((time.time(), self.path))
+                if discovery.hold is not None:
+                    discovery.hold.wait(10)
+                if discovery.garbage:
+                    self.wfile.write(discovery.garbage.pop(0))
                     self.close_connection = True
                     return
-                body = json.dumps(director.answer(parse_qs(urlsplit(self.path).query))).encode()
+                body = json.dumps(discovery.answer(parse_qs(urlsplit(self.path).query))).encode()
                 # Noted first: the node's next call may come before a later line runs.
-                director.answered.append(time.time())
+                discovery.answered.append(time.time())
                 self.send_response(200)
                 self.send_header("Content-Length", str(len(body)))
                 self.end_headers()
@@ -202,7 +202,7 @@
             news = {e["id"]: e for version, e in self.changes if version > index}
             return {"version": self.version, "full": False, "servers": list(news.values())}
 
-    def tell(self, backend: Backend, **changes: Any) -> float:
+    def announce(self, backend: Backend, **changes: Any) -> float:
         with self.changed:
             self.version += 1
             self.entries[backend.entry["id"]] = entry = {**backend.entry, **changes}
@@ -264,7 +264,7 @@
 
 
 class World:
-    """A node as a process, with its backends and its director."""
+    """A node as a process, with its backends and its discovery."""
 
     def __init__(
         self,
@@ -277,13 +277,13 @@
         **config: Any,
     ) -> None:
         self.backends = backends
-        self.director = Director([b.entry for b in backends])
-        self.directors = [self.director]
+        self.discovery = DiscoveryServer([b.entry for b in backends])
+        self.discovery_servers = [self.discovery]
         self.address = str(config.get("listen") or f"127.0.0.1:{free_port()}")
         self.config = path = folder / "config.json"
-        full = {"name": "n0", "listen": self.address, "discovery": self.director.address, "seed": "8c1f"}
+        full = {"name": "n0", "listen": self.address, "discovery": self.discovery.address, "seed": "8c1f"}
         path.write_text(json.dumps(full | {"settings": SETTINGS} | config))
-        extra = {name: value or self.director.address for name, value in (env or {}).items()}
+        extra = {name: value or self.discovery.address for name, value in (env or {}).items()}
         if operator is not None:
             (folder / "operator.toml").write_text(operator)
             extra["GRADEGAP_OPERATOR"] = str(folder / "operator.toml")
@@ -321,5 +321,5 @@
     finally:
         made.process.kill()
         made.process.wait()
-        for director in made.directors:
-            director.server.shutdown()
+        for discovery in made.discovery_servers:
+            discovery.server.shutdown()
