--- a/gradegap/store/embedded.py
+++ b/gradegap/store/embedded.py
@@ -164,7 +164,7 @@
 
     def _gossip_received(self, gossip: wire.Gossip) -> None:
         self.gossip.receive(gossip)
-        self.service.nodes[gossip.node] = (time.monotonic(), gossip.state)
+        self.service.node_reported(gossip.node, gossip.state)
 
     # The end
 
--- a/gradegap/store/log_writer.py
+++ b/gradegap/store/log_writer.py
@@ -14,7 +14,7 @@
 from gradegap.raft import Message, Raft, Ready, SnapshotMetadata
 from gradegap.store.machine import StateMachine
 from gradegap.store.records import StoreState
-from gradegap.store.storage import MemberStorage, WriteBatch
+from gradegap.store.storage import AppliedPosition, MemberStorage, WriteBatch
 
 RETAINED_ENTRIES = 1000  # applied entries that stay in the log, for members that are a little behind
 COMPACTION_ENTRIES = 4 * RETAINED_ENTRIES  # in the log, at which it is compacted
@@ -76,7 +76,7 @@
         if batch.whole is None or machine.index >= batch.whole.index:
             batch.unsaved = machine.take_unsaved()
         self.received_snapshot = None
-        batch.applied = (machine.index, machine.revision, machine.clock_ms)
+        batch.applied = AppliedPosition(machine.index, machine.revision, machine.clock_ms)
         if raft.log.size_bytes > COMPACTION_BYTES or len(raft.log.entries) > COMPACTION_ENTRIES:
             self._compact(batch, raft)
         return batch
--- a/gradegap/store/restore.py
+++ b/gradegap/store/restore.py
@@ -7,12 +7,13 @@
 import msgspec
 
 from gradegap.raft import ClusterConfiguration, HardState, Member, SnapshotMetadata
+from gradegap.store.bootstrap import CLUSTER_NAME_BYTES
 from gradegap.store.errors import FolderError
 from gradegap.store.leader_requests import INVITED_PREFIX
 from gradegap.store.records import Item
 from gradegap.store.settings import StoreSettings
 from gradegap.store.state_snapshot import decode_snapshot
-from gradegap.store.storage import Identity, MemberStorage, WriteBatch, data_folder
+from gradegap.store.storage import AppliedPosition, Identity, MemberStorage, WriteBatch, data_folder
 
 
 def restore(data: bytes, settings: StoreSettings) -> SnapshotMetadata:
@@ -21,31 +22,29 @@
     `ValueError` where it is no backup, `FolderError` where the folder is not empty.
     """
     state = decode_snapshot(data)
-    place = data_folder(settings)
-    if place.exists() and any(place.iterdir()):
-        raise FolderError(f"{place} is not empty; a backup makes a new folder, and replaces none")
-    disk = MemberStorage(place)
+    folder = data_folder(settings)
+    if folder.exists() and any(folder.iterdir()):
+        raise FolderError(f"{folder} is not empty; a backup makes a new folder, and replaces none")
+    storage = MemberStorage(folder)
     try:
-        found = disk.start()
-        me = Member(found.identity.id, settings.name, settings.advertise or settings.listen)
-        base = SnapshotMetadata(state.index, 1, ClusterConfiguration((me,)))
-        invited = [
-            Item(
-                INVITED_PREFIX + p.name,
-                {"address": p.address},
-                state.revision,
-                state.revision,
-                author="restore",
-            )
-            for p in settings.peers
-            if p.name != settings.name
-        ]
-        names = {i.key for i in invited}
-        kept = [i for i in state.items if i.key not in names and not i.key.startswith(INVITED_PREFIX)]
-        state = msgspec.structs.replace(state, items=kept + invited, sessions=[])
-        identity = Identity(found.identity.id, os.urandom(8).hex())
-        applied = (state.index, state.revision, state.clock_ms)
-        disk.write(WriteBatch(HardState(1, ""), identity, base, state, applied=applied))
+        member_id = storage.start().identity.id
+        member = Member(member_id, settings.name, settings.advertise or settings.listen)
+        base = SnapshotMetadata(state.index, 1, ClusterConfiguration((member,)))
+        items = [item for item in state.items if not item.key.startswith(INVITED_PREFIX)]
+        items += _invitations(settings, state.revision)
+        state = msgspec.structs.replace(state, items=items, sessions=[])
+        identity = Identity(member_id, os.urandom(CLUSTER_NAME_BYTES).hex())
+        applied = AppliedPosition(state.index, state.revision, state.clock_ms)
+        storage.write(WriteBatch(HardState(1, ""), identity, base, state, applied=applied))
     finally:
-        disk.close()
+        storage.close()
     return base
+
+
+def _invitations(settings: StoreSettings, revision: int) -> list[Item]:
+    """The keys by which the other peers of the operator's file may join."""
+    return [
+        Item(INVITED_PREFIX + peer.name, {"address": peer.address}, revision, revision, author="restore")
+        for peer in settings.peers
+        if peer.name != settings.name
+    ]
--- a/gradegap/store/service.py
+++ b/gradegap/store/service.py
@@ -9,7 +9,7 @@
 
 import asyncio
 import time
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 import structlog
@@ -41,6 +41,13 @@
 NOT_LEADER = "not_leader: ask again"
 
 
+class NodeState(NamedTuple):
+    """What a node reported of itself, and when (steady time, s)."""
+
+    at: float
+    state: dict[str, Any]
+
+
 class RequestService:
     """Answers requests at one member."""
 
@@ -48,7 +55,7 @@
         self.host = host
         self.metrics = host.metrics
         self.pending: dict[int, PendingRequest] = {}  # by serial
-        self.nodes: dict[str, tuple[float, dict[str, Any]]] = {}  # when a node reported which state
+        self._node_states: dict[str, NodeState] = {}  # by name
         self.clock = LogClockEstimate(host)
         self.stamper = WriteStamper(self.clock)
         self.led = LeaderRequests(host, self, self.stamper)
@@ -304,11 +311,18 @@
         if all(pending.body != body for pending in self.pending.values()):
             self.request(body, respond, ADMISSION_TIMEOUT_S)
 
+    # Status
+
+    def node_reported(self, node: str, state: dict[str, Any]) -> None:
+        """A node has reported its state, which `status` shows."""
+        self._node_states[node] = NodeState(time.monotonic(), state)
+
     def status(self) -> dict[str, Any]:
         """This member's status and its cluster's."""
         now = time.monotonic()
         nodes = {
-            name: state | {"age_ms": round((now - at) * 1000)} for name, (at, state) in self.nodes.items()
+            name: reported.state | {"age_ms": round((now - reported.at) * 1000)}
+            for name, reported in self._node_states.items()
         }
         return member_status(self.host, nodes)
 
--- a/gradegap/store/storage.py
+++ b/gradegap/store/storage.py
@@ -15,7 +15,7 @@
 from contextlib import contextmanager
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any, TypeVar
+from typing import Any, NamedTuple, TypeVar
 
 import lmdb
 import msgspec
@@ -52,6 +52,14 @@
     cluster: str = ""  # empty: it belongs to no cluster yet
 
 
+class AppliedPosition(NamedTuple):
+    """How far a stored state is; the order of the fields is the format."""
+
+    log_index: int
+    revision: int
+    clock_ms: int
+
+
 @dataclass(slots=True)
 class WriteBatch:
     """What is to be durable together: all of it, or none."""
@@ -62,7 +70,7 @@
     whole: StoreState | None = None  # in place of all state and log
     entries: list[Entry] = field(default_factory=list)
     unsaved: UnsavedChanges | None = None
-    applied: tuple[int, int, int] | None = None  # index, revision, clock of the state with `unsaved`
+    applied: AppliedPosition | None = None  # of the state with `unsaved`
 
 
 @dataclass(slots=True)
@@ -175,7 +183,7 @@
         # Written before anybody learns of it: a member is who its folder names.
         identity = Identity(secrets.token_hex(IDENTITY_BYTES))
         base = SnapshotMetadata(0, 0, ClusterConfiguration())
-        batch = WriteBatch(HardState(), identity, base, applied=(0, 0, 0))
+        batch = WriteBatch(HardState(), identity, base, applied=AppliedPosition(0, 0, 0))
         with self._writing() as txn:
             txn.put(b"format", add_checksum(b"format", FORMAT_VERSION.to_bytes(2, "big")), db=self.meta)
             self._put(txn, batch)
@@ -192,7 +200,7 @@
             return [decoder.decode(verify_checksum(bytes(key), bytes(raw))) for key, raw in txn.cursor(table)]
 
         base = one(b"base", SnapshotMetadata)
-        index, revision, clock = one(b"applied", tuple[int, int, int])
+        index, revision, clock_ms = one(b"applied", AppliedPosition)
         entries = every(self.log, Entry)
         for expected, entry in enumerate(entries, base.index + 1):
             if entry.index != expected:
@@ -200,7 +208,7 @@
         if not base.index <= index <= base.index + len(entries):
             raise ValueError(f"its state is of entry {index}, its log ends at {base.index + len(entries)}")
         items, events = every(self.keys, Item), every(self.history, Event)
-        state = StoreState(index, revision, clock, items, events, every(self.sessions, Session))
+        state = StoreState(index, revision, clock_ms, items, events, every(self.sessions, Session))
         return StoredMember(one(b"identity", Identity), one(b"hard", HardState), base, entries, state)
 
     @contextmanager
--- a/tests/compatibility/readers.py
+++ b/tests/compatibility/readers.py
@@ -110,7 +110,7 @@
             base=found.base,
             whole=state,
             entries=found.entries,
-            applied=(state.index, state.revision, state.clock_ms),
+            applied=storage.AppliedPosition(state.index, state.revision, state.clock_ms),
         )
     )
     made.close()
--- a/tests/test_store_storage.py
+++ b/tests/test_store_storage.py
@@ -10,7 +10,7 @@
 from gradegap.raft import ClusterConfiguration, Entry, EntryKind, HardState, SnapshotMetadata
 from gradegap.store.errors import FolderError
 from gradegap.store.records import KeyUpdate
-from gradegap.store.storage import MemberStorage, WriteBatch
+from gradegap.store.storage import AppliedPosition, MemberStorage, WriteBatch
 from tests.store_log import Log
 
 
@@ -20,7 +20,7 @@
     log.write(KeyUpdate("b", [1, None, "x"]))
     entries = [Entry(k, 1, EntryKind.COMMAND, d) for k, d in enumerate(log.entries, 1)]
     m = log.machine
-    applied = (m.index, m.revision, m.clock_ms)
+    applied = AppliedPosition(m.index, m.revision, m.clock_ms)
     disk.write(WriteBatch(HardState(1, "x"), entries=entries, unsaved=m.take_unsaved(), applied=applied))
 
 
