--- a/bench/scale/limits_met.py
+++ b/bench/scale/limits_met.py
@@ -112,7 +112,7 @@
             "descriptors of one process",
             f"{figure(DESCRIPTORS / 2)} connections",
             f"two a connection; the hard limit here is {DESCRIPTORS:,}, a setting of the machine",
-            "net/descriptors.py",
+            "transport/descriptors.py",
         ),
         Met(
             region,
@@ -155,6 +155,6 @@
             "lines that one core passes",
             f"{figure(lines)} lines/s a node",
             book.at("share_by_lines", t.LINES_PER_NODE).how,
-            "upstream/connections.py",
+            "upstream/connection.py",
         ),
     ]
--- a/bench/scale/worked.py
+++ b/bench/scale/worked.py
@@ -76,7 +76,7 @@
     late = book.at("line_late_by_lines", t.LINES_PER_NODE)
     by_size = book.get("line_by_bytes").fit
     larger = by_size.at(t.LINE_BYTES_2) / by_size.at(t.LINE_BYTES)
-    passing = "downstream/session.py, upstream/connections.py"
+    passing = "downstream/session.py, upstream/connection.py"
     per_s = t.LINES_PER_NODE * t.LINE_BYTES
     fullest = book.at("connection_memory", t.SKEW * t.CONNECTIONS_PER_NODE)
     ordinary = [
@@ -86,7 +86,7 @@
             "descriptors",
             figure(2 * t.CONNECTIONS_PER_NODE),
             "two a connection, and at most one a server for probes",
-            "net/descriptors.py",
+            "transport/descriptors.py",
         ),
         Row(
             "ordinary hour",
@@ -232,7 +232,7 @@
             f"{figure(fixed.value)} bytes a call each {figure(wait)} s, and "
             f"{t.LIST_CHANGES_PER_DAY:,} servers told anew a day, assumed; "
             f"{in_bytes(fixed.value / wait + told_2)}/s at {t.LIST_CHANGES_PER_DAY_2:,}",
-            "discovery/http_discovery.py, net/listclock.py",
+            "discovery/http_discovery.py, discovery/watch_schedule.py",
         ),
         Row(
             "ordinary hour",
@@ -242,14 +242,14 @@
             f"{HEALTH_CHECK_INTERVAL_IDLE_S:g} s, at most "
             f"{HEALTH_CHECKS_PER_REQUEST:g} a request; {figure(probes_2)}/s, "
             f"{in_bytes(probes_2 * PROBE_BYTES)}/s, with a life of ten minutes and full servers",
-            "balancing/health_checks.py, upstream/connections.py",
+            "balancing/health_checks.py, upstream/connection.py",
         ),
         Row(
             "ordinary hour",
             "processor, probes",
             f"{share(probes * probe.value * US)} of a core",
             f"{probe.how}; {share(probes_2 * probe.value * US)} with a life of ten minutes and full servers",
-            "proxy/proxy.py, upstream/connections.py",
+            "proxy/proxy.py, upstream/connection.py",
         ),
         Row(
             "ordinary hour",
@@ -416,7 +416,7 @@
     """Discovery as it is asked."""
     fixed, changed = book.at("list_bytes_delta", 0), book.at("list_bytes_delta", 1)
     whole, whole_2 = book.at("list_bytes_full", t.SERVERS), book.at("list_bytes_full", t.SERVERS_2)
-    clock = "net/listclock.py"
+    clock = "discovery/watch_schedule.py"
     calls = t.NODES / 10.0
     rows = [
         Row(
@@ -469,7 +469,7 @@
             "lines",
             f"{figure(lines)}/s, {in_bytes(lines * t.LINE_BYTES)}/s",
             f"12 M/s / {t.SERVERS}",
-            "upstream/connections.py",
+            "upstream/connection.py",
         ),
         Row(
             "ordinary hour",
@@ -477,7 +477,7 @@
             f"{figure(dials)}/s",
             f"100 M connections of an hour; {figure(t.CONNECTIONS / t.SESSION_S_2 / t.SERVERS)}/s of "
             "ten minutes",
-            "upstream/connections.py",
+            "upstream/connection.py",
         ),
         Row(
             "ordinary hour",
@@ -487,7 +487,7 @@
             f"{figure(probes_per_s(t.SERVERS, t.ARRIVALS_PER_NODE, HEALTH_CHECK_INTERVAL_IDLE_S))}/s "
             "over its "
             f"servers; {figure(probes_2)}/s with {t.SERVERS_2:,} servers",
-            "balancing/health_checks.py, upstream/connections.py",
+            "balancing/health_checks.py, upstream/connection.py",
         ),
         Row(
             "worst: it has started anew",
@@ -572,7 +572,7 @@
             "lines",
             f"{figure(t.LARGEST_GROUP)} at once, {figure(members)} a node",
             f"{figure(t.LARGEST_GROUP / t.LINES_PER_S * 1e3)} ms of the whole fleet's rate",
-            "upstream/connections.py",
+            "upstream/connection.py",
         ),
         Row(
             "the mean group",
