--- a/tests/test_capture_replay.py
+++ b/tests/test_capture_replay.py
@@ -71,7 +71,7 @@
     ),
     ("second = self._pick(request, first) or first", "second = first"),
     ("RECENT_PLACEMENT_MEMORY_S = 1.0", "RECENT_PLACEMENT_MEMORY_S = 0.2"),
-    ("timeout = left if last else", "timeout = left if True else"),
+    ("return left if last else", "return left if True else"),
     ("left - objective)", "left - 2 * objective)"),
     ("self.answered_share += ANSWERED_SHARE_GAIN", "self.answered_share += 10 * ANSWERED_SHARE_GAIN"),
 ]
