--- a/gradegap/raft/core.py
+++ b/gradegap/raft/core.py
@@ -46,7 +46,7 @@
 class Raft(RaftContext):
     """One member. `member_id` is its identity for this incarnation of its disk."""
 
-    # The classes of its parts: the checkers plant mistakes by putting others in their place.
+    # The classes of its parts: mutations (gradegap.verification) put others in their place.
     election_type: ClassVar[type[Election]] = Election
     heartbeats_type: ClassVar[type[Heartbeats]] = Heartbeats
     replication_type: ClassVar[type[Replication]] = Replication
