--- a/gradegap/proxy/endpoints.py
+++ b/gradegap/proxy/endpoints.py
@@ -60,7 +60,9 @@
         in_force = []
         notified = []
         for discovered in entries:
-            entry = self._entry_in_force(discovered)
+            entry = discovered
+            if entry.phase is EndpointPhase.READY and entry.name in self.disabled:
+                entry = self._draining_entry(entry)
             in_force.append(entry)
             endpoint = self.by_id[entry.name]
             previous, endpoint.phase = endpoint.phase, entry.phase
@@ -76,9 +78,8 @@
         for endpoint in notified:
             self.on_drain_notified(endpoint)
 
-    def _entry_in_force(self, entry: EndpointEntry) -> EndpointEntry:
-        if entry.phase is not EndpointPhase.READY or entry.name not in self.disabled:
-            return entry
+    def _draining_entry(self, entry: EndpointEntry) -> EndpointEntry:
+        """What holds for a ready endpoint that is administratively disabled."""
         # It may be stopped soon after nothing new goes to it. Guards against all its clients migrated at
         # once, where the grace is short.
         stops_within = max(DISABLED_STOPS_WITHIN_MIN_S, self.context.settings.drain_grace)
