--- a/gradegap/store/consensus.py
+++ b/gradegap/store/consensus.py
@@ -32,8 +32,6 @@
     metrics: Metrics
     machine: StateMachine
     raft: Raft | None
-    removed: bool
-    closed: bool
     thread: ThreadPoolExecutor
     requests: RequestService
     membership: Membership
@@ -41,6 +39,14 @@
     writer: LogWriter
     subscription_server: SubscriptionServer | None
 
+    @property
+    def removed(self) -> bool:
+        """Whether the member takes no part any more: it was removed, or its folder failed."""
+
+    @property
+    def closed(self) -> bool:
+        """Whether the member has ended."""
+
     def fail(self, error: FolderError) -> None:
         """The folder can't be written: take no part any more."""
 
--- a/gradegap/store/host.py
+++ b/gradegap/store/host.py
@@ -27,9 +27,12 @@
     identity: Identity
     machine: StateMachine
     raft: Raft | None
-    removed: bool
     thread: ThreadPoolExecutor
 
+    @property
+    def removed(self) -> bool:
+        """Whether the member takes no part any more: it was removed, or its folder failed."""
+
     @property
     def granter(self) -> LeaseGranter | None:
         """The leases that this member granted, while it leads."""
--- a/gradegap/store/member.py
+++ b/gradegap/store/member.py
@@ -9,6 +9,7 @@
 import time
 from collections.abc import Callable
 from concurrent.futures import Future, ThreadPoolExecutor
+from enum import Enum, auto
 from pathlib import Path
 from typing import Any
 
@@ -25,7 +26,8 @@
 from gradegap.store.log_writer import LogWriter
 from gradegap.store.machine import StateMachine
 from gradegap.store.member_leases import MemberLeases
-from gradegap.store.membership import REMOVED, Membership
+from gradegap.store.membership import Membership
+from gradegap.store.message_router import MessageRouter
 from gradegap.store.records import Command, Expire
 from gradegap.store.service import RequestService
 from gradegap.store.settings import StoreSettings
@@ -38,6 +40,16 @@
 MIN_TICK_PERIOD_S = 0.001
 
 
+class MemberState(Enum):
+    """What part a member takes; CLOSED is the last."""
+
+    FORMING = auto()  # it belongs to no cluster yet
+    ACTIVE = auto()
+    REMOVED = auto()  # by its cluster
+    FAILED = auto()  # its folder can't be written
+    CLOSED = auto()
+
+
 class StoreMember:
     """One process's part in the store. `failed` is called, once, when its folder can't be written."""
 
@@ -66,14 +78,13 @@
             self.storage.close()
             raise
         self.identity = self.stored.identity
-        self.links = MemberLinks(loop, metrics, secret, self._receive, self._linked)
+        self.links = MemberLinks(loop, metrics, secret, MessageRouter(self).receive, self._linked)
         member = Member(self.identity.id, settings.name, settings.advertise or settings.listen)
         self.links.introduce(member, self.identity.cluster, settings.lease_s)
         self.machine = StateMachine()
         self.machine.load_state(self.stored.state)
         self.raft: Raft | None = None
-        self.removed = False
-        self.closed = False
+        self.state = MemberState.FORMING
         self.thread = ThreadPoolExecutor(1, "store-disk")
         self.requests = RequestService(self)
         self.membership = Membership(self, self.storage, self.links, member)
@@ -105,6 +116,20 @@
         metrics.gauge("store_role", lambda: self.raft.role.value if self.raft is not None else "forming")
         metrics.gauge("store_term", lambda: self.raft.term if self.raft is not None else 0)
 
+    def _enter(self, state: MemberState) -> None:
+        if self.state is not MemberState.CLOSED:
+            self.state = state
+
+    @property
+    def removed(self) -> bool:
+        """Whether the member takes no part any more: it was removed, or its folder failed."""
+        return self.state in (MemberState.REMOVED, MemberState.FAILED)
+
+    @property
+    def closed(self) -> bool:
+        """Whether the member has ended."""
+        return self.state is MemberState.CLOSED
+
     # Start and end
 
     async def start(self) -> None:
@@ -127,6 +152,7 @@
         """Take part in the cluster, whose log begins after `base`."""
         seed = int.from_bytes(self.identity.id.encode()[:6], "big") ^ time.monotonic_ns()
         stored = self.stored
+        self._enter(MemberState.ACTIVE)
         self.raft = Raft(
             self.identity.id,
             time.monotonic(),
@@ -164,14 +190,14 @@
         self.metrics.count("store_disk_failed")
         log.error("store stopped", error=str(error))
         self.raft = None
-        self.removed = True
+        self._enter(MemberState.FAILED)
         self.links.close()
         self._stop_subscriptions()
         self.failed(error)
 
     def mark_removed(self) -> None:
         """The cluster has removed this member: take no part any more."""
-        self.removed = True
+        self._enter(MemberState.REMOVED)
         self._stop_subscriptions()
         self.metrics.count("store_removed")
         log.warning("member removed", detail="this member takes no part in its cluster any more")
@@ -182,7 +208,7 @@
 
     def close(self) -> None:
         """End at once; what is being written is written first."""
-        self.closed = True
+        self._enter(MemberState.CLOSED)
         if self._timer is not None:
             self._timer.cancel()
         self._stop_subscriptions()
@@ -198,13 +224,13 @@
             return
         now = time.monotonic()
         raft = self.raft
-        if raft is not None and not self.removed:
+        if raft is not None and self.state is MemberState.ACTIVE:
             raft.tick(now)
             if raft.is_leader:
                 self._tick_as_leader(now, raft)
             self.leases.renew(now)
             self.settle()
-        elif raft is None and not self.removed:
+        elif self.state is MemberState.FORMING:
             self.membership.request_admission(now)
         self.requests.tick(now)
         wait_s = TICK_PERIOD_S
@@ -301,37 +327,3 @@
         link.close_callbacks.append(lambda: self.requests.link_lost(peer.id))
         self.requests.leader_changed()
         self.peer_linked(link)
-
-    def _receive(self, link: Link, message: wire.LinkMessage) -> None:
-        raft = self.raft
-        match message:
-            case wire.Request():
-                self.requests.receive_request(link, message)
-            case wire.Response():
-                self.requests.receive_response(link, message)
-            case wire.RaftMessage() if link.id and raft is not None and not self.removed:
-                raft.step(time.monotonic(), link.id, message.message)
-                self.settle()
-            case wire.Join() if link.id == message.member.id and raft is not None:
-                self.requests.admit(link, message.member)
-            case _ if link.id:
-                self._receive_from_member(link, message)
-            case _:
-                self.metrics.count("store_words_unfit")
-
-    def _receive_from_member(self, link: Link, message: wire.LinkMessage) -> None:
-        match message:
-            case wire.ClusterFormed() if not self.identity.cluster:
-                self.membership.cluster_formed(message)
-            case wire.LeaseRequest():
-                link.send(self.leases.grant(message))
-            case wire.LeaseGrant():
-                self.leases.granted(message)
-            case wire.LeaseApplied():
-                self.leases.holder_applied(message.holder, message.applied)
-            case wire.Gossip():
-                self.gossip_received(message)
-            case wire.LinkRejected(reason) if reason == REMOVED:
-                self.membership.link_rejected(reason)
-            case _:
-                self.metrics.count("store_words_unfit")
--- a/gradegap/store/member_leases.py
+++ b/gradegap/store/member_leases.py
@@ -26,7 +26,10 @@
     settings: StoreSettings
     machine: StateMachine
     raft: Raft | None
-    removed: bool
+
+    @property
+    def removed(self) -> bool:
+        """Whether the member takes no part any more: it was removed, or its folder failed."""
 
     @property
     def identity(self) -> Identity:
--- a/gradegap/store/membership.py
+++ b/gradegap/store/membership.py
@@ -29,7 +29,10 @@
     metrics: Metrics
     identity: Identity
     raft: Raft | None
-    removed: bool
+
+    @property
+    def removed(self) -> bool:
+        """Whether the member takes no part any more: it was removed, or its folder failed."""
 
     def start_raft(self, base: SnapshotMetadata) -> None:
         """Take part in the cluster, whose log begins after `base`."""
