--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("body", LISTS.values(), ids=list(LISTS))
-def test_a_list_that_cannot_be_read_is_refused_and_the_last_one_kept(tmp_path: Path, body: bytes) -> None:
+def test_a_list_that_cannot_be_read_is_rejected_and_the_last_one_kept(tmp_path: Path, body: bytes) -> None:
     """Nesting without end is no malformed JSON to the parser, but an error of its own: it went past the one
     clear error, as a traceback, and the call was counted as ended by discovery."""
     b = Backend("a")
@@ -54,8 +54,8 @@
         }[part]
         w.discovery.garbage.append(head + b"x" * 40_000_000)
         w.discovery.announce(b, weight=0.5)
-        refused = ("lists_refused_too_large", "lists_refused_not_http")
-        wait_for(lambda: any(name in w.counters() for name in refused))
+        rejections = ("lists_refused_too_large", "lists_refused_not_http")
+        wait_for(lambda: any(name in w.counters() for name in rejections))
         assert w.client().ask() == "UP a"
         assert memory_mb(w) - before < 40
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,5 +1,7 @@
-"""Events that come between two lines of the node, each forced: by a stand-in that holds its word until then,
-or by what is put into a socket before the loop may read it. Nothing here waits for luck."""
+"""Events that come between two lines of the node, each forced and none left to luck.
+
+A stand-in holds its answer until then, or something is put into a socket before the loop may read it.
+"""
 
 from __future__ import annotations
 
@@ -33,9 +35,9 @@
 # A planned stop
 
 
-def test_a_req_that_may_wait_longer_than_the_stop_is_answered_before_the_end(tmp_path: Path) -> None:
+def test_a_request_that_may_wait_longer_than_the_stop_is_answered_before_the_end(tmp_path: Path) -> None:
     """Its class waits 6 s and its server hangs; the platform kills 3.7 s after SIGTERM. The node once ended
-    at 3.5 s with the req still out, and its client's connection just closed."""
+    at 3.5 s with the request still out, and its client's connection just closed."""
     b = Backend("a", "silence")
     with world(tmp_path, [b], settings=WITH_SLOW) as w:
         c = w.client()
@@ -48,15 +50,15 @@
         assert w.process.wait(5) == 0
 
 
-def test_first_lines_after_sigterm_are_answered_at_once_and_never_sent_on(tmp_path: Path) -> None:
-    """On new and on resting connections. They once went to a server, stood for a moment and were moved."""
+def test_first_lines_after_sigterm_are_answered_at_once_and_never_forwarded(tmp_path: Path) -> None:
+    """On new and on idle connections. They once went to a server, were established and migrated at once."""
     b = Backend("a")
     with world(tmp_path, [b]) as w:
-        rested, pinged = w.client(), w.client()
+        idle, pinged = w.client(), w.client()
         pinged.send("PING")
         assert pinged.line() == "PONG"
         leave(w)
-        for c in (rested, pinged, w.client()):
+        for c in (idle, pinged, w.client()):
             began = time.time()
             answer = c.ask()
             assert answer.startswith("BUSY ") and 0 < int(answer.split(" ")[1]) <= 400
@@ -66,8 +68,8 @@
         assert w.process.wait(5) == 0
 
 
-def test_a_req_that_waits_for_a_probe_at_sigterm_is_answered_at_once(tmp_path: Path) -> None:
-    """Its server holds its probes; the req was sent on when it had waited for them, by a node that leaves."""
+def test_a_request_that_waits_for_a_health_check_at_sigterm_is_answered_at_once(tmp_path: Path) -> None:
+    """Its server holds its answers; the request was once forwarded after them, by a node that leaves."""
     a, b = Backend("a"), Backend("b")
     with world(tmp_path, [a, b], settings=WITH_SLOW) as w:
         for each in (a, b):
@@ -81,25 +83,25 @@
         assert not a.opens and not b.opens
 
 
-def test_what_rests_at_the_end_of_a_stop_is_told_before_it_is_closed(tmp_path: Path) -> None:
+def test_an_idle_connection_at_the_end_of_a_shutdown_is_answered_before_it_is_closed(tmp_path: Path) -> None:
     """A request may be written in the very moment in which the node closes: it finds its answer there, and an
-    end, where it once found a reset or an end without a word."""
+    end, where it once found a reset or an end without an answer."""
     with world(tmp_path, [Backend("a")]) as w:
-        rested = [w.client() for _ in range(3)]
-        rested[1].send("PING")
-        assert rested[1].line() == "PONG"
-        rested[2].send(b"OPEN 1 2 c=li")  # half a first line
+        idle = [w.client() for _ in range(3)]
+        idle[1].send("PING")
+        assert idle[1].line() == "PONG"
+        idle[2].send(b"OPEN 1 2 c=li")  # half a first line
         began = leave(w)
-        for c in rested:
+        for c in idle:
             assert c.line().startswith("BUSY ")
             c.send("OPEN 9 2 c=live,d=1000")
-        for c in rested:
+        for c in idle:
             assert c.line() == ""
         assert w.process.wait(5) == 0
         assert 0.6 < time.time() - began < 2.5
 
 
-def test_an_attempt_that_is_out_at_sigterm_stands_and_is_moved(tmp_path: Path) -> None:
+def test_an_attempt_under_way_at_sigterm_is_established_and_migrated(tmp_path: Path) -> None:
     """`UP` and the signal in one turn of the loop, as near as two processes come: the server answers in the
     moment in which the node has seen the signal."""
     b = Backend("a")
@@ -131,7 +133,7 @@
 
 
 def test_sigterm_before_readiness_ends_the_node_as_ever(tmp_path: Path) -> None:
-    """Its list has not come yet; whoever asks meanwhile is answered."""
+    """Its list has not come yet; a request meanwhile is answered."""
     b = Backend("a")
     w = World(tmp_path, [b], discovery="127.0.0.1:9")
     try:
@@ -174,20 +176,22 @@
             while True:
                 c.sock.sendall(b"x" * 1000 + b"\r\n")
         hard_reset(c.sock)
-        wait_for(lambda: w.counters()["open_sessions"] == "0", 8.0)  # silent, and so moved
+        wait_for(lambda: w.counters()["open_sessions"] == "0", 8.0)  # unresponsive, and so migrated
         # What is left: the call to discovery, and the connection that carries probes.
         wait_for(lambda: w.counters()["sockets"].startswith("2/"), 5.0)
 
 
-def test_a_server_that_ends_in_the_line_that_a_move_waits_for_ends_its_client_at_once(tmp_path: Path) -> None:
-    """The client was told of nothing until the wait for the line was over, and then by a reset."""
-    b, console = Backend("a"), f"127.0.0.1:{free_port()}"
-    with world(tmp_path, [b], console=console) as w:
+def test_a_server_that_ends_in_the_line_that_a_migration_waits_for_ends_its_client_at_once(
+    tmp_path: Path,
+) -> None:
+    """The client was notified of nothing until the wait for the line was over, and then by a reset."""
+    b, admin_address = Backend("a"), f"127.0.0.1:{free_port()}"
+    with world(tmp_path, [b], console=admin_address) as w:
         c = w.client()
         assert c.ask() == "UP a"
         b.standing[0].sendall(b"half")
         assert c.sock.recv(4) == b"half"
-        assert call(console, "out-of-service") == 200
+        assert call(admin_address, "out-of-service") == 200
         wait_for(lambda: w.counters().get("moved") == "1")
         began = time.time()
         b.standing[0].shutdown(socket.SHUT_RDWR)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -17,18 +17,18 @@
 
 @contextmanager
 def second(w: World, shared: Path | None = None, operator: str | None = None) -> Iterator[tuple[World, str]]:
-    """The platform starts the program once more, with another console and all else the same."""
-    console = f"127.0.0.1:{free_port()}"
+    """The platform starts the program once more, with another admin address and all else the same."""
+    admin_address = f"127.0.0.1:{free_port()}"
     folder = w.config.parent / "second"
     folder.mkdir()
     extra = {"TMPDIR": str(shared or w.config.parent), "NODE_DISCOVERY": w.discovery.address}
-    with world(folder, w.backends, operator, env=extra, console=console, listen=w.address) as n:
-        yield n, console
+    with world(folder, w.backends, operator, env=extra, console=admin_address, listen=w.address) as n:
+        yield n, admin_address
 
 
-def ready(console: str) -> bool:
+def ready(admin_address: str) -> bool:
     try:
-        return call(console, "ready", "GET") == 200
+        return call(admin_address, "ready", "GET") == 200
     except OSError:
         return False
 
@@ -37,47 +37,47 @@
     """The second process once ended, as the address was taken, and the first cut off what it held."""
     a, b = Backend("a"), Backend("b")
     with served(tmp_path, [a, b]) as (w, _old):
-        standing = [w.client() for _ in range(30)]
-        for c in standing:
+        established = [w.client() for _ in range(30)]
+        for c in established:
             assert c.ask().startswith("UP")
         opens = len(a.opens) + len(b.opens)
-        door, kept, part, slow = (w.client() for _ in range(4))
-        kept.send("PING")
-        assert kept.line() == "PONG"
+        silent, pinged, part, slow = (w.client() for _ in range(4))
+        pinged.send("PING")
+        assert pinged.line() == "PONG"
         part.send(b"OPEN p1 k c=live,")
-        standing[0].send(b"half a ")
+        established[0].send(b"half a ")
         wait_for(lambda: int(w.counters()["open_sessions"]) >= 34)
         a.answer = b.answer = "silence"
         slow.send(b"OPEN p2 k c=live,d=1500\r\n")
         wait_for(lambda: len(a.opens) + len(b.opens) > opens)
-        with second(w) as (n, new):
-            wait_for(lambda: ready(new))
+        with second(w) as (n, second_admin):
+            wait_for(lambda: ready(second_admin))
             wait_for(lambda: n.counters().get("established_sessions_adopted") == "30")
             assert slow.line().startswith("BUSY")  # by the process that took it
             a.answer = b.answer = "UP {name}"
-            standing[0].send(b"line\r\n")
-            assert standing[0].line() == "half a line"
-            for c in standing:
+            established[0].send(b"line\r\n")
+            assert established[0].line() == "half a line"
+            for c in established:
                 c.send("still there")
                 assert c.line() == "still there"
             part.send(b"d=1500\r\n")
-            kept.send("PING")
-            assert kept.line() == "PONG"
-            for c in (door, kept):
+            pinged.send("PING")
+            assert pinged.line() == "PONG"
+            for c in (silent, pinged):
                 assert c.ask().startswith("UP")
             assert part.line().startswith("UP")
             assert w.client().ask().startswith("UP")
             w.process.terminate()
             assert w.process.wait(5) == 0
-            for c in [*standing, door, kept, part]:
+            for c in [*established, silent, pinged, part]:
                 c.send("and now")
                 assert c.line() == "and now"
             assert len([x for x in a.lines + b.lines if x[1].startswith("OPEN")]) <= opens + 8
             # What ends on either side ends on the other.
-            standing[1].sock.shutdown(socket.SHUT_WR)
-            assert standing[1].line() == ""
+            established[1].sock.shutdown(socket.SHUT_WR)
+            assert established[1].line() == ""
             n.process.send_signal(signal.SIGTERM)
-            assert [door.line(), door.line()] == ["MOVE", ""]
+            assert [silent.line(), silent.line()] == ["MOVE", ""]
             assert n.process.wait(5) == 0
 
 
@@ -85,13 +85,13 @@
     with served(tmp_path, [Backend("a")]) as (w, _):
         c = w.client()
         assert c.ask() == "UP a"
-        with second(w) as (n, new):
-            wait_for(lambda: ready(new))
+        with second(w) as (n, second_admin):
+            wait_for(lambda: ready(second_admin))
             wait_for(lambda: n.counters().get("established_sessions_adopted") == "1")
             w.process.terminate()
             assert w.process.wait(5) == 0
-            with second(n, tmp_path) as (m, console):
-                wait_for(lambda: ready(console))
+            with second(n, tmp_path) as (m, admin_address):
+                wait_for(lambda: ready(admin_address))
                 wait_for(lambda: m.counters().get("established_sessions_adopted") == "1")
                 n.process.terminate()
                 assert n.process.wait(5) == 0
@@ -100,13 +100,13 @@
 
 
 @pytest.mark.parametrize("at_first", [True, False])
-def test_a_call_at_either_console_binds_both(tmp_path: Path, at_first: bool) -> None:
+def test_a_call_at_either_admin_api_takes_effect_in_both(tmp_path: Path, at_first: bool) -> None:
     a, b = Backend("a"), Backend("b")
-    with served(tmp_path, [a, b]) as (w, old):
-        assert call(old, "save-servers/s-a/offline") == 200
-        with second(w) as (_n, new):
+    with served(tmp_path, [a, b]) as (w, first_admin):
+        assert call(first_admin, "save-servers/s-a/offline") == 200
+        with second(w) as (_n, second_admin):
             wait_for(lambda: w.counters().get("hot_restarts") == "1")
-            here = old if at_first else new
+            here = first_admin if at_first else second_admin
             assert {w.client().ask(f"c=live,d=900,g={k}") for k in range(8)} == {"UP b"}
             assert call(here, "save-servers/s-a/online") == 200
             assert call(here, "save-servers/s-b/offline") == 200
@@ -120,7 +120,7 @@
 
 @pytest.mark.parametrize("when", ["before", "after"])
 def test_the_first_serves_again_when_its_successor_dies(tmp_path: Path, when: str) -> None:
-    with served(tmp_path, [Backend("a")]) as (w, old):
+    with served(tmp_path, [Backend("a")]) as (w, first_admin):
         c = w.client()
         assert c.ask() == "UP a"
         with second(w) as (n, _new):
@@ -129,7 +129,7 @@
             n.process.kill()
             n.process.wait()
             wait_for(lambda: w.ready() and w.client().ask() == "UP a")
-            assert ready(old)
+            assert ready(first_admin)
             with pytest.raises(AssertionError):
                 n.ready()
             n.process.returncode = 0
@@ -142,14 +142,14 @@
     with served(tmp_path, [a]) as (w, _):
         c = w.client()
         assert c.ask() == "UP a"
-        with second(w) as (n, new):
-            wait_for(lambda: ready(new))
+        with second(w) as (n, second_admin):
+            wait_for(lambda: ready(second_admin))
             wait_for(lambda: n.counters().get("established_sessions_adopted") == "1")
             w.process.kill()
             w.process.wait()
             c.send("here")
             assert c.line() == "here"
-            assert n.client().ask() == "UP a" and ready(new)
+            assert n.client().ask() == "UP a" and ready(second_admin)
             w.process.returncode = 0
 
 
@@ -158,17 +158,17 @@
         pass
     (left,) = tmp_path.glob("*.sock")
     assert left.is_socket()
-    with served(tmp_path, [Backend("a")], listen=w.address) as (n, console):
-        assert n.client().ask() == "UP a" and ready(console)
+    with served(tmp_path, [Backend("a")], listen=w.address) as (n, admin_address):
+        assert n.client().ask() == "UP a" and ready(admin_address)
 
 
 def test_a_drain_is_kept_over_a_hot_restart(tmp_path: Path) -> None:
     """The process that passes its sessions on keeps those of a server that leaves, and moves them itself."""
     a, b = Backend("a"), Backend("b")
-    with served(tmp_path, [a]) as (w, old):
+    with served(tmp_path, [a]) as (w, first_admin):
         c = w.client()
         assert c.ask() == "UP a"
-        assert call(old, "save-servers/s-a/offline") == 200
+        assert call(first_admin, "save-servers/s-a/offline") == 200
         began = time.monotonic()
         with second(w) as (n, _):
             assert c.line() == "MOVE"
--- a/tests/test_hot_restart_steps.py
+++ b/tests/test_hot_restart_steps.py
@@ -67,7 +67,7 @@
         self.sock.send(msgspec.msgpack.encode(message))
 
     def take(self, message: IdleSession | EstablishedSession, good: bool) -> list[int]:
-        """Answer for a session; its descriptors, which are closed where it was not taken."""
+        """Answer for a session; its descriptors, which are closed where it was not accepted."""
         fds = self.fds.pop(message.serial)
         if not good:
             close_descriptors(fds)
@@ -91,10 +91,10 @@
 
 @contextmanager
 def followed(tmp_path: Path, backends: list[Backend]) -> Iterator[tuple[World, str, Successor]]:
-    with served(tmp_path, backends) as (w, console):
+    with served(tmp_path, backends) as (w, admin_address):
         successor = Successor(tmp_path)
         try:
-            yield w, console, successor
+            yield w, admin_address, successor
         finally:
             successor.die()
 
@@ -104,14 +104,14 @@
     return client.line() == line
 
 
-def stands(w: World, client: Client) -> None:
+def establish(w: World, client: Client) -> None:
     assert client.ask().startswith("UP")
 
 
 def test_a_successor_that_dies_before_it_is_ready_changes_nothing(tmp_path: Path) -> None:
     with followed(tmp_path, [Backend("a")]) as (w, _, successor):
         client = w.client()
-        stands(w, client)
+        establish(w, client)
         successor.die()
         assert echoes(client, "here") and w.client().ask() == "UP a"
         again = wait_for(lambda: next_successor(tmp_path))
@@ -121,23 +121,25 @@
         assert echoes(client, "still here")
 
 
-@pytest.mark.parametrize("how", ["died", "refused"])
-def test_a_session_that_was_not_taken_goes_on_with_what_was_said_meanwhile(tmp_path: Path, how: str) -> None:
+@pytest.mark.parametrize("how", ["died", "rejected"])
+def test_a_session_that_was_not_accepted_goes_on_with_what_was_sent_meanwhile(
+    tmp_path: Path, how: str
+) -> None:
     a = Backend("a")
     with followed(tmp_path, [a]) as (w, _, successor):
         client = w.client()
-        stands(w, client)
+        establish(w, client)
         successor.send(SuccessorReady())
         given = successor.until(EstablishedSession)
         client.send("said in between")
         assert client.quiet(HELD)  # neither process may pass it on before the other has let go
-        if how == "refused":
+        if how == "rejected":
             successor.take(given, good=False)
             successor.until(EstablishedSession)  # it is offered again
         successor.die()
         assert client.line() == "said in between"
         assert echoes(client, "after")
-        assert int(w.counters()["sessions_taken_back"]) >= (2 if how == "refused" else 1)
+        assert int(w.counters()["sessions_taken_back"]) >= (2 if how == "rejected" else 1)
 
 
 def test_a_request_on_an_idle_connection_in_between_is_answered_once(tmp_path: Path) -> None:
@@ -155,8 +157,10 @@
         assert echoes(client, "here")
 
 
-@pytest.mark.parametrize("taken", [True, False])
-def test_an_idle_connection_whose_client_leaves_as_it_passes_is_not_kept(tmp_path: Path, taken: bool) -> None:
+@pytest.mark.parametrize("accepted", [True, False])
+def test_an_idle_connection_whose_client_leaves_as_it_passes_is_not_kept(
+    tmp_path: Path, accepted: bool
+) -> None:
     with followed(tmp_path, [Backend("a")]) as (w, _, successor):
         client = w.client()
         client.send("PING")
@@ -165,7 +169,7 @@
         given = successor.until(IdleSession)
         client.file.close()
         client.sock.close()
-        if taken:
+        if accepted:
             (fd,) = successor.take(given, good=True)
             assert os.read(fd, 1) == b""  # its end is the successor's to read
             os.close(fd)
@@ -197,33 +201,33 @@
             assert client.line() == "here"
 
 
-def test_a_drain_while_a_session_is_on_its_way_moves_it_once_it_is_back(tmp_path: Path) -> None:
+def test_a_drain_while_a_session_is_on_its_way_migrates_it_once_it_is_back(tmp_path: Path) -> None:
     a = Backend("a")
-    with followed(tmp_path, [a]) as (w, console, successor):
+    with followed(tmp_path, [a]) as (w, admin_address, successor):
         client = w.client()
-        stands(w, client)
+        establish(w, client)
         successor.send(SuccessorReady())
         successor.until(EstablishedSession)
-        call(console, "save-servers/s-a/offline")
+        call(admin_address, "save-servers/s-a/offline")
         successor.die()
         began = time.monotonic()
         assert client.line() == "MOVE"
         assert time.monotonic() - began < 4.0 + BUSY_MACHINE
 
 
-@pytest.mark.parametrize("answer", ["taken", "died", "none"])
+@pytest.mark.parametrize("answer", ["accepted", "died", "none"])
 def test_a_stop_while_a_session_is_on_its_way_cuts_nobody_off(tmp_path: Path, answer: str) -> None:
     """A successor that hung kept what was on its way to it: the first ended, and its clients were cut off
     without MOVE."""
     a = Backend("a")
     with followed(tmp_path, [a]) as (w, _, successor):
         client = w.client()
-        stands(w, client)
+        establish(w, client)
         successor.send(SuccessorReady())
         given = successor.until(EstablishedSession)
         w.process.send_signal(signal.SIGTERM)
         wait_for(lambda: "event=leaving" in w.log.read_text())
-        if answer == "taken":
+        if answer == "accepted":
             fds = successor.take(given, good=True)
             assert w.process.wait(6) == 0
             assert client.quiet(HELD)
@@ -239,7 +243,7 @@
     a = Backend("a")
     with followed(tmp_path, [a]) as (w, _, successor):
         client = w.client()
-        stands(w, client)
+        establish(w, client)
         successor.send(SuccessorReady())
         successor.until(EstablishedSession)
         a.standing[-1].sendall(b"BYE\r\n")
@@ -252,7 +256,7 @@
 def test_a_message_that_can_not_be_read_ends_the_hot_restart_and_keeps_the_sessions(tmp_path: Path) -> None:
     with followed(tmp_path, [Backend("a")]) as (w, _, successor):
         client = w.client()
-        stands(w, client)
+        establish(w, client)
         successor.send(SuccessorReady())
         successor.until(EstablishedSession)
         successor.sock.send(b"\xc1 no message")
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "told", "counted"),
+    ("answer", "expected", "counted"),
     [
         ("BUSY inflight=9", "BUSY", "fetch_full"),
         ("ERR", "BUSY", "fetch_error"),
@@ -79,20 +79,20 @@
     ],
 )
 def test_attempts_that_come_to_nothing_end_in_one_answer(
-    tmp_path: Path, answer: str, told: str, counted: str
+    tmp_path: Path, answer: str, expected: str, counted: str
 ) -> None:
     b = Backend("a", answer)
     with world(tmp_path, [b]) as w:
         c, began = w.client(), time.time()
         said = c.ask("c=live,d=900,g=1")
-        assert re.fullmatch(rf"{told}( \d+)?", said)
+        assert re.fullmatch(rf"{expected}( \d+)?", said)
         assert time.time() - began < 0.9 + 0.07 + BUSY_MACHINE
         assert c.line() == ""
         assert 1 <= len(b.opens) <= 4
         assert int(w.counters()[counted]) == len(b.opens)
 
 
-def test_a_refused_dial_goes_to_the_other_backend(tmp_path: Path) -> None:
+def test_a_refused_connect_goes_to_the_other_endpoint(tmp_path: Path) -> None:
     dead, alive = Backend("a"), Backend("b")
     dead.stop()
     with world(tmp_path, [dead, alive]) as w:
@@ -137,22 +137,22 @@
         assert time.time() - began < 1.0
 
 
-def test_a_drained_backend_gets_nothing_new_and_its_clients_are_moved(tmp_path: Path) -> None:
+def test_a_draining_endpoint_gets_nothing_new_and_its_clients_are_migrated(tmp_path: Path) -> None:
     a, b = Backend("a"), Backend("b")
     with world(tmp_path, [a, b]) as w:
         clients = [w.client() for _ in range(8)]
         names = [c.ask(ident=f"{k}") for k, c in enumerate(clients)]
         on_a = [c for c, name in zip(clients, names, strict=True) if name == "UP a"]
-        told = w.discovery.announce(a, state="Terminating")
+        announced_at = w.discovery.announce(a, state="Terminating")
         for c in on_a:
             assert [c.line(), c.line()] == ["MOVE", ""]
-        assert time.time() - told < 4.2
+        assert time.time() - announced_at < 4.2
         before = len(a.lines)
         assert {w.client().ask() for _ in range(8)} == {"UP b"}
-        assert not [line for at, line in a.lines[before:] if at > told + 2.0]
+        assert not [line for at, line in a.lines[before:] if at > announced_at + 2.0]
 
 
-def test_a_standing_connection_that_goes_silent_is_moved_in_time(tmp_path: Path) -> None:
+def test_an_established_connection_that_goes_silent_is_migrated_in_time(tmp_path: Path) -> None:
     b = Backend("a")
     with world(tmp_path, [b]) as w:
         c = w.client()
@@ -173,7 +173,7 @@
         wait_for(lambda: c.sock.recv(16, socket.MSG_PEEK) == b"half of")
         w.process.send_signal(signal.SIGTERM)
         wait_for(lambda: "leaving" in w.log.read_text())
-        time.sleep(0.45)  # the module moves it meanwhile
+        time.sleep(0.45)  # the balancer migrates it meanwhile
         b.standing[0].sendall(b" a line\r\n")
         assert [c.line(), c.line(), c.line()] == ["half of a line", "MOVE", ""]
 
@@ -235,7 +235,7 @@
     """One such entry once made the whole list unreadable, or raised where the backend was dialled."""
     a, b, c = Backend("a"), Backend("b"), Backend("c")
     with world(tmp_path, [a, c]) as w:
-        bad_c = c.entry | {"weight": None}  # what was told of it last still holds
+        bad_c = c.entry | {"weight": None}  # what was announced of it last still holds
         listing = {"version": 9, "full": True, "servers": [*BAD_ENTRIES, b.entry, bad_c]}
         body = json.dumps(listing).encode()
         wait_for(lambda: any("index" in path for _, path in list(w.discovery.calls)))
@@ -261,21 +261,21 @@
 
 def test_a_move_waits_for_the_end_of_a_line_that_comes_slowly(tmp_path: Path) -> None:
     """A connection whose backend was half through a line was reset after 0.5 s."""
-    a, console = Backend("a"), f"127.0.0.1:{free_port()}"
-    with world(tmp_path, [a], console=console) as w:
+    a, admin_address = Backend("a"), f"127.0.0.1:{free_port()}"
+    with world(tmp_path, [a], console=admin_address) as w:
         c = w.client()
         assert c.ask() == "UP a"
         a.standing[0].sendall(b"half ")
         assert c.sock.recv(5) == b"half "
-        assert call(console, "out-of-service") == 200
+        assert call(admin_address, "out-of-service") == 200
         wait_for(lambda: w.counters().get("moved") == "1")
         time.sleep(0.7)
         a.standing[0].sendall(b"a line\r\n")
         assert [c.line(), c.line(), c.line()] == ["a line", "MOVE", ""]
 
 
-def test_a_discovery_short_of_room_is_asked_less_often_and_for_changes_only(tmp_path: Path) -> None:
-    """Every node once asked it for the full list every 0.1 s, and none was answered for seconds."""
+def test_a_discovery_short_of_capacity_is_polled_less_often_and_for_changes_only(tmp_path: Path) -> None:
+    """Every node once polled it for the full list every 0.1 s, and none was answered for seconds."""
     a, b = Backend("a"), Backend("b")
     with world(tmp_path, [a], settings=SETTINGS | {"MembershipMode": "on_request"}) as w:
         calls = w.discovery.calls
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -37,7 +37,7 @@
             wait_for(lambda name=b.name: w.client().ask() == f"UP {name}")  # type: ignore[misc]
             assert "index" not in w.discovery.calls[0][1]  # the full list first, then the watch
             wait_for(lambda: any("index" in path for _, path in w.discovery.calls))
-            # What the old address says from now on is not heard.
+            # What the old address says from now on has no effect.
             with old.changed:
                 old.version += 1
                 old.changes.append((old.version, made[0].entry))
@@ -48,19 +48,19 @@
         assert w.process.poll() is None
 
 
-def test_the_last_list_is_kept_until_the_new_address_tells_one(tmp_path: Path) -> None:
+def test_the_last_list_is_kept_until_the_new_address_sends_one(tmp_path: Path) -> None:
     a, b = Backend("a"), Backend("b")
     with world(tmp_path, [a]) as w:
-        standing = w.client()
-        assert standing.ask() == "UP a"
+        established = w.client()
+        assert established.ask() == "UP a"
         late = DiscoveryServer([b.entry])
         late.hold = threading.Event()
         w.discovery_servers.append(late)
         rewrite(w, discovery=late.address)
         wait_for(lambda: late.calls)
         assert w.client().ask() == "UP a"
-        standing.send("still there")
-        assert standing.line() == "still there"
+        established.send("still there")
+        assert established.line() == "still there"
         late.hold.set()
         wait_for(lambda: w.client().ask() == "UP b")
 
@@ -128,7 +128,7 @@
 
 
 def test_each_reload_holds_for_who_comes_next_and_no_other(tmp_path: Path) -> None:
-    """Classes come and go, and attempts get fewer; a req under way keeps what it began with."""
+    """Classes come and go, and attempts get fewer; a request under way keeps what it began with."""
     a, b = Backend("a", answer="reset"), Backend("b", answer="silence")
     with world(tmp_path, [a, b]) as w:
         rewrite(w, **lane(HardLimitNs=3_000_000_000, AimNs=2_000_000_000, Idempotency="unsafe"))
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""The `[trace]` table: every step of the module on standard error, and the module none the wiser."""
+"""The `[trace]` table: every step of the balancer on standard error, and the balancer none the wiser."""
 
 from __future__ import annotations
 
