--- a/tests/compatibility/present.py
+++ b/tests/compatibility/present.py
@@ -14,6 +14,7 @@
 import msgspec
 
 from gradegap import raft
+from gradegap.capture import evaluation, simulation
 from gradegap.capture import settings as capture_settings
 from gradegap.discovery import endpoint_list
 from gradegap.discovery import settings as discovery_settings
@@ -217,6 +218,8 @@
 NOT_STORED: frozenset[type] = frozenset(
     {
         in_force.InForceVerdict,  # its answer's map is written by hand
+        evaluation.ServiceFigures,  # printed by `gradegap whatif --json`, read by nobody
+        simulation.WhatIfResult,
         selection.MachineAddress,  # made from the operator's file
         checked_sessions.Record,  # of the model checker's save store
         checked_sessions._Execution,
