--- a/gradegap/store/channel.py
+++ b/gradegap/store/channel.py
@@ -161,17 +161,18 @@
         return messages, reply
 
     def _take_frame(self) -> bytes | None:
-        header = LENGTH_BYTES + (CHECKSUM_BYTES if self.authenticated else 0)
+        authenticated = self.authenticated
+        header = LENGTH_BYTES + (CHECKSUM_BYTES if authenticated else 0)
         if len(self.buffer) < header:
             return None
         size = int.from_bytes(self.buffer[:LENGTH_BYTES], "big")
-        if size > (self.max_frame_bytes if self.authenticated else MAX_HELLO_BYTES):
+        if size > (self.max_frame_bytes if authenticated else MAX_HELLO_BYTES):
             # Guards memory against a length that is none: nothing of it is waited for.
             raise LinkError(f"garbled: a frame of {size} bytes")
         if len(self.buffer) < header + size:
             return None
         body = bytes(self.buffer[header : header + size])
-        if self.authenticated:
+        if authenticated:
             checksum = bytes(self.buffer[LENGTH_BYTES:header])
             if not hmac.compare_digest(
                 checksum, frame_checksum(self._receive_key, self._received_frames, body)
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -12,7 +12,7 @@
 from tests.cluster import cluster
 
 
-def test_a_ring_is_rolled_over_and_tokens_are_looked_into(tmp_path: Path) -> None:
+def test_a_ring_is_rotated_and_tokens_are_inspected(tmp_path: Path) -> None:
     with cluster(tmp_path, 1) as c:
         node = ("--node", c.direct["n1"])
         assert c.cli("keys", "list", *node).stdout == "no keys\n"
--- a/tests/test_store_node.py
+++ b/tests/test_store_node.py
@@ -1,4 +1,4 @@
-"""Nodes that decide by the store: leases, servers out by hand, configuration, gossip, replacement."""
+"""Nodes that decide by the store: leases, disabled endpoints, configuration, gossip, hot restart."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 __all__ = ["nodes"]
 
 
-def test_a_server_out_by_hand_is_out_everywhere_once_it_is_said(nodes: Nodes) -> None:
+def test_a_disabled_endpoint_is_disabled_at_every_node_once_confirmed(nodes: Nodes) -> None:
     nodes.start_all()
     for turn, name in enumerate(nodes.names):
         assert call(nodes.consoles[name], "save-servers/s-a/offline") == 200
@@ -44,7 +44,7 @@
     assert nodes.served_by(victim) == {"UP a"}
 
 
-def test_a_node_without_a_lease_refuses_at_once_and_keeps_what_stands(nodes: Nodes) -> None:
+def test_a_node_without_a_lease_rejects_at_once_and_keeps_connections(nodes: Nodes) -> None:
     nodes.start_all()
     away = nodes.others(nodes.leader())[0]
     node = nodes.node[away]
@@ -73,7 +73,7 @@
     assert nodes.served_by(away) == {"UP b"}
 
 
-def test_a_node_that_was_stopped_decides_nothing_by_what_it_knew(nodes: Nodes) -> None:
+def test_a_paused_node_decides_nothing_by_stale_state(nodes: Nodes) -> None:
     nodes.start_all()
     away = nodes.others(nodes.leader())[0]
     node = nodes.node[away]
@@ -94,7 +94,7 @@
     wait_for(node.ready, 15.0)
 
 
-def test_when_stale_serve_goes_on_counted_and_logged(nodes: Nodes) -> None:
+def test_when_stale_serve_continues_counted_and_logged(nodes: Nodes) -> None:
     nodes.start_all('when_stale = "serve"\n')
     away = nodes.others(nodes.leader())[0]
     node = nodes.node[away]
@@ -113,7 +113,7 @@
     def close_health_check(self, *args: object) -> None: ...
 
 
-def test_reports_of_siblings_reach_the_module_with_their_age() -> None:
+def test_reports_of_siblings_reach_the_balancer_with_their_age() -> None:
     loop = asyncio.new_event_loop()
     proxy = Proxy(settings(), 1, NoPort(), Metrics(), loop)  # type: ignore[arg-type]
     entries = [(EndpointEntry(f"s{k}"), f"127.0.0.1:{k}") for k in (1, 2)]
@@ -185,7 +185,7 @@
         assert "event=leaving" not in nodes.node[n].log.read_text()
 
 
-def test_nodes_tell_each_other_what_they_do_and_see(nodes: Nodes) -> None:
+def test_nodes_gossip_their_state_and_reports(nodes: Nodes) -> None:
     nodes.start_all()
     for n in nodes.names:
         nodes.served_by(n)
@@ -195,7 +195,7 @@
     assert said["n2"]["state"] == "ready" and said["n2"]["listen"] == nodes.node["n2"].address
 
 
-def test_the_process_is_replaced_while_it_leads(nodes: Nodes) -> None:
+def test_a_hot_restart_of_the_leader_keeps_clients(nodes: Nodes) -> None:
     nodes.start_all()
     leader = nodes.leader()
     first = nodes.node[leader]
--- a/tests/test_store_service.py
+++ b/tests/test_store_service.py
@@ -1,4 +1,4 @@
-"""What a member answers to wishes under way when it loses its place, without processes."""
+"""What a member responds to requests under way when it loses its place, without processes."""
 
 from __future__ import annotations
 
@@ -38,48 +38,48 @@
     return RequestService(cast(Any, member)), member
 
 
-def test_a_write_that_was_taken_is_unknown_once_its_member_is_removed() -> None:
+def test_a_proposed_write_is_unknown_once_its_member_is_removed() -> None:
     """It was answered "no", and could be committed all the same: a no is tried again, and runs twice."""
-    s, member = service()
-    told: list[wire.Response] = []
-    s.request(wire.Transaction((KeyUpdate("a", 1),)), told.append)
-    s.request(wire.Get("a"), told.append)
+    requests, member = service()
+    responses: list[wire.Response] = []
+    requests.request(wire.Transaction((KeyUpdate("a", 1),)), responses.append)
+    requests.request(wire.Get("a"), responses.append)
     member.removed, member.raft.is_leader = True, False
-    s.leadership_changed()
-    s.tick(time.monotonic())
-    s.request(wire.Transaction((KeyUpdate("b", 1),)), told.append)
-    assert [a.outcome for a in told] == ["unknown", "no", "no"]
-    assert told[0].text.startswith("unknown: this member has ended")
-    assert not s.pending
+    requests.leadership_changed()
+    requests.tick(time.monotonic())
+    requests.request(wire.Transaction((KeyUpdate("b", 1),)), responses.append)
+    assert [a.outcome for a in responses] == ["unknown", "no", "no"]
+    assert responses[0].text.startswith("unknown: this member has ended")
+    assert not requests.pending
 
 
-def test_a_leader_that_removed_itself_says_that_it_is_done() -> None:
+def test_a_leader_that_removed_itself_confirms_its_removal() -> None:
     """It steps down before it has applied its removal; that was a "no", or unknown, now and then."""
-    s, member = service()
-    told: list[wire.Response] = []
-    s.request(wire.RemoveMember("n1"), told.append)
-    s.request(wire.RemoveMember("n2"), told.append)
+    requests, member = service()
+    responses: list[wire.Response] = []
+    requests.request(wire.RemoveMember("n1"), responses.append)
+    requests.request(wire.RemoveMember("n2"), responses.append)
     member.removed, member.raft.is_leader = True, False
-    s.leadership_changed()
-    s.tick(time.monotonic())
-    s.request(wire.RemoveMember("n1"), told.append)
-    assert [a.outcome for a in told] == ["ok", "unknown", "no"]
+    requests.leadership_changed()
+    requests.tick(time.monotonic())
+    requests.request(wire.RemoveMember("n1"), responses.append)
+    assert [a.outcome for a in responses] == ["ok", "unknown", "no"]
 
 
-def test_a_leader_whose_disk_failed_does_not_take_that_for_its_removal() -> None:
-    s, member = service()
-    told: list[wire.Response] = []
-    s.request(wire.RemoveMember("n1"), told.append)
+def test_a_leader_whose_disk_failed_does_not_confirm_its_removal() -> None:
+    requests, member = service()
+    responses: list[wire.Response] = []
+    requests.request(wire.RemoveMember("n1"), responses.append)
     member.removed, member.raft = True, None
-    s.leadership_changed()
-    s.tick(time.monotonic())
-    assert [a.outcome for a in told] == ["unknown"]
+    requests.leadership_changed()
+    requests.tick(time.monotonic())
+    assert [a.outcome for a in responses] == ["unknown"]
 
 
-def test_what_is_under_way_when_a_member_ends_is_unknown_only_where_it_writes() -> None:
-    s, _ = service()
-    told: list[wire.Response] = []
-    s.request(wire.Transaction((KeyUpdate("a", 1),)), told.append)
-    s.request(wire.Get("a"), told.append)
-    s.close()
-    assert [a.outcome for a in told] == ["unknown", "no"]
+def test_requests_under_way_when_a_member_ends_are_unknown_only_where_they_write() -> None:
+    requests, _ = service()
+    responses: list[wire.Response] = []
+    requests.request(wire.Transaction((KeyUpdate("a", 1),)), responses.append)
+    requests.request(wire.Get("a"), responses.append)
+    requests.close()
+    assert [a.outcome for a in responses] == ["unknown", "no"]
--- a/tests/test_store_voters.py
+++ b/tests/test_store_voters.py
@@ -36,7 +36,7 @@
         (MEMBER + "lease_s = 0.1\n", "$.store.lease_s"),
     ],
 )
-def test_a_figure_out_of_bounds_is_one_line_that_names_the_key(tmp_path: Path, text: str, said: str) -> None:
+def test_a_setting_out_of_bounds_is_one_line_that_names_the_key(tmp_path: Path, text: str, said: str) -> None:
     with pytest.raises(OperatorFileError) as error:
         settings_of(tmp_path, text)
     assert said in str(error.value) and "\n" not in str(error.value)
@@ -100,7 +100,7 @@
     assert [m.name for m in promotable(config, settings)] == ["n7"]  # n6 would be the third of region a
 
 
-def test_members_with_leases_of_different_length_turn_each_other_away() -> None:
+def test_members_with_leases_of_different_length_reject_each_other() -> None:
     me, other = member("n1"), member("n2")
     dialer = LinkChannel.open(SECRET, "member", True, me, lease_s=1.0)
     acceptor = LinkChannel.open(SECRET, "member", False, other, lease_s=3.0)
@@ -140,7 +140,7 @@
         return set()
 
 
-def test_a_reserve_takes_the_place_of_a_voter_that_is_removed(tmp_path: Path) -> None:
+def test_a_learner_takes_the_place_of_a_removed_voter(tmp_path: Path) -> None:
     c = FewVoters(tmp_path, 4)
     try:
         c.start_all()
