--- a/bench/capture.py
+++ b/bench/capture.py
@@ -29,7 +29,7 @@
 from gradegap.capture.switch import RecordedBalancer
 from gradegap.metrics import Metrics
 from tests.recorded_day import Day
-from tests.world import Backend, Client, World, wait_for
+from tests.world import Client, EndpointServer, World, wait_for
 
 STEPS = 20_000
 ROUNDS = 3
@@ -131,7 +131,7 @@
     """CPU us a req, and KiB, of a node that answers reqs one after the other."""
     with tempfile.TemporaryDirectory() as name:
         operator = f'[capture]\nfolder = "{name}/captures"\n' if on else None
-        w = World(Path(name), [Backend(n) for n in "abc"], operator)
+        w = World(Path(name), [EndpointServer(n) for n in "abc"], operator)
         try:
             wait_for(w.ready, 15.0)
             for _ in range(100):
--- a/bench/captures.py
+++ b/bench/captures.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.world import SETTINGS, Backend, World, fresh_id, reset_from_outside, wait_for, world
+from tests.world import SETTINGS, EndpointServer, World, fresh_id, reset_from_outside, wait_for, world
 
 SERVERS = 8
 CAPACITY = 80  # connections at which a save server says x0=1
@@ -29,7 +29,7 @@
 STAY = 2.5  # s, on average
 
 
-class SaveServer(Backend):
+class SaveServer(EndpointServer):
     """Its load follows its connections; it can fall silent, or die."""
 
     def __init__(self, name: str, capacity: int = CAPACITY) -> None:
--- a/bench/quic.py
+++ b/bench/quic.py
@@ -31,7 +31,7 @@
 from gradegap.quic.routing import Router
 from tests.test_quic import QuicClient, make_certificate, quic_world
 from tests.test_quic_fuzz import SERVER, Pair
-from tests.world import Backend, Client
+from tests.world import Client, EndpointServer
 
 SHAKES, LINES, SESSIONS = 60, 1500, 200
 CLIENT = ("127.0.0.1", 5555)
@@ -191,7 +191,7 @@
     """CPU us and KiB of a node, over each front."""
     with (
         tempfile.TemporaryDirectory() as name,
-        quic_world(Path(name), [Backend(n) for n in "abcdef"]) as (w, port),
+        quic_world(Path(name), [EndpointServer(n) for n in "abcdef"]) as (w, port),
     ):
         pid, said = w.process.pid, {}
         for front in ("QUIC", "TCP"):
--- a/bench/resume.py
+++ b/bench/resume.py
@@ -25,8 +25,8 @@
 
 from bench.store import cpu_seconds, new_histogram, percentiles
 from gradegap.client import Session
-from tests.resume_world import ResumeBackend, SaveStore
-from tests.world import Backend, World, fresh_id, wait_for
+from tests.resume_world import ResumableEndpointServer, SaveStore
+from tests.world import EndpointServer, World, fresh_id, wait_for
 
 PLAYERS = 60 if "--quick" in sys.argv else 200
 DRAINS = 2 if "--quick" in sys.argv else 4
@@ -81,7 +81,7 @@
     gaps.append(most - REQUEST_INTERVAL_S)
 
 
-async def gaps_over_drains(w: World, players: list[Any], servers: list[Backend]) -> list[float]:
+async def gaps_over_drains(w: World, players: list[Any], servers: list[EndpointServer]) -> list[float]:
     """The longest gap of each player, over drains of all servers in turn."""
     ended = asyncio.Event()
     gaps: list[float] = []
@@ -105,7 +105,7 @@
     return percentiles(histogram)
 
 
-async def gaps_of(w: World, servers: list[Backend], resumable: bool) -> dict[str, float]:
+async def gaps_of(w: World, servers: list[EndpointServer], resumable: bool) -> dict[str, float]:
     """The gaps of all players, plain or resumable."""
     players: list[Any] = []
     for k in range(PLAYERS):
@@ -119,7 +119,7 @@
     return gap_percentiles(await gaps_over_drains(w, players, servers))
 
 
-class EchoServer(Backend):
+class EchoServer(EndpointServer):
     """A save server that answers what it has read in one write, plain or resumable, and keeps nothing.
 
     The node is to meet the same pieces both ways.
@@ -210,7 +210,7 @@
 
 
 @contextlib.contextmanager
-def node(servers: list[Backend], resumable: bool) -> Iterator[World]:
+def node(servers: list[EndpointServer], resumable: bool) -> Iterator[World]:
     """A node in front of these servers, with or without `[resume]`."""
     with tempfile.TemporaryDirectory() as name:
         w = World(Path(name), servers, "[resume]\n" if resumable else None)
@@ -231,7 +231,7 @@
         found["kib"] = asyncio.run(kib_per_session(w, resumable))
     if "--cost" not in sys.argv:
         store = SaveStore()
-        servers: list[Backend] = [ResumeBackend(n, store, resumable) for n in "ab"]
+        servers: list[EndpointServer] = [ResumableEndpointServer(n, store, resumable) for n in "ab"]
         with node(servers, resumable) as w:
             found["gaps"] = asyncio.run(gaps_of(w, servers, resumable))
     return found
--- a/bench/scale/slopes_data.py
+++ b/bench/scale/slopes_data.py
@@ -27,7 +27,7 @@
 from bench.scale.results_file import Measurement, measured
 from bench.scale.slopes_module import listed
 from bench.store import cpu_seconds
-from tests.world import Backend, DiscoveryServer, World, free_port, fresh_id, world
+from tests.world import DiscoveryServer, EndpointServer, World, free_port, fresh_id, world
 
 CONNECTIONS = (500, 1_000, 2_000)
 RATES = (1_000, 3_000, 6_000)  # lines a second
@@ -215,7 +215,7 @@
     with tempfile.TemporaryDirectory() as name, contextlib.ExitStack() as stack:
         place = world(
             Path(name),
-            [cast(Backend, server)],
+            [cast(EndpointServer, server)],
             env={"WATCH_PORT": str(port), "TMPDIR": name},
             launcher=["-m", "bench.scale.watched_node" if metered else "gradegap"],
         )
--- a/bench/store.py
+++ b/bench/store.py
@@ -30,7 +30,7 @@
 from gradegap.store.errors import RequestFailedError
 from gradegap.store.records import KeyUpdate
 from tests.cluster import SECRET, Cluster
-from tests.world import Backend, World, free_port, wait_for
+from tests.world import EndpointServer, World, free_port, wait_for
 
 QUICK = "--quick" in sys.argv
 MEASURE_S = 3.0 if QUICK else 8.0
@@ -226,12 +226,12 @@
 
 def serve_cost(folder: Path, with_store: bool) -> float:
     """CPU seconds of a node a second while clients come and go; the member runs in its process."""
-    backends = [Backend("a"), Backend("b")]
+    endpoint_servers = [EndpointServer("a"), EndpointServer("b")]
     folder.mkdir()
     operator = None
     if with_store:
         operator = f'[store]\nname = "n0"\nlisten = "127.0.0.1:{free_port()}"\ndata = "{folder / "data"}"\n'
-    made = World(folder, backends, operator)
+    made = World(folder, endpoint_servers, operator)
     try:
         wait_for(made.ready, 15.0)
         time.sleep(1.0)
--- a/tests/deployments.py
+++ b/tests/deployments.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from tests.silent_discovery import SilentDiscovery
-from tests.world import Backend, Client, free_port, printed_counters, says_pong, started, wait_for
+from tests.world import Client, EndpointServer, free_port, printed_counters, says_pong, started, wait_for
 
 MS = 1_000_000
 
@@ -63,23 +63,23 @@
 BOTH = {"pushed": PUSHED, "asked": ASKED}
 
 
-class Server(Backend):
+class Server(EndpointServer):
     """A save server whose load is what it holds, and which may send its clients away when it drains."""
 
     full = 60.0  # connections that fill it
 
     def _serve(self, sock: Any) -> None:
         super()._serve(sock)
-        if sock in self.standing:
-            self.standing.remove(sock)
+        if sock in self.established:
+            self.established.remove(sock)
         self.report()
 
     def report(self) -> None:
-        n = len(self.standing)
+        n = len(self.established)
         self.load = f"x0={n / self.full + 0.001 * random.random():.4f},x1=0,inflight={n}"
 
     def send_away(self) -> None:
-        for sock in list(self.standing):
+        for sock in list(self.established):
             with contextlib.suppress(OSError):
                 sock.sendall(b"MOVE\r\n")
                 sock.shutdown(2)
--- a/tests/resume_world.py
+++ b/tests/resume_world.py
@@ -12,7 +12,7 @@
 from gradegap.resume.lines import Request, Seen
 from gradegap.resume.window import ServerWindow
 from gradegap.verification.sessions import Record
-from tests.world import Backend, hard_reset, reset_from_outside
+from tests.world import EndpointServer, hard_reset, reset_from_outside
 
 
 class SaveStore:
@@ -54,7 +54,7 @@
             self.sessions.pop(session, None)
 
 
-class ResumeBackend(Backend):
+class ResumableEndpointServer(EndpointServer):
     """A save server. `knows` is whether it speaks the extension; `dies` ends the next request's connection:
     "before" it ran, or "after" it ran and before its answer, or "always" before; "claimed" ends each that
     would open, once its session is claimed, and "silent" says nothing more to it."""
@@ -92,7 +92,7 @@
             if self.dies == "claimed":
                 hard_reset(sock)
                 return
-            self.standing.append(sock)
+            self.established.append(sock)
             sock.sendall(f"UP {self.name} rs={window.executed}\r\n".encode())
             for answer in window.resume(int(values.get("rh", "0"))):
                 sock.sendall(lines.encode(answer))
@@ -110,14 +110,14 @@
         taken."""
         self.dead = True  # what still comes in, before its reader is awake, is read by nobody
         self.stop()
-        for sock in list(self.standing):
+        for sock in list(self.established):
             with contextlib.suppress(OSError):
                 reset_from_outside(sock)
 
     def _plain(self, sock: socket.socket, file: object, first: str) -> None:
         self.lines.append((0.0, first))
         if first.startswith("OPEN"):
-            self.standing.append(sock)
+            self.established.append(sock)
             sock.sendall(f"UP {self.name}\r\n".encode())
             for raw in file:  # type: ignore[attr-defined]
                 sock.sendall(raw)
--- a/tests/store_nodes.py
+++ b/tests/store_nodes.py
@@ -13,7 +13,7 @@
 from gradegap.store.member_client import MemberClient
 from tests.relay import Relay
 from tests.test_admin_api import call as plain_call
-from tests.world import Backend, World, free_port, wait_for
+from tests.world import EndpointServer, World, free_port, wait_for
 
 
 def call(console: str, path: str) -> int:
@@ -26,7 +26,7 @@
 
     def __init__(self, folder: Path, stack: ExitStack) -> None:
         self.folder, self.stack = folder, stack
-        self.backends = [Backend("a"), Backend("b")]
+        self.endpoint_servers = [EndpointServer("a"), EndpointServer("b")]
         self.relay = Relay()
         self.names = ["n1", "n2", "n3"]
         self.direct = {n: f"127.0.0.1:{free_port()}" for n in self.names}
@@ -50,7 +50,7 @@
         folder.mkdir(exist_ok=True)
         config = {"name": name, "console": self.consoles[name]} | config
         env = {"TMPDIR": str(self.folder / name)}
-        made = World(folder, self.backends, self.operator(name, more), env, **config)
+        made = World(folder, self.endpoint_servers, self.operator(name, more), env, **config)
         self.stack.callback(self.end, made)
         if not place:
             self.node[name] = made
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -14,13 +14,15 @@
 from gradegap.admin.http_api import CALLERS_MAX
 from gradegap.metrics import Metrics
 from gradegap.store.disabled_endpoints import DisabledEndpointsFile
-from tests.world import BUSY_MACHINE, Backend, Client, World, free_port, wait_for, world
+from tests.world import BUSY_MACHINE, Client, EndpointServer, World, free_port, wait_for, world
 
 
 @contextmanager
-def served(tmp_path: Path, backends: list[Backend], **config: Any) -> Iterator[tuple[World, str]]:
+def served(
+    tmp_path: Path, endpoint_servers: list[EndpointServer], **config: Any
+) -> Iterator[tuple[World, str]]:
     address = f"127.0.0.1:{free_port()}"
-    with world(tmp_path, backends, env={"TMPDIR": str(tmp_path)}, console=address, **config) as w:
+    with world(tmp_path, endpoint_servers, env={"TMPDIR": str(tmp_path)}, console=address, **config) as w:
         yield w, address
 
 
@@ -44,7 +46,7 @@
 
 
 def test_calls_are_answered_by_what_they_are(tmp_path: Path) -> None:
-    with served(tmp_path, [Backend("a")]) as (w, console):
+    with served(tmp_path, [EndpointServer("a")]) as (w, console):
         ready = b"GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n"
         for raw, status in (
             (ready, 200),
@@ -74,7 +76,7 @@
 
 def test_callers_that_hold_their_connection_shut_nobody_out(tmp_path: Path) -> None:
     """Guards the descriptors and the calls of others: they once had no console at all."""
-    with served(tmp_path, [Backend("a")]) as (w, console):
+    with served(tmp_path, [EndpointServer("a")]) as (w, console):
         held = [Client(console) for _ in range(3 * CALLERS_MAX)]
         for each in held:
             each.send(b"PUT /control/in-ser")
@@ -87,7 +89,7 @@
 
 def test_nothing_goes_to_a_save_server_out_by_hand_until_the_call_back(tmp_path: Path) -> None:
     """Whatever discovery says in between: a Ready entry, a restart, a full list without it."""
-    a, b = Backend("a"), Backend("b")
+    a, b = EndpointServer("a"), EndpointServer("b")
     with served(tmp_path, [a, b]) as (w, console):
         held = [w.client() for _ in range(8)]
         on_a = [c for c in held if c.ask() == "UP a"]
@@ -108,7 +110,7 @@
 
 
 def test_a_node_out_of_service_empties_and_comes_back(tmp_path: Path) -> None:
-    with served(tmp_path, [Backend("a")]) as (w, console):
+    with served(tmp_path, [EndpointServer("a")]) as (w, console):
         standing, kept = w.client(), w.client()
         assert standing.ask() == "UP a"
         kept.send("PING")
@@ -131,7 +133,7 @@
 
 
 def test_sigterm_ends_a_node_that_is_out_of_service(tmp_path: Path) -> None:
-    with served(tmp_path, [Backend("a")]) as (w, console):
+    with served(tmp_path, [EndpointServer("a")]) as (w, console):
         c = w.client()
         assert c.ask() == "UP a"
         assert call(console, "out-of-service") == 200
@@ -154,7 +156,7 @@
 
 
 def test_a_process_started_again_holds_out_what_was(tmp_path: Path) -> None:
-    a, b = Backend("a"), Backend("b")
+    a, b = EndpointServer("a"), EndpointServer("b")
     with served(tmp_path, [a, b]) as (w, console):
         assert call(console, "save-servers/s-a/offline") == 200
     with served(tmp_path, [a, b], listen=w.address) as (w, console):
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from tests.world import BUSY_MACHINE, SETTINGS, Backend, hard_reset, wait_for, world
+from tests.world import BUSY_MACHINE, SETTINGS, EndpointServer, hard_reset, wait_for, world
 
 MS = 1_000_000
 BREAKS = ["refused", "at accept", "in the line", "after the line", "busy", "half an answer", "noise", "hang"]
@@ -39,7 +39,7 @@
     return SETTINGS | {"Lanes": list(lanes), "FamilyInfo": info}
 
 
-class Breaks(Backend):
+class Breaks(EndpointServer):
     """Answers probes as the lightest there is, and breaks at one point of every attempt."""
 
     def __init__(self, name: str, where: str) -> None:
@@ -103,7 +103,7 @@
     tmp_path: Path,
 ) -> None:
     """Both servers of a zone break after the line; the third, of another zone, would serve."""
-    a, b, other = Breaks("a", "after the line"), Breaks("b", "after the line"), Backend("c")
+    a, b, other = Breaks("a", "after the line"), Breaks("b", "after the line"), EndpointServer("c")
     other.entry["zone"] = "y"
     other.load = "x0=0.9,inflight=900"
     with world(tmp_path, [a, b, other], settings=settings(lane("keyed", group="zone"))) as w:
@@ -119,7 +119,7 @@
         assert broke
 
 
-class Second(Backend):
+class Second(EndpointServer):
     """Notes, as a first line comes, whether the attempt before it has been given up on the wire."""
 
     def __init__(self, name: str, before: Breaks) -> None:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.test_rude import memory_mb
-from tests.world import ROOT, Backend, wait_for, world
+from tests.world import ROOT, EndpointServer, wait_for, world
 
 DEEP = b"[" * 200_000
 LISTS = {
@@ -30,7 +30,7 @@
 def test_a_list_that_cannot_be_read_is_rejected_and_the_last_one_kept(tmp_path: Path, body: bytes) -> None:
     """Nesting without end is no malformed JSON to the parser, but an error of its own: it went past the one
     clear error, as a traceback, and the call was counted as ended by discovery."""
-    b = Backend("a")
+    b = EndpointServer("a")
     with world(tmp_path, [b]) as w:
         head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body)
         w.discovery.garbage.append(head + body)
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize("part", ["head", "body", "chunk"])
 def test_an_answer_without_end_is_ended_at_a_bound(tmp_path: Path, part: str) -> None:
-    b = Backend("a")
+    b = EndpointServer("a")
     with world(tmp_path, [b]) as w:
         before = memory_mb(w)
         head = {
@@ -71,7 +71,7 @@
 def test_a_configuration_that_cannot_be_read_changes_nothing_and_starts_nothing(
     tmp_path: Path, text: bytes
 ) -> None:
-    b = Backend("a")
+    b = EndpointServer("a")
     with world(tmp_path, [b]) as w:
         good = w.config.read_bytes()
         w.config.write_bytes(text)
--- a/tests/test_capture_index.py
+++ b/tests/test_capture_index.py
@@ -25,7 +25,7 @@
 from tests.recorded_day import Day, day_recording, record_day, replayed, run_gradegap
 from tests.test_admin_api import call, served
 from tests.test_hot_restart import ready, second
-from tests.world import Backend, wait_for
+from tests.world import EndpointServer, wait_for
 
 NUMBERS = st.integers(-(2**63), 2**63)
 FILE = index.sealed(day_recording(31, 1200, 6))
@@ -214,7 +214,7 @@
 
 
 def test_calls_by_hand_and_a_replaced_process_are_in_their_captures(tmp_path: Path) -> None:
-    servers = [Backend(n) for n in "abc"]
+    servers = [EndpointServer(n) for n in "abc"]
     folders = [tmp_path / "one", tmp_path / "two"]
     first, after = (f'[capture]\nfolder = "{f}"\nstate_s = 1.0\n' for f in folders)
     with served(tmp_path, servers, operator=first) as (w, console):
--- a/tests/test_capture_recorder.py
+++ b/tests/test_capture_recorder.py
@@ -23,7 +23,7 @@
 from tests.helpers import settings
 from tests.mutants import mutated_copy
 from tests.recorded_day import Day, record_day, replayed, run_gradegap
-from tests.world import Backend, wait_for, world
+from tests.world import EndpointServer, wait_for, world
 
 
 def test_a_recording_replays_to_the_same_decisions(tmp_path: Path) -> None:
@@ -117,7 +117,7 @@
 @pytest.fixture
 def day(tmp_path: Path) -> tuple[Path, Path]:
     folder = tmp_path / "captures"
-    servers = [Backend(n) for n in "abc"]
+    servers = [EndpointServer(n) for n in "abc"]
     operator = f'[capture]\nfolder = "{folder}"\nstate_s = 1.0\n'
     with world(tmp_path, servers, operator) as w:
         clients = [w.client() for _ in range(12)]
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,7 +16,7 @@
 import pytest
 
 from tests.test_admin_api import call
-from tests.world import BUSY_MACHINE, SETTINGS, Backend, World, free_port, hard_reset, wait_for, world
+from tests.world import BUSY_MACHINE, SETTINGS, EndpointServer, World, free_port, hard_reset, wait_for, world
 
 SLOW: dict[str, Any] = {"Name": "slow", "AimNs": 700_000_000, "HardLimitNs": 6_000_000_000, "Points": 1.0}
 WITH_SLOW = SETTINGS | {
@@ -38,7 +38,7 @@
 def test_a_request_that_may_wait_longer_than_the_stop_is_answered_before_the_end(tmp_path: Path) -> None:
     """Its class waits 6 s and its server hangs; the platform kills 3.7 s after SIGTERM. The node once ended
     at 3.5 s with the request still out, and its client's connection just closed."""
-    b = Backend("a", "silence")
+    b = EndpointServer("a", "silence")
     with world(tmp_path, [b], settings=WITH_SLOW) as w:
         c = w.client()
         c.send("OPEN 1 2 c=slow,d=6000")
@@ -52,7 +52,7 @@
 
 def test_first_lines_after_sigterm_are_answered_at_once_and_never_forwarded(tmp_path: Path) -> None:
     """On new and on idle connections. They once went to a server, were established and migrated at once."""
-    b = Backend("a")
+    b = EndpointServer("a")
     with world(tmp_path, [b]) as w:
         idle, pinged = w.client(), w.client()
         pinged.send("PING")
@@ -70,7 +70,7 @@
 
 def test_a_request_that_waits_for_a_health_check_at_sigterm_is_answered_at_once(tmp_path: Path) -> None:
     """Its server holds its answers; the request was once forwarded after them, by a node that leaves."""
-    a, b = Backend("a"), Backend("b")
+    a, b = EndpointServer("a"), EndpointServer("b")
     with world(tmp_path, [a, b], settings=WITH_SLOW) as w:
         for each in (a, b):
             each.mute.set()
@@ -86,7 +86,7 @@
 def test_an_idle_connection_at_the_end_of_a_shutdown_is_answered_before_it_is_closed(tmp_path: Path) -> None:
     """A request may be written in the very moment in which the node closes: it finds its answer there, and an
     end, where it once found a reset or an end without an answer."""
-    with world(tmp_path, [Backend("a")]) as w:
+    with world(tmp_path, [EndpointServer("a")]) as w:
         idle = [w.client() for _ in range(3)]
         idle[1].send("PING")
         assert idle[1].line() == "PONG"
@@ -104,7 +104,7 @@
 def test_an_attempt_under_way_at_sigterm_is_established_and_migrated(tmp_path: Path) -> None:
     """`UP` and the signal in one turn of the loop, as near as two processes come: the server answers in the
     moment in which the node has seen the signal."""
-    b = Backend("a")
+    b = EndpointServer("a")
     b.hold.clear()
     with world(tmp_path, [b]) as w:
         c = w.client()
@@ -118,7 +118,7 @@
 
 @pytest.mark.parametrize("second", [signal.SIGTERM, signal.SIGHUP])
 def test_a_second_signal_changes_nothing_of_a_stop(tmp_path: Path, second: signal.Signals) -> None:
-    b = Backend("a")
+    b = EndpointServer("a")
     with world(tmp_path, [b]) as w:
         c = w.client()
         assert c.ask() == "UP a"
@@ -134,7 +134,7 @@
 
 def test_sigterm_before_readiness_ends_the_node_as_ever(tmp_path: Path) -> None:
     """Its list has not come yet; a request meanwhile is answered."""
-    b = Backend("a")
+    b = EndpointServer("a")
     w = World(tmp_path, [b], discovery="127.0.0.1:9")
     try:
         wait_for(lambda: "event=listening" in w.log.read_text(), 15.0)
@@ -150,7 +150,7 @@
 # Closing
 
 
-class Deaf(Backend):
+class Deaf(EndpointServer):
     """A save server that says UP and reads nothing after it."""
 
     def _serve(self, sock: socket.socket) -> None:
@@ -159,7 +159,7 @@
             if raw.startswith(b"STATS"):
                 sock.sendall(f"PONG {self.load}\r\n".encode())
             else:
-                self.standing.append(sock)
+                self.established.append(sock)
                 sock.sendall(b"UP a\r\n")
                 threading.Event().wait()
 
@@ -185,15 +185,15 @@
     tmp_path: Path,
 ) -> None:
     """The client was notified of nothing until the wait for the line was over, and then by a reset."""
-    b, admin_address = Backend("a"), f"127.0.0.1:{free_port()}"
+    b, admin_address = EndpointServer("a"), f"127.0.0.1:{free_port()}"
     with world(tmp_path, [b], console=admin_address) as w:
         c = w.client()
         assert c.ask() == "UP a"
-        b.standing[0].sendall(b"half")
+        b.established[0].sendall(b"half")
         assert c.sock.recv(4) == b"half"
         assert call(admin_address, "out-of-service") == 200
         wait_for(lambda: w.counters().get("moved") == "1")
         began = time.time()
-        b.standing[0].shutdown(socket.SHUT_RDWR)
+        b.established[0].shutdown(socket.SHUT_RDWR)
         assert c.line() == ""
         assert time.time() - began < 0.3 + BUSY_MACHINE
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -16,7 +16,7 @@
 from gradegap.proxy.health_checks import HEALTH_CHECK_TIMEOUT_MAX_S, HEALTH_CHECK_TIMEOUT_S
 from tests.deployments import ASKED, BOTH, PUSHED, Day, NodeProcess, Server, lane
 from tests.silent_discovery import SilentDiscovery, TurnDiscovery
-from tests.world import BUSY_MACHINE, Backend, Client, hard_reset, wait_for, world
+from tests.world import BUSY_MACHINE, Client, EndpointServer, hard_reset, wait_for, world
 
 
 @pytest.mark.parametrize("site", BOTH)
@@ -49,7 +49,7 @@
         # A server dies, and its clients with it.
         day.killed.add(third.name)
         third.stop()
-        for sock in list(third.standing):
+        for sock in list(third.established):
             hard_reset(sock)
         day.discovery.announce(third.entry, state="Gone")
         wait_for(lambda: time.time() > day.told[second.name] + day.grace + 0.5, 12.0)
@@ -78,7 +78,7 @@
     tmp_path: Path,
 ) -> None:
     """It took 3.5 s wherever it ran, where it may be killed after 2.7 s with all that it still holds."""
-    a = Backend("a")
+    a = EndpointServer("a")
     with world(tmp_path, [a], settings=PUSHED | {"Lanes": [lane("inventory", 300, 900, 5.0)]}) as w:
         clients = [w.client() for _ in range(20)]
         for client in clients:
@@ -150,7 +150,7 @@
     Its servers report what the test says and nothing else: those of a day report what they hold whenever a
     connection ends, and so took the test's figures back in the midst of it. And what stands has stood since
     before the node's start: what has just grown is held for more than reports show, for some seconds."""
-    s, t = Backend("a"), Backend("b")
+    s, t = EndpointServer("a"), EndpointServer("b")
     d = SilentDiscovery([s.entry, t.entry])
     lanes = [lane("light", 500, 2000, 3.0), lane("heavy", 500, 2000, 3.0)]
     node = NodeProcess(tmp_path, 0, ASKED | {"Lanes": lanes, "Tenants": None, "ReplicasOfMe": 1}, d)
@@ -163,7 +163,7 @@
             name, server = ("light", "heavy")[k % 2], (s, t)[k // 2 % 2]
             answer = client.ask(f"c={name},d=2000,g=g{k},at={server.entry['id']}")
             assert answer == f"UP {server.name}"
-            server.standing[-1].sendall(b"LOAD %d\r\n" % (10_000 if name == "light" else 60_000))
+            server.established[-1].sendall(b"LOAD %d\r\n" % (10_000 if name == "light" else 60_000))
             assert client.line().startswith("LOAD ")
             kept.append(client)
         seen = {"light": Counter[str](), "heavy": Counter[str]()}
--- a/tests/test_dns_sd_discovery.py
+++ b/tests/test_dns_sd_discovery.py
@@ -17,7 +17,7 @@
 from gradegap.balancing.events import EndpointEntry, EndpointPhase
 from gradegap.discovery.dns_sd_discovery import read_entry, read_txt
 from gradegap.discovery.errors import InvalidEndpointError
-from tests.world import Backend, World, wait_for, world
+from tests.world import EndpointServer, World, wait_for, world
 
 SERVICE = "_saves._tcp.prairie.example."
 
@@ -45,7 +45,7 @@
             udp.close()
             return None
 
-    def instance(self, b: Backend, txt: str = '"state=Ready" "zone=z" "weight=1"') -> None:
+    def instance(self, b: EndpointServer, txt: str = '"state=Ready" "zone=z" "weight=1"') -> None:
         name, port = f"s-{b.name}.{SERVICE}", b.address.rpartition(":")[2]
         ptr = self.records.setdefault((SERVICE, "PTR"), [])
         if name not in ptr:
@@ -108,7 +108,7 @@
 
 
 def test_backends_come_go_and_drain_as_their_records_say(tmp_path: Path, answerer: Answerer) -> None:
-    a, b = Backend("a"), Backend("b")
+    a, b = EndpointServer("a"), EndpointServer("b")
     answerer.instance(a)
     with world(tmp_path, [], operator(answerer)) as w:
         assert served_by(w) == {"UP a"}
@@ -125,27 +125,27 @@
 def test_failures_are_counted_and_the_last_list_is_kept(
     tmp_path: Path, answerer: Answerer, mode: str
 ) -> None:
-    a = Backend("a")
+    a = EndpointServer("a")
     answerer.instance(a)
     with world(tmp_path, [], operator(answerer)) as w:
         answerer.mode = mode
         wait_for(lambda: int(w.counters().get("dns_failures", 0)) >= 2, 10.0)
         assert served_by(w) == {"UP a"}
         answerer.mode = "answer"
-        b = Backend("b")
+        b = EndpointServer("b")
         answerer.instance(b)
         wait_for(lambda: "UP b" in served_by(w), 10.0)
 
 
 def test_an_answer_too_long_for_udp_is_asked_again_over_tcp(tmp_path: Path, answerer: Answerer) -> None:
-    answerer.instance(Backend("a"))
+    answerer.instance(EndpointServer("a"))
     answerer.mode = "truncated"
     with world(tmp_path, [], operator(answerer)) as w:
         assert served_by(w) == {"UP a"}
 
 
 def test_a_bad_record_leaves_its_instance_as_it_was(tmp_path: Path, answerer: Answerer) -> None:
-    a, b = Backend("a"), Backend("b")
+    a, b = EndpointServer("a"), EndpointServer("b")
     answerer.instance(a)
     with world(tmp_path, [], operator(answerer)) as w:
         answerer.instance(a, '"state=Asleep" "weight=heavy"')
@@ -156,7 +156,7 @@
 
 def test_records_are_not_asked_for_again_while_they_live(tmp_path: Path, answerer: Answerer) -> None:
     answerer.ttl = 3
-    answerer.instance(Backend("a"))
+    answerer.instance(EndpointServer("a"))
     with world(tmp_path, [], operator(answerer)):
         wait_for(lambda: [kind for _, _, kind in answerer.asked].count("PTR") == 3, 12.0)
     asked = [at for at, _, kind in answerer.asked if kind == "PTR"]
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tests.test_admin_api import call, served
-from tests.world import BUSY_MACHINE, Backend, World, free_port, wait_for, world
+from tests.world import BUSY_MACHINE, EndpointServer, World, free_port, wait_for, world
 
 
 @contextmanager
@@ -22,7 +22,7 @@
     folder = w.config.parent / "second"
     folder.mkdir()
     extra = {"TMPDIR": str(shared or w.config.parent), "NODE_DISCOVERY": w.discovery.address}
-    with world(folder, w.backends, operator, env=extra, console=admin_address, listen=w.address) as n:
+    with world(folder, w.endpoint_servers, operator, env=extra, console=admin_address, listen=w.address) as n:
         yield n, admin_address
 
 
@@ -35,7 +35,7 @@
 
 def test_clients_stay_connected_while_a_process_takes_over(tmp_path: Path) -> None:
     """The second process once ended, as the address was taken, and the first cut off what it held."""
-    a, b = Backend("a"), Backend("b")
+    a, b = EndpointServer("a"), EndpointServer("b")
     with served(tmp_path, [a, b]) as (w, _old):
         established = [w.client() for _ in range(30)]
         for c in established:
@@ -82,7 +82,7 @@
 
 
 def test_a_third_process_follows_the_second(tmp_path: Path) -> None:
-    with served(tmp_path, [Backend("a")]) as (w, _):
+    with served(tmp_path, [EndpointServer("a")]) as (w, _):
         c = w.client()
         assert c.ask() == "UP a"
         with second(w) as (n, second_admin):
@@ -101,7 +101,7 @@
 
 @pytest.mark.parametrize("at_first", [True, False])
 def test_a_call_at_either_admin_api_takes_effect_in_both(tmp_path: Path, at_first: bool) -> None:
-    a, b = Backend("a"), Backend("b")
+    a, b = EndpointServer("a"), EndpointServer("b")
     with served(tmp_path, [a, b]) as (w, first_admin):
         assert call(first_admin, "save-servers/s-a/offline") == 200
         with second(w) as (_n, second_admin):
@@ -120,7 +120,7 @@
 
 @pytest.mark.parametrize("when", ["before", "after"])
 def test_the_first_serves_again_when_its_successor_dies(tmp_path: Path, when: str) -> None:
-    with served(tmp_path, [Backend("a")]) as (w, first_admin):
+    with served(tmp_path, [EndpointServer("a")]) as (w, first_admin):
         c = w.client()
         assert c.ask() == "UP a"
         with second(w) as (n, _new):
@@ -138,7 +138,7 @@
 
 
 def test_the_second_goes_on_when_the_first_dies(tmp_path: Path) -> None:
-    a = Backend("a")
+    a = EndpointServer("a")
     with served(tmp_path, [a]) as (w, _):
         c = w.client()
         assert c.ask() == "UP a"
@@ -154,17 +154,17 @@
 
 
 def test_a_socket_that_nobody_listens_on_is_stale(tmp_path: Path) -> None:
-    with served(tmp_path, [Backend("a")]) as (w, _):
+    with served(tmp_path, [EndpointServer("a")]) as (w, _):
         pass
     (left,) = tmp_path.glob("*.sock")
     assert left.is_socket()
-    with served(tmp_path, [Backend("a")], listen=w.address) as (n, admin_address):
+    with served(tmp_path, [EndpointServer("a")], listen=w.address) as (n, admin_address):
         assert n.client().ask() == "UP a" and ready(admin_address)
 
 
 def test_a_drain_is_kept_over_a_hot_restart(tmp_path: Path) -> None:
     """The process that passes its sessions on keeps those of a server that leaves, and moves them itself."""
-    a, b = Backend("a"), Backend("b")
+    a, b = EndpointServer("a"), EndpointServer("b")
     with served(tmp_path, [a]) as (w, first_admin):
         c = w.client()
         assert c.ask() == "UP a"
--- a/tests/test_hot_restart_steps.py
+++ b/tests/test_hot_restart_steps.py
@@ -25,7 +25,7 @@
     SuccessorReady,
 )
 from tests.test_admin_api import call, served
-from tests.world import BUSY_MACHINE, Backend, Client, World, wait_for
+from tests.world import BUSY_MACHINE, Client, EndpointServer, World, wait_for
 
 Expected = TypeVar("Expected", bound=msgspec.Struct)
 PATIENCE = 3.0  # s that the node may take to send its next message
@@ -90,8 +90,10 @@
 
 
 @contextmanager
-def followed(tmp_path: Path, backends: list[Backend]) -> Iterator[tuple[World, str, Successor]]:
-    with served(tmp_path, backends) as (w, admin_address):
+def followed(
+    tmp_path: Path, endpoint_servers: list[EndpointServer]
+) -> Iterator[tuple[World, str, Successor]]:
+    with served(tmp_path, endpoint_servers) as (w, admin_address):
         successor = Successor(tmp_path)
         try:
             yield w, admin_address, successor
@@ -109,7 +111,7 @@
 
 
 def test_a_successor_that_dies_before_it_is_ready_changes_nothing(tmp_path: Path) -> None:
-    with followed(tmp_path, [Backend("a")]) as (w, _, successor):
+    with followed(tmp_path, [EndpointServer("a")]) as (w, _, successor):
         client = w.client()
         establish(w, client)
         successor.die()
@@ -125,7 +127,7 @@
 def test_a_session_that_was_not_accepted_goes_on_with_what_was_sent_meanwhile(
     tmp_path: Path, how: str
 ) -> None:
-    a = Backend("a")
+    a = EndpointServer("a")
     with followed(tmp_path, [a]) as (w, _, successor):
         client = w.client()
         establish(w, client)
@@ -143,7 +145,7 @@
 
 
 def test_a_request_on_an_idle_connection_in_between_is_answered_once(tmp_path: Path) -> None:
-    a = Backend("a")
+    a = EndpointServer("a")
     with followed(tmp_path, [a]) as (w, _, successor):
         client = w.client()
         client.send("PING")
@@ -161,7 +163,7 @@
 def test_an_idle_connection_whose_client_leaves_as_it_passes_is_not_kept(
     tmp_path: Path, accepted: bool
 ) -> None:
-    with followed(tmp_path, [Backend("a")]) as (w, _, successor):
+    with followed(tmp_path, [EndpointServer("a")]) as (w, _, successor):
         client = w.client()
         client.send("PING")
         assert client.line() == "PONG"
@@ -179,7 +181,7 @@
 
 
 def test_an_answer_that_comes_after_the_hot_restart_began_is_given_and_then_passed(tmp_path: Path) -> None:
-    a = Backend("a")
+    a = EndpointServer("a")
     a.hold.clear()
     with followed(tmp_path, [a]) as (w, _, successor):
         client = w.client()
@@ -202,7 +204,7 @@
 
 
 def test_a_drain_while_a_session_is_on_its_way_migrates_it_once_it_is_back(tmp_path: Path) -> None:
-    a = Backend("a")
+    a = EndpointServer("a")
     with followed(tmp_path, [a]) as (w, admin_address, successor):
         client = w.client()
         establish(w, client)
@@ -219,7 +221,7 @@
 def test_a_stop_while_a_session_is_on_its_way_cuts_nobody_off(tmp_path: Path, answer: str) -> None:
     """A successor that hung kept what was on its way to it: the first ended, and its clients were cut off
     without MOVE."""
-    a = Backend("a")
+    a = EndpointServer("a")
     with followed(tmp_path, [a]) as (w, _, successor):
         client = w.client()
         establish(w, client)
@@ -240,21 +242,21 @@
 
 
 def test_a_server_that_ends_a_session_on_its_way_ends_it_once_it_is_back(tmp_path: Path) -> None:
-    a = Backend("a")
+    a = EndpointServer("a")
     with followed(tmp_path, [a]) as (w, _, successor):
         client = w.client()
         establish(w, client)
         successor.send(SuccessorReady())
         successor.until(EstablishedSession)
-        a.standing[-1].sendall(b"BYE\r\n")
-        a.standing[-1].shutdown(socket.SHUT_RDWR)
+        a.established[-1].sendall(b"BYE\r\n")
+        a.established[-1].shutdown(socket.SHUT_RDWR)
         assert client.quiet(HELD)
         successor.die()
         assert [client.line(), client.line()] == ["BYE", ""]
 
 
 def test_a_message_that_can_not_be_read_ends_the_hot_restart_and_keeps_the_sessions(tmp_path: Path) -> None:
-    with followed(tmp_path, [Backend("a")]) as (w, _, successor):
+    with followed(tmp_path, [EndpointServer("a")]) as (w, _, successor):
         client = w.client()
         establish(w, client)
         successor.send(SuccessorReady())
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -16,11 +16,11 @@
 import pytest
 
 from tests.test_admin_api import call
-from tests.world import BUSY_MACHINE, ROOT, SETTINGS, Backend, free_port, hard_reset, wait_for, world
+from tests.world import BUSY_MACHINE, ROOT, SETTINGS, EndpointServer, free_port, hard_reset, wait_for, world
 
 
 def test_a_served_client_gets_its_receipt_and_lines_pass_both_ways(tmp_path: Path) -> None:
-    b = Backend("a")
+    b = EndpointServer("a")
     with world(tmp_path, [b]) as w:
         c = w.client()
         c.send(b"OPEN 9b1f 7f3a c=live,d=15")  # in pieces, with bytes behind the first line
@@ -35,9 +35,9 @@
         big = b"x" * 300_000 + b"\r\n"  # flow control: more than any buffer holds
         c.sock.sendall(big)
         assert c.file.readline() == big
-        b.standing[0].sendall(b"LOAD 3.5\r\nBYE\r\n")
+        b.established[0].sendall(b"LOAD 3.5\r\nBYE\r\n")
         assert c.line() == "LOAD 3.5"
-        b.standing[0].shutdown(socket.SHUT_RDWR)
+        b.established[0].shutdown(socket.SHUT_RDWR)
         assert [c.line(), c.line()] == ["BYE", ""]
         wait_for(lambda: w.counters().get("ended_ok") == "1")
 
@@ -55,7 +55,7 @@
     ],
 )
 def test_first_lines_that_open_nothing(tmp_path: Path, raw: bytes, answer: str) -> None:
-    b = Backend("a")
+    b = EndpointServer("a")
     with world(tmp_path, [b]) as w:
         c = w.client()
         c.sock.sendall(raw)
@@ -81,7 +81,7 @@
 def test_attempts_that_come_to_nothing_end_in_one_answer(
     tmp_path: Path, answer: str, expected: str, counted: str
 ) -> None:
-    b = Backend("a", answer)
+    b = EndpointServer("a", answer)
     with world(tmp_path, [b]) as w:
         c, began = w.client(), time.time()
         said = c.ask("c=live,d=900,g=1")
@@ -93,7 +93,7 @@
 
 
 def test_a_refused_connect_goes_to_the_other_endpoint(tmp_path: Path) -> None:
-    dead, alive = Backend("a"), Backend("b")
+    dead, alive = EndpointServer("a"), EndpointServer("b")
     dead.stop()
     with world(tmp_path, [dead, alive]) as w:
         for _ in range(8):
@@ -101,7 +101,7 @@
 
 
 def test_a_client_that_leaves_abandons_its_fetch(tmp_path: Path) -> None:
-    b = Backend("a", "silence")
+    b = EndpointServer("a", "silence")
     with world(tmp_path, [b]) as w:
         c = w.client()
         c.send("OPEN 1 2 c=live,d=1700,g=1")
@@ -114,7 +114,7 @@
 @pytest.mark.parametrize("how", ["end", "reset"])
 @pytest.mark.parametrize("side", ["client", "backend"])
 def test_the_end_of_one_side_is_passed_on_in_kind(tmp_path: Path, side: str, how: str) -> None:
-    b = Backend("a")
+    b = EndpointServer("a")
     with world(tmp_path, [b]) as w:
         c = w.client()
         assert c.ask() == "UP a"
@@ -124,7 +124,7 @@
         elif side == "client":
             hard_reset(c.sock)
         elif how == "end":
-            b.standing[0].shutdown(socket.SHUT_WR)
+            b.established[0].shutdown(socket.SHUT_WR)
         else:
             c.send("reset")
         if side == "client":
@@ -138,7 +138,7 @@
 
 
 def test_a_draining_endpoint_gets_nothing_new_and_its_clients_are_migrated(tmp_path: Path) -> None:
-    a, b = Backend("a"), Backend("b")
+    a, b = EndpointServer("a"), EndpointServer("b")
     with world(tmp_path, [a, b]) as w:
         clients = [w.client() for _ in range(8)]
         names = [c.ask(ident=f"{k}") for k, c in enumerate(clients)]
@@ -153,11 +153,11 @@
 
 
 def test_an_established_connection_that_goes_silent_is_migrated_in_time(tmp_path: Path) -> None:
-    b = Backend("a")
+    b = EndpointServer("a")
     with world(tmp_path, [b]) as w:
         c = w.client()
         assert c.ask() == "UP a"
-        b.standing.clear()  # from now on it echoes nothing
+        b.established.clear()  # from now on it echoes nothing
         c.send("are you there")
         began = time.time()
         assert [c.line(), c.line()] == ["MOVE", ""]
@@ -165,21 +165,21 @@
 
 
 def test_a_move_waits_for_the_end_of_a_line(tmp_path: Path) -> None:
-    b = Backend("a")
+    b = EndpointServer("a")
     with world(tmp_path, [b]) as w:
         c = w.client()
         assert c.ask() == "UP a"
-        b.standing[0].sendall(b"half of")
+        b.established[0].sendall(b"half of")
         wait_for(lambda: c.sock.recv(16, socket.MSG_PEEK) == b"half of")
         w.process.send_signal(signal.SIGTERM)
         wait_for(lambda: "leaving" in w.log.read_text())
         time.sleep(0.45)  # the balancer migrates it meanwhile
-        b.standing[0].sendall(b" a line\r\n")
+        b.established[0].sendall(b" a line\r\n")
         assert [c.line(), c.line(), c.line()] == ["half of a line", "MOVE", ""]
 
 
 def test_a_connection_from_before_the_run_stays_where_it_is(tmp_path: Path) -> None:
-    a, b = Backend("a"), Backend("b")
+    a, b = EndpointServer("a"), EndpointServer("b")
     with world(tmp_path, [a, b]) as w:
         for k in range(6):
             assert w.client().ask(f"c=live,d=4294967,g=1,at=s-{'ab'[k % 2]}") == f"UP {'ab'[k % 2]}"
@@ -187,7 +187,7 @@
 
 
 def test_sigterm_answers_all_moves_all_and_ends(tmp_path: Path) -> None:
-    b = Backend("a")
+    b = EndpointServer("a")
     with world(tmp_path, [b]) as w:
         clients = [w.client() for _ in range(10)]
         assert {c.ask() for c in clients} == {"UP a"}
@@ -205,7 +205,7 @@
 
 
 def test_the_watch_goes_on_at_once_and_survives_bad_answers(tmp_path: Path) -> None:
-    a, b = Backend("a"), Backend("b")
+    a, b = EndpointServer("a"), EndpointServer("b")
     with world(tmp_path, [a]) as w:
         d = w.discovery
         d.garbage += [b"nonsense\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n[1,2}"]
@@ -233,7 +233,7 @@
 
 def test_bad_entries_of_a_list_don_t_take_the_good_ones_with_them(tmp_path: Path) -> None:
     """One such entry once made the whole list unreadable, or raised where the backend was dialled."""
-    a, b, c = Backend("a"), Backend("b"), Backend("c")
+    a, b, c = EndpointServer("a"), EndpointServer("b"), EndpointServer("c")
     with world(tmp_path, [a, c]) as w:
         bad_c = c.entry | {"weight": None}  # what was announced of it last still holds
         listing = {"version": 9, "full": True, "servers": [*BAD_ENTRIES, b.entry, bad_c]}
@@ -248,7 +248,7 @@
 @pytest.mark.parametrize(("pause", "answer"), [(0.15, "UP a"), (9.0, "ERR")])
 def test_a_slow_writer_is_served_and_a_silent_one_is_not(tmp_path: Path, pause: float, answer: str) -> None:
     """Both once had 2.5 s from their first byte."""
-    with world(tmp_path, [Backend("a")]) as w:
+    with world(tmp_path, [EndpointServer("a")]) as w:
         c, line, began = w.client(), b"OPEN 1 2 c=live,d=900\r\n", time.monotonic()
         for k in range(len(line)):
             c.sock.sendall(line[k : k + 1])
@@ -261,22 +261,22 @@
 
 def test_a_move_waits_for_the_end_of_a_line_that_comes_slowly(tmp_path: Path) -> None:
     """A connection whose backend was half through a line was reset after 0.5 s."""
-    a, admin_address = Backend("a"), f"127.0.0.1:{free_port()}"
+    a, admin_address = EndpointServer("a"), f"127.0.0.1:{free_port()}"
     with world(tmp_path, [a], console=admin_address) as w:
         c = w.client()
         assert c.ask() == "UP a"
-        a.standing[0].sendall(b"half ")
+        a.established[0].sendall(b"half ")
         assert c.sock.recv(5) == b"half "
         assert call(admin_address, "out-of-service") == 200
         wait_for(lambda: w.counters().get("moved") == "1")
         time.sleep(0.7)
-        a.standing[0].sendall(b"a line\r\n")
+        a.established[0].sendall(b"a line\r\n")
         assert [c.line(), c.line(), c.line()] == ["a line", "MOVE", ""]
 
 
 def test_a_discovery_short_of_capacity_is_polled_less_often_and_for_changes_only(tmp_path: Path) -> None:
     """Every node once polled it for the full list every 0.1 s, and none was answered for seconds."""
-    a, b = Backend("a"), Backend("b")
+    a, b = EndpointServer("a"), EndpointServer("b")
     with world(tmp_path, [a], settings=SETTINGS | {"MembershipMode": "on_request"}) as w:
         calls = w.discovery.calls
         wait_for(lambda: any("index" in path for _, path in list(calls)))
@@ -295,7 +295,7 @@
 
 def test_probes_that_answer_nonsense_leave_a_backend_in_use(tmp_path: Path) -> None:
     loads = ["x0=nan,inflight=-1", "x0=1e999", "", "x0=0.1\r\nPONG x0=9.0", "x" * 5000]
-    made = [Backend(str(k), load=load) for k, load in enumerate(loads)]
+    made = [EndpointServer(str(k), load=load) for k, load in enumerate(loads)]
     with world(tmp_path, made) as w:
         seen: set[str] = set()
 
--- a/tests/test_observer_cluster.py
+++ b/tests/test_observer_cluster.py
@@ -17,12 +17,12 @@
 from gradegap.store import wire
 from gradegap.store.records import KeyUpdate
 from tests.cluster import Cluster
-from tests.resume_world import ResumeBackend, SaveStore
+from tests.resume_world import ResumableEndpointServer, SaveStore
 from tests.test_admin_api import answer
 from tests.test_admin_api import call as plain_call
 from tests.test_resume import ON as RESUME
 from tests.test_resume import opened, returned, token_of
-from tests.world import BUSY_MACHINE, Backend, World, free_port, wait_for
+from tests.world import BUSY_MACHINE, EndpointServer, World, free_port, wait_for
 
 LEVEL_WITHIN = 10.0  # s after a fault, within which nodes have to be level again
 
@@ -49,7 +49,7 @@
 
     def __init__(self, folder: Path, stack: ExitStack) -> None:
         self.folder, self.stack = folder, stack
-        self.backends = [Backend("a"), Backend("b")]
+        self.endpoint_servers = [EndpointServer("a"), EndpointServer("b")]
         self.machines = Machines(folder)
         self.consoles: dict[str, str] = {}
         self.nodes: dict[str, World] = {}
@@ -69,7 +69,7 @@
         self.consoles.setdefault(name, f"127.0.0.1:{free_port()}")
         config = {"name": name, "console": self.consoles[name]} | config
         temporary = {"TMPDIR": str(self.folder / name)}
-        made = World(folder, self.backends, self.observer(more), temporary, **config)
+        made = World(folder, self.endpoint_servers, self.observer(more), temporary, **config)
         self.stack.callback(self.end, made)
         self.nodes[name] = made
         return made
@@ -154,11 +154,11 @@
     began = time.monotonic()
     assert call(fleet.consoles[alive], "save-servers/s-a/offline") == 200
     print(f"the yes came {time.monotonic() - began:.2f} s after the node was stopped")
-    opens = len(fleet.backends[0].opens)
+    opens = len(fleet.endpoint_servers[0].opens)
     stopped.process.send_signal(signal.SIGCONT)
     said = late.line()
     assert said == "UP b" or said.startswith("BUSY"), said
-    assert len(fleet.backends[0].opens) == opens
+    assert len(fleet.endpoint_servers[0].opens) == opens
     wait_for(stopped.ready, 15.0)
     assert fleet.served_by("node1") == {"UP b"}
 
@@ -255,7 +255,7 @@
     fleet.machines.kill(machine)
     fleet.machines.start(machine)
     fleet.put(KeyUpdate("out/s-a", {"at_ms": 1}), among=fleet.machines.others(machine))
-    opens = len(fleet.backends[0].opens)
+    opens = len(fleet.endpoint_servers[0].opens)
     late = [node.client() for _ in range(3)]
     for client in late:
         client.send("OPEN late1 k c=live,d=9000")
@@ -263,7 +263,7 @@
     for client in late:
         said = client.line()
         assert said == "UP b" or said.startswith("BUSY"), said
-    assert len(fleet.backends[0].opens) == opens
+    assert len(fleet.endpoint_servers[0].opens) == opens
     wait_for(node.ready, 20.0)
     wait_for(lambda: fleet.served_by("node1") == {"UP b"})
 
@@ -307,7 +307,7 @@
 def test_a_session_resumes_at_another_node_that_subscribes(fleet: Fleet) -> None:
     """The ring of keys reaches nodes as configuration does, and claims go over the same connection."""
     saves = SaveStore()
-    fleet.backends = [ResumeBackend(name, saves) for name in "ab"]
+    fleet.endpoint_servers = [ResumableEndpointServer(name, saves) for name in "ab"]
     fleet.machines.start_all()
     fleet.put(KeyUpdate(KEY_RING_KEY, msgspec.to_builtins(KeyRing().rotated(1))))
     for name in ("node1", "node2"):
--- a/tests/test_quic.py
+++ b/tests/test_quic.py
@@ -28,7 +28,7 @@
 from gradegap.quic.listener import CloseCode
 from tests.lossy import Lossy
 from tests.test_admin_api import call
-from tests.world import BUSY_MACHINE, Backend, World, free_port, fresh_id, wait_for, world
+from tests.world import BUSY_MACHINE, EndpointServer, World, free_port, fresh_id, wait_for, world
 
 
 def make_certificate(folder: Path, days: int = 1) -> None:
@@ -126,7 +126,7 @@
 
 @contextmanager
 def quic_world(
-    folder: Path, backends: list[Backend], more: str = "", at: int = 0, **config: Any
+    folder: Path, endpoint_servers: list[EndpointServer], more: str = "", at: int = 0, **config: Any
 ) -> Iterator[tuple[World, int]]:
     make_certificate(folder)
     port = at or free_port(socket.SOCK_DGRAM)
@@ -137,13 +137,13 @@
 {more}
 """
     shared = str(folder.parent if at else folder)
-    with world(folder, backends, operator, env={"TMPDIR": shared}, **config) as w:
+    with world(folder, endpoint_servers, operator, env={"TMPDIR": shared}, **config) as w:
         yield w, port
 
 
 @pytest.mark.parametrize("new_id", [False, True])
 def test_migrated_clients_keep_their_server_and_open_no_new_req(tmp_path: Path, new_id: bool) -> None:
-    a, b = Backend("a"), Backend("b")
+    a, b = EndpointServer("a"), EndpointServer("b")
     with quic_world(tmp_path, [a, b]) as (w, port):
         clients = [QuicClient(port) for _ in range(6)]
         names = [c.ask(ident=f"{k}") for k, c in enumerate(clients)]
@@ -166,7 +166,7 @@
         assert [*a.opens, *b.opens] == opens and len(opens) == 6
         assert before["taken"] == after["taken"] == "6" and before["sent"] == after["sent"]
         assert int(after["quic_migrations"]) >= 12
-        assert len(a.standing) + len(b.standing) == 6
+        assert len(a.established) + len(b.established) == 6
 
 
 @pytest.mark.parametrize(
@@ -180,7 +180,7 @@
 def test_answers_come_in_time_then_a_close_with_their_code(
     tmp_path: Path, answer: str, said: str, code: CloseCode
 ) -> None:
-    b = Backend("a", answer)
+    b = EndpointServer("a", answer)
     with quic_world(tmp_path, [b]) as (w, port):
         c, began = QuicClient(port), time.time()
         assert re.fullmatch(said, c.ask("c=live,d=900,g=1"))
@@ -202,7 +202,7 @@
     ],
 )
 def test_garbage_on_the_stream_gets_one_failure_line(tmp_path: Path, raw: bytes) -> None:
-    b = Backend("a")
+    b = EndpointServer("a")
     with quic_world(tmp_path, [b]) as (w, port):
         c = QuicClient(port)
         c.send(raw)
@@ -212,7 +212,7 @@
 
 
 def test_ids_that_were_never_issued_reach_nobody(tmp_path: Path) -> None:
-    b = Backend("a")
+    b = EndpointServer("a")
     with quic_world(tmp_path, [b]) as (w, port):
         c = QuicClient(port)
         assert c.ask() == "UP a"
@@ -232,7 +232,7 @@
 
 
 def test_an_id_whose_backend_drains_stays_and_is_moved_and_nothing_new_goes_there(tmp_path: Path) -> None:
-    a, b = Backend("a"), Backend("b")
+    a, b = EndpointServer("a"), EndpointServer("b")
     with quic_world(tmp_path, [a, b]) as (w, port):
         clients = [QuicClient(port) for _ in range(8)]
         names = [c.ask(ident=f"{k}") for k, c in enumerate(clients)]
@@ -256,7 +256,7 @@
 
 @pytest.mark.parametrize("who", ["client", "backend"])
 def test_the_end_of_one_side_ends_the_other(tmp_path: Path, who: str) -> None:
-    b = Backend("a")
+    b = EndpointServer("a")
     with quic_world(tmp_path, [b]) as (_, port):
         c = QuicClient(port)
         assert c.ask() == "UP a"
@@ -264,12 +264,12 @@
             c.send(b"last\r\n", end=True)
             wait_for(lambda: b.ended == ["end"] and b.lines[-1][1] == "last")
         else:
-            b.standing[0].shutdown(socket.SHUT_WR)
+            b.established[0].shutdown(socket.SHUT_WR)
         assert c.code() is CloseCode.SERVED
 
 
 def test_a_client_that_closes_abandons_its_fetch(tmp_path: Path) -> None:
-    b = Backend("a", "silence")
+    b = EndpointServer("a", "silence")
     with quic_world(tmp_path, [b]) as (w, port):
         c = QuicClient(port)
         c.send(b"OPEN 1 2 c=live,d=1700,g=1\r\n")
@@ -281,7 +281,7 @@
 
 
 def test_a_node_that_leaves_moves_its_quic_sessions(tmp_path: Path) -> None:
-    b = Backend("a")
+    b = EndpointServer("a")
     with quic_world(tmp_path, [b]) as (w, port):
         clients = [QuicClient(port) for _ in range(3)]
         assert {c.ask() for c in clients} == {"UP a"}
@@ -294,7 +294,7 @@
 
 def test_a_node_out_of_service_moves_its_quic_sessions_and_serves_them_again(tmp_path: Path) -> None:
     console = f"127.0.0.1:{free_port()}"
-    with quic_world(tmp_path, [Backend("a")], console=console) as (_w, port):
+    with quic_world(tmp_path, [EndpointServer("a")], console=console) as (_w, port):
         c = QuicClient(port)
         assert c.ask() == "UP a"
         assert call(console, "out-of-service") == 200
@@ -311,7 +311,7 @@
 
 def test_a_second_process_takes_the_port_and_no_session_is_reset(tmp_path: Path) -> None:
     """Sessions can't pass, as their keys are the library's own: the first keeps them and hears of them."""
-    a = Backend("a")
+    a = EndpointServer("a")
     with quic_world(tmp_path, [a]) as (w, port):
         old = [QuicClient(port) for _ in range(6)]
         assert {c.ask(ident=f"old{k}") for k, c in enumerate(old)} == {"UP a"}
@@ -337,7 +337,7 @@
 
 
 def test_a_first_process_reads_its_port_again_where_the_second_has_died(tmp_path: Path) -> None:
-    a = Backend("a")
+    a = EndpointServer("a")
     with quic_world(tmp_path, [a]) as (w, port):
         old = QuicClient(port)
         assert old.ask() == "UP a"
@@ -360,7 +360,7 @@
 
 
 def test_a_second_process_that_a_stopped_one_was_before_goes_on_without_it(tmp_path: Path) -> None:
-    a = Backend("a")
+    a = EndpointServer("a")
     with quic_world(tmp_path, [a]) as (w, port):
         old = QuicClient(port)
         assert old.ask() == "UP a"
@@ -383,7 +383,7 @@
 
 def test_a_node_started_anew_resets_what_it_no_longer_knows(tmp_path: Path) -> None:
     """Without a store the ring is new, too: then nothing is proven, and nobody is reset by a guess."""
-    a = Backend("a")
+    a = EndpointServer("a")
     with quic_world(tmp_path, [a]) as (w, port):
         old = QuicClient(port)
         assert old.ask() == "UP a"
@@ -401,7 +401,7 @@
 
 
 def test_a_new_certificate_is_shown_to_who_comes_next(tmp_path: Path) -> None:
-    with quic_world(tmp_path, [Backend("a")]) as (w, port):
+    with quic_world(tmp_path, [EndpointServer("a")]) as (w, port):
 
         def shown(c: QuicClient) -> int:
             certificate = c.quic.tls._peer_certificate
@@ -431,7 +431,7 @@
 
 def test_traces_and_secrets_are_written_where_the_operator_says(tmp_path: Path) -> None:
     more = f'qlog = "{tmp_path}/qlog"\nkeylog = "{tmp_path}/keys.log"'
-    with quic_world(tmp_path, [Backend("a")], more) as (w, port):
+    with quic_world(tmp_path, [EndpointServer("a")], more) as (w, port):
         c = QuicClient(port)
         assert c.ask() == "UP a"
         c.send(b"BYE\r\n", end=True)
@@ -448,7 +448,7 @@
     """Ten clients through a network of that kind, half of which change their address. All are heard
     in turn: one that is left alone takes the time for the network's."""
     with (
-        quic_world(tmp_path, [Backend("a"), Backend("b")]) as (w, port),
+        quic_world(tmp_path, [EndpointServer("a"), EndpointServer("b")]) as (w, port),
         Lossy(("127.0.0.1", port), 7, 0.1, 0.1, 0.1) as way,
     ):
         clients: list[QuicClient] = []
@@ -479,7 +479,7 @@
 
 
 def test_streams_of_one_connection_are_sessions_of_their_own(tmp_path: Path) -> None:
-    a, b = Backend("a"), Backend("b")
+    a, b = EndpointServer("a"), EndpointServer("b")
     with quic_world(tmp_path, [a, b]) as (w, port):
         c = Client(("127.0.0.1", port), "gradegap/1")
         numbers = [4 * k for k in range(8)]
@@ -520,7 +520,7 @@
 
 
 def test_more_streams_than_one_client_may_have_are_refused_one_by_one(tmp_path: Path) -> None:
-    with quic_world(tmp_path, [Backend("a")]) as (w, port):
+    with quic_world(tmp_path, [EndpointServer("a")]) as (w, port):
         c = Client(("127.0.0.1", port), "gradegap/1")
         numbers = [4 * k for k in range(40)]
         for n in numbers:
@@ -532,7 +532,7 @@
 
 
 def test_much_data_both_ways_stays_whole(tmp_path: Path) -> None:
-    b = Backend("a")
+    b = EndpointServer("a")
     with quic_world(tmp_path, [b]) as (_, port):
         c = QuicClient(port)
         assert c.ask() == "UP a"
@@ -543,14 +543,14 @@
 
 
 def test_a_client_that_must_prove_its_address_is_served_all_the_same(tmp_path: Path) -> None:
-    with quic_world(tmp_path, [Backend("a")], "retry_from = 0") as (w, port):
+    with quic_world(tmp_path, [EndpointServer("a")], "retry_from = 0") as (w, port):
         assert QuicClient(port).ask() == "UP a"
         assert w.counters()["quic_retries"] == "1"
 
 
 def test_a_client_that_shakes_hands_and_says_nothing_is_closed_in_time(tmp_path: Path) -> None:
     """Its late first line was once answered on a stream that there was not: it stayed until its idle time."""
-    with quic_world(tmp_path, [Backend("a")]) as (w, port):
+    with quic_world(tmp_path, [EndpointServer("a")]) as (w, port):
         c = QuicClient(port)
         assert c.code() is CloseCode.BAD_LINE and c.data == b""
         wait_for(lambda: w.counters()["quic_connections"] == "0")
@@ -558,7 +558,7 @@
 
 
 def test_first_packets_that_nothing_can_be_made_of_are_forgotten(tmp_path: Path) -> None:
-    with quic_world(tmp_path, [Backend("a")]) as (w, port):
+    with quic_world(tmp_path, [EndpointServer("a")]) as (w, port):
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             for _ in range(20):
                 head = b"\xc0\x00\x00\x00\x01\x08" + os.urandom(8) + b"\x08" + os.urandom(8) + b"\x00"
@@ -570,11 +570,11 @@
 
 
 def test_a_client_that_reads_nothing_holds_its_backend_back(tmp_path: Path) -> None:
-    b = Backend("a")
+    b = EndpointServer("a")
     with quic_world(tmp_path, [b]) as (w, port):
         c = QuicClient(port)
         assert c.ask() == "UP a"
-        sock, sent = b.standing[0], 0
+        sock, sent = b.established[0], 0
         # No timeout is set: it would be the stand-in's reading thread's too, which then ends the connection.
         while select.select([], [sock], [], 0.3)[1]:
             sent += sock.send(b"y" * 65536, socket.MSG_DONTWAIT)
--- a/tests/test_quic_conformance.py
+++ b/tests/test_quic_conformance.py
@@ -13,11 +13,11 @@
 from conformance.quic.cases import CASES, Case, Target
 from conformance.quic.suite import run
 from tests.test_quic import quic_world
-from tests.world import ROOT, Backend
+from tests.world import ROOT, EndpointServer
 
 
 def test_the_front_keeps_every_case(tmp_path: Path) -> None:
-    with quic_world(tmp_path, [Backend("a")], "retry_from = 1000") as (w, port):
+    with quic_world(tmp_path, [EndpointServer("a")], "retry_from = 1000") as (w, port):
         line = [sys.executable, "-m", "gradegap", "conformance", "quic", f"127.0.0.1:{port}", "--json"]
         done = subprocess.run(line, capture_output=True, text=True, cwd=ROOT, timeout=120)
         found = msgspec.json.decode(done.stdout)
@@ -61,7 +61,7 @@
     before = os.environ.get("PYTHONPATH")
     os.environ["PYTHONPATH"] = f"{tmp_path / 'lib'}:{ROOT}"
     try:
-        with quic_world(tmp_path, [Backend("a")]) as (_, port):
+        with quic_world(tmp_path, [EndpointServer("a")]) as (_, port):
             (result,) = run(Target(("127.0.0.1", port), "gradegap/1"), [chosen(word)])
             assert result.outcome == "fail", result
     finally:
--- a/tests/test_refused.py
+++ b/tests/test_refused.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from tests.world import ROOT, Backend, wait_for, world
+from tests.world import ROOT, EndpointServer, wait_for, world
 
 pytestmark = pytest.mark.skipif(platform.machine() != "x86_64", reason="the filter is written for x86_64")
 LAUNCHER = [str(ROOT / "tests" / "refused.py")]
@@ -24,7 +24,7 @@
 def test_a_node_under_the_fleets_filter_serves_and_ends(tmp_path: Path) -> None:
     # It reports no load: one of 40 connections at 0.05 leaves three nodes' 450 no certain room once a probe
     # shows it, and whether a probe comes before the last client asks is the machine's speed.
-    b = Backend("a", load="x0=0.0,inflight=0")
+    b = EndpointServer("a", load="x0=0.0,inflight=0")
     capture = f'[capture]\nfolder = "{tmp_path / "capture"}"\nstate_s = 1.0\n'
     env = {"TMPDIR": str(tmp_path)}  # the hot restart's socket is made, and nobody comes to it
     with world(tmp_path, [b], capture, env, launcher=LAUNCHER) as w:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -14,7 +14,7 @@
 from gradegap.balancing.actions import CheckHealth
 from gradegap.balancing.events import AttemptResult, TimerFired
 from tests.helpers import CLASS, Driver, sends, settings
-from tests.world import SETTINGS, Backend, DiscoveryServer, World, wait_for, world
+from tests.world import SETTINGS, DiscoveryServer, EndpointServer, World, wait_for, world
 
 
 def rewrite(w: World, **changes: Any) -> None:
@@ -26,7 +26,7 @@
 @pytest.mark.parametrize("by_environment", [False, True])
 def test_each_reload_changes_over_to_another_discovery(tmp_path: Path, by_environment: bool) -> None:
     """SIGHUP once ended the process; the environment's address must not hide the file's newer one."""
-    made = [Backend(name) for name in "abc"]
+    made = [EndpointServer(name) for name in "abc"]
     env = {"NODE_DISCOVERY": ""}
     with world(tmp_path, made[:1], env=env if by_environment else None) as w:
         assert w.client().ask() == "UP a"
@@ -49,7 +49,7 @@
 
 
 def test_the_last_list_is_kept_until_the_new_address_sends_one(tmp_path: Path) -> None:
-    a, b = Backend("a"), Backend("b")
+    a, b = EndpointServer("a"), EndpointServer("b")
     with world(tmp_path, [a]) as w:
         established = w.client()
         assert established.ask() == "UP a"
@@ -106,7 +106,7 @@
 
 def test_a_bad_file_changes_nothing(tmp_path: Path) -> None:
     """What a file lacked was once filled with defaults: one attempt, a class without a deadline."""
-    with world(tmp_path, [Backend("a")]) as w:
+    with world(tmp_path, [EndpointServer("a")]) as w:
         good = w.config.read_text()
         for count, bad in enumerate(BAD, 1):
             text = (
@@ -129,7 +129,7 @@
 
 def test_each_reload_holds_for_who_comes_next_and_no_other(tmp_path: Path) -> None:
     """Classes come and go, and attempts get fewer; a request under way keeps what it began with."""
-    a, b = Backend("a", answer="reset"), Backend("b", answer="silence")
+    a, b = EndpointServer("a", answer="reset"), EndpointServer("b", answer="silence")
     with world(tmp_path, [a, b]) as w:
         rewrite(w, **lane(HardLimitNs=3_000_000_000, AimNs=2_000_000_000, Idempotency="unsafe"))
         wait_for(lambda: w.counters().get("reloads") == "1")
@@ -146,7 +146,7 @@
 
 
 def test_a_reload_changes_classes_for_who_comes_next(tmp_path: Path) -> None:
-    with world(tmp_path, [Backend("a")]) as w:
+    with world(tmp_path, [EndpointServer("a")]) as w:
         assert w.client().ask("c=new,d=900") == "ERR"
         lanes = SETTINGS["Lanes"] + [SETTINGS["Lanes"][0] | {"Name": "new"}]
         rewrite(w, settings=SETTINGS | {"Lanes": lanes})
@@ -154,7 +154,7 @@
 
 
 def test_reloads_beside_sigterm_don_t_change_how_the_node_leaves(tmp_path: Path) -> None:
-    with world(tmp_path, [Backend("a")]) as w:
+    with world(tmp_path, [EndpointServer("a")]) as w:
         c = w.client()
         assert c.ask() == "UP a"
         w.process.send_signal(signal.SIGHUP)
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -16,9 +16,9 @@
 from gradegap.client import Session, SessionEndedError
 from gradegap.resume.token import KEY_RING_KEY, KeyRing
 from gradegap.store.member_client import MemberClient
-from tests.resume_world import ResumeBackend, SaveStore
+from tests.resume_world import ResumableEndpointServer, SaveStore
 from tests.test_quic import QuicClient, quic_world
-from tests.world import BUSY_MACHINE, Backend, Client, World, free_port, fresh_id, wait_for, world
+from tests.world import BUSY_MACHINE, Client, EndpointServer, World, free_port, fresh_id, wait_for, world
 
 ON = "[resume]\n"
 
@@ -51,7 +51,7 @@
 
 def test_a_session_answers_in_order_and_goes_on_after_a_move(tmp_path: Path) -> None:
     store = SaveStore()
-    a, b = ResumeBackend("a", store), ResumeBackend("b", store)
+    a, b = ResumableEndpointServer("a", store), ResumableEndpointServer("b", store)
 
     async def main(w: World) -> None:
         session = await Session.open([w.address], key="7f3a")
@@ -81,8 +81,8 @@
     tmp_path: Path, dies: str
 ) -> None:
     store = SaveStore()
-    servers = [ResumeBackend("a", store), ResumeBackend("b", store)]
-    backends: list[Backend] = [*servers]
+    servers = [ResumableEndpointServer("a", store), ResumableEndpointServer("b", store)]
+    endpoint_servers: list[EndpointServer] = [*servers]
 
     async def main(w: World) -> None:
         session = await Session.open([w.address])
@@ -99,14 +99,14 @@
         assert session.reconnects == 0
         await session.close()
 
-    with world(tmp_path, backends, ON) as w:
+    with world(tmp_path, endpoint_servers, ON) as w:
         run(main(w))
 
 
 def test_a_node_that_is_killed_is_come_back_to(tmp_path: Path) -> None:
     """Without a store the ring is the node's own, and dies with it; with one the token is good anywhere."""
     store = SaveStore()
-    a = ResumeBackend("a", store)
+    a = ResumableEndpointServer("a", store)
     ports = [free_port(), free_port()]
 
     def operator(folder: Path, k: int) -> str:
@@ -143,7 +143,7 @@
 
 
 def test_a_token_works_once(tmp_path: Path) -> None:
-    a = ResumeBackend("a", SaveStore())
+    a = ResumableEndpointServer("a", SaveStore())
     with world(tmp_path, [a], ON) as w:
         first = w.client()
         token = token_of(opened(first))
@@ -178,7 +178,7 @@
 def test_a_bad_token_is_refused_at_once_and_reaches_no_server(
     tmp_path: Path, change: Any, key: str, reason: str
 ) -> None:
-    a = ResumeBackend("a", SaveStore())
+    a = ResumableEndpointServer("a", SaveStore())
     with world(tmp_path, [a], ON) as w:
         token = token_of(opened(w.client()))
         opens = len(a.opens)
@@ -189,7 +189,7 @@
 
 
 def test_a_client_that_lies_about_its_position_harms_itself_alone(tmp_path: Path) -> None:
-    with world(tmp_path, [ResumeBackend("a", SaveStore())], ON) as w:
+    with world(tmp_path, [ResumableEndpointServer("a", SaveStore())], ON) as w:
         c = w.client()
         token = token_of(opened(c))
         c.send("Q 1 x")
@@ -207,7 +207,7 @@
 def test_who_does_not_know_it_sees_today_s_lines_to_the_byte(
     tmp_path: Path, on: bool, knows: bool, offers: bool
 ) -> None:
-    a = ResumeBackend("a", SaveStore(), knows)
+    a = ResumableEndpointServer("a", SaveStore(), knows)
     with world(tmp_path, [a], ON if on else None) as w:
         c = w.client()
         said = opened(c) if offers else c.ask("c=live,d=1500,g=1")
@@ -222,7 +222,7 @@
 
 
 def test_only_a_node_says_whose_a_session_is(tmp_path: Path) -> None:
-    a = ResumeBackend("a", SaveStore())
+    a = ResumableEndpointServer("a", SaveStore())
     with world(tmp_path, [a], ON) as w:
         assert w.client().ask("c=live,d=1500,rs=1,rn=somebody.7") == "ERR"
         assert w.client().ask("c=live,d=1500,rn=somebody.7") == "ERR" and not a.opens
@@ -230,7 +230,7 @@
 
 def test_a_server_that_does_not_know_it_can_t_take_a_session_over(tmp_path: Path) -> None:
     store = SaveStore()
-    a, plain = ResumeBackend("a", store), Backend("b")
+    a, plain = ResumableEndpointServer("a", store), EndpointServer("b")
 
     async def main(w: World) -> None:
         session = await Session.open([w.address])
@@ -249,7 +249,7 @@
 
 def test_a_frozen_server_that_goes_on_is_fenced(tmp_path: Path) -> None:
     store = SaveStore()
-    a, b = ResumeBackend("a", store), ResumeBackend("b", store)
+    a, b = ResumableEndpointServer("a", store), ResumableEndpointServer("b", store)
     with world(tmp_path, [a, b], ON) as w:
         c = w.client()
         said = opened(c)
@@ -272,7 +272,7 @@
 
 
 def test_a_client_whose_window_is_full_is_held_back(tmp_path: Path) -> None:
-    a = ResumeBackend("a", SaveStore())
+    a = ResumableEndpointServer("a", SaveStore())
     with world(tmp_path, [a], ON) as w:
         c = w.client()
         token_of(opened(c))
@@ -285,7 +285,7 @@
 
 def test_a_drain_under_load_moves_sessions_in_place_without_a_gap(tmp_path: Path) -> None:
     store = SaveStore()
-    a, b = ResumeBackend("a", store), ResumeBackend("b", store)
+    a, b = ResumableEndpointServer("a", store), ResumableEndpointServer("b", store)
     gaps: list[float] = []
 
     async def player(w: World, number: int, ended: asyncio.Event) -> Session:
@@ -326,7 +326,7 @@
 
 def test_a_session_that_no_server_takes_in_place_returns_with_a_new_token(tmp_path: Path) -> None:
     store = SaveStore()
-    a, plain = ResumeBackend("a", store), Backend("b")
+    a, plain = ResumableEndpointServer("a", store), EndpointServer("b")
     with world(tmp_path, [a], ON) as w:
         c = w.client()
         token = token_of(opened(c))
@@ -350,7 +350,7 @@
 
 def test_a_client_that_leaves_while_it_is_moved_leaves_nothing_behind(tmp_path: Path) -> None:
     store = SaveStore()
-    a, silent = ResumeBackend("a", store), Backend("b", "silence")
+    a, silent = ResumableEndpointServer("a", store), EndpointServer("b", "silence")
     with world(tmp_path, [a], ON) as w:
         c = w.client()
         token_of(opened(c))
@@ -364,7 +364,7 @@
 
 def test_a_quic_client_that_changes_its_address_is_moved_in_place(tmp_path: Path) -> None:
     store = SaveStore()
-    a, b = ResumeBackend("a", store), ResumeBackend("b", store)
+    a, b = ResumableEndpointServer("a", store), ResumableEndpointServer("b", store)
     with quic_world(tmp_path, [a, b], ON) as (w, port):
         c = QuicClient(port)
         said = c.ask("c=live,d=1500,g=1,rs=1")
@@ -395,7 +395,7 @@
 
 
 def test_a_client_that_never_acknowledges_is_told_why_it_ends(tmp_path: Path) -> None:
-    a = ResumeBackend("a", SaveStore())
+    a = ResumableEndpointServer("a", SaveStore())
     with world(tmp_path, [a], ON) as w:
         c = w.client()
         token_of(opened(c))
@@ -408,12 +408,12 @@
 def test_a_request_that_ends_every_server_does_not_go_round_for_ever(tmp_path: Path) -> None:
     """Such a session once went from server to server some 300 times a second."""
     store = SaveStore()
-    servers: list[Backend] = [ResumeBackend("a", store), ResumeBackend("b", store)]
+    servers: list[EndpointServer] = [ResumableEndpointServer("a", store), ResumableEndpointServer("b", store)]
     with world(tmp_path, servers, ON) as w:
         c = w.client()
         token_of(opened(c))
         for s in servers:
-            assert isinstance(s, ResumeBackend)
+            assert isinstance(s, ResumableEndpointServer)
             s.dies = "always"
         c.send("Q 1 x")
         line = "T "
--- a/tests/test_resume_many.py
+++ b/tests/test_resume_many.py
@@ -21,7 +21,7 @@
 from gradegap.resume.token import KEY_RING_KEY, KeyRing
 from gradegap.store.member_client import MemberClient
 from gradegap.verification.sessions import Record, from_node, violations
-from tests.resume_world import ResumeBackend, SaveStore
+from tests.resume_world import ResumableEndpointServer, SaveStore
 from tests.store_nodes import Nodes, nodes
 from tests.test_admin_api import call
 from tests.world import World, free_port, world
@@ -100,10 +100,10 @@
 
 def test_sessions_lose_and_double_nothing_while_servers_and_nodes_go(nodes: Nodes) -> None:
     store = SaveStore()
-    a, b, c, d = servers = [ResumeBackend(n, store) for n in "abcd"]
-    nodes.backends = list(servers)
+    a, b, c, d = servers = [ResumableEndpointServer(n, store) for n in "abcd"]
+    nodes.endpoint_servers = list(servers)
 
-    async def tell(backend: ResumeBackend, state: str) -> None:
+    async def tell(backend: ResumableEndpointServer, state: str) -> None:
         alive = [w for w in nodes.node.values() if w.process.poll() is None]
         await asyncio.gather(*(asyncio.to_thread(w.discovery.announce, backend, state=state) for w in alive))
 
@@ -143,7 +143,7 @@
         print(
             f"{answers} answers, {moved} lives given, {sum(s.reconnects for s in players.sessions)} returns"
         )
-        assert moved > SESSIONS and d.standing
+        assert moved > SESSIONS and d.established
 
     nodes.start_all("[resume]\n")
     with MemberClient(nodes.direct["n1"], b"", 10.0) as r:
@@ -154,7 +154,7 @@
 def test_sessions_leave_a_server_that_has_two_seconds(tmp_path: Path) -> None:
     """Taken out by hand it may be stopped after its grace. All are moved in place, and answered on and on."""
     store = SaveStore()
-    a, b = ResumeBackend("a", store), ResumeBackend("b", store)
+    a, b = ResumableEndpointServer("a", store), ResumableEndpointServer("b", store)
     console = f"127.0.0.1:{free_port()}"
 
     def by(server: str, what: str) -> list[Record]:
--- a/tests/test_resume_nodes.py
+++ b/tests/test_resume_nodes.py
@@ -14,7 +14,7 @@
 from gradegap.resume.token_renewal import TokenRenewals
 from gradegap.store.member_client import MemberClient
 from gradegap.verification.sessions import Record, from_node, violations
-from tests.resume_world import ResumeBackend, SaveStore
+from tests.resume_world import ResumableEndpointServer, SaveStore
 from tests.store_nodes import Nodes, nodes
 from tests.test_hot_restart import second
 from tests.test_resume import ON, returned, run, token_of
@@ -24,10 +24,10 @@
 __all__ = ["nodes"]
 
 
-def started(nodes: Nodes) -> tuple[SaveStore, list[ResumeBackend]]:
+def started(nodes: Nodes) -> tuple[SaveStore, list[ResumableEndpointServer]]:
     store = SaveStore()
-    servers = [ResumeBackend(n, store) for n in "ab"]
-    nodes.backends = list(servers)
+    servers = [ResumableEndpointServer(n, store) for n in "ab"]
+    nodes.endpoint_servers = list(servers)
     nodes.start_all(ON)
     with MemberClient(nodes.direct["n1"], b"", 10.0) as r:
         r.set(KEY_RING_KEY, msgspec.to_builtins(KeyRing().rotated(1)))
@@ -164,7 +164,7 @@
 def test_a_session_returns_to_the_process_that_replaced_its_node_s(tmp_path: Path) -> None:
     """Without a store the ring was the first process's own: every token was of an unknown key."""
     store = SaveStore()
-    a = ResumeBackend("a", store)
+    a = ResumableEndpointServer("a", store)
 
     async def main(w: World) -> None:
         sessions = [await Session.open([w.address], key=f"k{k}", placement_timeout=20.0) for k in range(10)]
@@ -221,7 +221,7 @@
 def test_targets_that_die_one_after_the_other_while_a_session_moves(tmp_path: Path) -> None:
     """Each has claimed the session before it dies; it goes on at the one that is left, by return."""
     store = SaveStore()
-    servers = [ResumeBackend(n, store) for n in "abcd"]
+    servers = [ResumableEndpointServer(n, store) for n in "abcd"]
     clients: list[Record] = []
 
     def note(what: str, number: int, text: bytes) -> None:
--- a/tests/test_rude.py
+++ b/tests/test_rude.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.world import BUSY_MACHINE, Backend, Client, World, fresh_id, hard_reset, wait_for, world
+from tests.world import BUSY_MACHINE, Client, EndpointServer, World, fresh_id, hard_reset, wait_for, world
 
 IN_TIME = 3.0 + BUSY_MACHINE
 
@@ -30,7 +30,7 @@
 @pytest.mark.parametrize("said", [b"", b"OPEN 1 2 c=li", b"PING\r\nOP"])
 def test_who_does_not_say_what_it_wants_is_answered_within_three_seconds(tmp_path: Path, said: bytes) -> None:
     """Such connections were once held for 30 s."""
-    with world(tmp_path, [Backend("a")]) as w:
+    with world(tmp_path, [EndpointServer("a")]) as w:
         c, pinged, began = w.client(), w.client(), time.time()
         pinged.send("PING")
         assert pinged.line() == "PONG"
@@ -45,7 +45,7 @@
 
 def test_the_id_of_an_open_req_is_refused_and_never_reaches_a_backend(tmp_path: Path) -> None:
     """The id was once not looked at, and both were served."""
-    b = Backend("a")
+    b = EndpointServer("a")
     with world(tmp_path, [b]) as w:
         ident = fresh_id()
         first = w.client()
@@ -74,7 +74,7 @@
 def test_who_does_not_wait_for_its_answer_gets_a_failure(
     tmp_path: Path, pieces: list[bytes], opens: int
 ) -> None:
-    b = Backend("a", "silence")
+    b = EndpointServer("a", "silence")
     with world(tmp_path, [b]) as w:
         c = w.client()
         c.send(pieces[0].replace(b"%d", fresh_id().encode()))
@@ -91,7 +91,7 @@
 
 def test_one_that_sends_megabytes_costs_neither_memory_nor_others(tmp_path: Path) -> None:
     """The answer must not be lost to a reset, though the client reads it only after all is sent."""
-    with world(tmp_path, [Backend("a")]) as w:
+    with world(tmp_path, [EndpointServer("a")]) as w:
         before = memory_mb(w)
         answers: list[bytes] = []
 
@@ -118,7 +118,7 @@
 def test_descriptors_are_kept_for_those_who_ask(tmp_path: Path) -> None:
     """Hundreds of connections that say nothing once took every descriptor, and who asked got none."""
     limit = 160
-    with world(tmp_path, [Backend("a")], limits={"sockets": limit}) as w:
+    with world(tmp_path, [EndpointServer("a")], limits={"sockets": limit}) as w:
         idle = open_files(w)
         crowd: list[Client] = []
         for k in range(400):
@@ -147,7 +147,7 @@
 
 
 def test_standing_sessions_that_fill_the_node_are_kept_and_the_next_told_to_come_back(tmp_path: Path) -> None:
-    with world(tmp_path, [Backend("a")], limits={"sockets": 160}) as w:
+    with world(tmp_path, [EndpointServer("a")], limits={"sockets": 160}) as w:
         said = ["UP a"]
         clients = []
         while said[-1] == "UP a":
--- a/tests/test_store_node.py
+++ b/tests/test_store_node.py
@@ -18,7 +18,7 @@
 from gradegap.store.wire import Gossip, GossipReport
 from tests.helpers import settings
 from tests.store_nodes import Nodes, call, nodes
-from tests.world import BUSY_MACHINE, Backend, World, free_port, wait_for, world
+from tests.world import BUSY_MACHINE, EndpointServer, World, free_port, wait_for, world
 
 __all__ = ["nodes"]
 
@@ -62,10 +62,10 @@
     assert call(nodes.consoles[away], "save-servers/s-b/offline") == 503
     standing.send("still here")
     assert standing.line() == "still here"
-    opens = sum(len(b.opens) for b in nodes.backends)
+    opens = sum(len(b.opens) for b in nodes.endpoint_servers)
     for _ in range(5):
         assert node.client().ask().startswith("BUSY")
-    assert sum(len(b.opens) for b in nodes.backends) == opens
+    assert sum(len(b.opens) for b in nodes.endpoint_servers) == opens
     counters = node.counters()
     assert int(counters["refused_stale"]) >= 6 and counters["store_fresh"] == "0"
     nodes.relay.heal()
@@ -85,12 +85,12 @@
     for k, sock in enumerate(crowd):
         sock.sendall(f"OPEN crowd{k} k c=live,d=9000,g={k}\r\n".encode())
     alive = nodes.others(away)[0]
-    opens = len(nodes.backends[0].opens)
+    opens = len(nodes.endpoint_servers[0].opens)
     assert call(nodes.consoles[alive], "save-servers/s-a/offline") == 200
     node.process.send_signal(signal.SIGCONT)
     answers = [late.line(), *(sock.makefile("rb").readline().decode().strip() for sock in crowd)]
     assert set(answers) <= {"UP b"} | {a for a in answers if a.startswith("BUSY")}
-    assert len(nodes.backends[0].opens) == opens
+    assert len(nodes.endpoint_servers[0].opens) == opens
     wait_for(node.ready, 15.0)
 
 
@@ -226,7 +226,7 @@
 
 
 def test_a_node_alone_with_a_store_serves_and_remembers(tmp_path: Path) -> None:
-    a, b = Backend("a"), Backend("b")
+    a, b = EndpointServer("a"), EndpointServer("b")
     store, console = f"127.0.0.1:{free_port()}", f"127.0.0.1:{free_port()}"
     operator = f'[store]\nname = "n0"\nlisten = "{store}"\ndata = "{tmp_path / "data"}"\n'
     with world(tmp_path, [a, b], operator, console=console) as w:
--- a/tests/test_watch_schedule.py
+++ b/tests/test_watch_schedule.py
@@ -17,7 +17,7 @@
 from gradegap.discovery.watch_schedule import Mismatch, WatchSchedule
 from tests import helpers
 from tests.silent_discovery import PHASES, SilentDiscovery
-from tests.world import BUSY_MACHINE, SETTINGS, Backend, World, wait_for, world
+from tests.world import BUSY_MACHINE, SETTINGS, EndpointServer, World, wait_for, world
 
 SECOND = 1_000_000_000
 GRACES = (0.25, 0.75, 2.0, 4.0)
@@ -175,7 +175,7 @@
         time.sleep(0.004)
 
 
-def last_open(a: Backend, w: World, d: SilentDiscovery, bound: float) -> float:
+def last_open(a: EndpointServer, w: World, d: SilentDiscovery, bound: float) -> float:
     """Ask without pause until `a` has drained and the bound is over; when `a` was last sent to, in s after it
     began to drain."""
     ended = threading.Event()
@@ -203,7 +203,7 @@
 ) -> None:
     """The watch that was open, or also the call after it, gets so far and no further; its connection stands.
     Once given up after 16 s only: the drain was sent to for as long."""
-    a, b = Backend("a"), Backend("b")
+    a, b = EndpointServer("a"), EndpointServer("b")
     d = SilentDiscovery([a.entry, b.entry], indent=2)
     grace = 2000 if mode == "pushed" else 250
     with world(tmp_path, [a, b], settings=settings(mode, grace), discovery=d.address) as w:
@@ -227,7 +227,7 @@
 ) -> None:
     """A second answer some ms late was taken for the next call's, and one of an older version rolled a drain
     back: the first server said is Ready in it."""
-    a, b = Backend("a"), Backend("b")
+    a, b = EndpointServer("a"), EndpointServer("b")
     d = SilentDiscovery([a.entry, b.entry])
     with world(tmp_path, [a, b], settings=settings("on_request", 250), discovery=d.address) as w:
         wait_for(lambda: any("index" in path for _, path in d.calls))
--- a/tests/world.py
+++ b/tests/world.py
@@ -83,13 +83,13 @@
     sock.shutdown(socket.SHUT_RD)
 
 
-class Backend:
+class EndpointServer:
     """A save server: logs every line it receives, answers OPEN with `answer`, then echoes."""
 
     def __init__(self, name: str, answer: str = "UP {name}", load: str = "x0=0.05,inflight=40") -> None:
         self.name, self.answer, self.load = name, answer, load
         self.lines: list[tuple[float, str]] = []
-        self.standing: list[socket.socket] = []
+        self.established: list[socket.socket] = []
         self.ended: list[str] = []
         self.mute = threading.Event()  # once set, probes are left unanswered
         self.hold = threading.Event()  # no answer to OPEN until it is set
@@ -122,10 +122,10 @@
                     continue
                 if line == "STATS":
                     sock.sendall(f"PONG {self.load}\r\n".encode())
-                elif sock in self.standing and line == "reset":
+                elif sock in self.established and line == "reset":
                     hard_reset(sock)
                     return
-                elif sock in self.standing:
+                elif sock in self.established:
                     sock.sendall(raw)
                 elif line.startswith("OPEN") and self.answer == "reset":
                     hard_reset(sock)
@@ -135,7 +135,7 @@
                     # Noted first: a client that was told UP may ask for its connection at once.
                     stands = answer.startswith("UP")
                     if stands:
-                        self.standing.append(sock)
+                        self.established.append(sock)
                     sock.sendall(answer.format(name=self.name).encode() + b"\r\n")
                     if not stands:
                         break
@@ -202,7 +202,7 @@
             news = {e["id"]: e for version, e in self.changes if version > index}
             return {"version": self.version, "full": False, "servers": list(news.values())}
 
-    def announce(self, backend: Backend, **changes: Any) -> float:
+    def announce(self, backend: EndpointServer, **changes: Any) -> float:
         with self.changed:
             self.version += 1
             self.entries[backend.entry["id"]] = entry = {**backend.entry, **changes}
@@ -264,20 +264,20 @@
 
 
 class World:
-    """A node as a process, with its backends and its discovery."""
+    """A node as a process, with its endpoints and its discovery."""
 
     def __init__(
         self,
         folder: Path,
-        backends: list[Backend],
+        endpoint_servers: list[EndpointServer],
         operator: str | None = None,
         env: dict[str, str] | None = None,
         *,
         launcher: list[str] | None = None,
         **config: Any,
     ) -> None:
-        self.backends = backends
-        self.discovery = DiscoveryServer([b.entry for b in backends])
+        self.endpoint_servers = endpoint_servers
+        self.discovery = DiscoveryServer([b.entry for b in endpoint_servers])
         self.discovery_servers = [self.discovery]
         self.address = str(config.get("listen") or f"127.0.0.1:{free_port()}")
         self.config = path = folder / "config.json"
@@ -305,14 +305,14 @@
 @contextmanager
 def world(
     folder: Path,
-    backends: list[Backend],
+    endpoint_servers: list[EndpointServer],
     operator: str | None = None,
     env: dict[str, str] | None = None,
     *,
     launcher: list[str] | None = None,
     **config: Any,
 ) -> Iterator[World]:
-    made = World(folder, backends, operator, env, launcher=launcher, **config)
+    made = World(folder, endpoint_servers, operator, env, launcher=launcher, **config)
     try:
         wait_for(made.ready, 15.0)
         yield made
