--- a/gradegap/capture/writer.py
+++ b/gradegap/capture/writer.py
@@ -21,7 +21,8 @@
 SUFFIX = ".ggc"
 MEBIBYTE = 1024 * 1024
 
-# Number, clock, event and actions; or number, clock, None and the settings that were adopted.
+# Number, clock, event and actions; or number, clock, None and the settings that were adopted. A plain tuple,
+# since the event loop makes one for each event.
 StepRow = tuple[int, float, Any, Any]
 
 
