--- a/gradegap/balancing/selection.py
+++ b/gradegap/balancing/selection.py
@@ -102,54 +102,45 @@
             self.observer.draw_started(request)
         context = self.context
         if self.attempts.process_ending or context.now >= request.retry_until:
-            return self.attempts.give_up(request)
+            self.attempts.give_up(request)
+            return
         # Attempts would keep an overrun fleet overrun: by the excess of failures, some wait or come again.
-        if context.random() < self.rates.failure_excess(context.now):
-            return self.attempts.wait(request)
-        pair = self._draw_pair(request)
+        overrun = context.random() < self.rates.failure_excess(context.now)
+        pair = None if overrun else self._draw_pair(request)
         if pair is None:
-            return self.attempts.wait(request)
-        if pair[0] is pair[1] or not context.uses_health_checks:
-            return self.decide(request)
-        objective = request.class_settings.latency_objective
-        stale_before = context.now - FRESH_REPORT_SHARE * objective
-        request.pending_health_checks = 0
-        for endpoint in pair:
-            if endpoint.last_report_at < stale_before and self.health_checks.budget > 0:
-                request.pending_health_checks += 1
-                endpoint.waiting_requests.append(request)
-                self.health_checks.send(endpoint)
-        if request.pending_health_checks == 0:
+            self.attempts.wait(request)
+        elif pair[0] is pair[1] or not context.uses_health_checks:
             self.decide(request)
         else:
-            # A request never waits longer than this for a health check that gets no answer.
-            left = request.deadline_at - DEADLINE_MARGIN_S - context.now
-            pause = max(0.0, min(HEALTH_CHECK_WAIT_SHARE * objective, left))
-            context.actions.append(SetTimer(pause, request_token(request.id)))
-        return None
+            self._check_health(pair, request)
 
     def decide(self, request: Request) -> None:
         """Keeps one of the candidates."""
-        context = self.context
-        if context.now >= request.retry_until:  # it waited for its health checks for too long
-            return self.attempts.give_up(request)
+        if self.context.now >= request.retry_until:  # it waited for its health checks for too long
+            self.attempts.give_up(request)
+            return
         assert request.candidates is not None
         first, second = request.candidates
         request.candidates, request.pending_health_checks = None, 0
         # One may have begun to drain, or have been removed, while its health check was under way.
         if first.ready_index < 0 or second.ready_index < 0:
             first = second = second if first.ready_index < 0 else first
-            if first.ready_index < 0:
-                return self.draw(request)
+        if first.ready_index < 0:
+            self.draw(request)
+            return
         chosen = first if first is second else self._two_choices(first, second, request)
-        if context.uses_health_checks:
+        if self.context.uses_health_checks:
             self._forward_if_headroom(chosen, request)
         else:
             self.attempts.forward(request, chosen)
-        return None
 
     def beta(self, older_age: float) -> float:
-        """Returns the probability of a comparison, for reports of which the older has this age in seconds."""
+        """Returns min(1, sqrt(n log n / b)), the probability with which two endpoints are compared.
+
+        Args:
+            older_age: Seconds since the older of their two reports was made. What all proxies have
+                established since then, by the rate of this one, is b.
+        """
         n_log_n = self.registry.n_log_n
         b = self.rates.established.rate(self.context.now) * self.context.settings.proxy_count * older_age
         if b <= n_log_n:
@@ -184,6 +175,25 @@
         else:
             self.draw(request)
 
+    def _check_health(self, pair: tuple[Endpoint, Endpoint], request: Request) -> None:
+        """Checks those of a pair whose reports are old, and decides now or when the results are there."""
+        context = self.context
+        objective = request.class_settings.latency_objective
+        stale_before = context.now - FRESH_REPORT_SHARE * objective
+        request.pending_health_checks = 0
+        for endpoint in pair:
+            if endpoint.last_report_at < stale_before and self.health_checks.budget > 0:
+                request.pending_health_checks += 1
+                endpoint.waiting_requests.append(request)
+                self.health_checks.send(endpoint)
+        if request.pending_health_checks == 0:
+            self.decide(request)
+        else:
+            # A request never waits longer than this for a health check that gets no answer.
+            left = request.deadline_at - DEADLINE_MARGIN_S - context.now
+            pause = max(0.0, min(HEALTH_CHECK_WAIT_SHARE * objective, left))
+            context.actions.append(SetTimer(pause, request_token(request.id)))
+
     def _draw_pair(self, request: Request) -> tuple[Endpoint, Endpoint] | None:
         """Draws two candidates, one and the same where there is no other; None: nothing may be sent to now.
 
@@ -299,14 +309,18 @@
         has_headroom = self.admission.has_headroom(chosen, request)
         if self.observer is not None:
             self.observer.headroom_checked(request, chosen, has_headroom)
-        if not has_headroom or (load is not None and load >= FULL_LOAD):
+        is_full = not has_headroom or (load is not None and load >= FULL_LOAD)
+        if is_full:
             request.fallback_endpoint = chosen
-            waited = self.context.now - request.arrived_at
-            patience = FRESH_REPORT_SHARE * request.class_settings.latency_objective
-            if request.redraws < MAX_REDRAWS and waited < patience:
-                request.redraws += 1
-                return self.draw(request)
-            if not has_headroom:
-                return self.attempts.give_up(request)
-        self.attempts.forward(request, chosen)
-        return None
+        if is_full and self._may_redraw(request):
+            request.redraws += 1
+            self.draw(request)
+        elif not has_headroom:
+            self.attempts.give_up(request)
+        else:
+            self.attempts.forward(request, chosen)
+
+    def _may_redraw(self, request: Request) -> bool:
+        """Returns whether another pair may be drawn, by the number of those before and the time spent."""
+        patience = FRESH_REPORT_SHARE * request.class_settings.latency_objective
+        return request.redraws < MAX_REDRAWS and self.context.now - request.arrived_at < patience
