--- a/conformance/quic/client.py
+++ b/conformance/quic/client.py
@@ -18,9 +18,9 @@
 from aioquic.quic.configuration import QuicConfiguration
 from aioquic.quic.connection import QuicConnection
 
-LEAST = 1200  # octets of a datagram with an Initial
-QUIET = 0.35  # s in which a server that was going to answer has done so
-PATIENCE = 4.0  # s for what must come
+MIN_INITIAL_DATAGRAM_LENGTH = 1200  # octets of a datagram with an Initial
+QUIET_PERIOD_S = 0.35  # s in which a server that was going to answer has done so
+WAIT_TIMEOUT_S = 4.0  # s for what must come
 Address = tuple[str, int]
 
 
@@ -30,12 +30,12 @@
 
 def varint(value: int) -> bytes:
     """An integer in QUIC's variable length (RFC 9000, 16)."""
-    buf = Buffer(capacity=8)
-    buf.push_uint_var(value)
-    return buf.data
+    buffer = Buffer(capacity=8)
+    buffer.push_uint_var(value)
+    return buffer.data
 
 
-class Scripted(QuicConnection):
+class ScriptedConnection(QuicConnection):
     """`frames` go out in the next packet under application keys; `parameters` after the client's own."""
 
     def __init__(self, configuration: QuicConfiguration, parameters: bytes = b"") -> None:
@@ -63,41 +63,45 @@
         buf.seek(at + 8)
 
 
-class Client:
+class ScriptedClient:
     """One connection to the server under test."""
 
     def __init__(
         self,
-        peer: Address,
+        server: Address,
         alpn: str,
         version: int | None = None,
         parameters: bytes = b"",
         token: bytes = b"",
         connect: bool = True,
     ) -> None:
-        self.peer = peer
-        made = QuicConfiguration(
+        self.server = server
+        configuration = QuicConfiguration(
             is_client=True, alpn_protocols=[alpn], verify_mode=ssl.CERT_NONE, token=token
         )
         if version is not None:
-            made.original_version = version
-            made.supported_versions = [version]
-        self.quic = Scripted(made, parameters)
-        self.sock = self.socket()
-        self.data: dict[int, bytes] = {}
-        self.ended: set[int] = set()
-        self.codes: dict[int, int] = {}  # of STOP_SENDING and RESET_STREAM, by stream
-        self.shook = False
-        self.reset = False
-        self.sent = self.received = 0  # octets
-        self.seen: list[bytes] = []  # datagrams that came
-        self.quic.connect(peer, now=time.time())
+            configuration.original_version = version
+            configuration.supported_versions = [version]
+        self.quic = ScriptedConnection(configuration, parameters)
+        self.socket = self.open_socket()
+        self.stream_data: dict[int, bytes] = {}
+        self.ended_streams: set[int] = set()
+        self.error_codes: dict[int, int] = {}  # of STOP_SENDING and RESET_STREAM, by stream
+        self.handshake_completed = False
+        self.reset_received = False
+        self.octets_sent = self.octets_received = 0
+        self.received_datagrams: list[bytes] = []  # datagrams that came
+        self.quic.connect(server, now=time.time())
         if connect:
             # Confirmed, as before that a client must not change its address (RFC 9000, 9; 9001, 4.1.2).
-            self.until(lambda: self.shook and self.quic._handshake_confirmed, "a handshake")
+            self.wait_until(self.is_handshake_confirmed, "a handshake")
+
+    def is_handshake_confirmed(self) -> bool:
+        """Whether the handshake is complete, and confirmed by the server."""
+        return self.handshake_completed and self.quic._handshake_confirmed
 
     @staticmethod
-    def socket() -> socket.socket:
+    def open_socket() -> socket.socket:
         """A datagram socket on loopback."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.bind(("127.0.0.1", 0))
@@ -107,17 +111,17 @@
         """End the connection, and say so."""
         self.quic.close()
         self.flush()
-        self.sock.close()
+        self.socket.close()
 
-    def hop(self, new_id: bool = True) -> None:
+    def change_address(self, new_id: bool = True) -> None:
         """To another address, as a phone on another network."""
-        self.sock.close()
-        self.sock = self.socket()
+        self.socket.close()
+        self.socket = self.open_socket()
         if new_id:
             self.quic.change_connection_id()
 
     @property
-    def closed(self) -> events.ConnectionTerminated | None:
+    def termination(self) -> events.ConnectionTerminated | None:
         """How the connection was ended; None while it was not."""
         return self.quic._close_event
 
@@ -125,93 +129,94 @@
         """Send what is due; the datagrams."""
         out = [data for data, _ in self.quic.datagrams_to_send(now=time.time())]
         for data in out:
-            self.raw(data)
+            self.send_datagram(data)
         return out
 
-    def raw(self, data: bytes) -> None:
+    def send_datagram(self, data: bytes) -> None:
         """Send one datagram as it is."""
-        self.sent += len(data)
-        self.sock.sendto(data, self.peer)
+        self.octets_sent += len(data)
+        self.socket.sendto(data, self.server)
 
-    def hear(self, wait: float) -> bytes | None:
+    def receive(self, wait: float) -> bytes | None:
         """The next datagram, as it is."""
-        if not select.select([self.sock], [], [], max(0.0, wait))[0]:
+        if not select.select([self.socket], [], [], max(0.0, wait))[0]:
             return None
-        data = self.sock.recv(65536)
-        self.received += len(data)
-        self.seen.append(data)
+        data = self.socket.recv(65536)
+        self.octets_received += len(data)
+        self.received_datagrams.append(data)
         known = (self.quic._peer_cid, *self.quic._peer_cid_available)
         if len(data) >= 21 and data[-16:] in {i.stateless_reset_token for i in known} - {b"", None}:
-            self.reset = True
+            self.reset_received = True
         return data
 
-    def step(self, wait: float = 0.01) -> None:
+    def process_once(self, wait: float = 0.01) -> None:
         """Send what is due, and take in one datagram."""
         self.flush()
-        data = self.hear(wait)
-        if data is not None and not self.reset:
-            self.quic.receive_datagram(data, self.peer, now=time.time())
+        data = self.receive(wait)
+        if data is not None and not self.reset_received:
+            self.quic.receive_datagram(data, self.server, now=time.time())
         at = self.quic.get_timer()
         if at is not None and at <= time.time():
             self.quic.handle_timer(now=time.time())
         while (event := self.quic.next_event()) is not None:
             match event:
                 case events.HandshakeCompleted():
-                    self.shook = True
+                    self.handshake_completed = True
                 case events.StreamDataReceived():
-                    self.data[event.stream_id] = self.data.get(event.stream_id, b"") + event.data
+                    received = self.stream_data.get(event.stream_id, b"")
+                    self.stream_data[event.stream_id] = received + event.data
                     if event.end_stream:
-                        self.ended.add(event.stream_id)
+                        self.ended_streams.add(event.stream_id)
                 case events.StopSendingReceived() | events.StreamReset():
-                    self.codes[event.stream_id] = event.error_code
+                    self.error_codes[event.stream_id] = event.error_code
                 case _:
                     pass
 
-    def until(self, true: Callable[[], object], what: str, within: float = PATIENCE) -> None:
+    def wait_until(self, condition: Callable[[], object], what: str, within: float = WAIT_TIMEOUT_S) -> None:
         """Wait for something; `NoResponseError` when it has not come in time."""
         end = time.monotonic() + within
-        while not true():
+        while not condition():
             if time.monotonic() >= end:
                 raise NoResponseError(f"{what} did not come within {within:g} s")
-            self.step()
+            self.process_once()
 
-    def for_a_while(self, length: float = QUIET) -> None:
+    def run_for(self, duration: float = QUIET_PERIOD_S) -> None:
         """Go on for so many seconds, whatever comes."""
-        end = time.monotonic() + length
+        end = time.monotonic() + duration
         while time.monotonic() < end:
-            self.step()
+            self.process_once()
 
-    def frame(self, kind: int, *numbers: int, tail: bytes = b"") -> None:
+    def send_frame(self, kind: int, *numbers: int, tail: bytes = b"") -> None:
         """A frame of integers, with what follows them."""
         self.quic.frames.append((kind, b"".join(varint(n) for n in numbers) + tail))
         self.quic.send_ping(secrets.randbelow(1 << 30))  # something to carry it
         self.flush()
 
-    def answered(self, line: bytes, stream: int = 0) -> bytes:
+    def exchange_line(self, line: bytes, stream: int = 0) -> bytes:
         """A line, and what comes back."""
-        before = len(self.data.get(stream, b""))
+        before = len(self.stream_data.get(stream, b""))
         self.quic.send_stream_data(stream, line)
-        self.until(lambda: b"\n" in self.data.get(stream, b"")[before:], "an answer")
-        return self.data[stream][before:]
+        self.wait_until(lambda: b"\n" in self.stream_data.get(stream, b"")[before:], "an answer")
+        return self.stream_data[stream][before:]
 
-    def alive(self) -> bool:
+    def is_alive(self) -> bool:
         """Whether the connection still serves."""
-        return self.answered(b"PING\r\n").endswith(b"\r\n")
+        return self.exchange_line(b"PING\r\n").endswith(b"\r\n")
 
-    def closed_with(self, code: int) -> None:
+    def expect_close(self, code: int) -> None:
         """The server ends the connection with that transport error."""
-        self.until(lambda: self.closed is not None, f"a close with 0x{code:x}")
-        assert self.closed is not None
-        if self.closed.frame_type is None:
-            raise AssertionError(f"closed by the application, with 0x{self.closed.error_code:x}")
-        if self.closed.error_code != code:
-            raise AssertionError(f"closed with 0x{self.closed.error_code:x}, not 0x{code:x}")
+        self.wait_until(lambda: self.termination is not None, f"a close with 0x{code:x}")
+        assert self.termination is not None
+        if self.termination.frame_type is None:
+            raise AssertionError(f"closed by the application, with 0x{self.termination.error_code:x}")
+        if self.termination.error_code != code:
+            raise AssertionError(f"closed with 0x{self.termination.error_code:x}, not 0x{code:x}")
 
 
-def answers(peer: Address, data: bytes, wait: float = QUIET) -> list[bytes]:
+def exchange_datagram(server: Address, data: bytes, wait: float = QUIET_PERIOD_S) -> list[bytes]:
     """What a datagram from a fresh address brings."""
-    with Client.socket() as sock:
-        sock.sendto(data, peer)
+    with ScriptedClient.open_socket() as sock:
+        sock.sendto(data, server)
         found, end = [], time.monotonic() + wait
         while (left := end - time.monotonic()) > 0:
             if select.select([sock], [], [], left)[0]:
@@ -219,9 +224,9 @@
         return found
 
 
-def first_flight(peer: Address, alpn: str, **how: Any) -> bytes:
+def client_initial(server: Address, alpn: str, **options: Any) -> bytes:
     """A sound first datagram, not sent."""
-    client = Client(peer, alpn, connect=False, **how)
+    client = ScriptedClient(server, alpn, connect=False, **options)
     (data, _), *_ = client.quic.datagrams_to_send(now=time.time())
-    client.sock.close()
+    client.socket.close()
     return data
--- a/tests/test_quic.py
+++ b/tests/test_quic.py
@@ -24,7 +24,7 @@
 from cryptography.hazmat.primitives import hashes, serialization
 from cryptography.hazmat.primitives.asymmetric import ec
 
-from conformance.quic.client import Client
+from conformance.quic.client import ScriptedClient
 from gradegap.quic.listener import CloseCode
 from tests.lossy import Lossy
 from tests.test_admin_api import call
@@ -481,53 +481,57 @@
 def test_streams_of_one_connection_are_sessions_of_their_own(tmp_path: Path) -> None:
     a, b = EndpointServer("a"), EndpointServer("b")
     with quic_world(tmp_path, [a, b]) as (w, port):
-        c = Client(("127.0.0.1", port), "gradegap/1")
+        c = ScriptedClient(("127.0.0.1", port), "gradegap/1")
         numbers = [4 * k for k in range(8)]
         for n in numbers:
             c.quic.send_stream_data(n, f"OPEN {fresh_id()} k{n} c=live,d=1500,g={n}\r\n".encode())
-        c.until(lambda: all(b"\n" in c.data.get(n, b"") for n in numbers), "an answer to each")
-        servers = {n: c.data[n].decode().strip() for n in numbers}
+        c.wait_until(lambda: all(b"\n" in c.stream_data.get(n, b"") for n in numbers), "an answer to each")
+        servers = {n: c.stream_data[n].decode().strip() for n in numbers}
         assert set(servers.values()) == {"UP a", "UP b"} and w.counters()["taken"] == "8"
-        c.hop()
+        c.change_address()
         for n in numbers:
-            assert c.answered(b"hello %d\r\n" % n, n).endswith(b"hello %d\r\n" % n)
+            assert c.exchange_line(b"hello %d\r\n" % n, n).endswith(b"hello %d\r\n" % n)
         # One that the client ends, and one that its backend breaks, end alone.
         ended = next(n for n in numbers if servers[n] == "UP a")
         broken = next(n for n in numbers if servers[n] == "UP b")
         c.quic.send_stream_data(ended, b"", end_stream=True)
-        c.until(lambda: ended in c.ended, "the end of its stream")
+        c.wait_until(lambda: ended in c.ended_streams, "the end of its stream")
         c.quic.send_stream_data(broken, b"reset\r\n")
-        c.until(lambda: broken in c.codes, "a reset of its stream")
-        assert c.codes[broken] == CloseCode.RESET
+        c.wait_until(lambda: broken in c.error_codes, "a reset of its stream")
+        assert c.error_codes[broken] == CloseCode.RESET
         # A refusal is one session's too, with its code; another first line can't be read.
         a.answer = b.answer = "BUSY"
         for n, line in ((100, f"OPEN {fresh_id()} k c=live,d=300"), (104, "NONSENSE")):
             c.quic.send_stream_data(n, line.encode() + b"\r\n")
-        c.until(lambda: {100, 104} <= c.codes.keys(), "codes of both")
-        assert (c.codes[100], c.codes[104]) == (CloseCode.REFUSED, CloseCode.BAD_LINE)
-        assert c.data[100].startswith(b"BUSY") and c.data[104] == b"ERR\r\n"
+        c.wait_until(lambda: {100, 104} <= c.error_codes.keys(), "codes of both")
+        assert (c.error_codes[100], c.error_codes[104]) == (CloseCode.REFUSED, CloseCode.BAD_LINE)
+        assert c.stream_data[100].startswith(b"BUSY") and c.stream_data[104] == b"ERR\r\n"
         # A drain moves those of its server, and no others.
         left = [n for n in numbers if n not in (ended, broken)]
         w.discovery.announce(a, state="Terminating")
         on_a = [n for n in left if servers[n] == "UP a"]
-        c.until(lambda: all(c.data[n].endswith(b"MOVE\r\n") for n in on_a), "MOVE to each", 5.0)
+        c.wait_until(lambda: all(c.stream_data[n].endswith(b"MOVE\r\n") for n in on_a), "MOVE to each", 5.0)
         for n in left:
             if n not in on_a:
-                assert c.answered(b"still here\r\n", n).endswith(b"still here\r\n")
-        c.until(lambda: w.counters()["quic_sessions"] == str(len(left) - len(on_a)), "the end of the others")
-        assert not c.closed
+                assert c.exchange_line(b"still here\r\n", n).endswith(b"still here\r\n")
+        remaining = str(len(left) - len(on_a))
+        c.wait_until(lambda: w.counters()["quic_sessions"] == remaining, "the end of the others")
+        assert not c.termination
         assert w.counters()["quic_connections"] == "1"
 
 
 def test_more_streams_than_one_client_may_have_are_refused_one_by_one(tmp_path: Path) -> None:
     with quic_world(tmp_path, [EndpointServer("a")]) as (w, port):
-        c = Client(("127.0.0.1", port), "gradegap/1")
+        c = ScriptedClient(("127.0.0.1", port), "gradegap/1")
         numbers = [4 * k for k in range(40)]
         for n in numbers:
             c.quic.send_stream_data(n, b"PING\r\n")
-        c.until(lambda: len(c.codes) == 8, "refusals")
-        assert {c.codes[n] for n in numbers[32:]} == {CloseCode.REFUSED}
-        c.until(lambda: all(c.data.get(n) == b"PONG\r\n" for n in numbers[:32]), "answers to the others")
+        c.wait_until(lambda: len(c.error_codes) == 8, "refusals")
+        assert {c.error_codes[n] for n in numbers[32:]} == {CloseCode.REFUSED}
+        admitted = numbers[:32]
+        c.wait_until(
+            lambda: all(c.stream_data.get(n) == b"PONG\r\n" for n in admitted), "answers to the others"
+        )
         assert w.counters()["quic_streams_refused"] == "8"
 
 
