--- a/conformance/quic/suite.py
+++ b/conformance/quic/suite.py
@@ -7,7 +7,8 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from conformance.quic.cases import CASES, Case, NotApplicableError, Target
+from conformance.quic.case import Case, NotApplicableError, Target
+from conformance.quic.cases import CASES
 
 
 @dataclass(slots=True, frozen=True)
@@ -35,7 +36,7 @@
             outcome, why = "not applicable", str(error)
         except (AssertionError, OSError, ValueError) as error:
             outcome, why = "fail", str(error) or type(error).__name__
-        made = Result(each.section, each.must, outcome, why, round(time.monotonic() - began, 2))
+        made = Result(each.section, each.requirement, outcome, why, round(time.monotonic() - began, 2))
         told(made)
         found.append(made)
     return found
--- a/gradegap/commands/quic.py
+++ b/gradegap/commands/quic.py
@@ -23,7 +23,8 @@
 ) -> None:
     """RFC 9000 and the like, case by case. Exits 1 where one fails."""
     try:
-        from conformance.quic.cases import CASES, Target
+        from conformance.quic.case import Target
+        from conformance.quic.cases import CASES
         from conformance.quic.suite import counted, line, run
     except ModuleNotFoundError as error:
         raise failure(f"the suite is not installed: {error}", ExitCode.BAD_CALL) from None
--- a/tests/test_quic_conformance.py
+++ b/tests/test_quic_conformance.py
@@ -10,7 +10,8 @@
 import msgspec
 import pytest
 
-from conformance.quic.cases import CASES, Case, Target
+from conformance.quic.case import Case, Target
+from conformance.quic.cases import CASES
 from conformance.quic.suite import run
 from tests.test_quic import quic_world
 from tests.world import ROOT, EndpointServer
@@ -28,7 +29,7 @@
 
 
 def chosen(word: str) -> Case:
-    (found,) = [c for c in CASES if word in c.must]
+    (found,) = [c for c in CASES if word in c.requirement]
     return found
 
 
