--- a/conformance/quic/suite.py
+++ b/conformance/quic/suite.py
@@ -1,54 +1,75 @@
-"""Runs the cases, and says what came of each as a table or JSON."""
+"""Runs cases against a server, and reports their results as lines or JSON."""
 
 from __future__ import annotations
 
 import time
 from collections import Counter
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass
+from enum import StrEnum
+
+import msgspec
 
 from conformance.quic.case import Case, NotApplicableError, Target
 from conformance.quic.cases import CASES
 
 
-@dataclass(slots=True, frozen=True)
-class Result:
-    """What one case came to."""
+class Outcome(StrEnum):
+    """What running a case showed; the values are those of the JSON report."""
+
+    PASS = "pass"
+    FAIL = "fail"
+    NOT_APPLICABLE = "not applicable"
+
+
+class Result(msgspec.Struct, frozen=True):
+    """The result of one case; an item of the JSON report, whose keys are the encoded names."""
 
     section: str
-    must: str
-    outcome: str  # pass, fail, not applicable
-    why: str
+    requirement: str = msgspec.field(name="must")
+    outcome: Outcome
+    reason: str = msgspec.field(name="why")  # empty where it passed
     seconds: float
 
 
+def ignore_result(_: Result) -> None:
+    """Report nothing while the suite runs."""
+
+
 def run(
-    target: Target, cases: Iterable[Case] = (), told: Callable[[Result], None] = lambda r: None
+    target: Target, cases: Iterable[Case] = (), on_result: Callable[[Result], None] = ignore_result
 ) -> list[Result]:
-    """Each case on a connection of its own; one that fails costs no other."""
-    found = []
-    for each in list(cases) or CASES:
-        began = time.monotonic()
-        outcome, why = "pass", ""
-        try:
-            each.run(target)
-        except NotApplicableError as error:
-            outcome, why = "not applicable", str(error)
-        except (AssertionError, OSError, ValueError) as error:
-            outcome, why = "fail", str(error) or type(error).__name__
-        made = Result(each.section, each.requirement, outcome, why, round(time.monotonic() - began, 2))
-        told(made)
-        found.append(made)
-    return found
-
-
-def line(result: Result) -> str:
-    """One result as a line of the table."""
-    said = f"{result.outcome:14} {result.section:11} {result.must}"
-    return f"{said} ({result.why})" if result.why else said
-
-
-def counted(results: Iterable[Result]) -> str:
+    """Run each case, or all that there are, on a connection of its own; a failure ends no other case.
+
+    `on_result` is called with each result as soon as it is there.
+    """
+    results = []
+    for case in list(cases) or CASES:
+        result = run_case(target, case)
+        on_result(result)
+        results.append(result)
+    return results
+
+
+def run_case(target: Target, case: Case) -> Result:
+    """Run one case."""
+    began = time.monotonic()
+    outcome, reason = Outcome.PASS, ""
+    try:
+        case.run(target)
+    except NotApplicableError as error:
+        outcome, reason = Outcome.NOT_APPLICABLE, str(error)
+    except (AssertionError, OSError, ValueError) as error:
+        outcome, reason = Outcome.FAIL, str(error) or type(error).__name__
+    return Result(case.section, case.requirement, outcome, reason, round(time.monotonic() - began, 2))
+
+
+def result_line(result: Result) -> str:
+    """A result as a line of the plain report."""
+    line = f"{result.outcome:14} {result.section:11} {result.requirement}"
+    return f"{line} ({result.reason})" if result.reason else line
+
+
+def summary_line(results: Iterable[Result]) -> str:
     """How many cases had each outcome."""
-    count = Counter(r.outcome for r in results)
-    return ", ".join(f"{count[k]} {k}" for k in ("pass", "fail", "not applicable"))
+    counts = Counter(result.outcome for result in results)
+    return ", ".join(f"{counts[outcome]} {outcome}" for outcome in Outcome)
--- a/gradegap/commands/quic.py
+++ b/gradegap/commands/quic.py
@@ -25,15 +25,16 @@
     try:
         from conformance.quic.case import Target
         from conformance.quic.cases import CASES
-        from conformance.quic.suite import counted, line, run
+        from conformance.quic.suite import Outcome, ignore_result, result_line, run, summary_line
     except ModuleNotFoundError as error:
         raise failure(f"the suite is not installed: {error}", ExitCode.BAD_CALL) from None
     host, _, port = address.rpartition(":")
-    chosen = [c for c in CASES if c.section.startswith(section)]
+    chosen = [case for case in CASES if case.section.startswith(section)]
     if not host or not port.isdecimal() or not chosen:
-        what = f"{address!r} is no address" if chosen else f"there is no section {section!r}"
-        raise failure(what, ExitCode.BAD_CALL)
-    found = run(Target((host, int(port)), alpn), chosen, lambda r: None if json else typer.echo(line(r)))
-    typer.echo(to_json(found) if json else counted(found))
-    if any(r.outcome == "fail" for r in found):
+        problem = f"{address!r} is no address" if chosen else f"there is no section {section!r}"
+        raise failure(problem, ExitCode.BAD_CALL)
+    on_result = ignore_result if json else lambda result: typer.echo(result_line(result))
+    results = run(Target((host, int(port)), alpn), chosen, on_result)
+    typer.echo(to_json(results) if json else summary_line(results))
+    if any(result.outcome is Outcome.FAIL for result in results):
         raise typer.Exit(ExitCode.NO)
--- a/tests/test_quic_conformance.py
+++ b/tests/test_quic_conformance.py
@@ -12,7 +12,7 @@
 
 from conformance.quic.case import Case, Target
 from conformance.quic.cases import CASES
-from conformance.quic.suite import run
+from conformance.quic.suite import Outcome, run
 from tests.test_quic import quic_world
 from tests.world import ROOT, EndpointServer
 
@@ -64,7 +64,7 @@
     try:
         with quic_world(tmp_path, [EndpointServer("a")]) as (_, port):
             (result,) = run(Target(("127.0.0.1", port), "gradegap/1"), [chosen(word)])
-            assert result.outcome == "fail", result
+            assert result.outcome is Outcome.FAIL, result
     finally:
         if before is None:
             del os.environ["PYTHONPATH"]
