--- a/gradegap/downstream/session.py
+++ b/gradegap/downstream/session.py
@@ -9,6 +9,7 @@
 from gradegap.downstream.first_line import FirstLineDeadline, FirstLineReader, exceeds_one_request
 from gradegap.downstream.framing import LineScanner, Opening, parse_opening
 from gradegap.downstream.interfaces import Channel, CloseReason, InPlaceMigration, Relay, RelayOutput
+from gradegap.downstream.session_state import SessionLifecycle, SessionState
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
 from gradegap.proxy.request import InvalidRequestError, Request
@@ -18,6 +19,9 @@
 LINE_END_TIMEOUT_S = 0.85
 """For the end of a line that is half through, before a MOVE; a node's shutdown leaves room for it."""
 
+# For each line that passes: looking a member up in its enum costs more than what is done with it.
+_ESTABLISHED, _MIGRATING, _CLOSED = SessionState.ESTABLISHED, SessionState.MIGRATING, SessionState.CLOSED
+
 
 class SessionResumption(Protocol):
     """What makes sessions resumable, where the operator has it so. Without it lines pass as they are."""
@@ -53,8 +57,11 @@
         ...
 
 
-class ClientSession:
-    """One client's connection: its first line, its answer, then lines both ways."""
+class ClientSession(SessionLifecycle):
+    """One client's connection: its first line, its answer, then lines both ways.
+
+    Three booleans are no states: how a side has ended, and flow control, go with several of them.
+    """
 
     def __init__(
         self,
@@ -65,6 +72,7 @@
         spent: float = 0.0,
     ) -> None:
         """A session whose channel has taken `spent` seconds to come up."""
+        super().__init__()
         self.proxy = proxy
         self.metrics = metrics
         self.channel = channel
@@ -74,51 +82,43 @@
         self.first_line = FirstLineReader(
             self, channel, metrics, is_ready, partial(FirstLineDeadline, proxy.loop, spent)
         )
-        self.early = self.first_line.buffer
-        """What came behind the first line, before its answer."""
+        self.early = self.first_line.buffer  # what came behind the first line, before its answer
         self.scanner = LineScanner(self._on_endpoint_line)
-        self.established = False
-        self.migrating = False
-        self.closed = False
         self.upstream_reset = False
-        self.client_eof = False
-        """The client has closed its side: the end of its endpoint is no reason to migrate it."""
+        self.client_eof = False  # then the end of its endpoint is no reason to migrate it
         self.resumption: SessionResumption | None = None
-        self.offer: object | None = None
-        """Of a resumable session, until an endpoint has accepted it."""
+        self.offer: object | None = None  # of a resumable session, until an endpoint has accepted it
         self.relay: Relay | None = None
-        self.client_paused = False
-        """Not read on, as the relay's window is full."""
+        self.client_paused = False  # not read on, as the relay's window is full
         self.migration: InPlaceMigration | None = None
 
     # From the channel
 
     def on_data(self, data: bytes) -> None:
         """What the client has sent."""
-        if self.closed:
-            return
-        if self.established and self.upstream is not None:
+        if self.state is _ESTABLISHED or self.state is _MIGRATING:
             if self.relay is not None:
                 self.pass_on(self.relay.from_client(data))
                 return
             # Whole lines only: nothing comes back for a part of one, from a client that writes slowly.
             if self.request is not None and b"\n" in data:
                 self.request.on_client_line()
-            self.upstream.write(data)
-        elif self.opening is None:
+            upstream = self.upstream
+            if upstream is not None:
+                upstream.write(data)
+        elif self.state is SessionState.AWAITING_REQUEST:
             self.first_line.feed(data)
-        else:
+        elif self.state is SessionState.REQUESTED:
             self.early += data
             if exceeds_one_request(self.early) and self.request is not None:
-                request = self.request
                 self.metrics.count("early_bytes")
                 self.reject_line()
-                request.on_disconnect()
+                self.request.on_disconnect()
 
     def on_eof(self) -> None:
         """The client has closed its side."""
         self.client_eof = True
-        if self.established and self.upstream is not None and not self.closed:
+        if self.passes_lines and self.upstream is not None:
             self.upstream.write_eof()
         else:
             self.on_channel_closed()
@@ -128,11 +128,12 @@
         if self.closed:
             return
         upstream, request = self.upstream, self.request
+        passing = self.passes_lines
         if self.migration is not None:
             self.migration.stop()
             self.migration = None
         self._close(CloseReason.RESET if reset else CloseReason.SERVED)
-        if self.established and upstream is not None and reset:
+        if passing and upstream is not None and reset:
             upstream.reset()
         if request is not None:
             request.on_disconnect()
@@ -152,12 +153,13 @@
     @property
     def awaits_request(self) -> bool:
         """Whether it is open and has no request yet."""
-        return self.opening is None and not self.closed
+        return self.state is SessionState.AWAITING_REQUEST
 
     def on_first_line(self, line: bytes) -> None:
         """The client's request."""
         try:
             self.opening = opening = parse_opening(line)
+            self.enter(SessionState.REQUESTED)
             if exceeds_one_request(self.early):
                 raise InvalidLineError("more than a first line")
             if self.resumption is not None and self.resumption.begin(self, line, opening):
@@ -186,6 +188,7 @@
     def hold(self, opening: Opening) -> None:
         """Take this first line as the session's, and wait for what becomes of it."""
         self.opening = opening
+        self.enter(SessionState.REQUESTED)
         self.first_line.deadline.stop()
 
     def reject_resumption(self, reason: str) -> None:
@@ -199,8 +202,6 @@
         self.channel.write(b"ERR\r\n")
         self._close(CloseReason.INVALID_LINE)
 
-    # From the relay of a resumable session
-
     def pass_on(self, output: RelayOutput) -> None:
         """Send what a resumable session's lines came to."""
         if output.to_endpoint and self.upstream is not None:
@@ -224,10 +225,6 @@
             # Held back through to the client's TCP, until an answer makes room.
             (self.channel.pause if self.client_paused else self.channel.resume)()
 
-    def send_line(self, line: bytes) -> None:
-        """A line of the node's own to the client, between two others."""
-        self.channel.write(line)
-
     # From the proxy
 
     def is_disconnected(self) -> bool:
@@ -236,7 +233,7 @@
 
     def on_established(self) -> None:
         """An endpoint has confirmed the connection: what came behind the first line belongs to it."""
-        self.established = True
+        self.enter(SessionState.ESTABLISHED)
         assert self.upstream is not None
         if self.early:
             early = bytes(self.early)
@@ -265,7 +262,7 @@
             self.send_migrate()
         else:
             # Guards against a MOVE inside a line: the rest of the line goes first.
-            self.migrating = True
+            self.enter(SessionState.MIGRATING)
             self.proxy.loop.call_later(LINE_END_TIMEOUT_S, self._on_line_end_timeout)
 
     def on_endpoint_closed(self) -> None:
@@ -280,19 +277,16 @@
 
     def send_migrate(self) -> None:
         """Tell the client to come again, and close."""
-        self.migrating = False
         self.channel.write(b"MOVE\r\n")
-        upstream = self.upstream
         self._close(CloseReason.MIGRATED)
-        if upstream is not None:
-            upstream.write_eof()
+        if self.upstream is not None:
+            self.upstream.write_eof()
 
     def _on_line_end_timeout(self) -> None:
-        if self.migrating and not self.closed:
-            upstream = self.upstream
+        if self.state is SessionState.MIGRATING:
             self._close(CloseReason.RESET)
-            if upstream is not None:
-                upstream.reset()
+            if self.upstream is not None:
+                self.upstream.reset()
 
     # From the endpoint's side
 
@@ -316,11 +310,12 @@
 
     def on_upstream_data(self, data: bytes) -> None:
         """What the endpoint has sent."""
-        if self.closed:
+        state = self.state
+        if state is _CLOSED:
             return
         if self.relay is not None:
             self.pass_on(self.relay.from_endpoint(data, self.relay.endpoint_number))
-        elif self.migrating:
+        elif state is _MIGRATING:
             self._finish_line(data)
             return
         else:
@@ -340,7 +335,7 @@
     def on_upstream_lost(self, reset: bool) -> None:
         """The endpoint's connection has ended; the proxy calls `on_endpoint_closed` for that."""
         self.upstream_reset = reset
-        if self.migrating:
+        if self.state is SessionState.MIGRATING:
             self.on_endpoint_closed()  # the line that the MOVE waits for never ends
 
     def _on_endpoint_line(self, line: bytes) -> None:
@@ -348,9 +343,17 @@
             self.upstream.on_line(line)
 
     def _close(self, reason: CloseReason) -> None:
-        self.closed = True
+        self.enter(SessionState.CLOSED)
         self.first_line.deadline.stop()
         self.early.clear()
         if self.relay is not None and self.resumption is not None:
             self.resumption.ended(self)
         self.channel.close(reason)
+
+    # From the predecessor of this process
+
+    def adopt(self, request: Request, upstream: UpstreamPipe, partial_line: bytes) -> None:
+        """Go on with an established connection, of whose last line `partial_line` has passed already."""
+        self.request, self.upstream = request, upstream
+        self.scanner.partial = partial_line
+        self.enter(SessionState.ESTABLISHED)
--- a/gradegap/hot_restart/session_adoption.py
+++ b/gradegap/hot_restart/session_adoption.py
@@ -66,8 +66,7 @@
     announced = None if message.announced_result is None else AttemptResult(message.announced_result)
     connection = UpstreamConnection.adopt(session, request.attempt, announced, message.report)
     request.attempt.connection = connection
-    session.request, session.upstream, session.established = request, connection, True
-    session.scanner.partial = message.partial_line
+    session.adopt(request, connection, message.partial_line)
     client = _client_socket(client_descriptor)
     endpoint = DialedSocket(host.descriptors, client.family, endpoint_descriptor)
     endpoint.setblocking(False)
--- a/gradegap/hot_restart/session_transfer.py
+++ b/gradegap/hot_restart/session_transfer.py
@@ -9,6 +9,7 @@
 from dataclasses import dataclass
 
 from gradegap.balancing.events import EndpointPhase
+from gradegap.downstream.session_state import SessionState
 from gradegap.downstream.tcp_channel import TcpChannel
 from gradegap.hot_restart.host import Host
 from gradegap.hot_restart.link import Link
@@ -66,7 +67,7 @@
         request = channel.session.request
         if request is None or request.attempt is None or connection.transport is None:
             return False
-        if request.state is not RequestState.ESTABLISHED or channel.session.migrating:
+        if request.state is not RequestState.ESTABLISHED or channel.session.state is SessionState.MIGRATING:
             return False
         return connection.is_idle() and request.attempt.endpoint.phase is EndpointPhase.READY
 
@@ -85,7 +86,7 @@
         )
         self._in_flight[message.serial] = _IdleInFlight(channel)
         transport.pause_reading()
-        session.closed = True
+        session.release()
         session.first_line.deadline.stop()
         self._host.descriptors.set_rank(channel, None)
         link.send(message, transport.get_extra_info("socket").fileno())
@@ -115,7 +116,7 @@
         self._in_flight[message.serial] = _EstablishedInFlight(channel, connection, message)
         transport.pause_reading()
         connection.transport.pause_reading()
-        session.closed = True
+        session.release()
         connection.release()
         self._host.proxy.release_connection(request)
         client_descriptor = transport.get_extra_info("socket").fileno()
@@ -147,7 +148,7 @@
     def _take_back(self, passed: _IdleInFlight | _EstablishedInFlight) -> None:
         """Guards against a successor that could not take a session, or died before it said so."""
         self._host.metrics.count("sessions_taken_back")
-        passed.channel.session.closed = False
+        passed.channel.session.take_back()
         if isinstance(passed, _EstablishedInFlight):
             if not self._restore(passed):
                 return
--- a/gradegap/resume/migration.py
+++ b/gradegap/resume/migration.py
@@ -129,7 +129,7 @@
         session.metrics.count("resume_in_place")
         session.pass_on(passing.switch_endpoint(acceptance.executed))
         if not session.closed:
-            session.send_line(passing.token(self.tokens.issue(session, self.offer)))
+            session.channel.write(passing.token(self.tokens.issue(session, self.offer)))
         if rest and not session.closed:
             session.pass_on(passing.from_endpoint(rest, passing.endpoint_number))
         spent = round((time.monotonic() - self.started_at) * 1000)
@@ -177,7 +177,7 @@
         session.metrics.count(f"resume_in_place_{reason}")
         log.info("session not migrated", session=self.offer.session, epoch=self.offer.generation, why=reason)
         if not session.closed and isinstance(session.relay, SessionRelay):
-            session.send_line(session.relay.token(self.tokens.issue(session, self.offer)))
+            session.channel.write(session.relay.token(self.tokens.issue(session, self.offer)))
             session.send_migrate()
         if self.request is not None:
             self.request.on_disconnect()
--- a/gradegap/resume/token_issuer.py
+++ b/gradegap/resume/token_issuer.py
@@ -82,5 +82,5 @@
         assert isinstance(offer, SessionOffer) and isinstance(relay, SessionRelay)
         token = self.issue(session, offer)
         if token != NO_TOKEN:
-            session.send_line(relay.token(token))
+            session.channel.write(relay.token(token))
             self.metrics.count("resume_tokens_renewed")
--- a/gradegap/upstream/answers.py
+++ b/gradegap/upstream/answers.py
@@ -15,6 +15,8 @@
 LOAD_PREFIX = b"LOAD "
 """Begins a line with the load that its connection is for its endpoint."""
 
+LOAD_PREFIX_BYTES = len(LOAD_PREFIX)
+
 LOAD_UNIT = 1e-6
 """Loads are written in millionths of what the balancer reckons in."""
 
--- a/gradegap/upstream/connection.py
+++ b/gradegap/upstream/connection.py
@@ -18,7 +18,14 @@
     no_delay,
     reset_connection,
 )
-from gradegap.upstream.answers import LOAD_PREFIX, LOAD_UNIT, confirms, parse_announcement
+from gradegap.upstream.answers import (
+    LOAD_PREFIX,
+    LOAD_PREFIX_BYTES,
+    LOAD_UNIT,
+    EndAnnouncement,
+    confirms,
+    parse_announcement,
+)
 from gradegap.upstream.interfaces import DownstreamSession
 
 CLOSE_TIMEOUT_S = 0.9
@@ -38,6 +45,10 @@
     """Its attempt has its result, or was cancelled; nothing more is reported."""
 
 
+# For each line that passes: looking a member up in its enum costs more than what is done with it.
+_ESTABLISHED, _ENDED = ConnectState.ESTABLISHED, ConnectState.ENDED
+
+
 class UpstreamConnection(Pausable):
     """A connection to an endpoint, for one attempt.
 
@@ -97,7 +108,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Pass an established connection's data on; before that, wait for the answer."""
-        if self.state is ConnectState.ESTABLISHED:
+        if self.state is _ESTABLISHED:
             self.session.on_upstream_data(data)
         elif self.state is ConnectState.CONNECTING:
             self.buffer += data
@@ -115,22 +126,24 @@
             self.buffer = b""
             self.attempt.on_established()
         else:
-            self._announce(line)
+            announcement = parse_announcement(line)
+            if announcement is not None:
+                self._announce(announcement)
             self._reject(self.announced_result or AttemptResult.ERROR)
 
     def on_line(self, line: bytes) -> None:
         """A line went by on an established connection."""
         if line.startswith(LOAD_PREFIX):
             with contextlib.suppress(ValueError):
-                self.attempt.on_load(parse_number(line[len(LOAD_PREFIX) :].decode()) * LOAD_UNIT)
+                self.attempt.on_load(parse_number(line[LOAD_PREFIX_BYTES:].decode()) * LOAD_UNIT)
         else:
             self.announced_result = None
-            self._announce(line)
+            announcement = parse_announcement(line)
+            if announcement is not None:
+                self._announce(announcement)
 
-    def _announce(self, line: bytes) -> None:
-        announcement = parse_announcement(line)
-        if announcement is not None:
-            self.announced_result, self.announced_report = announcement.result, announcement.report
+    def _announce(self, announcement: EndAnnouncement) -> None:
+        self.announced_result, self.announced_report = announcement.result, announcement.report
 
     def _reject(self, result: AttemptResult) -> None:
         """The answer doesn't confirm the request."""
@@ -191,7 +204,7 @@
 
     def write(self, data: bytes) -> None:
         """Send to the endpoint, unless the connection or this side of it has ended."""
-        if self.transport is not None and self.state is not ConnectState.ENDED and not self.eof_sent:
+        if self.transport is not None and self.state is not _ENDED and not self.eof_sent:
             self.transport.write(data)
 
     def write_eof(self) -> None:
