--- a/gradegap/store/committed_state.py
+++ b/gradegap/store/committed_state.py
@@ -17,8 +17,8 @@
 class CommittedState:
     """Puts changes of committed keys in force at one node."""
 
-    def __init__(self, proxy: Proxy, live: DynamicConfiguration) -> None:
-        self.proxy, self.live = proxy, live
+    def __init__(self, proxy: Proxy, dynamic_configuration: DynamicConfiguration) -> None:
+        self.proxy, self.dynamic_configuration = proxy, dynamic_configuration
 
     def apply(self, key: str, value: object, deleted: bool) -> None:
         """One change; keys that a node does not decide by are passed over."""
@@ -39,9 +39,9 @@
 
     def _apply_configuration(self, name: str, value: object, deleted: bool) -> None:
         if deleted:
-            self.live.reset(name)
+            self.dynamic_configuration.reset(name)
         else:
-            self.live.apply(name, value)
+            self.dynamic_configuration.apply(name, value)
 
     def disabled_by_operator(self, endpoint_id: str, author: str) -> KeyUpdate:
         """The update that takes an endpoint out of use from now on."""
--- a/gradegap/store/embedded.py
+++ b/gradegap/store/embedded.py
@@ -47,7 +47,7 @@
         secret: bytes,
         folder: Path,
         proxy: Proxy,
-        live: DynamicConfiguration,
+        dynamic_configuration: DynamicConfiguration,
         metrics: Metrics,
         loop: asyncio.AbstractEventLoop,
         state: Callable[[], dict[str, object]],
@@ -59,9 +59,10 @@
         Raises:
             FolderError: where the folder can't be started with.
         """
-        self.settings, self.proxy, self.live, self.metrics, self.loop = settings, proxy, live, metrics, loop
+        self.settings, self.proxy, self.metrics, self.loop = settings, proxy, metrics, loop
+        self.dynamic_configuration = dynamic_configuration
         self.state = state
-        self.committed = CommittedState(proxy, live)
+        self.committed = CommittedState(proxy, dynamic_configuration)
         self.member = StoreMember(
             settings,
             secret,
@@ -135,7 +136,7 @@
         for endpoint_id in list(self.proxy.disabled.keys() - disabled.keys()):
             self.proxy.enable_endpoint(endpoint_id)
         for item in self.machine.list(CONFIGURATION_PREFIX):
-            self.live.apply(item.key.removeprefix(CONFIGURATION_PREFIX), item.value)
+            self.dynamic_configuration.apply(item.key.removeprefix(CONFIGURATION_PREFIX), item.value)
 
     def _apply_events(self, events: list[Event]) -> None:
         for event in events:
--- a/gradegap/store/machine.py
+++ b/gradegap/store/machine.py
@@ -146,19 +146,18 @@
         if update.delete and old is None:
             return
         revision = self.revision + 1
-        before, existed = (None, False) if old is None else (old.value, True)
         events.append(
             Event(
                 revision,
                 update.key,
                 update.value,
                 update.delete,
-                before,
-                existed,
-                author,
-                wall_ms,
-                cause,
-                len(events),
+                previous_value=old.value if old is not None else None,
+                existed_before=old is not None,
+                author=author,
+                wall_ms=wall_ms,
+                cause=cause,
+                position=len(events),
             )
         )
         if old is not None:
@@ -192,6 +191,9 @@
         while self.events and self.events[0].position:
             self.history_bytes -= event_size(self.events.popleft())
         self.unsaved.first_kept_revision = self.events[0].revision if self.events else self.revision + 1
+        self._notify(events)
+
+    def _notify(self, events: list[Event]) -> None:
         for listener in list(self.listeners):
             listener(events)
 
@@ -303,34 +305,47 @@
         self._session_queue = [(session.remembered_until_ms, session.client) for session in state.sessions]
         heapq.heapify(self._session_queue)
         self.unsaved = UnsavedChanges()
-        jumped = [
-            Event(
-                i.modified_revision,
-                i.key,
-                i.value,
-                False,
-                None,
-                i.key in old,
-                i.author,
-                i.wall_ms,
-                "snapshot",
-            )
-            for i in self.items.values()
-            if i.key not in old or old[i.key].modified_revision != i.modified_revision
-        ]
-        jumped += [
-            Event(self.revision, key, None, True, item.value, True, "", 0, "snapshot")
-            for key, item in old.items()
-            if key not in self.items
-        ]
-        if jumped:
-            for listener in list(self.listeners):
-                listener(jumped)
+        events = _difference(old, self.items, self.revision)
+        if events:
+            self._notify(events)
 
     def take_unsaved(self) -> UnsavedChanges:
         """What changed since the last call, to be written."""
-        dirty, self.unsaved = (
-            self.unsaved,
-            UnsavedChanges(first_kept_revision=self.unsaved.first_kept_revision),
+        unsaved = self.unsaved
+        self.unsaved = UnsavedChanges(first_kept_revision=unsaved.first_kept_revision)
+        return unsaved
+
+
+def _difference(old: dict[str, Item], new: dict[str, Item], revision: int) -> list[Event]:
+    """The events that lead from old items to new ones; deletions are of `revision`."""
+    puts = [
+        Event(
+            item.modified_revision,
+            item.key,
+            item.value,
+            deleted=False,
+            previous_value=None,
+            existed_before=item.key in old,
+            author=item.author,
+            wall_ms=item.wall_ms,
+            cause="snapshot",
+        )
+        for item in new.values()
+        if item.key not in old or old[item.key].modified_revision != item.modified_revision
+    ]
+    deletes = [
+        Event(
+            revision,
+            key,
+            value=None,
+            deleted=True,
+            previous_value=item.value,
+            existed_before=True,
+            author="",
+            wall_ms=0,
+            cause="snapshot",
         )
-        return dirty
+        for key, item in old.items()
+        if key not in new
+    ]
+    return puts + deletes
