--- a/conformance/quic/client.py
+++ b/conformance/quic/client.py
@@ -1,6 +1,6 @@
-"""A client that can misbehave: aioquic's packets and crypto, with frames and parameters of our own choice.
+"""A client that can misbehave: aioquic's packets and crypto, with frames and parameters that a case chooses.
 
-One thread, one socket, no loop: a case says what is sent, and waits for what it is about.
+It is synchronous, with one socket: a case says what is sent, and waits for the answer that it is about.
 """
 
 from __future__ import annotations
@@ -18,14 +18,17 @@
 from aioquic.quic.configuration import QuicConfiguration
 from aioquic.quic.connection import QuicConnection
 
-MIN_INITIAL_DATAGRAM_LENGTH = 1200  # octets of a datagram with an Initial
-QUIET_PERIOD_S = 0.35  # s in which a server that was going to answer has done so
-WAIT_TIMEOUT_S = 4.0  # s for what must come
+MIN_INITIAL_DATAGRAM_LENGTH = 1200  # octets of a datagram with an Initial (RFC 9000, 14.1)
+QUIET_PERIOD_S = 0.35  # after which a server that has not answered is not going to
+WAIT_TIMEOUT_S = 4.0  # for an answer that is required
+MIN_STATELESS_RESET_LENGTH = 21  # octets (RFC 9000, 10.3)
+RESET_TOKEN_LENGTH = 16
+MAX_DATAGRAM_LENGTH = 65536
 Address = tuple[str, int]
 
 
 class NoResponseError(AssertionError):
-    """What had to come did not."""
+    """An answer that is required did not come in time."""
 
 
 def varint(value: int) -> bytes:
@@ -36,14 +39,18 @@
 
 
 class ScriptedConnection(QuicConnection):
-    """`frames` go out in the next packet under application keys; `parameters` after the client's own."""
+    """A connection that also sends the frames and transport parameters that it is given.
+
+    `frames`, as type and body, go out in the next packet under application keys; `parameters` follow those
+    of aioquic.
+    """
 
     def __init__(self, configuration: QuicConfiguration, parameters: bytes = b"") -> None:
         super().__init__(configuration=configuration)
         self.frames: list[tuple[int, bytes]] = []
         self.parameters = parameters
-        self.responses: list[bytes] = []  # data of PATH_RESPONSE frames that came
-        self.tokens: list[bytes] = []  # of NEW_TOKEN frames
+        self.responses: list[bytes] = []  # data of received PATH_RESPONSE frames
+        self.tokens: list[bytes] = []  # of received NEW_TOKEN frames
         self._token_handler = self.tokens.append
 
     def _write_connection_limits(self, builder: Any, space: Any) -> None:
@@ -64,7 +71,7 @@
 
 
 class ScriptedClient:
-    """One connection to the server under test."""
+    """One connection to the server under test; with `connect`, its constructor awaits the handshake."""
 
     def __init__(
         self,
@@ -90,7 +97,7 @@
         self.handshake_completed = False
         self.reset_received = False
         self.octets_sent = self.octets_received = 0
-        self.received_datagrams: list[bytes] = []  # datagrams that came
+        self.received_datagrams: list[bytes] = []  # all of them, as they came
         self.quic.connect(server, now=time.time())
         if connect:
             # Confirmed, as before that a client must not change its address (RFC 9000, 9; 9001, 4.1.2).
@@ -108,13 +115,13 @@
         return sock
 
     def close(self) -> None:
-        """End the connection, and say so."""
+        """Close the connection with a CONNECTION_CLOSE frame."""
         self.quic.close()
         self.flush()
         self.socket.close()
 
     def change_address(self, new_id: bool = True) -> None:
-        """To another address, as a phone on another network."""
+        """Continue from another port: a migration, or without `new_id` a NAT rebinding."""
         self.socket.close()
         self.socket = self.open_socket()
         if new_id:
@@ -122,15 +129,15 @@
 
     @property
     def termination(self) -> events.ConnectionTerminated | None:
-        """How the connection was ended; None while it was not."""
+        """How the connection was closed, by either side; None while it is open."""
         return self.quic._close_event
 
     def flush(self) -> list[bytes]:
-        """Send what is due; the datagrams."""
-        out = [data for data, _ in self.quic.datagrams_to_send(now=time.time())]
-        for data in out:
+        """Send the datagrams that are due, and return them."""
+        datagrams = [data for data, _ in self.quic.datagrams_to_send(now=time.time())]
+        for data in datagrams:
             self.send_datagram(data)
-        return out
+        return datagrams
 
     def send_datagram(self, data: bytes) -> None:
         """Send one datagram as it is."""
@@ -138,19 +145,22 @@
         self.socket.sendto(data, self.server)
 
     def receive(self, wait: float) -> bytes | None:
-        """The next datagram, as it is."""
+        """The next datagram, unprocessed; None where none comes within `wait` seconds."""
         if not select.select([self.socket], [], [], max(0.0, wait))[0]:
             return None
-        data = self.socket.recv(65536)
+        data = self.socket.recv(MAX_DATAGRAM_LENGTH)
         self.octets_received += len(data)
         self.received_datagrams.append(data)
-        known = (self.quic._peer_cid, *self.quic._peer_cid_available)
-        if len(data) >= 21 and data[-16:] in {i.stateless_reset_token for i in known} - {b"", None}:
+        if len(data) >= MIN_STATELESS_RESET_LENGTH and data[-RESET_TOKEN_LENGTH:] in self._reset_tokens():
             self.reset_received = True
         return data
 
+    def _reset_tokens(self) -> set[bytes]:
+        known = (self.quic._peer_cid, *self.quic._peer_cid_available)
+        return {cid.stateless_reset_token for cid in known} - {b"", None}
+
     def process_once(self, wait: float = 0.01) -> None:
-        """Send what is due, and take in one datagram."""
+        """Send what is due, and process one datagram, the timer and the events that follow."""
         self.flush()
         data = self.receive(wait)
         if data is not None and not self.reset_received:
@@ -158,6 +168,9 @@
         at = self.quic.get_timer()
         if at is not None and at <= time.time():
             self.quic.handle_timer(now=time.time())
+        self._process_events()
+
+    def _process_events(self) -> None:
         while (event := self.quic.next_event()) is not None:
             match event:
                 case events.HandshakeCompleted():
@@ -173,38 +186,38 @@
                     pass
 
     def wait_until(self, condition: Callable[[], object], what: str, within: float = WAIT_TIMEOUT_S) -> None:
-        """Wait for something; `NoResponseError` when it has not come in time."""
-        end = time.monotonic() + within
+        """Process until a condition holds; `NoResponseError`, which names `what`, after `within` seconds."""
+        deadline = time.monotonic() + within
         while not condition():
-            if time.monotonic() >= end:
+            if time.monotonic() >= deadline:
                 raise NoResponseError(f"{what} did not come within {within:g} s")
             self.process_once()
 
     def run_for(self, duration: float = QUIET_PERIOD_S) -> None:
-        """Go on for so many seconds, whatever comes."""
+        """Process whatever comes, for so many seconds."""
         end = time.monotonic() + duration
         while time.monotonic() < end:
             self.process_once()
 
     def send_frame(self, kind: int, *numbers: int, tail: bytes = b"") -> None:
-        """A frame of integers, with what follows them."""
+        """Send a frame of that type: variable-length integers, then `tail`."""
         self.quic.frames.append((kind, b"".join(varint(n) for n in numbers) + tail))
-        self.quic.send_ping(secrets.randbelow(1 << 30))  # something to carry it
+        self.quic.send_ping(secrets.randbelow(1 << 30))  # so that a packet is due
         self.flush()
 
     def exchange_line(self, line: bytes, stream: int = 0) -> bytes:
-        """A line, and what comes back."""
+        """Send a line on a stream; what the server answers there, up to a line's end or more."""
         before = len(self.stream_data.get(stream, b""))
         self.quic.send_stream_data(stream, line)
         self.wait_until(lambda: b"\n" in self.stream_data.get(stream, b"")[before:], "an answer")
         return self.stream_data[stream][before:]
 
     def is_alive(self) -> bool:
-        """Whether the connection still serves."""
+        """Whether the server still answers on the connection; `NoResponseError` where it says nothing."""
         return self.exchange_line(b"PING\r\n").endswith(b"\r\n")
 
     def expect_close(self, code: int) -> None:
-        """The server ends the connection with that transport error."""
+        """Wait until the server closes the connection, and hold it to that transport error."""
         self.wait_until(lambda: self.termination is not None, f"a close with 0x{code:x}")
         assert self.termination is not None
         if self.termination.frame_type is None:
@@ -214,18 +227,19 @@
 
 
 def exchange_datagram(server: Address, data: bytes, wait: float = QUIET_PERIOD_S) -> list[bytes]:
-    """What a datagram from a fresh address brings."""
+    """Send a datagram from a new address; the datagrams that come back within `wait` seconds."""
     with ScriptedClient.open_socket() as sock:
         sock.sendto(data, server)
-        found, end = [], time.monotonic() + wait
-        while (left := end - time.monotonic()) > 0:
-            if select.select([sock], [], [], left)[0]:
-                found.append(sock.recv(65536))
-        return found
+        answers = []
+        deadline = time.monotonic() + wait
+        while (remaining := deadline - time.monotonic()) > 0:
+            if select.select([sock], [], [], remaining)[0]:
+                answers.append(sock.recv(MAX_DATAGRAM_LENGTH))
+        return answers
 
 
 def client_initial(server: Address, alpn: str, **options: Any) -> bytes:
-    """A sound first datagram, not sent."""
+    """A valid first datagram of a connection, built and not sent."""
     client = ScriptedClient(server, alpn, connect=False, **options)
     (data, _), *_ = client.quic.datagrams_to_send(now=time.time())
     client.socket.close()
--- a/conformance/quic/packets.py
+++ b/conformance/quic/packets.py
@@ -13,12 +13,12 @@
 
 
 def connect(target: Target, **options: object) -> ScriptedClient:
-    """A connection to the server under test."""
+    """A new connection to the server under test."""
     return ScriptedClient(target.address, target.alpn, **options)  # type: ignore[arg-type]
 
 
 def expect_refusal(target: Target, code: int, *frame: int, tail: bytes = b"") -> None:
-    """A frame that ends its connection with that error."""
+    """Send a frame on a new connection, which the server has to close with that error."""
     client = connect(target)
     client.send_frame(*frame, tail=tail)
     client.expect_close(code)
@@ -27,6 +27,6 @@
 def long_header(
     version: int, destination: bytes, size: int = MIN_INITIAL_DATAGRAM_LENGTH, first: int = 0xC0
 ) -> bytes:
-    """A datagram with a long header, as an Initial has."""
+    """A datagram with the long header of an Initial, from an id of 8 random octets; not decryptable."""
     head = bytes([first]) + version.to_bytes(4, "big") + bytes([len(destination)]) + destination
     return (head + b"\x08" + secrets.token_bytes(8) + b"\0" + b"\x44\x00").ljust(size, b"\x01")
