--- a/bench/scale/limits_met.py
+++ b/bench/scale/limits_met.py
@@ -6,8 +6,8 @@
 
 from bench.scale import target as t
 from bench.scale.cold_bound import RED_AT, RED_FACTOR, TEST, cold_bound
+from bench.scale.rates import PROBE_BYTES, US, probes_per_s, returning
 from bench.scale.slope_book import SlopeBook, figure
-from bench.scale.worked import PROBE_BYTES, US, probes_per_s, returning
 from gradegap.balancing.health_checks import HEALTH_CHECK_INTERVAL_IDLE_S
 from gradegap.node.admin_operations import MAX_DISABLED_ENDPOINTS
 from gradegap.observer.limits import Limits
--- a/bench/scale/page.py
+++ b/bench/scale/page.py
@@ -14,7 +14,7 @@
 
 import typer
 
-from bench.scale import full_size, limits_met, target, verdicts, worked
+from bench.scale import full_size, limits_met, roles, target, verdicts
 from bench.scale.fit import Linear
 from bench.scale.results_file import RESULTS, Measurement
 from bench.scale.slope_book import MissingResultError, SlopeBook, figure, in_bytes, share
@@ -77,7 +77,7 @@
     """One role's figures."""
     rows = [
         [row.moment, row.quantity, row.value, row.worked_out, _module(row.mechanism)]
-        for row in worked.ROLES[role](book)
+        for row in roles.ROLES[role](book)
     ]
     return table(["Moment", "What", "Figure", "Worked out", "Carried by"], rows)
 
@@ -164,7 +164,7 @@
     }
     for part in ("module", "list", "store", "observer", "connections", "lines", "stops", "probes"):
         made[f"slopes-{part}"] = lambda part=part: slopes_table(book, part)  # type: ignore[misc]
-    for role in worked.ROLES:
+    for role in roles.ROLES:
         made[role] = lambda role=role: role_table(book, role)  # type: ignore[misc]
     return made
 
--- /dev/null
+++ b/bench/scale/roles/__init__.py
@@ -0,0 +1,32 @@
+"""Each role's figures at the target, worked out of slopes: in the ordinary hour and at the worst moments.
+
+A module a role; `ROLES` has them by the name of their table in docs/CAPACITY.md.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from bench.scale.roles import (
+    client,
+    control_machine,
+    control_plane,
+    data_plane,
+    discovery,
+    largest_group,
+    save_server,
+)
+from bench.scale.roles.row import Row
+from bench.scale.slope_book import SlopeBook
+
+__all__ = ["ROLES", "Row"]
+
+ROLES: dict[str, Callable[[SlopeBook], list[Row]]] = {
+    "data-side": data_plane.rows,
+    "control-side": control_plane.rows,
+    "control-machine": control_machine.rows,
+    "discovery": discovery.rows,
+    "save-server": save_server.rows,
+    "client": client.rows,
+    "skew": largest_group.rows,
+}
--- /dev/null
+++ b/bench/scale/roles/control_plane.py
@@ -0,0 +1,173 @@
+"""A node's endpoint list, health checks, configuration and gossip."""
+
+from __future__ import annotations
+
+from bench.scale import target as t
+from bench.scale.rates import PROBE_BYTES, US, probes_per_s, renewals_per_s
+from bench.scale.roles.row import Row
+from bench.scale.slope_book import SlopeBook, figure, in_bytes, share
+from gradegap.balancing.health_checks import (
+    HEALTH_CHECK_INTERVAL_FULL_S,
+    HEALTH_CHECK_INTERVAL_IDLE_S,
+    HEALTH_CHECKS_PER_REQUEST,
+)
+
+
+def rows(book: SlopeBook) -> list[Row]:
+    """A node's endpoint list, health checks, configuration and gossip."""
+    return [
+        *_subscription(book),
+        *_endpoint_list(book),
+        *_health_checks(book),
+        *_membership(book),
+        *_start(book),
+        *_bursts(book),
+    ]
+
+
+def _subscription(book: SlopeBook) -> list[Row]:
+    """The lease and configuration changes, in the ordinary hour."""
+    rate = renewals_per_s()
+    renewal = book.get("renewal_bytes").points[0]
+    frame = renewal.median / renewal.size
+    spent = book.at("subscriber_renewal", 1)
+    delta = book.at("delta_bytes", 1)
+    changes = t.CHANGES_PER_DAY / t.DAY_S * (delta.value + frame)
+    observer = "observer/subscriber.py"
+    return [
+        Row(
+            "ordinary hour",
+            "renewals of the lease",
+            f"{figure(rate)}/s, {in_bytes(rate * frame)}/s both ways",
+            f"{figure(frame)} bytes with the heartbeat; {in_bytes(rate * (frame + 4 * t.TCP_IP))}/s "
+            "with heads of TCP and IP and acknowledgements",
+            observer,
+        ),
+        Row(
+            "ordinary hour",
+            "processor, renewals",
+            f"{share(rate * spent.value * US)} of a core",
+            f"{spent.how}; without the socket",
+            observer,
+        ),
+        Row(
+            "ordinary hour",
+            "changes of configuration",
+            f"{in_bytes(changes)}/s",
+            f"1,200 a day × ({figure(delta.value)} + {figure(frame)}) bytes, the acknowledgement with it",
+            observer,
+        ),
+    ]
+
+
+def _endpoint_list(book: SlopeBook) -> list[Row]:
+    """Watch calls, in the ordinary hour."""
+    fixed = book.at("list_bytes_delta", 0)
+    changed = book.at("list_bytes_delta", 1)
+    wait = 10.0
+    told = t.LIST_CHANGES_PER_DAY / t.DAY_S * changed.value
+    told_2 = t.LIST_CHANGES_PER_DAY_2 / t.DAY_S * changed.value
+    return [
+        Row(
+            "ordinary hour",
+            "the list, asked",
+            f"{in_bytes(fixed.value / wait + told)}/s",
+            f"{figure(fixed.value)} bytes a call each {figure(wait)} s, and "
+            f"{t.LIST_CHANGES_PER_DAY:,} servers told anew a day, assumed; "
+            f"{in_bytes(fixed.value / wait + told_2)}/s at {t.LIST_CHANGES_PER_DAY_2:,}",
+            "discovery/http_discovery.py, discovery/watch_schedule.py",
+        ),
+    ]
+
+
+def _health_checks(book: SlopeBook) -> list[Row]:
+    """Health checks, in the ordinary hour."""
+    probe = book.at("probe", t.SERVERS)
+    probes = probes_per_s(t.SERVERS, t.ARRIVALS_PER_NODE, HEALTH_CHECK_INTERVAL_IDLE_S)
+    probes_2 = probes_per_s(t.SERVERS, t.ARRIVALS_PER_NODE_2, HEALTH_CHECK_INTERVAL_FULL_S)
+    return [
+        Row(
+            "ordinary hour",
+            "probes",
+            f"{figure(probes)}/s, {in_bytes(probes * PROBE_BYTES)}/s both ways",
+            f"{PROBE_BYTES} bytes a probe; each of {t.SERVERS} servers each "
+            f"{HEALTH_CHECK_INTERVAL_IDLE_S:g} s, at most "
+            f"{HEALTH_CHECKS_PER_REQUEST:g} a request; {figure(probes_2)}/s, "
+            f"{in_bytes(probes_2 * PROBE_BYTES)}/s, with a life of ten minutes and full servers",
+            "balancing/health_checks.py, upstream/connection.py",
+        ),
+        Row(
+            "ordinary hour",
+            "processor, probes",
+            f"{share(probes * probe.value * US)} of a core",
+            f"{probe.how}; {share(probes_2 * probe.value * US)} with a life of ten minutes and full servers",
+            "proxy/proxy.py, upstream/connection.py",
+        ),
+    ]
+
+
+def _membership(book: SlopeBook) -> list[Row]:
+    """What a node costs that is a member of the store, and one without connections."""
+    gossip = book.at("gossip_bytes", t.SERVERS)
+    return [
+        Row(
+            "ordinary hour",
+            "gossip, where nodes are members of the store",
+            f"{in_bytes(gossip.value * (t.NODES - 1))}/s out, as much in",
+            f"{gossip.how}, to each of {t.NODES - 1:,} siblings each second",
+            "store/gossip.py",
+        ),
+        Row(
+            "ordinary hour",
+            "memory of a process without connections",
+            in_bytes(book.at("connection_memory", 0).value),
+            f"{book.at('connection_memory', 0).how}; with one server and no subscription, the runs at "
+            "full size "
+            "have both",
+            "node.py",
+        ),
+    ]
+
+
+def _start(book: SlopeBook) -> list[Row]:
+    """A node's first list and snapshot."""
+    whole = book.at("list_bytes_full", t.SERVERS)
+    whole_2 = book.at("list_bytes_full", t.SERVERS_2)
+    snapshot = book.at("snapshot_bytes", t.KEYS)
+    snapshot_2 = book.at("snapshot_bytes", t.KEYS_2)
+    started = book.at("list_first", t.SERVERS)
+    started_2 = book.at("list_first", t.SERVERS_2)
+    observer = "observer/subscriber.py"
+    return [
+        Row(
+            "worst: the node starts",
+            "processor, the list",
+            f"{figure(started.value)} ms",
+            f"{started.how}; {figure(started_2.value)} ms with {t.SERVERS_2:,} servers",
+            "discovery/http_discovery.py, balancing/endpoint_registry.py",
+        ),
+        Row(
+            "worst: the node starts",
+            "list and snapshot",
+            f"{in_bytes(whole.value + snapshot.value)}",
+            f"{whole.how}; {snapshot.how}; {in_bytes(whole_2.value + snapshot_2.value)} with "
+            f"{t.SERVERS_2:,} servers and {t.KEYS_2:,} keys",
+            f"discovery/http_discovery.py, {observer}",
+        ),
+    ]
+
+
+def _bursts(book: SlopeBook) -> list[Row]:
+    """Many changes of the configuration at once."""
+    burst = book.at("delta_bytes", 50)
+    observer = "observer/subscriber.py"
+    return [
+        Row("worst: 50 changes at once", "delta", in_bytes(burst.value), burst.how, observer),
+        Row(
+            "worst: a region cut off for an hour",
+            "changes missed",
+            f"{figure(t.CHANGES_PER_DAY / 24)}, one delta of {in_bytes(burst.value)}",
+            "1,200 a day for an hour, coalesced by key",
+            observer,
+        ),
+    ]
--- a/bench/scale/verdicts.py
+++ b/bench/scale/verdicts.py
@@ -7,8 +7,8 @@
 from bench.scale import target as t
 from bench.scale.cold_bound import RED_AT, RED_FACTOR, TEST, cold_bound
 from bench.scale.full_size import ControlResult, clock, most_core, node_memory, ordinary_day
+from bench.scale.rates import PROBE_BYTES, US, probes_per_s, renewals_per_s, returning
 from bench.scale.slope_book import SlopeBook, figure, in_bytes, share
-from bench.scale.worked import PROBE_BYTES, US, probes_per_s, renewals_per_s, returning
 from gradegap.balancing.grouping import RING_CANDIDATES
 from gradegap.balancing.health_checks import (
     HEALTH_CHECK_INTERVAL_FULL_S,
