--- a/gradegap/discovery/endpoint_list.py
+++ b/gradegap/discovery/endpoint_list.py
@@ -27,7 +27,7 @@
     "Terminating": EndpointPhase.DRAINING,
     "Gone": EndpointPhase.REMOVED,
 }
-"""Discovery's word for the state of an endpoint, and what it means here."""
+"""The phase of an endpoint by its state in discovery's terms."""
 
 
 class AddressedEntry(NamedTuple):
--- a/gradegap/downstream/framing.py
+++ b/gradegap/downstream/framing.py
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Opening:
-    """A client's first line: what it asks for, and the bytes as they came, before and after its wait."""
+    """A client's first line: its request, and the bytes as they came, before and after its wait."""
 
     request: ConnectionRequest
     before_wait: bytes
--- a/gradegap/downstream/interfaces.py
+++ b/gradegap/downstream/interfaces.py
@@ -91,5 +91,5 @@
     """A session on its way to another endpoint, its client's connection established."""
 
     def stop(self) -> None:
-        """The client has gone: give the move up."""
+        """The client has disconnected: give the move up."""
         ...
--- a/gradegap/downstream/session.py
+++ b/gradegap/downstream/session.py
@@ -33,27 +33,27 @@
         """
         ...
 
-    def up(self, session: ClientSession, first: bytes) -> bytes | None:
+    def on_endpoint_established(self, session: ClientSession, first: bytes) -> bytes | None:
         """An endpoint's answer, as the client is to have it; sets `relay` where both sides agreed.
 
         None where the session can't go on there.
         """
         ...
 
-    def move(self, session: ClientSession) -> bool:
+    def migrate_in_place(self, session: ClientSession) -> bool:
         """Whether it migrates a session, that is to leave its endpoint, to another in place."""
         ...
 
-    def ended(self, session: ClientSession) -> None:
+    def on_session_closed(self, session: ClientSession) -> None:
         """A session with a relay has closed here."""
         ...
 
-    def handed(self) -> bytes:
-        """What the successor of this process is to know."""
+    def export_keys(self) -> bytes:
+        """The keys that the successor of this process needs for tokens."""
         ...
 
-    def take_over(self, handed: bytes) -> None:
-        """What the predecessor of this process knew."""
+    def import_keys(self, keys: bytes) -> None:
+        """Go on with the keys of the predecessor."""
         ...
 
 
@@ -144,7 +144,7 @@
             (self.upstream.pause if full else self.upstream.resume)()
 
     def dismiss(self, retry_after: float) -> None:
-        """The channel is needed for others: this session has not asked for anything yet."""
+        """The channel is needed for others: this session has no request yet."""
         if not self.closed:
             self.reject(retry_after)
 
@@ -273,7 +273,7 @@
     def _migrates_in_place(self) -> bool:
         if self.relay is None or self.resumption is None or self.closed or self.client_eof:
             return False
-        return self.migration is not None or self.resumption.move(self)
+        return self.migration is not None or self.resumption.migrate_in_place(self)
 
     def send_migrate(self) -> None:
         """Tell the client to come again, and close."""
@@ -294,7 +294,7 @@
         """The endpoint has confirmed the connection: from here on its bytes are the client's."""
         self.upstream = upstream
         if self.resumption is not None and self.offer is not None:
-            answer = self.resumption.up(self, data)
+            answer = self.resumption.on_endpoint_established(self, data)
             if answer is None:
                 request = self.request
                 self.reject_resumption("server")
@@ -347,7 +347,7 @@
         self.first_line.deadline.stop()
         self.early.clear()
         if self.relay is not None and self.resumption is not None:
-            self.resumption.ended(self)
+            self.resumption.on_session_closed(self)
         self.channel.close(reason)
 
     # From the predecessor of this process
--- a/gradegap/downstream/tcp_channel.py
+++ b/gradegap/downstream/tcp_channel.py
@@ -131,7 +131,7 @@
             self.close_when_sent()
 
     def dismiss_idle(self, retry_after: float) -> None:
-        """This process ends: a client that has not asked for anything yet is to come again elsewhere."""
+        """This process ends: a client without a request is to come again elsewhere."""
         if self.session.opening is None and not self.closing:
             self.session.proxy.metrics.count("rests_ended")
             self.session.dismiss(retry_after)
--- a/gradegap/hot_restart/predecessor.py
+++ b/gradegap/hot_restart/predecessor.py
@@ -57,7 +57,7 @@
         assert listening_socket is not None, "a process that listens is followed, and no other"
         self.state = PredecessorState.STATE_SENT
         host.metrics.count("hot_restarts_begun")
-        sealing_keys = host.resuming.handed() if host.resuming is not None else b""
+        sealing_keys = host.resuming.export_keys() if host.resuming is not None else b""
         offer = Offer(dict(host.proxy.disabled), host.descriptors.own(), sealing_keys)
         link.send(offer, listening_socket.fileno())
         states = [
--- a/gradegap/hot_restart/successor.py
+++ b/gradegap/hot_restart/successor.py
@@ -51,7 +51,7 @@
         self._disabled_endpoints = offer.disabled_endpoints
         self._host.descriptors.held_by_other_process = offer.descriptor_count
         if self._host.resuming is not None:
-            self._host.resuming.take_over(offer.sealing_keys)
+            self._host.resuming.import_keys(offer.sealing_keys)
         self._host.listening_socket = socket.socket(fileno=descriptors[0])
 
     def receive_endpoints(self, batch: EndpointBatch) -> None:
--- a/gradegap/resume/resumption.py
+++ b/gradegap/resume/resumption.py
@@ -58,13 +58,13 @@
 
     # The process that follows this one
 
-    def handed(self) -> bytes:
+    def export_keys(self) -> bytes:
         """What the next process of this node must know, so that tokens stay good where there is no store."""
         return self.keys.export_own()
 
-    def take_over(self, handed: bytes) -> None:
-        """Go on with what the process before had `handed`."""
-        self.keys.import_own(handed)
+    def import_keys(self, keys: bytes) -> None:
+        """Go on with the keys that the predecessor has exported."""
+        self.keys.import_own(keys)
 
     # First lines
 
@@ -187,7 +187,7 @@
 
     # The endpoint's answer
 
-    def up(self, session: ClientSession, first: bytes) -> bytes | None:
+    def on_endpoint_established(self, session: ClientSession, first: bytes) -> bytes | None:
         """An endpoint's `UP` as the client gets it; without the endpoint's consent the same to the byte.
 
         None where the session came to go on and this endpoint would begin anew.
@@ -215,11 +215,11 @@
 
     # Established sessions
 
-    def ended(self, session: ClientSession) -> None:
+    def on_session_closed(self, session: ClientSession) -> None:
         """An established session has ended here."""
         self.tokens.forget(session)
 
-    def move(self, session: ClientSession) -> bool:
+    def migrate_in_place(self, session: ClientSession) -> bool:
         """Whether a session goes to another endpoint while its client's connection stays.
 
         Not from a node that leaves itself, and not while its window can't be trusted.
--- a/gradegap/transport/__init__.py
+++ b/gradegap/transport/__init__.py
@@ -1,1 +1,6 @@
-"""What both sides of the network share: file descriptors, socket options and addresses."""
+"""What both sides of the network share.
+
+Owns the budget of file descriptors (`descriptors`) and the connects under way (`dialer`). `sockets` has flow
+control and socket options, `lines` the length and the numbers of the protocol's lines, `addresses` host and
+port. Knows no other package but `metrics`.
+"""
--- a/gradegap/transport/descriptors.py
+++ b/gradegap/transport/descriptors.py
@@ -1,7 +1,7 @@
 """The node's budget of file descriptors: how many are open, and who is evicted when they run short.
 
 Established sessions, attempts, health checks and discovery come first. Connections that have been answered,
-then those that have not asked for anything are closed for them, first whose last activity is the oldest: so a
+then those without a request are closed for them, first whose last activity is the oldest: so a
 client that checks on and on whether the node is ready outlasts a crowd that sends nothing. They are dismissed
 a little before the budget is used up, and closed when it is.
 """
--- a/gradegap/upstream/connection.py
+++ b/gradegap/upstream/connection.py
@@ -52,8 +52,8 @@
 class UpstreamConnection(Pausable):
     """A connection to an endpoint, for one attempt.
 
-    Beside its state: `sent` stays when the attempt has ended, as the proxy then asks whether the endpoint may
-    have begun to serve; `eof_sent` is about this side of a connection only, whatever its state.
+    Beside its state: `sent` stays when the attempt has ended, as by it the proxy decides whether the endpoint
+    may have begun to serve; `eof_sent` is about this side of a connection only, whatever its state.
     """
 
     def __init__(self, session: DownstreamSession, attempt: Attempt) -> None:
