--- a/bench/scale/reached_limits.py
+++ b/bench/scale/reached_limits.py
@@ -105,9 +105,12 @@
 
 
 def _node_limits(book: SlopeBook) -> list[ReachedLimit]:
-    listed = book.size_at("stop_list", target.LINE_LATENCY_LIMIT_MS)
-    collected = book.size_at("node_collection", target.LINE_LATENCY_LIMIT_MS)
-    lines = book.size_at("share_by_lines", 100.0)
+    """Limits of one node."""
+    return [_cold_servers(), *_connection_limits(book), *_loop_limits(book)]
+
+
+def _connection_limits(book: SlopeBook) -> list[ReachedLimit]:
+    """Descriptors, clients that come again, and health checks."""
     opened = book.at("open_by_connections", target.CONNECTIONS_PER_NODE)
     zone = target.RECONNECT_S / (reconnecting_clients(target.NODES_PER_ZONE) * opened.value * S_PER_US)
     region = target.RECONNECT_S / (reconnecting_clients(target.NODES_PER_REGION) * opened.value * S_PER_US)
@@ -115,9 +118,9 @@
         health_checks_per_s(target.SERVERS, target.ARRIVALS_PER_NODE, HEALTH_CHECK_INTERVAL_IDLE_S)
         * HEALTH_CHECK_BYTES
     )
-    health_checks, proxy = "balancing/health_checks.py", "proxy/proxy.py, balancing/selection.py"
+    health_checks = "balancing/health_checks.py"
+    proxy = "proxy/proxy.py, balancing/selection.py"
     return [
-        _cold_servers(),
         ReachedLimit(
             DESCRIPTORS / (2 * target.CONNECTIONS_PER_NODE),
             "descriptors of one process",
@@ -150,6 +153,15 @@
             "else counted",
             health_checks,
         ),
+    ]
+
+
+def _loop_limits(book: SlopeBook) -> list[ReachedLimit]:
+    """What delays the loop or fills its core."""
+    listed = book.size_at("stop_list", target.LINE_LATENCY_LIMIT_MS)
+    collected = book.size_at("node_collection", target.LINE_LATENCY_LIMIT_MS)
+    lines = book.size_at("share_by_lines", 100.0)
+    return [
         ReachedLimit(
             collected / target.CONNECTIONS_PER_NODE,
             "a full collection of garbage within 220 ms",
--- a/bench/scale/verdicts.py
+++ b/bench/scale/verdicts.py
@@ -2,75 +2,45 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-
 from bench.scale import target
-from bench.scale.full_size import ControlResult, busiest_machine_share, clock, node_memory, ordinary_day
+from bench.scale.control_verdicts import control_verdicts
+from bench.scale.full_size import ControlResult, ordinary_day
 from bench.scale.rates import (
-    HEALTH_CHECK_BYTES,
     S_PER_US,
-    health_checks_per_s,
-    lease_renewals_per_s,
     reconnecting_clients,
 )
 from bench.scale.slope_book import SlopeBook, figure, in_bytes, share
 from bench.scale.slow_start_bound import FAILING_FACTOR, FAILING_PROCESSES, TEST, slow_start_bound
+from bench.scale.verdict import BY_SLOPE, FULL_SIZE, NOT_HELD, NOT_OURS, NOT_RUN, Verdict, held
 from gradegap.balancing.grouping import RING_CANDIDATES
-from gradegap.balancing.health_checks import (
-    HEALTH_CHECK_INTERVAL_FULL_S,
-    HEALTH_CHECK_INTERVAL_IDLE_S,
-)
 from gradegap.observer.limits import Limits
 from gradegap.store.leases import MAX_LEASE_HOLDERS
 
-FULL_SIZE = "run at full size"
-BY_SLOPE = "holds by slope"
-NOT_HELD = "does not hold"
-NOT_RUN = "not run at full size"
-NOT_OURS = "not a node's matter"
-
-
 LATE_LINE_SHARE = 0.01
 FULL_COLLECTION_GROWTH = (
     0.25  # CPython: objects that have grown old since the last full collection, over all old ones
 )
 
 
-@dataclass(frozen=True)
-class Verdict:
-    """What is to be said of one line."""
-
-    requirement: str
-    verdict: str
-    figure: str
-
-
 def delayed_line_share(collection_ms: float, arrivals: float) -> float:
     """The share of lines that come in a full collection and wait longer than is allowed."""
     period_s = FULL_COLLECTION_GROWTH * target.CONNECTIONS_PER_NODE / arrivals
     return max(0.0, collection_ms - target.LINE_LATENCY_LIMIT_MS) / 1e3 / period_s
 
 
-def _held(value: float, limit: float, said: str) -> str:
-    """A verdict of `said` where the limit is kept, else by what factor it is passed."""
-    return said if value <= limit else f"{NOT_HELD}, by {figure(value / limit)} times"
-
-
 def verdicts(book: SlopeBook, runs: dict[str, ControlResult]) -> list[Verdict]:
     """In the letter's order."""
-    return [*_size(book, runs), *_control(book, runs), *_faults(book, runs), *_rest()]
+    return [*_size(book, runs), *control_verdicts(book, runs), *_faults(book, runs), *_rest()]
 
 
 def _size(book: SlopeBook, runs: dict[str, ControlResult]) -> list[Verdict]:
+    """What a node has to carry."""
+    return [*_counts(book, runs), *_lines(book), *_zones()]
+
+
+def _counts(book: SlopeBook, runs: dict[str, ControlResult]) -> list[Verdict]:
+    """Nodes, connections and groups."""
     memory = book.at("connection_memory", target.CONNECTIONS_PER_NODE)
-    collect = book.at("node_collection", target.CONNECTIONS_PER_NODE)
-    lines = book.at("share_by_lines", target.LINES_PER_NODE).value / 100
-    late = book.at("line_late_by_lines", target.LINES_PER_NODE)
-    listed = book.at("stop_list", target.SERVERS)
-    listed_2 = book.at("list_replaced", target.SERVERS_2)
-    stop = max(collect.value, listed.value)
-    late_share = delayed_line_share(collect.value, target.ARRIVALS_PER_NODE)
-    late_share_2 = delayed_line_share(collect.value, target.ARRIVALS_PER_NODE_2)
     members = target.LARGEST_GROUP / target.NODES
     servers = target.LARGEST_GROUP / target.CONNECTIONS_PER_SERVER
     servers_2 = target.LARGEST_GROUP / (target.CONNECTIONS / target.SERVERS_2)
@@ -107,6 +77,20 @@
             "whole list. "
             "Its coming back at once was not run",
         ),
+    ]
+
+
+def _lines(book: SlopeBook) -> list[Verdict]:
+    """Lines, and how late they may be."""
+    collect = book.at("node_collection", target.CONNECTIONS_PER_NODE)
+    lines = book.at("share_by_lines", target.LINES_PER_NODE).value / 100
+    late = book.at("line_late_by_lines", target.LINES_PER_NODE)
+    listed = book.at("stop_list", target.SERVERS)
+    listed_2 = book.at("list_replaced", target.SERVERS_2)
+    stop = max(collect.value, listed.value)
+    late_share = delayed_line_share(collect.value, target.ARRIVALS_PER_NODE)
+    late_share_2 = delayed_line_share(collect.value, target.ARRIVALS_PER_NODE_2)
+    return [
         Verdict(
             "12 million lines a second",
             BY_SLOPE if lines <= 1.0 else f"{NOT_HELD}, by {figure(lines)} times, with one process a node",
@@ -115,8 +99,8 @@
         ),
         Verdict(
             "within 220 ms for 99 in 100",
-            f"{_held(late_share, LATE_LINE_SHARE, BY_SLOPE)}; with connections of ten minutes: "
-            f"{_held(late_share_2, LATE_LINE_SHARE, BY_SLOPE)}",
+            f"{held(late_share, LATE_LINE_SHARE, BY_SLOPE)}; with connections of ten minutes: "
+            f"{held(late_share_2, LATE_LINE_SHARE, BY_SLOPE)}",
             f"{figure(late.value)} ms on loopback without collections: {late.derivation}. Full collections "
             "hold back "
             f"{share(late_share)} of lines, {share(late_share_2)} with connections of ten minutes; "
@@ -125,120 +109,27 @@
         ),
         Verdict(
             "the loop's longest stop against 220 ms",
-            _held(stop, target.LINE_LATENCY_LIMIT_MS, BY_SLOPE),
+            held(stop, target.LINE_LATENCY_LIMIT_MS, BY_SLOPE),
             f"a full collection {figure(collect.value)} ms ({collect.derivation}); a list in which all "
             f"{target.SERVERS} "
             f"are new {figure(listed.value)} ms, {figure(listed_2.value)} ms with "
             f"{target.SERVERS_2:,} servers",
         ),
-        Verdict(
-            "7 regions with 16 zones",
-            BY_SLOPE,
-            "a node knows its region (observer/selection.py) and its zone (balancing/selection.py); no cost "
-            "grows with their number. Zones as discovery names them are not held against machines",
-        ),
     ]
 
 
-def _control(book: SlopeBook, runs: dict[str, ControlResult]) -> list[Verdict]:
-    found = ordinary_day(runs)
-    rate = lease_renewals_per_s()
-    renewal = book.get("renewal_bytes").points[0]
-    renewing = rate * renewal.median / renewal.size
-    probing = (
-        health_checks_per_s(target.SERVERS, target.ARRIVALS_PER_NODE, HEALTH_CHECK_INTERVAL_IDLE_S)
-        * HEALTH_CHECK_BYTES
-    )
-    probes = f"with the probes of {figure(target.ARRIVALS_PER_NODE)} requests/s on top, "
-    probes += f"{in_bytes(probing)}/s more, "
-    probes += f"it is {figure((renewing + probing) / target.CONTROL_BYTES_PER_S)} times the limit"
-    with_probes = f"; with probes: {_held(renewing + probing, target.CONTROL_BYTES_PER_S, BY_SLOPE)}"
-    probe_rate = health_checks_per_s(target.SERVERS, target.ARRIVALS_PER_NODE, HEALTH_CHECK_INTERVAL_IDLE_S)
-    probe_core = probe_rate * book.at("probe", target.SERVERS).value * S_PER_US
-    slope_core = rate * book.at("subscriber_renewal", 1).value * S_PER_US + probe_core
-    probe_core_2 = (
-        health_checks_per_s(target.SERVERS, target.ARRIVALS_PER_NODE_2, HEALTH_CHECK_INTERVAL_FULL_S)
-        * book.at("probe", target.SERVERS).value
-        * S_PER_US
-    )
-    renewal_core = slope_core - probe_core
-    with_probes_core = (
-        f"{_held(slope_core, target.CONTROL_CORE_SHARE, BY_SLOPE)}, with connections of ten minutes and full "
-    )
-    with_probes_core += f"servers {_held(renewal_core + probe_core_2, target.CONTROL_CORE_SHARE, BY_SLOPE)}"
-    probing_core = f"{share(probe_core)} for {figure(probe_rate)} probes/s on top, {share(probe_core_2)} "
-    probing_core += "with connections of ten minutes and full servers"
-    if found is None:
-        return [
-            Verdict(
-                "1,200 changes a day, in force within 10 s",
-                NOT_RUN,
-                "no run of 1,600 hollow nodes is committed",
-            ),
-            Verdict(
-                "control within 1.1% of a core",
-                with_probes_core,
-                f"{share(slope_core)} for renewals, without sockets, and probes; of it {probing_core}",
-            ),
-            Verdict("control within 256 MB", NOT_RUN, "no run of 1,600 hollow nodes is committed"),
-            Verdict(
-                "control within 3 KB a second",
-                BY_SLOPE + with_probes,
-                f"{in_bytes(renewing)}/s for renewals; {probes}",
-            ),
-            Verdict("6 control machines", BY_SLOPE, _machines_by_slope(book)),
-        ]
-    name, run = found
-    where = f"`{name}`, {run.servers} servers, {clock(run)}"
-    busiest = busiest_machine_share(run)
-    in_force = run.in_force_s["max"]
-    verdict = FULL_SIZE if not run.missing else f"{NOT_HELD}: {run.missing} missing"
+def _zones() -> list[Verdict]:
+    """Regions and zones."""
     return [
         Verdict(
-            "1,200 changes a day, in force within 10 s",
-            f"{_held(in_force, target.IN_FORCE_S, verdict)}; 99 in 100 within 1 s, our own aim: "
-            f"{_held(run.in_force_s['p99'], target.IN_FORCE_P99_OBJECTIVE_S, verdict)}",
-            f"p99 {figure(run.in_force_s['p99'])} s, largest {figure(in_force)} s of {run.changes} changes, "
-            f"{run.missing} missing, {run.leases_lost:,} leases lost; {where}, the day's changes "
-            f"{figure(run.acceleration)} times as often",
-        ),
-        Verdict(
-            "control within 1.1% of a core",
-            f"{_held(run.node_core_share['max'], target.CONTROL_CORE_SHARE, FULL_SIZE)}; probes: "
-            f"{with_probes_core}",
-            f"mean {share(run.node_core_share['mean'])}, largest {share(run.node_core_share['max'])} of "
-            f"hollow nodes that share a process; {where}. They hardly probe: {probing_core}",
-        ),
-        Verdict(
-            "control within 256 MB",
-            _held(node_memory(run), target.CONTROL_MEMORY_BYTES, FULL_SIZE),
-            f"{in_bytes(node_memory(run))}; {where}",
-        ),
-        Verdict(
-            "control within 3 KB a second",
-            _held(run.control_bytes_per_node_s["max"], target.CONTROL_BYTES_PER_S, FULL_SIZE) + with_probes,
-            f"mean {in_bytes(run.control_bytes_per_node_s['mean'])}/s, largest "
-            f"{in_bytes(run.control_bytes_per_node_s['max'])}/s; {where}. Hollow nodes have no "
-            "clients and so "
-            f"hardly probe: {probes}",
-        ),
-        Verdict(
-            "6 control machines",
-            _held(busiest, 1.0, FULL_SIZE) if busiest is not None else BY_SLOPE,
-            f"the busiest takes {share(busiest)} of a core; {where}"
-            if busiest is not None
-            else _machines_by_slope(book),
+            "7 regions with 16 zones",
+            BY_SLOPE,
+            "a node knows its region (observer/selection.py) and its zone (balancing/selection.py); no cost "
+            "grows with their number. Zones as discovery names them are not held against machines",
         ),
     ]
 
 
-def _machines_by_slope(book: SlopeBook) -> str:
-    subscribers = target.NODES / target.CONTROL_MACHINES
-    spent = book.at("publisher_renewal", subscribers)
-    core = subscribers * lease_renewals_per_s() * spent.value * S_PER_US
-    return f"{share(core)} of a core for {figure(subscribers)} subscribers' renewals, without sockets"
-
-
 def _fault_run(runs: dict[str, ControlResult], fault: str) -> str:
     """What the largest run with a fault found."""
     found = [(name, run) for name, run in runs.items() if run.fault == fault and run.mechanism == "observer"]
@@ -258,7 +149,7 @@
     if run.missing:
         return f"{NOT_HELD}: {run.missing} missing"
     level = float((run.level_again_s or {}).get("max", 0.0))
-    return _held(
+    return held(
         level, target.IN_FORCE_S, FULL_SIZE if run.nodes >= target.NODES else f"run with {run.nodes:,} nodes"
     )
 
@@ -294,7 +185,7 @@
         ),
         Verdict(
             "a zone a few times a year",
-            f"clients within a second: {_held(zone, 1.0, BY_SLOPE)}; control: {BY_SLOPE}",
+            f"clients within a second: {held(zone, 1.0, BY_SLOPE)}; control: {BY_SLOPE}",
             f"{_returns(book, target.NODES_PER_ZONE)}; the largest zone, twice the mean: "
             f"{_returns(book, target.SKEW * target.NODES_PER_ZONE)}. Where they come over more than a "
             f"second, it holds",
@@ -302,7 +193,7 @@
         Verdict(
             "regions lose each other for an hour",
             f"control: {_fault_verdict(runs, 'region')}; its clients elsewhere within a second: "
-            f"{_held(region, 1.0, BY_SLOPE)}",
+            f"{held(region, 1.0, BY_SLOPE)}",
             f"{_fault_run(runs, 'region')}; at healing {figure(target.CHANGES_PER_DAY / 24)} changes in "
             "one delta, "
             f"admitted within {figure(max(0.0, admitted))} s were all at one machine; "
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -9,7 +9,7 @@
 import pytest
 from typer.testing import CliRunner
 
-from bench.scale import page, reached_limits, verdicts
+from bench.scale import page, reached_limits, verdict, verdicts
 from bench.scale.fit import Linear, Power, linear, power
 from bench.scale.full_size import NOT_RUN, control_runs, ordinary_day
 from bench.scale.results_file import RESULTS, read
@@ -116,7 +116,7 @@
 
 def test_full_size_runs_are_taken_where_they_are_and_said_not_to_be_where_not(results: Path) -> None:
     assert NOT_RUN in page.tables(results)["full-size"]()
-    assert verdicts.NOT_RUN in page.tables(results)["verdicts"]()
+    assert verdict.NOT_RUN in page.tables(results)["verdicts"]()
     (results / "control-1600.json").write_text(json.dumps(ORDINARY_DAY))
     (results / "control-60.json").write_text(json.dumps({**ORDINARY_DAY, "nodes": 60}))
     assert list(control_runs(results)) == ["control-60", "control-1600"]
