--- a/bench/scale/control_verdicts.py
+++ b/bench/scale/control_verdicts.py
@@ -71,7 +71,8 @@
         """Whether the limit of processor time is kept."""
         return (
             f"{held(self.core, target.CONTROL_CORE_SHARE, BY_SLOPE)}, "
-            f"with connections of ten minutes and full servers {held(self.busy_core, target.CONTROL_CORE_SHARE, BY_SLOPE)}"
+            "with connections of ten minutes and full servers "
+            f"{held(self.busy_core, target.CONTROL_CORE_SHARE, BY_SLOPE)}"
         )
 
     def health_check_core(self) -> str:
