--- a/tests/test_docs_commands.py
+++ b/tests/test_docs_commands.py
@@ -8,7 +8,7 @@
 import shlex
 import subprocess
 import sys
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator
 from functools import cache
 from pathlib import Path
 from typing import Any
@@ -31,6 +31,22 @@
 COUNTER = re.compile(r"[a-z][a-z0-9]*(?:_[a-z0-9]+)*(?:_(?:[A-Z]+|\.\.\.))?(?:=\d+)?")
 SAVE_SERVERS_REASONS = frozenset({"fenced"})  # of an `X` line, docs/design/resume.md
 COUNTER_COLUMNS = frozenset({"counter", "what shows", "name"})
+COMMANDS_HEADER = "`python -m gradegap ...`"
+LOG_EVENT = re.compile(r"[a-z]+(?:,? [a-z]+)+")
+
+
+def _in_columns(page: Path, is_wanted: Callable[[str], bool]) -> Iterator[str]:
+    """What a page's tables have in backticks, in the columns whose header is wanted."""
+    columns: list[int] | None = None
+    for line in page.read_text().splitlines():
+        if not line.strip().startswith("|"):
+            columns = None
+            continue
+        cells = re.split(r"(?<!\\)\|", line.strip())[1:-1]
+        if columns is None:
+            columns = [k for k, cell in enumerate(cells) if is_wanted(cell.strip())]
+        for k in columns:
+            yield from CODE.findall(cells[k])
 
 
 def _in_full(text: str) -> Iterator[str]:
@@ -48,18 +64,22 @@
         found = LINE.fullmatch(line.partition("  #")[0].strip())
         if found and found["arguments"]:
             yield found["arguments"], True
+    in_tables = {
+        " ".join(code.split()) for code in _in_columns(page, lambda header: header == COMMANDS_HEADER)
+    }
     for code in CODE.findall(text):
         bare = " ".join(code.split())
         found = LINE.fullmatch(bare)
-        arguments = (found["arguments"] or "") if found else bare
-        known = arguments.split()[:1]
-        if known and known[0] in GROUPS and " " in arguments:
+        arguments = (found["arguments"] or "...") if found else bare
+        if arguments in {"...", COMMANDS_HEADER} or arguments.startswith("--"):
+            continue
+        if found or bare in in_tables or (" " in bare and bare.split()[0] in GROUPS):
             yield from ((each, False) for each in _in_full(arguments))
 
 
 FOUND = [
     pytest.param(arguments, whole, id=f"{page.stem}: {arguments}")
-    for page in PAGES
+    for page in [*PAGES, *sorted((ROOT / "deploy").glob("*.toml"))]
     for arguments, whole in dict.fromkeys(_lines(page))
 ]
 
@@ -229,17 +249,8 @@
 
 
 def _counters_in_tables(page: Path) -> Iterator[str]:
-    """What a page's tables have in backticks where their columns hold counters."""
-    columns: list[int] | None = None
-    for line in page.read_text().splitlines():
-        if not line.startswith("|"):
-            columns = None
-            continue
-        cells = re.split(r"(?<!\\)\|", line)[1:-1]
-        if columns is None:
-            columns = [k for k, cell in enumerate(cells) if cell.strip() in COUNTER_COLUMNS]
-        for k in columns:
-            yield from (name for name in CODE.findall(cells[k]) if COUNTER.fullmatch(name))
+    cells = _in_columns(page, COUNTER_COLUMNS.__contains__)
+    return (name for name in cells if COUNTER.fullmatch(name))
 
 
 TABLED = [
@@ -263,3 +274,20 @@
     assert not _is_counted("handovers_begun")
     assert not _is_counted("answered_nonsense")
     assert _is_counted("answered_refused")
+
+
+LOGGED = [
+    pytest.param(event, id=f"{page.stem}: {event}")
+    for page in PAGES
+    for event in dict.fromkeys(" ".join(code.split()) for code in CODE.findall(page.read_text()))
+    if LOG_EVENT.fullmatch(event) and event.split()[0] not in GROUPS | {"gradegap", "make"}
+]
+
+
+@pytest.mark.parametrize("event", LOGGED)
+def test_a_log_event_that_a_page_quotes_is_a_text_of_the_source(event: str) -> None:
+    assert event in _endings()
+
+
+def test_pages_quote_log_events() -> None:
+    assert len(LOGGED) > 10
