--- a/gradegap/observer/client.py
+++ b/gradegap/observer/client.py
@@ -136,10 +136,14 @@
         self.requests.close()
 
     def request(
-        self, wish: wire.RequestBody, done: ResponseCallback, left: float = 5.0, relayed: bool = False
+        self,
+        body: wire.RequestBody,
+        respond: ResponseCallback,
+        timeout_s: float = 5.0,
+        from_member: bool = False,
     ) -> None:
-        """`done` with one response of the store, at the latest after `left` seconds and a margin."""
-        self.requests.request(wish, done, left)
+        """`respond` with one response of the store, at the latest after `timeout_s` and a margin."""
+        self.requests.request(body, respond, timeout_s)
 
     def _subscribed_connection(self) -> PublisherConnection | None:
         return self.connection if self.subscriber.phase is Phase.SUBSCRIBED else None
--- a/gradegap/observer/store_requests.py
+++ b/gradegap/observer/store_requests.py
@@ -89,20 +89,24 @@
         self.closed = False
 
     def request(
-        self, wish: wire.RequestBody, done: ResponseCallback, left: float = 5.0, relayed: bool = False
+        self,
+        body: wire.RequestBody,
+        respond: ResponseCallback,
+        timeout_s: float = 5.0,
+        from_member: bool = False,
     ) -> None:
-        """`done` with one response, at the latest after `left` seconds and a margin."""
+        """`respond` with one response, at the latest after `timeout_s` and a margin."""
         if self.closed or len(self.pending) >= MAX_REQUESTS:
             self.metrics.count("observer_requests_refused")
             why = "this process is leaving" if self.closed else "too many requests are under way"
-            done(wire.Response(0, "no", f"busy: {why}"))
+            respond(wire.Response(0, "no", f"busy: {why}"))
             return
         self.serial += 1
-        request = PendingRequest(self.serial, wish, done, time.monotonic() + left)
-        if isinstance(wish, wire.Transaction) and not wish.client:
-            self._name_write(request, wish)
+        request = PendingRequest(self.serial, body, respond, time.monotonic() + timeout_s)
+        if isinstance(body, wire.Transaction) and not body.client:
+            self._name_write(request, body)
         self.pending[request.serial] = request
-        self.loop.call_later(left + RESPONSE_MARGIN_S, self._time_out, request)
+        self.loop.call_later(timeout_s + RESPONSE_MARGIN_S, self._time_out, request)
         self._send(request)
 
     def send_all(self) -> None:
--- a/gradegap/resume/key_ring_source.py
+++ b/gradegap/resume/key_ring_source.py
@@ -25,9 +25,9 @@
     """Requests to the store."""
 
     def request(
-        self, wish: wire.RequestBody, done: Callable[[wire.Response], None], left: float = 5.0
+        self, body: wire.RequestBody, respond: Callable[[wire.Response], None], timeout_s: float = 5.0
     ) -> None:
-        """`done` with one response, within `left` seconds."""
+        """`respond` with one response, within `timeout_s`."""
 
 
 class SessionStore(Protocol):
