--- a/tests/test_docs_commands.py
+++ b/tests/test_docs_commands.py
@@ -218,11 +218,21 @@
         assert importlib.util.find_spec(module), module
     for path in re.findall(r"`((?:gradegap|bench|deploy|docs|tests)/[\w./*-]+)`", text):
         assert any(ROOT.glob(path.rstrip("/"))), path
+    for path in re.findall(r"`(test_[\w*]+\.py)`", text):
+        assert any((ROOT / "tests").glob(path)), path
     for name in re.findall(r"`(gradegap(?:\.\w+)+)`", text):
         package, _, last = name.rpartition(".")
         assert hasattr(importlib.import_module(package), last) or importlib.util.find_spec(name), name
 
 
+@pytest.mark.parametrize("page", PAGES[1:], ids=lambda page: page.stem)
+def test_links_of_a_page_lead_to_files(page: Path) -> None:
+    paths = re.findall(r"\]\(([^)#:]+)\)", page.read_text())
+    assert paths
+    for path in paths:
+        assert (page.parent / path).exists(), path
+
+
 @cache
 def _endings() -> frozenset[str]:
     """What may end a counter's name that is put together: texts of the source, and names of enums."""
