--- a/bench/scale/analysis.py
+++ b/bench/scale/analysis.py
@@ -36,17 +36,17 @@
     for node in nodes:
         revisions = [a.revision for a in node.applied]
         for number, change in enumerate(changes):
-            life = covering(node.lives, change.proposed)
-            if life is None:
+            run = covering(node.runs, change.proposed)
+            if run is None:
                 continue
             place = bisect_left(revisions, change.revision)
             at = node.applied[place].at if place < len(revisions) else 0.0
-            if not at or (life.end and at > life.end):
-                found.left += bool(life.end)
-                found.missing += not life.end
+            if not at or (run.end and at > run.end):
+                found.left += bool(run.end)
+                found.missing += not run.end
                 continue
             spent = max(0.0, at - change.proposed)
-            deciding = covering(node.fresh, change.proposed) is not None
+            deciding = covering(node.leases, change.proposed) is not None
             (found.deciding if deciding else found.others).append(spent)
             if deciding:
                 latest[number] = max(latest[number], spent)
@@ -71,15 +71,15 @@
     spent: list[float] = []
     moved = lost = never = 0
     for node in nodes:
-        if not node.lives or node.lives[-1].end or covering(node.fresh, at) is None:
+        if not node.runs or node.runs[-1].end or covering(node.leases, at) is None:
             continue
         was_at_dead = machine_at(node, at) in dead
-        regained = [s.begin for s in node.fresh if s.begin > at]
-        lost_lease = bool(regained or node.fresh[-1].end)
+        regained = [s.begin for s in node.leases if s.begin > at]
+        lost_lease = bool(regained or node.leases[-1].end)
         moved += was_at_dead
         lost += lost_lease
-        arrived = [s.begin for s in node.stays if s.begin > at and s.machine and s.machine not in dead]
-        if node.fresh[-1].end or (was_at_dead and not arrived):
+        arrived = [s.begin for s in node.served_by if s.begin > at and s.machine and s.machine not in dead]
+        if node.leases[-1].end or (was_at_dead and not arrived):
             never += 1
         elif was_at_dead or lost_lease:
             level = max([at, *regained[-1:], *(arrived[:1] if was_at_dead else [])])
@@ -90,14 +90,14 @@
 
 def machine_at(node: NodeRecord, at: float) -> str:
     """The machine that served a node at a moment; empty: none."""
-    earlier = [stay.machine for stay in node.stays if stay.begin <= at]
+    earlier = [stay.machine for stay in node.served_by if stay.begin <= at]
     return earlier[-1] if earlier else ""
 
 
 def leases_lost(nodes: list[NodeRecord], since: float) -> int:
     """How often a living node lost its lease since a moment."""
-    ends = {(n.name, life.end) for n in nodes for life in n.lives if life.end}
-    return sum(1 for n in nodes for s in n.fresh if s.end > since and (n.name, s.end) not in ends)
+    ends = {(n.name, run.end) for n in nodes for run in n.runs if run.end}
+    return sum(1 for n in nodes for s in n.leases if s.end > since and (n.name, s.end) not in ends)
 
 
 def by_kind(records: list[ProcessRecord], nodes: int) -> dict[str, dict[str, float]]:
--- a/bench/scale/control.py
+++ b/bench/scale/control.py
@@ -29,11 +29,11 @@
 
 log = structlog.get_logger()
 
-ANSWER_S = 60.0  # within which a hollow process answers
+ANSWER_TIMEOUT_S = 60.0  # of a child process
 START_PER_NODE_S = 0.025  # by which the nodes' starts are spread, for each of them
-LEAST_START_S = 2.0
-LOOK_S = 0.5
-WATCH_S = 0.5
+MIN_START_SPREAD_S = 2.0
+READY_POLL_INTERVAL_S = 0.5
+CHILD_POLL_INTERVAL_S = 0.5
 
 
 class Result(ControlFigures, omit_defaults=False):
@@ -58,7 +58,7 @@
     leases_lost: int
     fault_at: list[dict[str, Any]]
     level_again_s: analysis.LevelAgain | None
-    gone_nodes: int
+    lost_nodes: int = msgspec.field(name="gone_nodes")
     hollow_processes: int
     hollow_resident_bytes: dict[str, float]
     counters: dict[str, int]
@@ -85,18 +85,18 @@
 class ControlRun:
     """One run, from the first process to the result."""
 
-    def __init__(self, settings: RunSettings, made: Children, folder: Path) -> None:
-        self.settings, self.children, self.folder = settings, made, folder
+    def __init__(self, settings: RunSettings, started: Children, folder: Path) -> None:
+        self.settings, self.children, self.folder = settings, started, folder
         self.rng = random.Random(settings.seed)
         self.nodes = [self._node(number) for number in range(settings.nodes)]
-        self.machines = Machines(settings, made, folder, free_port)
+        self.machines = Machines(settings, started, folder, free_port)
         if settings.mechanism == "members":
             self.machines.members_beside = [node.as_member() for node in self.nodes]
         self.client = StoreClient(self.machines.addresses(), SECRET.encode())
         self.load = Load(self.client, settings.servers, self.rng)
         self.hollow: list[tuple[Child, list[NodeSpec]]] = []
         self.gate: Child | None = None
-        self.gone_processes: set[str] = set()
+        self.lost_processes: set[str] = set()
         self.faults: list[dict[str, Any]] = []
         self.start_s = 0.0
         self.window_began = 0.0
@@ -122,15 +122,15 @@
         child, nodes = self.hollow[1]
         return child, len(nodes)
 
-    async def ask(self, child: Child, message: dict[str, Any]) -> dict[str, Any]:
-        """One question to a hollow process."""
-        child.tell(message)
-        return await child.hear(ANSWER_S)
+    async def call(self, child: Child, message: dict[str, Any]) -> dict[str, Any]:
+        """Send a command to a hollow process, and await its answer."""
+        child.send(message)
+        return await child.receive(ANSWER_TIMEOUT_S)
 
-    async def ask_all(self, message: dict[str, Any]) -> list[dict[str, Any]]:
-        """One question to all hollow processes that are there."""
-        there = [child for child, _ in self.hollow if child.name not in self.gone_processes]
-        return list(await asyncio.gather(*(self.ask(child, message) for child in there)))
+    async def call_all(self, message: dict[str, Any]) -> list[dict[str, Any]]:
+        """Send a command to all hollow processes that are not lost, and await their answers."""
+        remaining = [child for child, _ in self.hollow if child.name not in self.lost_processes]
+        return list(await asyncio.gather(*(self.call(child, message) for child in remaining)))
 
     # The run
 
@@ -154,10 +154,8 @@
         while True:
             if ended := self.children.unexpected_ends():
                 child = next(c for c in self.children.children if c.name == ended[0])
-                raise ChildFailedError(
-                    f"{ended[0]} ended with {child.process.returncode}{child.last_words()}"
-                )
-            await asyncio.sleep(WATCH_S)
+                raise ChildFailedError(f"{ended[0]} ended with {child.process.returncode}{child.log_tail()}")
+            await asyncio.sleep(CHILD_POLL_INTERVAL_S)
 
     async def _run(self) -> Result:
         if self.settings.fault == "region":
@@ -178,8 +176,8 @@
             self.settings.servers, self.settings.seed, self.settings.list_changes_per_s / self.settings.clock
         )
         child = await self._start_with_spec("scripted", "bench.scale.scripted", spec)
-        told = await child.hear(ANSWER_S)
-        return f"127.0.0.1:{told['discovery']}"
+        answer = await child.receive(ANSWER_TIMEOUT_S)
+        return f"127.0.0.1:{answer['discovery']}"
 
     async def _start_with_spec(self, name: str, module: str, spec: msgspec.Struct) -> Child:
         path = self.folder / f"{name}.json"
@@ -189,7 +187,7 @@
     async def _start_hollow(self, discovery: str) -> None:
         began = steady()
         nodes = self.nodes
-        spread_s = max(LEAST_START_S, START_PER_NODE_S * len(nodes))
+        spread_s = max(MIN_START_SPREAD_S, START_PER_NODE_S * len(nodes))
         at = 0
         for number, size in enumerate(process_sizes(self.settings)):
             own = nodes[at : at + size]
@@ -200,7 +198,7 @@
             spec = HollowSpec(
                 mechanism=self.settings.mechanism,
                 nodes=own,
-                of_all=self.settings.nodes,
+                total_nodes=self.settings.nodes,
                 machines=[*self.machines.seen_from(region), *self.machines.members_beside],
                 discovery=discovery,
                 folder=str(self.folder),
@@ -211,7 +209,7 @@
             )
             child = await self._start_with_spec(f"hollow-{number:02}", "bench.scale.hollow", spec)
             self.hollow.append((child, own))
-        await self.ask_all({"do": "start"})
+        await self.call_all({"do": "start"})
         self.start_s = -began
 
     def _node(self, number: int) -> NodeSpec:
@@ -221,8 +219,8 @@
     async def _wait_until_ready(self) -> None:
         end = steady() + self.settings.start_s
         while True:
-            told = await self.ask_all({"do": "status"})
-            ready = sum(each["ready"] for each in told)
+            answers = await self.call_all({"do": "status"})
+            ready = sum(each["ready"] for each in answers)
             if ready >= self.settings.nodes:
                 self.start_s += steady()
                 return
@@ -230,10 +228,10 @@
                 raise ChildFailedError(
                     f"{ready} of {self.settings.nodes} nodes stood after {self.settings.start_s:g} s"
                 )
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
 
     async def _window(self) -> tuple[list[MachineFigures], float, list[float]]:
-        await self.ask_all({"do": "window"})
+        await self.call_all({"do": "window"})
         self.machines.window()
         busy = self._busy()
         began = self.window_began = steady()
@@ -256,7 +254,7 @@
         figures = self.machines.measure()
         window_s = steady() - began
         self.cores_used = cores_used(busy, self._busy(), window_s)
-        await self.ask_all({"do": "measure"})
+        await self.call_all({"do": "measure"})
         return figures, window_s, [round(value, 2) for value in os.getloadavg()]
 
     def _busy(self) -> Busy:
@@ -266,8 +264,8 @@
     async def _restart_one(self) -> None:
         """A node that no fault touches restarts."""
         child, nodes = self.rng.choice(self.hollow[1:] or self.hollow)
-        if child.name not in self.gone_processes and self.settings.fault == "none":
-            await self.ask(child, {"do": "restart", "nodes": [self.rng.randrange(len(nodes))]})
+        if child.name not in self.lost_processes and self.settings.fault == "none":
+            await self.call(child, {"do": "restart", "nodes": [self.rng.randrange(len(nodes))]})
 
     async def _settle(self) -> None:
         """Guards against a change called missing that was only a moment old."""
@@ -277,10 +275,10 @@
     async def _finish(self) -> list[ProcessRecord]:
         records = []
         for child, _ in self.hollow:
-            if child.name in self.gone_processes:
+            if child.name in self.lost_processes:
                 continue
             path = self.folder / f"{child.name}.record"
-            await self.ask(child, {"do": "finish", "path": str(path)})
+            await self.call(child, {"do": "finish", "path": str(path)})
             records.append(msgspec.json.decode(path.read_bytes(), type=ProcessRecord))
         return records
 
@@ -329,7 +327,7 @@
             leases_lost=analysis.leases_lost(nodes, self.window_began),
             fault_at=self.faults,
             level_again_s=self._level_again(nodes),
-            gone_nodes=settings.nodes - len(nodes),
+            lost_nodes=settings.nodes - len(nodes),
             hollow_processes=len(self.hollow),
             hollow_resident_bytes={"sum": sum(resident), "max": max(resident)},
             counters=counters,
@@ -363,7 +361,7 @@
 
 def notes(settings: RunSettings, writes: list[WriteRecord]) -> list[str]:
     """What the figures mean, and what they leave out."""
-    said = [
+    lines = [
         NOT_COUNTED,
         "in_force_s runs from the moment the writer proposed a change until the node decides by it, "
         "on one machine's steady clock; of nodes that held a lease when it was proposed",
@@ -372,12 +370,12 @@
         "share a process share its heap, which is frozen for the garbage collector when the window begins",
     ]
     if settings.clock > 1.0:
-        said.append(f"slower clock: leases and loads are {settings.clock:g} times as slow as in real time")
+        lines.append(f"slower clock: leases and loads are {settings.clock:g} times as slow as in real time")
     refused = Counter(f"{w.outcome}: {w.text}" for w in writes if w.outcome != "ok")
-    said += [f"{count} changes came to {why!r}" for why, count in refused.most_common(5)]
+    lines += [f"{count} changes came to {why!r}" for why, count in refused.most_common(5)]
     if any(w.tries > 1 for w in writes):
-        said.append("of a change that was tried again the time counts from the try that came through")
-    return said
+        lines.append("of a change that was tried again the time counts from the try that came through")
+    return lines
 
 
 async def control(settings: RunSettings) -> Result:
@@ -388,5 +386,5 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, task.cancel)
     with tempfile.TemporaryDirectory(prefix="scale-") as folder:
-        async with children(Path(folder)) as made:
-            return await ControlRun(settings, made, Path(folder)).run()
+        async with children(Path(folder)) as started:
+            return await ControlRun(settings, started, Path(folder)).run()
--- a/bench/scale/faults.py
+++ b/bench/scale/faults.py
@@ -17,10 +17,10 @@
 from gradegap.store.records import KeyUpdate
 
 REPLACED_AFTER_S = 3.0  # from a machine's death to the start of the one in its place
-RESTARTED_PART = 10  # one node in so many
-REFUSED_S = 3.0  # that a write at the cut side is tried
-SLOW_CYCLE_S = 1.0
-SLOW_PART = 0.1  # of each cycle in which a slow reader runs
+RESTARTED_ONE_IN = 10  # one node in so many
+CUT_SIDE_WRITE_TIMEOUT_S = 3.0
+SLOW_READER_CYCLE_S = 1.0
+SLOW_READER_SHARE = 0.1  # of each cycle in which a slow reader runs
 
 
 class FaultTarget(Protocol):
@@ -31,7 +31,7 @@
     load: Load
     gate: Child | None
     hollow: list[tuple[Child, list[NodeSpec]]]
-    gone_processes: set[str]
+    lost_processes: set[str]
     notes: list[str]
 
     def fault_began(self, at: float, what: str) -> None:
@@ -50,8 +50,8 @@
         """A process that stands for a rack, and its number of nodes."""
         ...
 
-    async def ask(self, child: Child, message: dict[str, Any]) -> dict[str, Any]:
-        """A message to a process, and its answer."""
+    async def call(self, child: Child, message: dict[str, Any]) -> dict[str, Any]:
+        """Send a command to a process, and await its answer."""
         ...
 
 
@@ -95,11 +95,11 @@
 
 
 def lose_rack(run: FaultTarget) -> None:
-    """All nodes of one process fall silent at once, their connections open: nobody is told."""
+    """All nodes of one process fall silent at once, their connections open: nobody is notified."""
     child, nodes = run.rack()
     child.expected_to_end = True
     child.process.send_signal(signal.SIGSTOP)
-    run.gone_processes.add(child.name)
+    run.lost_processes.add(child.name)
     run.fault_began(steady(), f"{nodes} nodes")
 
 
@@ -107,8 +107,8 @@
     """One node in ten restarts, all in one moment."""
     run.fault_began(steady(), "a tenth of the nodes")
     for child, nodes in run.hollow:
-        chosen = [number for number in range(len(nodes)) if number % RESTARTED_PART == 0]
-        await run.ask(child, {"do": "restart", "nodes": chosen})
+        chosen = [number for number in range(len(nodes)) if number % RESTARTED_ONE_IN == 0]
+        await run.call(child, {"do": "restart", "nodes": chosen})
 
 
 async def read_slowly(run: FaultTarget) -> None:
@@ -120,9 +120,9 @@
     with running_again(child):
         while steady() < end:
             child.process.send_signal(signal.SIGSTOP)
-            await asyncio.sleep(SLOW_CYCLE_S * (1.0 - SLOW_PART))
+            await asyncio.sleep(SLOW_READER_CYCLE_S * (1.0 - SLOW_READER_SHARE))
             child.process.send_signal(signal.SIGCONT)
-            await asyncio.sleep(SLOW_CYCLE_S * SLOW_PART)
+            await asyncio.sleep(SLOW_READER_CYCLE_S * SLOW_READER_SHARE)
     run.fault_ended(steady())
     await burst
 
@@ -141,18 +141,18 @@
     """The last region hears nobody outside it, and nobody hears it, for a scaled hour; then it heals."""
     assert run.gate is not None
     region = run.machines.cut_region()
-    run.gate.tell({"cut": region})
+    run.gate.send({"cut": region})
     run.fault_began(steady(), region)
-    await ask_the_cut_side(run, region)
+    await write_at_cut_side(run, region)
     await asyncio.sleep(run.settings.fault_s)
-    run.gate.tell({"heal": region})
+    run.gate.send({"heal": region})
     run.fault_ended(steady())
 
 
-async def ask_the_cut_side(run: FaultTarget, region: str) -> None:
+async def write_at_cut_side(run: FaultTarget, region: str) -> None:
     """A write at a machine that is cut off is refused, and the refusal says what to do."""
     cut = next(m for m in run.machines.specs if m.region == region)
     client = StoreClient([cut.listen_address], SECRET.encode())
-    record = await client.write(KeyUpdate("config/motd", "from the cut side"), REFUSED_S)
+    record = await client.write(KeyUpdate("config/motd", "from the cut side"), CUT_SIDE_WRITE_TIMEOUT_S)
     client.close()
     run.notes.append(f"a write at the cut side came to {record.outcome!r}: {record.text}")
--- a/bench/scale/gate.py
+++ b/bench/scale/gate.py
@@ -32,7 +32,7 @@
 
 
 class GateSpec(msgspec.Struct):
-    """What the child is told."""
+    """The specification file of this process."""
 
     listeners: list[Listener]
     regions: dict[str, str]  # of control machines by name
--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -5,7 +5,7 @@
 
     python -m bench.scale.hollow SPEC.json
 
-It obeys JSON lines on its standard input, and answers each with one on its output.
+It takes commands as JSON lines on its standard input, and answers each with a line on its output.
 """
 
 from __future__ import annotations
@@ -45,17 +45,17 @@
 
 log = structlog.get_logger()
 
-LOOK_S = 0.05  # between two looks at which nodes hold a lease
+LEASE_SAMPLE_INTERVAL_S = 0.05
 DESCRIPTORS = 20_000
 CHANGED_KEY = "motd"  # a setting that a change of the run sets; nothing hangs on it
 
 
 class HollowSpec(msgspec.Struct):
-    """What the child is told."""
+    """The specification file of a process of hollow nodes."""
 
     mechanism: Literal["members", "observer"]
     nodes: list[NodeSpec]
-    of_all: int  # nodes of the whole run: what the module shares its servers with
+    total_nodes: int  # nodes of the whole run: what the module shares its servers with
     machines: list[MachineSpec]
     discovery: str
     folder: str
@@ -63,7 +63,7 @@
     seed: int
     probes_per_s: float
     start_spread_s: float
-    down_s: float = 1.0  # between the end of a node and its return
+    restart_delay_s: float = 1.0  # between the end of a node and its return
 
 
 class Applied(msgspec.Struct, array_like=True):
@@ -80,7 +80,7 @@
     end: float = 0.0
 
 
-class Stay(msgspec.Struct, array_like=True):
+class ServedBy(msgspec.Struct, array_like=True):
     """The machine that serves a node from a moment on; empty: none does."""
 
     machine: str
@@ -88,14 +88,14 @@
 
 
 class NodeRecord(msgspec.Struct):
-    """What was measured of one node, over all its lives."""
+    """What was measured of one node, over all its runs."""
 
     name: str
     region: str
-    lives: list[Span] = []
-    fresh: list[Span] = []  # when it held a lease
+    runs: list[Span] = []
+    leases: list[Span] = []  # when it held a lease
     applied: list[Applied] = []
-    stays: list[Stay] = []
+    served_by: list[ServedBy] = []
     sent: dict[str, int] = {}  # bytes in the window by kind
     received: dict[str, int] = {}
 
@@ -113,7 +113,7 @@
 
 
 class HollowNode:
-    """One node's control side, in one of its lives."""
+    """One node's control side, in one of its runs."""
 
     def __init__(self, process: HollowProcess, spec: NodeSpec, record: NodeRecord, traffic: Traffic) -> None:
         self.process, self.spec, self.record, self.traffic = process, spec, record, traffic
@@ -125,63 +125,63 @@
         self.upstream.dialer = CountedDialer(loop, descriptors, traffic)
         self.proxy = Proxy(settings, process.rng.getrandbits(32), self.upstream, self.metrics, loop)
         self.discovery = HttpDiscovery(self.proxy, self.upstream.dialer, process.spec.discovery, self.metrics)
-        self.live = DynamicConfiguration(self.metrics)
-        self.live.register(CHANGED_KEY, "", lambda value: None)
+        self.configuration = DynamicConfiguration(self.metrics)
+        self.configuration.register(CHANGED_KEY, "", lambda value: None)
         self.session: Session = process.session(self)
-        self.probe_timer: asyncio.TimerHandle | None = None
+        self.health_check_timer: asyncio.TimerHandle | None = None
         self.ended = False
 
-    def told(self) -> bool:
-        """Whether discovery has told it a list."""
+    def has_endpoint_list(self) -> bool:
+        """Whether discovery has delivered an endpoint list."""
         return self.discovery.has_list
 
     async def start(self) -> None:
         """As a node's process does: the list first, then the store."""
-        self.record.lives.append(Span(steady()))
+        self.record.runs.append(Span(steady()))
         self.discovery.start()
         await self.session.start()
-        self._probe_later()
+        self._schedule_health_check()
 
     def applied(self, revision: int) -> None:
         """A revision is in force here."""
         if not self.record.applied or revision > self.record.applied[-1].revision:
             self.record.applied.append(Applied(revision, steady()))
 
-    def look(self, now: float) -> None:
+    def record_session(self, now: float) -> None:
         """Note when it gained or lost its lease, and came to another machine."""
-        spans, stays = self.record.fresh, self.record.stays
+        spans, stays = self.record.leases, self.record.served_by
         machine = self.session.machine()
         if machine != (stays[-1].machine if stays else ""):
-            stays.append(Stay(machine, now))
-        was, fresh = bool(spans) and not spans[-1].end, self.session.fresh()
-        if fresh and not was:
+            stays.append(ServedBy(machine, now))
+        had_lease, has_lease = bool(spans) and not spans[-1].end, self.session.holds_lease()
+        if has_lease and not had_lease:
             spans.append(Span(now))
-        elif was and not fresh:
+        elif had_lease and not has_lease:
             spans[-1].end = now
 
-    def _probe_later(self) -> None:
+    def _schedule_health_check(self) -> None:
         rate = self.process.spec.probes_per_s
         if rate > 0 and not self.ended:
             wait = self.process.rng.expovariate(rate)
-            self.probe_timer = self.process.loop.call_later(wait, self._probe)
+            self.health_check_timer = self.process.loop.call_later(wait, self._check_health)
 
-    def _probe(self) -> None:
-        """Probe some server, as a node with clients there would now and then."""
-        known = [name for name, b in self.proxy.endpoints.items() if b.address]
+    def _check_health(self) -> None:
+        """Check some endpoint, as a node with clients there would now and then."""
+        known = [name for name, endpoint in self.proxy.endpoints.items() if endpoint.address]
         if known and not self.ended:
             self.proxy.check_health(self.process.rng.choice(known))
-        self._probe_later()
+        self._schedule_health_check()
 
     def stop(self) -> None:
         """End as a process does that the platform restarts."""
         now = steady()
         self.ended = True
-        self.record.lives[-1].end = now
-        if self.record.fresh and not self.record.fresh[-1].end:
-            self.record.fresh[-1].end = now
+        self.record.runs[-1].end = now
+        if self.record.leases and not self.record.leases[-1].end:
+            self.record.leases[-1].end = now
         self.session.stop(planned=True)
-        if self.probe_timer is not None:
-            self.probe_timer.cancel()
+        if self.health_check_timer is not None:
+            self.health_check_timer.cancel()
         self.discovery.stop()
         self.upstream.close_health_checks()
         self.upstream.dialer.task.cancel()
@@ -191,13 +191,13 @@
 
 
 class HollowProcess:
-    """The nodes of one process, and what the run asks of them."""
+    """The nodes of one process, and the commands that the run sends it."""
 
     def __init__(self, spec: HollowSpec, loop: asyncio.AbstractEventLoop) -> None:
         self.spec, self.loop = spec, loop
         self.rng = random.Random(spec.seed)
         self.metrics = Metrics()
-        fields = reader.flatten({**SETTINGS, "ReplicasOfMe": spec.of_all})
+        fields = reader.flatten({**SETTINGS, "ReplicasOfMe": spec.total_nodes})
         self.settings = Settings(**reader.read(fields))
         self.records = [NodeRecord(n.name, n.region) for n in spec.nodes]
         self.traffic = [Traffic() for _ in spec.nodes]
@@ -211,7 +211,13 @@
     def session(self, node: HollowNode) -> Session:
         """The node's side of the store, by the run's mechanism."""
         parts = SessionParts(
-            node.proxy, node.live, node.metrics, self.loop, node.traffic, node.told, node.applied
+            node.proxy,
+            node.configuration,
+            node.metrics,
+            self.loop,
+            node.traffic,
+            node.has_endpoint_list,
+            node.applied,
         )
         spec, machines = node.spec, self.spec.machines
         if self.spec.mechanism == "observer":
@@ -222,7 +228,7 @@
         return MemberSession(spec, machines, secret, Path(self.spec.folder) / spec.name, parts)
 
     async def start_node(self, number: int, after: float = 0.0) -> None:
-        """Begin a life of a node."""
+        """Begin a run of a node."""
         await asyncio.sleep(after)
         if number not in self.nodes:
             node = HollowNode(self, self.spec.nodes[number], self.records[number], self.traffic[number])
@@ -241,11 +247,11 @@
             log.error("a hollow node failed", error=repr(error), exc_info=error)
             self.loop.stop()
 
-    # What the run asks
+    # Commands of the run
 
     def start(self, message: dict[str, Any]) -> dict[str, Any]:
         """All nodes, spread over the time that the spec gives."""
-        self.run(self._look())
+        self.run(self._record_sessions())
         for number in range(len(self.spec.nodes)):
             self.run(self.start_node(number, self.rng.uniform(0.0, self.spec.start_spread_s)))
         return {"starting": len(self.spec.nodes)}
@@ -253,7 +259,7 @@
     def status(self, message: dict[str, Any]) -> dict[str, Any]:
         """How many nodes hold a lease and know the list, and the least revision among them."""
         living = self.nodes.values()
-        ready = [n for n in living if n.session.fresh() and n.told()]
+        ready = [n for n in living if n.session.holds_lease() and n.has_endpoint_list()]
         least = min((n.record.applied[-1].revision if n.record.applied else 0 for n in living), default=0)
         return {"nodes": len(self.spec.nodes), "ready": len(ready), "least_revision": least}
 
@@ -288,7 +294,7 @@
             node = self.nodes.pop(number, None)
             if node is not None:
                 node.stop()
-                self.run(self.start_node(number, self.rng.uniform(0.5, 1.5) * self.spec.down_s))
+                self.run(self.start_node(number, self.rng.uniform(0.5, 1.5) * self.spec.restart_delay_s))
         return {"restarted": len(message["nodes"])}
 
     def finish(self, message: dict[str, Any]) -> dict[str, Any]:
@@ -299,15 +305,15 @@
         path.write_bytes(msgspec.json.encode(self.measured))
         return {"finished": str(path)}
 
-    async def _look(self) -> None:
+    async def _record_sessions(self) -> None:
         while True:
             now = steady()
             for node in self.nodes.values():
-                node.look(now)
-            await asyncio.sleep(LOOK_S)
+                node.record_session(now)
+            await asyncio.sleep(LEASE_SAMPLE_INTERVAL_S)
 
-    async def obey(self) -> None:
-        """One line after another, until standard input ends."""
+    async def serve_commands(self) -> None:
+        """Serve one command after another, until standard input ends."""
         commands: dict[str, Callable[[dict[str, Any]], dict[str, Any]]] = {
             "start": self.start,
             "status": self.status,
@@ -341,7 +347,7 @@
     """Run the nodes of a spec until standard input ends."""
     spec = msgspec.json.decode(path.read_bytes(), type=HollowSpec)
     process = HollowProcess(spec, asyncio.get_running_loop())
-    await process.obey()
+    await process.serve_commands()
 
 
 if __name__ == "__main__":
--- a/bench/scale/machines.py
+++ b/bench/scale/machines.py
@@ -73,7 +73,7 @@
         path = self.folder / "gate.json"
         path.write_bytes(msgspec.json.encode(spec))
         gate = await self.children.start("gate", ["bench.scale.gate", str(path)])
-        ports = iter((await gate.hear(FORM_S))["ports"])
+        ports = iter((await gate.receive(FORM_S))["ports"])
         for machine in self.specs:
             machine.member_address = f"127.0.0.1:{next(ports)}"
         self.across = {(r, m.name): f"127.0.0.1:{next(ports)}" for r in regions for m in self.specs}
@@ -137,11 +137,11 @@
         end = steady() + within
         while steady() < end:
             for spec in self.living():
-                told = await storeclient.status(spec.listen_address, SECRET.encode())
-                if told.get("role") == "leader" and told.get("lease_ms", 0) > 0:
+                answer = await storeclient.status(spec.listen_address, SECRET.encode())
+                if answer.get("role") == "leader" and answer.get("lease_ms", 0) > 0:
                     return spec
             await asyncio.sleep(LOOK_S)
-        words = next((c.last_words() for c in self.processes.values() if not c.alive()), "")
+        words = next((c.log_tail() for c in self.processes.values() if not c.alive()), "")
         raise ChildFailedError(f"no control machine leads after {within:.0f} s{words}")
 
     def kill(self, spec: MachineSpec) -> float:
@@ -150,7 +150,7 @@
         return steady()
 
     async def replace(self, spec: MachineSpec) -> None:
-        """A new machine of the same name in the place of one that is gone, with an empty folder."""
+        """A new machine of the same name in the place of one that has ended, with an empty folder."""
         shutil.rmtree(self.folder / spec.name, ignore_errors=True)
         await self.start_one(spec)
 
--- a/bench/scale/page.py
+++ b/bench/scale/page.py
@@ -130,7 +130,7 @@
 
 
 def assumptions_table() -> str:
-    """What was not told, with a second value."""
+    """What operations did not give: the assumed value, and a second one."""
     rows = [
         ["save servers", f"{target.SERVERS}", f"{target.SERVERS_2:,}"],
         [
--- a/bench/scale/processes.py
+++ b/bench/scale/processes.py
@@ -10,15 +10,15 @@
 import sys
 import tempfile
 from collections.abc import AsyncIterator, Mapping, Sequence
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
 import msgspec
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-END_WAIT_S = 3.0  # from SIGTERM to SIGKILL
-LONGEST_LINE = 1 << 20
+TERMINATION_TIMEOUT_S = 3.0  # from SIGTERM to SIGKILL
+MAX_MESSAGE_LENGTH = 1 << 20  # bytes of a line
 PR_SET_PDEATHSIG = 1
 _libc = ctypes.CDLL(None, use_errno=True)
 
@@ -51,13 +51,12 @@
 
 @dataclass(eq=False)
 class Child:
-    """A process that hears JSON lines on its standard input and says some on its output."""
+    """A process that takes JSON lines on its standard input, and may write some to its output."""
 
     name: str
     process: asyncio.subprocess.Process
     log: Path
     expected_to_end: bool = False
-    said: list[dict[str, Any]] = field(default_factory=list)
 
     @property
     def pid(self) -> int:
@@ -68,34 +67,32 @@
         """Whether it runs."""
         return self.process.returncode is None
 
-    def tell(self, message: dict[str, Any]) -> None:
-        """Say a line to it."""
+    def send(self, message: dict[str, Any]) -> None:
+        """Send it a message; nothing where it has ended."""
         if self.process.stdin is not None and self.alive():
             self.process.stdin.write(msgspec.json.encode(message) + b"\n")
 
-    async def hear(self, within: float) -> dict[str, Any]:
-        """The next line; `ChildFailedError` where none comes in time."""
+    async def receive(self, within: float) -> dict[str, Any]:
+        """Its next message; `ChildFailedError` where none comes within so many seconds, or it has ended."""
         assert self.process.stdout is not None
         try:
             line = await asyncio.wait_for(self.process.stdout.readline(), within)
         except TimeoutError:
-            raise ChildFailedError(
-                f"{self.name} said nothing for {within:.0f} s{self.last_words()}"
-            ) from None
+            raise ChildFailedError(f"{self.name} said nothing for {within:.0f} s{self.log_tail()}") from None
         if not line:
-            raise ChildFailedError(f"{self.name} ended{self.last_words()}")
+            raise ChildFailedError(f"{self.name} ended{self.log_tail()}")
         message: dict[str, Any] = msgspec.json.decode(line)
         return message
 
-    def last_words(self) -> str:
-        """The end of its log, for an error."""
+    def log_tail(self) -> str:
+        """The last line of its log, as the end of an error's text; empty where it has none."""
         with contextlib.suppress(OSError):
             if text := self.log.read_text(errors="replace").strip():
                 return ": " + text.splitlines()[-1][-300:]
         return ""
 
     def kill(self) -> None:
-        """As a machine that loses its power."""
+        """Kill it at once, as a machine that loses power."""
         self.expected_to_end = True
         with contextlib.suppress(ProcessLookupError):
             self.process.kill()
@@ -122,14 +119,14 @@
                 cwd=ROOT,
                 env={**os.environ, "PYTHONPATH": str(ROOT), "PYTHONUNBUFFERED": "1", **(env or {})},
                 preexec_fn=die_with_parent,
-                limit=LONGEST_LINE,
+                limit=MAX_MESSAGE_LENGTH,
             )
         child = Child(name, process, log)
         self.children.append(child)
         return child
 
     def unexpected_ends(self) -> list[str]:
-        """Who ended without being told to."""
+        """The names of those that ended by themselves."""
         return [c.name for c in self.children if not c.alive() and not c.expected_to_end]
 
     async def end_all(self) -> None:
@@ -139,11 +136,11 @@
             child.expected_to_end = True
             with contextlib.suppress(ProcessLookupError):
                 child.process.terminate()
-        _, slow = await _wait_all(living, END_WAIT_S)
+        _, slow = await _wait_all(living, TERMINATION_TIMEOUT_S)
         for child in slow:
             with contextlib.suppress(ProcessLookupError):
                 child.process.kill()
-        await _wait_all(slow, END_WAIT_S)
+        await _wait_all(slow, TERMINATION_TIMEOUT_S)
 
 
 async def _wait_all(children: Sequence[Child], within: float) -> tuple[list[Child], list[Child]]:
@@ -156,8 +153,8 @@
 @contextlib.asynccontextmanager
 async def children(folder: Path) -> AsyncIterator[Children]:
     """Children that all are ended when the block is left, by whatever way."""
-    made = Children(folder)
+    started = Children(folder)
     try:
-        yield made
+        yield started
     finally:
-        await asyncio.shield(made.end_all())
+        await asyncio.shield(started.end_all())
--- a/bench/scale/rates.py
+++ b/bench/scale/rates.py
@@ -33,6 +33,6 @@
     return min(servers / period, HEALTH_CHECKS_PER_REQUEST * arrivals)
 
 
-def reconnecting_clients(nodes_gone: float) -> float:
-    """Clients that come to each node that is left when so many nodes have gone."""
-    return nodes_gone * target.CONNECTIONS_PER_NODE / (target.NODES - nodes_gone)
+def reconnecting_clients(lost_nodes: float) -> float:
+    """Clients that reconnect to each remaining node when so many nodes are lost."""
+    return lost_nodes * target.CONNECTIONS_PER_NODE / (target.NODES - lost_nodes)
--- a/bench/scale/scripted.py
+++ b/bench/scale/scripted.py
@@ -29,7 +29,7 @@
 
 
 class ScriptedSpec(msgspec.Struct):
-    """What the child is told."""
+    """The specification file of this process."""
 
     servers: int
     seed: int
--- a/bench/scale/sessions.py
+++ b/bench/scale/sessions.py
@@ -46,11 +46,11 @@
     """What a session works on: the node's own parts, and where what is measured goes."""
 
     proxy: Proxy
-    live: DynamicConfiguration
+    configuration: DynamicConfiguration
     metrics: Metrics
     loop: asyncio.AbstractEventLoop
     traffic: Traffic
-    told: Callable[[], bool]
+    has_endpoint_list: Callable[[], bool]
     applied: Callable[[int], None]  # a revision is in force at this node now
 
 
@@ -60,7 +60,7 @@
     async def start(self) -> None:
         """Begin; returns once it is under way."""
 
-    def fresh(self) -> bool:
+    def holds_lease(self) -> bool:
         """Whether the node may decide by committed state."""
 
     def machine(self) -> str:
@@ -71,7 +71,7 @@
 
 
 class MemberSession:
-    """The version before: each node is a member, and tells all others each second what it saw."""
+    """The version before: each node is a member, and sends all others its load reports each second."""
 
     def __init__(
         self, node: NodeSpec, machines: list[MachineSpec], secret: bytes, folder: Path, parts: SessionParts
@@ -88,11 +88,11 @@
             secret,
             folder,
             parts.proxy,
-            parts.live,
+            parts.configuration,
             parts.metrics,
             parts.loop,
             self._state,
-            parts.told,
+            parts.has_endpoint_list,
         )
         network = self.attached.member.links
         network.channel = self._channel  # type: ignore[method-assign]
@@ -109,10 +109,10 @@
         self.parts.applied(max(event.revision for event in events))
 
     def _state(self) -> dict[str, object]:
-        """As `Node` tells its siblings."""
+        """As `Node` shows it to its siblings."""
         proxy = self.parts.proxy
         return {
-            "state": "ready" if self.parts.told() else "starting",
+            "state": "ready" if self.parts.has_endpoint_list() else "starting",
             "listen": self.node.member_address,
             "quic": None,
             "started_ms": round(proxy.started_at_ms),
@@ -122,7 +122,7 @@
         """Listen and take part."""
         await self.attached.start()
 
-    def fresh(self) -> bool:
+    def holds_lease(self) -> bool:
         """Whether it holds a lease."""
         return self.attached.fresh()
 
--- a/bench/scale/slopes_observer.py
+++ b/bench/scale/slopes_observer.py
@@ -159,7 +159,7 @@
         self.flush()
 
     def change(self, count: int) -> None:
-        """So many keys change in one transaction; all are told."""
+        """So many keys change in one transaction; all subscribers are notified."""
         index = self.machine.index + 1
         first = self.rng.randrange(100)
         ops = tuple(KeyUpdate(f"config/key-{100 + first + k:08d}", value(self.rng)) for k in range(count))
@@ -241,7 +241,7 @@
 
 
 def deltas(seed: int) -> list[Measurement]:
-    """A change told to each of 267 subscribers, over how many keys change at once."""
+    """A change sent to each of 267 subscribers, over how many keys change at once."""
     publishing, subscribing, sizes = [], [], []
     for count in CHANGES:
         site = Site(SUBSCRIBERS[0], KEYS[0], seed)
--- a/bench/scale/subscription.py
+++ b/bench/scale/subscription.py
@@ -42,7 +42,7 @@
             region=node.region,
             secret=secret_file,
         )
-        self.store = ObservedStore(settings, parts.proxy, parts.live, parts.metrics, parts.loop)
+        self.store = ObservedStore(settings, parts.proxy, parts.configuration, parts.metrics, parts.loop)
         self.store.client.traffic = ForwardedTraffic(parts.traffic)
         self.store.client.on_apply = self._apply
 
@@ -54,7 +54,7 @@
         """Subscribe."""
         await self.store.start()
 
-    def fresh(self) -> bool:
+    def holds_lease(self) -> bool:
         """Whether it holds a lease."""
         return self.store.fresh()
 
@@ -64,7 +64,7 @@
         return client.machine if client.subscriber.phase is Phase.SUBSCRIBED else ""
 
     def stop(self, planned: bool) -> None:
-        """Give the lease up where that is planned, else end without a word."""
+        """Give the lease up where that is planned, else end without notice."""
         if planned:
             self.store.close()
         else:
--- a/bench/scale/target.py
+++ b/bench/scale/target.py
@@ -1,8 +1,8 @@
-"""The size to be designed for, as operations told it, and what is assumed where they did not."""
+"""The size to be designed for, as operations gave it, and what is assumed where they did not."""
 
 from __future__ import annotations
 
-# Told
+# Given
 NODES = 1_600
 CONNECTIONS = 100_000_000
 GROUPS = 800_000
@@ -29,7 +29,7 @@
 RACK_NODES = 40
 SKEW = 2.0  # the fullest node, and the largest zone, over the mean
 REGION_RTT_MS, REGION_RTT_MS_2 = 80.0, 250.0
-RECONNECT_S = 1.0  # over which the clients of what has gone come again
+RECONNECT_S = 1.0  # over which the clients of lost nodes reconnect
 
 # Estimate out of these
 CONNECTIONS_PER_NODE = CONNECTIONS / NODES
--- a/tests/test_scale_settings.py
+++ b/tests/test_scale_settings.py
@@ -13,7 +13,7 @@
 
 from bench.scale.analysis import in_force, leases_lost, level_again
 from bench.scale.control import process_sizes
-from bench.scale.hollow import Applied, HollowNode, HollowProcess, HollowSpec, NodeRecord, Span, Stay
+from bench.scale.hollow import Applied, HollowNode, HollowProcess, HollowSpec, NodeRecord, ServedBy, Span
 from bench.scale.measure import parse_sockets, times
 from bench.scale.processes import write_json
 from bench.scale.scripted import Discovery, ServerList
@@ -203,7 +203,7 @@
         spec = HollowSpec(
             mechanism="observer",
             nodes=[NodeSpec("n1", "r0")],
-            of_all=1,
+            total_nodes=1,
             machines=[nowhere],
             discovery=f"127.0.0.1:{port}",
             folder=str(tmp_path),
@@ -211,16 +211,16 @@
             seed=1,
             probes_per_s=0.0,
             start_spread_s=0.0,
-            down_s=0.1,
+            restart_delay_s=0.1,
         )
         process = HollowProcess(spec, loop)
         process.start({})
-        first = await until_told(process)
+        first = await until_listed(process)
         process.restart({"nodes": [0]})
         assert first.ended
-        second = await until_told(process)
+        second = await until_listed(process)
         assert second is not first
-        assert [bool(life.end) for life in process.records[0].lives] == [True, False]
+        assert [bool(run.end) for run in process.records[0].runs] == [True, False]
         assert list(second.proxy.endpoints) == ["s-1"]
         assert len(servers.waiting) <= 1
         second.stop()
@@ -229,10 +229,10 @@
     asyncio.run(restarted())
 
 
-async def until_told(process: HollowProcess) -> HollowNode:
+async def until_listed(process: HollowProcess) -> HollowNode:
     """The node of a process, once discovery has told it a list."""
     for _ in range(1000):
-        if process.nodes and process.nodes[0].told():
+        if process.nodes and process.nodes[0].has_endpoint_list():
             return process.nodes[0]
         await asyncio.sleep(0.01)
     raise AssertionError("the list never came")
@@ -272,12 +272,12 @@
 
 
 def test_level_again_counts_nodes_that_move_within_their_lease() -> None:
-    def node(*stays: Stay) -> NodeRecord:
-        return NodeRecord("a", "r", [Span(0.0)], [Span(1.0)], stays=list(stays))
+    def node(*stays: ServedBy) -> NodeRecord:
+        return NodeRecord("a", "r", [Span(0.0)], [Span(1.0)], served_by=list(stays))
 
-    moved = node(Stay("m1", 1.0), Stay("", 10.1), Stay("m2", 10.6))
-    elsewhere = node(Stay("m2", 1.0))
-    stuck = node(Stay("m1", 1.0), Stay("", 10.1))
+    moved = node(ServedBy("m1", 1.0), ServedBy("", 10.1), ServedBy("m2", 10.6))
+    elsewhere = node(ServedBy("m2", 1.0))
+    stuck = node(ServedBy("m1", 1.0), ServedBy("", 10.1))
     found = level_again([moved, elsewhere], 10.0, 10.0, {"m1"})
     assert found.max == pytest.approx(0.6)
     assert (found.count, found.moved, found.lost, found.never) == (1, 1, 0, 0)
