--- a/tests/test_docs_commands.py
+++ b/tests/test_docs_commands.py
@@ -301,3 +301,21 @@
 
 def test_pages_quote_log_events() -> None:
     assert len(LOGGED) > 10
+
+
+CALLS = [
+    pytest.param(method.strip() or "GET", path, id=f"{page.stem}: {method}{path}")
+    for page in PAGES
+    for method, path in re.findall(r"(PUT |GET )?(?:http://\$C)?(/control/[\w/-]+)`", page.read_text())
+]
+
+
+@pytest.mark.parametrize(("method", "path"), CALLS)
+def test_a_call_of_the_admin_api_on_a_page_has_a_route(method: str, path: str) -> None:
+    called = surface.admin_call(method, path)
+    assert called[0] in surface.OPERATIONS.values()
+    assert called[1:] == (["ID"] if "/ID/" in path else [])
+
+
+def test_pages_show_calls_of_the_admin_api() -> None:
+    assert len(CALLS) > 6
