--- a/tests/test_docs_commands.py
+++ b/tests/test_docs_commands.py
@@ -225,7 +225,7 @@
         assert hasattr(importlib.import_module(package), last) or importlib.util.find_spec(name), name
 
 
-@pytest.mark.parametrize("page", PAGES[1:], ids=lambda page: page.stem)
+@pytest.mark.parametrize("page", PAGES, ids=lambda page: page.stem)
 def test_links_of_a_page_lead_to_files(page: Path) -> None:
     paths = re.findall(r"\]\(([^)#:]+)\)", page.read_text())
     assert paths
