--- a/bench/scale/control.py
+++ b/bench/scale/control.py
@@ -19,6 +19,18 @@
 from bench.scale.load import Load, at_poisson_times
 from bench.scale.machines import SECRET, MachineFigures, Machines
 from bench.scale.measure import NOT_COUNTED, Times, machine_busy_s, times, usage
+from bench.scale.messages import (
+    BeginWindow,
+    DiscoveryPort,
+    Done,
+    EndWindow,
+    Finish,
+    GetStatus,
+    HollowCommand,
+    NodeStatus,
+    Restart,
+    Start,
+)
 from bench.scale.processes import Child, ChildFailedError, Children, children
 from bench.scale.results_file import ControlFigures
 from bench.scale.scripted import ScriptedSpec
@@ -122,15 +134,21 @@
         child, nodes = self.hollow[1]
         return child, len(nodes)
 
-    async def call(self, child: Child, message: dict[str, Any]) -> dict[str, Any]:
-        """Send a command to a hollow process, and await its answer."""
-        child.send(message)
-        return await child.receive(ANSWER_TIMEOUT_S)
+    async def call(self, child: Child, command: HollowCommand) -> None:
+        """Send a command to a hollow process, and wait until it is carried out."""
+        child.send(command)
+        await child.receive(Done, ANSWER_TIMEOUT_S)
 
-    async def call_all(self, message: dict[str, Any]) -> list[dict[str, Any]]:
-        """Send a command to all hollow processes that are not lost, and await their answers."""
-        remaining = [child for child, _ in self.hollow if child.name not in self.lost_processes]
-        return list(await asyncio.gather(*(self.call(child, message) for child in remaining)))
+    async def call_all(self, command: HollowCommand) -> None:
+        """Send a command to all hollow processes that are not lost, and wait for all of them."""
+        await asyncio.gather(*(self.call(child, command) for child in self._remaining_processes()))
+
+    def _remaining_processes(self) -> list[Child]:
+        return [child for child, _ in self.hollow if child.name not in self.lost_processes]
+
+    async def _node_status(self, child: Child) -> NodeStatus:
+        child.send(GetStatus())
+        return await child.receive(NodeStatus, ANSWER_TIMEOUT_S)
 
     # The run
 
@@ -176,8 +194,8 @@
             self.settings.servers, self.settings.seed, self.settings.list_changes_per_s / self.settings.clock
         )
         child = await self._start_with_spec("scripted", "bench.scale.scripted", spec)
-        answer = await child.receive(ANSWER_TIMEOUT_S)
-        return f"127.0.0.1:{answer['discovery']}"
+        answer = await child.receive(DiscoveryPort, ANSWER_TIMEOUT_S)
+        return f"127.0.0.1:{answer.discovery}"
 
     async def _start_with_spec(self, name: str, module: str, spec: msgspec.Struct) -> Child:
         path = self.folder / f"{name}.json"
@@ -209,7 +227,7 @@
             )
             child = await self._start_with_spec(f"hollow-{number:02}", "bench.scale.hollow", spec)
             self.hollow.append((child, own))
-        await self.call_all({"do": "start"})
+        await self.call_all(Start())
         self.start_s = -began
 
     def _node(self, number: int) -> NodeSpec:
@@ -219,8 +237,8 @@
     async def _wait_until_ready(self) -> None:
         end = steady() + self.settings.start_s
         while True:
-            answers = await self.call_all({"do": "status"})
-            ready = sum(each["ready"] for each in answers)
+            answers = await asyncio.gather(*map(self._node_status, self._remaining_processes()))
+            ready = sum(status.ready for status in answers)
             if ready >= self.settings.nodes:
                 self.start_s += steady()
                 return
@@ -231,7 +249,7 @@
             await asyncio.sleep(READY_POLL_INTERVAL_S)
 
     async def _window(self) -> tuple[list[MachineFigures], float, list[float]]:
-        await self.call_all({"do": "window"})
+        await self.call_all(BeginWindow())
         self.machines.window()
         busy = self._busy()
         began = self.window_began = steady()
@@ -254,7 +272,7 @@
         figures = self.machines.measure()
         window_s = steady() - began
         self.cores_used = cores_used(busy, self._busy(), window_s)
-        await self.call_all({"do": "measure"})
+        await self.call_all(EndWindow())
         return figures, window_s, [round(value, 2) for value in os.getloadavg()]
 
     def _busy(self) -> Busy:
@@ -265,7 +283,7 @@
         """A node that no fault touches restarts."""
         child, nodes = self.rng.choice(self.hollow[1:] or self.hollow)
         if child.name not in self.lost_processes and self.settings.fault == "none":
-            await self.call(child, {"do": "restart", "nodes": [self.rng.randrange(len(nodes))]})
+            await self.call(child, Restart([self.rng.randrange(len(nodes))]))
 
     async def _settle(self) -> None:
         """Guards against a change called missing that was only a moment old."""
@@ -278,7 +296,7 @@
             if child.name in self.lost_processes:
                 continue
             path = self.folder / f"{child.name}.record"
-            await self.call(child, {"do": "finish", "path": str(path)})
+            await self.call(child, Finish(str(path)))
             records.append(msgspec.json.decode(path.read_bytes(), type=ProcessRecord))
         return records
 
--- a/bench/scale/faults.py
+++ b/bench/scale/faults.py
@@ -6,10 +6,11 @@
 import contextlib
 import signal
 from collections.abc import Iterator
-from typing import Any, Protocol
+from typing import Protocol
 
 from bench.scale.load import Load
 from bench.scale.machines import SECRET, Machines
+from bench.scale.messages import CutRegion, HealRegion, HollowCommand, Restart
 from bench.scale.processes import Child
 from bench.scale.sessions import NodeSpec, steady
 from bench.scale.settings import RunSettings
@@ -50,8 +51,8 @@
         """A process that stands for a rack, and its number of nodes."""
         ...
 
-    async def call(self, child: Child, message: dict[str, Any]) -> dict[str, Any]:
-        """Send a command to a process, and await its answer."""
+    async def call(self, child: Child, command: HollowCommand) -> None:
+        """Send a command to a process, and wait until it is carried out."""
         ...
 
 
@@ -108,7 +109,7 @@
     run.fault_began(steady(), "a tenth of the nodes")
     for child, nodes in run.hollow:
         chosen = [number for number in range(len(nodes)) if number % RESTARTED_ONE_IN == 0]
-        await run.call(child, {"do": "restart", "nodes": chosen})
+        await run.call(child, Restart(chosen))
 
 
 async def read_slowly(run: FaultTarget) -> None:
@@ -141,11 +142,11 @@
     """The last region hears nobody outside it, and nobody hears it, for a scaled hour; then it heals."""
     assert run.gate is not None
     region = run.machines.cut_region()
-    run.gate.send({"cut": region})
+    run.gate.send(CutRegion(region))
     run.fault_began(steady(), region)
     await write_at_cut_side(run, region)
     await asyncio.sleep(run.settings.fault_s)
-    run.gate.send({"heal": region})
+    run.gate.send(HealRegion())
     run.fault_ended(steady())
 
 
--- a/bench/scale/gate.py
+++ b/bench/scale/gate.py
@@ -10,14 +10,15 @@
 from __future__ import annotations
 
 import asyncio
-import json
 import sys
 from pathlib import Path
-from typing import Any, cast
+from typing import cast
 
 import msgspec
 import uvloop
 
+from bench.scale.messages import CutRegion, GateCommand, GatePorts, HealRegion
+
 LENGTH_BYTES = 4  # of a frame's length in front of the first message
 LONGEST_HELLO = 4096
 BACKLOG = 2048
@@ -195,15 +196,15 @@
             backlog=BACKLOG,
         )
         ports.append(server.sockets[0].getsockname()[1])
-    print(json.dumps({"ports": ports}), flush=True)
+    print(msgspec.json.encode(GatePorts(ports)).decode(), flush=True)
     lines = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
     while line := await lines.readline():
-        message: dict[str, Any] = json.loads(line)
-        if region := message.get("cut"):
-            border.cut_off(region)
-        else:
-            border.heal()
+        match msgspec.json.decode(line, type=GateCommand):
+            case CutRegion(region):
+                border.cut_off(region)
+            case HealRegion():
+                border.heal()
 
 
 if __name__ == "__main__":
--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -12,11 +12,9 @@
 
 import asyncio
 import gc
-import json
 import random
 import sys
 import time
-from collections.abc import Callable
 from pathlib import Path
 from typing import Any, Literal
 
@@ -25,6 +23,17 @@
 import uvloop
 
 from bench.scale.measure import CountedDialer, Traffic
+from bench.scale.messages import (
+    BeginWindow,
+    Done,
+    EndWindow,
+    Finish,
+    GetStatus,
+    HollowCommand,
+    NodeStatus,
+    Restart,
+    Start,
+)
 from bench.scale.sessions import (
     MachineSpec,
     MemberSession,
@@ -249,21 +258,21 @@
 
     # Commands of the run
 
-    def start(self, message: dict[str, Any]) -> dict[str, Any]:
+    def start(self) -> Done:
         """All nodes, spread over the time that the spec gives."""
         self.run(self._record_sessions())
         for number in range(len(self.spec.nodes)):
             self.run(self.start_node(number, self.rng.uniform(0.0, self.spec.start_spread_s)))
-        return {"starting": len(self.spec.nodes)}
+        return Done()
 
-    def status(self, message: dict[str, Any]) -> dict[str, Any]:
+    def status(self) -> NodeStatus:
         """How many nodes hold a lease and know the list, and the least revision among them."""
         living = self.nodes.values()
         ready = [n for n in living if n.session.holds_lease() and n.has_endpoint_list()]
         least = min((n.record.applied[-1].revision if n.record.applied else 0 for n in living), default=0)
-        return {"nodes": len(self.spec.nodes), "ready": len(ready), "least_revision": least}
+        return NodeStatus(len(self.spec.nodes), len(ready), least)
 
-    def window(self, message: dict[str, Any]) -> dict[str, Any]:
+    def begin_window(self) -> Done:
         """The measured window begins."""
         for traffic in self.traffic:
             traffic.clear()
@@ -271,9 +280,9 @@
         gc.collect()
         gc.freeze()
         self.window_at, self.window_processor = steady(), time.process_time()
-        return {"window": self.window_at}
+        return Done()
 
-    def measure(self, message: dict[str, Any]) -> dict[str, Any]:
+    def end_window(self) -> Done:
         """The measured window ends."""
         for record, traffic in zip(self.records, self.traffic, strict=True):
             record.sent, record.received = dict(traffic.sent), dict(traffic.received)
@@ -286,24 +295,23 @@
             resident("VmHWM"),
             {},
         )
-        return {"measured": self.measured.window_s}
+        return Done()
 
-    def restart(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Some nodes end at once and come again; `nodes` are their numbers in this process."""
-        for number in message["nodes"]:
+    def restart(self, numbers: list[int]) -> Done:
+        """Some nodes end at once and start again after a while, by their numbers in this process."""
+        for number in numbers:
             node = self.nodes.pop(number, None)
             if node is not None:
                 node.stop()
                 self.run(self.start_node(number, self.rng.uniform(0.5, 1.5) * self.spec.restart_delay_s))
-        return {"restarted": len(message["nodes"])}
+        return Done()
 
-    def finish(self, message: dict[str, Any]) -> dict[str, Any]:
+    def finish(self, path: Path) -> Done:
         """Write what was measured; times of the settling after the window are in it."""
         assert self.measured is not None
         self.measured.counters = dict(self.metrics.counts)
-        path = Path(message["path"])
         path.write_bytes(msgspec.json.encode(self.measured))
-        return {"finished": str(path)}
+        return Done()
 
     async def _record_sessions(self) -> None:
         while True:
@@ -314,19 +322,27 @@
 
     async def serve_commands(self) -> None:
         """Serve one command after another, until standard input ends."""
-        commands: dict[str, Callable[[dict[str, Any]], dict[str, Any]]] = {
-            "start": self.start,
-            "status": self.status,
-            "window": self.window,
-            "measure": self.measure,
-            "restart": self.restart,
-            "finish": self.finish,
-        }
         lines = asyncio.StreamReader(limit=1 << 20)
         await self.loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
         while line := await lines.readline():
-            message = json.loads(line)
-            print(json.dumps(commands[message["do"]](message)), flush=True)
+            command: HollowCommand = msgspec.json.decode(line, type=HollowCommand)
+            print(msgspec.json.encode(self.handle(command)).decode(), flush=True)
+
+    def handle(self, command: HollowCommand) -> Done | NodeStatus:
+        """Carry out a command of the run; the answer to it."""
+        match command:
+            case Start():
+                return self.start()
+            case GetStatus():
+                return self.status()
+            case BeginWindow():
+                return self.begin_window()
+            case EndWindow():
+                return self.end_window()
+            case Restart(nodes):
+                return self.restart(nodes)
+            case Finish(path):
+                return self.finish(Path(path))
 
 
 def resident(field: str) -> int:
--- a/bench/scale/machines.py
+++ b/bench/scale/machines.py
@@ -12,6 +12,7 @@
 from bench.scale import storeclient
 from bench.scale.gate import GateSpec, Listener
 from bench.scale.measure import SocketBytes, Usage, open_sockets, usage
+from bench.scale.messages import GatePorts
 from bench.scale.processes import Child, ChildFailedError, Children
 from bench.scale.sessions import MachineSpec, steady
 from bench.scale.settings import RunSettings
@@ -73,7 +74,7 @@
         path = self.folder / "gate.json"
         path.write_bytes(msgspec.json.encode(spec))
         gate = await self.children.start("gate", ["bench.scale.gate", str(path)])
-        ports = iter((await gate.receive(FORM_S))["ports"])
+        ports = iter((await gate.receive(GatePorts, FORM_S)).ports)
         for machine in self.specs:
             machine.member_address = f"127.0.0.1:{next(ports)}"
         self.across = {(r, m.name): f"127.0.0.1:{next(ports)}" for r in regions for m in self.specs}
--- a/bench/scale/processes.py
+++ b/bench/scale/processes.py
@@ -12,7 +12,7 @@
 from collections.abc import AsyncIterator, Mapping, Sequence
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import Any, TypeVar
 
 import msgspec
 
@@ -20,6 +20,7 @@
 TERMINATION_TIMEOUT_S = 3.0  # from SIGTERM to SIGKILL
 MAX_MESSAGE_LENGTH = 1 << 20  # bytes of a line
 PR_SET_PDEATHSIG = 1
+Answer = TypeVar("Answer", bound=msgspec.Struct)
 _libc = ctypes.CDLL(None, use_errno=True)
 
 
@@ -67,12 +68,12 @@
         """Whether it runs."""
         return self.process.returncode is None
 
-    def send(self, message: dict[str, Any]) -> None:
+    def send(self, message: msgspec.Struct) -> None:
         """Send it a message; nothing where it has ended."""
         if self.process.stdin is not None and self.alive():
             self.process.stdin.write(msgspec.json.encode(message) + b"\n")
 
-    async def receive(self, within: float) -> dict[str, Any]:
+    async def receive(self, answer: type[Answer], within: float) -> Answer:
         """Its next message; `ChildFailedError` where none comes within so many seconds, or it has ended."""
         assert self.process.stdout is not None
         try:
@@ -81,8 +82,7 @@
             raise ChildFailedError(f"{self.name} said nothing for {within:.0f} s{self.log_tail()}") from None
         if not line:
             raise ChildFailedError(f"{self.name} ended{self.log_tail()}")
-        message: dict[str, Any] = msgspec.json.decode(line)
-        return message
+        return msgspec.json.decode(line, type=answer)
 
     def log_tail(self) -> str:
         """The last line of its log, as the end of an error's text; empty where it has none."""
--- a/bench/scale/scripted.py
+++ b/bench/scale/scripted.py
@@ -5,7 +5,7 @@
 
     python -m bench.scale.scripted SPEC.json
 
-It prints one JSON line with discovery's port once all listen, and obeys JSON lines on its standard input.
+It prints one JSON line with discovery's port once all listen, and ends with its standard input.
 """
 
 from __future__ import annotations
@@ -21,6 +21,8 @@
 import msgspec
 import uvloop
 
+from bench.scale.messages import DiscoveryPort
+
 WATCH = re.compile(rb"index=(\d+)&wait=(\d+)")
 END_OF_REQUEST = b"\r\n\r\n"
 LARGEST_REQUEST = 4096
@@ -168,7 +170,8 @@
         )
     servers = ServerList(entries)
     discovery = await loop.create_server(lambda: Discovery(servers), "127.0.0.1", 0, backlog=BACKLOG)
-    print(json.dumps({"discovery": discovery.sockets[0].getsockname()[1]}), flush=True)
+    port = DiscoveryPort(discovery.sockets[0].getsockname()[1])
+    print(msgspec.json.encode(port).decode(), flush=True)
     churn = loop.create_task(_change_list(servers, spec.changes_per_s, rng))
     ended = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(ended), sys.stdin)
--- a/tests/test_scale_settings.py
+++ b/tests/test_scale_settings.py
@@ -214,9 +214,9 @@
             restart_delay_s=0.1,
         )
         process = HollowProcess(spec, loop)
-        process.start({})
+        process.start()
         first = await until_listed(process)
-        process.restart({"nodes": [0]})
+        process.restart([0])
         assert first.ended
         second = await until_listed(process)
         assert second is not first
