--- a/gradegap/downstream/tcp_channel.py
+++ b/gradegap/downstream/tcp_channel.py
@@ -7,6 +7,7 @@
 import os
 import socket
 from collections.abc import Callable
+from enum import Enum, auto
 from typing import cast
 
 from gradegap.downstream.interfaces import LINGER_S, CloseReason
@@ -32,6 +33,21 @@
 """Reads, of `WRITE_BUFFER_HIGH_BYTES` each, of what has come by the time of the close."""
 
 
+class ChannelState(Enum):
+    """How far a channel is. Only `TcpChannel` changes it, in this order."""
+
+    PENDING = auto()
+    """From another process, and without its transport yet: what it is to send is kept."""
+    OPEN = auto()
+    CLOSING = auto()
+    """Our side is closed; what the client still sends is dropped."""
+    ENDED = auto()
+
+
+# For each read and write: looking a member up in its enum costs more than what is done with it.
+_OPEN, _CLOSING = ChannelState.OPEN, ChannelState.CLOSING
+
+
 class TcpChannel(Pausable):
     """A client's TCP connection."""
 
@@ -48,29 +64,32 @@
         self.channels = channels
         self.descriptors = descriptors
         self.session = ClientSession(proxy, metrics, self, is_ready)
-        self.closing = False
+        self.state = ChannelState.OPEN
         self.linger_until = 0.0
         self.linger_timer: asyncio.TimerHandle | None = None
         self.unsent_bytes = float("inf")
         """On their way out when the linger was last over."""
-        self.adopted = False
-        """From another process; until its transport is made, what it is to send is kept."""
         self.early = bytearray()
         self.early_close: CloseReason | None = None
-        self.ended = False
         self.descriptor = -1
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """A client has connected, or one of another process's is here."""
+        adopted = self.state is ChannelState.PENDING
+        self.state = ChannelState.OPEN
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(WRITE_BUFFER_HIGH_BYTES)
         no_delay(self.transport)
         self.descriptor = self.transport.get_extra_info("socket").fileno()
         self.channels.add(self)
         self.descriptors.on_accepted(self)
-        if self.adopted:
+        if adopted:
             self._on_adopted()
 
+    def expect_adoption(self) -> None:
+        """The client's connection comes from another process."""
+        self.state = ChannelState.PENDING
+
     def _on_adopted(self) -> None:
         if self.session.first_line.pinged:
             self.on_ping()
@@ -88,7 +107,7 @@
         if transport is None or transport.is_closing() or transport.get_write_buffer_size():
             return False
         resumable = self.session.offer is not None or self.session.relay is not None
-        return not resumable and not self.closing and not self.paused
+        return not resumable and self.state is ChannelState.OPEN and not self.paused
 
     def is_disconnected(self) -> bool:
         """Whether the client's end has come, be it read or not.
@@ -97,7 +116,7 @@
         before, while a timer would forward the request.
         """
         if self.transport is None:
-            return not self.adopted or self.ended
+            return self.state is not ChannelState.PENDING
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM, 0, self.descriptor)
         try:
             return not sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
@@ -124,7 +143,7 @@
 
     def evict(self) -> None:
         """No descriptor is left: close at once."""
-        if self.closing:  # its answer went out some time ago
+        if self.state is ChannelState.CLOSING:  # its answer went out some time ago
             self.close_now()
         else:
             self.dismiss()
@@ -132,7 +151,7 @@
 
     def dismiss_idle(self, retry_after: float) -> None:
         """This process ends: a client without a request is to come again elsewhere."""
-        if self.session.opening is None and not self.closing:
+        if self.session.opening is None and self.state is not ChannelState.CLOSING:
             self.session.proxy.metrics.count("rests_ended")
             self.session.dismiss(retry_after)
 
@@ -154,9 +173,9 @@
 
     def data_received(self, data: bytes) -> None:
         """What the client has sent; after its last line it is dropped."""
-        if not self.closing:
+        if self.state is _OPEN:
             self.session.on_data(data)
-        if self.closing and not self.paused:
+        if self.state is _CLOSING and not self.paused:
             # Guards against a client that goes on sending after its answer: it is read away, so that no
             # reset overtakes the answer, but at a pace that costs others nothing.
             self.pause()
@@ -171,21 +190,23 @@
 
     def eof_received(self) -> bool:
         """The client has closed its side; whether ours stays open."""
-        if self.closing:
+        if self.state is ChannelState.CLOSING:
             return False
         self.session.on_eof()
-        return not self.closing
+        return self.state is ChannelState.OPEN
 
     def connection_lost(self, exc: Exception | None) -> None:
         """The connection has ended, or goes on in another process."""
-        if exc is None and self.closing:  # one that goes on in another process has its bytes there
+        if (
+            exc is None and self.state is ChannelState.CLOSING
+        ):  # one that goes on in another process has its bytes there
             self._read_away()
         self.channels.discard(self)
         self.descriptors.on_closed(self)
         if self.linger_timer is not None:
             self.linger_timer.cancel()
         self.transport = None
-        self.ended = True
+        self.state = ChannelState.ENDED
         self.session.on_channel_closed(reset=exc is not None)
 
     def pause_writing(self) -> None:
@@ -200,20 +221,20 @@
 
     def write(self, data: bytes) -> None:
         """Send to the client; nothing more after `close`."""
-        if self.transport is not None and not self.closing:
+        if self.transport is not None and self.state is _OPEN:
             self.transport.write(data)
-        elif self.adopted and not self.ended and not self.closing and self.early_close is None:
+        elif self.state is ChannelState.PENDING and self.early_close is None:
             self.early += data
 
     def close(self, reason: CloseReason) -> None:
         """Close our side; the client has a while to read its last lines and close its own."""
         transport = self.transport
-        if transport is None and self.adopted and not self.ended:
+        if self.state is ChannelState.PENDING:
             self.early_close = self.early_close or reason
-        if transport is None or self.closing:
+        if transport is None or self.state is not ChannelState.OPEN:
             return
         self.resume()
-        self.closing = True
+        self.state = ChannelState.CLOSING
         if reason is CloseReason.RESET:
             reset_connection(transport)
             return
--- a/gradegap/hot_restart/session_adoption.py
+++ b/gradegap/hot_restart/session_adoption.py
@@ -26,7 +26,7 @@
         close_descriptors(descriptors)
         raise SessionNotAdoptedError(f"{len(descriptors)} descriptors came along, not {expected}")
     channel = host.create_channel()
-    channel.adopted = True
+    channel.expect_adoption()
     if isinstance(message, IdleSession):
         _adopt_idle(host, message, channel, descriptors[0])
     else:
