--- /dev/null
+++ b/tests/observer_sockets.py
@@ -0,0 +1,166 @@
+"""A member that publishes over real sockets, and the clients and bare connections of a test."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+import time
+from collections.abc import Awaitable, Callable
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import uvloop
+
+from gradegap.metrics import Metrics
+from gradegap.observer.client import ObserverClient
+from gradegap.observer.limits import Limits
+from gradegap.observer.link import subscriber_channel
+from gradegap.observer.messages import (
+    Change,
+)
+from gradegap.observer.server import PublisherServer
+from gradegap.store import wire
+from gradegap.store.member import StoreMember
+from gradegap.store.records import KeyUpdate
+from gradegap.store.settings import StoreSettings
+from gradegap.store.subscription_settings import ObserverMachine, ObserverSettings
+from gradegap.transport.addresses import split_address
+from tests.world import free_port
+
+SECRET = b"0123456789abcdef of a test"
+WITHIN = 10.0  # s
+
+
+class World:
+    """One member that publishes, and what a test connects to it."""
+
+    def __init__(
+        self, folder: Path, loop: asyncio.AbstractEventLoop, limits: Limits | None, lease_s: float
+    ) -> None:
+        self.loop, self.folder = loop, folder
+        self.publish = f"127.0.0.1:{free_port()}"
+        (folder / "secret").write_bytes(SECRET)
+        listen = f"127.0.0.1:{free_port()}"
+        settings = StoreSettings("c1", listen, publish=self.publish, lease_s=lease_s)
+        self.daemon = StoreMember(
+            settings,
+            SECRET,
+            folder / "c1",
+            loop,
+            Metrics(),
+            lambda error: None,
+            make_subscription_server=PublisherServer,
+        )
+        assert isinstance(self.daemon.subscription_server, PublisherServer)
+        self.server = self.daemon.subscription_server
+        if limits is not None:
+            self.server.limits = limits
+        self.clients: list[ObserverClient] = []
+
+    @property
+    def counts(self) -> dict[str, int]:
+        return dict(self.daemon.metrics.counts)
+
+    def client(self, name: str, **more: Any) -> ObserverClient:
+        """A node's subscription that remembers what it was given in `keys`."""
+        machines = (ObserverMachine("c1", self.publish),)
+        settings = ObserverSettings(machines, name, secret=str(self.folder / "secret"), **more)
+        keys: dict[str, Any] = {}
+
+        def apply(revision: int, changes: tuple[Change, ...], is_snapshot: bool) -> None:
+            if is_snapshot:
+                keys.clear()
+            for change in changes:
+                keys[change.key] = None if change.deleted else change.value
+
+        made = ObserverClient(settings, self.loop, Metrics(), apply, lambda fresh: None)
+        made.keys = keys  # type: ignore[attr-defined]
+        self.clients.append(made)
+        made.start()
+        return made
+
+    async def write(self, key: str, value: Any) -> wire.Response:
+        return await self.transact(KeyUpdate(key, value))
+
+    async def transact(self, *ops: KeyUpdate) -> wire.Response:
+        told: asyncio.Future[wire.Response] = self.loop.create_future()
+        self.daemon.requests.request(wire.Transaction(ops), told.set_result, WITHIN)
+        return await told
+
+    async def until(self, true: Callable[[], Any], within: float = WITHIN) -> Any:
+        end = time.monotonic() + within
+        while not (seen := true()):
+            assert time.monotonic() < end, f"it never came about: {self.counts}"
+            await asyncio.sleep(0.005)
+        return seen
+
+    async def dial(self, receive_buffer: int = 0) -> Raw:
+        sock = socket.socket()
+        if receive_buffer:
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
+        sock.setblocking(False)
+        await self.loop.sock_connect(sock, split_address(self.publish))
+        return Raw(*await asyncio.open_connection(sock=sock))
+
+
+class Raw:
+    """A connection that says what a test wants."""
+
+    def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self.reader, self.writer = reader, writer
+        self.channel = subscriber_channel(SECRET)
+        self.messages: list[Any] = []
+
+    async def prove(self) -> None:
+        self.writer.write(self.channel.begin())
+        while not self.channel.authenticated:
+            await self.read()
+
+    async def read(self) -> bool:
+        """More of what the other side says; no once it has ended."""
+        try:
+            data = await asyncio.wait_for(self.reader.read(65536), WITHIN)
+        except ConnectionError:
+            return False
+        messages, reply = self.channel.receive(data)
+        self.writer.write(reply)
+        self.messages += messages
+        return bool(data)
+
+    def send(self, message: msgspec.Struct) -> None:
+        self.writer.write(self.channel.send(message))
+
+    async def next(self, kind: type) -> Any:
+        while True:
+            for message in self.messages:
+                if isinstance(message, kind):
+                    self.messages.remove(message)
+                    return message
+            assert await self.read(), f"ended before a {kind.__name__}"
+
+    async def ended(self) -> None:
+        while await self.read():
+            pass
+
+
+def play(
+    folder: Path,
+    part: Callable[[World], Awaitable[None]],
+    limits: Limits | None = None,
+    lease_s: float = 1.0,
+) -> None:
+    """Run `part` against a member that leads."""
+
+    async def main() -> None:
+        world = World(folder, asyncio.get_running_loop(), limits, lease_s)
+        await world.daemon.start()
+        try:
+            await world.until(world.daemon.is_fresh)
+            await part(world)
+        finally:
+            for client in world.clients:
+                client.leave()
+            world.daemon.close()
+
+    uvloop.run(main())
