--- a/bench/capture.py
+++ b/bench/capture.py
@@ -19,8 +19,7 @@
 from typing import Any
 
 import gradegap.balancing.balancer
-from bench.resume import private_kib
-from bench.store import cpu_seconds
+from bench.process_usage import cpu_seconds, private_kib
 from gradegap.balancing.balancer import Balancer
 from gradegap.balancing.events import ConnectionInherited, RequestArrived
 from gradegap.capture import recording, records, replay, snapshot, state
--- a/bench/quic.py
+++ b/bench/quic.py
@@ -23,8 +23,7 @@
 from aioquic.quic.configuration import QuicConfiguration
 from aioquic.quic.connection import QuicConnection
 
-from bench.resume import private_kib
-from bench.store import cpu_seconds
+from bench.process_usage import cpu_seconds, private_kib
 from gradegap.metrics import Metrics
 from gradegap.quic.keys import DerivedKeys, Holder, QuicRing
 from gradegap.quic.relay import DatagramForwarder, ForwardedDatagrams, socket_pair
--- a/bench/resume.py
+++ b/bench/resume.py
@@ -23,7 +23,8 @@
 from pathlib import Path
 from typing import Any
 
-from bench.store import cpu_seconds, new_histogram, percentiles
+from bench.histograms import new_histogram, percentiles
+from bench.process_usage import cpu_seconds, private_kib
 from gradegap.client import Session
 from tests.resume_world import ResumableEndpointServer, SaveStore
 from tests.world import EndpointServer, World, fresh_id, wait_for
@@ -189,12 +190,6 @@
     return spent
 
 
-def private_kib(pid: int) -> int:
-    """KiB of memory that are the process's own."""
-    text = Path(f"/proc/{pid}/smaps_rollup").read_text()
-    return sum(int(line.split()[1]) for line in text.splitlines() if line.startswith("Private_"))
-
-
 async def kib_per_session(w: World, resumable: bool) -> float:
     """KiB of the node for each standing session, one request of it under way."""
     stand = [await RawSession.open(w, resumable) for _ in range(50)]  # what is made once
--- a/bench/scale/slopes_data.py
+++ b/bench/scale/slopes_data.py
@@ -22,11 +22,10 @@
 import uvloop
 from hdrh.histogram import HdrHistogram
 
-from bench.resume import private_kib
+from bench.process_usage import cpu_seconds, private_kib
 from bench.scale.fit import Point, point
 from bench.scale.results_file import Measurement, measured
 from bench.scale.slopes_module import listed
-from bench.store import cpu_seconds
 from tests.world import DiscoveryServer, EndpointServer, World, free_port, fresh_id, world
 
 CONNECTIONS = (500, 1_000, 2_000)
--- a/bench/store.py
+++ b/bench/store.py
@@ -25,6 +25,8 @@
 
 from hdrh.histogram import HdrHistogram
 
+from bench.histograms import new_histogram, percentiles
+from bench.process_usage import cpu_seconds, resident_kib
 from gradegap.store import wire
 from gradegap.store.channel import LinkChannel
 from gradegap.store.errors import RequestFailedError
@@ -46,16 +48,6 @@
         print(f"{key}: {json.dumps(value)}", flush=True)
 
 
-def percentiles(histogram: HdrHistogram) -> dict[str, float]:
-    """Percentiles in milliseconds of a histogram of microseconds."""
-    return {f"p{p:g}_ms": round(histogram.get_value_at_percentile(p) / 1000, 2) for p in (50, 99, 99.9)}
-
-
-def new_histogram() -> HdrHistogram:
-    """A histogram of microseconds, up to a minute."""
-    return HdrHistogram(1, 60_000_000, 3)
-
-
 def machine_floor(folder: Path) -> dict[str, Any]:
     """An append of 200 bytes with fsync, and a round trip between two threads' sockets."""
     syncs, trips = new_histogram(), new_histogram()
@@ -177,18 +169,6 @@
     }
 
 
-def resident_kib(pid: int) -> int:
-    """KiB that a process holds."""
-    lines = Path(f"/proc/{pid}/status").read_text().splitlines()
-    return int(next(x for x in lines if x.startswith("VmRSS")).split()[1])
-
-
-def cpu_seconds(pid: int) -> float:
-    """CPU seconds that a process has used."""
-    fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
-
-
 def many_keys(folder: Path) -> dict[str, Any]:
     """Start of a lone member with many small keys, and its memory with them and without."""
     c = Cluster(folder, 1, relayed=False)
