--- /dev/null
+++ b/tests/test_resume_windows.py
@@ -0,0 +1,73 @@
+"""What a node and a server hold of a session's requests and answers."""
+
+from __future__ import annotations
+
+import pytest
+
+from gradegap.resume import lines
+from gradegap.resume.errors import LineError, WindowFullError
+from gradegap.resume.lines import Answer, Request
+from gradegap.resume.window import (
+    MAX_HELD_ANSWERS,
+    MAX_UNANSWERED,
+    ClientWindow,
+    NodeWindow,
+    ServerWindow,
+)
+from tests.resume_windows import passes
+
+
+def test_a_full_window_holds_its_client_back() -> None:
+    client, node = ClientWindow(), NodeWindow()
+    for _ in range(MAX_UNANSWERED):
+        assert passes(node, client.request(b"x"))
+    with pytest.raises(WindowFullError):
+        client.request(b"x")
+    assert node.is_full and node.unanswered_bytes == sum(
+        len(lines.encode(Request(n, b"x"))) for n in range(1, MAX_UNANSWERED + 1)
+    )
+    with pytest.raises(LineError, match=r"^window"):
+        passes(node, Request(MAX_UNANSWERED + 1, b"x"))
+    assert node.answer(1) and client.answer(Answer(1, b"y"))
+    assert passes(node, client.request(b"x"))
+
+
+def test_a_client_that_acknowledges_nothing_is_held_no_answers_for_without_end() -> None:
+    server = ServerWindow()
+    for n in range(1, MAX_HELD_ANSWERS + 1):
+        assert server.request(Request(n, b"")) is None
+        server.record_answer(n, b"")
+    with pytest.raises(LineError, match=r"^window"):
+        server.request(Request(MAX_HELD_ANSWERS + 1, b""))
+    server.acknowledge(10)
+    assert server.request(Request(MAX_HELD_ANSWERS + 1, b"")) is None
+
+
+def test_whoever_lies_about_a_position_is_found_out() -> None:
+    node, server, client = NodeWindow(), ServerWindow(), ClientWindow()
+    for n in range(1, 6):
+        passes(node, client.request(b""))
+        server.record_answer(n, b"")
+    for n in range(1, 4):
+        node.answer(n)
+        client.answer(Answer(n, b""))
+    for wrong in (
+        lambda: node.acknowledge(4),
+        lambda: node.unexecuted(2),
+        lambda: node.unexecuted(6),
+        lambda: node.answer(5),
+        lambda: passes(node, Request(9, b"")),
+        lambda: client.resume(2),
+        lambda: client.resume(6),
+        lambda: client.answer(Answer(5, b"")),
+        lambda: server.acknowledge(6),
+        lambda: server.resume(6),
+    ):
+        with pytest.raises(LineError, match=r"^(position|order)"):
+            wrong()
+    assert server.resume(3) == [Answer(4, b""), Answer(5, b"")]
+    assert len(server.resume(1)) == 4  # a node's word lets nothing go
+    server.acknowledge(3)  # the client's does
+    with pytest.raises(LineError, match=r"^position"):
+        server.resume(1)
+    assert client.resume(4) == [Request(5, b"")] and node.unexecuted(4) == [lines.encode(Request(5, b""))]
