--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -1,4 +1,4 @@
-"""The operators' console: a node drained, and save servers taken out, by calls to a process that serves."""
+"""The admin API: a node drained, and endpoints disabled, by calls to a process that serves."""
 
 from __future__ import annotations
 
@@ -74,8 +74,8 @@
         assert (counted["taken_out"], counted["called_back"]) == ("1", "1")
 
 
-def test_callers_that_hold_their_connection_shut_nobody_out(tmp_path: Path) -> None:
-    """Guards the descriptors and the calls of others: they once had no console at all."""
+def test_callers_that_hold_their_connection_keep_nobody_out(tmp_path: Path) -> None:
+    """Guards the descriptors and the calls of others: once nobody else had an answer."""
     with served(tmp_path, [EndpointServer("a")]) as (w, console):
         held = [Client(console) for _ in range(3 * CALLERS_MAX)]
         for each in held:
@@ -87,7 +87,7 @@
         assert held[0].line().startswith("HTTP/1.1 503")
 
 
-def test_nothing_goes_to_a_save_server_out_by_hand_until_the_call_back(tmp_path: Path) -> None:
+def test_nothing_is_forwarded_to_a_disabled_endpoint_until_it_is_enabled(tmp_path: Path) -> None:
     """Whatever discovery says in between: a Ready entry, a restart, a full list without it."""
     a, b = EndpointServer("a"), EndpointServer("b")
     with served(tmp_path, [a, b]) as (w, console):
@@ -155,7 +155,7 @@
     assert [kept.name for kept in tmp_path.iterdir()] == ["s.snapshot"]
 
 
-def test_a_process_started_again_holds_out_what_was(tmp_path: Path) -> None:
+def test_a_process_started_again_keeps_endpoints_disabled(tmp_path: Path) -> None:
     a, b = EndpointServer("a"), EndpointServer("b")
     with served(tmp_path, [a, b]) as (w, console):
         assert call(console, "save-servers/s-a/offline") == 200
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -82,7 +82,7 @@
 
 @pytest.mark.parametrize("where", BREAKS)
 @pytest.mark.parametrize("effect", ["safe", "unsafe", "keyed"])
-def test_what_follows_an_attempt_that_broke(tmp_path: Path, effect: str, where: str) -> None:
+def test_what_follows_a_failed_attempt(tmp_path: Path, effect: str, where: str) -> None:
     """Each server breaks in the same way, and so every attempt; of an unsafe class one may have run."""
     made = [Breaks("a", where), Breaks("b", where)]
     with world(tmp_path, [*made], settings=settings(lane(effect))) as w:
@@ -99,7 +99,7 @@
             assert attempts >= 2 and re.fullmatch(r"BUSY \d+", said)
 
 
-def test_a_repeat_within_its_window_goes_to_the_group_of_the_first_and_later_not_at_all(
+def test_a_retry_within_its_window_goes_to_the_group_of_the_first_attempt_and_later_not_at_all(
     tmp_path: Path,
 ) -> None:
     """Both servers of a zone break after the line; the third, of another zone, would serve."""
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -22,8 +22,8 @@
 FIRST_LINE = b"OPEN 1 2 c=live,d=1000\r\n"
 
 
-class Door:
-    """The node's door without a node: channels that nothing is fetched for."""
+class Listener:
+    """The node's listener without a node: channels whose requests reach no endpoint."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
@@ -31,11 +31,11 @@
         self.descriptors = DescriptorBudget(1000, self.metrics)
         self.proxy = Proxy(settings(), 1, cast(Any, None), self.metrics, self.loop)
         self.channels: set[TcpChannel] = set()
-        self.listener = socket.create_server(("127.0.0.1", 0))
-        self.listener.setblocking(False)
+        self.server_socket = socket.create_server(("127.0.0.1", 0))
+        self.server_socket.setblocking(False)
 
     async def open(self) -> None:
-        await self.loop.create_server(self._made, sock=self.listener)
+        await self.loop.create_server(self._made, sock=self.server_socket)
 
     def _made(self) -> TcpChannel:
         return TcpChannel(self.proxy, self.metrics, lambda: True, self.channels, self.descriptors)
@@ -44,7 +44,7 @@
         sock = socket.socket()
         if small:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        sock.connect(self.listener.getsockname())
+        sock.connect(self.server_socket.getsockname())
         before = set(self.channels)
         while not (new := self.channels - before):
             await asyncio.sleep(0)
@@ -57,11 +57,11 @@
             await asyncio.sleep(0.01)
 
 
-def in_loop(test: Callable[[Door], Coroutine[Any, Any, None]]) -> None:
+def in_loop(test: Callable[[Listener], Coroutine[Any, Any, None]]) -> None:
     async def main() -> None:
-        door = Door()
-        await door.open()
-        await test(door)
+        listener = Listener()
+        await listener.open()
+        await test(listener)
 
     uvloop.run(main())
 
@@ -81,17 +81,17 @@
 
 
 @pytest.mark.parametrize("said", [FIRST_LINE, FIRST_LINE[:9], FIRST_LINE + b"x" * 200_000])
-def test_an_eviction_over_bytes_that_were_not_read_yet_still_answers(said: bytes) -> None:
+def test_an_eviction_over_unread_bytes_still_answers(said: bytes) -> None:
     """The client's line is in the socket's buffer as the channel is evicted. The close over it reset the
     connection, and the answer went with it."""
 
-    async def test(door: Door) -> None:
-        sock, channel = await door.client()
+    async def test(listener: Listener) -> None:
+        sock, channel = await listener.client()
         sock.setblocking(False)
         sock.send(said)  # the loop has no turn between this line and the next
         channel.evict()
         assert (await read_to_end(sock)).startswith(b"BUSY ")
-        await door.until(lambda: door.descriptors.held == 0, 2.0)
+        await listener.until(lambda: listener.descriptors.held == 0, 2.0)
         assert not was_reset(sock)
 
     in_loop(test)
@@ -101,15 +101,15 @@
 def test_the_end_of_a_linger_over_unread_bytes_is_no_reset(ending: CloseReason) -> None:
     """The client writes as the linger ends; it finds the last line and an end."""
 
-    async def test(door: Door) -> None:
-        sock, channel = await door.client()
+    async def test(listener: Listener) -> None:
+        sock, channel = await listener.client()
         channel.write(b"MOVE\r\n")
         channel.close(ending)
         await asyncio.sleep(LINGER_S / 2)
         sock.send(FIRST_LINE)
         channel._on_linger_over()
         assert await read_to_end(sock) == b"MOVE\r\n"
-        await door.until(lambda: door.descriptors.held == 0, 2.0)
+        await listener.until(lambda: listener.descriptors.held == 0, 2.0)
         assert not was_reset(sock)
 
     in_loop(test)
@@ -120,13 +120,14 @@
     """More is on its way to it than its buffers hold. Its connection was closed once all was out, and so
     never; evicting it did nothing."""
 
-    async def test(door: Door) -> None:
-        _sock, channel = await door.client(small=True)
+    async def test(listener: Listener) -> None:
+        _sock, channel = await listener.client(small=True)
         channel.write(b"x" * 16_000_000 + b"\r\n")
         channel.close(CloseReason.MIGRATED)
         if evicted:
             channel.evict()
-        await door.until(lambda: door.descriptors.held == 0, LINGER_S / 2 if evicted else LINGER_MAX_S)
+        within_s = LINGER_S / 2 if evicted else LINGER_MAX_S
+        await listener.until(lambda: listener.descriptors.held == 0, within_s)
 
     in_loop(test)
 
@@ -134,16 +135,16 @@
 def test_a_peer_that_reads_slowly_has_its_last_lines() -> None:
     """It goes on reading past the linger: what it takes time for is not cut off."""
 
-    async def test(door: Door) -> None:
-        sock, channel = await door.client()
+    async def test(listener: Listener) -> None:
+        sock, channel = await listener.client()
         size = 40_000_000
         channel.write(b"x" * size + b"MOVE\r\n")
         channel.close(CloseReason.MIGRATED)
         sock.setblocking(False)
         got = b""
-        end = door.loop.time() + 1.5 * LINGER_S
-        while door.loop.time() < end:
-            got += await door.loop.sock_recv(sock, size // 50)
+        end = listener.loop.time() + 1.5 * LINGER_S
+        while listener.loop.time() < end:
+            got += await listener.loop.sock_recv(sock, size // 50)
             await asyncio.sleep(LINGER_S / 20)
         assert len(got) < size and channel.transport is not None
         assert (got + await read_to_end(sock)).endswith(b"xMOVE\r\n")
@@ -152,14 +153,14 @@
 
 
 @pytest.mark.parametrize(
-    ("how", "left"),
+    ("how", "disconnected"),
     [("stays", False), ("speaks", False), ("ends its side", True), ("closes", True), ("resets", True)],
 )
-def test_a_client_that_left_is_seen_before_the_loop_reads_of_it(how: str, left: bool) -> None:
+def test_a_client_that_disconnected_is_seen_before_the_loop_reads_of_it(how: str, disconnected: bool) -> None:
     """Between a client's end and its reading lies all that the loop does first, timers that send included."""
 
-    async def test(door: Door) -> None:
-        sock, channel = await door.client()
+    async def test(listener: Listener) -> None:
+        sock, channel = await listener.client()
         match how:
             case "speaks":
                 sock.send(b"P")
@@ -169,24 +170,24 @@
                 sock.close()
             case "resets":
                 hard_reset(sock)
-        assert channel.is_disconnected() is left  # in the same turn of the loop
-        assert channel.is_disconnected() is left and (channel.transport is not None)
+        assert channel.is_disconnected() is disconnected  # in the same turn of the loop
+        assert channel.is_disconnected() is disconnected and (channel.transport is not None)
 
     in_loop(test)
 
 
-def test_a_client_that_is_told_to_make_way_may_ask_in_that_moment() -> None:
+def test_a_client_that_is_dismissed_may_send_its_request_in_that_moment() -> None:
     """It is told, and closed once there is no room any more: its line comes in between and has its answer."""
 
-    async def test(door: Door) -> None:
-        sock, channel = await door.client()
+    async def test(listener: Listener) -> None:
+        sock, channel = await listener.client()
         channel.dismiss()
         await asyncio.sleep(0)
         sock.send(FIRST_LINE)  # on its way as the end came
         channel.evict()
         assert (await read_to_end(sock)).startswith(b"BUSY ")
-        await door.until(lambda: door.descriptors.held == 0, 2.0)
-        assert not was_reset(sock) and not door.proxy.requests
+        await listener.until(lambda: listener.descriptors.held == 0, 2.0)
+        assert not was_reset(sock) and not listener.proxy.requests
 
     in_loop(test)
 
@@ -194,15 +195,15 @@
 def test_a_reset_between_the_accept_and_the_first_read_leaves_nothing() -> None:
     """The system has accepted, and the loop has not: a channel is made for a connection that is gone."""
 
-    async def test(door: Door) -> None:
+    async def test(listener: Listener) -> None:
         for said in (b"", FIRST_LINE, b"PING\r\n"):
-            sock = socket.create_connection(door.listener.getsockname())
+            sock = socket.create_connection(listener.server_socket.getsockname())
             sock.send(said)
             hard_reset(sock)
-        sock, _channel = await door.client()
-        await door.until(lambda: door.descriptors.held == 1 and len(door.channels) == 1, 2.0)
+        sock, _channel = await listener.client()
+        await listener.until(lambda: listener.descriptors.held == 1 and len(listener.channels) == 1, 2.0)
         sock.close()
-        await door.until(lambda: door.descriptors.held == 0, 2.0)
-        assert not door.proxy.requests
+        await listener.until(lambda: listener.descriptors.held == 0, 2.0)
+        assert not listener.proxy.requests
 
     in_loop(test)
--- a/tests/test_dns_sd_discovery.py
+++ b/tests/test_dns_sd_discovery.py
@@ -23,12 +23,12 @@
 
 
 class Answerer:
-    """A DNS server over UDP and TCP that answers from `records`, and counts what it is asked."""
+    """A DNS server over UDP and TCP that answers from `records`, and notes each query."""
 
     def __init__(self, ttl: int = 1) -> None:
         self.ttl = ttl
         self.records: dict[tuple[str, str], list[str]] = {}
-        self.asked: list[tuple[float, str, str]] = []
+        self.queries: list[tuple[float, str, str]] = []
         self.mode = "answer"
         self.sock, self.listener = wait_for(self._sockets)
         self.port = int(self.sock.getsockname()[1])
@@ -58,7 +58,7 @@
         query = dns.message.from_wire(wire)
         question = query.question[0]
         name, kind = question.name.to_text(), question.rdtype.name
-        self.asked.append((time.time(), name, kind))
+        self.queries.append((time.time(), name, kind))
         reply = dns.message.make_response(query)
         if self.mode == "silent":
             return None
@@ -107,7 +107,7 @@
     return {said for said in (w.client().ask() for _ in range(times)) if not said.startswith("BUSY")}
 
 
-def test_backends_come_go_and_drain_as_their_records_say(tmp_path: Path, answerer: Answerer) -> None:
+def test_endpoints_come_go_and_drain_as_their_records_have_it(tmp_path: Path, answerer: Answerer) -> None:
     a, b = EndpointServer("a"), EndpointServer("b")
     answerer.instance(a)
     with world(tmp_path, [], operator(answerer)) as w:
@@ -137,7 +137,7 @@
         wait_for(lambda: "UP b" in served_by(w), 10.0)
 
 
-def test_an_answer_too_long_for_udp_is_asked_again_over_tcp(tmp_path: Path, answerer: Answerer) -> None:
+def test_an_answer_too_long_for_udp_is_queried_again_over_tcp(tmp_path: Path, answerer: Answerer) -> None:
     answerer.instance(EndpointServer("a"))
     answerer.mode = "truncated"
     with world(tmp_path, [], operator(answerer)) as w:
@@ -154,13 +154,13 @@
         assert served_by(w) == {"UP a"}
 
 
-def test_records_are_not_asked_for_again_while_they_live(tmp_path: Path, answerer: Answerer) -> None:
+def test_records_are_not_queried_again_within_their_time_to_live(tmp_path: Path, answerer: Answerer) -> None:
     answerer.ttl = 3
     answerer.instance(EndpointServer("a"))
     with world(tmp_path, [], operator(answerer)):
-        wait_for(lambda: [kind for _, _, kind in answerer.asked].count("PTR") == 3, 12.0)
-    asked = [at for at, _, kind in answerer.asked if kind == "PTR"]
-    assert all(later - earlier >= 2.9 for earlier, later in itertools.pairwise(asked))
+        wait_for(lambda: [kind for _, _, kind in answerer.queries].count("PTR") == 3, 12.0)
+    queried = [at for at, _, kind in answerer.queries if kind == "PTR"]
+    assert all(later - earlier >= 2.9 for earlier, later in itertools.pairwise(queried))
 
 
 @pytest.mark.parametrize(
@@ -180,6 +180,6 @@
 @pytest.mark.parametrize(
     "text", ["", "state=", "state=Ready;weight=0", "state=Ready;weight=nan", "state=Ready;started_ms=x"]
 )
-def test_bad_txt_is_told(text: str) -> None:
+def test_a_bad_txt_record_raises_an_error(text: str) -> None:
     with pytest.raises(InvalidEndpointError):
         read_entry("s", read_txt(tuple(text.encode().split(b";"))))
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -1,4 +1,4 @@
-"""First lines, reports and line ends as the protocol words them."""
+"""First lines, load reports and line ends as the protocol has them."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from gradegap.upstream.answers import parse_load_report
 
 
-def test_a_first_line_goes_on_unchanged_but_for_its_wait() -> None:
+def test_a_first_line_is_forwarded_unchanged_but_for_its_wait() -> None:
     line = b"OPEN 9b1f 7f3a c=chat,d=2000,g=5c0f,r=1,again=1,h=12.5,x=d=7\r\n"
     opening = framing.parse_opening(line)
     assert opening.with_wait(0.7315) == line.replace(b"d=2000", b"d=731")
-    ask = opening.request
-    assert (ask.class_name, ask.wait, ask.key, ask.group) == ("chat", 2.0, "7f3a", "5c0f")
-    assert ask.retry and ask.reconnect and ask.inherited_from == ""
+    request = opening.request
+    assert (request.class_name, request.wait, request.key, request.group) == ("chat", 2.0, "7f3a", "5c0f")
+    assert request.retry and request.reconnect and request.inherited_from == ""
 
 
 @pytest.mark.parametrize("fields", ["d=%s,c=chat", "c=chat,x=d=7,d=%s,dd=9", "z=d=1,c=chat,g=,n=-4.5e3,d=%s"])
@@ -29,9 +29,9 @@
 
 def test_connections_from_before_the_run_may_wait_for_hours() -> None:
     """Waits over an hour were once read as bad lines, and every such connection was lost."""
-    ask = framing.parse_opening(b"OPEN 1 2 c=chat,d=4294967,at=s-1\r\n").request
+    request = framing.parse_opening(b"OPEN 1 2 c=chat,d=4294967,at=s-1\r\n").request
     assert framing.parse_opening(b"OPEN 1 2 c=chat,d=4294967295,at=s-1\r\n").request.inherited_from == "s-1"
-    assert ask.inherited_from == "s-1" and ask.wait == 4294.967
+    assert request.inherited_from == "s-1" and request.wait == 4294.967
 
 
 @pytest.mark.parametrize(
@@ -61,22 +61,22 @@
         b"OPEN 1 2 c=chat,d=5\r\r\n",
     ],
 )
-def test_bad_first_lines_are_told_apart(line: bytes) -> None:
+def test_bad_first_lines_raise_an_error(line: bytes) -> None:
     with pytest.raises(InvalidLineError):
         framing.parse_opening(line)
 
 
-def test_reports_are_read_under_the_modules_names_and_junk_is_skipped() -> None:
+def test_load_reports_are_read_under_the_balancers_names_and_what_is_no_number_is_skipped() -> None:
     report = parse_load_report("x0=0.61,concurrent=7,pace=high,odd,a=nan,b=-1,c=inf,d=1_0,e=")
     assert report == {"x0": 0.61, "inflight": 7.0}
     assert parse_load_report("") is None
 
 
-def test_lines_are_seen_however_they_are_cut() -> None:
+def test_lines_are_found_however_they_are_cut() -> None:
     seen: list[bytes] = []
-    watch = framing.LineScanner(seen.append)
+    scanner = framing.LineScanner(seen.append)
     for piece in (b"LO", b"AD 5\r", b"\nBYE\r\nPA"):
-        watch.feed(piece)
-    assert seen == [b"LOAD 5", b"BYE"] and not watch.at_line_end
-    watch.feed(b"RT\r\n")
-    assert watch.at_line_end
+        scanner.feed(piece)
+    assert seen == [b"LOAD 5", b"BYE"] and not scanner.at_line_end
+    scanner.feed(b"RT\r\n")
+    assert scanner.at_line_end
--- a/tests/test_rude.py
+++ b/tests/test_rude.py
@@ -1,4 +1,4 @@
-"""Clients that ask badly, or for nothing: each is answered or closed in time, and others notice nothing."""
+"""Clients with a bad request, or with none: each is answered or closed in time, and others notice nothing."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("said", [b"", b"OPEN 1 2 c=li", b"PING\r\nOP"])
-def test_who_does_not_say_what_it_wants_is_answered_within_three_seconds(tmp_path: Path, said: bytes) -> None:
+def test_a_client_without_a_request_is_answered_within_three_seconds(tmp_path: Path, said: bytes) -> None:
     """Such connections were once held for 30 s."""
     with world(tmp_path, [EndpointServer("a")]) as w:
         c, pinged, began = w.client(), w.client(), time.time()
@@ -43,7 +43,7 @@
         assert pinged.ask() == "UP a"
 
 
-def test_the_id_of_an_open_req_is_refused_and_never_reaches_a_backend(tmp_path: Path) -> None:
+def test_the_id_of_an_open_request_is_rejected_and_never_reaches_an_endpoint(tmp_path: Path) -> None:
     """The id was once not looked at, and both were served."""
     b = EndpointServer("a")
     with world(tmp_path, [b]) as w:
@@ -71,7 +71,7 @@
         ([b"OPEN %d 2 c=live,d=1500\r\n", b"x" * 9000], 1),
     ],
 )
-def test_who_does_not_wait_for_its_answer_gets_a_failure(
+def test_a_client_that_does_not_wait_for_its_answer_gets_a_failure(
     tmp_path: Path, pieces: list[bytes], opens: int
 ) -> None:
     b = EndpointServer("a", "silence")
@@ -115,7 +115,7 @@
         assert memory_mb(w) - before < 12 and slowest < 0.3 + BUSY_MACHINE
 
 
-def test_descriptors_are_kept_for_those_who_ask(tmp_path: Path) -> None:
+def test_descriptors_are_kept_for_clients_with_a_request(tmp_path: Path) -> None:
     """Hundreds of connections that say nothing once took every descriptor, and who asked got none."""
     limit = 160
     with world(tmp_path, [EndpointServer("a")], limits={"sockets": limit}) as w:
@@ -146,7 +146,9 @@
         wait_for(lambda: int(w.counters()["sockets"].split("/")[0]) <= 8)  # and the count is true
 
 
-def test_standing_sessions_that_fill_the_node_are_kept_and_the_next_told_to_come_back(tmp_path: Path) -> None:
+def test_established_sessions_that_fill_the_node_are_kept_and_the_next_is_rejected(
+    tmp_path: Path,
+) -> None:
     with world(tmp_path, [EndpointServer("a")], limits={"sockets": 160}) as w:
         said = ["UP a"]
         clients = []
