--- a/bench/quic.py
+++ b/bench/quic.py
@@ -1,21 +1,23 @@
-"""What the QUIC front costs, beside aioquic alone and beside the line front, in one run.
+"""What the QUIC listener costs, beside aioquic alone and beside TCP, in one run.
 
     python -m bench.quic
 
-In one process: the front without a socket and a bare server of aioquic's, each fed by the same kind of
-client; only what the server's side takes is timed. As processes: CPU of a node for a session's start, for a
-line and its answer, and its memory for a session, over QUIC and over TCP.
+In one process: the listener without a socket and a plain aioquic server, each driven by the same kind of
+client; only the server's side is timed. As processes: processor time of a node for a session's start and a
+line with its answer, and its memory for a session, over QUIC and over TCP.
 """
 
 from __future__ import annotations
 
 import asyncio
 import json
+import math
 import ssl
 import statistics
 import tempfile
 import time
 from collections.abc import Callable
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -30,194 +32,238 @@
 from gradegap.quic.routing import Router
 from tests.test_quic import QuicClient, make_certificate, quic_world
 from tests.test_quic_fuzz import SERVER, Pair
-from tests.world import Client, EndpointServer
+from tests.world import EndpointServer
 
-SHAKES, LINES, SESSIONS = 60, 1500, 200
-CLIENT = ("127.0.0.1", 5555)
+HANDSHAKES = 60
+LINES = 1500
+SESSIONS = 200
+ROUNDS = 3
+HANDSHAKE_ROUND_TRIPS = 5  # at most
+FORWARDED_BATCHES, FORWARDED_BATCH_SIZE = 50, 200  # datagrams
+CLIENT_ADDRESS = ("127.0.0.1", 5555)
 
 
-def each(work: Callable[[], object], count: int) -> float:
-    """us, the least of three rounds."""
-    best = 1e9
-    for _ in range(3):
+def least_us(operation: Callable[[], object], count: int) -> float:
+    """Microseconds of one operation: the mean of the fastest of three rounds."""
+    best = math.inf
+    for _ in range(ROUNDS):
         began = time.perf_counter()
         for _ in range(count):
-            work()
+            operation()
         best = min(best, (time.perf_counter() - began) / count)
     return round(best * 1e6, 2)
 
 
-def parts() -> dict[str, float]:
+def routing_costs() -> dict[str, float]:
+    """Microseconds of what is done for each datagram in front of aioquic."""
     keys = DerivedKeys(QuicRing().rotated(1))
     cid = keys.ids.make(Holder(1, 1).octets())
     router = Router(keys, Holder(1, 1), lambda h: False)
-    held = {cid}
+    held_ids = {cid}
     packet = b"\x41" + cid + bytes(60)
-    found = {
-        "an id made": each(lambda: keys.ids.make(b"\0\1\1\0"), 20_000),
-        "an id read": each(lambda: keys.ids.read(cid), 20_000),
-        "a datagram routed that is held here": each(lambda: router.route(packet, held.__contains__), 20_000),
+    costs = {
+        "an id made": least_us(lambda: keys.ids.make(b"\0\1\1\0"), 20_000),
+        "an id read": least_us(lambda: keys.ids.read(cid), 20_000),
+        "a datagram routed that is held here": least_us(
+            lambda: router.route(packet, held_ids.__contains__), 20_000
+        ),
     }
 
-    async def relayed() -> float:
-        reads, writes = socket_pair()
-        metrics, count = Metrics(), 0
-        done = asyncio.Event()
+    costs["a datagram forwarded, both sides"] = round(asyncio.run(forwarding_us(packet)), 2)
+    return costs
 
-        def came(data: bytes, addr: Any) -> None:
-            nonlocal count
-            count += 1
-            if count % 200 == 0:
-                done.set()
 
-        inlet = ForwardedDatagrams(asyncio.get_running_loop(), reads, metrics, came)
-        relay = DatagramForwarder(writes, metrics)
-        began = time.perf_counter()
-        for _ in range(50):
-            done.clear()
-            for _ in range(200):
-                relay.send(packet, CLIENT)
-            await done.wait()
-        took = time.perf_counter() - began
-        inlet.close()
-        relay.close()
-        return took / 10_000 * 1e6
+async def forwarding_us(packet: bytes) -> float:
+    """Microseconds to send a datagram to another process and to receive it there."""
+    reads, writes = socket_pair()
+    metrics = Metrics()
+    received = 0
+    batch_received = asyncio.Event()
+
+    def count_datagram(data: bytes, address: Any) -> None:
+        nonlocal received
+        received += 1
+        if received % FORWARDED_BATCH_SIZE == 0:
+            batch_received.set()
 
-    found["a datagram forwarded, both sides"] = round(asyncio.run(relayed()), 2)
-    return found
+    receiver = ForwardedDatagrams(asyncio.get_running_loop(), reads, metrics, count_datagram)
+    forwarder = DatagramForwarder(writes, metrics)
+    began = time.perf_counter()
+    for _ in range(FORWARDED_BATCHES):
+        batch_received.clear()
+        for _ in range(FORWARDED_BATCH_SIZE):
+            forwarder.send(packet, CLIENT_ADDRESS)
+        await batch_received.wait()
+    elapsed = time.perf_counter() - began
+    receiver.close()
+    forwarder.close()
+    return elapsed / (FORWARDED_BATCHES * FORWARDED_BATCH_SIZE) * 1e6
 
 
-class Bare:
-    """aioquic's server, that echoes."""
+class PlainServer:
+    """An aioquic server that echoes."""
 
     def __init__(self, folder: Path) -> None:
-        self.made = QuicConfiguration(is_client=False, alpn_protocols=["gradegap/1"])
-        self.made.load_cert_chain(folder / "cert.pem", folder / "key.pem")
-        self.server: QuicConnection | None = None
-
-    def begin(self) -> None:
-        self.server = None
-
-    def turn(self, data: list[bytes]) -> list[bytes]:
-        for raw in data:
-            if self.server is None:
-                self.server = QuicConnection(
-                    configuration=self.made, original_destination_connection_id=raw[6 : 6 + raw[5]]
+        self.configuration = QuicConfiguration(is_client=False, alpn_protocols=["gradegap/1"])
+        self.configuration.load_cert_chain(folder / "cert.pem", folder / "key.pem")
+        self.connection: QuicConnection | None = None
+
+    def reset(self) -> None:
+        """Be ready for another client."""
+        self.connection = None
+
+    def exchange(self, datagrams: list[bytes]) -> list[bytes]:
+        """Process a client's datagrams; those that answer them."""
+        for datagram in datagrams:
+            if self.connection is None:
+                destination = datagram[6 : 6 + datagram[5]]
+                self.connection = QuicConnection(
+                    configuration=self.configuration, original_destination_connection_id=destination
                 )
-            self.server.receive_datagram(raw, CLIENT, now=time.time())
-        if self.server is None:
+            self.connection.receive_datagram(datagram, CLIENT_ADDRESS, now=time.time())
+        if self.connection is None:
             return []
-        while (event := self.server.next_event()) is not None:
+        while (event := self.connection.next_event()) is not None:
             if isinstance(event, events.StreamDataReceived):
-                self.server.send_stream_data(0, event.data.replace(b"PING", b"PONG"))
-        return [out for out, _ in self.server.datagrams_to_send(now=time.time())]
+                self.connection.send_stream_data(0, event.data.replace(b"PING", b"PONG"))
+        return [answer for answer, _ in self.connection.datagrams_to_send(now=time.time())]
 
 
-class Fronted:
-    """The front, without a socket."""
+class ListenerWithoutSocket:
+    """The node's QUIC listener, fed by hand."""
 
     def __init__(self, folder: Path, loop: asyncio.AbstractEventLoop) -> None:
         self.pair = Pair(folder, loop)
 
-    def begin(self) -> None:
+    def reset(self) -> None:
+        """Be ready for another client."""
         for channel in list(self.pair.front.channels):
             channel.discard()
 
-    def turn(self, data: list[bytes]) -> list[bytes]:
-        for raw in data:
-            self.pair.front.datagram_received(raw, CLIENT)
+    def exchange(self, datagrams: list[bytes]) -> list[bytes]:
+        """Process a client's datagrams; those that answer them."""
+        for datagram in datagrams:
+            self.pair.front.datagram_received(datagram, CLIENT_ADDRESS)
         for channel in list(self.pair.front.channels):
             channel.flush()
-        return self.pair.wire.sent.pop(CLIENT, [])
+        return self.pair.wire.sent.pop(CLIENT_ADDRESS, [])
 
 
-def driven(server: Bare | Fronted) -> tuple[float, float]:
-    """Microseconds of the server's side: a handshake, a line with its answer."""
-    shakes, lines = [], []
+@dataclass(frozen=True)
+class ServerCost:
+    """Microseconds of a server's side: a handshake, and a line with its answer."""
 
-    def turn(quic: QuicConnection) -> float:
-        out = [data for data, _ in quic.datagrams_to_send(now=time.time())]
-        began = time.perf_counter()
-        back = server.turn(out)
-        took = time.perf_counter() - began
-        for raw in back:
-            quic.receive_datagram(raw, SERVER, now=time.time())
-        while quic.next_event() is not None:
-            pass
-        return took
-
-    for _ in range(SHAKES):
-        server.begin()
-        how = QuicConfiguration(is_client=True, alpn_protocols=["gradegap/1"], verify_mode=ssl.CERT_NONE)
-        quic = QuicConnection(configuration=how)
-        quic.connect(SERVER, now=time.time())
-        shakes.append(sum(turn(quic) for _ in range(5)))
+    handshake_us: float
+    line_us: float
+
+
+def drive(server: PlainServer | ListenerWithoutSocket) -> ServerCost:
+    """Handshakes one after the other, then lines on the last connection; medians."""
+    handshakes = []
+    for _ in range(HANDSHAKES):
+        server.reset()
+        configuration = QuicConfiguration(
+            is_client=True, alpn_protocols=["gradegap/1"], verify_mode=ssl.CERT_NONE
+        )
+        client = QuicConnection(configuration=configuration)
+        client.connect(SERVER, now=time.time())
+        handshakes.append(sum(timed_exchange(client, server) for _ in range(HANDSHAKE_ROUND_TRIPS)))
+    lines = []
     for _ in range(LINES):
-        quic.send_stream_data(0, b"PING\r\n")
-        lines.append(turn(quic) + turn(quic))
-    return statistics.median(shakes) * 1e6, statistics.median(lines) * 1e6
+        client.send_stream_data(0, b"PING\r\n")
+        lines.append(timed_exchange(client, server) + timed_exchange(client, server))
+    return ServerCost(statistics.median(handshakes) * 1e6, statistics.median(lines) * 1e6)
+
+
+def timed_exchange(client: QuicConnection, server: PlainServer | ListenerWithoutSocket) -> float:
+    """Carry what is due both ways; seconds of the server's side."""
+    datagrams = [data for data, _ in client.datagrams_to_send(now=time.time())]
+    began = time.perf_counter()
+    answers = server.exchange(datagrams)
+    elapsed = time.perf_counter() - began
+    for answer in answers:
+        client.receive_datagram(answer, SERVER, now=time.time())
+    while client.next_event() is not None:
+        pass
+    return elapsed
 
 
 def in_process() -> dict[str, Any]:
+    """The listener beside aioquic alone, in rounds in turn."""
     loop = asyncio.new_event_loop()
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         make_certificate(folder, 90)
-        rounds = [(driven(Bare(folder)), driven(Fronted(folder, loop))) for _ in range(3)]
+        rounds = [
+            (drive(PlainServer(folder)), drive(ListenerWithoutSocket(folder, loop))) for _ in range(ROUNDS)
+        ]
     loop.close()
-    said: dict[str, Any] = {}
-    for k, what in enumerate(("a handshake, us", "a line and its answer, us")):
-        said[what] = {
-            "aioquic alone": round(statistics.median(a[k] for a, _ in rounds), 1),
-            "the front": round(statistics.median(b[k] for _, b in rounds), 1),
-            "ratio, each round": [round(b[k] / a[k], 2) for a, b in rounds],
-        }
-    return said
+    return {
+        "a handshake, us": compared([(plain.handshake_us, ours.handshake_us) for plain, ours in rounds]),
+        "a line and its answer, us": compared([(plain.line_us, ours.line_us) for plain, ours in rounds]),
+    }
 
 
-def standing(make: Callable[[], Any]) -> Any:
-    """A client with its connection; one that is told BUSY comes again."""
+def compared(rounds: list[tuple[float, float]]) -> dict[str, Any]:
+    """Medians of aioquic alone and of the listener, and the ratio of each round."""
+    return {
+        "aioquic alone": round(statistics.median(plain for plain, _ in rounds), 1),
+        "the front": round(statistics.median(ours for _, ours in rounds), 1),
+        "ratio, each round": [round(ours / plain, 2) for plain, ours in rounds],
+    }
+
+
+def established(connect: Callable[[], Any]) -> Any:
+    """A client whose connection is established; one that is rejected tries again."""
     for _ in range(50):
-        c = make()
-        said = c.ask()
-        if said.startswith("UP"):
-            return c
+        client = connect()
+        answer = client.ask()
+        if answer.startswith("UP"):
+            return client
         time.sleep(0.1)
-    raise AssertionError(said)
+    raise AssertionError(answer)
+
 
+def node_cost(pid: int, connect: Callable[[], Any]) -> dict[str, float]:
+    """Processor time and memory of a node for sessions that `connect` makes."""
+    established(connect)
+    cpu_before, kib_before = cpu_seconds(pid), private_kib(pid)
+    clients = [established(connect) for _ in range(SESSIONS)]
+    cpu_connected, kib_connected = cpu_seconds(pid), private_kib(pid)
+    client = clients[-1]
+    for _ in range(LINES):
+        client.send(b"hello\r\n")
+        client.line()
+    cpu_after_lines = cpu_seconds(pid)
+    return {
+        "a session's start, us": round((cpu_connected - cpu_before) / SESSIONS * 1e6),
+        "a line and its answer, us": round((cpu_after_lines - cpu_connected) / LINES * 1e6),
+        "a session, KiB": round((kib_connected - kib_before) / SESSIONS, 1),
+    }
 
-def of_node() -> dict[str, Any]:
-    """CPU us and KiB of a node, over each front."""
+
+def node_costs() -> dict[str, Any]:
+    """What a node as a process costs over QUIC and over TCP."""
     with (
         tempfile.TemporaryDirectory() as name,
-        quic_world(Path(name), [EndpointServer(n) for n in "abcdef"]) as (w, port),
+        quic_world(Path(name), [EndpointServer(n) for n in "abcdef"]) as (world, port),
     ):
-        pid, said = w.process.pid, {}
-        for front in ("QUIC", "TCP"):
-            make: Callable[[], Any] = (lambda: QuicClient(port)) if front == "QUIC" else w.client
-            standing(make)
-            began, size = cpu_seconds(pid), private_kib(pid)
-            clients = [standing(make) for _ in range(SESSIONS)]
-            opened, grown = cpu_seconds(pid), private_kib(pid)
-            c = clients[-1]
-            for _ in range(LINES):
-                c.send(b"hello\r\n")
-                c.line()
-            spoken = cpu_seconds(pid)
-            said[front] = {
-                "a session's start, us": round((opened - began) / SESSIONS * 1e6),
-                "a line and its answer, us": round((spoken - opened) / LINES * 1e6),
-                "a session, KiB": round((grown - size) / SESSIONS, 1),
-            }
-        return said
+        pid = world.process.pid
+        return {
+            "QUIC": node_cost(pid, lambda: QuicClient(port)),
+            "TCP": node_cost(pid, world.client),
+        }
 
 
 def main() -> None:
-    said = {"parts, us": parts(), "in one process": in_process(), "a node as a process": of_node()}
-    print(json.dumps(said, indent=2))
-
+    """Measure all, and print the figures as JSON."""
+    figures = {
+        "parts, us": routing_costs(),
+        "in one process": in_process(),
+        "a node as a process": node_costs(),
+    }
+    print(json.dumps(figures, indent=2))
 
-__all__ = ["Client"]
 
 if __name__ == "__main__":
     main()
