--- a/bench/capture.py
+++ b/bench/capture.py
@@ -1,10 +1,11 @@
-"""What recording and replaying cost, beside the module alone in the same run.
+"""What recording and replaying cost, beside the balancer alone in the same run.
 
     python -m bench.capture
 
-A made-up day of a module (arrivals, probes, deaths, drains; seeded) is decided plainly, under a recorder, and
-replayed from its file; rounds in turn. Then the most that a state holds the loop up, by connections held, and
-CPU and memory of a node that serves the same reqs with and without `[capture]`. No part of CI.
+A generated day of a balancer (arrivals, health checks, failures, drains; seeded) is decided plainly, under a
+recorder, and replayed from its file; rounds in turn. Then how long a state delays the loop, by connections in
+flight, and processor time and memory of a node that serves the same requests with and without `[capture]`.
+No part of CI.
 """
 
 from __future__ import annotations
@@ -15,6 +16,7 @@
 import statistics
 import tempfile
 import time
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -32,139 +34,184 @@
 
 STEPS = 20_000
 ROUNDS = 3
-REQS = 1500
+REQUESTS = 1500
+WARM_UP_REQUESTS = 100
+SEED, ENDPOINTS = 1, 40
+STATE_SIZES = (100, 1000, 4000, 20_000)  # connections in flight
+STATE_REPEATS = 5
+YIELD_EVERY, MAX_PENDING = 2000, 8  # steps between looks at the recorder's queue; blocks that may wait there
 
+TimedEvent = tuple[float, Any]  # the balancer's clock, and the event
 
-def events() -> list[tuple[float, Any]]:
-    """The events of a made-up day, with their clocks."""
-    day = Day(1, 40).live(STEPS)
+
+def generated_events() -> list[TimedEvent]:
+    """The events of a generated day, with their clocks."""
+    day = Day(SEED, ENDPOINTS).live(STEPS)
     return [(row[2], records.event(row[3])) for row in day.steps]
 
 
-def balancer_cpu_s(told: list[tuple[float, Any]]) -> float:
-    """CPU seconds of the balancer without a recorder."""
-    balancer = Balancer(Day(1, 40).settings, 1)
+def balancer_cpu_s(timed_events: list[TimedEvent]) -> float:
+    """Processor seconds of the balancer without a recorder."""
+    balancer = Balancer(Day(SEED, ENDPOINTS).settings, SEED)
     began = time.process_time()
-    for at, event in told:
+    for at, event in timed_events:
         balancer.handle(at, event)
     return time.process_time() - began
 
 
-async def under_recorder(told: list[tuple[float, Any]], folder: Path) -> tuple[float, Metrics]:
-    """CPU of loop and thread together."""
-    settings, metrics = Day(1, 40).settings, Metrics()
-    balancer = Balancer(settings, 1)
-    loop = asyncio.get_running_loop()
-    set_up = CaptureSettings(str(folder), state_s=3600.0)
-    made = Recorder(set_up, balancer, settings, 1, metrics, loop, lambda: told[0][0], "bench")
-    made.begin()
-    tap = RecordedBalancer(balancer, made)
+async def recorded_cpu_s(timed_events: list[TimedEvent], folder: Path) -> float:
+    """Processor seconds of the loop and of the recorder's thread together."""
+    settings, metrics = Day(SEED, ENDPOINTS).settings, Metrics()
+    balancer = Balancer(settings, SEED)
+    recorder = Recorder(
+        CaptureSettings(str(folder), state_s=3600.0),
+        balancer,
+        settings,
+        SEED,
+        metrics,
+        asyncio.get_running_loop(),
+        lambda: timed_events[0][0],
+        "bench",
+    )
+    recorder.begin()
+    recorded = RecordedBalancer(balancer, recorder)
     began = time.process_time()
-    for k, (at, event) in enumerate(told):
-        tap.handle(at, event)
-        if k % 2000 == 0:
-            while made.pending > 8:
+    for number, (at, event) in enumerate(timed_events):
+        recorded.handle(at, event)
+        if number % YIELD_EVERY == 0:
+            while recorder.pending > MAX_PENDING:
                 await asyncio.sleep(0.001)
-    made.close()
-    while not made.is_idle:
+    recorder.close()
+    while not recorder.is_idle:
         await asyncio.sleep(0.001)
-    return time.process_time() - began, metrics
+    elapsed = time.process_time() - began
+    assert not metrics.counts["capture_dropped"]
+    return elapsed
+
+
+@dataclass(frozen=True)
+class RecordingRound:
+    """One round: processor seconds of the same steps three ways, and the size of the recording."""
+
+    balancer_s: float
+    recorded_s: float
+    replayed_s: float
+    steps: int
+    size_bytes: int
+
+
+def recording_round(timed_events: list[TimedEvent]) -> RecordingRound:
+    """Decide, record and replay the same events."""
+    balancer_s = balancer_cpu_s(timed_events)
+    with tempfile.TemporaryDirectory() as name:
+        recorded_s = asyncio.run(recorded_cpu_s(timed_events, Path(name)))
+        (path,) = Path(name).iterdir()
+        data = path.read_bytes()
+    items = list(recording.read(data))
+    began = time.process_time()
+    result = replay.replay(items, gradegap.balancing.balancer)
+    replayed_s = time.process_time() - began
+    assert result.difference is None and not result.gaps
+    return RecordingRound(balancer_s, recorded_s, replayed_s, result.steps, len(data))
 
 
 def recording_cost() -> dict[str, Any]:
     """What recording and replaying cost beside the balancer alone."""
-    told = events()
-    plain, taped, again, size, steps = [], [], [], 0, 1
-    for _ in range(ROUNDS):
-        plain.append(balancer_cpu_s(told))
-        with tempfile.TemporaryDirectory() as name:
-            spent, metrics = asyncio.run(under_recorder(told, Path(name)))
-            assert not metrics.counts["capture_dropped"]
-            taped.append(spent)
-            (path,) = Path(name).iterdir()
-            data = path.read_bytes()
-        size = len(data)
-        items = list(recording.read(data))
-        began = time.process_time()
-        found = replay.replay(items, gradegap.balancing.balancer)
-        again.append(time.process_time() - began)
-        assert found.difference is None and not found.gaps
-        steps = found.steps
+    timed_events = generated_events()
+    rounds = [recording_round(timed_events) for _ in range(ROUNDS)]
+    steps, size_bytes = rounds[-1].steps, rounds[-1].size_bytes
+
+    def us_per_step(seconds: list[float]) -> float:
+        return round(statistics.median(seconds) / steps * 1e6, 2)
+
     return {
         "steps": steps,
-        "module alone, us a step": round(statistics.median(plain) / steps * 1e6, 2),
-        "under a recorder, us a step": round(statistics.median(taped) / steps * 1e6, 2),
-        "replayed and compared, us a step": round(statistics.median(again) / steps * 1e6, 2),
+        "module alone, us a step": us_per_step([r.balancer_s for r in rounds]),
+        "under a recorder, us a step": us_per_step([r.recorded_s for r in rounds]),
+        "replayed and compared, us a step": us_per_step([r.replayed_s for r in rounds]),
         "replay beside the module alone": round(
-            statistics.median(b / a for a, b in zip(plain, again, strict=True)), 2
+            statistics.median(r.replayed_s / r.balancer_s for r in rounds), 2
         ),
-        "bytes a step": round(size / steps, 1),
+        "bytes a step": round(size_bytes / steps, 1),
     }
 
 
-def states() -> dict[str, Any]:
-    """ms: a walk in place, beside what a forked one takes of the node and takes in all."""
-    found: dict[str, Any] = {}
-    for held in (100, 1000, 4000, 20_000):
-        day = Day(2, 40)
-        for ident in range(1, held + 1):  # each named by its server, as after a hot restart
-            request = RequestArrived(ident, "live", day.now + 2.0, "", f"k{ident}", f"g{ident % 500}")
-            day.feed(ConnectionInherited(request, f"s{ident % 40}"))
-        times: list[tuple[float, float, float]] = []
-        for _ in range(5):
-            began = time.perf_counter()
-            state.dump(day.balancer)
-            walked = time.perf_counter()
-            child = snapshot.begin(day.balancer)
-            forked = time.perf_counter()
-            snapshot.finish(child)
-            times.append((walked - began, forked - walked, time.perf_counter() - walked))
-        names = ("in place", "fork", "fork, until it is read")
-        found[f"{held} held"] = {
-            n: round(statistics.median(t[k] for t in times) * 1e3, 2) for k, n in enumerate(names)
-        }
-    return found
-
-
-def node(on: bool) -> tuple[float, int]:
-    """CPU us a req, and KiB, of a node that answers reqs one after the other."""
+def state_costs() -> dict[str, Any]:
+    """Milliseconds of a state, by connections in flight."""
+    return {f"{connections} held": state_cost(connections) for connections in STATE_SIZES}
+
+
+def state_cost(connections: int) -> dict[str, float]:
+    """Milliseconds of a dump in place, of a fork, and of a fork until its result is read; medians."""
+    day = Day(2, ENDPOINTS)
+    for number in range(1, connections + 1):  # each at a known endpoint, as after a hot restart
+        request = RequestArrived(number, "live", day.now + 2.0, "", f"k{number}", f"g{number % 500}")
+        day.feed(ConnectionInherited(request, f"s{number % ENDPOINTS}"))
+    in_place, forks, until_read = [], [], []
+    for _ in range(STATE_REPEATS):
+        began = time.perf_counter()
+        state.dump(day.balancer)
+        dumped = time.perf_counter()
+        child = snapshot.begin(day.balancer)
+        forked = time.perf_counter()
+        snapshot.finish(child)
+        in_place.append(dumped - began)
+        forks.append(forked - dumped)
+        until_read.append(time.perf_counter() - dumped)
+    times = {"in place": in_place, "fork": forks, "fork, until it is read": until_read}
+    return {name: round(statistics.median(seconds) * 1e3, 2) for name, seconds in times.items()}
+
+
+@dataclass(frozen=True)
+class NodeCost:
+    """What a node as a process takes: processor microseconds a request, and its own memory in KiB."""
+
+    request_us: float
+    memory_kib: int
+
+
+def node_cost(with_capture: bool) -> NodeCost:
+    """Of a node that answers requests one after the other."""
     with tempfile.TemporaryDirectory() as name:
-        operator = f'[capture]\nfolder = "{name}/captures"\n' if on else None
-        w = World(Path(name), [EndpointServer(n) for n in "abc"], operator)
+        operator_file = f'[capture]\nfolder = "{name}/captures"\n' if with_capture else None
+        world = World(Path(name), [EndpointServer(n) for n in "abc"], operator_file)
         try:
-            wait_for(w.ready, 15.0)
-            for _ in range(100):
-                one(w.client())
-            before = cpu_seconds(w.process.pid)
-            for _ in range(REQS):
-                one(w.client())
-            return (cpu_seconds(w.process.pid) - before) / REQS * 1e6, private_kib(w.process.pid)
+            wait_for(world.ready, 15.0)
+            for _ in range(WARM_UP_REQUESTS):
+                make_request(world.client())
+            pid = world.process.pid
+            before = cpu_seconds(pid)
+            for _ in range(REQUESTS):
+                make_request(world.client())
+            return NodeCost((cpu_seconds(pid) - before) / REQUESTS * 1e6, private_kib(pid))
         finally:
-            w.process.kill()
-            w.process.wait()
+            world.process.kill()
+            world.process.wait()
 
 
-def one(client: Client) -> None:
-    """One client that comes, is answered and goes."""
+def make_request(client: Client) -> None:
+    """A client that connects, is answered and disconnects."""
     assert client.ask()[:2] in ("UP", "BU")
     client.sock.close()
 
 
 def main() -> None:
-    """Measure in turn, and print the result as JSON."""
-    pairs = [(node(False), node(True)) for _ in range(3)]
-    said = {
+    """Measure in turn, and print the figures as JSON."""
+    rounds = [(node_cost(False), node_cost(True)) for _ in range(ROUNDS)]
+    figures = {
         "module": recording_cost(),
-        "a state, ms": states(),
+        "a state, ms": state_costs(),
         "node, CPU us a req": {
-            "plain": round(statistics.median(a[0] for a, _ in pairs)),
-            "recorded": round(statistics.median(b[0] for _, b in pairs)),
-            "ratio, each round": [round(b[0] / a[0], 3) for a, b in pairs],
+            "plain": round(statistics.median(plain.request_us for plain, _ in rounds)),
+            "recorded": round(statistics.median(recorded.request_us for _, recorded in rounds)),
+            "ratio, each round": [
+                round(recorded.request_us / plain.request_us, 3) for plain, recorded in rounds
+            ],
         },
-        "node, KiB more": [b[1] - a[1] for a, b in pairs],
+        "node, KiB more": [recorded.memory_kib - plain.memory_kib for plain, recorded in rounds],
         "peak of this bench, MiB": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024,
     }
-    print(json.dumps(said, indent=2))
+    print(json.dumps(figures, indent=2))
 
 
 if __name__ == "__main__":
