--- a/gradegap/admin/http_api.py
+++ b/gradegap/admin/http_api.py
@@ -184,7 +184,7 @@
         self.answered: dict[AdminConnection, None] = {}
         """Who have yet to close their side, the oldest first."""
         self.server: asyncio.Server | None = None
-        metrics.gauge("console_callers", lambda: len(self.connections))
+        metrics.gauge("admin_callers", lambda: len(self.connections))
 
     async def start(self, host: str, port: int) -> None:
         """Listen; raises `OSError` where the address can't be had."""
@@ -205,7 +205,7 @@
         unread = oldest.state is not CallState.ANSWERED
         new = unread and self.loop.time() - oldest.connected_at < UNREAD_CALL_GRACE_S
         if not new or full:
-            self.metrics.count("console_made_way")
+            self.metrics.count("admin_callers_evicted")
             oldest.fail(HTTPStatus.SERVICE_UNAVAILABLE, "too many callers")
             self.remove(oldest)
             if oldest.transport is not None:
@@ -213,7 +213,7 @@
 
     def record_answer(self, connection: AdminConnection, status: HTTPStatus) -> None:
         """A connection has its answer, and is to close its side."""
-        self.metrics.count(f"console_{status.value}")
+        self.metrics.count(f"admin_answers_{status.value}")
         self.receiving.pop(connection, None)
         self.answered[connection] = None
 
--- a/gradegap/discovery/http_discovery.py
+++ b/gradegap/discovery/http_discovery.py
@@ -75,7 +75,7 @@
         Its full list is polled for, and until it arrives the last one is kept. Whatever the old address still
         sends is ignored.
         """
-        self.metrics.count("director_changes")
+        self.metrics.count("discovery_changes")
         self.address = address
         self.schedule.reset()
         self._drop_connections()
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -83,7 +83,7 @@
         assert call(console, "ready", "GET") == 200
         assert call(console, "out-of-service") == 200
         assert w.client().ask() == "UP a"
-        wait_for(lambda: int(w.counters()["console_made_way"]) >= 2 * CALLERS_MAX)
+        wait_for(lambda: int(w.counters()["admin_callers_evicted"]) >= 2 * CALLERS_MAX)
         assert held[0].line().startswith("HTTP/1.1 503")
 
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -44,7 +44,7 @@
                 old.changed.notify_all()
         assert {w.client().ask() for _ in range(6)} == {"UP c"}
         counted = w.counters()
-        assert (counted["reloads"], counted["director_changes"]) == ("2", "2")
+        assert (counted["reloads"], counted["discovery_changes"]) == ("2", "2")
         assert w.process.poll() is None
 
 
