--- a/gradegap/quic/listener.py
+++ b/gradegap/quic/listener.py
@@ -156,7 +156,7 @@
         others = [h for h, relay in self.forwarders.items() if not relay.closed][:MAX_PREDECESSORS]
         now = time.time()
         handed = PortTransfer([self.own_holder, *others], self.keys.ring, used, 0.0 if whole else now)
-        log.info("QUIC's port goes to the next process", sessions=len(self.channels))
+        log.info("port passed to successor", sessions=len(self.channels))
         forwarding = [self.forwarders[h].sock.fileno() for h in others]
         fds = [self.sock.fileno(), self.forward_socket.fileno(), *forwarding]
         return handed, fds
@@ -179,7 +179,7 @@
         if self.ring_revision < 0:
             self._adopt(DerivedKeys(handed.ring))
         await self._read(socks[0])
-        log.info("QUIC's port is taken over", before=len(self.forwarders))
+        log.info("port taken over", before=len(self.forwarders))
 
     async def serve_again(self) -> None:
         """The process that read the port has gone."""
@@ -205,11 +205,11 @@
             keys = DerivedKeys(msgspec.convert(item.value, QuicRing))
         except ValueError as error:
             self.metrics.count("quic_ring_unfit")
-            log.error("the ring of QUIC's keys can't be used; the one before stays", error=str(error))
+            log.error("key ring not used, the previous one stays", error=str(error))
             return
         self._adopt(keys)
         self.metrics.count("quic_rings")
-        log.info("QUIC's ring", bits=[k.bits for k in keys.ring.keys], makes=keys.newest)
+        log.info("key ring adopted", bits=[k.bits for k in keys.ring.keys], makes=keys.newest)
 
     def _adopt(self, keys: DerivedKeys) -> None:
         self.keys = keys
--- a/gradegap/quic/trace.py
+++ b/gradegap/quic/trace.py
@@ -72,7 +72,7 @@
             path.write_text(json.dumps(made))
         except OSError as error:
             self.metrics.count("quic_traces_failed")
-            log.warning("a trace was not written", error=str(error))
+            log.warning("trace not written", error=str(error))
             return
         self._trim()
 
--- a/gradegap/resume/migration.py
+++ b/gradegap/resume/migration.py
@@ -67,7 +67,7 @@
         """The generation in force is not this node's to go on with: the client's own token says more."""
         session = self.session
         session.metrics.count("resume_in_place_unclaimed")
-        log.warning("session not migrated", session=self.following.session, why=why)
+        log.warning("session not migrated", session=self.following.session, reason=why)
         if not self.stopped and not session.closed:
             session.migration = None
             session.send_migrate()
@@ -175,7 +175,9 @@
         session = self.session
         session.migration = None
         session.metrics.count(f"resume_in_place_{reason}")
-        log.info("session not migrated", session=self.offer.session, epoch=self.offer.generation, why=reason)
+        log.info(
+            "session not migrated", session=self.offer.session, epoch=self.offer.generation, reason=reason
+        )
         if not session.closed and isinstance(session.relay, SessionRelay):
             session.channel.write(session.relay.token(self.tokens.issue(session, self.offer)))
             session.send_migrate()
--- a/gradegap/resume/resumption.py
+++ b/gradegap/resume/resumption.py
@@ -181,7 +181,7 @@
     def _reject_for_now(self, session: ClientSession, why: str) -> None:
         """Without a quorum nobody can be said to be the one: the client is to return."""
         self.metrics.count("resume_not_claimed")
-        log.warning("token not claimed", why=why)
+        log.warning("token not claimed", reason=why)
         if not session.closed:
             session.reject(UNCLAIMED_RETRY_S)
 
