--- a/bench/capture.py
+++ b/bench/capture.py
@@ -39,7 +39,10 @@
 SEED, ENDPOINTS = 1, 40
 STATE_SIZES = (100, 1000, 4000, 20_000)  # connections in flight
 STATE_REPEATS = 5
-YIELD_EVERY, MAX_PENDING = 2000, 8  # steps between looks at the recorder's queue; blocks that may wait there
+YIELD_EVERY, MAX_PENDING = (
+    2000,
+    8,
+)  # steps between looks at the recorder's queue; batches and states that may wait there
 
 TimedEvent = tuple[float, Any]  # the balancer's clock, and the event
 
--- a/bench/scale/__main__.py
+++ b/bench/scale/__main__.py
@@ -16,7 +16,7 @@
 from bench.scale.settings import RunFileError, read_run
 
 if TYPE_CHECKING:
-    from bench.scale.control import Result
+    from bench.scale.run_result import Result
 
 EXIT_FAILED = 1
 EXIT_BAD_RUN = 2
--- a/bench/scale/control.py
+++ b/bench/scale/control.py
@@ -7,7 +7,6 @@
 import random
 import signal
 import tempfile
-from collections import Counter
 from pathlib import Path
 from typing import Any
 
@@ -18,7 +17,7 @@
 from bench.scale.hollow import HollowSpec, NodeRecord, ProcessRecord
 from bench.scale.load import Load, at_poisson_times
 from bench.scale.machines import SECRET, MachineFigures, Machines
-from bench.scale.measure import NOT_COUNTED, Times, machine_busy_s, times, usage
+from bench.scale.measure import machine_busy_s, times, usage
 from bench.scale.messages import (
     BeginWindow,
     DiscoveryPort,
@@ -32,11 +31,11 @@
     Start,
 )
 from bench.scale.processes import Child, ChildFailedError, Children, children
-from bench.scale.results_file import ControlFigures
+from bench.scale.run_result import Result, notes, summed_counters
 from bench.scale.scripted import ScriptedSpec
 from bench.scale.sessions import NodeSpec, steady
 from bench.scale.settings import RunSettings
-from bench.scale.storeclient import StoreClient, WriteRecord
+from bench.scale.storeclient import StoreClient
 from tests.world import free_port
 
 log = structlog.get_logger()
@@ -48,38 +47,6 @@
 CHILD_POLL_INTERVAL_S = 0.5
 
 
-class Result(ControlFigures, omit_defaults=False):
-    """What a run found, behind the figures that others rely on."""
-
-    mechanism: str
-    fault: str
-    seconds: float
-    seed: int
-    clock: float
-    acceleration: float
-    changes: int
-    changes_not_acknowledged: int
-    acknowledged_s: Times
-    in_force_of_others_s: Times
-    in_force_everywhere_s: Times
-    pairs_left: int
-    store_bytes_per_node_s: dict[str, float]
-    bytes_per_node_s_by_kind: dict[str, dict[str, float]]
-    machines: list[MachineFigures]
-    start_s: float
-    leases_lost: int
-    fault_at: list[dict[str, Any]]
-    level_again_s: analysis.LevelAgain | None
-    lost_nodes: int = msgspec.field(name="gone_nodes")
-    hollow_processes: int
-    hollow_resident_bytes: dict[str, float]
-    counters: dict[str, int]
-    cores: int
-    cores_used: dict[str, float]  # in the window, by this run's processes and by all others
-    load_average: list[float]
-    notes: list[str]
-
-
 class Busy(msgspec.Struct):
     """Processor seconds so far, of the whole machine and of the run's living processes."""
 
@@ -311,10 +278,6 @@
         nodes: list[NodeRecord] = [node for record in records for node in record.nodes]
         found = analysis.in_force(nodes, writes)
         deciding = times(found.deciding)
-        counters: dict[str, int] = {}
-        for record in records:
-            for name, count in record.counters.items():
-                counters[name] = counters.get(name, 0) + count
         resident = [float(r.resident_bytes) for r in records]
         kinds = ("discovery", "probe")
         return Result(
@@ -348,7 +311,7 @@
             lost_nodes=settings.nodes - len(nodes),
             hollow_processes=len(self.hollow),
             hollow_resident_bytes={"sum": sum(resident), "max": max(resident)},
-            counters=counters,
+            counters=summed_counters(records),
             cores=os.cpu_count() or 0,
             cores_used=self.cores_used,
             load_average=load_average,
@@ -377,25 +340,6 @@
     return sizes
 
 
-def notes(settings: RunSettings, writes: list[WriteRecord]) -> list[str]:
-    """What the figures mean, and what they leave out."""
-    lines = [
-        NOT_COUNTED,
-        "in_force_s runs from the moment the writer proposed a change until the node decides by it, "
-        "on one machine's steady clock; of nodes that held a lease when it was proposed",
-        f"changes and restarts come {settings.acceleration:g} times as fast as on an ordinary day",
-        "processor time and memory are those of hollow processes, with what measures in them; nodes that "
-        "share a process share its heap, which is frozen for the garbage collector when the window begins",
-    ]
-    if settings.clock > 1.0:
-        lines.append(f"slower clock: leases and loads are {settings.clock:g} times as slow as in real time")
-    refused = Counter(f"{w.outcome}: {w.text}" for w in writes if w.outcome != "ok")
-    lines += [f"{count} changes came to {why!r}" for why, count in refused.most_common(5)]
-    if any(w.tries > 1 for w in writes):
-        lines.append("of a change that was tried again the time counts from the try that came through")
-    return lines
-
-
 async def control(settings: RunSettings) -> Result:
     """One run; whatever ends it, no process is left, nor a file of its own."""
     task = asyncio.current_task()
--- a/bench/scale/reached_limits.py
+++ b/bench/scale/reached_limits.py
@@ -32,13 +32,16 @@
 
 def reached_limits(book: SlopeBook) -> list[ReachedLimit]:
     """Smallest first."""
-    return sorted([*_store_limits(book), *_node_limits(book)], key=lambda each: each.target_share)
+    return sorted(
+        [*_member_limits(book), *_configuration_limits(), *_node_limits(book)],
+        key=lambda each: each.target_share,
+    )
 
 
-def _store_limits(book: SlopeBook) -> list[ReachedLimit]:
+def _member_limits(book: SlopeBook) -> list[ReachedLimit]:
+    """Limits of nodes that are members of the store."""
     gossip = book.at("gossip_bytes", target.SERVERS)
     siblings = target.CONTROL_BYTES_PER_S / gossip.value
-    subscribers = Limits().max_subscribers
     return [
         ReachedLimit(
             siblings / (target.NODES - 1),
@@ -68,6 +71,13 @@
             "a fixed bound",
             "store/links.py",
         ),
+    ]
+
+
+def _configuration_limits() -> list[ReachedLimit]:
+    """Limits of what the store keeps and publishes."""
+    subscribers = Limits().max_subscribers
+    return [
         ReachedLimit(
             MAX_DISABLED_ENDPOINTS / (target.SERVERS / target.REGIONS),
             "servers of a region taken out by hand at once",
--- /dev/null
+++ b/bench/scale/run_result.py
@@ -0,0 +1,75 @@
+"""The result of a run of the control plane, as it is written to JSON, and the notes that go with it."""
+
+from __future__ import annotations
+
+from collections import Counter
+from typing import Any
+
+import msgspec
+
+from bench.scale import analysis
+from bench.scale.hollow import ProcessRecord
+from bench.scale.machines import MachineFigures
+from bench.scale.measure import NOT_COUNTED, Times
+from bench.scale.results_file import ControlFigures
+from bench.scale.settings import RunSettings
+from bench.scale.storeclient import WriteRecord
+
+
+class Result(ControlFigures, omit_defaults=False):
+    """What a run found, behind the figures that others rely on."""
+
+    mechanism: str
+    fault: str
+    seconds: float
+    seed: int
+    clock: float
+    acceleration: float
+    changes: int
+    changes_not_acknowledged: int
+    acknowledged_s: Times
+    in_force_of_others_s: Times
+    in_force_everywhere_s: Times
+    pairs_left: int
+    store_bytes_per_node_s: dict[str, float]
+    bytes_per_node_s_by_kind: dict[str, dict[str, float]]
+    machines: list[MachineFigures]
+    start_s: float
+    leases_lost: int
+    fault_at: list[dict[str, Any]]
+    level_again_s: analysis.LevelAgain | None
+    lost_nodes: int = msgspec.field(name="gone_nodes")
+    hollow_processes: int
+    hollow_resident_bytes: dict[str, float]
+    counters: dict[str, int]
+    cores: int
+    cores_used: dict[str, float]  # in the window, by this run's processes and by all others
+    load_average: list[float]
+    notes: list[str]
+
+
+def summed_counters(records: list[ProcessRecord]) -> dict[str, int]:
+    """The counters of all processes together."""
+    totals: Counter[str] = Counter()
+    for record in records:
+        totals.update(record.counters)
+    return dict(totals)
+
+
+def notes(settings: RunSettings, writes: list[WriteRecord]) -> list[str]:
+    """What the figures mean, and what they leave out."""
+    lines = [
+        NOT_COUNTED,
+        "in_force_s runs from the moment the writer proposed a change until the node decides by it, "
+        "on one machine's steady clock; of nodes that held a lease when it was proposed",
+        f"changes and restarts come {settings.acceleration:g} times as fast as on an ordinary day",
+        "processor time and memory are those of hollow processes, with what measures in them; nodes that "
+        "share a process share its heap, which is frozen for the garbage collector when the window begins",
+    ]
+    if settings.clock > 1.0:
+        lines.append(f"slower clock: leases and loads are {settings.clock:g} times as slow as in real time")
+    refused = Counter(f"{w.outcome}: {w.text}" for w in writes if w.outcome != "ok")
+    lines += [f"{count} changes came to {why!r}" for why, count in refused.most_common(5)]
+    if any(w.tries > 1 for w in writes):
+        lines.append("of a change that was tried again the time counts from the try that came through")
+    return lines
