--- a/bench/captures.py
+++ b/bench/captures.py
@@ -3,7 +3,8 @@
     python -m bench.captures FOLDER [DAY ...]
 
 Each takes some 8 s: a node as a process, save servers whose load follows their connections, clients that
-come, stay a while, go where they are told to and come again. What goes wrong is in the day's own function.
+connect, stay a while, and connect again where they are migrated or rejected. The faults of a day are in its
+own function.
 """
 
 from __future__ import annotations
@@ -23,185 +24,190 @@
 from tests.world import SETTINGS, EndpointServer, World, fresh_id, reset_from_outside, wait_for, world
 
 SERVERS = 8
-CAPACITY = 80  # connections at which a save server says x0=1
-LENGTH = 7.0  # s
-RATE = 30.0  # clients a second
-STAY = 2.5  # s, on average
+CAPACITY = 80  # connections at which a save server reports a load of 1
+DAY_LENGTH_S = 7.0
+ARRIVALS_PER_S = 30.0
+MEAN_STAY_S = 2.5
+MAX_FAILURES = 4  # in a row, after which a client gives up
+OVERLOAD = 1.2  # of its capacity, at which a save server rejects
 
 
 class SaveServer(EndpointServer):
-    """Its load follows its connections; it can fall silent, or die."""
+    """Its load follows its connections; it can become unresponsive, or die."""
 
     def __init__(self, name: str, capacity: int = CAPACITY) -> None:
         self.capacity = capacity
-        self.speaks = threading.Event()
-        self.speaks.set()
-        self.held: set[socket.socket] = set()
+        self.responsive = threading.Event()
+        self.responsive.set()
+        self.open_connections: set[socket.socket] = set()
         self.dead = False
         super().__init__(name)
 
     def _serve(self, sock: socket.socket) -> None:
         try:
             for raw in sock.makefile("rb"):
-                self.speaks.wait()
+                self.responsive.wait()
                 if self.dead:
                     break
                 if raw.startswith(b"STATS"):
-                    count = len(self.held)
+                    count = len(self.open_connections)
                     sock.sendall(b"PONG x0=%.4f,inflight=%d\r\n" % (count / self.capacity, count))
                 elif raw.startswith(b"OPEN"):
-                    if len(self.held) >= 1.2 * self.capacity:
-                        sock.sendall(b"BUSY inflight=%d\r\n" % len(self.held))
+                    if len(self.open_connections) >= OVERLOAD * self.capacity:
+                        sock.sendall(b"BUSY inflight=%d\r\n" % len(self.open_connections))
                         break
-                    self.held.add(sock)
+                    self.open_connections.add(sock)
                     sock.sendall(b"UP %b\r\n" % self.name.encode())
                 else:
                     sock.sendall(raw)
         except OSError:
             pass
         finally:
-            self.held.discard(sock)
+            self.open_connections.discard(sock)
             sock.close()
 
     def die(self) -> None:
-        """End all connections by a reset, and answer nothing more."""
+        """Reset all connections, and answer nothing more."""
         self.dead = True
         self.stop()
-        for sock in list(self.held):
+        for sock in list(self.open_connections):
             with contextlib.suppress(OSError):
                 reset_from_outside(sock)
 
 
 class Day:
-    """One day: clients that come, stay and come again, and what goes wrong."""
+    """One day: clients that connect, stay and connect again, and the faults that come to them."""
 
-    def __init__(self, w: World, servers: list[SaveServer], seed: int) -> None:
-        self.w, self.servers, self.rng = w, servers, random.Random(seed)
-        self.rate, self.stay = RATE, STAY
+    def __init__(self, world: World, servers: list[SaveServer], seed: int) -> None:
+        self.world, self.servers, self.rng = world, servers, random.Random(seed)
+        self.arrivals_per_s, self.mean_stay_s = ARRIVALS_PER_S, MEAN_STAY_S
         self.players: set[asyncio.Task[None]] = set()
-        self.ends = 0.0
-        self.answers: dict[str, int] = {}
+        self.ends_at = 0.0
+        self.answers: dict[str, int] = {}  # how often each last line came, by its first four letters
 
     async def live(self) -> None:
         """Send clients until the day ends, and wait for all of them."""
         loop = asyncio.get_running_loop()
-        self.ends = loop.time() + LENGTH
+        self.ends_at = loop.time() + DAY_LENGTH_S
         number = 0
-        while loop.time() < self.ends:
+        while loop.time() < self.ends_at:
             number += 1
             task = asyncio.create_task(self.player(f"k{number:04d}"))
             self.players.add(task)
             task.add_done_callback(self.players.discard)
-            await asyncio.sleep(self.rng.expovariate(self.rate))
+            await asyncio.sleep(self.rng.expovariate(self.arrivals_per_s))
         await asyncio.gather(*self.players)
 
     async def player(self, key: str) -> None:
         """One client, on as many connections as its stay takes."""
         loop = asyncio.get_running_loop()
-        end = min(loop.time() + self.rng.expovariate(1 / self.stay), self.ends)
-        more, tries = "", 0
-        while loop.time() < end and tries < 4:
-            said = await self.connection(key, more, end)
-            self.answers[said[:4]] = self.answers.get(said[:4], 0) + 1
-            if said == "left":
+        end = min(loop.time() + self.rng.expovariate(1 / self.mean_stay_s), self.ends_at)
+        fields, failures = "", 0
+        while loop.time() < end and failures < MAX_FAILURES:
+            answer = await self.connection(key, fields, end)
+            self.answers[answer[:4]] = self.answers.get(answer[:4], 0) + 1
+            if answer == "left":
                 return
-            tries = 0 if said in ("MOVE", "") else tries + 1
-            more = ",again=1" if said in ("MOVE", "") else ",r=1"
-            busy = said[5:] if said.startswith("BUSY ") else ""
-            await asyncio.sleep(int(busy) / 1000 if busy.isdecimal() else self.rng.uniform(0.15, 0.5))
-
-    async def connection(self, key: str, more: str, end: float) -> str:
-        """How one ended: what the node said, `left` where its client did, empty where it broke."""
-        host, _, port = self.w.address.rpartition(":")
+            failures = 0 if answer in ("MOVE", "") else failures + 1
+            fields = ",again=1" if answer in ("MOVE", "") else ",r=1"
+            retry_after_ms = answer[5:] if answer.startswith("BUSY ") else ""
+            if retry_after_ms.isdecimal():
+                await asyncio.sleep(int(retry_after_ms) / 1000)
+            else:
+                await asyncio.sleep(self.rng.uniform(0.15, 0.5))
+
+    async def connection(self, key: str, fields: str, end: float) -> str:
+        """How one ended: the node's last line, `left` where its client closed it, empty where it broke."""
+        host, _, port = self.world.address.rpartition(":")
         try:
             reader, writer = await asyncio.open_connection(host, int(port))
         except OSError:
             return ""
         try:
-            writer.write(f"OPEN {fresh_id()} {key} c=live,d=1500{more}\r\n".encode())
-            said = (await asyncio.wait_for(reader.readline(), 3.0)).decode().strip()
-            if not said.startswith("UP"):
-                return said or "ERR"
+            writer.write(f"OPEN {fresh_id()} {key} c=live,d=1500{fields}\r\n".encode())
+            answer = (await asyncio.wait_for(reader.readline(), 3.0)).decode().strip()
+            if not answer.startswith("UP"):
+                return answer or "ERR"
             while True:
                 left = end - asyncio.get_running_loop().time()
                 try:
-                    said = (await asyncio.wait_for(reader.readline(), max(0.01, left))).decode().strip()
+                    answer = (await asyncio.wait_for(reader.readline(), max(0.01, left))).decode().strip()
                 except TimeoutError:
                     return "left"
-                if said in ("MOVE", ""):
-                    return said
+                if answer in ("MOVE", ""):
+                    return answer
         except (OSError, TimeoutError):
             return ""
         finally:
             writer.close()
 
-    async def tell(self, server: SaveServer, **changes: Any) -> None:
-        """Change what discovery says of a server."""
-        await asyncio.to_thread(self.w.discovery.announce, server, **changes)
+    async def announce(self, server: SaveServer, **changes: Any) -> None:
+        """Change a server in the endpoint list."""
+        await asyncio.to_thread(self.world.discovery.announce, server, **changes)
 
 
 async def quarter_dies(day: Day) -> None:
-    """Two of eight die at one moment; discovery says so a second later."""
+    """Two of eight endpoints die at one moment; discovery removes them a second later."""
     await asyncio.sleep(2.5)
     for server in day.servers[:2]:
         await asyncio.to_thread(server.die)
     await asyncio.sleep(1.0)
     for server in day.servers[:2]:
-        await day.tell(server, state="Gone")
+        await day.announce(server, state="Gone")
 
 
 async def silent(day: Day) -> None:
-    """Two take connections and say nothing for 2.5 s."""
+    """Two endpoints accept connections and answer nothing for 2.5 s."""
     await asyncio.sleep(2.5)
     for server in day.servers[:2]:
-        server.speaks.clear()
+        server.responsive.clear()
     await asyncio.sleep(2.5)
     for server in day.servers[:2]:
-        server.speaks.set()
+        server.responsive.set()
 
 
 async def rolling_deploy(day: Day) -> None:
-    """One after the other is told to go, and a cold one comes in its place."""
-    day.stay = 8.0
-    for k, server in enumerate(list(day.servers[:4])):
+    """One endpoint after the other drains, and one that warms up comes in its place."""
+    day.mean_stay_s = 8.0
+    for number, server in enumerate(list(day.servers[:4])):
         await asyncio.sleep(1.0)
-        await day.tell(server, state="Terminating")
-        after = SaveServer(f"{server.name}{k}", CAPACITY // 2)
-        day.servers.append(after)
-        await day.tell(after, state="Ready", started_ms=round(time.time() * 1000))
+        await day.announce(server, state="Terminating")
+        replacement = SaveServer(f"{server.name}{number}", CAPACITY // 2)
+        day.servers.append(replacement)
+        await day.announce(replacement, state="Ready", started_ms=round(time.time() * 1000))
 
 
 async def jump(day: Day) -> None:
     """Ten times the clients for 1.5 s."""
     await asyncio.sleep(2.5)
-    day.rate = 10 * RATE
+    day.arrivals_per_s = 10 * ARRIVALS_PER_S
     await asyncio.sleep(1.5)
-    day.rate = RATE
+    day.arrivals_per_s = ARRIVALS_PER_S
 
 
 async def drain_under_load(day: Day) -> None:
-    """The fullest is told to go, and is gone 3.8 s later."""
-    day.stay = 12.0
+    """The fullest endpoint drains, and is removed 3.8 s later."""
+    day.mean_stay_s = 12.0
     await asyncio.sleep(2.0)
-    leaves = max(day.servers, key=lambda s: len(s.held))
-    await day.tell(leaves, state="Terminating")
+    draining = max(day.servers, key=lambda server: len(server.open_connections))
+    await day.announce(draining, state="Terminating")
     await asyncio.sleep(3.8)
-    await asyncio.to_thread(leaves.die)
-    await day.tell(leaves, state="Gone")
+    await asyncio.to_thread(draining.die)
+    await day.announce(draining, state="Gone")
 
 
 async def parted_discovery(day: Day) -> None:
-    """Discovery answers nobody while two servers die, and one that is not known yet comes."""
+    """Discovery answers nobody while two endpoints die."""
     await asyncio.sleep(2.0)
-    day.w.discovery.hold = threading.Event()
+    day.world.discovery.hold = threading.Event()
     await asyncio.sleep(0.5)
     for server in day.servers[:2]:
         await asyncio.to_thread(server.die)
     await asyncio.sleep(2.5)
-    held, day.w.discovery.hold = day.w.discovery.hold, None
-    held.set()
+    hold, day.world.discovery.hold = day.world.discovery.hold, None
+    hold.set()
     for server in day.servers[:2]:
-        await day.tell(server, state="Gone")
+        await day.announce(server, state="Gone")
 
 
 DAYS: dict[str, Callable[[Day], Awaitable[None]]] = {
