--- a/bench/observer.py
+++ b/bench/observer.py
@@ -2,8 +2,8 @@
 
     python -m bench.observer [--seconds S] [--json FILE]
 
-One publisher with N level subscribers, and one idle subscriber. Messages are encoded and decoded as on the
-wire; frames, their sums and sockets are not in it. Times are processor time of this process.
+One publisher with N subscribers that are up to date, and one idle subscriber. Messages are encoded and
+decoded as on the wire; frames, their sums and sockets are not in it. Times are processor time of this process.
 """
 
 from __future__ import annotations
@@ -42,12 +42,12 @@
 LIMITS = Limits(max_subscribers=5000, subscribe_rate=1e9, subscribe_burst=1_000_000).for_lease(LEASE_S)
 
 _encode = msgspec.msgpack.Encoder().encode
-_of_node: msgspec.msgpack.Decoder[FromSubscriber] = msgspec.msgpack.Decoder(FromSubscriber)
-_of_machine: msgspec.msgpack.Decoder[FromPublisher] = msgspec.msgpack.Decoder(FromPublisher)
+_from_subscriber: msgspec.msgpack.Decoder[FromSubscriber] = msgspec.msgpack.Decoder(FromSubscriber)
+_from_publisher: msgspec.msgpack.Decoder[FromPublisher] = msgspec.msgpack.Decoder(FromPublisher)
 
 
 class Bench:
-    """A publisher with level subscribers that all hold a lease."""
+    """A publisher with subscribers that are up to date and hold a lease."""
 
     def __init__(self, subscribers: int) -> None:
         self.machine = StateMachine()
@@ -76,7 +76,7 @@
         self.drain()
 
     def drain(self) -> int:
-        """Take what the publisher puts out, each object encoded once; how many sends there are."""
+        """Take the publisher's outputs, each object encoded once; how many sends there are."""
         sends, encoded = 0, set()
         while outputs := self.publisher.take():
             for output in outputs:
@@ -93,13 +93,13 @@
             self.serial += 1
             self.now += 1e-6
             body = _encode(Renew(self.serial, self.machine.revision))
-            self.publisher.receive(self.now, number, _of_node.decode(body))
+            self.publisher.receive(self.now, number, _from_subscriber.decode(body))
             self.drain()
             self.publisher.safe_index(self.now)
 
 
-def spent(action: Callable[[], object]) -> float:
-    """Processor seconds of this."""
+def cpu_time_s(action: Callable[[], object]) -> float:
+    """Processor seconds of an action."""
     began = time.process_time()
     action()
     return time.process_time() - began
@@ -114,12 +114,12 @@
         rounds += 1
         bench.put("config/weight", rounds)
         bench.publisher.renew_lease(bench.now, bench.now + LEASE_S)
-        total["change"] += spent(bench.publish)
-        total["behind"] += spent(lambda: bench.publisher.nodes_behind(bench.now, bench.machine.revision))
-        total["renew"] += spent(lambda: bench.renew_all(subscribers))
-        total["level_renew"] += spent(lambda: bench.renew_all(subscribers))
+        total["change"] += cpu_time_s(bench.publish)
+        total["behind"] += cpu_time_s(lambda: bench.publisher.nodes_behind(bench.now, bench.machine.revision))
+        total["renew"] += cpu_time_s(lambda: bench.renew_all(subscribers))
+        total["level_renew"] += cpu_time_s(lambda: bench.renew_all(subscribers))
         bench.now += 0.5
-        total["tick"] += spent(lambda: bench.publisher.tick(bench.now))
+        total["tick"] += cpu_time_s(lambda: bench.publisher.tick(bench.now))
     micro = 1e6 / rounds
     return {
         "subscribers": subscribers,
@@ -145,11 +145,11 @@
                 if isinstance(output, NodeSend) and isinstance(output.message, Renew):
                     _encode(output.message)
                     answer = _encode(Heartbeat(output.message.serial, 1, LEASE_S * 0.7))
-                    node.receive(now, _of_machine.decode(answer))
+                    node.receive(now, _from_publisher.decode(answer))
             now = max(now + 0.001, node.deadline())
             node.tick(now)
 
-    return spent(run) * 1e6 / seconds
+    return cpu_time_s(run) * 1e6 / seconds
 
 
 def main(
--- a/bench/resume.py
+++ b/bench/resume.py
@@ -1,11 +1,12 @@
-"""What a move costs a player: the longest gap between two answers, in place beside the old MOVE, in one run.
+"""What a migration costs a player: the longest gap between two answers, resumed and after a plain MOVE.
 
     python -m bench.resume [--quick] [--cost]
 
-One node and two save servers; players ask every 20 ms; the servers drain in turn. The old way is the same
-node without `[resume]`: a client is told MOVE, waits 150 to 1,100 ms as clients do, and opens anew. Then what
-the session layer costs: CPU of the node for the same lines passed plainly and through windows, and memory for
-a standing session; `--cost` measures that alone, three times in turn. No part of CI.
+One node and two save servers; players request every 20 ms; the servers drain in turn. The plain way is the
+same node without `[resume]`: a client is sent MOVE, waits 150 to 1,100 ms as clients do, and connects again.
+Then what the session layer costs: processor time of the node for the same lines forwarded plainly and through
+windows, and memory for an established session; `--cost` measures that alone, three times in turn. No part of
+CI.
 """
 
 from __future__ import annotations
@@ -33,53 +34,55 @@
 DRAINS = 2 if "--quick" in sys.argv else 4
 REQUEST_INTERVAL_S = 0.02  # s between two requests of a player
 LINES = 4000 if "--quick" in sys.argv else 20_000
-STANDING = 300  # sessions whose memory is counted
+MEASURED_SESSIONS = 300  # whose memory is counted
+WARM_UP_SESSIONS = 50  # so that what is allocated once is not counted
+PAUSE_BOUNDS_S = 0.15, 1.1  # of a client before it connects again
 ROUNDS = 3 if "--cost" in sys.argv else 1
 
 
 class ReconnectingPlayer:
-    """A client of today: told to move, it pauses and opens anew."""
+    """A client without resumption: after MOVE it pauses and connects again."""
 
     def __init__(self, address: str) -> None:
         self.address = address
 
-    async def come(self) -> None:
+    async def connect(self) -> None:
         """Open a connection, again and again until the node takes it."""
         host, _, port = self.address.rpartition(":")
         while True:
             self.reader, self.writer = await asyncio.open_connection(host, int(port))
             self.writer.write(f"OPEN {fresh_id()} k c=live,d=1500\r\n".encode())
-            said = await self.reader.readline()
-            if said.startswith(b"UP"):
+            answer = await self.reader.readline()
+            if answer.startswith(b"UP"):
                 return
             self.writer.close()
-            await asyncio.sleep(random.uniform(0.15, 1.1))
+            await asyncio.sleep(random.uniform(*PAUSE_BOUNDS_S))
 
     async def request(self, text: bytes) -> bytes:
         """One request's answer, over as many connections as it takes."""
         while True:
             try:
                 self.writer.write(text + b"\r\n")
-                said = (await self.reader.readline()).rstrip()
+                answer = (await self.reader.readline()).rstrip()
             except OSError:
-                said = b""
-            if said and said != b"MOVE":
-                return said
+                answer = b""
+            if answer and answer != b"MOVE":
+                return answer
             self.writer.close()
-            await asyncio.sleep(random.uniform(0.15, 1.1))
-            await self.come()
+            await asyncio.sleep(random.uniform(*PAUSE_BOUNDS_S))
+            await self.connect()
 
 
 async def play_until(player: Any, gaps: list[float], ended: asyncio.Event) -> None:
     """One player: request after request until the day ends; its longest gap goes to `gaps`."""
-    last, most, k = time.monotonic(), 0.0, 0
+    answered_at, longest, number = time.monotonic(), 0.0, 0
     while not ended.is_set():
-        k += 1
-        await player.request(b"r%d" % k)
+        number += 1
+        await player.request(b"r%d" % number)
         now = time.monotonic()
-        most, last = max(most, now - last), now
+        longest, answered_at = max(longest, now - answered_at), now
         await asyncio.sleep(REQUEST_INTERVAL_S)
-    gaps.append(most - REQUEST_INTERVAL_S)
+    gaps.append(longest - REQUEST_INTERVAL_S)
 
 
 async def gaps_over_drains(w: World, players: list[Any], servers: list[EndpointServer]) -> list[float]:
@@ -89,10 +92,10 @@
     tasks = [asyncio.create_task(play_until(p, gaps, ended)) for p in players]
     for turn in range(DRAINS):
         await asyncio.sleep(1.0)
-        leaves = servers[turn % 2]
-        await asyncio.to_thread(w.discovery.announce, leaves, state="Terminating")
+        draining = servers[turn % 2]
+        await asyncio.to_thread(w.discovery.announce, draining, state="Terminating")
         await asyncio.sleep(4.5)
-        await asyncio.to_thread(w.discovery.announce, leaves, state="Ready")
+        await asyncio.to_thread(w.discovery.announce, draining, state="Ready")
     ended.set()
     await asyncio.gather(*tasks)
     return gaps
@@ -113,9 +116,9 @@
         if resumable:
             players.append(await Session.open([w.address], key=f"k{k}", placement_timeout=30.0))
         else:
-            made = ReconnectingPlayer(w.address)
-            await made.come()
-            players.append(made)
+            player = ReconnectingPlayer(w.address)
+            await player.connect()
+            players.append(player)
         await asyncio.sleep(0.01)
     return gap_percentiles(await gaps_over_drains(w, players, servers))
 
@@ -128,28 +131,30 @@
 
     def _serve(self, sock: socket.socket) -> None:
         with contextlib.suppress(OSError):
-            stands, rest = False, b""
+            is_established, rest = False, b""
             while data := sock.recv(65536):
-                *whole, rest = (rest + data).split(b"\n")
-                if stands:
-                    said = [b"A" + raw[1:] if raw[:2] == b"Q " else raw for raw in whole if raw[:2] != b"K "]
-                    sock.sendall(b"".join(raw + b"\n" for raw in said))
-                elif whole[0].startswith(b"STATS"):
+                *lines, rest = (rest + data).split(b"\n")
+                if is_established:
+                    answers = [
+                        b"A" + raw[1:] if raw[:2] == b"Q " else raw for raw in lines if raw[:2] != b"K "
+                    ]
+                    sock.sendall(b"".join(line + b"\n" for line in answers))
+                elif lines[0].startswith(b"STATS"):
                     sock.sendall(b"PONG x0=0.05,inflight=40\r\n")
                 else:
-                    stands = True
-                    sock.sendall(b"UP a rs=0\r\n" if b"rn=" in whole[0] else b"UP a\r\n")
+                    is_established = True
+                    sock.sendall(b"UP a rs=0\r\n" if b"rn=" in lines[0] else b"UP a\r\n")
         sock.close()
 
 
 class RawSession:
-    """One session spoken by hand, in the same pieces whether it is plain or resumable.
+    """One session, driven by hand, in the same pieces whether it is plain or resumable.
 
     What a client library costs, and how it cuts its writes, is no part of the measurement.
     """
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, resumable: bool) -> None:
-        self.reader, self.writer, self.resumable, self.asked = reader, writer, resumable, 0
+        self.reader, self.writer, self.resumable, self.requested = reader, writer, resumable, 0
 
     @classmethod
     async def open(cls, w: World, resumable: bool) -> RawSession:
@@ -158,49 +163,49 @@
         while True:
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(f"OPEN {fresh_id()} k c=live,d=1500{',rs=1' if resumable else ''}\r\n".encode())
-            said = await reader.readline()
-            if said.startswith(b"UP"):
-                assert (b",t=" in said) is resumable, said
+            answer = await reader.readline()
+            if answer.startswith(b"UP"):
+                assert (b",t=" in answer) is resumable, answer
                 return RawSession(reader, writer, resumable)
             writer.close()
-            await asyncio.sleep(int(said.split()[1]) / 1000)  # BUSY: so many at once are refused
+            await asyncio.sleep(int(answer.split()[1]) / 1000)  # BUSY names the time to wait
 
-    async def ask(self, many: int) -> None:
-        """So many requests in one write, what was seen of the last ones in front; then their answers."""
-        numbers = range(self.asked + 1, self.asked + many + 1)
+    async def request(self, many: int) -> None:
+        """So many requests in one write, the last answers acknowledged in front; then their answers."""
+        numbers = range(self.requested + 1, self.requested + many + 1)
         if self.resumable:
-            seen = b"K %d\r\n" % self.asked if self.asked else b""
+            seen = b"K %d\r\n" % self.requested if self.requested else b""
             self.writer.write(seen + b"".join(b"Q %d request\r\n" % n for n in numbers))
         else:
             self.writer.write(b"".join(b"request %d\r\n" % n for n in numbers))
         for _ in numbers:
             await self.reader.readline()
-        self.asked += many
+        self.requested += many
 
 
 async def cpu_per_request_us(w: World, resumable: bool, many: int) -> float:
     """Node's CPU microseconds for a request and its answer, one session, `many` at a time."""
-    wire = await RawSession.open(w, resumable)
-    await wire.ask(many)
+    session = await RawSession.open(w, resumable)
+    await session.request(many)
     before = cpu_seconds(w.process.pid)
     for _ in range(0, LINES, many):
-        await wire.ask(many)
+        await session.request(many)
     spent = (cpu_seconds(w.process.pid) - before) / LINES * 1e6
-    wire.writer.close()
+    session.writer.close()
     return spent
 
 
 async def kib_per_session(w: World, resumable: bool) -> float:
     """KiB of the node for each standing session, one request of it under way."""
-    stand = [await RawSession.open(w, resumable) for _ in range(50)]  # what is made once
+    sessions = [await RawSession.open(w, resumable) for _ in range(WARM_UP_SESSIONS)]
     before = private_kib(w.process.pid)
-    for _ in range(STANDING):
+    for _ in range(MEASURED_SESSIONS):
         await asyncio.sleep(0.01)
-        stand.append(await RawSession.open(w, resumable))
-        await stand[-1].ask(2)
-    kib = (private_kib(w.process.pid) - before) / STANDING
-    for wire in stand:
-        wire.writer.close()
+        sessions.append(await RawSession.open(w, resumable))
+        await sessions[-1].request(2)
+    kib = (private_kib(w.process.pid) - before) / MEASURED_SESSIONS
+    for session in sessions:
+        session.writer.close()
     return kib
 
 
@@ -238,7 +243,7 @@
     for _ in range(ROUNDS):
         for resumable in (False, True):
             rounds[resumable].append(measure_one_way(resumable))
-    said: dict[str, Any] = {"players": PLAYERS, "drains": DRAINS, "rounds": ROUNDS}
+    figures: dict[str, Any] = {"players": PLAYERS, "drains": DRAINS, "rounds": ROUNDS}
     for key, what in (
         ("us_1", "node CPU a request and answer, us, one at a time"),
         ("us_10", "node CPU a request and answer, us, ten at a time"),
@@ -246,14 +251,14 @@
     ):
         plain, windows = (statistics.median(r[key] for r in rounds[k]) for k in (False, True))
         ratios = sorted(new[key] / old[key] for old, new in zip(rounds[False], rounds[True], strict=True))
-        said[what] = {"plain": round(plain, 1), "resumable": round(windows, 1)}
-        said[what]["ratio, each round"] = [round(r, 2) for r in ratios]
+        figures[what] = {"plain": round(plain, 1), "resumable": round(windows, 1)}
+        figures[what]["ratio, each round"] = [round(r, 2) for r in ratios]
     old, new = rounds[False][0]["gaps"], rounds[True][0]["gaps"]
     if old:
-        said["longest gap of a player, MOVE"] = old
-        said["longest gap of a player, in place"] = new
-        said["ratio at p99"] = round(new["p99_ms"] / old["p99_ms"], 4)
-    print(json.dumps(said, indent=2))
+        figures["longest gap of a player, MOVE"] = old
+        figures["longest gap of a player, in place"] = new
+        figures["ratio at p99"] = round(new["p99_ms"] / old["p99_ms"], 4)
+    print(json.dumps(figures, indent=2))
 
 
 if __name__ == "__main__":
--- a/bench/store.py
+++ b/bench/store.py
@@ -41,7 +41,7 @@
 
 
 class PrintedResults(dict[str, Any]):
-    """What was measured, said as it comes: a run that is ended early has told something."""
+    """What was measured, printed as it comes, so that a run that is ended early has printed something."""
 
     def __setitem__(self, key: str, value: Any) -> None:
         super().__setitem__(key, value)
@@ -90,7 +90,7 @@
         self.number, self.histogram, self.until = number, histogram, until
         self.serial = 0
         self.began = 0
-        self.refused = 0
+        self.failures = 0
         self.done = asyncio.get_running_loop().create_future()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -101,17 +101,17 @@
 
     def data_received(self, data: bytes) -> None:
         """Count an answer, and write the next key."""
-        was = self.channel.authenticated
-        words, reply = self.channel.receive(data)
+        was_authenticated = self.channel.authenticated
+        responses, reply = self.channel.receive(data)
         self.transport.write(reply)
-        if self.channel.authenticated and not was:
+        if self.channel.authenticated and not was_authenticated:
             self.next()
-        for word in words:
-            assert isinstance(word, wire.Response)
-            if word.outcome == "ok":
+        for response in responses:
+            assert isinstance(response, wire.Response)
+            if response.outcome == "ok":
                 self.histogram.record_value((time.perf_counter_ns() - self.began) // 1000)
             else:
-                self.refused += 1
+                self.failures += 1
             self.next()
 
     def next(self) -> None:
@@ -132,74 +132,74 @@
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
     until = time.perf_counter() + MEASURE_S
-    made = []
+    writers_started = []
     for k in range(writers):
         _, writer = await loop.create_connection(lambda k=k: Writer(k, histogram, until), host, int(port))  # type: ignore[misc]
-        made.append(writer)
-    for writer in made:
+        writers_started.append(writer)
+    for writer in writers_started:
         await writer.done
         writer.transport.close()
-    refused = sum(w.refused for w in made)
-    return {"a_second": round(histogram.get_total_count() / MEASURE_S), "refused": refused} | percentiles(
+    failures = sum(writer.failures for writer in writers_started)
+    return {"a_second": round(histogram.get_total_count() / MEASURE_S), "refused": failures} | percentiles(
         histogram
     )
 
 
-def time_without_leader(c: Cluster) -> dict[str, Any]:
+def time_without_leader(cluster: Cluster) -> dict[str, Any]:
     """From kill -9 of the leader until another commits a write."""
-    spent = []
+    elapsed = []
     for _ in range(LEADER_KILLS):
-        leader = wait_for(c.leader, 15.0)
-        wait_for(c.same_everywhere, 15.0)
-        rest = c.others(leader)
-        remotes = [c.remote(n, 10.0) for n in rest]
-        c.kill(leader)
+        leader = wait_for(cluster.leader, 15.0)
+        wait_for(cluster.same_everywhere, 15.0)
+        rest = cluster.others(leader)
+        remotes = [cluster.remote(n, 10.0) for n in rest]
+        cluster.kill(leader)
         began = time.monotonic()
         remotes[0].set("bench/again", 1)
-        spent.append(time.monotonic() - began)
+        elapsed.append(time.monotonic() - began)
         for r in remotes:
             r.close()
-        c.start(leader)
-    spent.sort()
+        cluster.start(leader)
+    elapsed.sort()
     return {
         "kills": LEADER_KILLS,
-        "median_s": round(statistics.median(spent), 3),
-        "p99_s": round(spent[min(len(spent) - 1, int(len(spent) * 0.99))], 3),
-        "most_s": round(spent[-1], 3),
+        "median_s": round(statistics.median(elapsed), 3),
+        "p99_s": round(elapsed[min(len(elapsed) - 1, int(len(elapsed) * 0.99))], 3),
+        "most_s": round(elapsed[-1], 3),
     }
 
 
 def many_keys(folder: Path) -> dict[str, Any]:
     """Start of a lone member with many small keys, and its memory with them and without."""
-    c = Cluster(folder, 1, relayed=False)
+    cluster = Cluster(folder, 1, relayed=False)
     try:
-        c.start_all()
-        empty = resident_kib(c.processes["n1"].pid)
-        with c.remote("n1", 30.0) as r:
+        cluster.start_all()
+        empty = resident_kib(cluster.processes["n1"].pid)
+        with cluster.remote("n1", 30.0) as r:
             for k in range(0, KEYS, 100):
                 r.request(wire.Transaction(tuple(KeyUpdate(f"key/{i:08}", i) for i in range(k, k + 100))))
-        full = resident_kib(c.processes["n1"].pid)
-        c.processes["n1"].terminate()
-        c.processes["n1"].wait(10)
+        full = resident_kib(cluster.processes["n1"].pid)
+        cluster.processes["n1"].terminate()
+        cluster.processes["n1"].wait(10)
         began = time.monotonic()
-        c.start("n1")
-        wait_for(lambda: has_keys(c, "n1"), 30.0)
-        spent = time.monotonic() - began
-        again = resident_kib(c.processes["n1"].pid)
+        cluster.start("n1")
+        wait_for(lambda: has_keys(cluster, "n1"), 30.0)
+        elapsed = time.monotonic() - began
+        again = resident_kib(cluster.processes["n1"].pid)
     finally:
-        c.stop()
+        cluster.stop()
     return {
         "keys": KEYS,
-        "start_s": round(spent, 2),
+        "start_s": round(elapsed, 2),
         "memory_mb": round(full / 1024),
         "memory_after_start_mb": round(again / 1024),
         "memory_empty_mb": round(empty / 1024),
     }
 
 
-def has_keys(c: Cluster, name: str) -> bool:
+def has_keys(cluster: Cluster, name: str) -> bool:
     """Whether a member serves the keys that were written."""
-    with contextlib.suppress(RequestFailedError), c.remote(name, 1.0) as r:
+    with contextlib.suppress(RequestFailedError), cluster.remote(name, 1.0) as r:
         return bool(r.value("key/00000007") == 7)
     return False
 
@@ -211,23 +211,23 @@
     operator = None
     if with_store:
         operator = f'[store]\nname = "n0"\nlisten = "127.0.0.1:{free_port()}"\ndata = "{folder / "data"}"\n'
-    made = World(folder, endpoint_servers, operator)
+    world = World(folder, endpoint_servers, operator)
     try:
-        wait_for(made.ready, 15.0)
+        wait_for(world.ready, 15.0)
         time.sleep(1.0)
-        before, began = cpu_seconds(made.process.pid), time.monotonic()
+        before, began = cpu_seconds(world.process.pid), time.monotonic()
         rng = random.Random(1)
         served = 0
         while time.monotonic() - began < MEASURE_S * 2:
-            client = made.client()
+            client = world.client()
             served += client.ask(f"c=live,d=1500,g={rng.randrange(99)}").startswith("UP")
             client.sock.close()
             time.sleep(0.005)
-        return (cpu_seconds(made.process.pid) - before) / (time.monotonic() - began)
+        return (cpu_seconds(world.process.pid) - before) / (time.monotonic() - began)
     finally:
-        made.process.kill()
-        made.process.wait()
-        made.discovery.server.shutdown()
+        world.process.kill()
+        world.process.wait()
+        world.discovery.server.shutdown()
 
 
 def main() -> None:
@@ -237,15 +237,15 @@
         folder = Path(name)
         found["floor"] = machine_floor(folder)
         (folder / "three").mkdir()
-        c = Cluster(folder / "three", relayed=False)
+        cluster = Cluster(folder / "three", relayed=False)
         try:
-            c.start_all()
-            leader = c.leader()
+            cluster.start_all()
+            leader = cluster.leader()
             for writers in (1, 16, 256):
-                found[f"commits, {writers} writers"] = asyncio.run(commits(c.direct[leader], writers))
-            found["without a leader"] = time_without_leader(c)
+                found[f"commits, {writers} writers"] = asyncio.run(commits(cluster.direct[leader], writers))
+            found["without a leader"] = time_without_leader(cluster)
         finally:
-            c.stop()
+            cluster.stop()
         (folder / "keys").mkdir()
         found["many keys"] = many_keys(folder / "keys")
         plain = serve_cost(folder / "plain", False)
