--- a/bench/observer.py
+++ b/bench/observer.py
@@ -3,7 +3,7 @@
     python -m bench.observer [--seconds S] [--json FILE]
 
 One publisher with N subscribers that are up to date, and one idle subscriber. Messages are encoded and
-decoded as on the wire; frames, their sums and sockets are not in it. Times are processor time of this process.
+decoded as on the wire, without frames, their sums and sockets. Times are processor time of this process.
 """
 
 from __future__ import annotations
