--- a/tests/test_quic_restart.py
+++ b/tests/test_quic_restart.py
@@ -19,7 +19,7 @@
         assert {c.ask(ident=f"old{k}") for k, c in enumerate(old)} == {"UP a"}
         (tmp_path / "second").mkdir()
         with quic_world(tmp_path / "second", [a], at=port, listen=w.address) as (n, _):
-            wait_for(lambda: "port is taken over" in n.log.read_text())
+            wait_for(lambda: "port taken over" in n.log.read_text())
             for k, c in enumerate(old):
                 if k % 2:
                     c.hop()  # to a new address, in the middle of it
@@ -45,7 +45,7 @@
         assert old.ask() == "UP a"
         (tmp_path / "second").mkdir()
         with quic_world(tmp_path / "second", [a], at=port, listen=w.address) as (n, _):
-            wait_for(lambda: "port is taken over" in n.log.read_text())
+            wait_for(lambda: "port taken over" in n.log.read_text())
             lost = QuicClient(port)
             assert lost.ask() == "UP a"
             n.process.kill()
@@ -68,7 +68,7 @@
         assert old.ask() == "UP a"
         (tmp_path / "second").mkdir()
         with quic_world(tmp_path / "second", [a], at=port, listen=w.address) as (n, _):
-            wait_for(lambda: "port is taken over" in n.log.read_text())
+            wait_for(lambda: "port taken over" in n.log.read_text())
             w.process.send_signal(signal.SIGSTOP)
             for _ in range(20):
                 old.send(b"x" * 1000 + b"\r\n")
