--- a/bench/scale/measure.py
+++ b/bench/scale/measure.py
@@ -20,8 +20,8 @@
 from gradegap.transport.dialer import Dialer
 from gradegap.upstream.health_checks import HealthCheckConnection
 
-LONGEST_US = 3_600_000_000
-DIGITS = 3
+LONGEST_RECORDED_US = 3_600_000_000
+SIGNIFICANT_DIGITS = 3
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 HANDSHAKE = "handshake"
@@ -39,7 +39,7 @@
         self.received: Counter[str] = Counter()
 
     def clear(self) -> None:
-        """A window begins."""
+        """Start from zero, as a window begins."""
         self.sent.clear()
         self.received.clear()
 
@@ -57,25 +57,25 @@
         """The first bytes, counted."""
         return self._counted(HANDSHAKE, super().begin())
 
-    def send(self, word: Any) -> bytes:
+    def send(self, message: Any) -> bytes:
         """One message as a frame, counted."""
-        return self._counted(kind_of(word), super().send(word))
+        return self._counted(kind_of(message), super().send(message))
 
     def _counted(self, kind: str, data: bytes) -> bytes:
         self.traffic.sent[kind] += len(data)
         return data
 
     def receive(self, data: bytes) -> tuple[list[wire.LinkMessage], bytes]:
-        """Messages that are whole by now, counted."""
+        """Messages that are complete by now, counted."""
         self.sizes: list[int] = []
-        words, reply = super().receive(data)
+        messages, reply = super().receive(data)
         if reply:
             self.traffic.sent[HANDSHAKE] += len(reply)
-        first = len(self.sizes) - len(words)
+        first = len(self.sizes) - len(messages)
         self.traffic.received[HANDSHAKE] += sum(self.sizes[:first])
-        for word, size in zip(words, self.sizes[first:], strict=True):
-            self.traffic.received[kind_of(word)] += size
-        return words, reply
+        for message, size in zip(messages, self.sizes[first:], strict=True):
+            self.traffic.received[kind_of(message)] += size
+        return messages, reply
 
     def _take_frame(self) -> bytes | None:
         head = LENGTH_BYTES + (CHECKSUM_BYTES if self.authenticated else 0)
@@ -85,11 +85,11 @@
         return body
 
 
-def kind_of(word: Any) -> str:
+def kind_of(message: Any) -> str:
     """The name that a message is counted by."""
-    if isinstance(word, wire.RaftMessage):
-        return f"raft.{type(word.message).__name__}"
-    return type(word).__name__
+    if isinstance(message, wire.RaftMessage):
+        return f"raft.{type(message.message).__name__}"
+    return type(message).__name__
 
 
 class CountedTransport:
@@ -108,13 +108,13 @@
 
 
 class CountedProtocol(asyncio.Protocol):
-    """Passes all to another protocol, and counts what comes in."""
+    """Passes everything on to another protocol, and counts what is received."""
 
     def __init__(self, inner: asyncio.Protocol, traffic: Traffic, kind: str) -> None:
         self.inner, self.traffic, self.kind = inner, traffic, kind
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection stands."""
+        """The connection is open."""
         counted = CountedTransport(cast(asyncio.Transport, transport), self.traffic, self.kind)
         self.inner.connection_made(cast(asyncio.BaseTransport, counted))
 
@@ -124,7 +124,7 @@
         self.inner.data_received(data)
 
     def eof_received(self) -> bool | None:
-        """The other side says no more."""
+        """The other side sends no more."""
         return self.inner.eof_received()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -133,7 +133,7 @@
 
 
 class CountedDialer(Dialer):
-    """A node's dialer: calls to discovery and probes are counted apart."""
+    """A node's dialer: watch calls and health checks are counted apart."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, descriptors: DescriptorBudget, traffic: Traffic
@@ -163,10 +163,10 @@
 
 def times(values: Iterable[float]) -> Times:
     """Percentiles by HdrHistogram to three digits; the largest is exact."""
-    histogram = HdrHistogram(1, LONGEST_US, DIGITS)
+    histogram = HdrHistogram(1, LONGEST_RECORDED_US, SIGNIFICANT_DIGITS)
     largest = 0.0
     for value in values:
-        histogram.record_value(min(LONGEST_US, max(1, int(value * 1e6))))
+        histogram.record_value(min(LONGEST_RECORDED_US, max(1, int(value * 1e6))))
         largest = max(largest, value)
     if not histogram.get_total_count():
         return Times(0.0, 0.0, 0.0, 0)
@@ -200,7 +200,7 @@
 
 
 class SocketBytes(msgspec.Struct):
-    """What went over one open connection since it was made."""
+    """What went over one open connection since it was opened."""
 
     pid: int
     local_port: int
@@ -212,8 +212,8 @@
 def open_sockets() -> list[SocketBytes]:
     """All connections of processes that may be looked at, with the bytes of TCP's payload."""
     command = ["ss", "-tniHp", "state", "established"]
-    done = subprocess.run(command, capture_output=True, text=True, check=True)
-    return list(parse_sockets(done.stdout))
+    result = subprocess.run(command, capture_output=True, text=True, check=True)
+    return list(parse_sockets(result.stdout))
 
 
 def parse_sockets(text: str) -> Iterable[SocketBytes]:
--- a/bench/scale/run_result.py
+++ b/bench/scale/run_result.py
@@ -70,6 +70,6 @@
         lines.append(f"slower clock: leases and loads are {settings.clock:g} times as slow as in real time")
     refused = Counter(f"{w.outcome}: {w.text}" for w in writes if w.outcome != "ok")
     lines += [f"{count} changes came to {why!r}" for why, count in refused.most_common(5)]
-    if any(w.tries > 1 for w in writes):
+    if any(w.attempts > 1 for w in writes):
         lines.append("of a change that was tried again the time counts from the try that came through")
     return lines
