--- a/bench/scale/messages.py
+++ b/bench/scale/messages.py
@@ -6,6 +6,8 @@
 
 from __future__ import annotations
 
+from enum import StrEnum
+
 import msgspec
 
 
@@ -75,3 +77,11 @@
     """The port of the scripted discovery."""
 
     discovery: int
+
+
+class MeterCommand(StrEnum):
+    """A line to the meter of `watched_node`, which answers each with a number."""
+
+    LONGEST = "longest"  # ms, the longest delay of the loop since the last such command
+    COLLECT = "collect"  # ms of a full garbage collection, which it runs
+    OBJECTS = "objects"  # how many objects the collector tracks
--- a/bench/scale/watched_node.py
+++ b/bench/scale/watched_node.py
@@ -1,10 +1,8 @@
-"""A node as `gradegap serve` runs it, with a meter of its loop and a port to ask it on.
+"""A node as `gradegap serve` runs it, with a meter of its loop and a port that reads it.
 
     NODE_CONFIG=... WATCH_PORT=... python -m bench.scale.watched_node
 
-Each line on the port is a word: `longest` answers the longest time in ms that the loop was late since the
-last such word, `collect` runs a full collection of garbage and answers its ms, `objects` how many objects the
-collector follows.
+Each line on the port is a `MeterCommand`; each answer is a number.
 """
 
 from __future__ import annotations
@@ -18,57 +16,60 @@
 
 import uvloop
 
+from bench.scale.messages import MeterCommand
 from gradegap.node.node import Node
 from gradegap.node.process import block_signals, configure_logging, load_all
 
-EVERY = 0.002  # s between two looks at the loop
+SAMPLE_INTERVAL_S = 0.002
 
 
-class Meter:
-    """The longest that the loop was late."""
+class LoopMeter:
+    """The longest delay of the loop's timers."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
         self.longest = 0.0
-        self._next()
+        self._schedule()
 
-    def _next(self) -> None:
-        self.due = time.perf_counter() + EVERY
-        self.loop.call_later(EVERY, self._look)
+    def _schedule(self) -> None:
+        self.due = time.perf_counter() + SAMPLE_INTERVAL_S
+        self.loop.call_later(SAMPLE_INTERVAL_S, self._sample)
 
-    def _look(self) -> None:
+    def _sample(self) -> None:
         self.longest = max(self.longest, time.perf_counter() - self.due)
-        self._next()
+        self._schedule()
 
-    def taken(self) -> float:
-        """ms; measured anew from now on."""
+    def take_longest_ms(self) -> float:
+        """The longest delay in milliseconds since the last call."""
         longest, self.longest = self.longest, 0.0
         return longest * 1e3
 
 
-class Watch(asyncio.Protocol):
-    """One asker on the port."""
+class MeterConnection(asyncio.Protocol):
+    """A connection to the meter's port."""
 
-    def __init__(self, meter: Meter) -> None:
+    def __init__(self, meter: LoopMeter) -> None:
         self.meter = meter
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """An asker is there."""
+        """The connection is open."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Words, one a line."""
-        for word in data.decode().split():
-            self.transport.write(f"{self._answer(word):.3f}\n".encode())
-
-    def _answer(self, word: str) -> float:
-        if word == "longest":
-            return self.meter.taken()
-        if word == "objects":
-            return float(len(gc.get_objects()))
-        began = time.perf_counter()
-        gc.collect()
-        return (time.perf_counter() - began) * 1e3
+        """Commands, one a line."""
+        for command in data.decode().split():
+            self.transport.write(f"{self._answer(MeterCommand(command)):.3f}\n".encode())
+
+    def _answer(self, command: MeterCommand) -> float:
+        match command:
+            case MeterCommand.LONGEST:
+                return self.meter.take_longest_ms()
+            case MeterCommand.OBJECTS:
+                return float(len(gc.get_objects()))
+            case MeterCommand.COLLECT:
+                began = time.perf_counter()
+                gc.collect()
+                return (time.perf_counter() - began) * 1e3
 
 
 async def main() -> None:
@@ -79,8 +80,8 @@
     loop.add_signal_handler(signal.SIGTERM, node.stop)
     loop.add_signal_handler(signal.SIGHUP, node.reload)
     await node.start()
-    meter = Meter(loop)
-    await loop.create_server(lambda: Watch(meter), "127.0.0.1", int(os.environ["WATCH_PORT"]))
+    meter = LoopMeter(loop)
+    await loop.create_server(lambda: MeterConnection(meter), "127.0.0.1", int(os.environ["WATCH_PORT"]))
     signal.pthread_sigmask(signal.SIG_UNBLOCK, (signal.SIGTERM, signal.SIGHUP))
     await node.done
 
