--- a/bench/capture.py
+++ b/bench/capture.py
@@ -29,8 +29,8 @@
 from gradegap.capture.settings import CaptureSettings
 from gradegap.capture.switch import RecordedBalancer
 from gradegap.metrics import Metrics
-from tests.recorded_day import Day
-from tests.world import Client, EndpointServer, World, wait_for
+from tests.support.recorded_day import Day
+from tests.support.world import Client, EndpointServer, World, wait_for
 
 STEPS = 20_000
 ROUNDS = 3
--- a/bench/captures.py
+++ b/bench/captures.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.world import SETTINGS, EndpointServer, World, fresh_id, reset_from_outside, wait_for, world
+from tests.support.world import SETTINGS, EndpointServer, World, fresh_id, reset_from_outside, wait_for, world
 
 SERVERS = 8
 CAPACITY = 80  # connections at which a save server reports a load of 1
--- a/bench/quic.py
+++ b/bench/quic.py
@@ -30,9 +30,9 @@
 from gradegap.quic.keys import DerivedKeys, Holder, QuicRing
 from gradegap.quic.relay import DatagramForwarder, ForwardedDatagrams, socket_pair
 from gradegap.quic.routing import Router
-from tests.quic_harness import QuicClient, make_certificate, quic_world
+from tests.support.quic_harness import QuicClient, make_certificate, quic_world
+from tests.support.world import EndpointServer
 from tests.test_quic_fuzz import SERVER, Pair
-from tests.world import EndpointServer
 
 HANDSHAKES = 60
 LINES = 1500
--- a/bench/resume.py
+++ b/bench/resume.py
@@ -27,8 +27,8 @@
 from bench.histograms import new_histogram, percentiles
 from bench.process_usage import cpu_seconds, private_kib
 from gradegap.client import Session
-from tests.resume_world import ResumableEndpointServer, SaveStore
-from tests.world import EndpointServer, World, fresh_id, wait_for
+from tests.support.resume_world import ResumableEndpointServer, SaveStore
+from tests.support.world import EndpointServer, World, fresh_id, wait_for
 
 PLAYERS = 60 if "--quick" in sys.argv else 200
 DRAINS = 2 if "--quick" in sys.argv else 4
--- a/bench/scale/slopes_data.py
+++ b/bench/scale/slopes_data.py
@@ -27,7 +27,7 @@
 from bench.scale.messages import MeterCommand
 from bench.scale.results_file import Measurement, measured
 from bench.scale.slopes_module import listed
-from tests.world import DiscoveryServer, EndpointServer, World, free_port, fresh_id, world
+from tests.support.world import DiscoveryServer, EndpointServer, World, free_port, fresh_id, world
 
 CONNECTIONS = (500, 1_000, 2_000)
 RATES = (1_000, 3_000, 6_000)  # lines a second
--- a/bench/store.py
+++ b/bench/store.py
@@ -31,8 +31,8 @@
 from gradegap.store.channel import LinkChannel
 from gradegap.store.errors import RequestFailedError
 from gradegap.store.records import KeyUpdate
-from tests.cluster import SECRET, Cluster
-from tests.world import EndpointServer, World, free_port, wait_for
+from tests.support.cluster import SECRET, Cluster
+from tests.support.world import EndpointServer, World, free_port, wait_for
 
 QUICK = "--quick" in sys.argv
 MEASURE_S = 3.0 if QUICK else 8.0
--- a/tests/cluster.py
+++ b/tests/support/cluster.py
@@ -14,8 +14,8 @@
 from gradegap.store import wire
 from gradegap.store.errors import RequestFailedError
 from gradegap.store.member_client import MemberClient
-from tests.relay import Relay
-from tests.world import ROOT, free_port, wait_for
+from tests.support.relay import Relay
+from tests.support.world import ROOT, free_port, wait_for
 
 SECRET = b"0123456789abcdef of a test"
 
@@ -59,7 +59,7 @@
         return (self.folder / f"{name}.log").read_text()
 
     def start(self, name: str, env: dict[str, str] | None = None, names: list[str] | None = None) -> None:
-        command = [sys.executable, "-m", "tests.store_process", "store", "serve"]
+        command = [sys.executable, "-m", "tests.support.store_process", "store", "serve"]
         command += ["--operator", str(self.file(name, names))]
         with (self.folder / f"{name}.log").open("ab") as log:
             self.processes[name] = subprocess.Popen(
--- a/tests/deployments.py
+++ b/tests/support/deployments.py
@@ -17,8 +17,16 @@
 from pathlib import Path
 from typing import Any
 
-from tests.silent_discovery import SilentDiscovery
-from tests.world import Client, EndpointServer, free_port, printed_counters, says_pong, started, wait_for
+from tests.support.silent_discovery import SilentDiscovery
+from tests.support.world import (
+    Client,
+    EndpointServer,
+    free_port,
+    printed_counters,
+    says_pong,
+    started,
+    wait_for,
+)
 
 MS = 1_000_000
 
--- a/tests/quic_harness.py
+++ b/tests/support/quic_harness.py
@@ -20,7 +20,7 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 
 from gradegap.quic.listener import CloseCode
-from tests.world import EndpointServer, World, free_port, fresh_id, world
+from tests.support.world import EndpointServer, World, free_port, fresh_id, world
 
 
 def make_certificate(folder: Path, days: int = 1) -> None:
--- a/tests/recorded_day.py
+++ b/tests/support/recorded_day.py
@@ -32,8 +32,8 @@
 from gradegap.capture.settings import CaptureSettings
 from gradegap.capture.switch import RecordedBalancer
 from gradegap.metrics import Metrics
-from tests.helpers import settings
-from tests.world import ROOT
+from tests.support.helpers import settings
+from tests.support.world import ROOT
 
 
 class Day:
--- a/tests/refused.py
+++ b/tests/support/refused.py
@@ -1,7 +1,7 @@
 """A stand-in for the fleet bench's system-call filter: what it refuses, refused here in the same way.
 
-`python tests/refused.py` sets a seccomp filter (seccomp(2), SECCOMP_MODE_FILTER, no_new_privs, so without
-special rights) on this process before any thread starts, then runs the node in it as `python -m gradegap`
+`python tests/support/refused.py` sets a seccomp filter (seccomp(2), SECCOMP_MODE_FILTER, no_new_privs,
+so without special rights) on this process before any thread starts, then runs the node in it as `python -m gradegap`
 would. Refused, as the fleet page says: fork, vfork, clone without CLONE_THREAD, clone3 (glibc then makes its
 threads by clone), execve, execveat, io_uring_*, sendfile with ENOSYS; splice, tee and vmsplice with EINVAL;
 IPv6 sockets with EAFNOSUPPORT. x86_64 only: elsewhere `install` raises `OSError`.
@@ -87,6 +87,6 @@
 
 if __name__ == "__main__":
     install()
-    sys.path[0] = str(Path(__file__).absolute().parent.parent)  # the checkout, not tests/
+    sys.path[0] = str(Path(__file__).absolute().parents[2])  # the checkout, not tests/support
     sys.argv = [sys.argv[0]]  # the node as the platform starts it: no command line
     runpy.run_module("gradegap", run_name="__main__", alter_sys=True)
--- a/tests/resume_world.py
+++ b/tests/support/resume_world.py
@@ -12,7 +12,7 @@
 from gradegap.resume.lines import Request, Seen
 from gradegap.resume.window import ServerWindow
 from gradegap.verification.sessions import Record
-from tests.world import EndpointServer, hard_reset, reset_from_outside
+from tests.support.world import EndpointServer, hard_reset, reset_from_outside
 
 
 class SaveStore:
--- a/tests/store_nodes.py
+++ b/tests/support/store_nodes.py
@@ -11,9 +11,9 @@
 
 from gradegap.store.errors import RequestFailedError
 from gradegap.store.member_client import MemberClient
-from tests.relay import Relay
+from tests.support.relay import Relay
+from tests.support.world import EndpointServer, World, free_port, wait_for
 from tests.test_admin_api import call as plain_call
-from tests.world import EndpointServer, World, free_port, wait_for
 
 
 def call(console: str, path: str) -> int:
--- a/tests/world.py
+++ b/tests/support/world.py
@@ -21,7 +21,7 @@
 from typing import IO, Any
 from urllib.parse import parse_qs, urlsplit
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 IDS = count(1)
 BUSY_MACHINE = 0.25  # s that a machine shared with others may add to what a test times
 SETTINGS: dict[str, Any] = {
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -14,7 +14,7 @@
 from gradegap.admin.http_api import CALLERS_MAX
 from gradegap.metrics import Metrics
 from gradegap.store.disabled_endpoints import DisabledEndpointsFile
-from tests.world import BUSY_MACHINE, Client, EndpointServer, World, free_port, wait_for, world
+from tests.support.world import BUSY_MACHINE, Client, EndpointServer, World, free_port, wait_for, world
 
 
 @contextmanager
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from tests.world import BUSY_MACHINE, SETTINGS, EndpointServer, hard_reset, wait_for, world
+from tests.support.world import BUSY_MACHINE, SETTINGS, EndpointServer, hard_reset, wait_for, world
 
 MS = 1_000_000
 BREAKS = ["refused", "at accept", "in the line", "after the line", "busy", "half an answer", "noise", "hang"]
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -10,8 +10,8 @@
 
 import pytest
 
+from tests.support.world import ROOT, EndpointServer, wait_for, world
 from tests.test_rude import memory_mb
-from tests.world import ROOT, EndpointServer, wait_for, world
 
 DEEP = b"[" * 200_000
 LISTS = {
--- a/tests/test_capture_days.py
+++ b/tests/test_capture_days.py
@@ -33,10 +33,10 @@
 from gradegap.capture.frames import Damage, FrameKind
 from gradegap.capture.simulation import WhatIfResult
 from gradegap.capture.whatif import changed, whatif
-from tests.helpers import settings
-from tests.mutants import mutant
-from tests.recorded_day import day_recording, run_gradegap
-from tests.world import ROOT
+from tests.support.helpers import settings
+from tests.support.mutants import mutant
+from tests.support.recorded_day import day_recording, run_gradegap
+from tests.support.world import ROOT
 
 FOLDER = Path(__file__).parent / "captures"
 # Of the clients that asked, the part that must get a connection; and how far it may be behind the record's.
--- a/tests/test_capture_files.py
+++ b/tests/test_capture_files.py
@@ -34,8 +34,8 @@
 from gradegap.capture.errors import BadRecordError, BadRecordingError, BadStateError
 from gradegap.capture.frames import Damage, FrameKind
 from gradegap.capture.redaction import IdHasher, redact
-from tests.helpers import settings
-from tests.recorded_day import Day, day_recording, replayed
+from tests.support.helpers import settings
+from tests.support.recorded_day import Day, day_recording, replayed
 
 
 def test_a_file_cut_at_any_byte_of_a_frame_replays_what_was_whole() -> None:
--- a/tests/test_capture_index.py
+++ b/tests/test_capture_index.py
@@ -22,10 +22,10 @@
 from gradegap.capture.frames import FrameKind
 from gradegap.capture.plot import REQUESTS, draw, series
 from gradegap.capture.schema import BALANCER
-from tests.recorded_day import Day, day_recording, record_day, replayed, run_gradegap
+from tests.support.recorded_day import Day, day_recording, record_day, replayed, run_gradegap
+from tests.support.world import EndpointServer, wait_for
 from tests.test_admin_api import call, served
 from tests.test_hot_restart import ready, second
-from tests.world import EndpointServer, wait_for
 
 NUMBERS = st.integers(-(2**63), 2**63)
 FILE = index.sealed(day_recording(31, 1200, 6))
--- a/tests/test_capture_recorder.py
+++ b/tests/test_capture_recorder.py
@@ -20,10 +20,10 @@
 from gradegap.capture.switch import RecordedBalancer
 from gradegap.capture.writer import RecordingWriter
 from gradegap.metrics import Metrics
-from tests.helpers import settings
-from tests.mutants import mutated_copy
-from tests.recorded_day import Day, record_day, replayed, run_gradegap
-from tests.world import EndpointServer, wait_for, world
+from tests.support.helpers import settings
+from tests.support.mutants import mutated_copy
+from tests.support.recorded_day import Day, record_day, replayed, run_gradegap
+from tests.support.world import EndpointServer, wait_for, world
 
 
 def test_a_recording_replays_to_the_same_decisions(tmp_path: Path) -> None:
--- a/tests/test_capture_state.py
+++ b/tests/test_capture_state.py
@@ -19,8 +19,8 @@
 from gradegap.capture.errors import BadStateError, LaterStateError, OtherAlgorithmError
 from gradegap.capture.frames import Damage, FrameKind
 from gradegap.capture.schema import BALANCER, ENDPOINT, REQUEST
-from tests.helpers import settings
-from tests.recorded_day import Day
+from tests.support.helpers import settings
+from tests.support.recorded_day import Day
 
 CAPTURES = Path(__file__).parent / "captures"
 # As files of version 2 have them. These lists are the format.
--- a/tests/test_connection_estimates.py
+++ b/tests/test_connection_estimates.py
@@ -17,7 +17,7 @@
     RequestArrived,
 )
 from gradegap.balancing.settings import WeightMeaning
-from tests.helpers import Driver, finals, sends
+from tests.support.helpers import Driver, finals, sends
 
 SIZE, CORES = 8.0, 5.0
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -15,8 +15,17 @@
 
 import pytest
 
+from tests.support.world import (
+    BUSY_MACHINE,
+    SETTINGS,
+    EndpointServer,
+    World,
+    free_port,
+    hard_reset,
+    wait_for,
+    world,
+)
 from tests.test_admin_api import call
-from tests.world import BUSY_MACHINE, SETTINGS, EndpointServer, World, free_port, hard_reset, wait_for, world
 
 SLOW: dict[str, Any] = {"Name": "slow", "AimNs": 700_000_000, "HardLimitNs": 6_000_000_000, "Points": 1.0}
 WITH_SLOW = SETTINGS | {
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -14,9 +14,9 @@
 from gradegap.balancing.settings import ClassSettings, Settings
 from gradegap.node.shutdown import kill_time
 from gradegap.proxy.health_checks import HEALTH_CHECK_TIMEOUT_MAX_S, HEALTH_CHECK_TIMEOUT_S
-from tests.deployments import ASKED, BOTH, PUSHED, Day, NodeProcess, Server, lane
-from tests.silent_discovery import SilentDiscovery, TurnDiscovery
-from tests.world import BUSY_MACHINE, Client, EndpointServer, hard_reset, wait_for, world
+from tests.support.deployments import ASKED, BOTH, PUSHED, Day, NodeProcess, Server, lane
+from tests.support.silent_discovery import SilentDiscovery, TurnDiscovery
+from tests.support.world import BUSY_MACHINE, Client, EndpointServer, hard_reset, wait_for, world
 
 
 @pytest.mark.parametrize("site", BOTH)
--- a/tests/test_dns_sd_discovery.py
+++ b/tests/test_dns_sd_discovery.py
@@ -17,7 +17,7 @@
 from gradegap.balancing.events import EndpointEntry, EndpointPhase
 from gradegap.discovery.dns_sd_discovery import read_entry, read_txt
 from gradegap.discovery.errors import InvalidEndpointError
-from tests.world import EndpointServer, World, wait_for, world
+from tests.support.world import EndpointServer, World, wait_for, world
 
 SERVICE = "_saves._tcp.prairie.example."
 
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -17,7 +17,7 @@
     ProxyResumed,
     TimerFired,
 )
-from tests.helpers import Driver
+from tests.support.helpers import Driver
 from tests.test_faults import stood_on_one
 
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -23,7 +23,7 @@
 )
 from gradegap.balancing.model import Request
 from gradegap.balancing.settings import ClassSettings, ReportSource, Settings, WeightMeaning
-from tests.helpers import CLASS, Driver, finals, sends
+from tests.support.helpers import CLASS, Driver, finals, sends
 
 
 def test_a_full_fleet_refuses_with_advice_to_come_later() -> None:
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -11,8 +11,8 @@
 
 import pytest
 
+from tests.support.world import BUSY_MACHINE, EndpointServer, World, free_port, wait_for, world
 from tests.test_admin_api import call, served
-from tests.world import BUSY_MACHINE, EndpointServer, World, free_port, wait_for, world
 
 
 @contextmanager
--- a/tests/test_hot_restart_steps.py
+++ b/tests/test_hot_restart_steps.py
@@ -24,8 +24,8 @@
     StateComplete,
     SuccessorReady,
 )
+from tests.support.world import BUSY_MACHINE, Client, EndpointServer, World, wait_for
 from tests.test_admin_api import call, served
-from tests.world import BUSY_MACHINE, Client, EndpointServer, World, wait_for
 
 Expected = TypeVar("Expected", bound=msgspec.Struct)
 PATIENCE = 3.0  # s that the node may take to send its next message
--- a/tests/test_http_discovery.py
+++ b/tests/test_http_discovery.py
@@ -15,7 +15,7 @@
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
 from gradegap.transport.dialer import Dialer
-from tests import helpers
+from tests.support import helpers
 
 
 @dataclass
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.world import ROOT
+from tests.support.world import ROOT
 
 PACKAGE = "gradegap"
 
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from gradegap.resume.token import KEY_RING_KEY, KeyRing, Place, seal_token
-from tests.cluster import cluster
+from tests.support.cluster import cluster
 
 
 def test_a_ring_is_rotated_and_tokens_are_inspected(tmp_path: Path) -> None:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -15,8 +15,17 @@
 
 import pytest
 
+from tests.support.world import (
+    BUSY_MACHINE,
+    ROOT,
+    SETTINGS,
+    EndpointServer,
+    free_port,
+    hard_reset,
+    wait_for,
+    world,
+)
 from tests.test_admin_api import call
-from tests.world import BUSY_MACHINE, ROOT, SETTINGS, EndpointServer, free_port, hard_reset, wait_for, world
 
 
 def test_a_served_client_gets_its_receipt_and_lines_pass_both_ways(tmp_path: Path) -> None:
--- a/tests/test_observer_cluster.py
+++ b/tests/test_observer_cluster.py
@@ -16,13 +16,13 @@
 from gradegap.resume.token import KEY_RING_KEY, KeyRing
 from gradegap.store import wire
 from gradegap.store.records import KeyUpdate
-from tests.cluster import Cluster
-from tests.resume_world import ResumableEndpointServer, SaveStore
+from tests.support.cluster import Cluster
+from tests.support.resume_world import ResumableEndpointServer, SaveStore
+from tests.support.world import BUSY_MACHINE, EndpointServer, World, free_port, wait_for
 from tests.test_admin_api import answer
 from tests.test_admin_api import call as plain_call
 from tests.test_resume import ON as RESUME
 from tests.test_resume import opened, returned, token_of
-from tests.world import BUSY_MACHINE, EndpointServer, World, free_port, wait_for
 
 LEVEL_WITHIN = 10.0  # s after a fault, within which nodes have to be level again
 
--- a/tests/test_observer_leases.py
+++ b/tests/test_observer_leases.py
@@ -14,7 +14,7 @@
     Leave,
 )
 from gradegap.observer.subscriber import Disconnect, LeaseChanged, Subscriber
-from tests.observer_harness import LIMITS, MACHINES, Pair, drained, renewed, subscribed
+from tests.support.observer_harness import LIMITS, MACHINES, Pair, drained, renewed, subscribed
 
 
 def test_the_lease_is_counted_from_the_question_and_shortened_by_drift() -> None:
--- a/tests/test_observer_publisher.py
+++ b/tests/test_observer_publisher.py
@@ -19,7 +19,7 @@
 )
 from gradegap.observer.subscriber import Apply
 from gradegap.store.in_force import InForceTally, MachineReport
-from tests.observer_harness import LIMITS, Pair, drained, renewed, subscribed
+from tests.support.observer_harness import LIMITS, Pair, drained, renewed, subscribed
 
 # The main path
 
--- a/tests/test_observer_slow_readers.py
+++ b/tests/test_observer_slow_readers.py
@@ -17,7 +17,7 @@
     SnapshotPart,
     Subscribe,
 )
-from tests.observer_harness import LIMITS, Pair, drained, renewed, subscribed
+from tests.support.observer_harness import LIMITS, Pair, drained, renewed, subscribed
 
 # Slow readers
 
--- a/tests/test_observer_source.py
+++ b/tests/test_observer_source.py
@@ -7,7 +7,7 @@
     Change,
 )
 from gradegap.store import records
-from tests.observer_harness import Log, Pair, drained, subscribed
+from tests.support.observer_harness import Log, Pair, drained, subscribed
 
 
 def test_a_machine_that_loads_a_snapshot_serves_it_as_one() -> None:
--- a/tests/test_observer_strangers.py
+++ b/tests/test_observer_strangers.py
@@ -37,7 +37,7 @@
 from gradegap.store.records import KeyUpdate
 from gradegap.store.subscription_settings import ObserverMachine, ObserverSettings
 from gradegap.transport.addresses import split_address
-from tests.observer_sockets import WITHIN, Raw, World, play
+from tests.support.observer_sockets import WITHIN, Raw, World, play
 
 
 def test_strangers_are_refused_by_a_code_and_counted(tmp_path: Path) -> None:
--- a/tests/test_observer_subscriber.py
+++ b/tests/test_observer_subscriber.py
@@ -22,7 +22,7 @@
 )
 from gradegap.observer.selection import Backoff, MachineAddress, Selection, rendezvous_order
 from gradegap.observer.subscriber import Apply, Connect, Disconnect, Subscriber
-from tests.observer_harness import LIMITS, MACHINES
+from tests.support.observer_harness import LIMITS, MACHINES
 
 # Selection
 
--- a/tests/test_priority.py
+++ b/tests/test_priority.py
@@ -18,7 +18,7 @@
 from gradegap.balancing.report_statistics import ReportStatistics
 from gradegap.balancing.settings import ClassSettings, TenantSettings
 from gradegap.downstream.framing import parse_opening
-from tests.helpers import Driver, sends, settings
+from tests.support.helpers import Driver, sends, settings
 from tests.test_faults import held_from_before
 
 FEED = ClassSettings("feed", latency_objective=0.5, time_limit=3.0, priority_weight=3.0)
--- a/tests/test_proxy_attempts.py
+++ b/tests/test_proxy_attempts.py
@@ -12,7 +12,7 @@
     EndpointPhase,
     RequestArrived,
 )
-from tests.proxy_harness import ProxyHarness
+from tests.support.proxy_harness import ProxyHarness
 
 
 def test_a_second_attempt_while_one_is_active_is_not_begun() -> None:
--- a/tests/test_proxy_connections.py
+++ b/tests/test_proxy_connections.py
@@ -11,7 +11,7 @@
     EndpointPhase,
 )
 from gradegap.proxy.unresponsive import UNRESPONSIVE_AFTER_S
-from tests.proxy_harness import ProxyHarness
+from tests.support.proxy_harness import ProxyHarness
 
 
 def test_an_inherited_connection_has_the_drain_grace_of_its_endpoint() -> None:
--- a/tests/test_proxy_endpoints.py
+++ b/tests/test_proxy_endpoints.py
@@ -12,8 +12,8 @@
     HealthCheckEnded,
     TimerFired,
 )
-from tests.helpers import settings
-from tests.proxy_harness import ProxyHarness
+from tests.support.helpers import settings
+from tests.support.proxy_harness import ProxyHarness
 
 
 def test_an_endpoint_restarted_under_its_id_starts_with_nothing_known_of_it() -> None:
--- a/tests/test_proxy_requests.py
+++ b/tests/test_proxy_requests.py
@@ -12,7 +12,7 @@
     TimerFired,
 )
 from gradegap.proxy.request import RequestState, RequestStateError
-from tests.proxy_harness import ProxyHarness
+from tests.support.proxy_harness import ProxyHarness
 
 
 def test_a_request_that_the_balancer_never_answers_fails_at_its_deadline() -> None:
--- a/tests/test_quic_fuzz.py
+++ b/tests/test_quic_fuzz.py
@@ -26,8 +26,8 @@
 from gradegap.proxy.proxy import Proxy
 from gradegap.quic.listener import QuicListener
 from gradegap.quic.settings import QuicSettings
-from tests.helpers import settings
-from tests.quic_harness import make_certificate
+from tests.support.helpers import settings
+from tests.support.quic_harness import make_certificate
 from tests.test_store_node import NoPort
 
 SERVER = ("127.0.0.1", 1000)
--- a/tests/test_quic_sessions.py
+++ b/tests/test_quic_sessions.py
@@ -12,9 +12,9 @@
 import pytest
 
 from gradegap.quic.listener import CloseCode
-from tests.quic_harness import QuicClient, make_certificate, quic_world
+from tests.support.quic_harness import QuicClient, make_certificate, quic_world
+from tests.support.world import BUSY_MACHINE, EndpointServer, free_port, wait_for
 from tests.test_admin_api import call
-from tests.world import BUSY_MACHINE, EndpointServer, free_port, wait_for
 
 
 @pytest.mark.parametrize("new_id", [False, True])
--- a/tests/test_quic_streams.py
+++ b/tests/test_quic_streams.py
@@ -10,9 +10,9 @@
 
 from conformance.quic.client import ScriptedClient
 from gradegap.quic.listener import CloseCode
-from tests.lossy import Lossy
-from tests.quic_harness import QuicClient, quic_world
-from tests.world import EndpointServer, fresh_id, wait_for
+from tests.support.lossy import Lossy
+from tests.support.quic_harness import QuicClient, quic_world
+from tests.support.world import EndpointServer, fresh_id, wait_for
 
 
 def test_a_tenth_lost_doubled_and_out_of_order_costs_no_line(tmp_path: Path) -> None:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -13,8 +13,8 @@
 
 from gradegap.balancing.actions import CheckHealth
 from gradegap.balancing.events import AttemptResult, TimerFired
-from tests.helpers import CLASS, Driver, sends, settings
-from tests.world import SETTINGS, DiscoveryServer, EndpointServer, World, wait_for, world
+from tests.support.helpers import CLASS, Driver, sends, settings
+from tests.support.world import SETTINGS, DiscoveryServer, EndpointServer, World, wait_for, world
 
 
 def rewrite(w: World, **changes: Any) -> None:
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -16,9 +16,18 @@
 from gradegap.client import Session, SessionEndedError
 from gradegap.resume.token import KEY_RING_KEY, KeyRing
 from gradegap.store.member_client import MemberClient
-from tests.quic_harness import QuicClient, quic_world
-from tests.resume_world import ResumableEndpointServer, SaveStore
-from tests.world import BUSY_MACHINE, Client, EndpointServer, World, free_port, fresh_id, wait_for, world
+from tests.support.quic_harness import QuicClient, quic_world
+from tests.support.resume_world import ResumableEndpointServer, SaveStore
+from tests.support.world import (
+    BUSY_MACHINE,
+    Client,
+    EndpointServer,
+    World,
+    free_port,
+    fresh_id,
+    wait_for,
+    world,
+)
 
 ON = "[resume]\n"
 
--- a/tests/test_resume_interleavings.py
+++ b/tests/test_resume_interleavings.py
@@ -17,7 +17,7 @@
     NodeWindow,
     ServerWindow,
 )
-from tests.resume_windows import passes
+from tests.support.resume_windows import passes
 
 
 class SaveStore:
--- a/tests/test_resume_many.py
+++ b/tests/test_resume_many.py
@@ -21,10 +21,10 @@
 from gradegap.resume.token import KEY_RING_KEY, KeyRing
 from gradegap.store.member_client import MemberClient
 from gradegap.verification.sessions import Record, from_node, violations
-from tests.resume_world import ResumableEndpointServer, SaveStore
-from tests.store_nodes import Nodes, nodes
+from tests.support.resume_world import ResumableEndpointServer, SaveStore
+from tests.support.store_nodes import Nodes, nodes
+from tests.support.world import World, free_port, world
 from tests.test_admin_api import call
-from tests.world import World, free_port, world
 
 __all__ = ["nodes"]
 
--- a/tests/test_resume_nodes.py
+++ b/tests/test_resume_nodes.py
@@ -14,12 +14,12 @@
 from gradegap.resume.token_renewal import TokenRenewals
 from gradegap.store.member_client import MemberClient
 from gradegap.verification.sessions import Record, from_node, violations
-from tests.resume_world import ResumableEndpointServer, SaveStore
-from tests.store_nodes import Nodes, nodes
+from tests.support.resume_world import ResumableEndpointServer, SaveStore
+from tests.support.store_nodes import Nodes, nodes
+from tests.support.world import Client, World, wait_for, world
 from tests.test_hot_restart import second
 from tests.test_resume import ON, returned, run, token_of
 from tests.test_resume import opened as opening
-from tests.world import Client, World, wait_for, world
 
 __all__ = ["nodes"]
 
--- a/tests/test_resume_windows.py
+++ b/tests/test_resume_windows.py
@@ -14,7 +14,7 @@
     NodeWindow,
     ServerWindow,
 )
-from tests.resume_windows import passes
+from tests.support.resume_windows import passes
 
 
 def test_a_full_window_holds_its_client_back() -> None:
--- a/tests/test_rude.py
+++ b/tests/test_rude.py
@@ -11,7 +11,16 @@
 
 import pytest
 
-from tests.world import BUSY_MACHINE, Client, EndpointServer, World, fresh_id, hard_reset, wait_for, world
+from tests.support.world import (
+    BUSY_MACHINE,
+    Client,
+    EndpointServer,
+    World,
+    fresh_id,
+    hard_reset,
+    wait_for,
+    world,
+)
 
 IN_TIME = 3.0 + BUSY_MACHINE
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -17,7 +17,7 @@
     TimerFired,
 )
 from gradegap.balancing.settings import ClassSettings, DeduplicationScope, Idempotency
-from tests.helpers import CLASS, Driver, finals, sends
+from tests.support.helpers import CLASS, Driver, finals, sends
 
 
 def test_a_request_that_nothing_can_be_sent_for_is_refused_before_its_deadline() -> None:
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -9,7 +9,7 @@
 
 from gradegap.balancing.events import AttemptResult, EndpointEntry, EndpointList, EndpointListKind
 from gradegap.balancing.selection import Selection
-from tests.helpers import Driver, sends
+from tests.support.helpers import Driver, sends
 
 
 def place(d: Driver, loads: dict[str, float], count: int) -> Counter[str]:
--- a/tests/test_serves_nobody.py
+++ b/tests/test_serves_nobody.py
@@ -6,7 +6,7 @@
 
 from gradegap.balancing.actions import Action, CheckHealth, Forward, SetTimer
 from gradegap.balancing.events import AttemptEnded, AttemptResult, HealthCheckEnded, TimerFired
-from tests.helpers import Driver
+from tests.support.helpers import Driver
 
 WINDOW = 4.0  # s on end in which a process that gets requests may not turn all of them away
 PAUSE = 0.1  # s between two requests
--- a/tests/test_silent_watches.py
+++ b/tests/test_silent_watches.py
@@ -10,9 +10,9 @@
 from typing import Any
 
 from gradegap.discovery.watch_schedule import SILENCE_NOTIFIED_S, WAIT_NOTIFIED_S
-from tests.deployments import ASKED, NodeProcess, Server
-from tests.silent_discovery import TurnDiscovery
-from tests.world import BUSY_MACHINE, Client, wait_for
+from tests.support.deployments import ASKED, NodeProcess, Server
+from tests.support.silent_discovery import TurnDiscovery
+from tests.support.world import BUSY_MACHINE, Client, wait_for
 
 NODES = 6
 CALL_TAKES = 0.29  # s of the discovery's time that each call takes, also one that its caller gave up
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -28,8 +28,8 @@
     SHARE_SAFETY,
     SlowStart,
 )
-from tests.helpers import Driver, sends, settings
-from tests.world import SETTINGS
+from tests.support.helpers import Driver, sends, settings
+from tests.support.world import SETTINGS
 
 SEED = 20
 NOW = 1000.0
--- a/tests/test_store_cluster.py
+++ b/tests/test_store_cluster.py
@@ -13,7 +13,7 @@
 from gradegap.store import wire
 from gradegap.store.errors import RequestFailedError
 from gradegap.store.records import Event, KeyUpdate
-from tests.cluster import (
+from tests.support.cluster import (
     cluster,
     put,
     status_if_reachable,
@@ -21,7 +21,7 @@
     value_if_reachable,
     write_through_any,
 )
-from tests.world import wait_for
+from tests.support.world import wait_for
 
 
 def test_a_write_is_at_every_member_and_survives_the_death_of_any(tmp_path: Path) -> None:
--- a/tests/test_store_linearizability.py
+++ b/tests/test_store_linearizability.py
@@ -10,12 +10,12 @@
 from gradegap.store.errors import RequestFailedError
 from gradegap.store.member_client import MemberClient
 from gradegap.verification.linearizability import NEVER_ENDED, Operation, find_linearization
-from tests.cluster import (
+from tests.support.cluster import (
     SECRET,
     Cluster,
     cluster,
 )
-from tests.world import wait_for
+from tests.support.world import wait_for
 
 
 class Clients:
--- a/tests/test_store_members.py
+++ b/tests/test_store_members.py
@@ -11,14 +11,14 @@
 
 from gradegap.store.errors import RequestFailedError
 from gradegap.store.member_client import MemberClient
-from tests.cluster import (
+from tests.support.cluster import (
     cluster,
     put,
     status_if_reachable,
     value,
     write_through_any,
 )
-from tests.world import wait_for
+from tests.support.world import wait_for
 
 
 def test_a_member_away_beyond_the_log_comes_back_by_a_snapshot(tmp_path: Path) -> None:
--- a/tests/test_store_node.py
+++ b/tests/test_store_node.py
@@ -16,9 +16,9 @@
 from gradegap.store.gossip import GossipExchange
 from gradegap.store.member_client import MemberClient
 from gradegap.store.wire import Gossip, GossipReport
-from tests.helpers import settings
-from tests.store_nodes import Nodes, call, nodes
-from tests.world import BUSY_MACHINE, EndpointServer, World, free_port, wait_for, world
+from tests.support.helpers import settings
+from tests.support.store_nodes import Nodes, call, nodes
+from tests.support.world import BUSY_MACHINE, EndpointServer, World, free_port, wait_for, world
 
 __all__ = ["nodes"]
 
--- a/tests/test_store_processes.py
+++ b/tests/test_store_processes.py
@@ -6,13 +6,13 @@
 import resource
 from pathlib import Path
 
-from tests.cluster import (
+from tests.support.cluster import (
     cluster,
     put,
     status_if_reachable,
     value_if_reachable,
 )
-from tests.world import wait_for
+from tests.support.world import wait_for
 
 
 def test_a_full_disk_stops_a_member_with_one_line_and_no_other(tmp_path: Path) -> None:
--- a/tests/test_store_state_machine.py
+++ b/tests/test_store_state_machine.py
@@ -13,7 +13,7 @@
 from gradegap.store.machine import MAX_HISTORY_EVENTS, StateMachine
 from gradegap.store.records import Command, Compare, Event, Expire, KeyUpdate, encode
 from gradegap.store.state_snapshot import decode_snapshot, encode_snapshot
-from tests.store_log import Log
+from tests.support.store_log import Log
 
 
 def test_a_transaction_is_applied_whole_or_not_at_all() -> None:
--- a/tests/test_store_storage.py
+++ b/tests/test_store_storage.py
@@ -11,7 +11,7 @@
 from gradegap.store.errors import FolderError
 from gradegap.store.records import KeyUpdate
 from gradegap.store.storage import AppliedPosition, MemberStorage, WriteBatch
-from tests.store_log import Log
+from tests.support.store_log import Log
 
 
 def write_some(disk: MemberStorage) -> None:
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -9,7 +9,7 @@
 from gradegap.balancing.events import EndpointEntry, EndpointList, EndpointListKind
 from gradegap.node.decision_trace import DecisionTrace
 from gradegap.node.operator_file import OperatorSettings
-from tests.helpers import Driver, settings
+from tests.support.helpers import Driver, settings
 
 
 def test_each_step_is_one_line_with_what_went_in_and_came_out() -> None:
--- a/tests/test_watch_schedule.py
+++ b/tests/test_watch_schedule.py
@@ -15,9 +15,9 @@
 
 from gradegap.discovery import watch_schedule
 from gradegap.discovery.watch_schedule import Mismatch, WatchSchedule
-from tests import helpers
-from tests.silent_discovery import PHASES, SilentDiscovery
-from tests.world import BUSY_MACHINE, SETTINGS, EndpointServer, World, wait_for, world
+from tests.support import helpers
+from tests.support.silent_discovery import PHASES, SilentDiscovery
+from tests.support.world import BUSY_MACHINE, SETTINGS, EndpointServer, World, wait_for, world
 
 SECOND = 1_000_000_000
 GRACES = (0.25, 0.75, 2.0, 4.0)
--- a/tests/test_wave.py
+++ b/tests/test_wave.py
@@ -134,7 +134,7 @@
 def _sends_to_an_empty_server(requests: int = 240, over: float = 1.0) -> int:
     """A proxy alone places `requests` clients in `over` s: nine large servers at half their capacity with 40
     connections each, and s9, a third of their size and empty, as its reports go on saying while they lag."""
-    from tests.helpers import Driver, sends
+    from tests.support.helpers import Driver, sends
 
     d = Driver(servers=10, seed=3, proxy_count=1)
     weights = [8.0] * 9 + [2.5]
@@ -164,7 +164,7 @@
 def _takes_of_little_room(reconnect: bool) -> int:
     """A proxy of forty places 30 clients in a second, none of which stands yet, on ten servers with room for
     two connections each (0.85 of capacity with 17). Its sends."""
-    from tests.helpers import Driver, sends
+    from tests.support.helpers import Driver, sends
 
     d = Driver(servers=10, seed=5, proxy_count=40)
     taken = 0
