--- a/tests/support/refused.py
+++ b/tests/support/refused.py
@@ -1,11 +1,10 @@
 """A stand-in for the fleet bench's system-call filter: what it refuses, refused here in the same way.
 
-`python tests/support/refused.py` sets a seccomp filter (seccomp(2), SECCOMP_MODE_FILTER, no_new_privs,
-so without special rights) on this process before any thread starts, then runs the node in it as `python -m gradegap`
-would. Refused, as the fleet page says: fork, vfork, clone without CLONE_THREAD, clone3 (glibc then makes its
-threads by clone), execve, execveat, io_uring_*, sendfile with ENOSYS; splice, tee and vmsplice with EINVAL;
-IPv6 sockets with EAFNOSUPPORT. x86_64 only: elsewhere `install` raises `OSError`.
-"""
+`python tests/support/refused.py` sets a seccomp filter (seccomp(2), SECCOMP_MODE_FILTER, no_new_privs, so
+without special rights) on this process before any thread starts, then runs the node in it as `python -m
+gradegap` would. Refused, as the fleet page says: fork, vfork, clone without CLONE_THREAD, clone3 (glibc
+then makes its threads by clone), execve, execveat, io_uring_*, sendfile with ENOSYS; splice, tee and
+vmsplice with EINVAL; IPv6 sockets with EAFNOSUPPORT. x86_64 only: elsewhere `install` raises `OSError`."""
 
 from __future__ import annotations
 
--- a/tests/test_refused.py
+++ b/tests/test_refused.py
@@ -1,8 +1,9 @@
 """The node as the fleet bench starts it: fork, programs, io_uring, splice, sendfile and IPv6 refused.
 
-The refusals are made by `tests/support/refused.py`, a seccomp filter on the node's own process;
-nobody comes to its Unix sockets. The node must start, serve, be replaced by SIGTERM and end as usual, with a socket for its
-hot restart and a capture asked for, which are the parts of it that could fork or wait on a Unix socket.
+The refusals are made by `tests/support/refused.py`, a seccomp filter on the node's own process; nobody
+comes to its Unix sockets. The node must start, serve, be replaced by SIGTERM and end as usual, with a
+socket for its hot restart and a capture asked for, which are the parts of it that could fork or wait on a
+Unix socket.
 """
 
 from __future__ import annotations
@@ -47,7 +48,8 @@
     """The stand-in itself: a planted fork, program or splice under it is refused, threads are not."""
     probe = (
         "import os, sys, threading, subprocess; sys.path.insert(0, sys.argv[1])\n"
-        "from tests.support import refused; refused.install(); t = threading.Thread(target=print); t.start(); t.join(); r, w = os.pipe()\n"
+        "from tests.support import refused; refused.install()\n"
+        "t = threading.Thread(target=print); t.start(); t.join(); r, w = os.pipe()\n"
         "for call in (os.fork, lambda: subprocess.run(['true']), lambda: os.splice(r, w, 1)):\n"
         "    try: call(); print('made')\n"
         "    except OSError as e: print(e.errno)\n"
