--- a/bench/scale/analysis.py
+++ b/bench/scale/analysis.py
@@ -30,7 +30,7 @@
 
 def in_force(nodes: list[NodeRecord], writes: list[WriteRecord]) -> InForce:
     """Each change at each node, from the moment it was proposed."""
-    found = InForce()
+    result = InForce()
     changes = [w for w in writes if w.outcome == "ok"]
     latest = [0.0] * len(changes)
     for node in nodes:
@@ -42,16 +42,16 @@
             place = bisect_left(revisions, change.revision)
             at = node.applied[place].at if place < len(revisions) else 0.0
             if not at or (run.end and at > run.end):
-                found.left += bool(run.end)
-                found.missing += not run.end
+                result.left += bool(run.end)
+                result.missing += not run.end
                 continue
             spent = max(0.0, at - change.proposed)
             deciding = covering(node.leases, change.proposed) is not None
-            (found.deciding if deciding else found.others).append(spent)
+            (result.deciding if deciding else result.others).append(spent)
             if deciding:
                 latest[number] = max(latest[number], spent)
-    found.everywhere = latest
-    return found
+    result.everywhere = latest
+    return result
 
 
 class LevelAgain(Times):
@@ -102,15 +102,15 @@
 
 def by_kind(records: list[ProcessRecord], nodes: int) -> dict[str, dict[str, float]]:
     """Mean bytes a second of one node by kind of message."""
-    made: dict[str, dict[str, float]] = {}
+    result: dict[str, dict[str, float]] = {}
     for direction in ("sent", "received"):
         totals: Counter[str] = Counter()
         for record in records:
             for node in record.nodes:
                 for kind, size in getattr(node, direction).items():
                     totals[kind] += size / record.window_s / nodes
-        made[direction] = {kind: round(rate, 3) for kind, rate in sorted(totals.items())}
-    return made
+        result[direction] = {kind: round(rate, 3) for kind, rate in sorted(totals.items())}
+    return result
 
 
 def bytes_per_node(records: list[ProcessRecord], without: tuple[str, ...] = ()) -> dict[str, float]:
@@ -139,6 +139,6 @@
 def node_memory(records: list[ProcessRecord]) -> dict[str, float]:
     """Bytes that a node adds to its process, and of the whole process of a node alone."""
     many = [r for r in records if len(r.nodes) > 1] or records
-    made = spread([(r.resident_bytes - r.resident_empty_bytes) / len(r.nodes) for r in many], 0)
+    result = spread([(r.resident_bytes - r.resident_empty_bytes) / len(r.nodes) for r in many], 0)
     alone = [r.resident_bytes for r in records if len(r.nodes) == 1]
-    return made | ({"process_of_one": float(alone[0])} if alone else {})
+    return result | ({"process_of_one": float(alone[0])} if alone else {})
--- a/bench/scale/gate.py
+++ b/bench/scale/gate.py
@@ -20,7 +20,7 @@
 from bench.scale.messages import CutRegion, GateCommand, GatePorts, HealRegion
 
 LENGTH_BYTES = 4  # of a frame's length in front of the first message
-LONGEST_HELLO = 4096
+MAX_HELLO_LENGTH = 4096
 BACKLOG = 2048
 
 
@@ -29,7 +29,7 @@
 
     to_port: int
     to_region: str
-    from_region: str = ""  # empty: a control machine, told by the name in its first message
+    from_region: str = ""  # empty: a control machine, known by the name in its first message
 
 
 class GateSpec(msgspec.Struct):
@@ -44,23 +44,23 @@
 
     def __init__(self, spec: GateSpec) -> None:
         self.spec = spec
-        self.cut = ""
+        self.cut_region = ""
         self.pipes: set[Pipe] = set()
 
     def closed(self, one: str, other: str) -> bool:
         """Whether nothing passes between two regions now."""
-        return bool(self.cut) and one != other and self.cut in (one, other)
+        return bool(self.cut_region) and one != other and self.cut_region in (one, other)
 
     def cut_off(self, region: str) -> None:
         """Nothing passes its border any more."""
-        self.cut = region
+        self.cut_region = region
         for pipe in self.pipes:
-            pipe.look()
+            pipe.update_reading()
 
     def heal(self) -> None:
         """What was held back is reset."""
         held = [p for p in self.pipes if p.held()]
-        self.cut = ""
+        self.cut_region = ""
         for pipe in held:
             pipe.reset()
 
@@ -73,14 +73,14 @@
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection stands."""
+        """The connection is open."""
         self.transport = cast(asyncio.Transport, transport)
         if self.dialer:
             self.pipe.begin()
 
     def data_received(self, data: bytes) -> None:
         """Bytes for the other end."""
-        self.pipe.passed(self, data)
+        self.pipe.forward(self, data)
 
     def pause_writing(self) -> None:
         """Guards memory against a side that reads slowly."""
@@ -88,7 +88,7 @@
 
     def resume_writing(self) -> None:
         """It reads again."""
-        self.pipe.look()
+        self.pipe.update_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """The connection has ended; so does the other."""
@@ -103,7 +103,7 @@
         self.border, self.listener = border, listener
         self.region = listener.from_region
         self.head = b""
-        self.early = b""  # what came before the other side stood
+        self.early = b""  # bytes that came before the other side was connected
         self.front, self.back = Side(self, True), Side(self, False)
         self.task: asyncio.Task[None] | None = None
         border.pipes.add(self)
@@ -120,26 +120,26 @@
             self.reset()
         else:
             early, self.early = self.early, b""
-            self.look()
+            self.update_reading()
             self._write(self.back, early)
 
     def held(self) -> bool:
         """Whether it crosses a closed border."""
         return bool(self.region) and self.border.closed(self.region, self.listener.to_region)
 
-    def look(self) -> None:
-        """Read from both sides, or from none, as the border is."""
+    def update_reading(self) -> None:
+        """Read from both sides, or from none where the border is closed."""
         if self.back.transport is None:
             return
         for side in (self.front, self.back):
             if side.transport is not None and not side.transport.is_closing():
                 (side.transport.pause_reading if self.held() else side.transport.resume_reading)()
 
-    def passed(self, side: Side, data: bytes) -> None:
+    def forward(self, side: Side, data: bytes) -> None:
         """Bytes from one side to the other."""
         if side is self.front and not self.region:
             self._learn_region(data)
-            self.look()
+            self.update_reading()
         other = self.back if side is self.front else self.front
         if other is self.back and other.transport is None:
             self.early += data
@@ -157,7 +157,7 @@
         if len(self.head) >= LENGTH_BYTES + size:
             hello = msgspec.msgpack.decode(self.head[LENGTH_BYTES : LENGTH_BYTES + size])
             self.region = self.border.spec.regions.get(hello.get("name", ""), "outside")
-        elif len(self.head) > LONGEST_HELLO:
+        elif len(self.head) > MAX_HELLO_LENGTH:
             self.reset()
 
     def pause_other(self, side: Side) -> None:
@@ -184,7 +184,7 @@
 
 
 async def serve(spec: GateSpec) -> None:
-    """Listen, say where, and obey until standard input ends."""
+    """Listen, report the ports, and serve commands until standard input ends."""
     loop = asyncio.get_running_loop()
     border = Border(spec)
     ports = []
--- a/bench/scale/machines.py
+++ b/bench/scale/machines.py
@@ -142,8 +142,8 @@
                 if answer.get("role") == "leader" and answer.get("lease_ms", 0) > 0:
                     return spec
             await asyncio.sleep(LOOK_S)
-        words = next((c.log_tail() for c in self.processes.values() if not c.alive()), "")
-        raise ChildFailedError(f"no control machine leads after {within:.0f} s{words}")
+        log_tail = next((c.log_tail() for c in self.processes.values() if not c.alive()), "")
+        raise ChildFailedError(f"no control machine leads after {within:.0f} s{log_tail}")
 
     def kill(self, spec: MachineSpec) -> float:
         """SIGKILL; when it was."""
--- a/bench/scale/page.py
+++ b/bench/scale/page.py
@@ -65,8 +65,8 @@
     ]
     head = ["Name", "What, unit, size", "Size: median (lowest to highest; repeats)", "Fit"]
     note = f" {run.note}." if run.note else ""
-    said = f"Revision {run.program}, seed {run.seed}, Python {run.python}, {run.cores} cores.{note}\n\n"
-    return said + table(head, rows)
+    heading = f"Revision {run.program}, seed {run.seed}, Python {run.python}, {run.cores} cores.{note}\n\n"
+    return heading + table(head, rows)
 
 
 def _module(names: str) -> str:
@@ -165,9 +165,9 @@
 
 
 def tables(folder: Path = RESULTS) -> dict[str, Callable[[], str]]:
-    """All tables by name."""
+    """The functions that write each table, by its name."""
     book = SlopeBook(folder)
-    made: dict[str, Callable[[], str]] = {
+    writers: dict[str, Callable[[], str]] = {
         "assumptions": assumptions_table,
         "full-size": lambda: full_size_table(folder),
         "limits": lambda: limits_table(book),
@@ -180,20 +180,20 @@
         ),
     }
     for part in ("module", "list", "store", "observer", "connections", "lines", "stops", "probes"):
-        made[f"slopes-{part}"] = lambda part=part: slopes_table(book, part)  # type: ignore[misc]
+        writers[f"slopes-{part}"] = lambda part=part: slopes_table(book, part)  # type: ignore[misc]
     for role in roles.ROLES:
-        made[role] = lambda role=role: role_table(book, role)  # type: ignore[misc]
-    return made
+        writers[role] = lambda role=role: role_table(book, role)  # type: ignore[misc]
+    return writers
 
 
-def filled(page: str, made: dict[str, Callable[[], str]]) -> str:
+def fill_tables(page: str, writers: dict[str, Callable[[], str]]) -> str:
     """The page with each table as the results have it; `PageError` where a marker names none."""
 
     def fill(match: re.Match[str]) -> str:
         name = match[2]
-        if name not in made:
-            raise PageError(f"no table is called {name!r}; there are {', '.join(sorted(made))}")
-        return f"{match[1]}{made[name]()}{match[3]}"
+        if name not in writers:
+            raise PageError(f"no table is called {name!r}; there are {', '.join(sorted(writers))}")
+        return f"{match[1]}{writers[name]()}{match[3]}"
 
     if page.count("<!-- table: ") != len(_TABLE.findall(page)):
         raise PageError("a table's marker has no `<!-- end -->`, or a name that can't be read")
@@ -208,7 +208,7 @@
     """Writes the page's tables, or checks them."""
     try:
         old = path.read_text()
-        new = filled(old, tables())
+        new = fill_tables(old, tables())
     except (OSError, PageError, MissingResultError) as error:
         typer.echo(f"{path.name}: {error}", err=True)
         raise typer.Exit(2) from None
--- a/bench/scale/slopes_module.py
+++ b/bench/scale/slopes_module.py
@@ -195,7 +195,7 @@
 
 
 def listed(number: int, life: int = 0) -> dict[str, object]:
-    """A server as discovery words it."""
+    """A server as discovery lists it."""
     name = f"{server_name(number)}-{life}" if life else server_name(number)
     address = f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:7443"
     zone = f"zone-{number % 16:02d}"
@@ -265,9 +265,9 @@
 
 def list_bytes() -> list[Measurement]:
     """Of discovery's answers over HTTP, heads of both sides included."""
-    ask = b"GET /registry/instances?index=1&wait=5000 HTTP/1.1\r\nHost: 127.0.0.1:8500\r\n\r\n"
+    request = b"GET /registry/instances?index=1&wait=5000 HTTP/1.1\r\nHost: 127.0.0.1:8500\r\n\r\n"
     head = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 1234567\r\n\r\n"
-    fixed = len(ask) + len(head)
+    fixed = len(request) + len(head)
     whole = [point(n, [fixed + len(answer(range(n), 1, True))]) for n in SERVERS]
     changed = [point(n, [fixed + len(answer(range(n), 1, False))]) for n in (1, 10, 100)]
     return [
@@ -302,7 +302,7 @@
             backend.report = {"x0": rng.uniform(0.05, 0.9), "inflight": float(rng.randrange(60))}
             backend.report_at = reader.proxy.now()
         tells = GossipExchange("node-0001", reader.proxy, Metrics(), lambda: True)
-        hears = GossipExchange("node-0002", other.proxy, Metrics(), lambda: True)
+        receiver = GossipExchange("node-0002", other.proxy, Metrics(), lambda: True)
         dialer, acceptor = proven_pair()
         out, taken, frames = [], [], []
         for _ in range(REPEATS):
@@ -311,9 +311,9 @@
             out.append((time.process_time() - began) * 1e3)
             frames.append(float(len(frame)))
             began = time.process_time()
-            words, _ = acceptor.receive(frame)
-            for word in words:
-                hears.receive(cast(Gossip, word))
+            messages, _ = acceptor.receive(frame)
+            for message in messages:
+                receiver.receive(cast(Gossip, message))
             taken.append((time.process_time() - began) * 1e3)
         sizes.append(point(servers, frames))
         telling.append(point(servers, out))
--- a/bench/scale/slopes_observer.py
+++ b/bench/scale/slopes_observer.py
@@ -86,11 +86,11 @@
         self.subscriber_s += time.process_time() - began
         self._count(message, frame)
         began = time.process_time()
-        heard = _from_subscriber.decode(self.link.body(frame))
-        if isinstance(heard, messages.Subscribe):
-            self.publisher.subscribe(self.now, number, heard)
+        message = _from_subscriber.decode(self.link.body(frame))
+        if isinstance(message, messages.Subscribe):
+            self.publisher.subscribe(self.now, number, message)
         else:
-            self.publisher.receive(self.now, number, heard)
+            self.publisher.receive(self.now, number, message)
         self.publisher_s += time.process_time() - began
 
     def _to_subscriber(self, number: int, frame: bytes) -> None:
@@ -222,8 +222,10 @@
     gc.collect()
     tracemalloc.start()
     for number in range(count):
-        ask = messages.Subscribe(messages.VERSION, f"node-{number:04d}", f"life-{number:08x}", "region-1")
-        site.publisher.subscribe(site.now, number, ask)
+        subscribe = messages.Subscribe(
+            messages.VERSION, f"node-{number:04d}", f"life-{number:08x}", "region-1"
+        )
+        site.publisher.subscribe(site.now, number, subscribe)
         while site.publisher.take():
             pass
         renew = messages.Renew(1, site.machine.revision)
--- a/bench/scale/slopes_store.py
+++ b/bench/scale/slopes_store.py
@@ -40,13 +40,13 @@
 
 def filled(keys: int, seed: int) -> StateMachine:
     """A machine with so many keys, and its full history of changes."""
-    made, rng = StateMachine(), Random(seed)
+    machine, rng = StateMachine(), Random(seed)
     for number in range(1, keys // BATCH + 1):
         first = number * BATCH
         ops = tuple(KeyUpdate(f"config/key-{k:08d}", value(rng)) for k in range(first, first + BATCH))
-        made.apply(number, logged(number, ops))
-        made.take_unsaved()
-    return made
+        machine.apply(number, logged(number, ops))
+        machine.take_unsaved()
+    return machine
 
 
 def states(seed: int) -> list[Measurement]:
@@ -107,7 +107,7 @@
 
 
 class Leader:
-    """A leader's book of leases, and a link for all its holders; frames are read and made as on sockets."""
+    """A leader's leases, and a link for all holders; frames are encoded and decoded as on sockets."""
 
     def __init__(self, holders: int) -> None:
         self.names = [f"node-{k:04d}.abcdef" for k in range(holders)]
@@ -123,11 +123,13 @@
             self.serial += 1
             frame = self.dialer.send(wire.LeaseRequest(name, self.serial, applied))
             began = time.process_time()
-            words, _ = self.acceptor.receive(frame)
-            for ask in words:
-                assert isinstance(ask, wire.LeaseRequest)
-                length = self.granter.grant(self.now, ask.holder, ask.applied, self.now + 1.0)
-                answer = self.acceptor.send(wire.LeaseGrant(ask.holder, ask.serial, 1, ask.applied, length))
+            messages, _ = self.acceptor.receive(frame)
+            for request in messages:
+                assert isinstance(request, wire.LeaseRequest)
+                length = self.granter.grant(self.now, request.holder, request.applied, self.now + 1.0)
+                answer = self.acceptor.send(
+                    wire.LeaseGrant(request.holder, request.serial, 1, request.applied, length)
+                )
             self.spent += time.process_time() - began
             self.bytes += len(frame) + len(answer)
             self.dialer.receive(answer)
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -103,7 +103,7 @@
     assert done.exit_code == 2
     assert path.read_text() == text
     with pytest.raises(page.PageError):
-        page.filled(text, page.tables())
+        page.fill_tables(text, page.tables())
 
 
 def test_a_figure_without_a_run_is_an_error_and_not_a_gap(results: Path) -> None:
