--- a/bench/scale/roles/largest_group.py
+++ b/bench/scale/roles/largest_group.py
@@ -6,7 +6,7 @@
 from bench.scale.rates import S_PER_US
 from bench.scale.roles.row import Row
 from bench.scale.slope_book import SlopeBook, figure
-from gradegap.balancing.grouping import RING_CANDIDATES
+from gradegap.balancing.grouping import RING_CANDIDATE_COUNT
 
 
 def rows(book: SlopeBook) -> list[Row]:
@@ -36,7 +36,7 @@
             f"{figure(target.LARGEST_GROUP / (target.CONNECTIONS / target.SERVERS_2))} with "
             f"{target.SERVERS_2:,}",
             f"at the mean of {figure(target.CONNECTIONS_PER_SERVER)} connections a server; draws walk "
-            f"{RING_CANDIDATES} servers of the ring and then the whole list",
+            f"{RING_CANDIDATE_COUNT} servers of the ring and then the whole list",
             "balancing/grouping.py, balancing/hash_ring.py",
         ),
     ]
@@ -57,8 +57,8 @@
         Row(
             "the group of 850,000",
             "its coming back at once, at servers",
-            f"{figure(target.LARGEST_GROUP / RING_CANDIDATES)} at each of {RING_CANDIDATES}",
-            f"all nodes walk the same {RING_CANDIDATES} servers first",
+            f"{figure(target.LARGEST_GROUP / RING_CANDIDATE_COUNT)} at each of {RING_CANDIDATE_COUNT}",
+            f"all nodes walk the same {RING_CANDIDATE_COUNT} servers first",
             "balancing/grouping.py, balancing/hash_ring.py",
         ),
     ]
--- a/bench/scale/verdicts.py
+++ b/bench/scale/verdicts.py
@@ -12,7 +12,7 @@
 from bench.scale.slope_book import SlopeBook, figure, in_bytes, share
 from bench.scale.slow_start_bound import FAILING_FACTOR, FAILING_PROCESSES, TEST, slow_start_bound
 from bench.scale.verdict import BY_SLOPE, FULL_SIZE, NOT_HELD, NOT_OURS, NOT_RUN, Verdict, held
-from gradegap.balancing.grouping import RING_CANDIDATES
+from gradegap.balancing.grouping import RING_CANDIDATE_COUNT
 from gradegap.observer.limits import Limits
 from gradegap.store.leases import MAX_LEASE_HOLDERS
 
@@ -72,8 +72,8 @@
             "the largest group, 850,000",
             "holds by slope at a node; does not hold at servers where they are many",
             f"{figure(members)} members a node; {figure(servers)} servers full of it with {target.SERVERS}, "
-            f"{figure(servers_2)} with {target.SERVERS_2:,}, where the walk names {RING_CANDIDATES}: "
-            f"short by {figure(servers_2 / RING_CANDIDATES)} times, and the rest is drawn from the "
+            f"{figure(servers_2)} with {target.SERVERS_2:,}, where the walk names {RING_CANDIDATE_COUNT}: "
+            f"short by {figure(servers_2 / RING_CANDIDATE_COUNT)} times, and the rest is drawn from the "
             "whole list. "
             "Its coming back at once was not run",
         ),
--- a/gradegap/balancing/attempts.py
+++ b/gradegap/balancing/attempts.py
@@ -27,7 +27,7 @@
 class Attempts:
     """Sends attempts, and gives the one final answer of a request that has none under way."""
 
-    __slots__ = ("context", "observer", "outliers", "process_ending", "rates", "table")
+    __slots__ = ("context", "is_process_ending", "observer", "outliers", "rates", "table")
 
     def __init__(
         self, context: Context, table: RequestTable, rates: OutcomeRates, outliers: OutlierEjection
@@ -36,7 +36,7 @@
         self.table = table
         self.rates = rates
         self.outliers = outliers
-        self.process_ending = False  # this proxy's process ends: nothing new is sent
+        self.is_process_ending = False  # this proxy's process ends: nothing new is sent
         self.observer: DecisionObserver | None = None
 
     def forward(self, request: Request, endpoint: Endpoint) -> None:
@@ -77,7 +77,7 @@
         request.finished = True
         del self.table.requests[request.id]
         longest = context.settings.max_retry_after
-        if self.process_ending:
+        if self.is_process_ending:
             longest = min(PROXY_DRAIN_DELAY_S, longest)
         retry_after = longest * (0.5 + 0.5 * context.random())
         rejects = self._is_harmless(request)
--- a/gradegap/balancing/balancer.py
+++ b/gradegap/balancing/balancer.py
@@ -89,7 +89,7 @@
         )
         self.migration = Migration(context, self.table, self.load_estimates, self.report_statistics)
         self.draining = Draining(context, self.registry, self.table, self.attempts, self.migration)
-        self.registry.on_leaving = self.draining.drain_endpoint
+        self.registry.on_endpoint_leaving = self.draining.drain_endpoint
         self.lifecycle = RequestLifecycle(
             context,
             self.registry,
--- a/gradegap/balancing/connection_growth.py
+++ b/gradegap/balancing/connection_growth.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from gradegap.balancing.context import Context
-from gradegap.balancing.rates import BaselineRate
+from gradegap.balancing.rates import MovingAverage
 from gradegap.balancing.request_table import RequestTable
 
 REPORT_DELAY_S = 5.0
@@ -18,7 +18,7 @@
     def __init__(self, context: Context, table: RequestTable) -> None:
         self.context = context
         self.table = table
-        self.baseline = BaselineRate()
+        self.baseline = MovingAverage()
         self.inherited_count = 0  # connections that this proxy took over from its predecessor
 
     def factor(self) -> float:
@@ -28,13 +28,13 @@
         self.baseline.observe(context.now, count, REPORT_DELAY_S)
         if context.now - context.started_at < REPORT_DELAY_S and not self.inherited_count:
             return 1.0
-        return max(1.0, (count + 1.0) / (self.baseline.number + 1.0))
+        return max(1.0, (count + 1.0) / (self.baseline.value + 1.0))
 
     def add_known(self) -> None:
         """Counts a connection as usual that was established elsewhere: reports had it all along."""
-        self.baseline.number += 1.0
+        self.baseline.value += 1.0
 
     def add_inherited(self) -> None:
         """Counts a connection that this proxy took over; reports have it already."""
         self.inherited_count += 1
-        self.baseline.number += 1.0
+        self.baseline.value += 1.0
--- a/gradegap/balancing/draining.py
+++ b/gradegap/balancing/draining.py
@@ -46,10 +46,10 @@
         "attempts",
         "context",
         "drained_by",
+        "is_round_scheduled",
         "learned_drain_time",
         "migration",
         "registry",
-        "scheduled",
         "table",
     )
 
@@ -68,7 +68,7 @@
         self.migration = migration
         self.learned_drain_time = DEFAULT_DRAIN_TIME_S  # s
         self.drained_by = 0.0  # when this proxy must have migrated all its connections; 0: it stays
-        self.scheduled = False  # whether the timer of this proxy's next round is set
+        self.is_round_scheduled = False  # whether the timer of this proxy's next round is set
 
     def drain_endpoint(self, endpoint: Endpoint) -> None:
         """Schedules the migration off an endpoint that is draining or removed, once."""
@@ -107,13 +107,13 @@
         """
         attempts = self.attempts
         self.drained_by = min(self.drained_by or event.deadline_at, event.deadline_at)
-        attempts.process_ending = attempts.process_ending or event.process_ends
-        if attempts.process_ending:
+        attempts.is_process_ending = attempts.is_process_ending or event.process_ends
+        if attempts.is_process_ending:
             requests = self.table.requests.values()
             for request in [r for r in requests if not r.attempt_in_flight and not r.finished]:
                 attempts.give_up(request)
-        if not self.scheduled:
-            self.scheduled = True
+        if not self.is_round_scheduled:
+            self.is_round_scheduled = True
             delay = min(PROXY_DRAIN_DELAY_S, max(0.0, event.deadline_at - self.context.now))
             self.context.actions.append(SetTimer(delay, PROXY_DRAIN_TOKEN))
 
@@ -123,8 +123,8 @@
 
     def run_proxy_round(self) -> None:
         """Migrates the next connections off this proxy, unless it stays after all."""
-        self.scheduled = self.drained_by > 0.0
-        if self.scheduled:
+        self.is_round_scheduled = self.drained_by > 0.0
+        if self.is_round_scheduled:
             endpoints = self.registry.endpoints.values()
             held = [request for endpoint in endpoints for request in endpoint.connections.values()]
             self._migrate_share(held, self.drained_by, PROXY_DRAIN_TOKEN)
--- a/gradegap/balancing/endpoint_registry.py
+++ b/gradegap/balancing/endpoint_registry.py
@@ -31,23 +31,23 @@
         "context",
         "endpoints",
         "hash_ring",
+        "is_poll_scheduled",
         "list_failures",
         "n_log_n",
-        "on_leaving",
-        "poll_scheduled",
+        "on_endpoint_leaving",
         "ready",
     )
 
     def __init__(self, context: Context) -> None:
         self.context = context
-        self.on_leaving: Callable[[Endpoint], None] = _ignore
+        self.on_endpoint_leaving: Callable[[Endpoint], None] = _ignore
         """Called for an endpoint that is draining or removed while this proxy has connections there."""
         self.endpoints: dict[str, Endpoint] = {}
         self.ready: list[Endpoint] = []
         self.hash_ring: hash_ring.Ring = []
         self.n_log_n = 0.0  # of the number of ready endpoints, natural logarithm
         self.list_failures = 0  # calls to discovery that failed in a row
-        self.poll_scheduled = False
+        self.is_poll_scheduled = False
 
     def update(self, event: EndpointList) -> None:
         """Takes over an endpoint list, or a change of it."""
@@ -63,7 +63,7 @@
             self._update_endpoint(entry, event.kind is EndpointListKind.DELTA)
         self.n_log_n = len(self.ready) * math.log(max(1, len(self.ready)))
         if event.kind is not EndpointListKind.CACHED:
-            self.poll_scheduled, self.list_failures = False, 0
+            self.is_poll_scheduled, self.list_failures = False, 0
         elif self.context.settings.polls_endpoints:
             crowd = min(1.0, self.context.settings.proxy_count / 10)
             self._schedule_poll(FIRST_POLL_SPREAD * self.context.random() * crowd)
@@ -82,15 +82,15 @@
 
         Each proxy waits longer after every failure, so that together they don't overrun discovery.
         """
-        self.poll_scheduled = False
+        self.is_poll_scheduled = False
         self.list_failures += 1
         self._schedule_poll(min(1.0, 0.1 * 2.0**self.list_failures) * (0.5 + self.context.random()))
 
     def _schedule_poll(self, share: float) -> None:
         """Sets the timer of the next call to discovery, after a share of `Settings.poll_within`."""
         settings = self.context.settings
-        if settings.polls_endpoints and not self.poll_scheduled:
-            self.poll_scheduled = True
+        if settings.polls_endpoints and not self.is_poll_scheduled:
+            self.is_poll_scheduled = True
             self.context.actions.append(SetTimer(share * settings.poll_within, ENDPOINT_LIST_TOKEN))
 
     def _update_endpoint(self, entry: EndpointEntry, is_change: bool) -> None:
@@ -123,7 +123,7 @@
         if phase is EndpointPhase.READY:
             endpoint.draining_since = 0.0
         elif endpoint.connections:
-            self.on_leaving(endpoint)
+            self.on_endpoint_leaving(endpoint)
         else:
             self.forget_unused(endpoint)
 
--- a/gradegap/balancing/grouping.py
+++ b/gradegap/balancing/grouping.py
@@ -14,7 +14,7 @@
 from gradegap.balancing.events import RequestArrived
 from gradegap.balancing.model import Endpoint, Request
 
-RING_CANDIDATES = 8
+RING_CANDIDATE_COUNT = 8
 """Endpoints of the hash ring that a group's request draws from before it draws from all that are ready."""
 
 GROUP_SETUP_CONNECTIONS = 8.0
@@ -85,6 +85,7 @@
         homes = [endpoint for endpoint in registry.ready if key in endpoint.connections_by_group]
         homes.sort(key=lambda endpoint: -endpoint.connections_by_group[key])
         near = [
-            registry.endpoints[name] for name in hash_ring.order(registry.hash_ring, key, RING_CANDIDATES)
+            registry.endpoints[name]
+            for name in hash_ring.order(registry.hash_ring, key, RING_CANDIDATE_COUNT)
         ]
         return homes + [endpoint for endpoint in near if endpoint not in homes]
--- a/gradegap/balancing/health_checks.py
+++ b/gradegap/balancing/health_checks.py
@@ -49,7 +49,7 @@
 class HealthChecks:
     """Sends health checks, and knows how many of them are answered."""
 
-    __slots__ = ("answered_share", "budget", "context", "outliers", "registry", "reports", "scheduled")
+    __slots__ = ("answered_share", "budget", "context", "is_scheduled", "outliers", "registry", "reports")
 
     def __init__(
         self, context: Context, registry: EndpointRegistry, reports: LoadReports, outliers: OutlierEjection
@@ -60,7 +60,7 @@
         self.outliers = outliers
         self.budget = MAX_HEALTH_CHECK_BUDGET / 2
         self.answered_share = 1.0  # of late
-        self.scheduled = False  # whether the timer of the schedule is set
+        self.is_scheduled = False  # whether the timer of the schedule is set
 
     def earn(self, is_returning: bool) -> None:
         """Adds to the budget what one request brings."""
@@ -97,8 +97,8 @@
 
     def start_schedule(self) -> None:
         """Sets the timer of the schedule, unless it is set."""
-        if self.context.uses_health_checks and not self.scheduled:
-            self.scheduled = True
+        if self.context.uses_health_checks and not self.is_scheduled:
+            self.is_scheduled = True
             delay = HEALTH_CHECK_INTERVAL_FULL_S * (0.5 + self.context.random())
             self.context.actions.append(SetTimer(delay, HEALTH_CHECKS_TOKEN))
 
@@ -114,8 +114,8 @@
                     self.send(endpoint)
                 due_in = HEALTH_CHECK_INTERVAL_FULL_S
             nearest = min(nearest, due_in)
-        self.scheduled = bool(holding) and context.uses_health_checks
-        if self.scheduled:
+        self.is_scheduled = bool(holding) and context.uses_health_checks
+        if self.is_scheduled:
             delay = max(SHORTEST_PAUSE_S, nearest) * (0.75 + 0.5 * context.random())
             context.actions.append(SetTimer(delay, HEALTH_CHECKS_TOKEN))
 
--- a/gradegap/balancing/migration.py
+++ b/gradegap/balancing/migration.py
@@ -85,8 +85,8 @@
         tolerance = 1.0 if unresponsive else 1.0 + self.statistics.noise
         last_round_unseen = (
             not unresponsive
-            and now < endpoint.migration_shown_by
-            and (endpoint.last_report[1] or 0.0) > endpoint.migration_shown_count
+            and now < endpoint.migration_unconfirmed_until
+            and (endpoint.last_report[1] or 0.0) > endpoint.migration_confirmed_count
         )
         if load is None or load < MIGRATION_START_LOAD * tolerance:
             return
@@ -102,8 +102,8 @@
         if count:
             reported = endpoint.last_report[1]
             if reported:
-                endpoint.migration_shown_by = now + REPORT_DELAY_S
-                endpoint.migration_shown_count = reported - MIGRATION_SHOWN_SHARE * count
+                endpoint.migration_unconfirmed_until = now + REPORT_DELAY_S
+                endpoint.migration_confirmed_count = reported - MIGRATION_SHOWN_SHARE * count
             self.migrate(self._cheapest(endpoint, count))
 
     def _overload(self, endpoint: Endpoint, most_answer: bool) -> float | None:
--- a/gradegap/balancing/model.py
+++ b/gradegap/balancing/model.py
@@ -54,9 +54,9 @@
     """Not selected before this time, where another endpoint can be."""
     migration_paused_until: float = 0.0
     """No connections are migrated off it before this time."""
-    migration_shown_by: float = 0.0
-    """Nor before this time, unless it reports at most `migration_shown_count` connections."""
-    migration_shown_count: float = 0.0
+    migration_unconfirmed_until: float = 0.0
+    """Nor before this time, unless it reports at most `migration_confirmed_count` connections."""
+    migration_confirmed_count: float = 0.0
     stops_within: float = 0.0
     """Seconds that it stays once it is draining, as the endpoint list says; 0 where the list does not."""
     draining_since: float = 0.0
--- a/gradegap/balancing/rates.py
+++ b/gradegap/balancing/rates.py
@@ -17,40 +17,44 @@
 class DecayingRate:
     """Events a second, by two exponentially decaying counts."""
 
-    __slots__ = ("at", "fast", "slow")
+    __slots__ = ("fast_rate", "slow_rate", "updated_at")
 
     def __init__(self) -> None:
-        self.fast = self.slow = self.at = 0.0  # events a second, when the last one came
+        self.fast_rate = self.slow_rate = self.updated_at = 0.0  # events a second, when the last one came
 
     def add(self, now: float) -> None:
         """Counts one event."""
-        self.slow = self.slow * math.exp((self.at - now) / SLOW_MEMORY_S) + 1 / SLOW_MEMORY_S
-        self.fast = self.fast * math.exp((self.at - now) / FAST_MEMORY_S) + 1 / FAST_MEMORY_S
-        self.at = now
+        self.slow_rate = (
+            self.slow_rate * math.exp((self.updated_at - now) / SLOW_MEMORY_S) + 1 / SLOW_MEMORY_S
+        )
+        self.fast_rate = (
+            self.fast_rate * math.exp((self.updated_at - now) / FAST_MEMORY_S) + 1 / FAST_MEMORY_S
+        )
+        self.updated_at = now
 
     def recent(self, now: float) -> float:
         """Returns the rate by the short memory."""
-        return self.fast * math.exp((self.at - now) / FAST_MEMORY_S)
+        return self.fast_rate * math.exp((self.updated_at - now) / FAST_MEMORY_S)
 
     def rate(self, now: float) -> float:
         """Returns the larger of the rates by the two memories, so that it rises at once in a wave."""
-        return max(self.slow * math.exp((self.at - now) / SLOW_MEMORY_S), self.recent(now))
+        return max(self.slow_rate * math.exp((self.updated_at - now) / SLOW_MEMORY_S), self.recent(now))
 
 
-class BaselineRate:
+class MovingAverage:
     """The usual value of a number: its exponential moving average."""
 
-    __slots__ = ("at", "number")
+    __slots__ = ("updated_at", "value")
 
     def __init__(self) -> None:
-        self.number = self.at = 0.0
+        self.value = self.updated_at = 0.0
 
-    def observe(self, now: float, number: float, memory: float) -> None:
+    def observe(self, now: float, value: float, memory: float) -> None:
         """Takes over the number at a time; `memory` is the time constant in seconds."""
-        if now > self.at:
-            part = 1.0 - math.exp((self.at - now) / memory)
-            self.number += part * (number - self.number) if self.number else number
-            self.at = now
+        if now > self.updated_at:
+            part = 1.0 - math.exp((self.updated_at - now) / memory)
+            self.value += part * (value - self.value) if self.value else value
+            self.updated_at = now
 
 
 class LatencyEstimate:
--- a/gradegap/balancing/selection.py
+++ b/gradegap/balancing/selection.py
@@ -101,7 +101,7 @@
         if self.observer is not None:
             self.observer.draw_started(request)
         context = self.context
-        if self.attempts.process_ending or context.now >= request.retry_until:
+        if self.attempts.is_process_ending or context.now >= request.retry_until:
             self.attempts.give_up(request)
             return
         # Attempts would keep an overrun fleet overrun: by the excess of failures, some wait or come again.
--- a/gradegap/balancing/settings_reader.py
+++ b/gradegap/balancing/settings_reader.py
@@ -18,11 +18,11 @@
     WeightMeaning,
 )
 
-NS = 1e-9
+SECONDS_PER_NANOSECOND = 1e-9
 """Seconds in a nanosecond, the unit of times on the wire."""
 
 SOURCES = {"inline": ReportSource.ANSWERS, "on_probe": ReportSource.PROBE, "off": ReportSource.NONE}
-FIELDS = {
+REPORT_FIELD_NAMES = {
     "concurrent": "inflight",
     "depth": "queue",
     "load_share": "util",
@@ -38,14 +38,14 @@
 """Flat pairs; a value that is missing is the text `null`."""
 
 
-def report(text: str | None) -> dict[str, float] | None:
+def parse_report(text: str | None) -> dict[str, float] | None:
     """Returns a load report, `name:value` pairs set apart by commas, under the names of the settings."""
     if not text or text == "-":
         return None
     values = {}
     for pair in text.split(","):
         name, _, value = pair.partition(":")
-        values[FIELDS.get(name, name)] = float(value)
+        values[REPORT_FIELD_NAMES.get(name, name)] = float(value)
     return values
 
 
@@ -62,7 +62,7 @@
         return float(self.values[name]) if self.values.get(name) else default
 
     def seconds(self, name: str, default: float = 0.0) -> float:
-        return float(self.values[name]) * NS if self.values.get(name) else default
+        return float(self.values[name]) * SECONDS_PER_NANOSECOND if self.values.get(name) else default
 
     def flag(self, name: str) -> bool:
         return self.values.get(name) in ("true", "1")
@@ -89,7 +89,9 @@
         "max_retry_after": seconds("Bounds.MaxRetryAfterNs") if flag("Bounds.RetryAfter") else 0.0,
         "health_checks": flag("Bounds.Probes"),
         "report_source": SOURCES.get(pairs.text("Telemetry.Source", "off"), ReportSource.NONE),
-        "report_fields": tuple(FIELDS.get(name, name) for name in pairs.texts("Telemetry.Fields")),
+        "report_fields": tuple(
+            REPORT_FIELD_NAMES.get(name, name) for name in pairs.texts("Telemetry.Fields")
+        ),
         "weight_meaning": WEIGHTS.get(pairs.text("Weights", "off"), WeightMeaning.NONE),
         "connection_groups": flag("FamilyInfo.Groups"),
         "passthrough": pairs.text("FamilyInfo.Mode") == "pass",
@@ -121,7 +123,7 @@
             idempotency=Idempotency(pairs.text(prefix + "Idempotency", "safe")),
             deduplication_scope=DeduplicationScope(pairs.text(prefix + "Group", "all")),
             deduplication_window=pairs.seconds(prefix + "DedupWindowNs"),
-            message_latency_objective=(_entry(message_objectives, position) or 0.0) * NS,
+            message_latency_objective=(_entry(message_objectives, position) or 0.0) * SECONDS_PER_NANOSECOND,
         )
     return classes
 
--- a/gradegap/balancing/slow_start.py
+++ b/gradegap/balancing/slow_start.py
@@ -127,12 +127,12 @@
         after the first seconds alone gives the mean rate since then; those seconds may be a wave of returns.
         """
         if self.settled_at == NEVER and now >= self.started_at + SETTLING_TIME_S:
-            self.settled_at, self.settled_rate = now, sent.slow
+            self.settled_at, self.settled_rate = now, sent.slow_rate
         since = now - self.settled_at
         if self.settled_at == NEVER or since < SETTLING_TIME_S:
-            return sent.slow
+            return sent.slow_rate
         decay = math.exp(-since / SLOW_MEMORY_S)
-        return max(sent.slow, (sent.slow - self.settled_rate * decay) / (1.0 - decay))
+        return max(sent.slow_rate, (sent.slow_rate - self.settled_rate * decay) / (1.0 - decay))
 
 
 def _refill_by_sends(
--- a/gradegap/simulator_adapter.py
+++ b/gradegap/simulator_adapter.py
@@ -41,7 +41,7 @@
     TimerFired,
 )
 from gradegap.balancing.settings import Settings
-from gradegap.balancing.settings_reader import NS, Fields, read, report
+from gradegap.balancing.settings_reader import SECONDS_PER_NANOSECOND, Fields, parse_report, read
 
 RESULTS = {str(int(result)): result for result in AttemptResult}
 LIST_KINDS = {str(int(kind)): kind for kind in EndpointListKind}
@@ -68,11 +68,11 @@
     return RequestArrived(
         int(fields["Tid"]),
         fields["Service"],
-        int(fields["DeadlineNs"]) * NS,
+        int(fields["DeadlineNs"]) * SECONDS_PER_NANOSECOND,
         get("Tenant", ""),
         get("RouteKey", ""),
         get("TeamId", ""),
-        float(get("WorkNs", 0)) * NS,
+        float(get("WorkNs", 0)) * SECONDS_PER_NANOSECOND,
         get("Retry") == "1",
         get("MidFlow") == "1",
         get("Reconnect") == "1",
@@ -85,7 +85,10 @@
 
 def _parse_established(fields: Fields) -> ConnectionEstablished:
     return ConnectionEstablished(
-        int(fields["Tid"]), int(fields["Go"]), fields["Server"], int(fields["SpentNs"]) * NS
+        int(fields["Tid"]),
+        int(fields["Go"]),
+        fields["Server"],
+        int(fields["SpentNs"]) * SECONDS_PER_NANOSECOND,
     )
 
 
@@ -105,9 +108,9 @@
         int(fields["Go"]),
         fields["Server"],
         RESULTS[fields["StateCode"]],
-        int(fields.get("SpentNs", 0)) * NS,
+        int(fields.get("SpentNs", 0)) * SECONDS_PER_NANOSECOND,
         fields.get("Settled") == "1",
-        report(fields.get("ServerStats")),
+        parse_report(fields.get("ServerStats")),
     )
 
 
@@ -115,8 +118,8 @@
     return HealthCheckEnded(
         fields["Server"],
         RESULTS[fields["StateCode"]],
-        int(fields.get("SpentNs", 0)) * NS,
-        report(fields.get("ServerStats")),
+        int(fields.get("SpentNs", 0)) * SECONDS_PER_NANOSECOND,
+        parse_report(fields.get("ServerStats")),
     )
 
 
@@ -140,7 +143,7 @@
         int(fields.get("Cluster", 0)),
         PHASES[fields["Phase"]],
         float(fields.get("Share", 1)),
-        int(fields.get("BootTimeNs", 0)) * NS,
+        int(fields.get("BootTimeNs", 0)) * SECONDS_PER_NANOSECOND,
     )
 
 
@@ -203,7 +206,7 @@
     def _answer_batch(self, first: str, lines: Iterator[str]) -> list[str]:
         if first.split("\t", maxsplit=1)[0] != "batch":
             raise MalformedInputError("a batch must begin with 'batch'")
-        now = int(_parse_fields(first)["TNs"]) * NS
+        now = int(_parse_fields(first)["TNs"]) * SECONDS_PER_NANOSECOND
         reply: list[str] = []
         instance: str | None = None
         answered_as: str | None = None
--- a/gradegap/upstream/answers.py
+++ b/gradegap/upstream/answers.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from gradegap.balancing.events import AttemptResult
-from gradegap.balancing.settings_reader import FIELDS
+from gradegap.balancing.settings_reader import REPORT_FIELD_NAMES
 from gradegap.transport.lines import InvalidLineError, parse_number
 
 _ESTABLISHED = re.compile(rb"UP [!-~][ -~]*")
@@ -59,5 +59,5 @@
         name, sign, value = pair.partition("=")
         if sign:
             with contextlib.suppress(InvalidLineError):
-                report[FIELDS.get(name, name)] = parse_number(value)
+                report[REPORT_FIELD_NAMES.get(name, name)] = parse_number(value)
     return report or None
--- a/tests/compatibility/surface.py
+++ b/tests/compatibility/surface.py
@@ -92,7 +92,7 @@
 
 def load_report(text: str) -> Any:
     """A load report of the simulator's wire."""
-    return settings_reader.report(text)
+    return settings_reader.parse_report(text)
 
 
 def node_configuration(path: str | None) -> Any:
