--- a/bench/quic.py
+++ b/bench/quic.py
@@ -31,7 +31,7 @@
 from gradegap.quic.relay import DatagramForwarder, ForwardedDatagrams, socket_pair
 from gradegap.quic.routing import Router
 from tests.support.node_environment import EndpointServer
-from tests.support.quic_harness import QuicClient, make_certificate, quic_world
+from tests.support.quic_harness import QuicClient, make_certificate, running_quic_node
 from tests.test_quic_fuzz import SERVER, Pair
 
 HANDSHAKES = 60
@@ -246,7 +246,7 @@
     """What a node as a process costs over QUIC and over TCP."""
     with (
         tempfile.TemporaryDirectory() as name,
-        quic_world(Path(name), [EndpointServer(n) for n in "abcdef"]) as (world, port),
+        running_quic_node(Path(name), [EndpointServer(n) for n in "abcdef"]) as (world, port),
     ):
         pid = world.process.pid
         return {
--- a/tests/support/lossy.py
+++ b/tests/support/lossy_datagram_relay.py
@@ -11,20 +11,22 @@
 from types import TracebackType
 
 
-class Lossy:
+class LossyDatagramRelay:
     """Clients speak to `port`; each has a socket of its own towards the node."""
 
-    def __init__(self, peer: tuple[str, int], seed: int, lost: float, doubled: float, late: float) -> None:
+    def __init__(
+        self, peer: tuple[str, int], seed: int, loss_ratio: float, duplicate_ratio: float, late_ratio: float
+    ) -> None:
         """Parts of all datagrams, either way; one that is late comes up to 30 ms after others."""
         self.peer, self.rng = peer, random.Random(seed)
-        self.lost, self.doubled, self.late = lost, doubled, late
-        self.front = self._socket()
-        self.port: int = self.front.getsockname()[1]
-        self.back: dict[tuple[str, int], socket.socket] = {}  # by client
-        self.whose: dict[socket.socket, tuple[str, int]] = {}
+        self.loss_ratio, self.duplicate_ratio, self.late_ratio = loss_ratio, duplicate_ratio, late_ratio
+        self.client_socket = self._socket()
+        self.port: int = self.client_socket.getsockname()[1]
+        self.socket_by_client: dict[tuple[str, int], socket.socket] = {}  # by client
+        self.client_by_socket: dict[socket.socket, tuple[str, int]] = {}
         self.waiting: list[tuple[float, int, socket.socket, tuple[str, int], bytes]] = []
         self.count = self.dropped = 0
-        self.over = threading.Event()
+        self.stopped = threading.Event()
         self.thread = threading.Thread(target=self._run, daemon=True)
 
     @staticmethod
@@ -33,38 +35,40 @@
         sock.bind(("127.0.0.1", 0))
         return sock
 
-    def __enter__(self) -> Lossy:
+    def __enter__(self) -> LossyDatagramRelay:
         self.thread.start()
         return self
 
     def __exit__(self, kind: type | None, error: BaseException | None, trace: TracebackType | None) -> None:
-        self.over.set()
+        self.stopped.set()
         self.thread.join(5.0)
-        for sock in (self.front, *self.whose):
+        for sock in (self.client_socket, *self.client_by_socket):
             sock.close()
 
     def _pass(self, out: socket.socket, to: tuple[str, int], data: bytes) -> None:
-        for _ in range(2 if self.rng.random() < self.doubled else 1):
-            if self.rng.random() < self.lost:
+        for _ in range(2 if self.rng.random() < self.duplicate_ratio else 1):
+            if self.rng.random() < self.loss_ratio:
                 self.dropped += 1
                 continue
-            wait = self.rng.uniform(0.0, 0.03) if self.rng.random() < self.late else 0.0
+            wait = self.rng.uniform(0.0, 0.03) if self.rng.random() < self.late_ratio else 0.0
             self.count += 1
             heapq.heappush(self.waiting, (time.monotonic() + wait, self.count, out, to, data))
 
     def _run(self) -> None:
-        while not self.over.is_set():
+        while not self.stopped.is_set():
             now = time.monotonic()
             while self.waiting and self.waiting[0][0] <= now:
                 _, _, out, to, data = heapq.heappop(self.waiting)
                 out.sendto(data, to)
             left = self.waiting[0][0] - now if self.waiting else 0.05
-            for sock in select.select([self.front, *self.whose], [], [], min(0.05, max(0.0, left)))[0]:
+            for sock in select.select(
+                [self.client_socket, *self.client_by_socket], [], [], min(0.05, max(0.0, left))
+            )[0]:
                 data, address = sock.recvfrom(65536)
-                if sock is not self.front:
-                    self._pass(self.front, self.whose[sock], data)
+                if sock is not self.client_socket:
+                    self._pass(self.client_socket, self.client_by_socket[sock], data)
                     continue
-                if address not in self.back:
-                    self.back[address] = made = self._socket()
-                    self.whose[made] = address
-                self._pass(self.back[address], self.peer, data)
+                if address not in self.socket_by_client:
+                    self.socket_by_client[address] = made = self._socket()
+                    self.client_by_socket[made] = address
+                self._pass(self.socket_by_client[address], self.peer, data)
--- a/tests/support/quic_harness.py
+++ b/tests/support/quic_harness.py
@@ -50,80 +50,82 @@
         config = QuicConfiguration(is_client=True, alpn_protocols=["gradegap/1"], verify_mode=ssl.CERT_NONE)
         self.peer = ("127.0.0.1", port)
         self.quic = QuicConnection(configuration=config)
-        self.socks = [self._socket()]
-        self.ids: set[bytes] = set()  # the node's ids that its packets were sent to
-        self.data = b""
+        self.sockets = [self._socket()]
+        self.connection_ids: set[bytes] = set()  # the node's ids that its packets were sent to
+        self.received_data = b""
         self.closed: events.ConnectionTerminated | None = None
-        self.shook = self.ended = self.reset = False
+        self.handshake_done = self.stream_ended = self.got_stateless_reset = False
         self.quic.connect(self.peer, now=time.time())
-        self.until(lambda: self.shook, within)
+        self.run_until(lambda: self.handshake_done, within)
 
     def _socket(self) -> socket.socket:
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.bind(("127.0.0.1", 0))
         return sock
 
-    def hop(self, new_id: bool = False) -> None:
+    def change_address(self, new_id: bool = False) -> None:
         """From now on from another port; the old one hears nothing more."""
-        self.socks.append(self._socket())
-        self.socks.pop(0).close()
+        self.sockets.append(self._socket())
+        self.sockets.pop(0).close()
         if new_id:
             self.quic.change_connection_id()
 
     def step(self, wait: float = 0.01) -> None:
         for data, _ in self.quic.datagrams_to_send(now=time.time()):
             if not data[0] & 0x80:
-                self.ids.add(data[1:9])
-            self.socks[0].sendto(data, self.peer)
-        if select.select(self.socks, [], [], wait)[0]:
-            data, address = self.socks[0].recvfrom(65536)
+                self.connection_ids.add(data[1:9])
+            self.sockets[0].sendto(data, self.peer)
+        if select.select(self.sockets, [], [], wait)[0]:
+            data, address = self.sockets[0].recvfrom(65536)
             known = (self.quic._peer_cid, *self.quic._peer_cid_available)
             # RFC 9000, 10.3.1; aioquic's own client does not look for it.
-            self.reset = self.reset or data[-16:] in {i.stateless_reset_token for i in known} - {b""}
+            self.got_stateless_reset = self.got_stateless_reset or data[-16:] in {
+                i.stateless_reset_token for i in known
+            } - {b""}
             self.quic.receive_datagram(data, address, now=time.time())
         timer = self.quic.get_timer()
         if timer is not None and timer <= time.time():
             self.quic.handle_timer(now=time.time())
         while (event := self.quic.next_event()) is not None:
             if isinstance(event, events.HandshakeCompleted):
-                self.shook = True
+                self.handshake_done = True
             elif isinstance(event, events.StreamDataReceived):
-                self.data += event.data
-                self.ended = self.ended or event.end_stream
+                self.received_data += event.data
+                self.stream_ended = self.stream_ended or event.end_stream
         # The frame as it came. aioquic tells of a close only three probe timeouts later, and for a client
         # that was left alone for a second these are 7 s and more: the time until it reads counts as delay.
         self.closed = self.quic._close_event
 
-    def until(self, true: object, within: float = 5.0) -> None:
+    def run_until(self, true: object, within: float = 5.0) -> None:
         assert callable(true)
         end = time.monotonic() + within
         while not true():
-            assert time.monotonic() < end, f"it never came about; heard {self.data[-80:]!r}"
+            assert time.monotonic() < end, f"it never came about; heard {self.received_data[-80:]!r}"
             self.step()
 
     def send(self, line: bytes, end: bool = False) -> None:
         self.quic.send_stream_data(0, line, end_stream=end)
         self.step(0)
 
-    def line(self, within: float = 5.0) -> str:
-        self.until(lambda: b"\n" in self.data, within)
-        line, _, self.data = self.data.partition(b"\r\n")
+    def read_line(self, within: float = 5.0) -> str:
+        self.run_until(lambda: b"\n" in self.received_data, within)
+        line, _, self.received_data = self.received_data.partition(b"\r\n")
         return line.decode()
 
-    def ask(self, fields: str = "c=live,d=1500,g=1", ident: str = "") -> str:
+    def open_request(self, fields: str = "c=live,d=1500,g=1", ident: str = "") -> str:
         self.send(f"OPEN {ident or new_request_id()} 7f3a {fields}\r\n".encode())
-        return self.line()
+        return self.read_line()
 
-    def code(self) -> CloseCode:
+    def close_code(self) -> CloseCode:
         """The application error code that the node closes the connection with."""
-        self.until(lambda: self.closed is not None)
+        self.run_until(lambda: self.closed is not None)
         assert self.closed is not None and self.closed.frame_type is None
         assert self.closed.reason_phrase == CloseCode(self.closed.error_code).name.lower()
         return CloseCode(self.closed.error_code)
 
 
 @contextmanager
-def quic_world(
+def running_quic_node(
     folder: Path, endpoint_servers: list[EndpointServer], more: str = "", at: int = 0, **config: Any
 ) -> Iterator[tuple[NodeEnvironment, int]]:
     make_certificate(folder)
--- a/tests/test_quic_conformance.py
+++ b/tests/test_quic_conformance.py
@@ -14,11 +14,11 @@
 from conformance.quic.cases import CASES
 from conformance.quic.suite import Outcome, run
 from tests.support.node_environment import ROOT, EndpointServer
-from tests.support.quic_harness import quic_world
+from tests.support.quic_harness import running_quic_node
 
 
 def test_the_front_keeps_every_case(tmp_path: Path) -> None:
-    with quic_world(tmp_path, [EndpointServer("a")], "retry_from = 1000") as (w, port):
+    with running_quic_node(tmp_path, [EndpointServer("a")], "retry_from = 1000") as (w, port):
         line = [sys.executable, "-m", "gradegap", "conformance", "quic", f"127.0.0.1:{port}", "--json"]
         done = subprocess.run(line, capture_output=True, text=True, cwd=ROOT, timeout=120)
         found = msgspec.json.decode(done.stdout)
@@ -62,7 +62,7 @@
     before = os.environ.get("PYTHONPATH")
     os.environ["PYTHONPATH"] = f"{tmp_path / 'lib'}:{ROOT}"
     try:
-        with quic_world(tmp_path, [EndpointServer("a")]) as (_, port):
+        with running_quic_node(tmp_path, [EndpointServer("a")]) as (_, port):
             (result,) = run(Target(("127.0.0.1", port), "gradegap/1"), [chosen(word)])
             assert result.outcome is Outcome.FAIL, result
     finally:
--- a/tests/test_quic_streams.py
+++ b/tests/test_quic_streams.py
@@ -10,24 +10,24 @@
 
 from conformance.quic.client import ScriptedClient
 from gradegap.quic.listener import CloseCode
-from tests.support.lossy import Lossy
+from tests.support.lossy_datagram_relay import LossyDatagramRelay
 from tests.support.node_environment import EndpointServer, new_request_id, wait_for
-from tests.support.quic_harness import QuicClient, quic_world
+from tests.support.quic_harness import QuicClient, running_quic_node
 
 
 def test_a_tenth_lost_doubled_and_out_of_order_costs_no_line(tmp_path: Path) -> None:
     """Ten clients through a network of that kind, half of which change their address. All are heard
     in turn: one that is left alone takes the time for the network's."""
     with (
-        quic_world(tmp_path, [EndpointServer("a"), EndpointServer("b")]) as (w, port),
-        Lossy(("127.0.0.1", port), 7, 0.1, 0.1, 0.1) as way,
+        running_quic_node(tmp_path, [EndpointServer("a"), EndpointServer("b")]) as (w, port),
+        LossyDatagramRelay(("127.0.0.1", port), 7, 0.1, 0.1, 0.1) as way,
     ):
         clients: list[QuicClient] = []
 
         def heard(lines: int) -> None:
             end = time.monotonic() + 20.0
-            while any(c.data.count(b"\r\n") < lines for c in clients):
-                assert time.monotonic() < end, [c.data[-40:] for c in clients]
+            while any(c.received_data.count(b"\r\n") < lines for c in clients):
+                assert time.monotonic() < end, [c.received_data[-40:] for c in clients]
                 for c in clients:
                     c.step(0.0005)
 
@@ -40,9 +40,9 @@
                 c.send(f"{k} {turn}\r\n".encode())
             heard(2 + turn)
             for c in clients[::2] if turn == 5 else ():
-                c.hop(new_id=True)
+                c.change_address(new_id=True)
         for k, c in enumerate(clients):
-            first, *rest = c.data.decode().splitlines()
+            first, *rest = c.received_data.decode().splitlines()
             assert first.startswith("UP") and rest == [f"{k} {turn}" for turn in range(10)]
         assert way.dropped > 30
         counters = w.counters()
@@ -51,7 +51,7 @@
 
 def test_streams_of_one_connection_are_sessions_of_their_own(tmp_path: Path) -> None:
     a, b = EndpointServer("a"), EndpointServer("b")
-    with quic_world(tmp_path, [a, b]) as (w, port):
+    with running_quic_node(tmp_path, [a, b]) as (w, port):
         c = ScriptedClient(("127.0.0.1", port), "gradegap/1")
         numbers = [4 * k for k in range(8)]
         for n in numbers:
@@ -92,7 +92,7 @@
 
 
 def test_more_streams_than_one_client_may_have_are_refused_one_by_one(tmp_path: Path) -> None:
-    with quic_world(tmp_path, [EndpointServer("a")]) as (w, port):
+    with running_quic_node(tmp_path, [EndpointServer("a")]) as (w, port):
         c = ScriptedClient(("127.0.0.1", port), "gradegap/1")
         numbers = [4 * k for k in range(40)]
         for n in numbers:
@@ -108,47 +108,47 @@
 
 def test_much_data_both_ways_stays_whole(tmp_path: Path) -> None:
     b = EndpointServer("a")
-    with quic_world(tmp_path, [b]) as (_, port):
+    with running_quic_node(tmp_path, [b]) as (_, port):
         c = QuicClient(port)
-        assert c.ask() == "UP a"
+        assert c.open_request() == "UP a"
         big = os.urandom(200_000).hex().encode() + b"\r\n"
         c.send(big)
-        c.until(lambda: len(c.data) >= len(big), 20.0)
-        assert c.data == big
+        c.run_until(lambda: len(c.received_data) >= len(big), 20.0)
+        assert c.received_data == big
 
 
 def test_a_client_that_must_prove_its_address_is_served_all_the_same(tmp_path: Path) -> None:
-    with quic_world(tmp_path, [EndpointServer("a")], "retry_from = 0") as (w, port):
-        assert QuicClient(port).ask() == "UP a"
+    with running_quic_node(tmp_path, [EndpointServer("a")], "retry_from = 0") as (w, port):
+        assert QuicClient(port).open_request() == "UP a"
         assert w.counters()["quic_retries"] == "1"
 
 
 def test_a_client_that_shakes_hands_and_says_nothing_is_closed_in_time(tmp_path: Path) -> None:
     """Its late first line was once answered on a stream that there was not: it stayed until its idle time."""
-    with quic_world(tmp_path, [EndpointServer("a")]) as (w, port):
+    with running_quic_node(tmp_path, [EndpointServer("a")]) as (w, port):
         c = QuicClient(port)
-        assert c.code() is CloseCode.BAD_LINE and c.data == b""
+        assert c.close_code() is CloseCode.BAD_LINE and c.received_data == b""
         wait_for(lambda: w.counters()["quic_connections"] == "0")
         assert w.counters()["late_first_lines"] == "1"
 
 
 def test_first_packets_that_nothing_can_be_made_of_are_forgotten(tmp_path: Path) -> None:
-    with quic_world(tmp_path, [EndpointServer("a")]) as (w, port):
+    with running_quic_node(tmp_path, [EndpointServer("a")]) as (w, port):
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             for _ in range(20):
                 head = b"\xc0\x00\x00\x00\x01\x08" + os.urandom(8) + b"\x08" + os.urandom(8) + b"\x00"
                 stranger.sendto(head + b"\x44\xb0" + os.urandom(1200), ("127.0.0.1", port))
         wait_for(lambda: int(w.counters()["quic_connections"]) == 20)
-        assert QuicClient(port).ask() == "UP a"
+        assert QuicClient(port).open_request() == "UP a"
         wait_for(lambda: int(w.counters()["quic_connections"]) == 1, 10.0)
         assert w.counters()["quic_ids"] == "8"  # the client's own first one stands apart
 
 
 def test_a_client_that_reads_nothing_holds_its_backend_back(tmp_path: Path) -> None:
     b = EndpointServer("a")
-    with quic_world(tmp_path, [b]) as (w, port):
+    with running_quic_node(tmp_path, [b]) as (w, port):
         c = QuicClient(port)
-        assert c.ask() == "UP a"
+        assert c.open_request() == "UP a"
         sock, sent = b.established[0], 0
         # No timeout is set: it would be the stand-in's reading thread's too, which then ends the connection.
         while select.select([], [sock], [], 0.3)[1]:
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -26,7 +26,7 @@
     running_node,
     wait_for,
 )
-from tests.support.quic_harness import QuicClient, quic_world
+from tests.support.quic_harness import QuicClient, running_quic_node
 from tests.support.resume_world import ResumableEndpointServer, SaveStore
 
 ON = "[resume]\n"
@@ -374,9 +374,9 @@
 def test_a_quic_client_that_changes_its_address_is_moved_in_place(tmp_path: Path) -> None:
     store = SaveStore()
     a, b = ResumableEndpointServer("a", store), ResumableEndpointServer("b", store)
-    with quic_world(tmp_path, [a, b], ON) as (w, port):
+    with running_quic_node(tmp_path, [a, b], ON) as (w, port):
         c = QuicClient(port)
-        said = c.ask("c=live,d=1500,g=1,rs=1")
+        said = c.open_request("c=live,d=1500,g=1,rs=1")
         token_of(said)
         leaves, stays = (a, b) if said.startswith("UP a") else (b, a)
         told, number = [], 0
@@ -385,16 +385,16 @@
             nonlocal number
             number += 1
             c.send(b"K %d\r\nQ %d r%d\r\n" % (number - 1, number, number))
-            while not (line := c.line()).startswith("A "):
+            while not (line := c.read_line()).startswith("A "):
                 told.append(line)
             assert line == f"A {number} done r{number}"
 
         ask()
         w.discovery.announce(leaves, state="Terminating")
-        c.hop()
+        c.change_address()
         while not stays.open_lines:
             ask()
-        c.hop()
+        c.change_address()
         ask()
         (ran,) = store.ran.values()
         assert ran == [b"r%d" % n for n in range(1, number + 1)]
