--- a/bench/scale/slopes_module.py
+++ b/bench/scale/slopes_module.py
@@ -35,7 +35,7 @@
 from gradegap.store.gossip import GossipExchange
 from gradegap.store.wire import Gossip
 from gradegap.transport.dialer import Dialer
-from tests.support.helpers import settings
+from tests.support.balancer_driver import settings
 
 SERVERS = (60, 600, 6_000)
 SESSIONS = (600, 6_000, 62_500)
--- a/bench/scale/slopes_probes.py
+++ b/bench/scale/slopes_probes.py
@@ -21,7 +21,7 @@
 from gradegap.proxy.proxy import Proxy
 from gradegap.transport.descriptors import DescriptorBudget
 from gradegap.upstream.tcp_upstream import TcpUpstream
-from tests.support.helpers import settings
+from tests.support.balancer_driver import settings
 
 SERVERS = (60, 200, 600)
 ROUNDS = 20  # probes of each server in one repeat
--- a/tests/support/helpers.py
+++ b/tests/support/balancer_driver.py
@@ -38,16 +38,16 @@
     return Settings(**(base | changes))
 
 
-class Driver:
+class BalancerDriver:
     """Feeds events to one balancer and keeps what it did."""
 
     def __init__(self, servers: int = 6, seed: int = 1, **changes: Any) -> None:
-        self.set = settings(**changes)
-        self.balancer = Balancer(self.set, seed)
+        self.settings = settings(**changes)
+        self.balancer = Balancer(self.settings, seed)
         self.now = 100.0
         self.log: list[tuple[float, Action]] = []
         self.next_id = 0
-        self.probes = 0
+        self.report_count = 0
         entries = tuple(EndpointEntry(f"s{i}", zone="a" if i % 2 else "b") for i in range(servers))
         self.feed(EndpointList(EndpointListKind.CACHED, entries))
 
@@ -67,27 +67,29 @@
         } | changes
         return self.feed(RequestArrived(**fields))
 
-    def probed(self, server: str, x0: float, inflight: float = 5.0) -> list[Action]:
-        self.probes += 1  # reports are never quite the same twice
-        report = {"x0": x0 * (1.0 + 1e-9 * self.probes), "inflight": inflight}
+    def report_health(self, server: str, x0: float, inflight: float = 5.0) -> list[Action]:
+        self.report_count += 1  # reports are never quite the same twice
+        report = {"x0": x0 * (1.0 + 1e-9 * self.report_count), "inflight": inflight}
         return self.feed(HealthCheckEnded(server, AttemptResult.OK, 0.001, report))
 
-    def answer_probes(self, actions: list[Action], x0: Any, inflight: float = 5.0) -> list[Action]:
+    def answer_health_checks(self, actions: list[Action], x0: Any, inflight: float = 5.0) -> list[Action]:
         """Answer every probe, and those that follow, with the load `x0` gives; all other actions."""
         rest: list[Action] = []
         todo = list(actions)
         while todo:
             action = todo.pop(0)
             if isinstance(action, CheckHealth):
-                todo += self.probed(action.endpoint, x0(action.endpoint) if callable(x0) else x0, inflight)
+                todo += self.report_health(
+                    action.endpoint, x0(action.endpoint) if callable(x0) else x0, inflight
+                )
             else:
                 rest.append(action)
         return rest
 
-    def outcome(self, send: Forward, result: AttemptResult, settled: bool = False) -> list[Action]:
+    def end_attempt(self, send: Forward, result: AttemptResult, settled: bool = False) -> list[Action]:
         return self.feed(AttemptEnded(send.request_id, 0, send.endpoint, result, 0.01, settled))
 
-    def stand(self, send: Forward) -> list[Action]:
+    def establish(self, send: Forward) -> list[Action]:
         return self.feed(ConnectionEstablished(send.request_id, 0, send.endpoint, 0.01))
 
     def set_phase(self, server: str, phase: EndpointPhase, started_at: float = 0.0) -> None:
@@ -95,9 +97,9 @@
         self.feed(EndpointList(EndpointListKind.DELTA, (entry,)))
 
 
-def sends(actions: list[Action]) -> list[Forward]:
+def forward_actions(actions: list[Action]) -> list[Forward]:
     return [a for a in actions if isinstance(a, Forward)]
 
 
-def finals(actions: list[Action]) -> list[Action]:
+def terminal_actions(actions: list[Action]) -> list[Action]:
     return [a for a in actions if isinstance(a, Reject | Fail)]
--- a/tests/support/proxy_harness.py
+++ b/tests/support/proxy_harness.py
@@ -20,7 +20,7 @@
 from gradegap.proxy.endpoint import Endpoint
 from gradegap.proxy.proxy import Proxy
 from gradegap.proxy.request import Attempt, ConnectionRequest, Request
-from tests.support.helpers import settings
+from tests.support.balancer_driver import settings
 
 
 class FakeTimer:
--- a/tests/support/recorded_day.py
+++ b/tests/support/recorded_day.py
@@ -32,7 +32,7 @@
 from gradegap.capture.settings import CaptureSettings
 from gradegap.capture.switch import RecordedBalancer
 from gradegap.metrics import Metrics
-from tests.support.helpers import settings
+from tests.support.balancer_driver import settings
 from tests.support.node_environment import ROOT
 
 
--- a/tests/test_capture_days.py
+++ b/tests/test_capture_days.py
@@ -33,7 +33,7 @@
 from gradegap.capture.frames import Damage, FrameKind
 from gradegap.capture.simulation import WhatIfResult
 from gradegap.capture.whatif import changed, whatif
-from tests.support.helpers import settings
+from tests.support.balancer_driver import settings
 from tests.support.mutants import mutant
 from tests.support.node_environment import ROOT
 from tests.support.recorded_day import day_recording, run_gradegap
--- a/tests/test_capture_decision_module.py
+++ b/tests/test_capture_decision_module.py
@@ -14,7 +14,7 @@
 from gradegap.capture import decision_module, records, state
 from gradegap.capture.errors import BadModuleError
 from gradegap.capture.schema import BALANCER
-from tests.support.helpers import settings
+from tests.support.balancer_driver import settings
 from tests.support.mutants import BALANCING, mutant, mutated_copy
 from tests.support.recorded_day import Day, day_recording, replayed
 
--- a/tests/test_capture_files.py
+++ b/tests/test_capture_files.py
@@ -34,7 +34,7 @@
 from gradegap.capture.errors import BadRecordError, BadRecordingError, BadStateError
 from gradegap.capture.frames import Damage, FrameKind
 from gradegap.capture.redaction import IdHasher, redact
-from tests.support.helpers import settings
+from tests.support.balancer_driver import settings
 from tests.support.recorded_day import Day, day_recording, replayed
 
 
--- a/tests/test_capture_recorder.py
+++ b/tests/test_capture_recorder.py
@@ -20,7 +20,7 @@
 from gradegap.capture.switch import RecordedBalancer
 from gradegap.capture.writer import RecordingWriter
 from gradegap.metrics import Metrics
-from tests.support.helpers import settings
+from tests.support.balancer_driver import settings
 from tests.support.mutants import mutated_copy
 from tests.support.node_environment import EndpointServer, running_node, wait_for
 from tests.support.recorded_day import Day, record_day, replayed, run_gradegap
--- a/tests/test_capture_records.py
+++ b/tests/test_capture_records.py
@@ -39,7 +39,7 @@
 from gradegap.balancing.settings import ClassSettings, DeduplicationScope, Idempotency, TenantSettings
 from gradegap.capture import records
 from gradegap.capture.errors import BadRecordError
-from tests.support.helpers import settings
+from tests.support.balancer_driver import settings
 
 # As files of version 1 have them. These lists are the format: they only grow.
 EVENT_NAMES = {
--- a/tests/test_capture_replay.py
+++ b/tests/test_capture_replay.py
@@ -12,7 +12,7 @@
 from gradegap.balancing.balancer import Balancer
 from gradegap.capture import comparison, frames, recording, replay
 from gradegap.capture.frames import Damage, FrameKind
-from tests.support.helpers import settings
+from tests.support.balancer_driver import settings
 from tests.support.mutants import mutant
 from tests.support.node_environment import ROOT
 from tests.support.recorded_day import Day, day_recording, replayed
--- a/tests/test_capture_state.py
+++ b/tests/test_capture_state.py
@@ -19,7 +19,7 @@
 from gradegap.capture.errors import BadStateError, LaterStateError, OtherAlgorithmError
 from gradegap.capture.frames import Damage, FrameKind
 from gradegap.capture.schema import BALANCER, ENDPOINT, REQUEST
-from tests.support.helpers import settings
+from tests.support.balancer_driver import settings
 from tests.support.recorded_day import Day
 
 CAPTURES = Path(__file__).parent / "captures"
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -16,7 +16,7 @@
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
 from gradegap.transport.descriptors import DescriptorBudget
-from tests.support.helpers import settings
+from tests.support.balancer_driver import settings
 from tests.support.node_environment import hard_reset
 
 FIRST_LINE = b"OPEN 1 2 c=live,d=1000\r\n"
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -34,7 +34,7 @@
     TimerFired,
 )
 from gradegap.balancing.settings import ReportSource, Settings
-from tests.support.helpers import CLASS
+from tests.support.balancer_driver import CLASS
 
 SERVERS = 20
 LENGTH = 16.0  # s from the start of the cold servers
--- a/tests/test_connection_estimates.py
+++ b/tests/test_connection_estimates.py
@@ -17,24 +17,24 @@
     RequestArrived,
 )
 from gradegap.balancing.settings import WeightMeaning
-from tests.support.helpers import Driver, finals, sends
+from tests.support.balancer_driver import BalancerDriver, forward_actions, terminal_actions
 
 SIZE, CORES = 8.0, 5.0
 
 
-def tell(d: Driver, held: dict[str, float], kind: EndpointListKind = EndpointListKind.DELTA) -> None:
+def tell(d: BalancerDriver, held: dict[str, float], kind: EndpointListKind = EndpointListKind.DELTA) -> None:
     """The list says that servers hold so many connections, by their weights."""
     entries = (EndpointEntry(name, weight=SIZE / (1.0 + n / CORES)) for name, n in held.items())
     d.feed(EndpointList(kind, tuple(entries)), after=0.1)
 
 
-def two_servers(seed: int) -> Driver:
+def two_servers(seed: int) -> BalancerDriver:
     """s0 at 0.3 and s1 at 0.5 of capacity, 30 connections each, probed by a proxy that may probe no more."""
-    d = Driver(servers=2, seed=seed, weight_meaning=WeightMeaning.LIVE, proxy_count=40)
+    d = BalancerDriver(servers=2, seed=seed, weight_meaning=WeightMeaning.LIVE, proxy_count=40)
     tell(d, {"s0": 0.0, "s1": 0.0}, EndpointListKind.FULL)
     tell(d, {"s0": 30.0, "s1": 30.0})
-    d.probed("s0", 0.3, 30.0)
-    d.probed("s1", 0.5, 30.0)
+    d.report_health("s0", 0.3, 30.0)
+    d.report_health("s1", 0.5, 30.0)
     d.balancer.health_checks.budget = -100.0
     return d
 
@@ -44,10 +44,10 @@
     """Each proxy saw the room of its last probe, and all forty took it at once."""
     d = two_servers(seed)
     tell(d, {"s0": 70.0, "s1": 30.0})  # 0.3 + 40 * 0.01
-    assert [s.endpoint for s in sends(d.request())] == ["s1"]
+    assert [s.endpoint for s in forward_actions(d.request())] == ["s1"]
     tell(d, {"s0": 120.0, "s1": 70.0})  # 1.2 and 1.17 now
     out = d.request(after=0.1)
-    assert finals(out) and not sends(out)
+    assert terminal_actions(out) and not forward_actions(out)
 
 
 def test_whole_lists_and_changed_phases_tell_nothing_of_what_is_held() -> None:
@@ -65,12 +65,12 @@
 
 
 def test_an_empty_server_s_unit_is_by_size_not_by_the_live_weight_of_others() -> None:
-    d = Driver(servers=3, weight_meaning=WeightMeaning.LIVE)
+    d = BalancerDriver(servers=3, weight_meaning=WeightMeaning.LIVE)
     tell(d, {f"s{i}": 0.0 for i in range(3)}, EndpointListKind.FULL)
     tell(d, {"s0": 40.0, "s1": 40.0})
     for name in ("s0", "s1"):
-        d.probed(name, 0.4, 40.0)
-    d.probed("s2", 0.0, 0.0)
+        d.report_health(name, 0.4, 40.0)
+    d.report_health("s2", 0.0, 0.0)
     assert d.balancer.load_estimates.load_per_connection(d.balancer.endpoints["s2"]) == pytest.approx(0.01)
 
 
@@ -101,9 +101,11 @@
     print("seed 5")
     places: Counter[str] = Counter()
     for seed in range(40):
-        d = Driver(servers=20, seed=seed, connection_groups=True, proxy_count=40)
-        out = d.answer_probes(d.request(group="board-9"), lambda s: 0.3 + rng.uniform(-0.04, 0.04), 20.0)
-        places.update(a.endpoint for a in sends(out))
+        d = BalancerDriver(servers=20, seed=seed, connection_groups=True, proxy_count=40)
+        out = d.answer_health_checks(
+            d.request(group="board-9"), lambda s: 0.3 + rng.uniform(-0.04, 0.04), 20.0
+        )
+        places.update(a.endpoint for a in forward_actions(out))
     assert places.most_common(1)[0][1] >= 38, places
 
 
@@ -111,10 +113,10 @@
     """A group that stood elsewhere than its ring says was taken apart by every proxy that held some of it."""
     right = 0
     for k in range(20):
-        d = Driver(servers=20, seed=k, connection_groups=True)
+        d = BalancerDriver(servers=20, seed=k, connection_groups=True)
         d.feed(ConnectionInherited(RequestArrived(900, "live", d.now + 2.0, group="board-9"), f"s{k}"))
-        out = d.answer_probes(d.request(group="board-9"), 0.3, 20.0)
-        right += [a.endpoint for a in sends(out)] == [f"s{k}"]
+        out = d.answer_health_checks(d.request(group="board-9"), 0.3, 20.0)
+        right += [a.endpoint for a in forward_actions(out)] == [f"s{k}"]
     assert right == 20
 
 
@@ -123,10 +125,12 @@
     connections each. The sends."""
     sent = 0
     for seed in range(40):
-        d = Driver(servers=20, seed=seed, connection_groups=True)
+        d = BalancerDriver(servers=20, seed=seed, connection_groups=True)
         (home,) = hash_ring.order(d.balancer.registry.hash_ring, "board-9", 1)
-        out = d.answer_probes(d.request(group="board-9"), lambda s, h=home: 1.3 if s == h else x0, 20.0)
-        sent += len(sends(out))
+        out = d.answer_health_checks(
+            d.request(group="board-9"), lambda s, h=home: 1.3 if s == h else x0, 20.0
+        )
+        sent += len(forward_actions(out))
     return sent
 
 
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -17,11 +17,11 @@
     ProxyResumed,
     TimerFired,
 )
-from tests.support.helpers import Driver
+from tests.support.balancer_driver import BalancerDriver
 from tests.test_faults import stood_on_one
 
 
-def moves_until(d: Driver, first: list[Action], token: str, end: float) -> list[tuple[float, int]]:
+def moves_until(d: BalancerDriver, first: list[Action], token: str, end: float) -> list[tuple[float, int]]:
     """Run the named timer until `end`; when and how many connections were moved."""
     seen = [(d.now, sum(isinstance(a, Migrate) for a in first))]
     out = first
@@ -35,7 +35,7 @@
     return seen
 
 
-def drain(d: Driver, phase: EndpointPhase) -> list[Action]:
+def drain(d: BalancerDriver, phase: EndpointPhase) -> list[Action]:
     entry = EndpointEntry("s0", phase=phase)
     return d.feed(EndpointList(EndpointListKind.DELTA, (entry,)))
 
@@ -43,7 +43,7 @@
 @pytest.mark.parametrize("phase", [EndpointPhase.DRAINING, EndpointPhase.REMOVED])
 def test_clients_are_told_before_their_server_leaves(phase: EndpointPhase) -> None:
     """The module once left them there until they were cut off."""
-    d = Driver(servers=2)
+    d = BalancerDriver(servers=2)
     stood_on_one(d, 20)
     held, told = len(d.balancer.endpoints["s0"].connections), d.now
     seen = moves_until(d, drain(d, phase), "es0", told + 10.0)
@@ -57,7 +57,7 @@
 
 
 def test_a_server_that_stopped_early_makes_the_next_moves_earlier() -> None:
-    d = Driver(servers=2)
+    d = BalancerDriver(servers=2)
     stood_on_one(d, 3)
     drain(d, EndpointPhase.DRAINING)
     d.now += 1.5
@@ -67,7 +67,7 @@
 
 
 def test_a_server_that_is_ready_again_keeps_what_it_holds() -> None:
-    d = Driver(servers=2)
+    d = BalancerDriver(servers=2)
     stood_on_one(d, 5)
     out = drain(d, EndpointPhase.DRAINING)
     drain(d, EndpointPhase.READY)
@@ -76,7 +76,7 @@
 
 def test_a_server_told_to_leave_soon_is_empty_by_then() -> None:
     """Operators restart a save server some 2.5 s after they took it out; connections once stood till then."""
-    d = Driver(servers=2)
+    d = BalancerDriver(servers=2)
     stood_on_one(d, 20)
     held, told = len(d.balancer.endpoints["s0"].connections), d.now
     entry = EndpointEntry("s0", phase=EndpointPhase.DRAINING, stops_within=2.0)
@@ -89,7 +89,7 @@
 @pytest.mark.parametrize("turns", [1, 5])
 def test_a_proxy_that_stays_after_all_keeps_what_it_holds(turns: int) -> None:
     """However quickly it is told to leave and to stay, there is one chain of rounds, and none in the end."""
-    d = Driver(servers=2)
+    d = BalancerDriver(servers=2)
     stood_on_one(d, 20)
     timers = []
     for _ in range(turns):
@@ -101,7 +101,7 @@
 
 
 def test_a_proxy_that_leaves_moves_all_it_holds_in_time_and_in_rounds() -> None:
-    d = Driver(servers=2)
+    d = BalancerDriver(servers=2)
     stood_on_one(d, 20)
     by = d.now + 2.0
     seen = moves_until(d, d.feed(ProxyDraining(by)), "leave", by + 0.2)
--- a/tests/test_http_discovery.py
+++ b/tests/test_http_discovery.py
@@ -15,7 +15,7 @@
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
 from gradegap.transport.dialer import Dialer
-from tests.support import helpers
+from tests.support import balancer_driver
 
 
 @dataclass
@@ -73,7 +73,9 @@
 
     def __init__(self, pushed: bool = False) -> None:
         self.loop = Loop()
-        self.settings = helpers.settings(polls_endpoints=not pushed, poll_within=10.0, drain_grace=2.0)
+        self.settings = balancer_driver.settings(
+            polls_endpoints=not pushed, poll_within=10.0, drain_grace=2.0
+        )
         self.calls: list[tuple[PollConnection, Transport]] = []
         self.lists: list[tuple[EndpointListKind, list[AddressedEntry]]] = []
         self.metrics = Metrics()
--- a/tests/test_priority.py
+++ b/tests/test_priority.py
@@ -18,7 +18,7 @@
 from gradegap.balancing.report_statistics import ReportStatistics
 from gradegap.balancing.settings import ClassSettings, TenantSettings
 from gradegap.downstream.framing import parse_opening
-from tests.support.helpers import Driver, sends, settings
+from tests.support.balancer_driver import BalancerDriver, forward_actions, settings
 from tests.test_faults import held_from_before
 
 FEED = ClassSettings("feed", latency_objective=0.5, time_limit=3.0, priority_weight=3.0)
@@ -70,13 +70,19 @@
 def test_where_room_is_short_who_is_beyond_a_share_is_refused_first(held: int, room: bool) -> None:
     seen = []
     for tenant in ("capital", "coban"):
-        d = Driver(servers=2, classes=CLASSES, tenants=TENANTS, over_share_weight=0.05, proxy_count=4)
+        d = BalancerDriver(servers=2, classes=CLASSES, tenants=TENANTS, over_share_weight=0.05, proxy_count=4)
         for _ in range(held):
             d.next_id += 1
             q = RequestArrived(d.next_id, "edit", d.now + 2.0, tenant="capital")
             d.feed(ConnectionInherited(q, f"s{d.next_id % 2}"))
         full = ADMISSION_LOAD_LIMIT - LOW_PRIORITY_RESERVE / 2
-        seen.append(bool(sends(d.answer_probes(d.request(class_name="edit", tenant=tenant), full, 40.0))))
+        seen.append(
+            bool(
+                forward_actions(
+                    d.answer_health_checks(d.request(class_name="edit", tenant=tenant), full, 40.0)
+                )
+            )
+        )
     assert seen == [room, True]
 
 
@@ -103,13 +109,13 @@
     """Servers at 0.8 whose reports swing by a fifth: their connections were moved about by the dozen."""
     rng, moved = Random(9), 0
     print("seed 9")
-    d = Driver(servers=4, proxy_count=1)
+    d = BalancerDriver(servers=4, proxy_count=1)
     for k in range(4):
         held_from_before(d, f"s{k}", "", 30)
     for _ in range(100):
         d.now += 0.4
         for k in range(4):
-            out = d.probed(f"s{k}", 0.8 * max(0.1, rng.gauss(1.0, 0.2)), 30.0)
+            out = d.report_health(f"s{k}", 0.8 * max(0.1, rng.gauss(1.0, 0.2)), 30.0)
             moved += sum(isinstance(a, Migrate) for a in out)
     print(f"{moved} moved")
     assert moved <= 60  # 117 before
@@ -118,45 +124,49 @@
 def test_reports_from_before_a_round_of_moves_start_no_other() -> None:
     """With reports some seconds late, round after round looked at the load before the first, until servers
     that were said to hold thirty stood empty."""
-    d = Driver(servers=2, proxy_count=1)
+    d = BalancerDriver(servers=2, proxy_count=1)
     held_from_before(d, "s0", "", 40)
-    d.probed("s1", 0.1, 10.0)
+    d.report_health("s1", 0.1, 10.0)
     rounds = []
     for _ in range(14):
         d.now += 1.0
-        d.probed("s1", 0.1, 10.0)
-        out = d.probed("s0", 1.5, 40.0)
+        d.report_health("s1", 0.1, 10.0)
+        out = d.report_health("s0", 1.5, 40.0)
         rounds.append(sum(isinstance(a, Migrate) for a in out))
     assert sum(n > 0 for n in rounds) == 3, rounds  # REPORT_DELAY_S apart: they may be of no use for good
     assert REPORT_DELAY_S == 5.0
     moved = next(n for n in rounds if n)
-    d = Driver(servers=2, proxy_count=1)
+    d = BalancerDriver(servers=2, proxy_count=1)
     held_from_before(d, "s0", "", 40)
-    d.probed("s1", 0.1, 10.0)
-    assert any(isinstance(a, Migrate) for a in d.probed("s0", 1.5, 40.0))
+    d.report_health("s1", 0.1, 10.0)
+    assert any(isinstance(a, Migrate) for a in d.report_health("s0", 1.5, 40.0))
     d.now += 1.5
-    d.probed("s1", 0.3, 20.0)
-    assert any(isinstance(a, Migrate) for a in d.probed("s0", 1.3, 40.0 - moved)), "shown, and still too much"
+    d.report_health("s1", 0.3, 20.0)
+    assert any(isinstance(a, Migrate) for a in d.report_health("s0", 1.3, 40.0 - moved)), (
+        "shown, and still too much"
+    )
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_a_group_is_not_spread_for_a_sixth_of_a_server(seed: int) -> None:
     """The three loads that a group costs on one more server are not all: what is next of it follows there,
     and it stays as long as any does. Ten groups stood on 36 places and came to a fifth of the fleet."""
-    d = Driver(servers=2, seed=seed, connection_groups=True)
+    d = BalancerDriver(servers=2, seed=seed, connection_groups=True)
     held_from_before(d, "s0", "g1", 20)
-    (send,) = sends(d.answer_probes(d.request(group="g1"), lambda s: 0.75 if s == "s0" else 0.62, 37.0))
+    (send,) = forward_actions(
+        d.answer_health_checks(d.request(group="g1"), lambda s: 0.75 if s == "s0" else 0.62, 37.0)
+    )
     assert send.endpoint == "s0"
 
 
 def test_a_group_has_room_on_a_server_that_once_held_a_few() -> None:
     """A group's cost made one connection look like a third of the server. By that all later room was
     reckoned, and with fifty refused a second it stood empty for fifteen seconds."""
-    d = Driver(servers=2, connection_groups=True, proxy_count=2)
+    d = BalancerDriver(servers=2, connection_groups=True, proxy_count=2)
     for k in range(8):
-        d.probed("s0", 0.3 + 0.01 * k, 1.0)
-        d.probed("s1", 0.95 + 0.001 * k, 32.0)
+        d.report_health("s0", 0.3 + 0.01 * k, 1.0)
+        d.report_health("s1", 0.95 + 0.001 * k, 32.0)
     d.now += 5.0
     held_from_before(d, "s1", "g1", 5)
-    out = d.answer_probes(d.request(group="g1"), lambda s: 0.0 if s == "s0" else 0.96, 0.0)
-    assert [s.endpoint for s in sends(out)] == ["s0"]
+    out = d.answer_health_checks(d.request(group="g1"), lambda s: 0.0 if s == "s0" else 0.96, 0.0)
+    assert [s.endpoint for s in forward_actions(out)] == ["s0"]
--- a/tests/test_proxy_endpoints.py
+++ b/tests/test_proxy_endpoints.py
@@ -12,7 +12,7 @@
     HealthCheckEnded,
     TimerFired,
 )
-from tests.support.helpers import settings
+from tests.support.balancer_driver import settings
 from tests.support.proxy_harness import ProxyHarness
 
 
--- a/tests/test_quic_fuzz.py
+++ b/tests/test_quic_fuzz.py
@@ -26,7 +26,7 @@
 from gradegap.proxy.proxy import Proxy
 from gradegap.quic.listener import QuicListener
 from gradegap.quic.settings import QuicSettings
-from tests.support.helpers import settings
+from tests.support.balancer_driver import settings
 from tests.support.quic_harness import make_certificate
 from tests.test_store_node import NoPort
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -13,7 +13,7 @@
 
 from gradegap.balancing.actions import CheckHealth
 from gradegap.balancing.events import AttemptResult, TimerFired
-from tests.support.helpers import CLASS, Driver, sends, settings
+from tests.support.balancer_driver import CLASS, BalancerDriver, forward_actions, settings
 from tests.support.node_environment import (
     SETTINGS,
     DiscoveryServer,
@@ -175,14 +175,19 @@
 
 def test_the_module_goes_on_with_settings_that_take_away_what_it_used() -> None:
     """A request under way draws from the ring, and looks are due, when a reload switches both off."""
-    d = Driver(connection_groups=True)
-    first = sends(d.answer_probes(d.request(group="g1"), 0.1))[0]
-    d.stand(first)
+    d = BalancerDriver(connection_groups=True)
+    first = forward_actions(d.answer_health_checks(d.request(group="g1"), 0.1))[0]
+    d.establish(first)
     waiting = d.request(group="g2")
-    assert not sends(waiting)
+    assert not forward_actions(waiting)
     d.balancer.adopt(settings(classes={"other": CLASS}, health_checks=False))
     assert not any(isinstance(a, CheckHealth) for a in d.feed(TimerFired("look"), after=1.0))
     again = d.feed(TimerFired(f"h{d.next_id}"))
-    assert sends(again) and sends(d.outcome(sends(again)[0], AttemptResult.RESET))
+    assert forward_actions(again) and forward_actions(
+        d.end_attempt(forward_actions(again)[0], AttemptResult.RESET)
+    )
     d.balancer.adopt(settings(connection_groups=True))
-    assert sends(d.answer_probes(d.request(group="g1"), 0.1)) and len(d.balancer.registry.hash_ring) == 6 * 16
+    assert (
+        forward_actions(d.answer_health_checks(d.request(group="g1"), 0.1))
+        and len(d.balancer.registry.hash_ring) == 6 * 16
+    )
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -17,68 +17,70 @@
     TimerFired,
 )
 from gradegap.balancing.settings import ClassSettings, DeduplicationScope, Idempotency
-from tests.support.helpers import CLASS, Driver, finals, sends
+from tests.support.balancer_driver import CLASS, BalancerDriver, forward_actions, terminal_actions
 
 
 def test_a_request_that_nothing_can_be_sent_for_is_refused_before_its_deadline() -> None:
-    d = Driver(servers=0)
+    d = BalancerDriver(servers=0)
     out = d.request()
     for _ in range(50):
         timers = [a for a in out if isinstance(a, SetTimer) and a.token.startswith("h")]
         if not timers:
             break
         out = d.feed(TimerFired(timers[0].token), after=timers[0].delay)
-    assert finals(out) and d.now < 102.0
+    assert terminal_actions(out) and d.now < 102.0
     assert not d.balancer.requests
 
 
 def test_silent_probes_never_hold_a_request() -> None:
-    d = Driver()
+    d = BalancerDriver()
     out = d.request()
     (timer,) = [a for a in out if isinstance(a, SetTimer)]
     assert timer.delay < CLASS.latency_objective / 2
-    assert sends(d.feed(TimerFired(timer.token), after=timer.delay))
+    assert forward_actions(d.feed(TimerFired(timer.token), after=timer.delay))
 
 
 def test_every_attempt_failing_ends_in_one_final_answer_and_nothing_after() -> None:
-    d = Driver()
-    out = d.answer_probes(d.request(), 0.2)
+    d = BalancerDriver()
+    out = d.answer_health_checks(d.request(), 0.2)
     seen = 0
-    while sends(out):
+    while forward_actions(out):
         seen += 1
-        out = d.answer_probes(d.outcome(sends(out)[0], AttemptResult.ERROR), 0.2)
+        out = d.answer_health_checks(d.end_attempt(forward_actions(out)[0], AttemptResult.ERROR), 0.2)
     assert seen == 3  # max_attempts
-    assert len(finals(out)) == 1
+    assert len(terminal_actions(out)) == 1
     for event in (
         TimerFired("h1"),
         ClientDisconnected(1),
         AttemptEnded(1, 2, "s0", AttemptResult.OK, 0.1, True),
     ):
-        assert not sends(d.feed(event)) and not finals(d.feed(event))
+        assert not forward_actions(d.feed(event)) and not terminal_actions(d.feed(event))
 
 
 def test_a_time_out_at_the_deadline_is_answered_at_once() -> None:
-    d = Driver()
-    (send,) = sends(d.answer_probes(d.request(), 0.2))
+    d = BalancerDriver()
+    (send,) = forward_actions(d.answer_health_checks(d.request(), 0.2))
     d.now += 2.0
-    assert finals(d.outcome(send, AttemptResult.TIMEOUT))
+    assert terminal_actions(d.end_attempt(send, AttemptResult.TIMEOUT))
 
 
 def test_attempts_leave_time_for_another_and_avoid_servers_tried() -> None:
-    d = Driver()
-    out = d.answer_probes(d.request(), 0.2)
-    (first,) = sends(out)
+    d = BalancerDriver()
+    out = d.answer_health_checks(d.request(), 0.2)
+    (first,) = forward_actions(out)
     assert first.timeout == pytest.approx(2.0 - CLASS.latency_objective)  # one more within the aim still fits
-    (second,) = sends(d.answer_probes(d.outcome(first, AttemptResult.CONNECT_FAILED), 0.2))
+    (second,) = forward_actions(
+        d.answer_health_checks(d.end_attempt(first, AttemptResult.CONNECT_FAILED), 0.2)
+    )
     assert second.endpoint != first.endpoint
 
 
 def test_nothing_is_sent_for_a_client_that_left() -> None:
-    d = Driver()
-    (send,) = sends(d.answer_probes(d.request(), 0.2))
+    d = BalancerDriver()
+    (send,) = forward_actions(d.answer_health_checks(d.request(), 0.2))
     d.feed(ClientDisconnected(send.request_id))
-    out = d.outcome(send, AttemptResult.ERROR)
-    assert not sends(out) and not finals(out)
+    out = d.end_attempt(send, AttemptResult.ERROR)
+    assert not forward_actions(out) and not terminal_actions(out)
 
 
 def keyed(group: DeduplicationScope, repeat: Idempotency = Idempotency.KEYED) -> ClassSettings:
@@ -87,68 +89,68 @@
 
 def test_an_unsafe_request_that_may_have_run_is_neither_repeated_nor_refused() -> None:
     unsafe = keyed(DeduplicationScope.ALL, Idempotency.NON_IDEMPOTENT)
-    d = Driver(classes={"live": unsafe})
-    (send,) = sends(d.answer_probes(d.request(), 0.2))
-    out = d.outcome(send, AttemptResult.RESET)
+    d = BalancerDriver(classes={"live": unsafe})
+    (send,) = forward_actions(d.answer_health_checks(d.request(), 0.2))
+    out = d.end_attempt(send, AttemptResult.RESET)
     assert out == [Fail(send.request_id)]
 
 
 def test_an_unsafe_request_that_never_ran_is_tried_again() -> None:
-    d = Driver(classes={"live": keyed(DeduplicationScope.ALL, Idempotency.NON_IDEMPOTENT)})
-    (send,) = sends(d.answer_probes(d.request(), 0.2))
-    assert sends(d.answer_probes(d.outcome(send, AttemptResult.FULL), 0.2))
+    d = BalancerDriver(classes={"live": keyed(DeduplicationScope.ALL, Idempotency.NON_IDEMPOTENT)})
+    (send,) = forward_actions(d.answer_health_checks(d.request(), 0.2))
+    assert forward_actions(d.answer_health_checks(d.end_attempt(send, AttemptResult.FULL), 0.2))
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_a_keyed_request_is_repeated_only_inside_its_group_and_window(seed: int) -> None:
-    d = Driver(seed=seed, classes={"live": keyed(DeduplicationScope.ZONE)})
+    d = BalancerDriver(seed=seed, classes={"live": keyed(DeduplicationScope.ZONE)})
     zone = {f"s{i}": "a" if i % 2 else "b" for i in range(6)}
-    (send,) = sends(d.answer_probes(d.request(), 0.2))
-    (again,) = sends(d.answer_probes(d.outcome(send, AttemptResult.TIMEOUT), 0.2))
+    (send,) = forward_actions(d.answer_health_checks(d.request(), 0.2))
+    (again,) = forward_actions(d.answer_health_checks(d.end_attempt(send, AttemptResult.TIMEOUT), 0.2))
     assert zone[again.endpoint] == zone[send.endpoint]
     d.now += 1.01
-    assert d.answer_probes(d.outcome(again, AttemptResult.TIMEOUT), 0.2) == [Fail(send.request_id)]
+    assert d.answer_health_checks(d.end_attempt(again, AttemptResult.TIMEOUT), 0.2) == [Fail(send.request_id)]
 
 
 def test_a_keyed_repeat_that_waits_for_its_probes_past_the_window_is_not_sent() -> None:
     """The window was looked at as its pair was drawn, and not when the probes of that pair were back."""
-    d = Driver(classes={"live": keyed(DeduplicationScope.ALL)})
-    (send,) = sends(d.answer_probes(d.request(), 0.2))
+    d = BalancerDriver(classes={"live": keyed(DeduplicationScope.ALL)})
+    (send,) = forward_actions(d.answer_health_checks(d.request(), 0.2))
     assert send.begin_within == math.inf
     d.now += 0.9
-    drawn = d.outcome(send, AttemptResult.TIMEOUT)
+    drawn = d.end_attempt(send, AttemptResult.TIMEOUT)
     probes = [a.endpoint for a in drawn if isinstance(a, CheckHealth)]
-    assert probes and not sends(drawn)
+    assert probes and not forward_actions(drawn)
     d.now += 0.11
-    assert d.answer_probes(drawn, 0.2) == [a for a in drawn if not isinstance(a, CheckHealth)] + [
+    assert d.answer_health_checks(drawn, 0.2) == [a for a in drawn if not isinstance(a, CheckHealth)] + [
         Fail(send.request_id)
     ]
 
 
 def test_a_keyed_repeat_says_until_when_it_may_be_written() -> None:
-    d = Driver(classes={"live": keyed(DeduplicationScope.ALL)})
-    (send,) = sends(d.answer_probes(d.request(), 0.2))
+    d = BalancerDriver(classes={"live": keyed(DeduplicationScope.ALL)})
+    (send,) = forward_actions(d.answer_health_checks(d.request(), 0.2))
     d.now += 0.4
-    (again,) = sends(d.answer_probes(d.outcome(send, AttemptResult.TIMEOUT), 0.2))
+    (again,) = forward_actions(d.answer_health_checks(d.end_attempt(send, AttemptResult.TIMEOUT), 0.2))
     assert again.begin_within == pytest.approx(0.6)
 
 
 @pytest.mark.parametrize("phase", [EndpointPhase.DRAINING, EndpointPhase.REMOVED])
 def test_nothing_goes_to_a_draining_or_gone_server(phase: EndpointPhase) -> None:
-    d = Driver(servers=3)
+    d = BalancerDriver(servers=3)
     d.set_phase("s1", phase)
     for _ in range(50):
-        (send,) = sends(d.answer_probes(d.request(after=1.0), 0.2))
+        (send,) = forward_actions(d.answer_health_checks(d.request(after=1.0), 0.2))
         assert send.endpoint != "s1"
-        d.outcome(send, AttemptResult.OK, settled=True)
+        d.end_attempt(send, AttemptResult.OK, settled=True)
 
 
 def test_a_pair_drawn_before_a_drain_is_not_sent_to_it_after() -> None:
     for seed in range(20):
-        d = Driver(servers=3, seed=seed)
+        d = BalancerDriver(servers=3, seed=seed)
         out = d.request()
         d.set_phase("s1", EndpointPhase.DRAINING)
-        placed = sends(d.answer_probes(out, lambda s: 0.01 if s == "s1" else 0.5))
+        placed = forward_actions(d.answer_health_checks(out, lambda s: 0.01 if s == "s1" else 0.5))
         assert all(a.endpoint != "s1" for a in placed)
 
 
@@ -162,13 +164,13 @@
 
 
 def test_a_start_in_the_future_counts_as_just_started() -> None:
-    d = Driver(servers=2)
+    d = BalancerDriver(servers=2)
     d.set_phase("s0", EndpointPhase.READY, started_at=d.now + 1e6)
     hits = 0
     for _ in range(200):
-        for send in sends(d.answer_probes(d.request(after=1.0), 0.2)):
+        for send in forward_actions(d.answer_health_checks(d.request(after=1.0), 0.2)):
             hits += send.endpoint == "s0"
-            d.outcome(send, AttemptResult.OK, settled=True)
+            d.end_attempt(send, AttemptResult.OK, settled=True)
     assert 0 < hits < 80
 
 
@@ -182,17 +184,17 @@
     to s7, and all sends, of `requests` each `after` s apart; each settled at once with `settle`."""
     to_cold = total = 0
     for seed in range(seeds):
-        d = Driver(servers=20, seed=seed, proxy_count=40, **changes)
+        d = BalancerDriver(servers=20, seed=seed, proxy_count=40, **changes)
         d.now = 200.0
         d.set_phase("s7", EndpointPhase.READY, started_at=199.9)
         for _ in range(requests):
             drawn = d.request(after=after)
-            out = d.answer_probes(drawn, lambda s: 0.0 if s == "s7" else warm, warm * FILLED_BY)
-            for send in sends(out):
+            out = d.answer_health_checks(drawn, lambda s: 0.0 if s == "s7" else warm, warm * FILLED_BY)
+            for send in forward_actions(out):
                 total += 1
                 to_cold += send.endpoint == "s7"
                 if settle:
-                    d.outcome(send, AttemptResult.OK, settled=True)
+                    d.end_attempt(send, AttemptResult.OK, settled=True)
     return to_cold, total
 
 
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -9,22 +9,22 @@
 
 from gradegap.balancing.events import AttemptResult, EndpointEntry, EndpointList, EndpointListKind
 from gradegap.balancing.selection import Selection
-from tests.support.helpers import Driver, sends
+from tests.support.balancer_driver import BalancerDriver, forward_actions
 
 
-def place(d: Driver, loads: dict[str, float], count: int) -> Counter[str]:
+def place(d: BalancerDriver, loads: dict[str, float], count: int) -> Counter[str]:
     """Where `count` requests go while every probe is answered with these loads."""
     chosen: Counter[str] = Counter()
     for _ in range(count):
-        out = d.answer_probes(d.request(after=5.0), lambda s: loads[s])
-        (send,) = sends(out)
+        out = d.answer_health_checks(d.request(after=5.0), lambda s: loads[s])
+        (send,) = forward_actions(out)
         chosen[send.endpoint] += 1
-        d.outcome(send, AttemptResult.OK, settled=True)
+        d.end_attempt(send, AttemptResult.OK, settled=True)
     return chosen
 
 
 def test_beta_is_one_until_b_reaches_n_ln_n_and_follows_the_root_past_it() -> None:
-    d = Driver(servers=20, proxy_count=50)
+    d = BalancerDriver(servers=20, proxy_count=50)
     for _ in range(400):
         d.balancer.rates.established.add(d.now)
         d.now += 0.5
@@ -40,10 +40,10 @@
 
 
 def test_failures_before_standing_leave_b_alone() -> None:
-    d = Driver()
+    d = BalancerDriver()
     for _ in range(20):
-        out = d.answer_probes(d.request(after=2.0), 0.2)
-        d.outcome(sends(out)[0], AttemptResult.ERROR)
+        out = d.answer_health_checks(d.request(after=2.0), 0.2)
+        d.end_attempt(forward_actions(out)[0], AttemptResult.ERROR)
     assert d.balancer.rates.established.rate(d.now) == 0.0
     assert d.balancer.selection.beta(1000.0) == 1.0
 
@@ -51,14 +51,14 @@
 def test_at_beta_one_choice_frequencies_are_those_of_two_choices() -> None:
     names = [f"s{i}" for i in range(5)]
     loads = {s: 0.1 + 0.02 * i for i, s in enumerate(names)}
-    chosen = place(Driver(servers=5, seed=3), loads, 3000)
+    chosen = place(BalancerDriver(servers=5, seed=3), loads, 3000)
     for i, s in enumerate(names):  # of the 10 pairs, server i is the lighter in 4 - i
         assert chosen[s] / 3000 == pytest.approx((4 - i) / 10, abs=0.03)
 
 
 @pytest.mark.parametrize("beta", [0.5, 0.02])
 def test_share_of_two_way_comparisons_follows_beta(monkeypatch: pytest.MonkeyPatch, beta: float) -> None:
-    d = Driver(servers=5, seed=4)
+    d = BalancerDriver(servers=5, seed=4)
     monkeypatch.setattr(Selection, "beta", lambda self, age: beta)
     names = [f"s{i}" for i in range(5)]
     chosen = place(d, {s: 0.1 + 0.02 * i for i, s in enumerate(names)}, 3000)
@@ -68,24 +68,24 @@
 
 
 def test_ties_and_unprobed_servers_are_split_at_random() -> None:
-    equal = place(Driver(servers=2, seed=5), {"s0": 0.3, "s1": 0.3}, 1000)
+    equal = place(BalancerDriver(servers=2, seed=5), {"s0": 0.3, "s1": 0.3}, 1000)
     assert equal["s0"] / 1000 == pytest.approx(0.5, abs=0.06)
-    d = Driver(servers=2, seed=6, health_checks=False)
+    d = BalancerDriver(servers=2, seed=6, health_checks=False)
     d.balancer.context.uses_health_checks = True  # reports exist, none came yet: both are unprobed
     d.balancer.health_checks.budget = -1e9
-    chosen = Counter(sends(d.request(after=60.0))[0].endpoint for _ in range(1000))
+    chosen = Counter(forward_actions(d.request(after=60.0))[0].endpoint for _ in range(1000))
     assert chosen["s0"] / 1000 == pytest.approx(0.5, abs=0.06)
 
 
 def test_one_server_and_two_servers() -> None:
-    assert place(Driver(servers=1), {"s0": 0.2}, 20) == {"s0": 20}
-    assert place(Driver(servers=2), {"s0": 0.2, "s1": 0.3}, 20) == {"s0": 20}
+    assert place(BalancerDriver(servers=1), {"s0": 0.2}, 20) == {"s0": 20}
+    assert place(BalancerDriver(servers=2), {"s0": 0.2, "s1": 0.3}, 20) == {"s0": 20}
 
 
 def test_same_events_same_actions() -> None:
     runs = []
     for _ in range(2):
-        d = Driver(servers=8, seed=11)
+        d = BalancerDriver(servers=8, seed=11)
         place(d, {f"s{i}": 0.1 * i for i in range(8)}, 50)
         runs.append(d.log)
     assert runs[0] == runs[1]
@@ -94,7 +94,7 @@
 def test_names_change_no_decision() -> None:
     runs = []
     for zones in ({"a": "a", "b": "b"}, {"a": "north", "b": "south"}):
-        d = Driver(servers=0, seed=12, zone=zones["a"], cross_zone_cost=0.06)
+        d = BalancerDriver(servers=0, seed=12, zone=zones["a"], cross_zone_cost=0.06)
         entries = tuple(EndpointEntry(f"s{i}", zone=zones["ab"[i % 2]]) for i in range(8))
         d.feed(EndpointList(EndpointListKind.FULL, entries))
         runs.append(place(d, {f"s{i}": 0.05 * i for i in range(8)}, 50))
--- a/tests/test_serves_nobody.py
+++ b/tests/test_serves_nobody.py
@@ -6,7 +6,7 @@
 
 from gradegap.balancing.actions import Action, CheckHealth, Forward, SetTimer
 from gradegap.balancing.events import AttemptEnded, AttemptResult, HealthCheckEnded, TimerFired
-from tests.support.helpers import Driver
+from tests.support.balancer_driver import BalancerDriver
 
 WINDOW = 4.0  # s on end in which a process that gets requests may not turn all of them away
 PAUSE = 0.1  # s between two requests
@@ -19,7 +19,7 @@
 def test_some_requests_are_sent_on_though_every_server_fails(
     result: AttemptResult, probes: AttemptResult, seed: int
 ) -> None:
-    d = Driver(servers=4, seed=seed)
+    d = BalancerDriver(servers=4, seed=seed)
     sends: list[float] = []
     timers: list[tuple[float, str]] = []
     began = d.now
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -28,7 +28,7 @@
     SHARE_SAFETY,
     SlowStart,
 )
-from tests.support.helpers import Driver, sends, settings
+from tests.support.balancer_driver import BalancerDriver, forward_actions, settings
 from tests.support.node_environment import SETTINGS
 
 SEED = 20
@@ -161,18 +161,18 @@
 
 def test_a_server_that_hung_is_not_refused_as_full_once_it_is_back() -> None:
     """It reports nine times its capacity with any number of connections while it hangs."""
-    driver = Driver(servers=1, seed=SEED)
+    driver = BalancerDriver(servers=1, seed=SEED)
     for connections in (10.0, 8.0, 6.0, 4.0):
         driver.now += 1.0
-        driver.probed("s0", 9.0, connections)
+        driver.report_health("s0", 9.0, connections)
     driver.now += 1.0
-    driver.probed("s0", 0.05, 5.0)
+    driver.report_health("s0", 0.05, 5.0)
     driver.now += 1.0
-    driver.probed("s0", 0.06, 6.0)
+    driver.report_health("s0", 0.06, 6.0)
     assert driver.balancer.load_estimates.load_per_connection(
         driver.balancer.endpoints["s0"]
     ) == pytest.approx(0.01, rel=0.01)
-    assert sends(driver.answer_probes(driver.request(after=0.01), 0.06, 6.0))
+    assert forward_actions(driver.answer_health_checks(driver.request(after=0.01), 0.06, 6.0))
 
 
 def test_without_reports_a_group_that_all_ask_for_does_not_begin_at_a_cold_server() -> None:
@@ -184,7 +184,7 @@
     team = next(f"g{k}" for k in count() if hash_ring.order(names, f"g{k}", 1) == ["s7"])
     hits = total = 0
     for seed in range(600):
-        driver = Driver(
+        driver = BalancerDriver(
             servers=20,
             seed=seed,
             report_source=ReportSource.NONE,
@@ -193,7 +193,7 @@
         )
         driver.now += 100.0
         driver.set_phase("s7", EndpointPhase.READY, started_at=driver.now - 5.0)
-        for send in sends(driver.request(group=team)):
+        for send in forward_actions(driver.request(group=team)):
             total += 1
             hits += send.endpoint == "s7"
     part = 0.3 + 0.7 * 0.5  # of its capacity, 5 s after its start
@@ -202,19 +202,19 @@
     assert hits <= SHARE_SAFETY * 3.0 * part / 20 * total
 
 
-def to_cold(driver: Driver, server: str, requests: int) -> int:
+def to_cold(driver: BalancerDriver, server: str, requests: int) -> int:
     hits = 0
     for _ in range(requests):
-        for send in sends(driver.answer_probes(driver.request(after=0.01), 0.2)):
+        for send in forward_actions(driver.answer_health_checks(driver.request(after=0.01), 0.2)):
             hits += send.endpoint == server
-            driver.outcome(send, AttemptResult.OK, settled=True)
+            driver.end_attempt(send, AttemptResult.OK, settled=True)
     return hits
 
 
 @pytest.mark.parametrize("starts", [(0.0, -50.0), (-50.0, 0.0)])
 def test_of_two_starts_told_of_one_server_the_later_holds(starts: tuple[float, float]) -> None:
     """Told in either order, it counts as cold."""
-    driver = Driver(servers=2, seed=SEED)
+    driver = BalancerDriver(servers=2, seed=SEED)
     for start in starts:
         driver.set_phase("s0", EndpointPhase.READY, started_at=driver.now + start)
     while_cold = to_cold(driver, "s0", 300)
@@ -225,7 +225,7 @@
 
 
 def test_a_start_that_is_told_no_more_still_counts() -> None:
-    driver = Driver(servers=2, seed=SEED)
+    driver = BalancerDriver(servers=2, seed=SEED)
     driver.set_phase("s0", EndpointPhase.READY, started_at=driver.now)
     driver.set_phase("s0", EndpointPhase.READY)
     assert to_cold(driver, "s0", 300) < 30
@@ -252,12 +252,14 @@
     )
     repeats = 0
     for seed in range(200):
-        driver = Driver(servers=10, seed=seed, classes={"live": keyed}, slow_start_share=0.13)
-        (send,) = sends(driver.answer_probes(driver.request(after=9.0), 0.2))
+        driver = BalancerDriver(servers=10, seed=seed, classes={"live": keyed}, slow_start_share=0.13)
+        (send,) = forward_actions(driver.answer_health_checks(driver.request(after=9.0), 0.2))
         zone = "a" if int(send.endpoint[1:]) % 2 else "b"
         for k in range(10):
             if ("a" if k % 2 else "b") == zone:
                 entry = EndpointEntry(f"s{k}", zone=zone, started_at=driver.now)
                 driver.feed(EndpointList(EndpointListKind.DELTA, (entry,)))
-        repeats += len(sends(driver.answer_probes(driver.outcome(send, AttemptResult.TIMEOUT), 0.2)))
+        repeats += len(
+            forward_actions(driver.answer_health_checks(driver.end_attempt(send, AttemptResult.TIMEOUT), 0.2))
+        )
     assert repeats <= 200 * SHARE_SAFETY * 3.0 * 0.13 * 0.5
--- a/tests/test_store_node.py
+++ b/tests/test_store_node.py
@@ -16,7 +16,7 @@
 from gradegap.store.gossip import GossipExchange
 from gradegap.store.member_client import MemberClient
 from gradegap.store.wire import Gossip, GossipReport
-from tests.support.helpers import settings
+from tests.support.balancer_driver import settings
 from tests.support.node_environment import (
     SCHEDULING_SLACK_S,
     EndpointServer,
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -9,12 +9,12 @@
 from gradegap.balancing.events import EndpointEntry, EndpointList, EndpointListKind
 from gradegap.node.decision_trace import DecisionTrace
 from gradegap.node.operator_file import OperatorSettings
-from tests.support.helpers import Driver, settings
+from tests.support.balancer_driver import BalancerDriver, settings
 
 
 def test_each_step_is_one_line_with_what_went_in_and_came_out() -> None:
     out = io.StringIO()
-    driver = Driver(servers=3)
+    driver = BalancerDriver(servers=3)
     driver.balancer = DecisionTrace(driver.balancer, out)  # type: ignore[assignment]
     driver.request()
     entries = tuple(EndpointEntry(f"x{i}") for i in range(100))
@@ -28,7 +28,7 @@
 
 def test_the_settings_are_written_as_json_at_the_start_and_at_each_change() -> None:
     out = io.StringIO()
-    trace = DecisionTrace(Driver().balancer, out)
+    trace = DecisionTrace(BalancerDriver().balancer, out)
     trace.write_settings(settings())
     trace.adopt(settings(proxy_count=40))
     lines = out.getvalue().splitlines()
--- a/tests/test_watch_schedule.py
+++ b/tests/test_watch_schedule.py
@@ -15,7 +15,7 @@
 
 from gradegap.discovery import watch_schedule
 from gradegap.discovery.watch_schedule import Mismatch, WatchSchedule
-from tests.support import helpers
+from tests.support import balancer_driver
 from tests.support.node_environment import (
     SCHEDULING_SLACK_S,
     SETTINGS,
@@ -33,7 +33,9 @@
 
 
 def schedule(pushed: bool, grace: float = 2.0, seed: int = 1) -> WatchSchedule:
-    told = helpers.settings(polls_endpoints=not pushed, drain_grace=grace, poll_within=10.0, proxy_count=40)
+    told = balancer_driver.settings(
+        polls_endpoints=not pushed, drain_grace=grace, poll_within=10.0, proxy_count=40
+    )
     made = WatchSchedule(told, Random(seed))
     made.record_answer(made.next_poll(0.0), 0.02, 7)
     return made
@@ -95,14 +97,14 @@
 
 
 def test_a_list_known_from_before_the_start_is_watched_from_its_version_where_polls_are_dear() -> None:
-    made = WatchSchedule(helpers.settings(polls_endpoints=True, poll_within=10.0), Random(1))
+    made = WatchSchedule(balancer_driver.settings(polls_endpoints=True, poll_within=10.0), Random(1))
     made.start_from(0)
     first = made.next_poll(0.0)
     assert first.since_version == 0 and 2.5 <= first.wait_s <= 7.5
     assert first.timeout_s < first.wait_s + watch_schedule.WAIT_NOTIFIED_S
     made.record_answer(first, 6.0, 0)
     assert 5.0 <= made.next_poll(6.0).wait_s <= 15.0
-    made = WatchSchedule(helpers.settings(polls_endpoints=False), Random(1))
+    made = WatchSchedule(balancer_driver.settings(polls_endpoints=False), Random(1))
     made.start_from(7)
     assert made.next_poll(0.0).since_version is None
 
@@ -112,7 +114,9 @@
     for first, about in ((True, 5.0), (False, 10.0)):
         waits_of = []
         for seed in range(200):
-            made = WatchSchedule(helpers.settings(polls_endpoints=True, poll_within=10.0), Random(seed))
+            made = WatchSchedule(
+                balancer_driver.settings(polls_endpoints=True, poll_within=10.0), Random(seed)
+            )
             made.start_from(7)
             if not first:
                 made.record_answer(made.next_poll(0.0), 6.0, 7)
--- a/tests/test_wave.py
+++ b/tests/test_wave.py
@@ -134,9 +134,9 @@
 def _sends_to_an_empty_server(requests: int = 240, over: float = 1.0) -> int:
     """A proxy alone places `requests` clients in `over` s: nine large servers at half their capacity with 40
     connections each, and s9, a third of their size and empty, as its reports go on saying while they lag."""
-    from tests.support.helpers import Driver, sends
+    from tests.support.balancer_driver import BalancerDriver, forward_actions
 
-    d = Driver(servers=10, seed=3, proxy_count=1)
+    d = BalancerDriver(servers=10, seed=3, proxy_count=1)
     weights = [8.0] * 9 + [2.5]
     d.feed(
         EndpointList(
@@ -145,10 +145,12 @@
     )
     to_empty = 0
     for _ in range(requests):
-        out = d.answer_probes(d.request(after=over / requests), lambda s: 0.0 if s == "s9" else 0.5, 40.0)
-        for send in sends(out):
+        out = d.answer_health_checks(
+            d.request(after=over / requests), lambda s: 0.0 if s == "s9" else 0.5, 40.0
+        )
+        for send in forward_actions(out):
             to_empty += send.endpoint == "s9"
-            d.stand(send)
+            d.establish(send)
     return to_empty
 
 
@@ -164,13 +166,13 @@
 def _takes_of_little_room(reconnect: bool) -> int:
     """A proxy of forty places 30 clients in a second, none of which stands yet, on ten servers with room for
     two connections each (0.85 of capacity with 17). Its sends."""
-    from tests.support.helpers import Driver, sends
+    from tests.support.balancer_driver import BalancerDriver, forward_actions
 
-    d = Driver(servers=10, seed=5, proxy_count=40)
+    d = BalancerDriver(servers=10, seed=5, proxy_count=40)
     taken = 0
     for _ in range(30):
-        out = d.answer_probes(d.request(after=1 / 30, reconnect=reconnect), 0.85, 17.0)
-        taken += len(sends(out))
+        out = d.answer_health_checks(d.request(after=1 / 30, reconnect=reconnect), 0.85, 17.0)
+        taken += len(forward_actions(out))
     return taken
 
 
