--- a/bench/resume.py
+++ b/bench/resume.py
@@ -28,7 +28,7 @@
 from bench.process_usage import cpu_seconds, private_kib
 from gradegap.client import Session
 from tests.support.node_environment import EndpointServer, NodeEnvironment, new_request_id, wait_for
-from tests.support.resume_world import ResumableEndpointServer, SaveStore
+from tests.support.resume_servers import ResumableEndpointServer, SaveStore
 
 PLAYERS = 60 if "--quick" in sys.argv else 200
 DRAINS = 2 if "--quick" in sys.argv else 4
--- a/tests/support/resume_world.py
+++ b/tests/support/resume_servers.py
@@ -21,8 +21,8 @@
     def __init__(self) -> None:
         self.lock = threading.Lock()
         self.sessions: dict[str, tuple[int, int, dict[int, bytes]]] = {}  # epoch, executed, answers
-        self.ran: dict[str, list[bytes]] = defaultdict(list)
-        self.fenced = 0
+        self.effects: dict[str, list[bytes]] = defaultdict(list)
+        self.fenced_writes = 0
         self.log: list[Record] = []
 
     def claim(self, session: str, epoch: int, server: str = "") -> ServerWindow | None:
@@ -39,11 +39,11 @@
     ) -> bool:
         with self.lock:
             if self.sessions.get(session, (0,))[0] != epoch:
-                self.fenced += 1
+                self.fenced_writes += 1
                 return False
             self.sessions[session] = (epoch, window.executed, dict(window.answers))
             if effect is not None:
-                self.ran[session].append(effect)
+                self.effects[session].append(effect)
                 number, answer = window.executed, window.answers[window.executed]
                 said = effect.decode(), answer.decode()
                 self.log.append(Record("ran", server, number, *said, session, epoch))
@@ -59,11 +59,11 @@
     "before" it ran, or "after" it ran and before its answer, or "always" before; "claimed" ends each that
     would open, once its session is claimed, and "silent" says nothing more to it."""
 
-    def __init__(self, name: str, store: SaveStore, knows: bool = True) -> None:
-        self.store, self.knows, self.dies = store, knows, ""
-        self.dead = False
-        self.frozen = threading.Event()
-        self.frozen.set()
+    def __init__(self, name: str, store: SaveStore, supports_resume: bool = True) -> None:
+        self.store, self.supports_resume, self.failure_point = store, supports_resume, ""
+        self.is_killed = False
+        self.processing_allowed = threading.Event()
+        self.processing_allowed.set()
         super().__init__(name)
 
     def _serve(self, sock: socket.socket) -> None:
@@ -75,7 +75,7 @@
                 raw = file.readline()
             first = raw.decode().rstrip("\r\n")
             values = dict(p.partition("=")[::2] for p in first.rpartition(" ")[2].split(","))
-            if not self.knows or "rn" not in values or not first.startswith("OPEN"):
+            if not self.supports_resume or "rn" not in values or not first.startswith("OPEN"):
                 self._plain(sock, file, first)
                 return
             self.lines.append((0.0, first))
@@ -84,12 +84,12 @@
             if window is None:
                 sock.sendall(b"ERR\r\n")
                 return
-            if self.dead:
+            if self.is_killed:
                 return
-            if self.dies == "silent":
+            if self.failure_point == "silent":
                 file.read()
                 return
-            if self.dies == "claimed":
+            if self.failure_point == "claimed":
                 hard_reset(sock)
                 return
             self.established.append(sock)
@@ -105,10 +105,10 @@
         finally:
             sock.close()
 
-    def die(self) -> None:
+    def kill(self) -> None:
         """As when its process is killed: every connection is reset, whatever was under way, and none is
         taken."""
-        self.dead = True  # what still comes in, before its reader is awake, is read by nobody
+        self.is_killed = True  # what still comes in, before its reader is awake, is read by nobody
         self.stop()
         for sock in list(self.established):
             with contextlib.suppress(OSError):
@@ -126,8 +126,8 @@
         self, sock: socket.socket, file: object, session: str, epoch: int, window: ServerWindow
     ) -> None:
         for raw in file:  # type: ignore[attr-defined]
-            self.frozen.wait()
-            if self.dead:
+            self.processing_allowed.wait()
+            if self.is_killed:
                 return
             line = lines.decode(raw.rstrip(b"\r\n"))
             if isinstance(line, Seen):
@@ -135,7 +135,10 @@
                 good = self.store.write(session, epoch, window, None)
                 answer = None
             elif isinstance(line, Request):
-                dies, self.dies = self.dies, self.dies if self.dies == "always" else ""
+                dies, self.failure_point = (
+                    self.failure_point,
+                    self.failure_point if self.failure_point == "always" else "",
+                )
                 if dies in ("before", "always"):
                     hard_reset(sock)
                     return
--- a/tests/support/resume_windows.py
+++ b/tests/support/resume_windows.py
@@ -9,5 +9,5 @@
 )
 
 
-def passes(node: NodeWindow, request: Request) -> bool:
+def accepts_request(node: NodeWindow, request: Request) -> bool:
     return node.request(request.number, lines.encode(request))
--- a/tests/test_observer_cluster.py
+++ b/tests/test_observer_cluster.py
@@ -24,7 +24,7 @@
     free_port,
     wait_for,
 )
-from tests.support.resume_world import ResumableEndpointServer, SaveStore
+from tests.support.resume_servers import ResumableEndpointServer, SaveStore
 from tests.test_admin_api import answer
 from tests.test_admin_api import call as plain_call
 from tests.test_resume import ON as RESUME
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -27,7 +27,7 @@
     wait_for,
 )
 from tests.support.quic_harness import QuicClient, running_quic_node
-from tests.support.resume_world import ResumableEndpointServer, SaveStore
+from tests.support.resume_servers import ResumableEndpointServer, SaveStore
 
 ON = "[resume]\n"
 
@@ -71,7 +71,7 @@
             if k == 100:
                 leaves = a if session.receipt == "a" else b
                 await asyncio.to_thread(w.discovery.announce, leaves, state="Terminating")
-        (ran,) = store.ran.values()
+        (ran,) = store.effects.values()
         assert ran == asked
         goes_to = b if leaves is a else a
         await asyncio.to_thread(wait_for, lambda: len(goes_to.open_lines) == 1)
@@ -98,12 +98,12 @@
         assert await session.request(b"first") == b"done first"
         for turn in range(4):
             for s in servers:
-                s.dies = dies
+                s.failure_point = dies
             asked = [b"%d-%d" % (turn, k) for k in range(5)]
             assert await asyncio.gather(*(session.request(r) for r in asked)) == [b"done " + r for r in asked]
         for s in servers:
-            s.dies = ""
-        (ran,) = store.ran.values()
+            s.failure_point = ""
+        (ran,) = store.effects.values()
         assert ran == [b"first", *(b"%d-%d" % (t, k) for t in range(4) for k in range(5))]
         assert session.reconnects == 0
         await session.close()
@@ -135,7 +135,7 @@
         await asyncio.sleep(0.1)
         again = await asyncio.to_thread(start_again)
         assert await waiting == b"done two"
-        (ran,) = store.ran.values()
+        (ran,) = store.effects.values()
         assert ran == [b"one", b"two"]
         await session.close()
         w.process = again.process
@@ -167,7 +167,7 @@
         assert second.read_line() == "A 2 done y"
         first.send("Q 2 z")  # the life that was left
         assert first.read_line() in ("X fenced", "")
-        assert a.store.ran[next(iter(a.store.ran))] == [b"x", b"y"]
+        assert a.store.effects[next(iter(a.store.effects))] == [b"x", b"y"]
         counters = w.counters()
         assert counters["resume_refused_claimed"] == "2"
         assert token not in w.log.read_text() and newer not in w.log.read_text()
@@ -263,7 +263,7 @@
         c = w.client()
         said = opened(c)
         token, old = token_of(said), a if said.startswith("UP a") else b
-        old.frozen.clear()
+        old.processing_allowed.clear()
         c.send("Q 1 late")
         c.sock.close()
         again = w.client()
@@ -271,12 +271,18 @@
             again = w.client()
         token_of(got)
         if got.startswith(f"UP {old.name}"):
-            old.frozen.set()
+            old.processing_allowed.set()
         again.send("Q 1 late")
         assert again.read_line() == "A 1 done late"
-        old.frozen.set()
-        wait_for(lambda: store.fenced >= 1 or not old.frozen.is_set() or got.startswith(f"UP {old.name}"))
-        (ran,) = store.ran.values()
+        old.processing_allowed.set()
+        wait_for(
+            lambda: (
+                store.fenced_writes >= 1
+                or not old.processing_allowed.is_set()
+                or got.startswith(f"UP {old.name}")
+            )
+        )
+        (ran,) = store.effects.values()
         assert ran == [b"late"]
 
 
@@ -285,10 +291,10 @@
     with running_node(tmp_path, [a], ON) as w:
         c = w.client()
         token_of(opened(c))
-        a.frozen.clear()
+        a.processing_allowed.clear()
         for n in range(1, 120):
             c.send(f"Q {n} x")
-        a.frozen.set()
+        a.processing_allowed.set()
         assert [c.read_line() for _ in range(119)] == [f"A {n} done x" for n in range(1, 120)]
 
 
@@ -307,14 +313,14 @@
             gaps.append(time.monotonic() - last)
             last = time.monotonic()
             await asyncio.sleep(0.02)
-        (ran,) = (r for r in store.ran.values() if r[0] == asked[0])
+        (ran,) = (r for r in store.effects.values() if r[0] == asked[0])
         assert ran == asked
         return session
 
     async def main(w: NodeEnvironment) -> None:
         ended = asyncio.Event()
         players = [asyncio.create_task(player(w, k, ended)) for k in range(40)]
-        await asyncio.to_thread(wait_for, lambda: len(store.ran) == 40, 20.0)
+        await asyncio.to_thread(wait_for, lambda: len(store.effects) == 40, 20.0)
         on_a = len(a.open_lines)
         await asyncio.to_thread(w.discovery.announce, a, state="Terminating")
         await asyncio.to_thread(wait_for, lambda: len(b.open_lines) + len(a.open_lines) >= 40 + on_a, 15.0)
@@ -396,7 +402,7 @@
             ask()
         c.change_address()
         ask()
-        (ran,) = store.ran.values()
+        (ran,) = store.effects.values()
         assert ran == [b"r%d" % n for n in range(1, number + 1)]
         assert all(line.startswith("T ") for line in told) and c.closed is None
         counters = w.counters()
@@ -423,7 +429,7 @@
         token_of(opened(c))
         for s in servers:
             assert isinstance(s, ResumableEndpointServer)
-            s.dies = "always"
+            s.failure_point = "always"
         c.send("Q 1 x")
         line = "T "
         with contextlib.suppress(ConnectionResetError):  # as its last server was, it is ended in kind
--- a/tests/test_resume_interleavings.py
+++ b/tests/test_resume_interleavings.py
@@ -17,7 +17,7 @@
     NodeWindow,
     ServerWindow,
 )
-from tests.support.resume_windows import passes
+from tests.support.resume_windows import accepts_request
 
 
 class SaveStore:
@@ -121,7 +121,7 @@
             if isinstance(line, Seen):
                 self.node.acknowledge(line.number)
                 self.line.forth.append(line)
-            elif isinstance(line, Request) and passes(self.node, line):
+            elif isinstance(line, Request) and accepts_request(self.node, line):
                 self.line.forth.append(line)
 
     @rule(times=st.integers(1, 6))
--- a/tests/test_resume_many.py
+++ b/tests/test_resume_many.py
@@ -22,7 +22,7 @@
 from gradegap.store.member_client import MemberClient
 from gradegap.verification.sessions import Record, from_node, violations
 from tests.support.node_environment import NodeEnvironment, free_port, running_node
-from tests.support.resume_world import ResumableEndpointServer, SaveStore
+from tests.support.resume_servers import ResumableEndpointServer, SaveStore
 from tests.support.store_nodes import Nodes, nodes
 from tests.test_admin_api import call
 
@@ -117,7 +117,7 @@
         await players.until(lambda: len([r for r in store.log if r.what == "claimed"]) >= SESSIONS + held)
         drained = time.monotonic() - began
         await players.all_answer()
-        await asyncio.to_thread(b.die)  # a death: in place too
+        await asyncio.to_thread(b.kill)  # a death: in place too
         await players.all_answer()
         await tell(b, "Gone")
         await tell(a, "Ready")
--- a/tests/test_resume_nodes.py
+++ b/tests/test_resume_nodes.py
@@ -15,7 +15,7 @@
 from gradegap.store.member_client import MemberClient
 from gradegap.verification.sessions import Record, from_node, violations
 from tests.support.node_environment import Client, NodeEnvironment, running_node, wait_for
-from tests.support.resume_world import ResumableEndpointServer, SaveStore
+from tests.support.resume_servers import ResumableEndpointServer, SaveStore
 from tests.support.store_nodes import Nodes, nodes
 from tests.test_hot_restart import second
 from tests.test_resume import ON, returned, run, token_of
@@ -81,7 +81,7 @@
         nodes.cut_off("n1")
         await asyncio.to_thread(wait_for, lambda: not w.is_ready())  # its lease is over
         leaves = a if session.receipt == "a" else b
-        await asyncio.to_thread(leaves.die)
+        await asyncio.to_thread(leaves.kill)
         waiting = asyncio.create_task(session.request(b"during"))
         await asyncio.to_thread(wait_for, lambda: int(w.counters().get("resume_not_claimed", 0)) > 0, 10.0)
         assert not waiting.done()  # nobody can say whose the session is
@@ -91,7 +91,7 @@
         await session.close()
 
     run(main())
-    (ran,) = (r for r in store.ran.values() if b"before" in r)
+    (ran,) = (r for r in store.effects.values() if b"before" in r)
     assert ran == [b"before", b"during"]
 
 
@@ -102,7 +102,7 @@
     assert c.read_line() == "A 1 done x"
     c.sock.close()
     for s in servers:
-        s.dies = "silent"
+        s.failure_point = "silent"
     nodes.node["n1"].client().send(f"OPEN m k c=live,d=9,rs=1,rh=1,rt={token}")  # another's: it gets nowhere
     lost = nodes.node["n1"].client()
     mine = f",rh=1,rt={token},ra={'5e' * 16}"
@@ -110,7 +110,7 @@
     wait_for(lambda: store.log[-1].what == "claimed" and store.log[-1].epoch == 2)
     nodes.node["n1"].process.kill()
     for s in servers:
-        s.dies = ""
+        s.failure_point = ""
     for wrong in (f",rh=1,rt={token}", f",rh=1,rt={token},ra={'aa' * 16}"):
 
         def refused(more: str = wrong) -> bool:
@@ -185,7 +185,7 @@
 
     with running_node(tmp_path, [a], ON, env={"TMPDIR": str(tmp_path)}) as w:
         run(main(w))
-    assert sorted(store.ran.values()) == sorted(
+    assert sorted(store.effects.values()) == sorted(
         [b"one-%d" % k, b"two-%d" % k, b"three-%d" % k] for k in range(10)
     )
 
@@ -233,11 +233,11 @@
         leaves = next(s for s in servers if s.name == session.receipt)
         left = [s for s in servers if s is not leaves]
         for s in left:
-            s.dies = "claimed"
-        await asyncio.to_thread(leaves.die)
+            s.failure_point = "claimed"
+        await asyncio.to_thread(leaves.kill)
         waiting = asyncio.create_task(session.request(b"two"))
         await asyncio.to_thread(wait_for, lambda: sum(len(s.open_lines) for s in left) >= 2, 10.0)
-        left[0].dies = ""
+        left[0].failure_point = ""
         assert await waiting == b"done two"
         assert session.reconnects >= 1
         await session.close()
--- a/tests/test_resume_windows.py
+++ b/tests/test_resume_windows.py
@@ -14,22 +14,22 @@
     NodeWindow,
     ServerWindow,
 )
-from tests.support.resume_windows import passes
+from tests.support.resume_windows import accepts_request
 
 
 def test_a_full_window_holds_its_client_back() -> None:
     client, node = ClientWindow(), NodeWindow()
     for _ in range(MAX_UNANSWERED):
-        assert passes(node, client.request(b"x"))
+        assert accepts_request(node, client.request(b"x"))
     with pytest.raises(WindowFullError):
         client.request(b"x")
     assert node.is_full and node.unanswered_bytes == sum(
         len(lines.encode(Request(n, b"x"))) for n in range(1, MAX_UNANSWERED + 1)
     )
     with pytest.raises(LineError, match=r"^window"):
-        passes(node, Request(MAX_UNANSWERED + 1, b"x"))
+        accepts_request(node, Request(MAX_UNANSWERED + 1, b"x"))
     assert node.answer(1) and client.answer(Answer(1, b"y"))
-    assert passes(node, client.request(b"x"))
+    assert accepts_request(node, client.request(b"x"))
 
 
 def test_a_client_that_acknowledges_nothing_is_held_no_answers_for_without_end() -> None:
@@ -46,7 +46,7 @@
 def test_whoever_lies_about_a_position_is_found_out() -> None:
     node, server, client = NodeWindow(), ServerWindow(), ClientWindow()
     for n in range(1, 6):
-        passes(node, client.request(b""))
+        accepts_request(node, client.request(b""))
         server.record_answer(n, b"")
     for n in range(1, 4):
         node.answer(n)
@@ -56,7 +56,7 @@
         lambda: node.unexecuted(2),
         lambda: node.unexecuted(6),
         lambda: node.answer(5),
-        lambda: passes(node, Request(9, b"")),
+        lambda: accepts_request(node, Request(9, b"")),
         lambda: client.resume(2),
         lambda: client.resume(6),
         lambda: client.answer(Answer(5, b"")),
