--- a/tests/support/silent_discovery.py
+++ b/tests/support/silent_discovery.py
@@ -24,13 +24,13 @@
         self.entries = {e["id"]: e for e in entries}
         self.version, self.indent = 5, indent
         self.changes: list[tuple[int, dict[str, Any]]] = []
-        self.phase, self.left = "", 0
+        self.phase, self.silent_calls_left = "", 0
         self.calls: list[tuple[float, str]] = []
         self.called_at: list[tuple[float, str, str]] = []  # the same, with the address that was dialled
-        self.twice = 0  # answers that are sent a second time, some ms later
-        self.watching = 0  # watches that are open now
-        self.older = 0  # answers to watches that are of an older version
-        self.held: list[socket.socket] = []
+        self.duplicate_answers = 0  # answers that are sent a second time, some ms later
+        self.open_watches = 0  # watches that are open now
+        self.stale_answers = 0  # answers to watches that are of an older version
+        self.open_connections: list[socket.socket] = []
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=64)
         self.port = self.listener.getsockname()[1]
         self.address = f"127.0.0.1:{self.port}"
@@ -51,13 +51,13 @@
 
     def _falls(self) -> str:
         with self.changed:
-            if self.left > 0:
-                self.left -= 1
+            if self.silent_calls_left > 0:
+                self.silent_calls_left -= 1
                 return self.phase
             return ""
 
     def _serve(self, sock: socket.socket) -> None:
-        self.held.append(sock)
+        self.open_connections.append(sock)
         with contextlib.suppress(OSError):
             file = sock.makefile("rb")
             while line := file.readline():
@@ -78,8 +78,8 @@
                     sock.sendall(data[: sent.get(phase, 0)])
                     return  # open, and silent from here on
                 sock.sendall(data)
-                if self.twice:
-                    self.twice -= 1
+                if self.duplicate_answers:
+                    self.duplicate_answers -= 1
                     time.sleep(0.005)
                     sock.sendall(data)
 
@@ -91,15 +91,15 @@
                 body = {"version": self.version, "full": True, "servers": list(self.entries.values())}
             else:
                 index = int(found[1])
-                self.watching += 1
+                self.open_watches += 1
                 self.changed.wait_for(
-                    lambda: self.version > index or self.older, int(found[2]) / 1000 - waited
+                    lambda: self.version > index or self.stale_answers, int(found[2]) / 1000 - waited
                 )
-                self.watching -= 1
+                self.open_watches -= 1
                 news = [e for version, e in self.changes if version > index]
                 body = {"version": self.version, "full": False, "servers": news}
-                if self.older:
-                    self.older -= 1
+                if self.stale_answers:
+                    self.stale_answers -= 1
                     old = {**next(iter(self.entries.values())), "state": "Ready"}
                     body = {"version": index - 1, "full": False, "servers": [old]}
         text = json.dumps(body, indent=self.indent).encode()
@@ -107,7 +107,7 @@
 
     def fall_silent(self, phase: str, calls: int) -> None:
         with self.changed:
-            self.phase, self.left = phase, calls
+            self.phase, self.silent_calls_left = phase, calls
 
     def announce(self, entry: dict[str, Any], **changes: Any) -> float:
         with self.changed:
@@ -118,26 +118,26 @@
             return time.time()
 
 
-class TurnDiscovery(SilentDiscovery):
+class SerializedDiscovery(SilentDiscovery):
     """One service for all nodes: calls wait in turn, each takes a while; one that has waited too long gets
     503 or a reset, in turn. A call that its caller has given up takes its turn all the same. A watch waits
     from its arrival on."""
 
-    def __init__(self, entries: list[dict[str, Any]], each: float, patience: float = 2.0) -> None:
+    def __init__(self, entries: list[dict[str, Any]], service_time_s: float, max_wait_s: float = 2.0) -> None:
         self.turn = threading.Lock()
-        self.each, self.patience = each, patience
+        self.service_time_s, self.max_wait_s = service_time_s, max_wait_s
         self.failures = 0
         super().__init__(entries)
 
     def _answer(self, path: str, waited: float = 0.0) -> bytes:
         arrived = time.monotonic()
-        if not self.turn.acquire(timeout=self.patience):
+        if not self.turn.acquire(timeout=self.max_wait_s):
             self.failures += 1
             if self.failures % 2:
                 raise ConnectionResetError
             return b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
         try:
-            time.sleep(self.each)
+            time.sleep(self.service_time_s)
         finally:
             self.turn.release()
         return super()._answer(path, waited + time.monotonic() - arrived)
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -23,7 +23,7 @@
     running_node,
     wait_for,
 )
-from tests.support.silent_discovery import SilentDiscovery, TurnDiscovery
+from tests.support.silent_discovery import SerializedDiscovery, SilentDiscovery
 
 
 @pytest.mark.parametrize("site", BOTH)
@@ -52,7 +52,7 @@
         ends = [began + int(found[1]) / 1000 for began, found in waits if found is not None]
         day.told[second.name] = max(at + 6.0, max(ends) + 2.0) if asked else at
         if asked:
-            wait_for(lambda: day.discovery.left == 0, 10.0)
+            wait_for(lambda: day.discovery.silent_calls_left == 0, 10.0)
         # A server dies, and its clients with it.
         day.killed.add(third.name)
         third.stop()
@@ -121,7 +121,7 @@
     gone.stop()
     for s in (live, gone):
         s.report()
-    d = TurnDiscovery([live.entry, gone.entry], each=0.25, patience=0.7)
+    d = SerializedDiscovery([live.entry, gone.entry], service_time_s=0.25, max_wait_s=0.7)
     nodes = [NodeProcess(tmp_path, k, ASKED | {"ReplicasOfMe": 8}, d, wait=False) for k in range(8)]
     try:
         d.announce(gone.entry, state="Gone")
@@ -141,7 +141,7 @@
         print(f"{d.failures} calls found no room, {made} calls in {took:.1f} s after the news")
         assert took < 6.0 and made / max(1.0, time.time() - began) < 16.0
         # Once all watch again, each waits its time out: no more than a call a node in it, and none fails.
-        wait_for(lambda: d.watching == 8, 6.0)
+        wait_for(lambda: d.open_watches == 8, 6.0)
         quiet, failed, since = len(d.calls), d.failures, time.time()
         wait_for(lambda: time.time() > since + 4.0, 5.0)
         assert len(d.calls) - quiet <= 12 and d.failures - failed <= 4
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -9,7 +9,7 @@
 
 from tests.support.deployments import ASKED, PUSHED, NodeProcess, Server
 from tests.support.node_environment import wait_for
-from tests.support.silent_discovery import SilentDiscovery, TurnDiscovery
+from tests.support.silent_discovery import SerializedDiscovery, SilentDiscovery
 
 PROCESSES = 30
 READY_IN = 10.0  # s in which nine in ten have to be ready
@@ -26,7 +26,7 @@
     elif trouble == "silent":
         d.fall_silent("unread", 10_000)
     else:
-        settings, d = ASKED, TurnDiscovery([server.entry], each=0.2, patience=2.0)
+        settings, d = ASKED, SerializedDiscovery([server.entry], service_time_s=0.2, max_wait_s=2.0)
     began = time.monotonic()
     nodes = [NodeProcess(tmp_path, k, settings, d, wait=False) for k in range(PROCESSES)]
     try:
--- a/tests/test_silent_watches.py
+++ b/tests/test_silent_watches.py
@@ -12,7 +12,7 @@
 from gradegap.discovery.watch_schedule import SILENCE_NOTIFIED_S, WAIT_NOTIFIED_S
 from tests.support.deployments import ASKED, NodeProcess, Server
 from tests.support.node_environment import SCHEDULING_SLACK_S, Client, wait_for
-from tests.support.silent_discovery import TurnDiscovery
+from tests.support.silent_discovery import SerializedDiscovery
 
 NODES = 6
 CALL_TAKES = 0.29  # s of the discovery's time that each call takes, also one that its caller gave up
@@ -45,7 +45,7 @@
             self.join(PATIENCE)
 
 
-def notified_at(discovery: TurnDiscovery, address: str, silent_at: float, drained_at: float) -> float:
+def notified_at(discovery: SerializedDiscovery, address: str, silent_at: float, drained_at: float) -> float:
     """When the rules hold a node for told of a drain that its silent watch hid."""
     watches = [
         (at, path) for at, path, dialled in discovery.called_at if dialled == address and at < silent_at
@@ -66,7 +66,7 @@
     a, b = Server("a"), Server("b")
     for server in (a, b):
         server.report()
-    discovery = TurnDiscovery([a.entry, b.entry], each=CALL_TAKES, patience=PATIENCE)
+    discovery = SerializedDiscovery([a.entry, b.entry], service_time_s=CALL_TAKES, max_wait_s=PATIENCE)
     addresses = [f"127.0.7.{k + 1}" for k in range(NODES)]
     nodes = [
         NodeProcess(tmp_path, k, settings, discovery, wait=False, discovery=discovery.listen_on(address))
@@ -76,7 +76,7 @@
     try:
         for node in nodes:
             wait_for(node.answers, 15.0)
-        wait_for(lambda: discovery.watching == NODES, 10.0)
+        wait_for(lambda: discovery.open_watches == NODES, 10.0)
         # The second watch of each is open.
         wait_for(lambda: len(discovery.calls) >= 2 * NODES, 15.0)
         for asker in askers:
@@ -97,7 +97,7 @@
     spread = max(told) - min(told)
     print(f"last sent {late} s after each was held for told, {GRACE} allowed; told over {spread:.2f} s")
     print(*[(round(at - silent_at, 2), dialled, path) for at, path, dialled in discovery.called_at], sep="\n")
-    assert discovery.left == 0
+    assert discovery.silent_calls_left == 0
     assert max(late) <= GRACE + SCHEDULING_SLACK_S
 
 
@@ -108,11 +108,11 @@
     a, b = Server("a"), Server("b")
     for server in (a, b):
         server.report()
-    discovery = TurnDiscovery([a.entry, b.entry], each=each, patience=PATIENCE)
+    discovery = SerializedDiscovery([a.entry, b.entry], service_time_s=each, max_wait_s=PATIENCE)
     node = NodeProcess(tmp_path, 0, copy.deepcopy(ASKED) | {"ReplicasOfMe": 1}, discovery)
     asker = Asker(node, a.name)
     try:
-        wait_for(lambda: discovery.watching == 1, 10.0)
+        wait_for(lambda: discovery.open_watches == 1, 10.0)
         asker.start()
         wait_for(lambda: asker.last > 0.0)
         discovery.fall_silent("unread", 1)
--- a/tests/test_watch_schedule.py
+++ b/tests/test_watch_schedule.py
@@ -229,7 +229,7 @@
         print(f"last sent {last:.2f} s after, bound {bound:.2f}, calls {[p for _, p in d.calls]}")
         assert last <= bound + SCHEDULING_SLACK_S / 2
         assert int(w.counters()["lists_silent"]) == calls
-        assert d.left == 0
+        assert d.silent_calls_left == 0
 
 
 @pytest.mark.parametrize("spoilt", ["twice", "older"])
@@ -243,12 +243,12 @@
     with running_node(tmp_path, [a, b], settings=settings("on_request", 250), discovery=d.address) as w:
         wait_for(lambda: any("index" in path for _, path in d.calls))
         with d.changed:
-            d.twice = 1 if spoilt == "twice" else 0
+            d.duplicate_answers = 1 if spoilt == "twice" else 0
         d.announce(a.entry, state="Terminating")
         wait_for(lambda: w.counters().get("lists_delta") == "1")
         if spoilt == "older":
             with d.changed:
-                d.older = 1
+                d.stale_answers = 1
                 d.changed.notify_all()
         why = "out_of_turn" if spoilt == "twice" else "older"
         wait_for(lambda: any(f"lists_refused_{why}" in n or "behind" in n for n in w.counters()))
