--- a/bench/store.py
+++ b/bench/store.py
@@ -150,9 +150,9 @@
     elapsed = []
     for _ in range(LEADER_KILLS):
         leader = wait_for(cluster.leader, 15.0)
-        wait_for(cluster.same_everywhere, 15.0)
+        wait_for(cluster.has_equal_states, 15.0)
         rest = cluster.others(leader)
-        remotes = [cluster.remote(n, 10.0) for n in rest]
+        remotes = [cluster.member_client(n, 10.0) for n in rest]
         cluster.kill(leader)
         began = time.monotonic()
         remotes[0].set("bench/again", 1)
@@ -175,7 +175,7 @@
     try:
         cluster.start_all()
         empty = resident_kib(cluster.processes["n1"].pid)
-        with cluster.remote("n1", 30.0) as r:
+        with cluster.member_client("n1", 30.0) as r:
             for k in range(0, KEYS, 100):
                 r.request(wire.Transaction(tuple(KeyUpdate(f"key/{i:08}", i) for i in range(k, k + 100))))
         full = resident_kib(cluster.processes["n1"].pid)
@@ -199,7 +199,7 @@
 
 def has_keys(cluster: Cluster, name: str) -> bool:
     """Whether a member serves the keys that were written."""
-    with contextlib.suppress(RequestFailedError), cluster.remote(name, 1.0) as r:
+    with contextlib.suppress(RequestFailedError), cluster.member_client(name, 1.0) as r:
         return bool(r.value("key/00000007") == 7)
     return False
 
@@ -242,7 +242,9 @@
             cluster.start_all()
             leader = cluster.leader()
             for writers in (1, 16, 256):
-                found[f"commits, {writers} writers"] = asyncio.run(commits(cluster.direct[leader], writers))
+                found[f"commits, {writers} writers"] = asyncio.run(
+                    commits(cluster.listen_addresses[leader], writers)
+                )
             found["without a leader"] = time_without_leader(cluster)
         finally:
             cluster.stop()
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -30,26 +30,26 @@
         self.env = os.environ | {"PYTHONPATH": str(ROOT), "PYTHONUNBUFFERED": "1"} | (env or {})
         self.names = [f"n{k}" for k in range(1, size + 1)]
         self.relay = Relay()
-        self.direct: dict[str, str] = {}
+        self.listen_addresses: dict[str, str] = {}
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         (folder / "secret").write_bytes(SECRET)
         for name in self.names:
-            self.place(name)
+            self.add_member(name)
         self.relay.start()
 
-    def place(self, name: str) -> None:
-        self.direct[name] = f"127.0.0.1:{free_port()}"
+    def add_member(self, name: str) -> None:
+        self.listen_addresses[name] = f"127.0.0.1:{free_port()}"
         if self.relayed:
-            self.relay.before(name, self.direct[name])
+            self.relay.add_route(name, self.listen_addresses[name])
         else:
-            self.relay.addresses[name] = self.direct[name]
+            self.relay.addresses[name] = self.listen_addresses[name]
 
-    def file(self, name: str, names: list[str] | None = None, more: str = "") -> Path:
+    def write_config(self, name: str, names: list[str] | None = None, more: str = "") -> Path:
         peers = [n for n in names or self.names if n != name]
         listed = ", ".join(f'{{name = "{p}", address = "{self.relay.addresses[p]}"}}' for p in peers)
         path = self.folder / f"{name}.toml"
         path.write_text(
-            f'[store]\nname = "{name}"\nlisten = "{self.direct[name]}"\n'
+            f'[store]\nname = "{name}"\nlisten = "{self.listen_addresses[name]}"\n'
             f'advertise = "{self.relay.addresses[name]}"\ndata = "{self.folder / name}"\n'
             f'secret = "{self.folder / "secret"}"\npeers = [{listed}]\n{more}'
         )
@@ -60,7 +60,7 @@
 
     def start(self, name: str, env: dict[str, str] | None = None, names: list[str] | None = None) -> None:
         command = [sys.executable, "-m", "tests.support.store_process", "store", "serve"]
-        command += ["--operator", str(self.file(name, names))]
+        command += ["--operator", str(self.write_config(name, names))]
         with (self.folder / f"{name}.log").open("ab") as log:
             self.processes[name] = subprocess.Popen(
                 command, env=self.env | (env or {}), cwd=ROOT, stdout=log, stderr=log
@@ -71,11 +71,11 @@
             self.start(name)
         wait_for(self.leader, 15.0)
 
-    def remote(self, name: str, wait: float = 5.0) -> MemberClient:
-        return MemberClient(self.direct[name], SECRET, wait)
+    def member_client(self, name: str, wait: float = 5.0) -> MemberClient:
+        return MemberClient(self.listen_addresses[name], SECRET, wait)
 
     def status(self, name: str) -> dict[str, Any]:
-        with self.remote(name, 1.0) as r:
+        with self.member_client(name, 1.0) as r:
             return r.status()
 
     def running(self) -> list[str]:
@@ -97,10 +97,10 @@
         self.processes[name].kill()
         self.processes[name].wait()
 
-    def freeze(self, name: str) -> None:
+    def suspend(self, name: str) -> None:
         self.processes[name].send_signal(signal.SIGSTOP)
 
-    def thaw(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         self.processes[name].send_signal(signal.SIGCONT)
 
     def cli(self, *words: str, timeout: float = 30.0) -> subprocess.CompletedProcess[str]:
@@ -115,12 +115,12 @@
         last = [line for line in self.log(name).splitlines() if "event=counters" in line][-1]
         return dict(part.split("=", 1) for part in last.split() if "=" in part)
 
-    def same_everywhere(self) -> bool:
+    def has_equal_states(self) -> bool:
         """All members hold the same keys at the same revision."""
         seen = set()
         for name in self.running():
             try:
-                with self.remote(name, 2.0) as r:
+                with self.member_client(name, 2.0) as r:
                     answer = r.request(wire.Digest())
             except RequestFailedError:
                 return False
@@ -152,12 +152,12 @@
 
 
 def put(c: Cluster, name: str, key: str, value: Any, wait: float = 5.0) -> int:
-    with c.remote(name, wait) as r:
+    with c.member_client(name, wait) as r:
         return r.set(key, value)
 
 
 def value(c: Cluster, name: str, key: str) -> Any:
-    with c.remote(name) as r:
+    with c.member_client(name) as r:
         return r.value(key)
 
 
--- a/tests/support/relay.py
+++ b/tests/support/relay.py
@@ -14,14 +14,14 @@
 from tests.support.node_environment import hard_reset
 
 
-class Pipe:
+class RelayedConnection:
     """One connection: who dialed, whom, and the bytes on their way."""
 
-    def __init__(self, front: socket.socket, back: socket.socket, to: str) -> None:
-        self.front, self.back, self.to = front, back, to
+    def __init__(self, dialer_socket: socket.socket, member_socket: socket.socket, member: str) -> None:
+        self.dialer_socket, self.member_socket, self.member = dialer_socket, member_socket, member
         self.dialer = ""  # once its hello has passed; "client" for a command line
-        self.head = b""
-        self.held: list[tuple[float, socket.socket, bytes]] = []
+        self.first_bytes = b""
+        self.queued: list[tuple[float, socket.socket, bytes]] = []
 
 
 class Relay:
@@ -29,43 +29,43 @@
     reaches the second, and the connection stays open, as on a network that drops."""
 
     def __init__(self) -> None:
-        self.cut: set[tuple[str, str]] = set()
-        self.garble: set[tuple[str, str]] = set()  # one byte of the next piece, then no more
-        self.delay = 0.0
+        self.blocked_pairs: set[tuple[str, str]] = set()
+        self.corrupted_pairs: set[tuple[str, str]] = set()  # one byte of the next piece, then no more
+        self.delay_s = 0.0
         self.rng = random.Random(1)
-        self.chooser = selectors.DefaultSelector()
-        self.pipes: list[Pipe] = []
-        self.ended = False
+        self.selector = selectors.DefaultSelector()
+        self.connections: list[RelayedConnection] = []
+        self.stopped = False
         self.lock = threading.Lock()
         self.addresses: dict[str, str] = {}
         self.thread = threading.Thread(target=self._run, daemon=True)
 
-    def before(self, name: str, address: str) -> str:
+    def add_route(self, name: str, address: str) -> str:
         """An address that leads to `address`."""
         listener = socket.create_server(("127.0.0.1", 0))
-        self.chooser.register(listener, selectors.EVENT_READ, ("accept", name, address))
+        self.selector.register(listener, selectors.EVENT_READ, ("accept", name, address))
         self.addresses[name] = f"127.0.0.1:{listener.getsockname()[1]}"
         return self.addresses[name]
 
     def start(self) -> None:
         self.thread.start()
 
-    def part(self, side: set[str], others: set[str]) -> None:
-        self.cut |= {(a, b) for a in side for b in others} | {(b, a) for a in side for b in others}
+    def partition(self, side: set[str], others: set[str]) -> None:
+        self.blocked_pairs |= {(a, b) for a in side for b in others} | {(b, a) for a in side for b in others}
 
     def heal(self) -> None:
         """What was cut is reset, so that both sides dial anew at once."""
-        cut, self.cut = self.cut, set()
+        cut, self.blocked_pairs = self.blocked_pairs, set()
         with self.lock:
-            for p in self.pipes:
-                if (p.dialer, p.to) in cut or (p.to, p.dialer) in cut:
-                    for sock in (p.front, p.back):
+            for p in self.connections:
+                if (p.dialer, p.member) in cut or (p.member, p.dialer) in cut:
+                    for sock in (p.dialer_socket, p.member_socket):
                         with contextlib.suppress(OSError, ValueError):
                             sock.shutdown(socket.SHUT_RDWR)
 
     def _run(self) -> None:
-        while not self.ended:
-            for key, _ in self.chooser.select(0.005):
+        while not self.stopped:
+            for key, _ in self.selector.select(0.005):
                 what, one, two = key.data
                 if what == "accept":
                     self._accept(key.fileobj, one, two)  # type: ignore[arg-type]
@@ -84,14 +84,14 @@
             return
         for sock in (front, back):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        p = Pipe(front, back, name)
+        p = RelayedConnection(front, back, name)
         with self.lock:
-            self.pipes.append(p)
-        self.chooser.register(front, selectors.EVENT_READ, ("pass", p, True))
-        self.chooser.register(back, selectors.EVENT_READ, ("pass", p, False))
+            self.connections.append(p)
+        self.selector.register(front, selectors.EVENT_READ, ("pass", p, True))
+        self.selector.register(back, selectors.EVENT_READ, ("pass", p, False))
 
-    def _pass(self, p: Pipe, forth: bool) -> None:
-        source, sink = (p.front, p.back) if forth else (p.back, p.front)
+    def _pass(self, p: RelayedConnection, forth: bool) -> None:
+        source, sink = (p.dialer_socket, p.member_socket) if forth else (p.member_socket, p.dialer_socket)
         try:
             data = source.recv(65536)
         except OSError:
@@ -100,41 +100,41 @@
             self._end(p)
             return
         if forth and not p.dialer:
-            p.head += data
-            size = int.from_bytes(p.head[:4], "big")
-            if len(p.head) >= 4 + size:
-                hello = msgspec.msgpack.decode(p.head[4 : 4 + size])
+            p.first_bytes += data
+            size = int.from_bytes(p.first_bytes[:4], "big")
+            if len(p.first_bytes) >= 4 + size:
+                hello = msgspec.msgpack.decode(p.first_bytes[4 : 4 + size])
                 p.dialer = hello.get("name") or "client"
-        pair = (p.dialer, p.to) if forth else (p.to, p.dialer)
-        if pair in self.cut:
+        pair = (p.dialer, p.member) if forth else (p.member, p.dialer)
+        if pair in self.blocked_pairs:
             return
-        if pair in self.garble and len(data) > 30:
-            self.garble.discard(pair)
+        if pair in self.corrupted_pairs and len(data) > 30:
+            self.corrupted_pairs.discard(pair)
             at = self.rng.randrange(24, len(data))
             data = data[:at] + bytes([data[at] ^ 0x5A]) + data[at + 1 :]
         with self.lock:
-            p.held.append((time.monotonic() + self.delay, sink, data))
+            p.queued.append((time.monotonic() + self.delay_s, sink, data))
 
     def _release(self) -> None:
         now = time.monotonic()
-        for p in list(self.pipes):
-            while p.held and p.held[0][0] <= now:
-                _, sink, data = p.held.pop(0)
+        for p in list(self.connections):
+            while p.queued and p.queued[0][0] <= now:
+                _, sink, data = p.queued.pop(0)
                 try:
                     sink.sendall(data)
                 except OSError:
                     self._end(p, locked=True)
                     break
 
-    def _end(self, p: Pipe, locked: bool = False) -> None:
-        for sock in (p.front, p.back):
+    def _end(self, p: RelayedConnection, locked: bool = False) -> None:
+        for sock in (p.dialer_socket, p.member_socket):
             with contextlib.suppress(KeyError, ValueError):
-                self.chooser.unregister(sock)
+                self.selector.unregister(sock)
             sock.close()
         with contextlib.nullcontext() if locked else self.lock:
-            if p in self.pipes:
-                self.pipes.remove(p)
+            if p in self.connections:
+                self.connections.remove(p)
 
     def stop(self) -> None:
-        self.ended = True
+        self.stopped = True
         self.thread.join()
--- a/tests/support/store_log.py
+++ b/tests/support/state_machine_driver.py
@@ -8,7 +8,7 @@
 from gradegap.store.records import Command, Compare, Expire, KeyUpdate, LogRecord, Result, encode
 
 
-class Log:
+class StateMachineDriver:
     """Feeds a machine, and counts the entries."""
 
     def __init__(self) -> None:
--- a/tests/support/store_nodes.py
+++ b/tests/support/store_nodes.py
@@ -21,7 +21,7 @@
     return plain_call(console, path, most=3.0)
 
 
-class Nodes:
+class StoreNodes:
     """Three nodes, each with a member of the store in its process, behind a relay."""
 
     def __init__(self, folder: Path, stack: ExitStack) -> None:
@@ -29,19 +29,19 @@
         self.endpoint_servers = [EndpointServer("a"), EndpointServer("b")]
         self.relay = Relay()
         self.names = ["n1", "n2", "n3"]
-        self.direct = {n: f"127.0.0.1:{free_port()}" for n in self.names}
+        self.listen_addresses = {n: f"127.0.0.1:{free_port()}" for n in self.names}
         self.consoles = {n: f"127.0.0.1:{free_port()}" for n in self.names}
         for n in self.names:
-            self.relay.before(n, self.direct[n])
+            self.relay.add_route(n, self.listen_addresses[n])
         self.relay.start()
-        self.node: dict[str, NodeEnvironment] = {}
+        self.environments: dict[str, NodeEnvironment] = {}
 
-    def operator(self, name: str, more: str = "") -> str:
+    def operator_config(self, name: str, more: str = "") -> str:
         listed = ", ".join(
             f'{{name = "{p}", address = "{self.relay.addresses[p]}"}}' for p in self.names if p != name
         )
         return (
-            f'[store]\nname = "{name}"\nlisten = "{self.direct[name]}"\npeers = [{listed}]\n'
+            f'[store]\nname = "{name}"\nlisten = "{self.listen_addresses[name]}"\npeers = [{listed}]\n'
             f'advertise = "{self.relay.addresses[name]}"\ndata = "{self.folder / name / "data"}"\n{more}'
         )
 
@@ -50,13 +50,13 @@
         folder.mkdir(exist_ok=True)
         config = {"name": name, "console": self.consoles[name]} | config
         env = {"TMPDIR": str(self.folder / name)}
-        made = NodeEnvironment(folder, self.endpoint_servers, self.operator(name, more), env, **config)
-        self.stack.callback(self.end, made)
+        made = NodeEnvironment(folder, self.endpoint_servers, self.operator_config(name, more), env, **config)
+        self.stack.callback(self.stop_node, made)
         if not place:
-            self.node[name] = made
+            self.environments[name] = made
         return made
 
-    def end(self, made: NodeEnvironment) -> None:
+    def stop_node(self, made: NodeEnvironment) -> None:
         made.process.kill()
         made.process.wait()
         made.discovery.server.shutdown()
@@ -66,15 +66,15 @@
         for name in self.names:
             self.start(name, more)
         for name in self.names:
-            wait_for(self.node[name].is_ready, 20.0)
+            wait_for(self.environments[name].is_ready, 20.0)
 
-    def remote(self, name: str) -> MemberClient:
-        return MemberClient(self.direct[name])
+    def member_client(self, name: str) -> MemberClient:
+        return MemberClient(self.listen_addresses[name])
 
     def leader(self) -> str:
         for name in self.names:
             try:
-                with self.remote(name) as r:
+                with self.member_client(name) as r:
                     if r.status()["role"] == "leader":
                         return name
             except RequestFailedError:
@@ -84,16 +84,16 @@
     def others(self, name: str) -> list[str]:
         return [n for n in self.names if n != name]
 
-    def cut_off(self, name: str) -> None:
-        self.relay.part({name}, set(self.others(name)))
+    def isolate(self, name: str) -> None:
+        self.relay.partition({name}, set(self.others(name)))
 
-    def served_by(self, name: str, times: int = 8) -> set[str]:
-        return {self.node[name].client().open_request(f"c=live,d=900,g={k}") for k in range(times)}
+    def open_answers(self, name: str, times: int = 8) -> set[str]:
+        return {self.environments[name].client().open_request(f"c=live,d=900,g={k}") for k in range(times)}
 
 
 @pytest.fixture
-def nodes(tmp_path: Path) -> Iterator[Nodes]:
+def nodes(tmp_path: Path) -> Iterator[StoreNodes]:
     with ExitStack() as stack:
-        made = Nodes(tmp_path, stack)
+        made = StoreNodes(tmp_path, stack)
         yield made
     made.relay.stop()
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -14,10 +14,10 @@
 
 def test_a_ring_is_rotated_and_tokens_are_inspected(tmp_path: Path) -> None:
     with cluster(tmp_path, 1) as c:
-        node = ("--node", c.direct["n1"])
+        node = ("--node", c.listen_addresses["n1"])
         assert c.cli("keys", "list", *node).stdout == "no keys\n"
         first = c.cli("keys", "rotate", *node).stdout.strip()
-        with c.remote("n1") as r:
+        with c.member_client("n1") as r:
             ring = msgspec.convert(r.value(KEY_RING_KEY), KeyRing)
             place = Place("s" * 16, "7f3a", "live", "s-1", 4, 2, int(time.time()) + 60)
             token = seal_token(ring, r.status()["cluster"], place)
--- a/tests/test_observer_cluster.py
+++ b/tests/test_observer_cluster.py
@@ -41,13 +41,15 @@
 class Machines(Cluster):
     """Three control machines: n1 to n3. A relay stands before each publish port, too, as `nK-publish`."""
 
-    def place(self, name: str) -> None:
-        super().place(name)
-        self.direct[f"{name}-publish"] = f"127.0.0.1:{free_port()}"
-        self.relay.before(f"{name}-publish", self.direct[f"{name}-publish"])
-
-    def file(self, name: str, names: list[str] | None = None, more: str = "") -> Path:
-        return super().file(name, names, f'{more}publish = "{self.direct[f"{name}-publish"]}"\n')
+    def add_member(self, name: str) -> None:
+        super().add_member(name)
+        self.listen_addresses[f"{name}-publish"] = f"127.0.0.1:{free_port()}"
+        self.relay.add_route(f"{name}-publish", self.listen_addresses[f"{name}-publish"])
+
+    def write_config(self, name: str, names: list[str] | None = None, more: str = "") -> Path:
+        return super().write_config(
+            name, names, f'{more}publish = "{self.listen_addresses[f"{name}-publish"]}"\n'
+        )
 
 
 class Fleet:
@@ -103,7 +105,7 @@
     def put(self, *ops: KeyUpdate, among: list[str] | None = None) -> int:
         """Write through the leader; the revision, once no node decides without it."""
         leader = wait_for(lambda: self.machines.leader(among), 15.0)
-        with self.machines.remote(leader, 10.0) as r:
+        with self.machines.member_client(leader, 10.0) as r:
             return r.request(wire.Transaction(ops)).revision
 
     def level(self, revision: int) -> bool:
@@ -192,9 +194,9 @@
     """
     machine = fleet.machine_of(name)
     others = fleet.machines.others(machine)
-    fleet.machines.relay.part({machine}, set(others))
+    fleet.machines.relay.partition({machine}, set(others))
     for other in others:
-        fleet.machines.relay.part({"client"}, {f"{other}-publish"})
+        fleet.machines.relay.partition({"client"}, {f"{other}-publish"})
     wait_for(lambda: fleet.machines.status(machine)["held_lease_ms"] == 0, LEVEL_WITHIN)
     return machine, others
 
@@ -242,11 +244,11 @@
 def test_all_machines_stopped_and_gone_on_again(fleet: Fleet) -> None:
     fleet.start_all(2)
     for name in fleet.machines.names:
-        fleet.machines.freeze(name)
+        fleet.machines.suspend(name)
     for node in fleet.nodes.values():
         wait_for(lambda n=node: not n.ready(), 6.0)  # type: ignore[misc]
     for name in fleet.machines.names:
-        fleet.machines.thaw(name)
+        fleet.machines.resume(name)
     wait_for(lambda: fleet.level(0), 15.0)
 
 
@@ -278,7 +280,7 @@
     fleet.start_all(3)
     machines = fleet.machines
     # Machines that have just started can't vouch for the nodes of an earlier life; it asks until they can.
-    words = ["--node", machines.direct["n1"], "--in-force"]
+    words = ["--node", machines.listen_addresses["n1"], "--in-force"]
     done = machines.cli("store", "set", "config/motd", "hello", *words, "40", "--json", timeout=60)
     assert done.returncode == 0, done.stderr
     told = msgspec.json.decode(done.stdout)
@@ -302,12 +304,12 @@
     assert again.returncode == 0, again.stderr
     # A member that can't be asked leaves its nodes unknown.
     away = machines.others(machines.leader())[0]
-    machines.freeze(away)
+    machines.suspend(away)
     asked = machines.leader(machines.others(away))
-    words = ["--node", machines.direct[asked], "--in-force", "2"]
+    words = ["--node", machines.listen_addresses[asked], "--in-force", "2"]
     unasked = machines.cli("store", "set", "config/motd", "more", *words)
     assert unasked.returncode == 5 and f"could not ask {away}, whose nodes are unknown" in unasked.stderr
-    machines.thaw(away)
+    machines.resume(away)
 
 
 def test_a_session_resumes_at_another_node_that_subscribes(fleet: Fleet) -> None:
--- a/tests/test_resume_many.py
+++ b/tests/test_resume_many.py
@@ -23,7 +23,7 @@
 from gradegap.verification.sessions import Record, from_node, violations
 from tests.support.node_environment import NodeEnvironment, free_port, running_node
 from tests.support.resume_servers import ResumableEndpointServer, SaveStore
-from tests.support.store_nodes import Nodes, nodes
+from tests.support.store_nodes import StoreNodes, nodes
 from tests.test_admin_api import call
 
 __all__ = ["nodes"]
@@ -88,7 +88,7 @@
         await asyncio.gather(*self.tasks)
 
 
-def logged(nodes: Nodes) -> list[Record]:
+def logged(nodes: StoreNodes) -> list[Record]:
     found: list[Record] = []
     for name in nodes.names:
         for folder in (name, f"{name}-again"):
@@ -98,17 +98,17 @@
     return found
 
 
-def test_sessions_lose_and_double_nothing_while_servers_and_nodes_go(nodes: Nodes) -> None:
+def test_sessions_lose_and_double_nothing_while_servers_and_nodes_go(nodes: StoreNodes) -> None:
     store = SaveStore()
     a, b, c, d = servers = [ResumableEndpointServer(n, store) for n in "abcd"]
     nodes.endpoint_servers = list(servers)
 
     async def tell(backend: ResumableEndpointServer, state: str) -> None:
-        alive = [w for w in nodes.node.values() if w.process.poll() is None]
+        alive = [w for w in nodes.environments.values() if w.process.poll() is None]
         await asyncio.gather(*(asyncio.to_thread(w.discovery.announce, backend, state=state) for w in alive))
 
     async def main() -> None:
-        players = Players([nodes.node[n].address for n in nodes.names], seed=3)
+        players = Players([nodes.environments[n].address for n in nodes.names], seed=3)
         await players.come(SESSIONS)
         await players.all_answer()
         held = len([r for r in store.log if r.what == "claimed" and r.who == "a"])
@@ -121,16 +121,16 @@
         await players.all_answer()
         await tell(b, "Gone")
         await tell(a, "Ready")
-        first = nodes.node["n3"]
+        first = nodes.environments["n3"]
         first.process.kill()  # a node's death: by return
         first.process.wait()
         await players.all_answer()
         again = await asyncio.to_thread(nodes.start, "n3", "[resume]\n", "n3-again", listen=first.address)
-        nodes.node["n3"] = again
+        nodes.environments["n3"] = again
         await players.until(lambda: again.is_ready())
         await players.all_answer()
         await tell(c, "Terminating")
-        leaving = nodes.node["n2"].process
+        leaving = nodes.environments["n2"].process
         leaving.send_signal(signal.SIGTERM)  # a planned end, in the middle of that drain
         await players.all_answer()
         await asyncio.to_thread(leaving.wait, 10)
@@ -146,7 +146,7 @@
         assert moved > SESSIONS and d.established
 
     nodes.start_all("[resume]\n")
-    with MemberClient(nodes.direct["n1"], b"", 10.0) as r:
+    with MemberClient(nodes.listen_addresses["n1"], b"", 10.0) as r:
         r.set(KEY_RING_KEY, msgspec.to_builtins(KeyRing().rotated(1)))
     asyncio.run(asyncio.wait_for(main(), 150.0))
 
--- a/tests/test_resume_nodes.py
+++ b/tests/test_resume_nodes.py
@@ -16,7 +16,7 @@
 from gradegap.verification.sessions import Record, from_node, violations
 from tests.support.node_environment import Client, NodeEnvironment, running_node, wait_for
 from tests.support.resume_servers import ResumableEndpointServer, SaveStore
-from tests.support.store_nodes import Nodes, nodes
+from tests.support.store_nodes import StoreNodes, nodes
 from tests.test_hot_restart import second
 from tests.test_resume import ON, returned, run, token_of
 from tests.test_resume import opened as opening
@@ -24,12 +24,12 @@
 __all__ = ["nodes"]
 
 
-def started(nodes: Nodes) -> tuple[SaveStore, list[ResumableEndpointServer]]:
+def started(nodes: StoreNodes) -> tuple[SaveStore, list[ResumableEndpointServer]]:
     store = SaveStore()
     servers = [ResumableEndpointServer(n, store) for n in "ab"]
     nodes.endpoint_servers = list(servers)
     nodes.start_all(ON)
-    with MemberClient(nodes.direct["n1"], b"", 10.0) as r:
+    with MemberClient(nodes.listen_addresses["n1"], b"", 10.0) as r:
         r.set(KEY_RING_KEY, msgspec.to_builtins(KeyRing().rotated(1)))
     return store, servers
 
@@ -42,14 +42,14 @@
             return c, token_of(said)
 
 
-def test_of_two_nodes_that_get_one_token_at_one_moment_one_goes_on(nodes: Nodes) -> None:
+def test_of_two_nodes_that_get_one_token_at_one_moment_one_goes_on(nodes: StoreNodes) -> None:
     store, _ = started(nodes)
     for turn in range(8):
-        c, token = begun(nodes.node["n1"])
+        c, token = begun(nodes.environments["n1"])
         c.send(f"Q 1 turn-{turn}")
         assert c.read_line() == f"A 1 done turn-{turn}"
         c.sock.close()
-        ends = [nodes.node[n] for n in ("n2", "n3")]
+        ends = [nodes.environments[n] for n in ("n2", "n3")]
         told = ["", ""]
         gate = threading.Barrier(2)
 
@@ -65,20 +65,20 @@
             t.join(15.0)
         won = [said for said in told if said.startswith("UP ")]
         assert len(won) == 1 and "X claimed" in told, told
-        assert returned(nodes.node["n1"], f",rh=1,rt={token}")[1] == "X claimed"  # nor a second later
-    log = [r for n in nodes.names for r in from_node(n, nodes.node[n].log.read_text())]
+        assert returned(nodes.environments["n1"], f",rh=1,rt={token}")[1] == "X claimed"  # nor a second later
+    log = [r for n in nodes.names for r in from_node(n, nodes.environments[n].log.read_text())]
     assert len(log) == 8 and not list(violations([*log, *store.log]))
 
 
-def test_a_move_without_a_quorum_ends_in_a_return_once_there_is_one(nodes: Nodes) -> None:
+def test_a_move_without_a_quorum_ends_in_a_return_once_there_is_one(nodes: StoreNodes) -> None:
     store, (a, b) = started(nodes)
-    w = nodes.node["n1"]
+    w = nodes.environments["n1"]
     begun(w)
 
     async def main() -> None:
         session = await Session.open([w.address], key="k", placement_timeout=30.0)
         assert await session.request(b"before") == b"done before"
-        nodes.cut_off("n1")
+        nodes.isolate("n1")
         await asyncio.to_thread(wait_for, lambda: not w.is_ready())  # its lease is over
         leaves = a if session.receipt == "a" else b
         await asyncio.to_thread(leaves.kill)
@@ -95,41 +95,43 @@
     assert ran == [b"before", b"during"]
 
 
-def test_a_node_killed_between_the_claim_and_its_answer_loses_no_session(nodes: Nodes) -> None:
+def test_a_node_killed_between_the_claim_and_its_answer_loses_no_session(nodes: StoreNodes) -> None:
     store, servers = started(nodes)
-    c, token = begun(nodes.node["n1"])
+    c, token = begun(nodes.environments["n1"])
     c.send("Q 1 x")
     assert c.read_line() == "A 1 done x"
     c.sock.close()
     for s in servers:
         s.failure_point = "silent"
-    nodes.node["n1"].client().send(f"OPEN m k c=live,d=9,rs=1,rh=1,rt={token}")  # another's: it gets nowhere
-    lost = nodes.node["n1"].client()
+    nodes.environments["n1"].client().send(
+        f"OPEN m k c=live,d=9,rs=1,rh=1,rt={token}"
+    )  # another's: it gets nowhere
+    lost = nodes.environments["n1"].client()
     mine = f",rh=1,rt={token},ra={'5e' * 16}"
     lost.send(f"OPEN lost 7f3a c=live,d=1500,g=1,rs=1{mine}")
     wait_for(lambda: store.log[-1].what == "claimed" and store.log[-1].epoch == 2)
-    nodes.node["n1"].process.kill()
+    nodes.environments["n1"].process.kill()
     for s in servers:
         s.failure_point = ""
     for wrong in (f",rh=1,rt={token}", f",rh=1,rt={token},ra={'aa' * 16}"):
 
         def refused(more: str = wrong) -> bool:
-            return opening(nodes.node["n2"].client(), more) == "X claimed"
+            return opening(nodes.environments["n2"].client(), more) == "X claimed"
 
         wait_for(refused, 10.0)
-    again, said = returned(nodes.node["n3"], mine)  # the killed one may have led the store
+    again, said = returned(nodes.environments["n3"], mine)  # the killed one may have led the store
     assert token_of(said) != token
     again.send("Q 2 y")
     assert again.read_line() == "A 2 done y"
-    log = [r for n in nodes.names for r in from_node(n, nodes.node[n].log.read_text())]
+    log = [r for n in nodes.names for r in from_node(n, nodes.environments[n].log.read_text())]
     assert not list(violations([*log, *store.log]))
-    assert not any("5e5e" in nodes.node[n].log.read_text() for n in nodes.names)
+    assert not any("5e5e" in nodes.environments[n].log.read_text() for n in nodes.names)
 
 
-def test_both_ways_of_move_at_one_moment_leave_one_life(nodes: Nodes) -> None:
+def test_both_ways_of_move_at_one_moment_leave_one_life(nodes: StoreNodes) -> None:
     """The node moves a session in place while its client, on another network by now, returns elsewhere."""
     store, (a, b) = started(nodes)
-    w, other = nodes.node["n1"], nodes.node["n2"]
+    w, other = nodes.environments["n1"], nodes.environments["n2"]
     seen = set()
     for turn in range(6):
         c, token = begun(w)
@@ -157,7 +159,7 @@
         for end in (c, again):
             end.sock.close()
         w.discovery.announce(leaves, state="Ready")
-    log = [r for n in nodes.names for r in from_node(n, nodes.node[n].log.read_text())]
+    log = [r for n in nodes.names for r in from_node(n, nodes.environments[n].log.read_text())]
     assert not list(violations([*log, *store.log])) and seen
 
 
@@ -190,12 +192,12 @@
     )
 
 
-def test_a_new_key_gives_standing_sessions_new_tokens(nodes: Nodes) -> None:
+def test_a_new_key_gives_standing_sessions_new_tokens(nodes: StoreNodes) -> None:
     started(nodes)
-    c, token = begun(nodes.node["n1"])
+    c, token = begun(nodes.environments["n1"])
 
     def rotate() -> KeyRing:
-        with MemberClient(nodes.direct["n2"], b"", 10.0) as r:
+        with MemberClient(nodes.listen_addresses["n2"], b"", 10.0) as r:
             item = r.get(KEY_RING_KEY)
             assert item is not None
             ring = msgspec.convert(item.value, KeyRing)
@@ -205,7 +207,7 @@
     old = rotate()
     told = c.read_line()
     assert told.startswith("T ") and told[2:] != token
-    with MemberClient(nodes.direct["n1"]) as r:
+    with MemberClient(nodes.listen_addresses["n1"]) as r:
         item = r.get(KEY_RING_KEY)
         assert item is not None
         ring, cluster = msgspec.convert(item.value, KeyRing), r.status()["cluster"]
@@ -214,8 +216,8 @@
     place: Place = open_token(now, cluster, told[2:], time.time())
     assert place.generation == 1 and place.client == "7f3a"
     c.sock.close()
-    wait_for(lambda: opening(nodes.node["n3"].client(), f",rh=0,rt={token}") == "X retired_key")
-    assert token_of(returned(nodes.node["n2"], f",rh=0,rt={told[2:]}")[1])
+    wait_for(lambda: opening(nodes.environments["n3"].client(), f",rh=0,rt={token}") == "X retired_key")
+    assert token_of(returned(nodes.environments["n2"], f",rh=0,rt={told[2:]}")[1])
 
 
 def test_targets_that_die_one_after_the_other_while_a_session_moves(tmp_path: Path) -> None:
--- a/tests/test_store_cluster.py
+++ b/tests/test_store_cluster.py
@@ -33,7 +33,7 @@
             assert [value(c, n, f"k{k}") for n in left] == [k, k]
             c.start(victim)
             wait_for(lambda victim=victim: value_if_reachable(c, victim, "k0") == 0)  # type: ignore[misc]
-        wait_for(c.same_everywhere, 10.0)
+        wait_for(c.has_equal_states, 10.0)
         # All at once: nothing was in memory alone.
         for n in c.names:
             c.kill(n)
@@ -62,7 +62,7 @@
         )
         if who == "leader":
             try:
-                with c.remote(c.leader()) as r:
+                with c.member_client(c.leader()) as r:
                     r.request(wire.TransferLeadership(victim))
             except RequestFailedError:
                 pass  # it died on the way
@@ -80,9 +80,9 @@
         assert c.processes[victim].wait(5) == -signal.SIGKILL
         c.start(victim)
         wait_for(lambda: value_if_reachable(c, victim, "w0") is not None or 0 in unknown, 15.0)
-        wait_for(c.same_everywhere, 10.0)
+        wait_for(c.has_equal_states, 10.0)
         for name in c.names:
-            with c.remote(name) as r:
+            with c.member_client(name) as r:
                 held = {i.key: i.value for i in r.list("w")}
             assert acked.keys() <= held.keys()
 
@@ -92,7 +92,7 @@
         old = c.leader()
         rest = c.others(old)
         put(c, old, "k", "before")
-        c.relay.part({old}, set(rest))
+        c.relay.partition({old}, set(rest))
         results: list[str] = []
 
         def minority() -> None:
@@ -111,14 +111,14 @@
             put(c, new, f"majority{k}", k)
         thread.join()
         assert "ok" not in results and set(results) <= {"unknown", "no_quorum"}
-        with pytest.raises(RequestFailedError) as error, c.remote(old, 1.0) as r:
+        with pytest.raises(RequestFailedError) as error, c.member_client(old, 1.0) as r:
             r.get("k")  # no stale answer either
         assert error.value.kind == "no_quorum"
-        with c.remote(old, 1.0) as r:
+        with c.member_client(old, 1.0) as r:
             assert r.value("k", stale=True) == "before"
         c.relay.heal()
-        wait_for(c.same_everywhere, 15.0)
-        with c.remote(old) as r:
+        wait_for(c.has_equal_states, 15.0)
+        with c.member_client(old) as r:
             held = {i.key for i in r.list()}
         assert {f"majority{k}" for k in range(20)} <= held
 
@@ -129,11 +129,11 @@
         old = c.leader()
         rest = c.others(old)
         pairs = {(old, n) for n in rest} if way == "out" else {(n, old) for n in rest}
-        c.relay.cut |= pairs
+        c.relay.blocked_pairs |= pairs
         wait_for(lambda: write_through_any(c, way, "k", rest), 10.0)
         assert value(c, c.leader(rest), "k") == way
         c.relay.heal()
-        wait_for(c.same_everywhere, 15.0)
+        wait_for(c.has_equal_states, 15.0)
 
 
 def test_a_paused_leader_that_resumes_answers_nothing_stale(tmp_path: Path) -> None:
@@ -141,33 +141,33 @@
         old = c.leader()
         rest = c.others(old)
         put(c, old, "k", 1)
-        with c.remote(old, 8.0) as r:
-            c.freeze(old)
+        with c.member_client(old, 8.0) as r:
+            c.suspend(old)
             wait_for(lambda: c.leader(rest), 5.0)
             put(c, rest[0], "k", 2)
             # Asked while it is stopped: it reads the question before anything that deposes it.
             r.sock.sendall(r.channel.send(wire.Request(1, wire.Get("k"), 6.0)))
-            c.thaw(old)
+            c.resume(old)
             while not r.messages:
                 r.receive()
             answer = r.messages[0]
         assert isinstance(answer, wire.Response) and answer.items[0].value == 2
-        wait_for(c.same_everywhere, 10.0)
+        wait_for(c.has_equal_states, 10.0)
 
 
 def test_garbled_links_are_reconnected_and_lose_nothing(tmp_path: Path) -> None:
     with cluster(tmp_path) as c:
         leader = c.leader()
         pairs = [(a, b) for a in c.names for b in c.names if a != b]
-        c.relay.delay = 0.01
+        c.relay.delay_s = 0.01
         for k in range(60):
-            c.relay.garble.add(pairs[k % len(pairs)])
+            c.relay.corrupted_pairs.add(pairs[k % len(pairs)])
             wait_for(lambda k=k: write_through_any(c, str(k), f"k{k}", c.names), 10.0)  # type: ignore[misc]
-        with c.remote(leader) as r:
+        with c.member_client(leader) as r:
             assert len(r.list("k")) == 60
         counted = sum(int(c.counters(n).get("store_link_garbled", 0)) for n in c.names)
         assert counted >= 3
-        wait_for(c.same_everywhere, 10.0)
+        wait_for(c.has_equal_states, 10.0)
 
 
 def test_a_watch_over_a_change_of_leader_misses_and_repeats_nothing(tmp_path: Path) -> None:
@@ -180,7 +180,7 @@
             since = 1
             while True:
                 try:
-                    with c.remote(name) as r:
+                    with c.member_client(name) as r:
                         for event in r.watch("w", since):
                             seen.append(event)
                             since = event.revision + 1
@@ -198,7 +198,7 @@
             if k == 10:
                 c.kill(leader)  # which the watch hangs on
         wait_for(lambda: len(seen) >= 30 and seen[-1].key == "w29", 10.0)
-        with c.remote(follower) as r:
+        with c.member_client(follower) as r:
             history = r.request(wire.History("w")).events
         assert [(e.revision, e.key) for e in seen] == [(e.revision, e.key) for e in history]
         ended.set()
@@ -216,8 +216,8 @@
         put(c, leader, "k", 1)
         before = memory()
         for name in c.others(leader):
-            c.freeze(name)  # nothing can be committed
-        with c.remote(leader, 1.0) as r:
+            c.suspend(name)  # nothing can be committed
+        with c.member_client(leader, 1.0) as r:
             big = "x" * 30_000
             for k in range(6000):
                 r.sock.sendall(
@@ -238,21 +238,21 @@
         assert outcomes.get("busy", 0) > 1000 and "ok" not in outcomes, outcomes
         assert memory() - before < 150_000, "kB"
         for name in c.others(leader):
-            c.thaw(name)
+            c.resume(name)
         wait_for(lambda: write_through_any(c, "x", "after", c.names), 10.0)
-        wait_for(c.same_everywhere, 15.0)
+        wait_for(c.has_equal_states, 15.0)
 
 
 def test_keys_with_a_time_to_live_expire_over_a_change_of_leader(tmp_path: Path) -> None:
     with cluster(tmp_path) as c:
         leader = c.leader()
-        with c.remote(leader) as r:
+        with c.member_client(leader) as r:
             r.set("t", 1, ttl_ms=1500)
         c.kill(leader)
         rest = c.others(leader)
         wait_for(lambda: c.leader(rest), 5.0)
         wait_for(lambda: value_if_reachable(c, rest[0], "t") is None, 8.0)
-        with c.remote(rest[0]) as r:
+        with c.member_client(rest[0]) as r:
             (event,) = [e for e in r.request(wire.History("t")).events if e.deleted]
         assert event.cause == "expired"
 
@@ -263,11 +263,11 @@
             c.start(name, {"STORE_WALL": wrong})
         wait_for(c.leader, 15.0)
         term = c.status(c.leader())["term"]
-        with c.remote(c.leader()) as r:
+        with c.member_client(c.leader()) as r:
             r.set("short", 1, ttl_ms=1200)
             r.set("long", 1, ttl_ms=60_000)
         for name in c.names:
-            with c.remote(c.leader()) as r:
+            with c.member_client(c.leader()) as r:
                 if c.leader() != name:
                     r.request(wire.TransferLeadership(name))
             wait_for(lambda name=name: c.leader() == name, 5.0)  # type: ignore[misc]
@@ -276,4 +276,4 @@
         wait_for(lambda: value_if_reachable(c, "n1", "short") is None, 8.0)
         assert time.monotonic() - began < 5.0 and value(c, "n1", "long") == 1
         assert c.status(c.leader())["term"] <= term + 6
-        wait_for(c.same_everywhere, 10.0)
+        wait_for(c.has_equal_states, 10.0)
--- a/tests/test_store_linearizability.py
+++ b/tests/test_store_linearizability.py
@@ -46,7 +46,7 @@
             kind = rng.choice(["write", "read", "read", "cas"])
             try:
                 if remote is None or rng.random() < 0.02:
-                    remote = MemberClient(self.c.direct[rng.choice(self.c.names)], SECRET, 1.5)
+                    remote = MemberClient(self.c.listen_addresses[rng.choice(self.c.names)], SECRET, 1.5)
                 if kind == "write":
                     remote.set(key, mine)
                     self.keep(key, Operation.write(mine, began, time.monotonic()))
@@ -94,15 +94,15 @@
             if what == "kill":
                 c.kill(victim)
             elif what == "freeze":
-                c.freeze(victim)
+                c.suspend(victim)
             else:
-                c.relay.part({victim}, set(c.others(victim)))
+                c.relay.partition({victim}, set(c.others(victim)))
             # Until the rest has gone on without it.
             wait_for(lambda before=before: clients.acked > before + 60, 20.0)  # type: ignore[misc]
             if what == "kill":
                 c.start(victim)
             elif what == "freeze":
-                c.thaw(victim)
+                c.resume(victim)
             else:
                 c.relay.heal()
             before = clients.acked
@@ -111,8 +111,8 @@
         clients.ended.set()
         for thread in clients.threads:
             thread.join(10.0)
-        wait_for(c.same_everywhere, 20.0)
-        with c.remote(c.leader()) as r:
+        wait_for(c.has_equal_states, 20.0)
+        with c.member_client(c.leader()) as r:
             final = {i.key: i.value for i in r.list("r")}
         end = time.monotonic()
         for key, history in clients.history.items():
--- a/tests/test_store_node.py
+++ b/tests/test_store_node.py
@@ -25,39 +25,39 @@
     running_node,
     wait_for,
 )
-from tests.support.store_nodes import Nodes, call, nodes
+from tests.support.store_nodes import StoreNodes, call, nodes
 
 __all__ = ["nodes"]
 
 
-def test_a_disabled_endpoint_is_disabled_at_every_node_once_confirmed(nodes: Nodes) -> None:
+def test_a_disabled_endpoint_is_disabled_at_every_node_once_confirmed(nodes: StoreNodes) -> None:
     nodes.start_all()
     for turn, name in enumerate(nodes.names):
         assert call(nodes.consoles[name], "save-servers/s-a/offline") == 200
         # At once, at each node: whoever has not applied it had no lease when the yes came.
         for n in nodes.names:
-            assert nodes.served_by(n, 5) == {"UP b"}, (turn, n)
+            assert nodes.open_answers(n, 5) == {"UP b"}, (turn, n)
         other = nodes.names[(turn + 1) % 3]
         assert call(nodes.consoles[other], "save-servers/s-a/online") == 200
-        wait_for(lambda n=name: "UP a" in nodes.served_by(n))  # type: ignore[misc]
+        wait_for(lambda n=name: "UP a" in nodes.open_answers(n))  # type: ignore[misc]
     assert call(nodes.consoles["n1"], "save-servers/s-nobody/offline") == 404
     # A node that starts anew knows it before it serves.
     assert call(nodes.consoles["n1"], "save-servers/s-b/offline") == 200
     victim = nodes.names[2]
-    nodes.node[victim].process.kill()
-    nodes.node[victim].process.wait()
-    nodes.start(victim, listen=nodes.node[victim].address)
-    wait_for(nodes.node[victim].is_ready, 15.0)
-    assert nodes.served_by(victim) == {"UP a"}
+    nodes.environments[victim].process.kill()
+    nodes.environments[victim].process.wait()
+    nodes.start(victim, listen=nodes.environments[victim].address)
+    wait_for(nodes.environments[victim].is_ready, 15.0)
+    assert nodes.open_answers(victim) == {"UP a"}
 
 
-def test_a_node_without_a_lease_rejects_at_once_and_keeps_connections(nodes: Nodes) -> None:
+def test_a_node_without_a_lease_rejects_at_once_and_keeps_connections(nodes: StoreNodes) -> None:
     nodes.start_all()
     away = nodes.others(nodes.leader())[0]
-    node = nodes.node[away]
+    node = nodes.environments[away]
     standing = node.client()
     assert standing.open_request().startswith("UP")
-    nodes.cut_off(away)
+    nodes.isolate(away)
     wait_for(lambda: not node.is_ready(), 5.0)
     began = time.monotonic()
     said = node.client().open_request("c=live,d=1500,g=1")
@@ -77,15 +77,15 @@
     assert int(counters["refused_stale"]) >= 6 and counters["store_fresh"] == "0"
     nodes.relay.heal()
     wait_for(node.is_ready, 15.0)
-    assert nodes.served_by(away) == {"UP b"}
+    assert nodes.open_answers(away) == {"UP b"}
 
 
-def test_a_paused_node_decides_nothing_by_stale_state(nodes: Nodes) -> None:
+def test_a_paused_node_decides_nothing_by_stale_state(nodes: StoreNodes) -> None:
     nodes.start_all()
     away = nodes.others(nodes.leader())[0]
-    node = nodes.node[away]
+    node = nodes.environments[away]
     late = node.client()
-    assert nodes.served_by(away, 12) == {"UP a", "UP b"}
+    assert nodes.open_answers(away, 12) == {"UP a", "UP b"}
     node.process.send_signal(signal.SIGSTOP)
     late.send("OPEN late1 k c=live,d=9000")  # waits in its socket
     crowd = [socket.create_connection(("127.0.0.1", int(node.address.split(":")[1]))) for _ in range(10)]
@@ -101,13 +101,13 @@
     wait_for(node.is_ready, 15.0)
 
 
-def test_when_stale_serve_continues_counted_and_logged(nodes: Nodes) -> None:
+def test_when_stale_serve_continues_counted_and_logged(nodes: StoreNodes) -> None:
     nodes.start_all('when_stale = "serve"\n')
     away = nodes.others(nodes.leader())[0]
-    node = nodes.node[away]
-    nodes.cut_off(away)
+    node = nodes.environments[away]
+    nodes.isolate(away)
     wait_for(lambda: node.counters()["store_fresh"] == "0", 5.0)
-    assert node.is_ready() and nodes.served_by(away) <= {"UP a", "UP b"}
+    assert node.is_ready() and nodes.open_answers(away) <= {"UP a", "UP b"}
     assert int(node.counters()["decided_stale"]) >= 8
     assert "lease expired" in node.log.read_text()
 
@@ -180,32 +180,32 @@
     loop.close()
 
 
-def test_configuration_takes_effect_at_every_node(nodes: Nodes) -> None:
+def test_configuration_takes_effect_at_every_node(nodes: StoreNodes) -> None:
     nodes.start_all()
-    with nodes.remote("n1") as r:
+    with nodes.member_client("n1") as r:
         r.set("config/log_level", "error")
     for n in nodes.names:
-        nodes.node[n].process.send_signal(signal.SIGHUP)  # logged, but for the level
-        nodes.node[n].process.terminate()
+        nodes.environments[n].process.send_signal(signal.SIGHUP)  # logged, but for the level
+        nodes.environments[n].process.terminate()
     for n in nodes.names:
-        assert nodes.node[n].process.wait(6) == 0
-        assert "event=leaving" not in nodes.node[n].log.read_text()
+        assert nodes.environments[n].process.wait(6) == 0
+        assert "event=leaving" not in nodes.environments[n].log.read_text()
 
 
-def test_nodes_gossip_their_state_and_reports(nodes: Nodes) -> None:
+def test_nodes_gossip_their_state_and_reports(nodes: StoreNodes) -> None:
     nodes.start_all()
     for n in nodes.names:
-        nodes.served_by(n)
-    wait_for(lambda: int(nodes.node["n1"].counters().get("gossip_heard", 0)) > 2, 10.0)
-    with nodes.remote("n1") as r:
+        nodes.open_answers(n)
+    wait_for(lambda: int(nodes.environments["n1"].counters().get("gossip_heard", 0)) > 2, 10.0)
+    with nodes.member_client("n1") as r:
         said = r.status()["nodes"]
-    assert said["n2"]["state"] == "ready" and said["n2"]["listen"] == nodes.node["n2"].address
+    assert said["n2"]["state"] == "ready" and said["n2"]["listen"] == nodes.environments["n2"].address
 
 
-def test_a_hot_restart_of_the_leader_keeps_clients(nodes: Nodes) -> None:
+def test_a_hot_restart_of_the_leader_keeps_clients(nodes: StoreNodes) -> None:
     nodes.start_all()
     leader = nodes.leader()
-    first = nodes.node[leader]
+    first = nodes.environments[leader]
     assert call(nodes.consoles[leader], "save-servers/s-a/offline") == 200
     c = first.client()
     assert c.open_request() == "UP b"
@@ -225,11 +225,11 @@
     wait_for(second.is_ready, 5.0)
     c.send("still here")
     assert c.read_line() == "still here"
-    nodes.node[leader] = second
-    wait_for(lambda: "UP b" in nodes.served_by(leader))  # one server alone may say BUSY to a crowd
-    assert "UP a" not in nodes.served_by(leader)
+    nodes.environments[leader] = second
+    wait_for(lambda: "UP b" in nodes.open_answers(leader))  # one server alone may say BUSY to a crowd
+    assert "UP a" not in nodes.open_answers(leader)
     assert call(console, "save-servers/s-a/online") == 200
-    wait_for(lambda: "UP a" in nodes.served_by(leader))
+    wait_for(lambda: "UP a" in nodes.open_answers(leader))
 
 
 def test_a_node_alone_with_a_store_serves_and_remembers(tmp_path: Path) -> None:
--- a/tests/test_store_processes.py
+++ b/tests/test_store_processes.py
@@ -32,14 +32,14 @@
         assert last.startswith("gradegap: ") and "can't be written" in last
         assert put(c, alive[0], "on", 1)
         c.start(victim)
-        wait_for(c.same_everywhere, 15.0)
+        wait_for(c.has_equal_states, 15.0)
 
 
 def test_a_damaged_member_refuses_to_start(tmp_path: Path) -> None:
     with cluster(tmp_path) as c:
         put(c, "n1", "k", "some value that can be found")
         victim = c.others(c.leader())[0]
-        wait_for(c.same_everywhere)
+        wait_for(c.has_equal_states)
         c.processes[victim].terminate()
         assert c.processes[victim].wait(5) == 0
         path = tmp_path / victim / "data.mdb"
@@ -61,7 +61,7 @@
 
 def test_the_command_line_exits_by_the_outcome(tmp_path: Path) -> None:
     with cluster(tmp_path) as c:
-        node = ("--node", c.direct["n2"])
+        node = ("--node", c.listen_addresses["n2"])
         done = c.cli("store", "set", "a/b", '{"x": 1}', *node)
         assert (done.returncode, done.stdout) == (0, "1\n")
         assert c.cli("store", "get", "a/b", *node).stdout == '{"x":1}\n'
@@ -109,11 +109,11 @@
         for name in c.names:
             for file in (tmp_path / name).iterdir():
                 file.unlink()
-        again = c.cli("store", "restore", str(backup), "--operator", str(c.file("n1")))
+        again = c.cli("store", "restore", str(backup), "--operator", str(c.write_config("n1")))
         assert again.returncode == 0, again.stderr
-        assert c.cli("store", "restore", str(backup), "--operator", str(c.file("n1"))).returncode == 2
+        assert c.cli("store", "restore", str(backup), "--operator", str(c.write_config("n1"))).returncode == 2
         for name in c.names:
             c.start(name)
         wait_for(lambda: value_if_reachable(c, "n1", "config/log_level") == "warning", 10.0)
         wait_for(lambda: len([m for m in status_if_reachable(c, "n1")["members"] if m["voter"]]) == 3, 15.0)
-        wait_for(c.same_everywhere, 10.0)
+        wait_for(c.has_equal_states, 10.0)
--- a/tests/test_store_state_machine.py
+++ b/tests/test_store_state_machine.py
@@ -13,11 +13,11 @@
 from gradegap.store.machine import MAX_HISTORY_EVENTS, StateMachine
 from gradegap.store.records import Command, Compare, Event, Expire, KeyUpdate, encode
 from gradegap.store.state_snapshot import decode_snapshot, encode_snapshot
-from tests.support.store_log import Log
+from tests.support.state_machine_driver import StateMachineDriver
 
 
 def test_a_transaction_is_applied_whole_or_not_at_all() -> None:
-    log = Log()
+    log = StateMachineDriver()
     assert log.write(KeyUpdate("a", 1), KeyUpdate("b", 2)).revision == 1
     assert log.write(KeyUpdate("a", 3), KeyUpdate("", 4)).error.startswith("bad_key")
     assert log.write(KeyUpdate("a", 3), KeyUpdate("a", 4)).error.startswith("twice")
@@ -30,7 +30,7 @@
 
 
 def test_a_retried_write_is_applied_once() -> None:
-    log = Log()
+    log = StateMachineDriver()
     once = Command("me", 4, 61_000, "t", (), (KeyUpdate("n", 1),))
     assert log.add(once).revision == 1
     log.write(KeyUpdate("n", 2))
@@ -44,7 +44,7 @@
 
 
 def test_keys_expire_by_log_time_and_not_before() -> None:
-    log = Log()
+    log = StateMachineDriver()
     log.write(KeyUpdate("t", 1, ttl_ms=500), KeyUpdate("u", 1))
     assert log.machine.next_expiry() == 1500
     log.add(Expire(), 1499)
@@ -58,7 +58,7 @@
 
 
 def test_history_is_bounded_and_says_where_it_begins() -> None:
-    log = Log()
+    log = StateMachineDriver()
     for k in range(MAX_HISTORY_EVENTS + 10):
         log.write(KeyUpdate("k", k), client="one", seq=k + 1)
     assert len(log.machine.events) == MAX_HISTORY_EVENTS and log.machine.first_retained_revision == 11
@@ -72,7 +72,7 @@
 
 
 def test_a_loaded_state_notifies_listeners_of_what_changed() -> None:
-    log, other = Log(), Log()
+    log, other = StateMachineDriver(), StateMachineDriver()
     log.write(KeyUpdate("a", 1), KeyUpdate("b", 1))
     other.write(KeyUpdate("a", 1), KeyUpdate("b", 1))
     other.write(KeyUpdate("a", 2), KeyUpdate("b", delete=True))
@@ -88,7 +88,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.log = Log()
+        self.log = StateMachineDriver()
         self.model: dict[str, Any] = {}
         self.now = 1000
         self.seen: list[Event] = []
--- a/tests/test_store_storage.py
+++ b/tests/test_store_storage.py
@@ -11,11 +11,11 @@
 from gradegap.store.errors import FolderError
 from gradegap.store.records import KeyUpdate
 from gradegap.store.storage import AppliedPosition, MemberStorage, WriteBatch
-from tests.support.store_log import Log
+from tests.support.state_machine_driver import StateMachineDriver
 
 
 def write_some(disk: MemberStorage) -> None:
-    log = Log()
+    log = StateMachineDriver()
     log.write(KeyUpdate("a", 1))
     log.write(KeyUpdate("b", [1, None, "x"]))
     entries = [Entry(k, 1, EntryKind.COMMAND, d) for k, d in enumerate(log.entries, 1)]
--- a/tests/test_store_voters.py
+++ b/tests/test_store_voters.py
@@ -129,8 +129,8 @@
 class FewVoters(Cluster):
     """Members of a cluster that wants three voters."""
 
-    def file(self, name: str, names: list[str] | None = None, more: str = "") -> Path:
-        return super().file(name, names, more + "voters = 3\n")
+    def write_config(self, name: str, names: list[str] | None = None, more: str = "") -> Path:
+        return super().write_config(name, names, more + "voters = 3\n")
 
 
 def voters(c: Cluster, name: str) -> set[str]:
@@ -147,11 +147,11 @@
         wait_for(lambda: all(voters(c, name) == {"n1", "n2", "n3"} for name in c.names), 15.0)
         gone = c.others(c.leader(["n1", "n2", "n3"]))[0]
         left = [name for name in c.names if name != gone]
-        assert c.cli("store", "remove", gone, "--node", c.direct["n4"]).returncode == 0
+        assert c.cli("store", "remove", gone, "--node", c.listen_addresses["n4"]).returncode == 0
         wait_for(lambda: all(voters(c, name) == set(left) for name in left), 15.0)
         # It counts for the quorum: two of the three are enough, and it is one of them.
         c.kill(next(name for name in left if name != "n4" and name != c.leader(left)))
-        with c.remote("n4", 10.0) as r:
+        with c.member_client("n4", 10.0) as r:
             assert r.set("k", 1) > 0
     finally:
         c.stop()
