--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -14,7 +14,15 @@
 from gradegap.balancing.settings import ClassSettings, Settings
 from gradegap.node.shutdown import kill_time
 from gradegap.proxy.health_checks import HEALTH_CHECK_TIMEOUT_MAX_S, HEALTH_CHECK_TIMEOUT_S
-from tests.support.deployments import ASKED, BOTH, PUSHED, Day, NodeProcess, Server, lane
+from tests.support.deployments import (
+    DEPLOYMENTS,
+    ON_REQUEST,
+    PUSHED,
+    DeploymentRun,
+    LoadReportingServer,
+    NodeProcess,
+    lane,
+)
 from tests.support.node_environment import (
     SCHEDULING_SLACK_S,
     Client,
@@ -26,48 +34,48 @@
 from tests.support.silent_discovery import SerializedDiscovery, SilentDiscovery
 
 
-@pytest.mark.parametrize("site", BOTH)
+@pytest.mark.parametrize("site", DEPLOYMENTS)
 def test_a_day_of_either_deployment(tmp_path: Path, site: str) -> None:
-    day = Day(tmp_path, BOTH[site])
+    day = DeploymentRun(tmp_path, DEPLOYMENTS[site])
     asked = site == "asked"
     try:
-        wait_for(lambda: len(day.seen.standing) >= 30, 10.0)
+        wait_for(lambda: len(day.observations.established) >= 30, 10.0)
         # A server drains while all watches are open.
         first, second, third = day.servers[:3]
-        day.told[first.name] = day.discovery.announce(first.entry, state="Terminating")
+        day.drain_known_at[first.name] = day.discovery.announce(first.entry, state="Terminating")
         if asked:
-            first.send_away()
-        wait_for(lambda: time.time() > day.told[first.name] + day.grace + 0.2)
+            first.migrate_clients()
+        wait_for(lambda: time.time() > day.drain_known_at[first.name] + day.drain_grace_s + 0.2)
         # One node after another is restarted, and has nothing but its last list; one is killed.
         for node, how in zip(day.nodes, (signal.SIGTERM, signal.SIGTERM, signal.SIGKILL), strict=True):
             node.stop(how)
             assert how is signal.SIGKILL or node.process.returncode == 0
             node.start()
-        wait_for(lambda: len(day.seen.standing) >= 30, 10.0)
+        wait_for(lambda: len(day.observations.established) >= 30, 10.0)
         # Discovery falls silent in the middle of all three watches, and another server drains meanwhile.
         day.discovery.fall_silent("in_body", 3)
         at = day.discovery.announce(second.entry, state="Terminating")
         # 2 s after the wait of a silent watch, or 6 s after its silence began, what it hid counts as told.
         waits = [(began, re.search(r"wait=(\d+)", path)) for began, path in day.discovery.calls if began < at]
         ends = [began + int(found[1]) / 1000 for began, found in waits if found is not None]
-        day.told[second.name] = max(at + 6.0, max(ends) + 2.0) if asked else at
+        day.drain_known_at[second.name] = max(at + 6.0, max(ends) + 2.0) if asked else at
         if asked:
             wait_for(lambda: day.discovery.silent_calls_left == 0, 10.0)
         # A server dies, and its clients with it.
-        day.killed.add(third.name)
+        day.killed_servers.add(third.name)
         third.stop()
         for sock in list(third.established):
             hard_reset(sock)
         day.discovery.announce(third.entry, state="Gone")
-        wait_for(lambda: time.time() > day.told[second.name] + day.grace + 0.5, 12.0)
-        wait_for(lambda: len(day.seen.standing) >= 30, 10.0)
+        wait_for(lambda: time.time() > day.drain_known_at[second.name] + day.drain_grace_s + 0.5, 12.0)
+        wait_for(lambda: len(day.observations.established) >= 30, 10.0)
     finally:
-        day.end()
-    print(dict(day.seen.answers), *day.seen.cut, sep="\n")
-    assert not day.sent_late()
-    assert not day.seen.late
-    assert day.seen.answers["none"] == 0 and day.seen.answers["ERR"] == 0
-    assert not day.seen.cut
+        day.stop()
+    print(dict(day.observations.answer_counts), *day.observations.lost_connections, sep="\n")
+    assert not day.late_forwards()
+    assert not day.observations.late_answers
+    assert day.observations.answer_counts["none"] == 0 and day.observations.answer_counts["ERR"] == 0
+    assert not day.observations.lost_connections
     for s in day.servers:
         ids = Counter(line.split(" ")[1] for _, line in s.lines if line.startswith("OPEN"))
         assert max(ids.values(), default=0) <= 1, "sent to one server twice"
@@ -117,16 +125,16 @@
     calls a second; calls that were given up early, or made again at once, would leave it nothing but such.
     Each node asked twice, for the whole list and for what follows it, and while discovery worked through
     these calls, news waited behind them: a drain that was told then was sent to for 0.7 s."""
-    live, gone = Server("live"), Server("gone")
+    live, gone = LoadReportingServer("live"), LoadReportingServer("gone")
     gone.stop()
     for s in (live, gone):
         s.report()
     d = SerializedDiscovery([live.entry, gone.entry], service_time_s=0.25, max_wait_s=0.7)
-    nodes = [NodeProcess(tmp_path, k, ASKED | {"ReplicasOfMe": 8}, d, wait=False) for k in range(8)]
+    nodes = [NodeProcess(tmp_path, k, ON_REQUEST | {"ReplicasOfMe": 8}, d, wait=False) for k in range(8)]
     try:
         d.announce(gone.entry, state="Gone")
         for node in nodes:
-            wait_for(node.answers, 15.0)
+            wait_for(node.is_ready, 15.0)
             assert Client(node.address).open_request("c=album-edit,d=2000,g=1,t=large").split(" ")[0] in (
                 "UP",
                 "BUSY",
@@ -163,7 +171,7 @@
     s, t = EndpointServer("a"), EndpointServer("b")
     d = SilentDiscovery([s.entry, t.entry])
     lanes = [lane("light", 500, 2000, 3.0), lane("heavy", 500, 2000, 3.0)]
-    node = NodeProcess(tmp_path, 0, ASKED | {"Lanes": lanes, "Tenants": None, "ReplicasOfMe": 1}, d)
+    node = NodeProcess(tmp_path, 0, ON_REQUEST | {"Lanes": lanes, "Tenants": None, "ReplicasOfMe": 1}, d)
     try:
         kept = []
         for k in range(40):
--- a/tests/test_silent_watches.py
+++ b/tests/test_silent_watches.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from gradegap.discovery.watch_schedule import SILENCE_NOTIFIED_S, WAIT_NOTIFIED_S
-from tests.support.deployments import ASKED, NodeProcess, Server
+from tests.support.deployments import ON_REQUEST, LoadReportingServer, NodeProcess
 from tests.support.node_environment import SCHEDULING_SLACK_S, Client, wait_for
 from tests.support.silent_discovery import SerializedDiscovery
 
@@ -62,8 +62,8 @@
     same moment after a common silence. Calls that waited for their turn were given up after 0.6 s and made
     anew. Each took its turn all the same, and the last nodes sent to a server that drained up to 2.4 s after
     the rules held them for told."""
-    settings: dict[str, Any] = copy.deepcopy(ASKED) | {"ReplicasOfMe": NODES}
-    a, b = Server("a"), Server("b")
+    settings: dict[str, Any] = copy.deepcopy(ON_REQUEST) | {"ReplicasOfMe": NODES}
+    a, b = LoadReportingServer("a"), LoadReportingServer("b")
     for server in (a, b):
         server.report()
     discovery = SerializedDiscovery([a.entry, b.entry], service_time_s=CALL_TAKES, max_wait_s=PATIENCE)
@@ -75,7 +75,7 @@
     askers = [Asker(node, a.name) for node in nodes]
     try:
         for node in nodes:
-            wait_for(node.answers, 15.0)
+            wait_for(node.is_ready, 15.0)
         wait_for(lambda: discovery.open_watches == NODES, 10.0)
         # The second watch of each is open.
         wait_for(lambda: len(discovery.calls) >= 2 * NODES, 15.0)
@@ -105,11 +105,11 @@
     """Discovery takes 1 s for a call. The one after a silent watch was given up after 0.6 s, and the list
     came with the next, which waited for the call that nobody waited for any more."""
     each = 1.0
-    a, b = Server("a"), Server("b")
+    a, b = LoadReportingServer("a"), LoadReportingServer("b")
     for server in (a, b):
         server.report()
     discovery = SerializedDiscovery([a.entry, b.entry], service_time_s=each, max_wait_s=PATIENCE)
-    node = NodeProcess(tmp_path, 0, copy.deepcopy(ASKED) | {"ReplicasOfMe": 1}, discovery)
+    node = NodeProcess(tmp_path, 0, copy.deepcopy(ON_REQUEST) | {"ReplicasOfMe": 1}, discovery)
     asker = Asker(node, a.name)
     try:
         wait_for(lambda: discovery.open_watches == 1, 10.0)
