--- a/bench/capture.py
+++ b/bench/capture.py
@@ -30,7 +30,7 @@
 from gradegap.capture.switch import RecordedBalancer
 from gradegap.metrics import Metrics
 from tests.support.node_environment import Client, EndpointServer, NodeEnvironment, wait_for
-from tests.support.recorded_day import Day
+from tests.support.recorded_workload import RandomWorkload
 
 STEPS = 20_000
 ROUNDS = 3
@@ -49,13 +49,13 @@
 
 def generated_events() -> list[TimedEvent]:
     """The events of a generated day, with their clocks."""
-    day = Day(SEED, ENDPOINTS).live(STEPS)
+    day = RandomWorkload(SEED, ENDPOINTS).run_steps(STEPS)
     return [(row[2], records.event(row[3])) for row in day.steps]
 
 
 def balancer_cpu_s(timed_events: list[TimedEvent]) -> float:
     """Processor seconds of the balancer without a recorder."""
-    balancer = Balancer(Day(SEED, ENDPOINTS).settings, SEED)
+    balancer = Balancer(RandomWorkload(SEED, ENDPOINTS).settings, SEED)
     began = time.process_time()
     for at, event in timed_events:
         balancer.handle(at, event)
@@ -64,7 +64,7 @@
 
 async def recorded_cpu_s(timed_events: list[TimedEvent], folder: Path) -> float:
     """Processor seconds of the loop and of the recorder's thread together."""
-    settings, metrics = Day(SEED, ENDPOINTS).settings, Metrics()
+    settings, metrics = RandomWorkload(SEED, ENDPOINTS).settings, Metrics()
     balancer = Balancer(settings, SEED)
     recorder = Recorder(
         CaptureSettings(str(folder), state_s=3600.0),
@@ -146,7 +146,7 @@
 
 def state_cost(connections: int) -> dict[str, float]:
     """Milliseconds of a dump in place, of a fork, and of a fork until its result is read; medians."""
-    day = Day(2, ENDPOINTS)
+    day = RandomWorkload(2, ENDPOINTS)
     for number in range(1, connections + 1):  # each at a known endpoint, as after a hot restart
         request = RequestArrived(number, "live", day.now + 2.0, "", f"k{number}", f"g{number % 500}")
         day.feed(ConnectionInherited(request, f"s{number % ENDPOINTS}"))
--- a/tests/test_capture_days.py
+++ b/tests/test_capture_days.py
@@ -36,7 +36,7 @@
 from tests.support.balancer_driver import settings
 from tests.support.mutants import mutant
 from tests.support.node_environment import ROOT
-from tests.support.recorded_day import day_recording, run_gradegap
+from tests.support.recorded_workload import run_gradegap, workload_recording
 
 FOLDER = Path(__file__).parent / "captures"
 # Of the clients that asked, the part that must get a connection; and how far it may be behind the record's.
@@ -112,7 +112,7 @@
 
 def test_a_state_of_a_later_version_ends_a_replay_in_one_line(tmp_path: Path) -> None:
     made = [frames.MAGIC]
-    for f in frames.read(day_recording(22, 40, 1)):
+    for f in frames.read(workload_recording(22, 40, 1)):
         assert not isinstance(f, Damage)
         body = f.body | {"version": 3} if f.kind is FrameKind.STATE else f.body
         made.append(frames.pack(f.kind, body, f.record_count, f.first_number, f.first_at, f.last_at))
@@ -186,7 +186,7 @@
     with pytest.raises(BadWhatIfError, match="no state"):
         whatif([], gradegap.balancing.balancer)
     # Servers that the record never heard of: their answers are the model's, and said to be.
-    day = day_recording(21, 400, 2)
+    day = workload_recording(21, 400, 2)
     cut = [frames.MAGIC]
     for f in frames.read(day):
         assert not isinstance(f, Damage)
--- a/tests/test_capture_decision_module.py
+++ b/tests/test_capture_decision_module.py
@@ -16,7 +16,7 @@
 from gradegap.capture.schema import BALANCER
 from tests.support.balancer_driver import settings
 from tests.support.mutants import BALANCING, mutant, mutated_copy
-from tests.support.recorded_day import Day, day_recording, replayed
+from tests.support.recorded_workload import RandomWorkload, replay_recording, workload_recording
 
 
 def package(folder: Path, **modules: str) -> Path:
@@ -109,11 +109,11 @@
     shutil.copytree(BALANCING, copy)
     module = decision_module.load(str(copy))
     assert module.Balancer is not balancer.Balancer
-    data = day_recording(17, 400, 3)
-    found, own = replayed(data, module), replayed(data)
+    data = workload_recording(17, 400, 3)
+    found, own = replay_recording(data, module), replay_recording(data)
     assert found.difference is None and not found.state_differs and not found.gaps
     assert (found.digest, found.states) == (own.digest, 3)
-    day = Day(17).live(300)
+    day = RandomWorkload(17).run_steps(300)
     raw = msgspec.msgpack.decode(msgspec.msgpack.encode(state.dump(day.balancer)))
     made = state.load(module, raw, day.settings)
     assert {
@@ -123,7 +123,7 @@
 
 def test_a_changed_copy_decides_otherwise(tmp_path: Path) -> None:
     module = mutant(tmp_path, "FULL_LOAD = 0.9\n", "FULL_LOAD = 0.05\n")
-    assert replayed(day_recording(11, 3000, 1), module).difference is not None
+    assert replay_recording(workload_recording(11, 3000, 1), module).difference is not None
 
 
 SUBCLASS = """
@@ -145,12 +145,14 @@
     path = tmp_path / "candidate.py"
     path.write_text(SUBCLASS)
     module = decision_module.load(str(path))
-    data = day_recording(18, 400, 3)
-    found = replayed(data, module)
-    assert found.difference is None and not found.state_differs and found.digest == replayed(data).digest
+    data = workload_recording(18, 400, 3)
+    found = replay_recording(data, module)
+    assert (
+        found.difference is None and not found.state_differs and found.digest == replay_recording(data).digest
+    )
     other = tmp_path / "other.py"
     other.write_text(SUBCLASS.replace("super().handle(now, event)", "super().handle(now, event)[:-1]"))
-    assert replayed(data, decision_module.load(str(other))).difference is not None
+    assert replay_recording(data, decision_module.load(str(other))).difference is not None
 
 
 @pytest.mark.parametrize(
@@ -210,8 +212,8 @@
 def test_a_copy_decides_without_the_program_s_balancer(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    data = day_recording(19, 200, 2)
-    digest = replayed(data).digest
+    data = workload_recording(19, 200, 2)
+    digest = replay_recording(data).digest
     copy = tmp_path / "balancing"
     shutil.copytree(BALANCING, copy)
     module = decision_module.load(str(copy))
@@ -221,6 +223,6 @@
 
     for name in ("__init__", "handle", "adopt"):
         monkeypatch.setattr(balancer.Balancer, name, fail)
-    found = replayed(data, module)
+    found = replay_recording(data, module)
     assert found.digest == digest and found.steps > 200 and found.states == 2
     assert found.difference is None and not found.gaps and not found.state_differs
--- a/tests/test_capture_files.py
+++ b/tests/test_capture_files.py
@@ -35,31 +35,31 @@
 from gradegap.capture.frames import Damage, FrameKind
 from gradegap.capture.redaction import IdHasher, redact
 from tests.support.balancer_driver import settings
-from tests.support.recorded_day import Day, day_recording, replayed
+from tests.support.recorded_workload import RandomWorkload, replay_recording, workload_recording
 
 
 def test_a_file_cut_at_any_byte_of_a_frame_replays_what_was_whole() -> None:
-    data = day_recording(3, 60, 3)
+    data = workload_recording(3, 60, 3)
     whole = [f for f in frames.read(data) if not isinstance(f, Damage)]
     *_, before, last = [k for k in range(len(data)) if data.startswith(frames.MARK, k)]
     for end in range(before + 1, len(data), 7):
         found = list(frames.read(data[:end]))
         sound = [f for f in found if not isinstance(f, Damage)]
         assert len(sound) == len(whole) - (2 if end < last else 1)
-        assert replayed(data[:end]).difference is None
+        assert replay_recording(data[:end]).difference is None
         assert [d.reason for d in found if isinstance(d, Damage)] == ([] if end == last else ["cut off"])
 
 
 @tuned(max_examples=150, deadline=None)
 @given(st.data())
 def test_a_turned_bit_costs_its_frame_alone(data: st.DataObject) -> None:
-    raw = bytearray(day_recording(4, 60, 3))
+    raw = bytearray(workload_recording(4, 60, 3))
     k = data.draw(st.integers(len(frames.MAGIC), len(raw) - 1))
     raw[k] ^= 1 << data.draw(st.integers(0, 7))
     found = list(frames.read(bytes(raw)))
     assert sum(isinstance(f, Damage) for f in found) == 1
     assert sum(not isinstance(f, Damage) for f in found) == 7
-    report = replayed(bytes(raw))
+    report = replay_recording(bytes(raw))
     assert report.difference is None and not report.state_differs
 
 
@@ -68,7 +68,7 @@
 def test_a_hostile_file_ends_in_plain_errors(raw: bytes, framed: bool) -> None:
     data = frames.MAGIC + (frames.MARK + raw if framed else raw)
     assert all(isinstance(f, Damage) for f in frames.read(data))
-    assert replayed(data).steps == 0
+    assert replay_recording(data).steps == 0
 
 
 def test_declared_sizes_and_bombs_take_no_memory() -> None:
@@ -154,16 +154,16 @@
 
 @pytest.mark.parametrize("groups", [False, True])
 def test_a_redacted_capture_names_nobody_and_replays_where_names_place_nothing(groups: bool) -> None:
-    day = Day(14, groups=groups)
-    held = day.state()
-    day.live(400)
+    day = RandomWorkload(14, groups=groups)
+    held = day.state_frame()
+    day.run_steps(400)
     steps = frames.pack(FrameKind.STEPS, day.steps[1:], len(day.steps) - 1, 1)
-    data = day.start() + held + steps + day.state()
+    data = day.start_frame() + held + steps + day.state_frame()
     hidden = redact(data, IdHasher(b"0123456789abcdef").hashed)
     shown = msgspec.msgpack.encode([f.body for f in frames.read(hidden) if not isinstance(f, Damage)])
     for word in ("k17", "k40", "g1", "g7"):
         assert msgspec.msgpack.encode(word) not in shown
-    assert replayed(data).difference is None and not replayed(data).state_differs
+    assert replay_recording(data).difference is None and not replay_recording(data).state_differs
     if not groups:
-        found = replayed(hidden)
+        found = replay_recording(hidden)
         assert found.difference is None and not found.state_differs and found.steps > 400
--- a/tests/test_capture_index.py
+++ b/tests/test_capture_index.py
@@ -23,12 +23,18 @@
 from gradegap.capture.plot import REQUESTS, draw, series
 from gradegap.capture.schema import BALANCER
 from tests.support.node_environment import EndpointServer, wait_for
-from tests.support.recorded_day import Day, day_recording, record_day, replayed, run_gradegap
+from tests.support.recorded_workload import (
+    RandomWorkload,
+    record_workload,
+    replay_recording,
+    run_gradegap,
+    workload_recording,
+)
 from tests.test_admin_api import call, served
 from tests.test_hot_restart import ready, second
 
 NUMBERS = st.integers(-(2**63), 2**63)
-FILE = index.sealed(day_recording(31, 1200, 6))
+FILE = index.sealed(workload_recording(31, 1200, 6))
 
 
 def told(data: bytes, req: int) -> list[str]:
@@ -40,7 +46,7 @@
     assert index.indexed(FILE) and not index.indexed(plain)
     assert index.load(FILE) == index.load(plain)
     assert list(recording.read(FILE)) == list(recording.read(plain))
-    record_day(tmp_path, Day(32))
+    record_workload(tmp_path, RandomWorkload(32))
     (path,) = tmp_path.iterdir()
     data = path.read_bytes()
     assert index.indexed(data) and index.load(data) == index.build(data)
@@ -56,14 +62,14 @@
     part = index.seek(FILE, request_id=late)
     assert len(part) < len(FILE) / 2 and told(part, late)
     assert index.seek(FILE, request_id=10**9) == b"" == index.seek(FILE, endpoint="nobody")
-    assert replayed(index.seek(FILE, endpoint="s3")).difference is None
+    assert replay_recording(index.seek(FILE, endpoint="s3")).difference is None
 
 
 def test_a_replay_from_a_clock_reads_from_the_state_before_it() -> None:
     states = [e for e in index.load(FILE) if e.kind is FrameKind.STATE]
     for e in states[:-1]:
         part = index.seek(FILE, since=e.first_at + 0.001)
-        found = replayed(part)
+        found = replay_recording(part)
         assert found.steps > 0 and found.difference is None and not found.state_differs and not found.gaps
         first = next(i for i in recording.read(part) if isinstance(i, recording.State))
         assert first.at <= e.first_at + 0.001
@@ -71,9 +77,9 @@
 
 
 def test_settings_that_changed_before_a_state_are_in_its_part() -> None:
-    day = Day(33)
-    data = day.start() + day.state()
-    day.live(50)
+    day = RandomWorkload(33)
+    data = day.start_frame() + day.state_frame()
+    day.run_steps(50)
     rows = day.steps[1:]
     from dataclasses import replace
 
@@ -82,13 +88,13 @@
     rows.append(["a", len(day.steps), day.now, records.plain_settings(changed)])
     data += frames.pack(FrameKind.STEPS, rows, len(rows), 1, rows[0][2], rows[-1][2])
     day.steps.append(None)
-    data += day.state()
+    data += day.state_frame()
     at, first = day.now, len(day.steps)
-    day.live(200)
+    day.run_steps(200)
     more = day.steps[first:]
-    data += frames.pack(FrameKind.STEPS, more, len(more), first, more[0][2], more[-1][2]) + day.state()
+    data += frames.pack(FrameKind.STEPS, more, len(more), first, more[0][2], more[-1][2]) + day.state_frame()
     part = index.seek(index.sealed(data), since=at + 0.0001)
-    found = replayed(part)
+    found = replay_recording(part)
     assert found.steps == len(more) and found.difference is None and not found.state_differs
 
 
@@ -120,8 +126,8 @@
 # States
 
 
-def large(many: int) -> Day:
-    day = Day(41, servers=40)
+def large(many: int) -> RandomWorkload:
+    day = RandomWorkload(41, servers=40)
     for k in range(1, many + 1):
         request = RequestArrived(10**6 + k, "live", day.now + 2.0, "", f"p{k}")
         day.feed(ConnectionInherited(request, f"s{k % 40}"))
@@ -133,7 +139,7 @@
     assert snapshot.size(day.balancer) > snapshot.MAX_OBJECTS_IN_PLACE
     held = state.dump(day.balancer)
     child = snapshot.begin(day.balancer)
-    day.live(200)  # meanwhile
+    day.run_steps(200)  # meanwhile
     assert msgspec.msgpack.encode(snapshot.finish(child)) == msgspec.msgpack.encode(held)
     assert msgspec.msgpack.encode(state.dump(day.balancer)) != msgspec.msgpack.encode(held)
 
@@ -166,9 +172,9 @@
 
 def test_a_recording_of_a_large_module_replays_across_forked_states(tmp_path: Path) -> None:
     day = large(1200)
-    metrics = record_day(tmp_path, day)
+    metrics = record_workload(tmp_path, day)
     (path,) = tmp_path.iterdir()
-    found = replayed(path.read_bytes())
+    found = replay_recording(path.read_bytes())
     assert found.difference is None and not found.state_differs and not found.gaps and found.steps > 10_000
     assert "capture_states_lost" not in metrics.counts and "capture_failed" not in metrics.counts
 
@@ -180,7 +186,7 @@
         raise OSError(11, "Resource temporarily unavailable")
 
     monkeypatch.setattr(os, "fork", none)
-    metrics = record_day(tmp_path, large(1200))
+    metrics = record_workload(tmp_path, large(1200))
     assert metrics.counts["capture_states_lost"] >= 1 and "capture_failed" not in metrics.counts
 
 
@@ -201,7 +207,7 @@
 
 def test_a_slow_replay_decides_the_same(tmp_path: Path) -> None:
     path = tmp_path / "day.ggc"
-    path.write_bytes(index.sealed(day_recording(34, 120, 2)))
+    path.write_bytes(index.sealed(workload_recording(34, 120, 2)))
     span = [i.at for i in recording.read(path.read_bytes()) if isinstance(i, recording.Step)]
     began = time.monotonic()
     done = run_gradegap("replay", str(path), "--pace", "0.5")
@@ -243,7 +249,7 @@
     for folder in folders:
         (path,) = folder.iterdir()
         data = path.read_bytes()
-        found = replayed(data)
+        found = replay_recording(data)
         assert found.steps > 10 and found.difference is None and not found.state_differs and not found.gaps
         assert index.indexed(data)  # it ended in order
     lists = [
--- a/tests/test_capture_recorder.py
+++ b/tests/test_capture_recorder.py
@@ -23,21 +23,21 @@
 from tests.support.balancer_driver import settings
 from tests.support.mutants import mutated_copy
 from tests.support.node_environment import EndpointServer, running_node, wait_for
-from tests.support.recorded_day import Day, record_day, replayed, run_gradegap
+from tests.support.recorded_workload import RandomWorkload, record_workload, replay_recording, run_gradegap
 
 
 def test_a_recording_replays_to_the_same_decisions(tmp_path: Path) -> None:
-    metrics = record_day(tmp_path, Day(5))
+    metrics = record_workload(tmp_path, RandomWorkload(5))
     (path,) = tmp_path.iterdir()
-    found = replayed(path.read_bytes())
+    found = replay_recording(path.read_bytes())
     assert found.difference is None and not found.gaps and found.steps > 15_000
     assert "capture_dropped" not in metrics.counts
 
 
 def test_a_slow_disk_costs_whole_batches_marked_as_gaps_and_no_decision(tmp_path: Path) -> None:
-    metrics = record_day(tmp_path, Day(6), held=True)
+    metrics = record_workload(tmp_path, RandomWorkload(6), held=True)
     (path,) = tmp_path.iterdir()
-    found = replayed(path.read_bytes())
+    found = replay_recording(path.read_bytes())
     read = [f for f in frames.read(path.read_bytes()) if not isinstance(f, Damage)]
     gaps = [f.record_count for f in read if f.kind is FrameKind.GAP]
     assert len(gaps) >= 2 and sum(gaps) == metrics.counts["capture_dropped"] > 512
@@ -45,7 +45,7 @@
 
 
 def test_a_reload_in_a_batch_that_was_dropped_is_in_the_next_state(tmp_path: Path) -> None:
-    day, metrics = Day(61), Metrics()
+    day, metrics = RandomWorkload(61), Metrics()
     changed = settings(connection_groups=True, max_attempts=1, drain_grace=3.0)
 
     async def main() -> None:
@@ -55,17 +55,17 @@
         tap = RecordedBalancer(day.balancer, made)
         day.balancer = tap  # type: ignore[assignment]
         made.begin()
-        day.live(300)
+        day.run_steps(300)
         made._tick()
         made.pending += 100  # the disk is behind
-        day.live(50)
+        day.run_steps(50)
         tap.adopt(changed)
-        day.live(700)
+        day.run_steps(700)
         made._flush()
         made.pending -= 100
         made.state_due_at = 0.0
         made._tick()
-        day.live(400)
+        day.run_steps(400)
         made.close()
         while not made.is_idle:
             await asyncio.sleep(0.01)
@@ -73,14 +73,14 @@
     asyncio.run(main())
     assert metrics.counts["capture_dropped"] > 0
     (path,) = tmp_path.iterdir()
-    found = replayed(path.read_bytes())
+    found = replay_recording(path.read_bytes())
     assert found.gaps and found.difference is None and not found.state_differs
     states = [i for i in recording.read(path.read_bytes()) if isinstance(i, recording.State)]
     assert records.settings(states[-1].start["settings"]) == changed
 
 
 def test_a_full_disk_ends_the_recording_alone(tmp_path: Path) -> None:
-    day = Day(8)
+    day = RandomWorkload(8)
     before = RecordingWriter._write
 
     def full(self: RecordingWriter, data: bytes) -> None:
@@ -90,7 +90,7 @@
 
     RecordingWriter._write = full  # type: ignore[method-assign]
     try:
-        metrics = record_day(tmp_path, day)
+        metrics = record_workload(tmp_path, day)
     finally:
         RecordingWriter._write = before  # type: ignore[method-assign]
     assert metrics.counts["capture_failed"] == 1 and len(day.steps) > 15_000
@@ -99,7 +99,7 @@
 def test_the_ring_keeps_its_limits(tmp_path: Path) -> None:
     for k in range(4):
         (tmp_path / f"{k}-old.ggc").write_bytes(b"x" * 700_000)
-    record_day(tmp_path, Day(9), total_mb=1, part_mb=1)
+    record_workload(tmp_path, RandomWorkload(9), total_mb=1, part_mb=1)
     left = sorted(p.name for p in tmp_path.iterdir())
     assert (len(left) == 2 and left[-1].startswith("0")) or "3-old.ggc" in left
 
--- a/tests/test_capture_replay.py
+++ b/tests/test_capture_replay.py
@@ -15,31 +15,31 @@
 from tests.support.balancer_driver import settings
 from tests.support.mutants import mutant
 from tests.support.node_environment import ROOT
-from tests.support.recorded_day import Day, day_recording, replayed
+from tests.support.recorded_workload import RandomWorkload, replay_recording, workload_recording
 
 
 def test_a_hundred_replays_give_one_digest_and_each_state_is_met() -> None:
-    data = day_recording(1)
-    found = replayed(data)
+    data = workload_recording(1)
+    found = replay_recording(data)
     assert found.difference is None and not found.state_differs and not found.gaps
     assert found.steps > 600 and found.states == 4
-    assert {replayed(data).digest for _ in range(100)} == {found.digest}
+    assert {replay_recording(data).digest for _ in range(100)} == {found.digest}
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_a_replay_that_starts_at_a_state_decides_the_same(seed: int) -> None:
-    data = day_recording(100 + seed)
+    data = workload_recording(100 + seed)
     clocks = [
         f.first_at for f in frames.read(data) if not isinstance(f, Damage) and f.kind is FrameKind.STATE
     ]
     for since in clocks[1:4]:
-        found = replayed(data, since=since)
+        found = replay_recording(data, since=since)
         assert found.difference is None and not found.state_differs and found.steps > 0
 
 
 def test_hash_order_of_another_process_changes_nothing(tmp_path: Path) -> None:
     path = tmp_path / "day.ggc"
-    path.write_bytes(day_recording(7))
+    path.write_bytes(workload_recording(7))
     said = set()
     for seed in ("0", "1", "4242"):
         line = [sys.executable, "-m", "gradegap", "replay", str(path)]
@@ -78,13 +78,13 @@
 
 
 def test_twenty_altered_modules_are_each_found_at_their_first_other_decision(tmp_path: Path) -> None:
-    data = day_recording(11, 3000, 1)
+    data = workload_recording(11, 3000, 1)
     found_in = []
     for k, (old, new) in enumerate(MUTANTS):
         folder = tmp_path / str(k)
         folder.mkdir()
         module = mutant(folder, old, new)
-        found = replayed(data, module)
+        found = replay_recording(data, module)
         # The same by hand: both modules from the beginning, until one decides otherwise.
         plain, other = (
             Balancer(settings(connection_groups=True), 11),
@@ -110,16 +110,16 @@
 
 
 def test_two_captures_are_compared_step_by_step() -> None:
-    one, other = day_recording(12, 200, 2), day_recording(13, 200, 2)
+    one, other = workload_recording(12, 200, 2), workload_recording(13, 200, 2)
     same = comparison.compare(recording.read(one), recording.read(one))
     assert same.first is None and same.steps > 200 and not same.gaps
     told = comparison.compare(recording.read(one), recording.read(other))
     assert told.first is not None and told.events_differ
-    day = Day(12).live(100)
+    day = RandomWorkload(12).run_steps(100)
     rows = list(day.steps)
     k = next(k for k in range(40, len(rows)) if rows[k][4])
     rows[k] = [*rows[k][:4], []]
-    plain = day.start() + frames.pack(FrameKind.STEPS, day.steps, len(rows), 0)
-    changed = day.start() + frames.pack(FrameKind.STEPS, rows, len(rows), 0)
+    plain = day.start_frame() + frames.pack(FrameKind.STEPS, day.steps, len(rows), 0)
+    changed = day.start_frame() + frames.pack(FrameKind.STEPS, rows, len(rows), 0)
     did = comparison.compare(recording.read(plain), recording.read(changed))
     assert did.first is not None and not did.events_differ and did.first[0].number == k
--- a/tests/test_capture_state.py
+++ b/tests/test_capture_state.py
@@ -20,7 +20,7 @@
 from gradegap.capture.frames import Damage, FrameKind
 from gradegap.capture.schema import BALANCER, ENDPOINT, REQUEST
 from tests.support.balancer_driver import settings
-from tests.support.recorded_day import Day
+from tests.support.recorded_workload import RandomWorkload
 
 CAPTURES = Path(__file__).parent / "captures"
 # As files of version 2 have them. These lists are the format.
@@ -106,16 +106,16 @@
     return ours and not isinstance(value, (*STORED_CLASSES, Settings, ClassSettings, EndpointPhase))
 
 
-def lived() -> Day:
+def lived() -> RandomWorkload:
     """A day after which a module holds objects of every kind."""
-    day = Day(71).live(900)
+    day = RandomWorkload(71).run_steps(900)
     for k in range(40):
         request = RequestArrived(10**6 + k, "live", day.now + 2.0, "", f"k{k}", f"g{k % 5}")
         day.feed(request if k % 2 else ConnectionInherited(request, f"s{k % 8}"))
     return day
 
 
-def every_object(day: Day) -> list[tuple[schema.Form, Any]]:
+def every_object(day: RandomWorkload) -> list[tuple[schema.Form, Any]]:
     balancer = day.balancer
     found: list[tuple[schema.Form, Any]] = [(BALANCER, balancer)]
     found += [(ENDPOINT, each) for each in BALANCER.get(balancer, "endpoints").values()]
