--- a/tests/support/observer_harness.py
+++ b/tests/support/observer_harness.py
@@ -29,7 +29,7 @@
 ]
 
 
-class Log:
+class ReplicatedState:
     """A member's state, with entries written straight into it."""
 
     def __init__(self) -> None:
@@ -49,14 +49,14 @@
         return self.machine.revision
 
 
-class Pair:
+class PublisherHarness:
     """One publisher, and nodes that talk to it over lossless links."""
 
     def __init__(self, limits: Limits = LIMITS) -> None:
-        self.log = Log()
+        self.state = ReplicatedState()
         self.now = 100.0
         self.limits = limits
-        self.publisher = Publisher("cluster", "m0", self.log.source, limits, self.now, random.Random(1))
+        self.publisher = Publisher("cluster", "m0", self.state.source, limits, self.now, random.Random(1))
         self.nodes: dict[int, Subscriber] = {}
         self.states: dict[int, dict[str, object]] = {}
         self.received: dict[int, list[FromPublisher]] = {}
@@ -64,7 +64,7 @@
         self.closed: dict[int, CloseCode] = {}
         self.blocked: set[int] = set()
 
-    def node(self, name: str, instance: str = "") -> int:
+    def add_node(self, name: str, instance: str = "") -> int:
         """A new node; its connection's number."""
         number = len(self.nodes) + 1
         node = Subscriber(
@@ -136,30 +136,32 @@
             else:
                 self.states[number][change.key] = change.value
 
-    def kinds(self, number: int) -> list[str]:
+    def message_types(self, number: int) -> list[str]:
         return [type(message).__name__ for message in self.received[number]]
 
-    def expected(self) -> dict[str, object]:
-        return {k: i.value for k, i in self.log.machine.items.items() if is_subscribed(k)}
+    def expected_state(self) -> dict[str, object]:
+        return {k: i.value for k, i in self.state.machine.items.items() if is_subscribed(k)}
 
 
-def renewed(
+def send_renew(
     publisher: Publisher, now: float, number: int, revision: int, serial: int = 1
 ) -> list[FromPublisher]:
     """Send a Renew; the messages that answer it."""
     publisher.receive(now, number, Renew(serial, revision))
-    return [o.message for o in drained(publisher) if isinstance(o, publisher_module.Send)]
+    return [o.message for o in take_all_outputs(publisher) if isinstance(o, publisher_module.Send)]
 
 
-def drained(publisher: Publisher) -> list[publisher_module.Output]:
+def take_all_outputs(publisher: Publisher) -> list[publisher_module.Output]:
     outputs: list[publisher_module.Output] = []
     while more := publisher.take():
         outputs += more
     return outputs
 
 
-def subscribed(publisher: Publisher, now: float, number: int, revision: int, node: str = "") -> list[str]:
+def send_subscribe(publisher: Publisher, now: float, number: int, revision: int, node: str = "") -> list[str]:
     """Subscribe and drain; the kinds of what is answered."""
     message = Subscribe(VERSION, node or f"n{number}", f"i{number}", "r0", "", revision)
     publisher.subscribe(now, number, message)
-    return [type(o.message).__name__ for o in drained(publisher) if isinstance(o, publisher_module.Send)]
+    return [
+        type(o.message).__name__ for o in take_all_outputs(publisher) if isinstance(o, publisher_module.Send)
+    ]
--- a/tests/support/observer_sockets.py
+++ b/tests/support/observer_sockets.py
@@ -29,10 +29,10 @@
 from tests.support.node_environment import free_port
 
 SECRET = b"0123456789abcdef of a test"
-WITHIN = 10.0  # s
+TIMEOUT_S = 10.0  # s
 
 
-class World:
+class PublisherEnvironment:
     """One member that publishes, and what a test connects to it."""
 
     def __init__(
@@ -43,7 +43,7 @@
         (folder / "secret").write_bytes(SECRET)
         listen = f"127.0.0.1:{free_port()}"
         settings = StoreSettings("c1", listen, publish=self.publish, lease_s=lease_s)
-        self.daemon = StoreMember(
+        self.member = StoreMember(
             settings,
             SECRET,
             folder / "c1",
@@ -52,15 +52,15 @@
             lambda error: None,
             make_subscription_server=PublisherServer,
         )
-        assert isinstance(self.daemon.subscription_server, PublisherServer)
-        self.server = self.daemon.subscription_server
+        assert isinstance(self.member.subscription_server, PublisherServer)
+        self.server = self.member.subscription_server
         if limits is not None:
             self.server.limits = limits
         self.clients: list[ObserverClient] = []
 
     @property
     def counts(self) -> dict[str, int]:
-        return dict(self.daemon.metrics.counts)
+        return dict(self.member.metrics.counts)
 
     def client(self, name: str, **more: Any) -> ObserverClient:
         """A node's subscription that remembers what it was given in `keys`."""
@@ -85,26 +85,26 @@
 
     async def transact(self, *ops: KeyUpdate) -> wire.Response:
         told: asyncio.Future[wire.Response] = self.loop.create_future()
-        self.daemon.requests.request(wire.Transaction(ops), told.set_result, WITHIN)
+        self.member.requests.request(wire.Transaction(ops), told.set_result, TIMEOUT_S)
         return await told
 
-    async def until(self, true: Callable[[], Any], within: float = WITHIN) -> Any:
+    async def wait_until(self, true: Callable[[], Any], within: float = TIMEOUT_S) -> Any:
         end = time.monotonic() + within
         while not (seen := true()):
             assert time.monotonic() < end, f"it never came about: {self.counts}"
             await asyncio.sleep(0.005)
         return seen
 
-    async def dial(self, receive_buffer: int = 0) -> Raw:
+    async def dial(self, receive_buffer: int = 0) -> RawConnection:
         sock = socket.socket()
         if receive_buffer:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
         sock.setblocking(False)
         await self.loop.sock_connect(sock, split_address(self.publish))
-        return Raw(*await asyncio.open_connection(sock=sock))
+        return RawConnection(*await asyncio.open_connection(sock=sock))
 
 
-class Raw:
+class RawConnection:
     """A connection that says what a test wants."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -112,7 +112,7 @@
         self.channel = subscriber_channel(SECRET)
         self.messages: list[Any] = []
 
-    async def prove(self) -> None:
+    async def authenticate(self) -> None:
         self.writer.write(self.channel.begin())
         while not self.channel.authenticated:
             await self.read()
@@ -120,7 +120,7 @@
     async def read(self) -> bool:
         """More of what the other side says; no once it has ended."""
         try:
-            data = await asyncio.wait_for(self.reader.read(65536), WITHIN)
+            data = await asyncio.wait_for(self.reader.read(65536), TIMEOUT_S)
         except ConnectionError:
             return False
         messages, reply = self.channel.receive(data)
@@ -131,7 +131,7 @@
     def send(self, message: msgspec.Struct) -> None:
         self.writer.write(self.channel.send(message))
 
-    async def next(self, kind: type) -> Any:
+    async def next_message(self, kind: type) -> Any:
         while True:
             for message in self.messages:
                 if isinstance(message, kind):
@@ -139,28 +139,28 @@
                     return message
             assert await self.read(), f"ended before a {kind.__name__}"
 
-    async def ended(self) -> None:
+    async def wait_for_end(self) -> None:
         while await self.read():
             pass
 
 
-def play(
+def run_with_publisher(
     folder: Path,
-    part: Callable[[World], Awaitable[None]],
+    part: Callable[[PublisherEnvironment], Awaitable[None]],
     limits: Limits | None = None,
     lease_s: float = 1.0,
 ) -> None:
     """Run `part` against a member that leads."""
 
     async def main() -> None:
-        world = World(folder, asyncio.get_running_loop(), limits, lease_s)
-        await world.daemon.start()
+        world = PublisherEnvironment(folder, asyncio.get_running_loop(), limits, lease_s)
+        await world.member.start()
         try:
-            await world.until(world.daemon.is_fresh)
+            await world.wait_until(world.member.is_fresh)
             await part(world)
         finally:
             for client in world.clients:
                 client.leave()
-            world.daemon.close()
+            world.member.close()
 
     uvloop.run(main())
--- a/tests/test_observer_publisher.py
+++ b/tests/test_observer_publisher.py
@@ -19,50 +19,56 @@
 )
 from gradegap.observer.subscriber import Apply
 from gradegap.store.in_force import InForceTally, MachineReport
-from tests.support.observer_harness import LIMITS, Pair, drained, renewed, subscribed
+from tests.support.observer_harness import (
+    LIMITS,
+    PublisherHarness,
+    send_renew,
+    send_subscribe,
+    take_all_outputs,
+)
 
 # The main path
 
 
 def test_a_node_gets_a_snapshot_then_deltas_and_holds_a_lease() -> None:
-    pair = Pair()
-    pair.log.put("config/a", 1)
-    pair.log.put("notes/x", 1)
-    number = pair.node("n1")
+    pair = PublisherHarness()
+    pair.state.put("config/a", 1)
+    pair.state.put("notes/x", 1)
+    number = pair.add_node("n1")
     pair.run(1.0)
     node = pair.nodes[number]
-    assert pair.kinds(number)[:2] == ["Accepted", "SnapshotPart"]
+    assert pair.message_types(number)[:2] == ["Accepted", "SnapshotPart"]
     assert node.revision == 2 and pair.states[number] == {"config/a": 1}
     assert node.fresh(pair.now) and node.age(pair.now) < 0.5 and node.cluster == "cluster"
-    pair.log.put("out/s1", {"at_ms": 1})
-    pair.log.put("config/a", 2)
+    pair.state.put("out/s1", {"at_ms": 1})
+    pair.state.put("config/a", 2)
     pair.publisher.source_advanced(pair.now)
     pair.settle()
-    assert pair.states[number] == pair.expected() and node.revision == 4
+    assert pair.states[number] == pair.expected_state() and node.revision == 4
     pair.run(0.1)
     assert pair.publisher.nodes_behind(pair.now, 4) == []
 
 
 def test_a_revision_without_subscribed_keys_comes_with_a_heartbeat_only() -> None:
-    pair = Pair()
-    pair.log.put("config/a", 1)
-    number = pair.node("n1")
+    pair = PublisherHarness()
+    pair.state.put("config/a", 1)
+    number = pair.add_node("n1")
     pair.run(1.0)
     pair.received[number].clear()
-    revision = pair.log.put("notes/x", 2)
+    revision = pair.state.put("notes/x", 2)
     pair.publisher.source_advanced(pair.now)
     pair.run(1.0)
-    assert set(pair.kinds(number)) == {"Heartbeat"} and pair.nodes[number].revision == revision
+    assert set(pair.message_types(number)) == {"Heartbeat"} and pair.nodes[number].revision == revision
 
 
 def test_an_acknowledgement_comes_after_the_apply_and_within_the_batch() -> None:
-    pair = Pair()
-    number = pair.node("n1")
+    pair = PublisherHarness()
+    number = pair.add_node("n1")
     pair.run(0.5)
     node = pair.nodes[number]
-    revision = pair.log.put("config/a", 1)
+    revision = pair.state.put("config/a", 1)
     pair.publisher.source_advanced(pair.now)
-    for output in drained(pair.publisher):
+    for output in take_all_outputs(pair.publisher):
         assert isinstance(output, publisher_module.Send)
         node.receive(pair.now, output.message)
     kinds = [type(output) for output in node.take()]
@@ -74,18 +80,18 @@
 
 
 def test_a_node_that_comes_back_gets_what_it_lacks() -> None:
-    pair = Pair()
-    pair.log.put("config/a", 1)
-    number = pair.node("n1")
+    pair = PublisherHarness()
+    pair.state.put("config/a", 1)
+    number = pair.add_node("n1")
     pair.run(0.5)
     pair.publisher.disconnected(pair.now, number)
     pair.nodes[number].disconnected(pair.now, "reset")
-    pair.log.put("config/a", 2)
-    pair.log.put("config/b", 1)
-    pair.log.put("config/b", None, delete=True)
+    pair.state.put("config/a", 2)
+    pair.state.put("config/b", 1)
+    pair.state.put("config/b", None, delete=True)
     pair.received[number].clear()
     pair.run(1.0)
-    assert pair.kinds(number)[:2] == ["Accepted", "Delta"]
+    assert pair.message_types(number)[:2] == ["Accepted", "Delta"]
     delta = pair.received[number][1]
     assert isinstance(delta, Delta) and [c.key for c in delta.changes] == ["config/a", "config/b"]
     assert pair.states[number] == {"config/a": 2}
@@ -106,9 +112,9 @@
 def test_a_subscription_that_does_not_fit_is_rejected_and_counted(
     message: Subscribe, code: CloseCode
 ) -> None:
-    pair = Pair()
+    pair = PublisherHarness()
     pair.publisher.subscribe(100.0, 1, message)
-    send, close = drained(pair.publisher)
+    send, close = take_all_outputs(pair.publisher)
     assert isinstance(send, publisher_module.Send) and isinstance(send.message, Rejected)
     assert send.message.code is code and close == publisher_module.Close(1, code)
     assert not pair.publisher.subscriptions and pair.publisher.counts[f"rejected_{code}"] == 1
@@ -141,38 +147,41 @@
 
 
 def test_an_acknowledgement_of_what_was_not_sent_closes_the_subscription() -> None:
-    pair = Pair()
+    pair = PublisherHarness()
     publisher = pair.publisher
-    subscribed(publisher, 100.0, 1, 0)
+    send_subscribe(publisher, 100.0, 1, 0)
     publisher.renew_lease(100.0, 101.0)
-    (rejected,) = renewed(publisher, 100.0, 1, 5)
+    (rejected,) = send_renew(publisher, 100.0, 1, 5)
     assert isinstance(rejected, Rejected) and rejected.code is CloseCode.GARBLED
     assert not publisher.subscriptions and publisher.safe_index(100.0) == 0
 
 
 def test_a_second_subscribe_and_words_of_strangers() -> None:
-    pair = Pair()
+    pair = PublisherHarness()
     publisher = pair.publisher
     publisher.receive(100.0, 9, Renew(1, 0))  # never subscribed
     publisher.pause_writing(100.0, 9)
     publisher.resume_writing(100.0, 9)
     publisher.disconnected(100.0, 9)
-    assert drained(publisher) == []
-    subscribed(publisher, 100.0, 1, 0)
+    assert take_all_outputs(publisher) == []
+    send_subscribe(publisher, 100.0, 1, 0)
     publisher.subscribe(100.0, 1, Subscribe(VERSION, "n2", "i2"))
-    assert publisher_module.Close(1, CloseCode.GARBLED) in drained(publisher) and not publisher.subscriptions
+    assert (
+        publisher_module.Close(1, CloseCode.GARBLED) in take_all_outputs(publisher)
+        and not publisher.subscriptions
+    )
 
 
 def test_a_silent_node_is_closed_and_remembered_as_behind_for_a_time() -> None:
-    pair = Pair()
-    publisher, log = pair.publisher, pair.log
-    subscribed(publisher, 100.0, 1, 0)
+    pair = PublisherHarness()
+    publisher, log = pair.publisher, pair.state
+    send_subscribe(publisher, 100.0, 1, 0)
     revision = log.put("config/a", 1)
     publisher.source_advanced(100.0)
-    drained(publisher)
+    take_all_outputs(publisher)
     closed_at = 100.0 + LIMITS.subscriber_timeout_s + 1.0
     publisher.tick(closed_at)
-    assert publisher_module.Close(1, CloseCode.SILENT) in drained(publisher)
+    assert publisher_module.Close(1, CloseCode.SILENT) in take_all_outputs(publisher)
     assert publisher.nodes_behind(closed_at + 1.0, revision) == ["n1"]
     report = publisher.report(closed_at + 1.0, revision)
     assert report.lost == ("n1",) and report.behind == () and report.subscribers == 0
@@ -181,11 +190,11 @@
 
 def test_over_the_rate_nodes_are_told_to_come_again_each_later_than_the_last() -> None:
     limits = replace(LIMITS, subscribe_rate=10.0, subscribe_burst=5)
-    pair = Pair(limits)
+    pair = PublisherHarness(limits)
     waits = []
     for number in range(30):
         pair.publisher.subscribe(100.0, number, Subscribe(VERSION, f"n{number}", "i"))
-        for output in drained(pair.publisher):
+        for output in take_all_outputs(pair.publisher):
             if isinstance(output, publisher_module.Send) and isinstance(output.message, Rejected):
                 assert output.message.code is CloseCode.BUSY
                 waits.append(output.message.retry_after_s)
@@ -197,29 +206,29 @@
 
 def test_a_full_machine_admits_no_more_but_nodes_that_it_has() -> None:
     limits = replace(LIMITS, max_subscribers=2)
-    pair = Pair(limits)
+    pair = PublisherHarness(limits)
     for number in (1, 2, 3):
-        subscribed(pair.publisher, 100.0, number, 0)
+        send_subscribe(pair.publisher, 100.0, number, 0)
     assert sorted(pair.publisher.subscriptions) == [1, 2]
-    subscribed(pair.publisher, 100.0, 4, 0, node="n1")
+    send_subscribe(pair.publisher, 100.0, 4, 0, node="n1")
     assert sorted(pair.publisher.subscriptions) == [2, 4]
 
 
 def test_the_book_of_grants_is_bounded_and_errs_to_the_safe_side() -> None:
     limits = replace(LIMITS, max_pending_changes=4)
-    pair = Pair(limits)
-    publisher, log = pair.publisher, pair.log
+    pair = PublisherHarness(limits)
+    publisher, log = pair.publisher, pair.state
     for number in (1, 2):
-        subscribed(publisher, 100.0, number, 0)
+        send_subscribe(publisher, 100.0, number, 0)
         publisher.renew_lease(100.0, 101.0)
-        renewed(publisher, 100.0, number, 0)
+        send_renew(publisher, 100.0, number, 0)
     for value in range(10):
         log.put("config/a", value)
         publisher.source_advanced(100.0)
-    drained(publisher)
+    take_all_outputs(publisher)
     assert len(publisher.lease_grants.pending_changes) == 4 and publisher.safe_index(100.0) == 0
-    renewed(publisher, 100.0, 1, 10)
-    renewed(publisher, 100.0, 2, 6)  # within what the last mark stands for
+    send_renew(publisher, 100.0, 1, 10)
+    send_renew(publisher, 100.0, 2, 6)  # within what the last mark stands for
     assert publisher.safe_index(100.0) == 3
-    renewed(publisher, 100.0, 2, 10)
+    send_renew(publisher, 100.0, 2, 10)
     assert publisher.safe_index(100.0) == 10
--- a/tests/test_observer_source.py
+++ b/tests/test_observer_source.py
@@ -7,16 +7,16 @@
     Change,
 )
 from gradegap.store import records
-from tests.support.observer_harness import Log, Pair, drained, subscribed
+from tests.support.observer_harness import PublisherHarness, ReplicatedState, send_subscribe, take_all_outputs
 
 
 def test_a_machine_that_loads_a_snapshot_serves_it_as_one() -> None:
-    pair = Pair()
-    publisher, log = pair.publisher, pair.log
+    pair = PublisherHarness()
+    publisher, log = pair.publisher, pair.state
     first = log.put("config/a", 1)
     publisher.source_advanced(100.0)
-    subscribed(publisher, 100.0, 1, first)
-    other = Log()
+    send_subscribe(publisher, 100.0, 1, first)
+    other = ReplicatedState()
     for value in range(5):
         other.put("config/a", value)
     state = other.machine.export_state()
@@ -25,13 +25,15 @@
     )
     assert log.source.changes_since(first) is None
     publisher.source_advanced(100.1)
-    kinds = [type(o.message).__name__ for o in drained(publisher) if isinstance(o, publisher_module.Send)]
+    kinds = [
+        type(o.message).__name__ for o in take_all_outputs(publisher) if isinstance(o, publisher_module.Send)
+    ]
     assert kinds == ["SnapshotPart"]
     assert publisher.safe_index(100.1) == 5
 
 
 def test_changes_since_are_those_of_subscribed_keys_in_order() -> None:
-    log = Log()
+    log = ReplicatedState()
     log.transact(
         records.KeyUpdate("config/a", 1), records.KeyUpdate("notes/x", 1), records.KeyUpdate("out/s", 2)
     )
--- a/tests/test_observer_strangers.py
+++ b/tests/test_observer_strangers.py
@@ -37,21 +37,21 @@
 from gradegap.store.records import KeyUpdate
 from gradegap.store.subscription_settings import ObserverMachine, ObserverSettings
 from gradegap.transport.addresses import split_address
-from tests.support.observer_sockets import WITHIN, Raw, World, play
+from tests.support.observer_sockets import TIMEOUT_S, PublisherEnvironment, RawConnection, run_with_publisher
 
 
 def test_strangers_are_refused_by_a_code_and_counted(tmp_path: Path) -> None:
-    async def part(w: World) -> None:
+    async def part(w: PublisherEnvironment) -> None:
         node = w.client("node")
-        await w.until(node.fresh)
-        cluster = w.daemon.identity.cluster
+        await w.wait_until(node.fresh)
+        cluster = w.member.identity.cluster
 
         async def rejected(message: Subscribe) -> Rejected:
             raw = await w.dial()
-            await raw.prove()
+            await raw.authenticate()
             raw.send(message)
-            answer = await raw.next(Rejected)
-            await raw.ended()
+            answer = await raw.next_message(Rejected)
+            await raw.wait_for_end()
             assert isinstance(answer, Rejected)
             return answer
 
@@ -65,13 +65,13 @@
             assert w.counts[f"observer_rejected_{code}"] == 1, w.counts
 
         # Frames: a wrong sum, a length that is none, a body that is no message, a second beginning.
-        async def garbled(spoil: Callable[[Raw], bytes]) -> None:
+        async def garbled(spoil: Callable[[RawConnection], bytes]) -> None:
             raw = await w.dial()
-            await raw.prove()
+            await raw.authenticate()
             raw.writer.write(spoil(raw))
-            await raw.ended()
+            await raw.wait_for_end()
 
-        frames: list[Callable[[Raw], bytes]] = [
+        frames: list[Callable[[RawConnection], bytes]] = [
             lambda raw: raw.channel.send(Renew(1, 0))[:-1] + b"\x7f",
             lambda raw: (MAX_FRAME_BYTES + 1).to_bytes(4, "big") + bytes(16),
             lambda raw: raw.channel.send_encoded(b"\xc1 no message"),
@@ -81,15 +81,15 @@
         ]
         for k, spoil in enumerate(frames, 1):
             await garbled(spoil)
-            await w.until(lambda k=k: w.counts.get("observer_link_garbled") == k)  # type: ignore[misc]
+            await w.wait_until(lambda k=k: w.counts.get("observer_link_garbled") == k)  # type: ignore[misc]
         other = await w.dial()
         other.channel = subscriber_channel(b"another secret of sixteen bytes")
         with pytest.raises(LinkError, match="turned: secret"):
-            await other.prove()
+            await other.authenticate()
         assert w.counts["observer_link_secret"] == 1
         assert node.fresh() and len(w.server.connections) == 1
 
-    play(tmp_path, part)
+    run_with_publisher(tmp_path, part)
 
 
 def test_many_that_connect_and_say_nothing_delay_no_subscriber(tmp_path: Path) -> None:
@@ -97,9 +97,9 @@
     _soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     most = min(10_000, (hard if hard != resource.RLIM_INFINITY else 50_000) // 3)
 
-    async def part(w: World) -> None:
+    async def part(w: PublisherEnvironment) -> None:
         node = w.client("node")
-        await w.until(node.fresh)
+        await w.wait_until(node.fresh)
         host = split_address(w.publish)
         silent: list[socket.socket] = []
         largest = lost = 0
@@ -115,10 +115,10 @@
             if len(silent) % 1000 == 0:
                 answer = await w.write("config/motd", f"{len(silent)}")
                 assert answer.outcome == "ok"
-                await w.until(lambda a=answer: node.revision >= a.revision, 1.0)  # type: ignore[misc]
+                await w.wait_until(lambda a=answer: node.revision >= a.revision, 1.0)  # type: ignore[misc]
         # One that proves itself comes in, whoever else waits.
         late = w.client("late")
-        await w.until(late.fresh)
+        await w.wait_until(late.fresh)
         assert node.fresh() and not lost
         assert largest <= server_module.MAX_PENDING_CONNECTIONS
 
@@ -129,7 +129,7 @@
             return w.server.connections_opened - 2  # but for the two nodes
 
         # Each that came in is refused and counted; the system's own queue, when full, drops a few.
-        await w.until(lambda: refused() == accepted() and len(w.server.connections) == 2)
+        await w.wait_until(lambda: refused() == accepted() and len(w.server.connections) == 2)
         assert accepted() >= 0.9 * most, (accepted(), most)
         crowded = w.counts["observer_link_crowded"]
         print(f"{most} silent connections, {accepted()} accepted, {crowded} crowded out")
@@ -137,17 +137,17 @@
         for sock in silent:
             sock.close()
 
-    play(tmp_path, part)
+    run_with_publisher(tmp_path, part)
 
 
 def test_a_subscriber_that_never_reads_holds_bounded_memory_and_delays_nobody(tmp_path: Path) -> None:
-    async def part(w: World) -> None:
+    async def part(w: PublisherEnvironment) -> None:
         node = w.client("node")
-        await w.until(node.fresh)
+        await w.wait_until(node.fresh)
         raw = await w.dial(receive_buffer=32 * 1024)
-        await raw.prove()
+        await raw.authenticate()
         raw.send(Subscribe(VERSION, "deaf", "i"))
-        await raw.next(Accepted)
+        await raw.next_message(Accepted)
         raw.writer.transport.pause_reading()  # type: ignore[attr-defined]
         connection = next(c for c in w.server.connections.values() if c.node == "deaf")
         largest = 0
@@ -160,7 +160,7 @@
                 largest = max(largest, connection.transport.get_write_buffer_size())
         # What one block of values may add to a buffer that was just under its mark.
         assert largest <= HIGH_WATER_BYTES + MAX_FRAME_BYTES
-        await w.until(lambda: node.revision >= answer.revision)
+        await w.wait_until(lambda: node.revision >= answer.revision)
         print(f"largest write buffer {largest} bytes")
         assert connection.connection_id in w.server.publisher.subscriptions  # type: ignore[union-attr]
         assert largest > HIGH_WATER_BYTES
@@ -177,7 +177,7 @@
         assert w.counts["observer_deltas"] < 2 * 100  # those that it did not read are not all sent
 
     # No budget of bytes: it would keep so much from ever being sent.
-    play(
+    run_with_publisher(
         tmp_path,
         part,
         replace(Limits().for_lease(1.0), subscriber_bytes_per_s=1e9, subscriber_burst_bytes=10**9),
@@ -222,7 +222,7 @@
             lambda f: None,
         )
         client.start()
-        end = time.monotonic() + WITHIN
+        end = time.monotonic() + TIMEOUT_S
         while len(seen) < len(spoils) + 1:
             assert time.monotonic() < end
             await asyncio.sleep(0.005)
