--- a/tests/support/refused.py
+++ b/tests/support/seccomp_filter.py
@@ -1,8 +1,8 @@
 """A stand-in for the fleet bench's system-call filter: what it refuses, refused here in the same way.
 
-`python tests/support/refused.py` sets a seccomp filter (seccomp(2), SECCOMP_MODE_FILTER, no_new_privs, so
-without special rights) on this process before any thread starts, then runs the node in it as `python -m
-gradegap` would. Refused, as the fleet page says: fork, vfork, clone without CLONE_THREAD, clone3 (glibc
+`python tests/support/seccomp_filter.py` sets a seccomp filter (seccomp(2), SECCOMP_MODE_FILTER,
+no_new_privs, so without special rights) on this process before any thread starts, then runs the node in
+it as `python -m gradegap` would. Refused, as the fleet page says: fork, vfork, clone without CLONE_THREAD, clone3 (glibc
 then makes its threads by clone), execve, execveat, io_uring_*, sendfile with ENOSYS; splice, tee and
 vmsplice with EINVAL; IPv6 sockets with EAFNOSUPPORT. x86_64 only: elsewhere `install` raises `OSError`."""
 
@@ -33,7 +33,7 @@
 NR_AT, ARCH_AT, ARG0_AT = 0, 4, 16  # offsets in struct seccomp_data, little-endian
 
 
-def program() -> list[tuple[int, int, int, int]]:
+def filter_program() -> list[tuple[int, int, int, int]]:
     """The filter as (code, jt, jf, k); jumps are resolved from named places."""
     code: list[tuple[int, str | int, str | int, int]] = [
         (LD_W_ABS, 0, 0, ARCH_AT),
@@ -74,7 +74,7 @@
     if platform.machine() != "x86_64":
         raise OSError(errno.ENOTSUP, "the filter is written for x86_64")
     libc = ctypes.CDLL(None, use_errno=True)
-    steps = program()
+    steps = filter_program()
     raw = ctypes.create_string_buffer(b"".join(struct.pack("HBBI", *step) for step in steps))
     prog = _Prog(len(steps), ctypes.cast(raw, ctypes.c_void_p))
     pr_set_no_new_privs, pr_set_seccomp, mode_filter = 38, 22, 2
--- a/tests/test_refused.py
+++ b/tests/test_refused.py
@@ -1,6 +1,6 @@
 """The node as the fleet bench starts it: fork, programs, io_uring, splice, sendfile and IPv6 refused.
 
-The refusals are made by `tests/support/refused.py`, a seccomp filter on the node's own process; nobody
+The refusals are made by `tests/support/seccomp_filter.py`, a seccomp filter on the node's own process; nobody
 comes to its Unix sockets. The node must start, serve, be replaced by SIGTERM and end as usual, with a
 socket for its hot restart and a capture asked for, which are the parts of it that could fork or wait on a
 Unix socket.
@@ -19,7 +19,7 @@
 from tests.support.node_environment import ROOT, EndpointServer, running_node, wait_for
 
 pytestmark = pytest.mark.skipif(platform.machine() != "x86_64", reason="the filter is written for x86_64")
-LAUNCHER = [str(ROOT / "tests" / "support" / "refused.py")]
+LAUNCHER = [str(ROOT / "tests" / "support" / "seccomp_filter.py")]
 
 
 def test_a_node_under_the_fleets_filter_serves_and_ends(tmp_path: Path) -> None:
@@ -48,7 +48,7 @@
     """The stand-in itself: a planted fork, program or splice under it is refused, threads are not."""
     probe = (
         "import os, sys, threading, subprocess; sys.path.insert(0, sys.argv[1])\n"
-        "from tests.support import refused; refused.install()\n"
+        "from tests.support import seccomp_filter; seccomp_filter.install()\n"
         "t = threading.Thread(target=print); t.start(); t.join(); r, w = os.pipe()\n"
         "for call in (os.fork, lambda: subprocess.run(['true']), lambda: os.splice(r, w, 1)):\n"
         "    try: call(); print('made')\n"
