--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -34,7 +34,7 @@
     (folder / "cases").mkdir()
     (folder / "cases" / "test_it.py").write_text(CASES)
     if listed is not None:
-        (folder / known_red.NAME).write_text(listed)
+        (folder / known_red.FILE_NAME).write_text(listed)
     command = [sys.executable, "-m", "pytest", "-q", "-p", "tests.known_red", "-p", "no:cacheprovider"]
     command += ["--rootdir", str(folder), "-c", os.devnull, "cases"]
     env = os.environ | {"PYTHONPATH": str(ROOT)}
