--- a/gradegap/downstream/session.py
+++ b/gradegap/downstream/session.py
@@ -185,7 +185,7 @@
         if not self.closed:  # it may have been rejected at once
             self.channel.on_request()
 
-    def hold(self, opening: Opening) -> None:
+    def accept_opening(self, opening: Opening) -> None:
         """Take this first line as the session's, and wait for what becomes of it."""
         self.opening = opening
         self.enter(SessionState.REQUESTED)
--- a/gradegap/hot_restart/hot_restart.py
+++ b/gradegap/hot_restart/hot_restart.py
@@ -159,7 +159,7 @@
     def _send_descriptor_count(self) -> None:
         if self._link is None:
             return
-        count = self._host.descriptors.own()
+        count = self._host.descriptors.owned_count()
         if count != self._sent_descriptor_count:
             self._sent_descriptor_count = count
             self._link.send(DescriptorCount(count))
--- a/gradegap/hot_restart/predecessor.py
+++ b/gradegap/hot_restart/predecessor.py
@@ -58,7 +58,7 @@
         self.state = PredecessorState.STATE_SENT
         host.metrics.count("hot_restarts_begun")
         sealing_keys = host.resuming.export_keys() if host.resuming is not None else b""
-        offer = Offer(dict(host.proxy.disabled), host.descriptors.own(), sealing_keys)
+        offer = Offer(dict(host.proxy.disabled), host.descriptors.owned_count(), sealing_keys)
         link.send(offer, listening_socket.fileno())
         states = [
             state for each in host.proxy.endpoints.values() if (state := _endpoint_state(each)) is not None
--- a/gradegap/hot_restart/session_adoption.py
+++ b/gradegap/hot_restart/session_adoption.py
@@ -56,7 +56,7 @@
     endpoint_descriptor: int,
 ) -> None:
     session, dialer = channel.session, host.upstream.dialer
-    session.hold(Opening(message.request, message.opening_before_wait, message.opening_after_wait))
+    session.accept_opening(Opening(message.request, message.opening_before_wait, message.opening_after_wait))
     request = host.proxy.adopt_connection(
         session, message.request, message.endpoint, message.last_response_at, message.unanswered_since
     )
--- a/gradegap/resume/resumption.py
+++ b/gradegap/resume/resumption.py
@@ -107,7 +107,7 @@
         by: str,
     ) -> None:
         """A client has returned with a token."""
-        session.hold(opening)
+        session.accept_opening(opening)
         if not self.keys.is_current():
             # Guards against a ring that is not read yet: a good token would be refused for good.
             self._reject_for_now(session, "no lease of the store")
--- a/gradegap/transport/descriptors.py
+++ b/gradegap/transport/descriptors.py
@@ -50,22 +50,22 @@
     def __init__(self, limit: int, metrics: Metrics) -> None:
         self.limit = limit
         self.metrics = metrics
-        self.held = 0
+        self.held_count = 0
         self.reserved = PROCESS_RESERVE
         self.held_by_other_process = 0
         """What another process of this node holds: both have one limit."""
         self.ranked: tuple[dict[Evictable, int], ...] = tuple({} for _ in EvictionRank)
         """By rank, each connection with the number of its last activity, the oldest first."""
         self.activity_numbers = count()
-        metrics.gauge("sockets", lambda: f"{self.held}/{self.limit}")
+        metrics.gauge("sockets", lambda: f"{self.held_count}/{self.limit}")
 
     def reserve(self, count: int) -> None:
         """Keep some more that only their owner uses, so that no client's flood shuts them out."""
         self.reserved += count
 
-    def own(self) -> int:
+    def owned_count(self) -> int:
         """What this process holds, its reserve included."""
-        return self.held + self.reserved
+        return self.held_count + self.reserved
 
     def on_taken_back(self, channel: Evictable, pinged: bool) -> None:
         """A connection that was to go on in another process stays in this one."""
@@ -77,13 +77,13 @@
         Guards against clients that connect and send nothing: they would take the descriptors that requests
         need.
         """
-        self.held += 1
+        self.held_count += 1
         self.set_rank(channel, EvictionRank.UNOPENED)
         available = self._available() - self.limit // DIAL_RESERVE_DIVISOR
         # Guards against a close in the very moment in which a client sends its request: it is dismissed while
         # there still are descriptors, and what it has sent meanwhile is read and dropped.
         lingering = len(self.ranked[EvictionRank.ANSWERED])
-        if self.held - lingering > available - self.limit // DISMISSAL_MARGIN_DIVISOR:
+        if self.held_count - lingering > available - self.limit // DISMISSAL_MARGIN_DIVISOR:
             rank, oldest = self._oldest(EvictionRank.PINGED, EvictionRank.UNOPENED)
             if oldest is not None and oldest is not channel:
                 self.metrics.count(f"evicted_{rank.name.lower()}")
@@ -99,7 +99,7 @@
 
     def on_closed(self, channel: Evictable) -> None:
         """A client's connection has ended."""
-        self.held -= 1
+        self.held_count -= 1
         self.set_rank(channel, None)
 
     def open_socket(self, family: int) -> DialedSocket:
@@ -111,7 +111,7 @@
         return self.limit - self.reserved - self.held_by_other_process
 
     def _evict_beyond(self, available: int) -> None:
-        if self.held <= available:
+        if self.held_count <= available:
             return
         rank, channel = self._oldest(EvictionRank.ANSWERED)
         if channel is None:
@@ -140,11 +140,11 @@
     def __init__(self, owner: DescriptorBudget, family: int, fileno: int | None = None) -> None:
         super().__init__(family, socket.SOCK_STREAM, fileno=fileno)
         self.owner = owner
-        owner.held += 1
+        owner.held_count += 1
 
     def _release(self) -> None:
         if self.owner is not None:
-            self.owner.held -= 1
+            self.owner.held_count -= 1
             self.owner = None
 
     def close(self) -> None:
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -91,7 +91,7 @@
         sock.send(said)  # the loop has no turn between this line and the next
         channel.evict()
         assert (await read_to_end(sock)).startswith(b"BUSY ")
-        await listener.until(lambda: listener.descriptors.held == 0, 2.0)
+        await listener.until(lambda: listener.descriptors.held_count == 0, 2.0)
         assert not was_reset(sock)
 
     in_loop(test)
@@ -109,7 +109,7 @@
         sock.send(FIRST_LINE)
         channel._on_linger_over()
         assert await read_to_end(sock) == b"MOVE\r\n"
-        await listener.until(lambda: listener.descriptors.held == 0, 2.0)
+        await listener.until(lambda: listener.descriptors.held_count == 0, 2.0)
         assert not was_reset(sock)
 
     in_loop(test)
@@ -127,7 +127,7 @@
         if evicted:
             channel.evict()
         within_s = LINGER_S / 2 if evicted else LINGER_MAX_S
-        await listener.until(lambda: listener.descriptors.held == 0, within_s)
+        await listener.until(lambda: listener.descriptors.held_count == 0, within_s)
 
     in_loop(test)
 
@@ -186,7 +186,7 @@
         sock.send(FIRST_LINE)  # on its way as the end came
         channel.evict()
         assert (await read_to_end(sock)).startswith(b"BUSY ")
-        await listener.until(lambda: listener.descriptors.held == 0, 2.0)
+        await listener.until(lambda: listener.descriptors.held_count == 0, 2.0)
         assert not was_reset(sock) and not listener.proxy.requests
 
     in_loop(test)
@@ -201,9 +201,11 @@
             sock.send(said)
             hard_reset(sock)
         sock, _channel = await listener.client()
-        await listener.until(lambda: listener.descriptors.held == 1 and len(listener.channels) == 1, 2.0)
+        await listener.until(
+            lambda: listener.descriptors.held_count == 1 and len(listener.channels) == 1, 2.0
+        )
         sock.close()
-        await listener.until(lambda: listener.descriptors.held == 0, 2.0)
+        await listener.until(lambda: listener.descriptors.held_count == 0, 2.0)
         assert not listener.proxy.requests
 
     in_loop(test)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -41,7 +41,7 @@
         budget.set_rank(pinging, EvictionRank.PINGED)
         crowd.append(Connection(budget))
         budget.on_accepted(crowd[-1])
-        assert budget.held <= MOST
+        assert budget.held_count <= MOST
     assert not pinging.dismissed and not pinging.closed
     closed = [each.closed for each in crowd]
     assert closed == sorted(closed, reverse=True) and sum(closed) > 2 * LIMIT  # the oldest activity first
@@ -62,12 +62,12 @@
     budget = DescriptorBudget(LIMIT, Metrics())
     for _ in range(2 * LIMIT):
         budget.on_accepted(Connection(budget))
-    held = budget.held
+    held = budget.held_count
     dials = [budget.open_socket(2) for _ in range(LIMIT // DIAL_RESERVE_DIVISOR)]
-    assert budget.held == held + LIMIT // DIAL_RESERVE_DIVISOR
+    assert budget.held_count == held + LIMIT // DIAL_RESERVE_DIVISOR
     for sock in dials:
         sock.close()
-    assert budget.held == held
+    assert budget.held_count == held
 
 
 def test_established_connections_are_never_closed_and_the_next_client_is_evicted_at_once() -> None:
--- a/tests/test_dialer.py
+++ b/tests/test_dialer.py
@@ -67,7 +67,7 @@
             inodes.add(str(Path(f"/proc/self/fd/{held}").readlink()))
             assert not stays.lost
         assert len(inodes) == TURNS
-        assert descriptors.held == TURNS
+        assert descriptors.held_count == TURNS
         dialer.task.cancel()
         server.close()
 
