--- a/gradegap/downstream/__init__.py
+++ b/gradegap/downstream/__init__.py
@@ -1,6 +1,6 @@
-"""The clients' side: client sessions, their first lines and their TCP channel.
+"""Client sessions, their first lines and their TCP channels.
 
-Owns each client's connection from its first byte to its end. `session` is a client session on any channel,
-`tcp_channel` the channel over TCP, `first_line` the limits before a request, `framing` the form of lines,
-`interfaces` what a session needs of channels and of the part that resumes sessions.
+Owns each client's connection from its first byte to its end. `session` has the client session, which works on
+any channel; `tcp_channel` the channel over TCP; `first_line` the limits on time and size before a request;
+`framing` the parser of first lines; `interfaces` the interfaces of channels and of session resumption.
 """
--- a/gradegap/downstream/first_line.py
+++ b/gradegap/downstream/first_line.py
@@ -1,4 +1,4 @@
-"""A client's bytes up to its first line: answers to `PING`, and limits on time and size."""
+"""Reads a client's bytes up to its first line: answers `PING`, and enforces limits on time and size."""
 
 from __future__ import annotations
 
@@ -11,82 +11,84 @@
 from gradegap.transport.lines import LINE_MAX_BYTES
 
 FIRST_LINE_TIMEOUT_S = 2.5
-"""From a connection's start until its first line is complete."""
+"""Time limit from the start of a connection to the end of its first line."""
 
 PING_IDLE_TIMEOUT_S = 30.0
-"""From a `PING` until the next line begins."""
+"""Time limit from a `PING` to the start of the next line."""
 
 PINGS_MAX = 100
-"""That may arrive at once."""
+"""Maximum number of `PING` lines that may arrive at once."""
 
-SLOW_WRITER_PAUSE_S = 1.0
-"""Between two pieces of a first line, within which its writer is sound, but slow."""
+SLOW_WRITER_PAUSE_MAX_S = 1.0
+"""Longest pause between two fragments of a first line for which the client counts as slow but alive."""
 
 SLOW_WRITER_TIMEOUT_S = 6.0
-"""In all, for such a writer."""
+"""Time limit for the whole first line of a slow client."""
 
 REQUEST_PREFIX = b"OPEN "
 
 
 class FirstLineDeadline:
-    """The timer of a first line. Guards against clients that hold what others need, and send no request."""
+    """The timer of a first line. Guards against clients that hold a connection without sending a request."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, spent: float, on_expired: Callable[[], None]) -> None:
-        """A deadline of which `spent` seconds are over."""
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, elapsed: float, on_expired: Callable[[], None]
+    ) -> None:
+        """Start a deadline of which `elapsed` s have already passed."""
         self._loop = loop
         self._on_expired = on_expired
-        self._line_began_at = self._last_piece_at = loop.time() - spent
-        self._timer = loop.call_later(max(0.0, FIRST_LINE_TIMEOUT_S - spent), on_expired)
+        self._line_began_at = self._last_fragment_at = loop.time() - elapsed
+        self._timer = loop.call_later(max(0.0, FIRST_LINE_TIMEOUT_S - elapsed), on_expired)
 
     def start(self, seconds: float) -> None:
-        """Expire in so many seconds, and not before."""
+        """Restart the timer so that it expires in `seconds` s."""
         self._timer.cancel()
         self._timer = self._loop.call_later(seconds, self._on_expired)
 
     def stop(self) -> None:
-        """Never expire."""
+        """Stop the timer."""
         self._timer.cancel()
 
     def time_left(self) -> float:
-        """Seconds until it expires."""
+        """Return the time until the timer expires, in s."""
         return max(0.0, self._timer.when() - self._loop.time())
 
-    def record_piece(self, first: bool) -> None:
-        """A piece of a line has come; `first`: it begins a line after a `PING`."""
-        self._last_piece_at = self._loop.time()
-        if first:
-            self._line_began_at = self._last_piece_at
+    def record_fragment(self, is_first: bool) -> None:
+        """Record the arrival of a fragment of a line; `is_first`: it starts a line after a `PING`."""
+        self._last_fragment_at = self._loop.time()
+        if is_first:
+            self._line_began_at = self._last_fragment_at
 
     def extend(self) -> bool:
-        """Spare a client that writes its request in small pieces, and goes on; whether it is spared."""
+        """Extend the deadline of a client that is writing its request in small fragments; return whether."""
         now = self._loop.time()
-        if now >= self._last_piece_at + SLOW_WRITER_PAUSE_S:
+        if now >= self._last_fragment_at + SLOW_WRITER_PAUSE_MAX_S:
             return False
         if now >= self._line_began_at + SLOW_WRITER_TIMEOUT_S:
             return False
-        self.start(SLOW_WRITER_PAUSE_S / 2)
+        self.start(SLOW_WRITER_PAUSE_MAX_S / 2)
         return True
 
 
 class FirstLineHandler(Protocol):
-    """The session whose first line is read."""
+    """The session whose first line is read, as its reader sees it."""
 
     @property
     def awaits_request(self) -> bool:
-        """Whether it is open and has no request yet."""
+        """Whether the session is open and has no request yet."""
         ...
 
     def on_first_line(self, line: bytes) -> None:
-        """The first line that is no `PING`, with its line end."""
+        """Handle the first line other than `PING`, including its line end."""
         ...
 
     def reject_line(self) -> None:
-        """There will be no request: answer so, and close."""
+        """Answer that the request failed, and close, because the first line is invalid or late."""
         ...
 
 
 class FirstLineReader:
-    """Reads a client's bytes up to its first line. Owns them until they are forwarded."""
+    """Reads a client's bytes up to its first line, and keeps the bytes behind it until they are forwarded."""
 
     def __init__(
         self,
@@ -96,20 +98,20 @@
         is_ready: Callable[[], bool],
         deadline: Callable[[Callable[[], None]], FirstLineDeadline],
     ) -> None:
-        """`deadline` makes the deadline that calls its argument."""
+        """Create a reader; `deadline` creates a deadline that calls the given function when it expires."""
         self._handler = handler
         self._channel = channel
         self._metrics = metrics
         self._is_ready = is_ready
         self.buffer = bytearray()
         self.pinged = False
-        """The client has sent `PING`."""
+        """Whether the client has sent `PING`."""
         self.deadline = deadline(self._on_deadline)
 
     def feed(self, data: bytes) -> None:
-        """What the client has sent, while the session awaits its request."""
+        """Process data from the client while the session awaits its request."""
         begins_line = not self.buffer and self.pinged
-        self.deadline.record_piece(first=begins_line)
+        self.deadline.record_fragment(is_first=begins_line)
         self.buffer += data
         self._read_lines()
         if begins_line and self.buffer and self._handler.awaits_request:
@@ -119,7 +121,8 @@
         pings = 0
         while self._handler.awaits_request:
             end = self.buffer.find(b"\n")
-            # Guards against first lines without end: beyond their length there is one failure line.
+            # Guards against endless first lines: a line over the length limit is answered with a failure
+            # line.
             if end >= LINE_MAX_BYTES or (end < 0 and len(self.buffer) >= LINE_MAX_BYTES):
                 self._metrics.count("bad_first_lines")
                 self._handler.reject_line()
@@ -156,10 +159,10 @@
 
 
 def exceeds_one_request(buffer: bytearray) -> bool:
-    """Whether more than some data has come behind a request.
+    """Return whether the bytes behind a first line contain another request or exceed the size limit.
 
-    Guards against clients that don't wait for their answer: some bytes behind the first line are kept for the
-    endpoint, but neither hundreds of commands nor what would fill the memory.
+    Guards against clients that don't wait for their answer: some bytes behind the first line are buffered for
+    the endpoint, but neither further requests nor an amount that could fill the memory.
     """
     repeated = buffer.startswith(REQUEST_PREFIX) or b"\n" + REQUEST_PREFIX in buffer
     return repeated or len(buffer) > LINE_MAX_BYTES
--- a/gradegap/downstream/framing.py
+++ b/gradegap/downstream/framing.py
@@ -1,4 +1,4 @@
-"""Lines of the platform's protocol: a client's first line, and where lines end in a stream of bytes."""
+"""Lines of the platform's protocol: the parser of a client's first line, and a scanner for line ends."""
 
 from __future__ import annotations
 
@@ -9,47 +9,50 @@
 from gradegap.transport.lines import LINE_MAX_BYTES, InvalidLineError, parse_number
 
 WAIT_MAX_S = 10 * 24 * 3600.0
-"""Longest wait that is used; timers take no more."""
+"""Upper bound of the wait that is used; event loop timers do not support longer ones."""
 
 WAIT_MAX_MS = 2.0**32
-"""Longest wait that a client may name."""
+"""Longest wait that a client may request."""
 
 LOAD_MAX_MILLIONTHS = 1e15
-"""Largest load that a client may name."""
+"""Largest expected load that a client may send."""
 
 LOAD_UNIT = 1e-6
+"""Unit of loads in first lines, as a fraction of the balancer's unit."""
 
-_QUOTED_MAX_CHARS = 40  # of what a client sent, in an error's text
+_QUOTED_MAX_CHARS = 40  # limit on the client data quoted in an error message
 
 
 @dataclass(slots=True, frozen=True)
 class Opening:
-    """A client's first line: its request, and the bytes as they came, before and after its wait."""
+    """A client's first line: the parsed request, and the bytes before and after the value of its wait."""
 
     request: ConnectionRequest
     before_wait: bytes
     after_wait: bytes
 
     def with_wait(self, wait: float) -> bytes:
-        """The line as it is forwarded: unchanged, but for the seconds that the node will wait."""
+        """Return the line to forward: unchanged except for the wait, which is `wait` s."""
         return b"%b%d%b" % (self.before_wait, max(1, int(wait * 1000)), self.after_wait)
 
 
 def parse_opening(line: bytes) -> Opening:
-    """`OPEN id key name=value,...` with its CRLF; raises `InvalidLineError`.
+    """Parse `OPEN id key name=value,...` with its CRLF.
 
-    Guards against lines that an endpoint can't use, which it must never see: a wrong form, control
-    characters, a name given twice, numbers that are none. Names that are not known here are forwarded as
-    they are.
+    Invalid lines must never reach an endpoint: lines of another form, with control characters, with a name
+    given twice or with invalid numbers. Values under unknown names are forwarded unchanged.
+
+    Raises:
+        InvalidLineError: The line is invalid.
     """
     text = _decode(line)
     parts = text[:-2].split(" ")
     if len(parts) != 4 or parts[0] != "OPEN" or not parts[1] or not parts[2]:
-        raise InvalidLineError("not OPEN with an id, a key and a list of values")
+        raise InvalidLineError("first line must be OPEN with an id, a key and a list of values")
     values = _parse_values(parts[3])
     if "c" not in values or "d" not in values:
-        raise InvalidLineError("no class or no wait")
-    # A connection from before the run waits for hours, longer than a timer can.
+        raise InvalidLineError("first line must have a class (c=) and a wait (d=)")
+    # The wait of an inherited connection may be hours, which is longer than timers support.
     wait_s = min(parse_number(values["d"], WAIT_MAX_MS) / 1000, WAIT_MAX_S)
     load = parse_number(values.get("h", "0"), LOAD_MAX_MILLIONTHS) * LOAD_UNIT
     request = ConnectionRequest(
@@ -73,44 +76,44 @@
     try:
         text = line.decode("utf-8")
     except UnicodeDecodeError:
-        raise InvalidLineError("not UTF-8") from None
+        raise InvalidLineError("first line is not valid UTF-8") from None
     if not text.endswith("\r\n") or not text[:-2].isprintable():
-        raise InvalidLineError("no CRLF at its end, or control characters")
+        raise InvalidLineError("first line must end with CRLF and contain no control characters")
     return text
 
 
 def _parse_values(text: str) -> dict[str, str]:
     values: dict[str, str] = {}
     for pair in text.split(","):
-        name, sign, value = pair.partition("=")
-        if not sign or not name:
-            raise InvalidLineError(f"{pair[:_QUOTED_MAX_CHARS]!r} is no name and value")
+        name, separator, value = pair.partition("=")
+        if not separator or not name:
+            raise InvalidLineError(f"first line: expected name=value, got {pair[:_QUOTED_MAX_CHARS]!r}")
         if name in values:
-            raise InvalidLineError(f"{name[:_QUOTED_MAX_CHARS]!r} twice")
+            raise InvalidLineError(f"first line: duplicate name {name[:_QUOTED_MAX_CHARS]!r}")
         values[name] = value
     return values
 
 
 class LineScanner:
-    """Finds the lines in bytes that go by, without holding them back."""
+    """Finds the lines in a stream of bytes that is relayed without buffering."""
 
     __slots__ = ("on_line", "partial")
 
     def __init__(self, on_line: Callable[[bytes], None]) -> None:
         self.on_line = on_line
         self.partial = b""
-        """Of the line whose end has not come yet."""
+        """The bytes so far of a line whose end has not arrived, without its start if it is over-long."""
 
     @property
     def at_line_end(self) -> bool:
-        """Whether all that went by ended with a complete line."""
+        """Whether the bytes so far end with a complete line."""
         return not self.partial
 
     def feed(self, data: bytes) -> None:
-        """Pass each line that is complete now to `on_line`, without its line end."""
+        """Pass each line that `data` completes to `on_line`, without its line end."""
         lines = data.split(b"\n")
         lines[0] = self.partial + lines[0]
-        # Guards against a line without end filling memory: what is over-long is passed on, not kept.
+        # Guards against an endless line filling the memory: only the last part of an over-long line is kept.
         self.partial = lines.pop()[-LINE_MAX_BYTES:]
         for line in lines:
             self.on_line(line.rstrip(b"\r"))
--- a/gradegap/downstream/interfaces.py
+++ b/gradegap/downstream/interfaces.py
@@ -1,4 +1,4 @@
-"""What a client session needs of its channel, and of the part that resumes sessions."""
+"""Interfaces between a client session and its channel, and between a session and session resumption."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from typing import Protocol
 
 LINGER_S = 1.0
-"""For a client to close its side of a connection that has its last line."""
+"""Time for a client to close its side of the connection after its last line was sent."""
 
 
 class CloseReason(Enum):
-    """Why a session closes its channel: what its last line said, or that there is none."""
+    """The reason why a session closes its channel. The reason determines the last line, if there is one."""
 
     REJECTED = "rejected"
     FAILED = "failed"
@@ -21,14 +21,14 @@
 
 
 class Channel(Protocol):
-    """What carries a session's lines to and from its client."""
+    """Transport of a session's lines to and from its client."""
 
     def write(self, data: bytes) -> None:
-        """Send to the client."""
+        """Send data to the client."""
         ...
 
     def close(self, reason: CloseReason) -> None:
-        """Close once the client has all that was written; harmless the second time."""
+        """Close after the client has received all written data; repeated calls have no effect."""
         ...
 
     def pause(self) -> None:
@@ -36,60 +36,60 @@
         ...
 
     def resume(self) -> None:
-        """Read on."""
+        """Continue to read from the client."""
         ...
 
     def is_disconnected(self) -> bool:
-        """Whether the client's end has come, be it read or not."""
+        """Return whether the client has closed its connection, even if that was not read yet."""
         ...
 
     def on_ping(self) -> None:
-        """The client has sent `PING`, and no request yet."""
+        """Handle that the client has sent `PING`, but no request yet."""
         ...
 
     def on_request(self) -> None:
-        """The client has sent its request: the channel is in use from now on."""
+        """Handle that the client has sent its request: the channel is in use from now on."""
         ...
 
 
 class RelayOutput(Protocol):
-    """What a relay makes of a session's lines."""
+    """The output of a relay for some input lines."""
 
     to_client: bytes
     to_endpoint: bytes
     read_client: bool
-    """Whether the client may be read on."""
+    """Whether to continue reading from the client."""
     end_reason: str
-    """The reason why the session has ended; empty while it goes on."""
+    """The reason why the session has ended; empty while it has not."""
     other_lines: list[bytes]
-    """The endpoint's lines that are the protocol's, and no part of the extension."""
+    """The endpoint's lines that belong to the base protocol and not to the session extension."""
 
 
 class Relay(Protocol):
-    """What a resumable session's lines pass through, both ways."""
+    """Relay of a resumable session's lines in both directions."""
 
     def from_client(self, data: bytes) -> RelayOutput:
-        """What the client has sent."""
+        """Process data from the client."""
         ...
 
     def from_endpoint(self, data: bytes, number: int) -> RelayOutput:
-        """What the endpoint with this number has sent."""
+        """Process data from the endpoint with this number."""
         ...
 
     @property
     def endpoint_number(self) -> int:
-        """Number of the endpoint whose lines count."""
+        """Number of the current endpoint; lines from other endpoints are ignored."""
         ...
 
     @property
     def awaits_answer(self) -> bool:
-        """Whether a request of the client's waits for its answer."""
+        """Whether a request line of the client has no answer yet."""
         ...
 
 
 class InPlaceMigration(Protocol):
-    """A session on its way to another endpoint, its client's connection established."""
+    """Migration of a session to another endpoint, during which its client stays connected."""
 
     def stop(self) -> None:
-        """The client has disconnected: give the move up."""
+        """Cancel the migration, because the client has disconnected."""
         ...
--- a/gradegap/downstream/session.py
+++ b/gradegap/downstream/session.py
@@ -1,4 +1,4 @@
-"""A client session: one client's connection, whatever channel carries its lines."""
+"""A client session: the connection of one client over any kind of channel."""
 
 from __future__ import annotations
 
@@ -17,50 +17,55 @@
 from gradegap.upstream.interfaces import UpstreamPipe
 
 LINE_END_TIMEOUT_S = 0.85
-"""For the end of a line that is half through, before a MOVE; a node's shutdown leaves room for it."""
+"""Time limit for the rest of a partly sent line before a MOVE. A node's shutdown allows for this time."""
 
-# For each line that passes: looking a member up in its enum costs more than what is done with it.
+# Module constants, because they are used for each relayed line, where an enum member lookup is too costly.
 _ESTABLISHED, _MIGRATING, _CLOSED = SessionState.ESTABLISHED, SessionState.MIGRATING, SessionState.CLOSED
 
 
 class SessionResumption(Protocol):
-    """What makes sessions resumable, where the operator has it so. Without it lines pass as they are."""
+    """Session resumption, if the operator has enabled it. Without it, lines are relayed unchanged."""
 
     def begin(self, session: ClientSession, line: bytes, opening: Opening) -> bool:
-        """Whether it takes this first line over.
+        """Return whether resumption handles this first line.
 
-        Then the session's `open_with`, `reject` or `reject_resumption` follows. Raises `InvalidLineError`.
+        If so, it calls the session's `open_with`, `reject` or `reject_resumption` later.
+
+        Raises:
+            InvalidLineError: The line is invalid.
         """
         ...
 
     def on_endpoint_established(self, session: ClientSession, first: bytes) -> bytes | None:
-        """An endpoint's answer, as the client is to have it; sets `relay` where both sides agreed.
+        """Return the answer for the client, given the endpoint's answer `first`.
 
-        None where the session can't go on there.
+        Sets the session's `relay` if both sides agreed on the extension. Returns None if the session cannot
+        continue at this endpoint.
         """
         ...
 
     def migrate_in_place(self, session: ClientSession) -> bool:
-        """Whether it migrates a session, that is to leave its endpoint, to another in place."""
+        """Start the in-place migration of a session to another endpoint; return whether one was started."""
         ...
 
     def on_session_closed(self, session: ClientSession) -> None:
-        """A session with a relay has closed here."""
+        """Handle that a session with a relay has closed in this process."""
         ...
 
     def export_keys(self) -> bytes:
-        """The keys that the successor of this process needs for tokens."""
+        """Return the keys that the successor of this process needs for tokens."""
         ...
 
     def import_keys(self, keys: bytes) -> None:
-        """Go on with the keys of the predecessor."""
+        """Use the keys of the predecessor of this process."""
         ...
 
 
 class ClientSession(SessionLifecycle):
-    """One client's connection: its first line, its answer, then lines both ways.
+    """One client's connection: its first line, its answer, then lines in both directions.
 
-    Three booleans are no states: how a side has ended, and flow control, go with several of them.
+    Three booleans are not part of the state, because they are independent of it: `upstream_reset`,
+    `client_eof` and, for flow control, `client_paused`.
     """
 
     def __init__(
@@ -69,9 +74,9 @@
         metrics: Metrics,
         channel: Channel,
         is_ready: Callable[[], bool],
-        spent: float = 0.0,
+        elapsed: float = 0.0,
     ) -> None:
-        """A session whose channel has taken `spent` seconds to come up."""
+        """Create a session; `elapsed` is the time in s that its channel took to be established."""
         super().__init__()
         self.proxy = proxy
         self.metrics = metrics
@@ -80,27 +85,28 @@
         self.request: Request | None = None
         self.upstream: UpstreamPipe | None = None
         self.first_line = FirstLineReader(
-            self, channel, metrics, is_ready, partial(FirstLineDeadline, proxy.loop, spent)
+            self, channel, metrics, is_ready, partial(FirstLineDeadline, proxy.loop, elapsed)
         )
-        self.early = self.first_line.buffer  # what came behind the first line, before its answer
+        self.early_data = self.first_line.buffer  # bytes received behind the first line, before its answer
         self.scanner = LineScanner(self._on_endpoint_line)
         self.upstream_reset = False
-        self.client_eof = False  # then the end of its endpoint is no reason to migrate it
+        self.client_eof = False  # if set, the end of the endpoint's connection causes no migration
         self.resumption: SessionResumption | None = None
-        self.offer: object | None = None  # of a resumable session, until an endpoint has accepted it
+        self.offer: object | None = None  # offer of a resumable session; None once an endpoint accepted it
         self.relay: Relay | None = None
-        self.client_paused = False  # not read on, as the relay's window is full
+        self.client_paused = False  # reading is paused because the relay's window is full
         self.migration: InPlaceMigration | None = None
 
     # From the channel
 
     def on_data(self, data: bytes) -> None:
-        """What the client has sent."""
+        """Process data from the client."""
         if self.state is _ESTABLISHED or self.state is _MIGRATING:
             if self.relay is not None:
                 self.pass_on(self.relay.from_client(data))
                 return
-            # Whole lines only: nothing comes back for a part of one, from a client that writes slowly.
+            # Only complete lines count as unanswered: an endpoint does not answer part of a line, which a
+            # slow client may send.
             if self.request is not None and b"\n" in data:
                 self.request.on_client_line()
             upstream = self.upstream
@@ -109,14 +115,14 @@
         elif self.state is SessionState.AWAITING_REQUEST:
             self.first_line.feed(data)
         elif self.state is SessionState.REQUESTED:
-            self.early += data
-            if exceeds_one_request(self.early) and self.request is not None:
+            self.early_data += data
+            if exceeds_one_request(self.early_data) and self.request is not None:
                 self.metrics.count("early_bytes")
                 self.reject_line()
                 self.request.on_disconnect()
 
     def on_eof(self) -> None:
-        """The client has closed its side."""
+        """Handle that the client has closed its side."""
         self.client_eof = True
         if self.passes_lines and self.upstream is not None:
             self.upstream.write_eof()
@@ -124,27 +130,27 @@
             self.on_channel_closed()
 
     def on_channel_closed(self, reset: bool = False) -> None:
-        """The channel has ended, or its client's side before an answer."""
+        """Handle the end of the channel, or of its client's side before an answer."""
         if self.closed:
             return
         upstream, request = self.upstream, self.request
-        passing = self.passes_lines
+        was_relaying = self.passes_lines
         if self.migration is not None:
             self.migration.stop()
             self.migration = None
         self._close(CloseReason.RESET if reset else CloseReason.SERVED)
-        if passing and upstream is not None and reset:
+        if was_relaying and upstream is not None and reset:
             upstream.reset()
         if request is not None:
             request.on_disconnect()
 
     def on_backpressure(self, full: bool) -> None:
-        """Whether the channel takes more: flow control towards the endpoint."""
+        """Pause or resume reading from the endpoint, as the channel's write buffer is full or not."""
         if self.upstream is not None:
             (self.upstream.pause if full else self.upstream.resume)()
 
     def dismiss(self, retry_after: float) -> None:
-        """The channel is needed for others: this session has no request yet."""
+        """Reject this session, which has no request yet, because its channel's resources are needed."""
         if not self.closed:
             self.reject(retry_after)
 
@@ -152,16 +158,16 @@
 
     @property
     def awaits_request(self) -> bool:
-        """Whether it is open and has no request yet."""
+        """Whether the session is open and has no request yet."""
         return self.state is SessionState.AWAITING_REQUEST
 
     def on_first_line(self, line: bytes) -> None:
-        """The client's request."""
+        """Parse the client's request and open it."""
         try:
             self.opening = opening = parse_opening(line)
             self.enter(SessionState.REQUESTED)
-            if exceeds_one_request(self.early):
-                raise InvalidLineError("more than a first line")
+            if exceeds_one_request(self.early_data):
+                raise InvalidLineError("client sent another request or too much data before the answer")
             if self.resumption is not None and self.resumption.begin(self, line, opening):
                 return
         except (InvalidLineError, InvalidRequestError):
@@ -171,7 +177,7 @@
         self.open_with(opening)
 
     def open_with(self, opening: Opening) -> None:
-        """Request a connection by this first line, which may differ from the client's own."""
+        """Open a request with this first line, which may differ from the line that the client sent."""
         if self.closed:
             return
         self.opening = opening
@@ -182,28 +188,28 @@
             self.reject_line()
             return
         self.first_line.deadline.stop()
-        if not self.closed:  # it may have been rejected at once
+        if not self.closed:  # the request may have been rejected at once
             self.channel.on_request()
 
     def accept_opening(self, opening: Opening) -> None:
-        """Take this first line as the session's, and wait for what becomes of it."""
+        """Accept this first line as the session's request without opening the request."""
         self.opening = opening
         self.enter(SessionState.REQUESTED)
         self.first_line.deadline.stop()
 
     def reject_resumption(self, reason: str) -> None:
-        """What the client came with proves nothing, or not any more: one last line, at once."""
+        """Reject an invalid or expired resumption: send a last line with `reason`, and close."""
         if not self.closed:
             self.channel.write(b"X %b\r\n" % reason.encode())
             self._close(CloseReason.FAILED)
 
     def reject_line(self) -> None:
-        """There will be no request: one failure line, and a close."""
+        """Send a failure line and close, because the first line is invalid or late."""
         self.channel.write(b"ERR\r\n")
         self._close(CloseReason.INVALID_LINE)
 
     def pass_on(self, output: RelayOutput) -> None:
-        """Send what a resumable session's lines came to."""
+        """Send the relay's output to the client and the endpoint, and apply its flow control."""
         if output.to_endpoint and self.upstream is not None:
             self.upstream.write(output.to_endpoint)
             if self.request is not None and self.relay is not None and self.relay.awaits_answer:
@@ -222,51 +228,54 @@
                 request.on_disconnect()
         elif output.read_client is self.client_paused:
             self.client_paused = not output.read_client
-            # Held back through to the client's TCP, until an answer makes room.
+            # Backpressure reaches the client's TCP connection until an answer frees space in the window.
             (self.channel.pause if self.client_paused else self.channel.resume)()
 
     # From the proxy
 
     def is_disconnected(self) -> bool:
-        """Whether the client's end has come and waits to be read."""
+        """Return whether the client has closed its connection, even if the loop has not read that yet."""
         return self.channel.is_disconnected()
 
     def on_established(self) -> None:
-        """An endpoint has confirmed the connection: what came behind the first line belongs to it."""
+        """Handle the endpoint's confirmation: forward the bytes received behind the first line."""
         self.enter(SessionState.ESTABLISHED)
         assert self.upstream is not None
-        if self.early:
-            early = bytes(self.early)
-            self.early.clear()
+        if self.early_data:
+            early_data = bytes(self.early_data)
+            self.early_data.clear()
             if self.relay is not None:
-                self.pass_on(self.relay.from_client(early))
+                self.pass_on(self.relay.from_client(early_data))
             else:
-                self.upstream.write(early)
+                self.upstream.write(early_data)
         self.channel.resume()
 
-    def reject(self, after: float) -> None:
-        """The final answer that promises no effect; with the seconds to come again after, where above 0."""
-        self.channel.write(b"BUSY %d\r\n" % round(after * 1000) if after > 0 else b"BUSY\r\n")
+    def reject(self, retry_after: float) -> None:
+        """Send the final answer that the request had no effect.
+
+        The client may retry in `retry_after` s; 0: not specified.
+        """
+        self.channel.write(b"BUSY %d\r\n" % round(retry_after * 1000) if retry_after > 0 else b"BUSY\r\n")
         self._close(CloseReason.REJECTED)
 
     def fail(self) -> None:
-        """The final answer that promises nothing."""
+        """Send the final answer that the request failed; whether it had an effect is unknown."""
         self.channel.write(b"ERR\r\n")
         self._close(CloseReason.FAILED)
 
     def migrate(self) -> None:
-        """Move the client to another endpoint: in place where it can be, else by a MOVE between two lines."""
+        """Migrate the client to another endpoint: in place if possible, else by a MOVE between two lines."""
         if self._migrates_in_place():
             return
         if self.scanner.at_line_end:
             self.send_migrate()
         else:
-            # Guards against a MOVE inside a line: the rest of the line goes first.
+            # Guards against a MOVE inside a line: the rest of the line is sent first.
             self.enter(SessionState.MIGRATING)
             self.proxy.loop.call_later(LINE_END_TIMEOUT_S, self._on_line_end_timeout)
 
     def on_endpoint_closed(self) -> None:
-        """The endpoint's side has ended."""
+        """Handle the end of the endpoint's connection."""
         if not self.closed and not self._migrates_in_place():
             self._close(CloseReason.RESET if self.upstream_reset else CloseReason.SERVED)
 
@@ -276,7 +285,7 @@
         return self.migration is not None or self.resumption.migrate_in_place(self)
 
     def send_migrate(self) -> None:
-        """Tell the client to come again, and close."""
+        """Tell the client to reconnect, and close."""
         self.channel.write(b"MOVE\r\n")
         self._close(CloseReason.MIGRATED)
         if self.upstream is not None:
@@ -291,7 +300,7 @@
     # From the endpoint's side
 
     def on_upstream_established(self, upstream: UpstreamPipe, data: bytes) -> None:
-        """The endpoint has confirmed the connection: from here on its bytes are the client's."""
+        """Handle the endpoint's confirmation of the connection; its data are relayed from now on."""
         self.upstream = upstream
         if self.resumption is not None and self.offer is not None:
             answer = self.resumption.on_endpoint_established(self, data)
@@ -309,7 +318,7 @@
             self.on_upstream_data(data)
 
     def on_upstream_data(self, data: bytes) -> None:
-        """What the endpoint has sent."""
+        """Process data from the endpoint."""
         state = self.state
         if state is _CLOSED:
             return
@@ -333,10 +342,10 @@
             self.channel.write(data)
 
     def on_upstream_lost(self, reset: bool) -> None:
-        """The endpoint's connection has ended; the proxy calls `on_endpoint_closed` for that."""
+        """Record how the endpoint's connection ended; the proxy then calls `on_endpoint_closed`."""
         self.upstream_reset = reset
         if self.state is SessionState.MIGRATING:
-            self.on_endpoint_closed()  # the line that the MOVE waits for never ends
+            self.on_endpoint_closed()  # the MOVE waits for a line end that will never arrive
 
     def _on_endpoint_line(self, line: bytes) -> None:
         if self.upstream is not None:
@@ -345,7 +354,7 @@
     def _close(self, reason: CloseReason) -> None:
         self.enter(SessionState.CLOSED)
         self.first_line.deadline.stop()
-        self.early.clear()
+        self.early_data.clear()
         if self.relay is not None and self.resumption is not None:
             self.resumption.on_session_closed(self)
         self.channel.close(reason)
@@ -353,7 +362,10 @@
     # From the predecessor of this process
 
     def adopt(self, request: Request, upstream: UpstreamPipe, partial_line: bytes) -> None:
-        """Go on with an established connection, of whose last line `partial_line` has passed already."""
+        """Continue an established connection.
+
+        `partial_line` is the part of the endpoint's last line that the previous process has relayed.
+        """
         self.request, self.upstream = request, upstream
         self.scanner.partial = partial_line
         self.enter(SessionState.ESTABLISHED)
--- a/gradegap/downstream/session_state.py
+++ b/gradegap/downstream/session_state.py
@@ -1,4 +1,4 @@
-"""How far a client session is, and the one place where that changes."""
+"""The state of a client session and its transitions."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 class SessionState(Enum):
-    """How far a client session is."""
+    """State of a client session."""
 
     AWAITING_REQUEST = auto()
     REQUESTED = auto()
-    """Its request has no final answer yet."""
+    """The request has no final answer yet."""
     ESTABLISHED = auto()
-    """Lines pass both ways."""
+    """Lines are relayed in both directions."""
     MIGRATING = auto()
-    """The same, until the endpoint's line that is half through has its end: a MOVE follows it."""
+    """Lines are still relayed until a partly sent line of the endpoint is complete; a MOVE follows it."""
     CLOSED = auto()
-    """The client has its last line, or the session goes on in another process."""
+    """The client was sent its last line, or the session continues in another process."""
 
 
 TRANSITIONS: dict[SessionState, frozenset[SessionState]] = {
@@ -29,7 +29,7 @@
 
 
 class SessionLifecycle:
-    """A session's state. Whatever comes too late for a transition changes nothing."""
+    """The state of a session. A transition that the present state does not allow is ignored."""
 
     def __init__(self) -> None:
         self.state = SessionState.AWAITING_REQUEST
@@ -37,24 +37,24 @@
 
     @property
     def closed(self) -> bool:
-        """Whether it is over here."""
+        """Whether the session has ended in this process."""
         return self.state is SessionState.CLOSED
 
     @property
     def passes_lines(self) -> bool:
-        """Whether lines pass both ways."""
+        """Whether lines are relayed in both directions."""
         return self.state is SessionState.ESTABLISHED or self.state is SessionState.MIGRATING
 
     def enter(self, state: SessionState) -> None:
-        """Change the state, where the present one has this transition."""
+        """Enter a state if `TRANSITIONS` allows it after the present one; else do nothing."""
         if state in TRANSITIONS[self.state]:
             self.state = state
 
     def release(self) -> None:
-        """The session goes on in another process of this node."""
+        """Close the session here, because another process of this node continues it."""
         self._released_from, self.state = self.state, SessionState.CLOSED
 
     def take_back(self) -> None:
-        """No other process took it over: it is what it was."""
+        """Restore the state before `release`, because no other process took the session over."""
         assert self._released_from is not None
         self.state = self._released_from
--- a/gradegap/downstream/tcp_channel.py
+++ b/gradegap/downstream/tcp_channel.py
@@ -1,4 +1,4 @@
-"""The TCP channel of a client session."""
+"""The channel of a client session over TCP."""
 
 from __future__ import annotations
 
@@ -24,32 +24,32 @@
 )
 
 LINGER_MAX_S = 5.0
-"""For a client that goes on sending, or reads its last lines slowly."""
+"""Longest time to wait for a client that continues to send, or reads its last lines slowly."""
 
 DRAIN_INTERVAL_S = 0.003
-"""Between two reads of what a client still sends after its answer, so that it costs little CPU."""
+"""Time between two reads of data that a client sends after its answer. The pause limits the CPU cost."""
 
 FINAL_READS_MAX = 16
-"""Reads, of `WRITE_BUFFER_HIGH_BYTES` each, of what has come by the time of the close."""
+"""Maximum number of reads, of `WRITE_BUFFER_HIGH_BYTES` each, that empty the socket before it is closed."""
 
 
 class ChannelState(Enum):
-    """How far a channel is. Only `TcpChannel` changes it, in this order."""
+    """State of a channel. Only `TcpChannel` changes it, and only in this order."""
 
     PENDING = auto()
-    """From another process, and without its transport yet: what it is to send is kept."""
+    """Adopted from another process, and without a transport yet: data to send are buffered."""
     OPEN = auto()
     CLOSING = auto()
-    """Our side is closed; what the client still sends is dropped."""
+    """Our side is closed; data that the client still sends are dropped."""
     ENDED = auto()
 
 
-# For each read and write: looking a member up in its enum costs more than what is done with it.
+# Module constants, because they are used for each read and write, where an enum member lookup is too costly.
 _OPEN, _CLOSING = ChannelState.OPEN, ChannelState.CLOSING
 
 
 class TcpChannel(Pausable):
-    """A client's TCP connection."""
+    """The TCP connection of a client."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         channels: set[TcpChannel],
         descriptors: DescriptorBudget,
     ) -> None:
-        """A channel that is in `channels` from its connection to its end."""
+        """Create a channel; it is a member of `channels` while it is connected."""
         self.loop = proxy.loop
         self.channels = channels
         self.descriptors = descriptors
@@ -68,13 +68,13 @@
         self.linger_until = 0.0
         self.linger_timer: asyncio.TimerHandle | None = None
         self.unsent_bytes = float("inf")
-        """On their way out when the linger was last over."""
-        self.early = bytearray()
-        self.early_close: CloseReason | None = None
+        """Bytes in the write buffer when the linger timer last expired."""
+        self.pending_output = bytearray()  # data to send once an adopted channel has its transport
+        self.pending_close: CloseReason | None = None  # set if an adopted channel was closed before that
         self.descriptor = -1
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A client has connected, or one of another process's is here."""
+        """Handle a new client connection, or the transport of an adopted one."""
         adopted = self.state is ChannelState.PENDING
         self.state = ChannelState.OPEN
         self.transport = cast(asyncio.Transport, transport)
@@ -87,7 +87,7 @@
             self._on_adopted()
 
     def expect_adoption(self) -> None:
-        """The client's connection comes from another process."""
+        """Mark the channel as adopted from another process, so that it waits for its transport."""
         self.state = ChannelState.PENDING
 
     def _on_adopted(self) -> None:
@@ -95,14 +95,14 @@
             self.on_ping()
         elif self.session.opening is not None:
             self.on_request()
-        if self.early:
-            self.write(bytes(self.early))
-            self.early.clear()
-        if self.early_close is not None:
-            self.close(self.early_close)
+        if self.pending_output:
+            self.write(bytes(self.pending_output))
+            self.pending_output.clear()
+        if self.pending_close is not None:
+            self.close(self.pending_close)
 
     def is_idle(self) -> bool:
-        """Whether nothing is on its way out, and both sides are open: another process can take over."""
+        """Return whether all data are sent and both sides are open, so that another process can take over."""
         transport = self.transport
         if transport is None or transport.is_closing() or transport.get_write_buffer_size():
             return False
@@ -110,10 +110,10 @@
         return not resumable and self.state is ChannelState.OPEN and not self.paused
 
     def is_disconnected(self) -> bool:
-        """Whether the client's end has come, be it read or not.
+        """Return whether the client has closed its connection, even if the loop has not read that yet.
 
-        Guards against a burst that keeps the loop busy: the end lies in the socket, behind all that came
-        before, while a timer would forward the request.
+        Guards against forwarding the request of a disconnected client while a burst keeps the loop busy: the
+        end of the connection is in the socket's buffer, and a timer may fire before the loop reads it.
         """
         if self.transport is None:
             return self.state is not ChannelState.PENDING
@@ -125,46 +125,45 @@
         except OSError:
             return True
         finally:
-            sock.detach()  # the descriptor is the transport's
+            sock.detach()  # the transport owns the descriptor
 
     def on_ping(self) -> None:
-        """The client has sent `PING`: it is evicted before those that send nothing."""
+        """Rank the channel for eviction as one whose client has sent `PING`."""
         self.descriptors.set_rank(self, EvictionRank.PINGED)
 
     def on_request(self) -> None:
-        """The client has sent its request: it is not evicted any more."""
+        """Exempt the channel from eviction, because its client has sent a request."""
         self.descriptors.set_rank(self, None)
 
     # Eviction and shutdown
 
     def dismiss(self) -> None:
-        """Descriptors run short: answer that there is no capacity."""
+        """Answer that there is no capacity, because descriptors are running short."""
         self.session.dismiss(self.session.proxy.settings.max_retry_after)
 
     def evict(self) -> None:
-        """No descriptor is left: close at once."""
-        if self.state is ChannelState.CLOSING:  # its answer went out some time ago
+        """Close at once, because no descriptor is left."""
+        if self.state is ChannelState.CLOSING:  # its answer was sent earlier
             self.close_now()
         else:
             self.dismiss()
             self.close_when_sent()
 
     def dismiss_idle(self, retry_after: float) -> None:
-        """This process ends: a client without a request is to come again elsewhere."""
+        """Reject a client without a request, as this process shuts down; it may retry in `retry_after` s."""
         if self.session.opening is None and self.state is not ChannelState.CLOSING:
             self.session.proxy.metrics.count("rests_ended")
             self.session.dismiss(retry_after)
 
     def close_when_sent(self) -> None:
-        """Close as soon as all that was written is out."""
+        """Close once all written data are sent."""
         if self.transport is not None:
             self.transport.close()
 
     def close_now(self) -> None:
-        """Close, whatever the client does.
+        """Close without waiting for the client.
 
-        Guards against one that never reads: what it has left unread would keep the descriptor for as long as
-        it likes.
+        Guards against a client that never reads: its unread data would keep the descriptor open indefinitely.
         """
         if self.transport is not None:
             close_now(self.transport)
@@ -172,12 +171,12 @@
     # From the transport
 
     def data_received(self, data: bytes) -> None:
-        """What the client has sent; after its last line it is dropped."""
+        """Process data from the client; after its last line they are dropped."""
         if self.state is _OPEN:
             self.session.on_data(data)
         if self.state is _CLOSING and not self.paused:
-            # Guards against a client that goes on sending after its answer: it is read away, so that no
-            # reset overtakes the answer, but at a pace that costs others nothing.
+            # Guards against a client that continues to send after its answer: the data are read and dropped,
+            # so that no reset overtakes the answer, but at a rate that does not affect other clients.
             self.pause()
             self.loop.call_later(DRAIN_INTERVAL_S, self._drain)
 
@@ -189,18 +188,17 @@
                 self.linger_timer = self.loop.call_later(LINGER_S, self._on_linger_over)
 
     def eof_received(self) -> bool:
-        """The client has closed its side; whether ours stays open."""
+        """Handle that the client has closed its side; return whether to keep ours open."""
         if self.state is ChannelState.CLOSING:
             return False
         self.session.on_eof()
         return self.state is ChannelState.OPEN
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended, or goes on in another process."""
-        if (
-            exc is None and self.state is ChannelState.CLOSING
-        ):  # one that goes on in another process has its bytes there
-            self._read_away()
+        """Handle the end of the connection, or its transfer to another process."""
+        if exc is None and self.state is ChannelState.CLOSING:
+            # Not for a transferred connection, whose unread bytes belong to the other process.
+            self._discard_unread()
         self.channels.discard(self)
         self.descriptors.on_closed(self)
         if self.linger_timer is not None:
@@ -210,27 +208,27 @@
         self.session.on_channel_closed(reset=exc is not None)
 
     def pause_writing(self) -> None:
-        """The client takes no more."""
+        """Handle that the write buffer to the client is full."""
         self.session.on_backpressure(full=True)
 
     def resume_writing(self) -> None:
-        """The client takes more."""
+        """Handle that the write buffer to the client has space again."""
         self.session.on_backpressure(full=False)
 
-    # As its session's channel
+    # The `Channel` interface
 
     def write(self, data: bytes) -> None:
-        """Send to the client; nothing more after `close`."""
+        """Send data to the client; data after `close` are dropped."""
         if self.transport is not None and self.state is _OPEN:
             self.transport.write(data)
-        elif self.state is ChannelState.PENDING and self.early_close is None:
-            self.early += data
+        elif self.state is ChannelState.PENDING and self.pending_close is None:
+            self.pending_output += data
 
     def close(self, reason: CloseReason) -> None:
-        """Close our side; the client has a while to read its last lines and close its own."""
+        """Close our side; the client has a limited time to read its last lines and close its side."""
         transport = self.transport
         if self.state is ChannelState.PENDING:
-            self.early_close = self.early_close or reason
+            self.pending_close = self.pending_close or reason
         if transport is None or self.state is not ChannelState.OPEN:
             return
         self.resume()
@@ -238,8 +236,9 @@
         if reason is CloseReason.RESET:
             reset_connection(transport)
             return
-        # Guards against the answer being lost to a reset: a socket closed with unread bytes, or one
-        # that gets more, resets the other side. So only our side ends, and the rest is read away.
+        # Guards against the answer being lost to a reset: a socket that is closed with unread bytes, or that
+        # gets more, resets the other side. So only our side is shut down, and further data are read and
+        # dropped.
         if transport.can_write_eof() and not transport.is_closing():
             transport.write_eof()
         self.descriptors.set_rank(self, EvictionRank.ANSWERED)
@@ -247,7 +246,7 @@
         self.linger_timer = self.loop.call_later(LINGER_S, self._on_linger_over)
 
     def _on_linger_over(self) -> None:
-        """A client that reads its last lines slowly, but reads them, has longer."""
+        """Close now, or wait longer for a client that reads its last lines slowly but makes progress."""
         unsent_bytes = 0 if self.transport is None else self.transport.get_write_buffer_size()
         if 0 < unsent_bytes < self.unsent_bytes and self.loop.time() + LINGER_S < self.linger_until:
             self.unsent_bytes = unsent_bytes
@@ -255,11 +254,11 @@
         else:
             self.close_now()
 
-    def _read_away(self) -> None:
-        """Read what is left; the socket is closed right after this.
+    def _discard_unread(self) -> None:
+        """Read and drop the bytes left in the socket, which is closed right after this.
 
-        Guards against a close over bytes that came and were not read: it resets the connection, and takes the
-        answer with it.
+        Guards against closing a socket with unread bytes: the close would reset the connection, and the
+        client would lose its answer.
         """
         with contextlib.suppress(OSError):
             for _ in range(FINAL_READS_MAX):
