--- a/gradegap/raft/__init__.py
+++ b/gradegap/raft/__init__.py
@@ -1,9 +1,9 @@
-"""Consensus without I/O: Raft with pre-vote, check-quorum, ReadIndex, learners and leases.
+"""Raft consensus without I/O, with pre-vote, check-quorum, ReadIndex, learners and leases.
 
-The package owns a member's view of the log: its term and vote, its role, which entries are committed, and
-what a leader knows of the other members. It keeps nothing itself: `Raft` is given the time and messages, and
-hands back a `Ready` with what to write, to send and to apply. `gradegap.store` drives it with a disk and
-links, `gradegap.verification` with simulated ones.
+The package holds a member's consensus state: the log, term, vote and role, the commit index, and the leader's
+view of the other members. It persists and sends nothing itself: `Raft` takes the time and messages, and
+returns a `Ready` with the state to write, the messages to send and the entries to apply. `gradegap.store`
+drives it with a real disk and network links, `gradegap.verification` with simulated ones.
 """
 
 from gradegap.raft.cluster import ClusterConfiguration, Member
--- a/gradegap/raft/cluster.py
+++ b/gradegap/raft/cluster.py
@@ -1,4 +1,7 @@
-"""The members of a cluster. Both types are arrays on disk and on links: the order of fields is the format."""
+"""Cluster members and configurations.
+
+Both types are encoded as arrays on disk and on links, so the order of their fields is part of the format.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +9,7 @@
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
-    """One incarnation of a member: a daemon that lost its disk comes back under another `id`."""
+    """One incarnation of a member. One that lost its disk rejoins with the same `name` and a new `id`."""
 
     id: str
     name: str
@@ -15,27 +18,27 @@
 
 
 class ClusterConfiguration(msgspec.Struct, frozen=True, array_like=True):
-    """Who belongs to the cluster. A learner is sent the log, and is in no quorum."""
+    """The members of the cluster. Learners (`voter` false) replicate the log but count in no quorum."""
 
     members: tuple[Member, ...] = ()
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """The identities of the members that vote."""
-        return tuple(m.id for m in self.members if m.voter)
+        """The ids of the voting members."""
+        return tuple(member.id for member in self.members if member.voter)
 
     def get(self, member_id: str) -> Member | None:
-        """The member of this identity."""
-        return next((m for m in self.members if m.id == member_id), None)
+        """Returns the member with this id, or None."""
+        return next((member for member in self.members if member.id == member_id), None)
 
     def find_by_name(self, name: str) -> Member | None:
-        """The member of this name."""
-        return next((m for m in self.members if m.name == name), None)
+        """Returns the member with this name, or None."""
+        return next((member for member in self.members if member.name == name), None)
 
     def without_member(self, member_id: str) -> ClusterConfiguration:
-        """This configuration without the member of this identity."""
-        return ClusterConfiguration(tuple(m for m in self.members if m.id != member_id))
+        """Returns a copy without the member with this id."""
+        return ClusterConfiguration(tuple(member for member in self.members if member.id != member_id))
 
     def with_member(self, member: Member) -> ClusterConfiguration:
-        """This configuration with a member that is new, or takes the place of itself."""
+        """Returns a copy with `member` added, or with the member of the same id replaced."""
         return ClusterConfiguration((*self.without_member(member.id).members, member))
--- a/gradegap/raft/context.py
+++ b/gradegap/raft/context.py
@@ -1,6 +1,6 @@
-"""What a part of the core sees of its member: the shared state, the other parts, and the changes of role.
+"""Interfaces through which the parts of the core use the shared state, each other and the role transitions.
 
-The parts depend on these interfaces and not on each other, nor on `Raft`, which puts them together.
+The parts depend on these interfaces instead of on each other or on `Raft`, which composes them.
 """
 
 from __future__ import annotations
@@ -14,90 +14,90 @@
 
 
 class ElectionPart(Protocol):
-    """Elections, as other parts use them."""
+    """The interface of elections to the other parts."""
 
     def campaign(self, now: float, pre_vote: bool, leadership_transfer: bool = False) -> None:
-        """Request the votes of all voters."""
+        """Request votes from all voters."""
 
 
 class HeartbeatsPart(Protocol):
-    """A leader's heartbeats, as other parts use them."""
+    """The interface of the leader's heartbeats to the other parts."""
 
     current_round: int
     sent_at: float
 
     def send(self, now: float) -> None:
-        """Begin a new round."""
+        """Start a new round of heartbeats."""
 
     def acknowledged_round(self) -> int:
-        """The latest round that a quorum has responded to."""
+        """Returns the latest round that a quorum has acknowledged."""
 
     def followed_since(self, now: float) -> float:
-        """The latest time since when a quorum has certainly followed."""
+        """Returns the start (steady time, s) of the latest round that a quorum has acknowledged."""
 
     def lease_until(self, now: float) -> float:
-        """Until when no other member can have become leader."""
+        """Returns the end (steady time, s) of the leader's lease; `NEVER` without a lease."""
 
 
 class ReplicationPart(Protocol):
-    """A leader's replication, as other parts use it."""
+    """The interface of the leader's replication to the other parts."""
 
     peers: dict[str, Progress]
 
     def append(self, kind: EntryKind, data: bytes) -> int:
-        """Append an entry of this term; its index."""
+        """Append an entry of the current term and return its index."""
 
     def flush(self, now: float) -> None:
-        """Send each member the entries that it is due, and commit what is ready."""
+        """Send pending entries to all members and advance the commit index."""
 
     def broadcast(self) -> None:
-        """Send each member a message, with entries or without."""
+        """Send every member at least one message, with entries or empty."""
 
-    def send_to(self, peer: str, progress: Progress, always: bool = False) -> None:
-        """Send a member what it is due."""
+    def send_to(self, peer: str, progress: Progress, at_least_one: bool = False) -> None:
+        """Send a member its next entries or snapshot chunk; with `at_least_one`, an empty message if none."""
 
     def track_members(self, now: float) -> None:
-        """Follow the configuration."""
+        """Match the tracked members to the cluster configuration."""
 
     def advance_commit(self, now: float) -> None:
-        """Commit what a majority stores."""
+        """Commit the entries that a majority of voters stores."""
 
 
 class SnapshotSenderPart(Protocol):
-    """The sending of snapshots, as other parts use it."""
+    """The interface of the snapshot sender to the other parts."""
 
-    def send_chunk(self, peer: str, progress: Progress, again: bool) -> None:
-        """Send the chunk that the member wants next."""
+    def send_chunk(self, peer: str, progress: Progress, resend: bool) -> None:
+        """Send the next chunk; with `resend`, also while a response to it is outstanding."""
 
 
 class ReadIndexPart(Protocol):
-    """Reads that wait to be confirmed, as other parts use them."""
+    """The interface of the queue of unconfirmed reads to the other parts."""
 
     def confirm(self) -> None:
-        """Hand over the reads whose round a quorum has responded to."""
+        """Complete the reads whose heartbeat round a quorum has acknowledged."""
 
 
 class FollowerPart(Protocol):
-    """A follower's side of replication, as other parts use it."""
+    """The interface of the follower's side of replication to the other parts."""
 
     leader_commit: int
 
 
 class LeadershipTransferPart(Protocol):
-    """A transfer of leadership, as other parts use it."""
+    """The interface of leadership transfer to the other parts."""
 
     target: str
 
     @property
     def timeout_sent(self) -> bool:
-        """Whether the target may call an election at any moment."""
+        """Whether `TimeoutNow` was sent, so that the target may start an election at any moment."""
 
     def proceed(self) -> None:
-        """Have the target call its election, once it has all entries."""
+        """Send `TimeoutNow` to the target if its log is complete."""
 
 
 class RaftContext(NodeState, ABC):
-    """A member as its parts see it."""
+    """The member as the parts of the core use it."""
 
     election: ElectionPart
     heartbeats: HeartbeatsPart
@@ -109,21 +109,21 @@
 
     @property
     def peers(self) -> dict[str, Progress]:
-        """What this member, as the leader, knows of each other one."""
+        """The replication progress of each other member, by id, tracked while this member leads."""
         return self.replication.peers
 
     @abstractmethod
     def become_follower(self, now: float, term: int, leader_id: str) -> None:
-        """Follow `leader_id`, or nobody known yet where it is empty, in `term`."""
+        """Become a follower in `term`; an empty `leader_id` means that the leader is not known yet."""
 
     @abstractmethod
     def become_pre_candidate(self) -> None:
-        """Ask whether votes would be granted; nothing that is on disk changes."""
+        """Start a pre-vote, which changes nothing on disk."""
 
     @abstractmethod
     def become_candidate(self) -> None:
-        """Begin a new term, with this member's own vote."""
+        """Start a new term and vote for this member."""
 
     @abstractmethod
     def become_leader(self, now: float) -> None:
-        """Lead this term."""
+        """Become the leader of the current term."""
--- a/gradegap/raft/core.py
+++ b/gradegap/raft/core.py
@@ -1,12 +1,12 @@
 """The consensus core: Raft with pre-vote, check-quorum, ReadIndex, learners and leases, and no I/O.
 
-It is given the time (seconds, any steady clock) with every call, and what it wants done gathers in a `Ready`
-that `take_ready` hands over. The driver persists, then sends, then calls `persisted`. Nothing here reads a
-clock, a socket or a file, so that the simulator in `gradegap.verification` can run the very same code.
+Each call passes the current time (seconds of any steady clock). Output accumulates in a `Ready`, which
+`take_ready` returns. The driver persists it, sends its messages, then calls `persisted`. The package reads no
+clock, socket or file, so the simulator in `gradegap.verification` runs the same code as production.
 
-`Raft` gives each call and message to the part whose job it is: elections, heartbeats, replication, snapshots,
-reads, membership, leadership transfer. The parts share a `NodeState`, and reach each other by the interfaces
-in `context`.
+`Raft` dispatches each call and message to one part: elections, heartbeats, replication, snapshots, reads,
+membership or leadership transfer. The parts share a `NodeState` and use each other through the interfaces in
+`context`.
 
 Sources: Ongaro, "Consensus: Bridging Theory and Practice" (thesis); Ongaro and Ousterhout, "In Search of an
 Understandable Consensus Algorithm" (Raft paper).
@@ -44,9 +44,9 @@
 
 
 class Raft(RaftContext):
-    """One member. `member_id` is its identity for this incarnation of its disk."""
+    """One member of the cluster. `member_id` stays the same as long as the member keeps its disk."""
 
-    # The classes of its parts: mutations (gradegap.verification) put others in their place.
+    # Classes of the parts. Mutation tests (gradegap.verification) substitute faulty ones.
     election_type: ClassVar[type[Election]] = Election
     heartbeats_type: ClassVar[type[Heartbeats]] = Heartbeats
     replication_type: ClassVar[type[Replication]] = Replication
@@ -92,16 +92,16 @@
         self.membership = self.membership_type(self)
         self.leadership_transfer = self.leadership_transfer_type(self)
 
-    # Output and state, for the driver
+    # Output and status, called by the driver
 
     def take_ready(self) -> Ready:
-        """All that has gathered since the last call, and the entries to apply."""
+        """Returns the output accumulated since the last call, with the committed entries to apply."""
         ready, self.pending = self.pending, Ready()
         ready.committed_entries = self.take_committed_entries()
         return ready
 
     def take_committed_entries(self) -> list[Entry]:
-        """The entries to apply now: committed, on this disk, and not returned before."""
+        """Returns the entries to apply: committed, persisted here and not returned before."""
         last = min(self.commit_index, self.stable_index)
         if last <= self.applied_index:
             return []
@@ -110,24 +110,27 @@
         return entries
 
     def next_tick_at(self) -> float:
-        """When `tick` is due at the latest."""
+        """Returns the latest time (steady time, s) at which `tick` must be called."""
         return self.heartbeats.next_at() if self.is_leader else self.election.timeout_at
 
     @property
     def transferee(self) -> str:
-        """The voter that leadership is being transferred to; empty without a transfer."""
+        """The id of the voter that leadership is being transferred to; empty without a transfer."""
         return self.leadership_transfer.target
 
     def lease_until(self, now: float) -> float:
-        """Until when, by this clock, no other member can have become leader; `NEVER` without a lease."""
+        """Returns the time (s) on the caller's clock until which no other member can become leader.
+
+        `NEVER` without a lease.
+        """
         return self.heartbeats.lease_until(now)
 
     def was_removed(self) -> bool:
-        """Whether the latest committed configuration, as far as it is known here, leaves this member out."""
+        """Whether the latest configuration known here to be committed excludes this member."""
         return self.membership.was_removed()
 
     def status(self, now: float) -> RaftStatus:
-        """This member's state, for operators."""
+        """Returns this member's status for operators."""
         lease_ms = max(0, round((self.lease_until(now) - now) * 1000)) if self.is_leader else 0
         return RaftStatus(
             id=self.member_id,
@@ -141,10 +144,10 @@
             lease_ms=lease_ms,
         )
 
-    # Events, from the driver
+    # Events, reported by the driver
 
     def tick(self, now: float) -> None:
-        """Do what is due by now: elections, heartbeats, the end of a transfer."""
+        """Run the timers: election timeout, heartbeats, check-quorum and leadership transfer deadline."""
         if not self.is_leader:
             self.election.tick(now)
             return
@@ -156,7 +159,7 @@
             self.heartbeats.send(now)
 
     def persisted(self, now: float, index: int, term: int) -> None:
-        """The driver has synced all entries up to this one, and this one with this term."""
+        """Record that all entries up to `index` are synced to disk, the last of them with `term`."""
         if self.log.term_at(index) != term:
             return
         self.stable_index = max(self.stable_index, index)
@@ -164,21 +167,23 @@
             self.replication.advance_commit(now)
 
     def compact(self, index: int) -> None:
-        """Drop the log up to here: the driver has the state on its disk."""
+        """Drop log entries up to `index`, whose state the driver has persisted."""
         self.log.compact(min(index, self.applied_index))
 
     def offer_snapshot(self, now: float, metadata: SnapshotMetadata, data: bytes) -> None:
-        """The state at `metadata`, for members behind the log; after `Ready.snapshot_wanted`.
+        """Offer a snapshot for members that need compacted entries; called after `Ready.snapshot_wanted`.
 
         Raises:
-            SnapshotTooOldError: The log begins after it.
+            SnapshotTooOldError: The log begins after the last entry that the snapshot covers.
         """
         self.snapshot_sender.offer(metadata, data)
 
-    # Requests of clients and operators, through the driver
+    # Requests of clients and operators, passed on by the driver
 
     def propose(self, now: float, data: bytes, kind: EntryKind = EntryKind.COMMAND) -> int:
-        """Append an entry: `data` is committed at its index if the entry there is still of this term then.
+        """Append an entry and return its index.
+
+        `data` is committed once that index is committed with an entry of the term of the proposal.
 
         Raises:
             NotLeaderError, TransferInProgressError, TooMuchUncommittedError: Nothing was appended.
@@ -186,46 +191,47 @@
         return self.replication.propose(data, kind)
 
     def flush(self, now: float) -> None:
-        """Send what was proposed: once for all proposals that came together."""
+        """Send proposed entries; one call covers all proposals since the last."""
         if self.is_leader:
             self.replication.flush(now)
 
     def read_index(self, now: float, request_id: int) -> None:
-        """Request the index that a linearizable read must see; it comes in `Ready.read_states`.
+        """Request the index at which a linearizable read may be served, returned in `Ready.read_states`.
 
         Raises:
-            NotLeaderError, LeaderNotReadyError: No read state will come.
+            NotLeaderError, LeaderNotReadyError: The read was rejected and will have no read state.
         """
         self.read_index_queue.request(now, request_id)
 
     def add_member(self, now: float, member: Member) -> int:
-        """Add a learner, or make a learner that has caught up a voter; the index of the change.
+        """Add a learner, or promote a caught-up learner to voter. Returns the index of the entry.
 
         Raises:
-            RequestRejectedError: The change is not safe now, or makes no sense; see its subclasses.
+            RequestRejectedError: The change is unsafe at present or invalid; see the subclasses.
         """
         return self.membership.add(now, member)
 
     def remove_member(self, now: float, member_id: str) -> int:
-        """Remove a member, this one too; the index of the change.
+        """Remove a member, which may be this one. Returns the index of the entry.
 
         Raises:
-            RequestRejectedError: The change is not safe now, or makes no sense; see its subclasses.
+            RequestRejectedError: The change is unsafe at present or invalid; see the subclasses.
         """
         return self.membership.remove(now, member_id)
 
     def transfer_leadership(self, now: float, target: str) -> None:
-        """Have a voter lead, as soon as it has all entries; given up after an election timeout.
+        """Transfer leadership to a voter once its log is complete. Aborts after an election timeout.
 
         Raises:
-            NotLeaderError, MemberRoleError, UnknownMemberError, TransferInProgressError: Nothing was begun.
+            NotLeaderError, MemberRoleError, UnknownMemberError, TransferInProgressError: No transfer was
+                started.
         """
         self.leadership_transfer.start(now, target)
 
     # Messages
 
     def step(self, now: float, sender: str, message: Message) -> None:
-        """Handle a message; `sender` is the identity that its link is authenticated for."""
+        """Handle a message. `sender` is the member id that the link is authenticated as."""
         match message:
             case AppendEntries() | InstallSnapshot():
                 self._on_leader_message(now, sender, message)
@@ -251,7 +257,7 @@
             self.snapshot_receiver.on_install_snapshot(now, sender, message)
 
     def _reject_stale_leader(self, sender: str, message: AppendEntries | InstallSnapshot) -> None:
-        """Let the sender learn of the newer term, in which it does not lead."""
+        """Respond to a leader of an earlier term with the current term, so that it steps down."""
         previous = message.prev_log_index if isinstance(message, AppendEntries) else message.metadata.index
         self.send(sender, AppendEntriesResponse(self.term, False, self.log.last_index, previous, 0))
 
@@ -273,10 +279,10 @@
         if self.is_leader:
             self.read_index_queue.confirm()
 
-    # Changes of role
+    # Role transitions
 
     def become_follower(self, now: float, term: int, leader_id: str) -> None:
-        """Follow `leader_id`, or nobody known yet where it is empty, in `term`."""
+        """Become a follower in `term`; an empty `leader_id` means that the leader is not known yet."""
         if term > self.term:
             self.term = term
             self.voted_for = ""
@@ -290,12 +296,12 @@
         self.snapshot_sender.outgoing = None
 
     def become_pre_candidate(self) -> None:
-        """Ask whether votes would be granted; nothing that is on disk changes."""
+        """Start a pre-vote, which changes nothing on disk."""
         self.leader_id = ""
         self.role = Role.PRE_CANDIDATE
 
     def become_candidate(self) -> None:
-        """Begin a new term, with this member's own vote."""
+        """Start a new term and vote for this member."""
         self.leader_id = ""
         self.role = Role.CANDIDATE
         self.term += 1
@@ -303,7 +309,7 @@
         self.persist_hard_state()
 
     def become_leader(self, now: float) -> None:
-        """Lead this term, and begin it with an entry of its own."""
+        """Become the leader of the current term and append a no-op entry to it."""
         self.role = Role.LEADER
         self.leader_id = self.member_id
         self.election.last_leader_contact_at = now
--- a/gradegap/raft/election.py
+++ b/gradegap/raft/election.py
@@ -1,4 +1,4 @@
-"""Elections with pre-vote, and the promise not to vote while a leader is alive (thesis, 3.4, 4.2.3, 9.6)."""
+"""Elections with pre-vote; no votes are granted while a leader is alive (thesis, 3.4, 4.2.3, 9.6)."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 
     def __init__(self, raft: RaftContext, now: float) -> None:
         self.raft = raft
-        # As if a leader had just been in contact: the promise not to vote that an earlier incarnation of this
-        # process may have given must have run out before it votes again, or leases would not hold.
+        # A restart counts as contact with a leader. Before the restart this process may have acknowledged a
+        # heartbeat, on which a leader bases its lease; voting within an election timeout would break it.
         self.last_leader_contact_at = now
-        self.votes: dict[str, bool] = {}  # of this campaign, by voter: whether it was granted
+        self.votes: dict[str, bool] = {}  # responses in the current campaign by voter id; True: granted
         self.timeout_at = now
         self.reset_timeout(now)
 
     def reset_timeout(self, now: float) -> None:
-        """Wait anew, by a random time, before calling an election."""
+        """Restart the election timer with a random timeout."""
         raft = self.raft
         self.timeout_at = now + raft.settings.election_timeout_s * raft.random.uniform(1.0, 2.0)
 
     def on_leader_contact(self, now: float) -> None:
-        """A message of this term's leader: followers wait, and grant no votes."""
+        """Record a message of the current leader; it delays the next election and the granting of votes."""
         self.last_leader_contact_at = now
         self.reset_timeout(now)
 
     def tick(self, now: float) -> None:
-        """Call an election if no leader has been in contact for too long."""
+        """Start an election once the election timeout has passed without contact with a leader."""
         if now < self.timeout_at:
             return
         self.reset_timeout(now)
@@ -38,10 +38,11 @@
             self.campaign(now, pre_vote=True)
 
     def can_campaign(self) -> bool:
-        """Whether this member is a voter, or is one until its own removal is committed (thesis, 4.2.2).
+        """Whether this member may start an election.
 
-        Guards against a cluster without a leader for good: a member that is being removed may be the only one
-        whose log is complete enough to be elected with.
+        Voters may, and so may a voter whose own removal is not committed yet (thesis, 4.2.2). Otherwise the
+        cluster could stay without a leader for good, as the member being removed may be the only one whose
+        log is complete enough to win an election.
         """
         raft, log = self.raft, self.raft.log
         if raft.member_id in log.configuration.voters:
@@ -52,7 +53,7 @@
         )
 
     def campaign(self, now: float, pre_vote: bool, leadership_transfer: bool = False) -> None:
-        """Request the votes of all voters; with `pre_vote`, only whether they would grant them."""
+        """Request votes from all voters; with `pre_vote`, ask only whether they would grant them."""
         raft, log = self.raft, self.raft.log
         self.reset_timeout(now)
         self.votes = {raft.member_id: True}
@@ -69,7 +70,7 @@
         self.count_votes(now)
 
     def count_votes(self, now: float) -> None:
-        """Proceed with a majority of votes; step back when a majority has denied them."""
+        """Advance on a majority of granted votes; become a follower on a majority of denied ones."""
         raft = self.raft
         voters = raft.configuration.voters
         granted = sum(self.votes.get(voter, False) for voter in voters)
@@ -83,16 +84,16 @@
             raft.become_follower(now, raft.term, "")
 
     def is_leader_alive(self, now: float) -> bool:
-        """Whether a leader may count on this member not to vote yet (thesis, 4.2.3 and 6.4.1)."""
+        """Whether a live leader relies on this member to grant no votes (thesis, 4.2.3 and 6.4.1)."""
         raft = self.raft
         contact_at = raft.heartbeats.followed_since(now) if raft.is_leader else self.last_leader_contact_at
         return now - contact_at < raft.settings.election_timeout_s
 
     def on_request_vote(self, now: float, sender: str, request: RequestVote) -> None:
-        """A candidate requests this member's vote."""
+        """Handle a candidate's request for a vote or pre-vote."""
         raft = self.raft
         if not request.leadership_transfer and self.is_leader_alive(now):
-            return  # guards against a removed or partitioned member that keeps calling elections
+            return  # guards against a removed or partitioned member that keeps starting elections
         if request.pre_vote:
             granted = request.term > raft.term and self._is_log_up_to_date(request)
             raft.send(sender, RequestVoteResponse(request.term if granted else raft.term, granted, True))
@@ -119,7 +120,7 @@
         )
 
     def on_request_vote_response(self, now: float, sender: str, response: RequestVoteResponse) -> None:
-        """A voter responds to this member's campaign."""
+        """Handle a voter's response in this member's campaign."""
         raft = self.raft
         if not response.granted and response.term > raft.term:
             raft.become_follower(now, response.term, "")
--- a/gradegap/raft/entries.py
+++ b/gradegap/raft/entries.py
@@ -1,6 +1,6 @@
-"""What a member keeps on disk: entries, the hard state, and where in the log its snapshot is.
+"""The persistent types of a member: log entries, the hard state and snapshot metadata.
 
-The types are arrays on disk and on links: the order of fields is the format.
+They are encoded as arrays on disk and on links, so the order of their fields is part of the format.
 """
 
 from __future__ import annotations
@@ -11,19 +11,20 @@
 
 from gradegap.raft.cluster import ClusterConfiguration, Member
 
-ENTRY_OVERHEAD_BYTES = 16  # of an entry beside its data
+# Counted for the index, term and kind of each entry wherever the size of entries is limited.
+ENTRY_OVERHEAD_BYTES = 16
 
 
 class EntryKind(enum.IntEnum):
-    """What an entry of the log is for."""
+    """The kind of a log entry."""
 
-    NO_OP = 0  # a leader's first entry: what came before it in the log is committed with it
-    COMMAND = 1  # for the state machine
-    CONFIGURATION = 2  # the members from this entry on
+    NO_OP = 0  # a leader's first entry of its term; committing it commits all earlier entries
+    COMMAND = 1  # a command for the state machine
+    CONFIGURATION = 2  # the cluster configuration that takes effect with this entry
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of the log, as the leader of `term` appended it."""
+    """One log entry, appended by the leader of `term`."""
 
     index: int
     term: int
@@ -32,19 +33,19 @@
 
     @property
     def size_bytes(self) -> int:
-        """Bytes, with those of its index, term and kind."""
+        """Size of the entry, including an allowance for its index, term and kind."""
         return len(self.data) + ENTRY_OVERHEAD_BYTES
 
 
 class HardState(msgspec.Struct, frozen=True, array_like=True):
-    """What must be on disk before a message that rests on it is sent (Raft paper, figure 2)."""
+    """Term and vote, synced to disk before any message that depends on them (Raft paper, figure 2)."""
 
     term: int = 0
     voted_for: str = msgspec.field(default="", name="vote")
 
 
 class SnapshotMetadata(msgspec.Struct, frozen=True, array_like=True):
-    """Where in the log a snapshot of the state was taken, and who were the members there."""
+    """The last log entry that a snapshot covers, and the cluster configuration as of that entry."""
 
     index: int
     term: int
@@ -52,7 +53,7 @@
 
 
 def initial_snapshot(members: tuple[Member, ...]) -> SnapshotMetadata:
-    """What a new cluster begins with: no entry, and its first members."""
+    """Returns the snapshot metadata of a new cluster: an empty log and the initial members."""
     return SnapshotMetadata(0, 0, ClusterConfiguration(members))
 
 
@@ -60,10 +61,10 @@
 
 
 def encode_configuration(configuration: ClusterConfiguration) -> bytes:
-    """A configuration as the data of its entry."""
+    """Encodes a configuration as the data of a `CONFIGURATION` entry."""
     return msgspec.msgpack.encode(configuration)
 
 
 def decode_configuration(entry: Entry) -> ClusterConfiguration:
-    """The configuration that an entry carries."""
+    """Decodes the configuration from a `CONFIGURATION` entry."""
     return _decoder.decode(entry.data)
--- a/gradegap/raft/errors.py
+++ b/gradegap/raft/errors.py
@@ -1,96 +1,99 @@
-"""Errors of the consensus core, under one base.
+"""Errors of the consensus core.
 
-Texts of rejected requests are sent to clients as they are, and the part before a colon is the code that they
-are counted by: both are part of the store's interface.
+The text of a `RequestRejectedError` is sent to clients unchanged. The part before a colon is the error code
+under which rejections are counted; it is part of the store's interface.
 """
 
 from __future__ import annotations
 
 
 class RaftError(Exception):
-    """Base of this package's errors."""
+    """Base class of this package's errors."""
 
 
 class InvariantViolationError(RaftError, AssertionError):
-    """The core has come to a state that Raft rules out: it must not go on."""
+    """The core reached a state that Raft excludes. The member must stop."""
 
 
 class LogGapError(RaftError, ValueError):
-    """An entry does not follow the last one of the log."""
+    """An appended entry does not directly follow the last entry of the log."""
 
     def __init__(self, index: int, last_index: int) -> None:
-        super().__init__(f"entry {index} after {last_index}")
+        super().__init__(f"log entry {index} does not directly follow the last entry {last_index}")
 
 
 class SnapshotTooOldError(RaftError, ValueError):
-    """A snapshot was offered from before the log: a member that installs it would still lack entries."""
+    """An offered snapshot ends before the log begins: a member that installs it would still lack entries."""
 
     def __init__(self) -> None:
-        super().__init__("a snapshot from before the log")
+        super().__init__("snapshot ends before the first entry of the log")
 
 
 class RequestRejectedError(RaftError):
-    """A request that this member rejects; the text says why."""
+    """Base class of rejected requests. The text, sent to the client, gives the reason."""
 
 
 class NotLeaderError(RequestRejectedError):
-    """Only the leader can do this: the request is for another member."""
+    """This member is not the leader; the request must go to the leader."""
 
     def __init__(self) -> None:
         super().__init__("not_leader")
 
 
 class LeaderNotReadyError(RequestRejectedError):
-    """A new leader knows what is committed only once it has committed an entry of its own: retry soon."""
+    """The new leader has not committed an entry of its own term, so its commit index may be stale: retry."""
 
     def __init__(self) -> None:
-        super().__init__("not_ready: the leader has committed nothing in its term yet")
+        super().__init__("not_ready: the leader has not committed an entry of its term yet")
 
 
 class TransferInProgressError(RequestRejectedError):
-    """Leadership is being transferred: retry at the next leader."""
+    """Leadership is being transferred: retry with the next leader."""
 
     def __init__(self) -> None:
         super().__init__("transferring leadership")
 
 
 class TooMuchUncommittedError(RequestRejectedError):
-    """The log grows faster than a majority stores it (`RaftSettings.max_uncommitted_bytes`): retry later."""
+    """Uncommitted entries exceed `RaftSettings.max_uncommitted_bytes`: retry later.
+
+    The log grows faster than a majority of voters stores it.
+    """
 
     def __init__(self) -> None:
-        super().__init__("busy: too much is not committed yet")
+        super().__init__("busy: too many bytes of entries are not committed yet")
 
 
 class ChangePendingError(RequestRejectedError):
-    """Members change one at a time: retry once the change before is committed."""
+    """An earlier membership change is not committed yet: changes are made one at a time."""
 
     def __init__(self) -> None:
-        super().__init__("change_pending: another change of members is not committed yet")
+        super().__init__("change_pending: another membership change is not committed yet")
 
 
 class LearnerBehindError(RequestRejectedError):
-    """A learner becomes a voter once it has caught up with the log: retry later."""
+    """The learner has not caught up with the log, so it can't become a voter yet: retry later."""
 
     def __init__(self) -> None:
-        super().__init__("behind: it has not caught up with the log yet")
+        super().__init__("behind: the learner has not caught up with the log yet")
 
 
 class UnknownMemberError(RequestRejectedError):
-    """The cluster has no member of this identity, or none that can take the role."""
+    """The cluster has no member with this id, or the member can't take the requested role."""
 
     def __init__(self) -> None:
         super().__init__("no such member")
 
 
 class MemberRoleError(RequestRejectedError):
-    """The member has the role already that it is to be given."""
+    """The member already has the requested role."""
 
     def __init__(self, role: str) -> None:
         super().__init__(f"member: it {role} already")
 
 
 class LastVoterError(RequestRejectedError):
-    """Without its only voter the cluster could never commit anything again."""
+    """The only voter can't be removed: the cluster could never commit again."""
 
     def __init__(self) -> None:
-        super().__init__("last: it is the only voter")
+        super().__init__("last: the member is the only voter of the cluster")
--- a/gradegap/raft/follower.py
+++ b/gradegap/raft/follower.py
@@ -1,4 +1,4 @@
-"""A follower's side of replication: entries that the leader sends are appended to the log."""
+"""The follower's side of replication: appends entries from the leader to the log."""
 
 from __future__ import annotations
 
@@ -9,18 +9,19 @@
 
 
 class Follower:
-    """Appends the leader's entries, or responds with where the logs differ (Raft paper, 5.3)."""
+    """Appends the leader's entries, or rejects them with a hint where the logs diverge (Raft paper, 5.3)."""
 
     def __init__(self, raft: RaftContext) -> None:
         self.raft = raft
-        self.leader_commit = 0  # the highest index that a leader has said to be committed, stored here or not
+        # The highest commit index received from a leader; the entries up to it may not be stored here yet.
+        self.leader_commit = 0
 
     def on_append_entries(self, now: float, sender: str, request: AppendEntries) -> None:
-        """The leader sends entries, or a heartbeat without any."""
+        """Handle entries or a heartbeat from the leader."""
         raft, log = self.raft, self.raft.log
         previous, entries = request.prev_log_index, request.entries
         if previous < log.base.index:
-            # What is compacted here is committed, and so the same there.
+            # Compacted entries are committed, so the leader has the same ones.
             entries = tuple(entry for entry in entries if entry.index > log.base.index)
             previous = log.base.index
         elif log.term_at(previous) != request.prev_log_term:
@@ -48,7 +49,7 @@
         )
 
     def _append(self, entries: tuple[Entry, ...]) -> None:
-        """Append what is not there yet; an entry of another term is replaced, with all that follow it."""
+        """Append missing entries. An entry of a different term is replaced, and all after it are dropped."""
         raft, log = self.raft, self.raft.log
         for entry in entries:
             known_term = log.term_at(entry.index)
@@ -61,7 +62,7 @@
     def _truncate(self, index: int) -> None:
         raft = self.raft
         if index <= raft.commit_index:
-            raise InvariantViolationError(f"entry {index} is committed and would be replaced")
+            raise InvariantViolationError(f"log entry {index} is committed and must not be replaced")
         raft.log.truncate(index)
         raft.pending.entries = [entry for entry in raft.pending.entries if entry.index < index]
         raft.stable_index = min(raft.stable_index, index - 1)
--- a/gradegap/raft/heartbeats.py
+++ b/gradegap/raft/heartbeats.py
@@ -1,7 +1,7 @@
-"""A leader's rounds of heartbeats, and the lease and check-quorum that rest on the responses.
+"""The leader's heartbeat rounds, and the lease and check-quorum that are derived from the responses.
 
-Every message of a leader carries the number of its round, and every response echoes it. The latest round
-that a quorum has responded to says since when the leader has certainly been followed (thesis, 6.2 and 6.4).
+Every message of a leader carries the number of its round, and every response echoes it. A quorum accepted
+this leader at least until the start of the latest round that a quorum has acknowledged (thesis, 6.2 and 6.4).
 """
 
 from __future__ import annotations
@@ -13,26 +13,26 @@
 
 
 class Heartbeats:
-    """When this member sent its rounds as the leader, and which of them a quorum has responded to."""
+    """Sends heartbeat rounds while this member leads, and tracks which of them a quorum has acknowledged."""
 
     def __init__(self, raft: RaftContext) -> None:
         self.raft = raft
         self.current_round = 0
-        self.started_rounds: deque[tuple[int, float]] = deque()  # rounds and when they began, oldest first
+        self.started_rounds: deque[tuple[int, float]] = deque()  # (round, start time in s), oldest first
         self.sent_at = NEVER
         self.leader_since = NEVER
 
     def start(self, now: float) -> None:
-        """This member became leader: responses of earlier terms no longer count."""
+        """Start a term as leader; discard rounds of earlier terms."""
         self.leader_since = now
         self.started_rounds.clear()
 
     def next_at(self) -> float:
-        """When the next round is due."""
+        """Returns the time (s) at which the next round is due."""
         return self.sent_at + self.raft.settings.heartbeat_interval_s
 
     def send(self, now: float) -> None:
-        """Begin a new round: whoever responds to it has followed since its beginning."""
+        """Start a new round. A member that responds to it accepted this leader at a time after its start."""
         self.current_round += 1
         self.started_rounds.append((self.current_round, now))
         self.sent_at = now
@@ -40,7 +40,7 @@
         self.raft.read_index_queue.confirm()
 
     def acknowledged_round(self) -> int:
-        """The latest round that a quorum, this member included, has responded to."""
+        """Returns the latest round that a quorum, including this member, has acknowledged."""
         member_id, peers = self.raft.member_id, self.raft.replication.peers
         return majority_value(
             self.current_round
@@ -52,7 +52,10 @@
         )
 
     def followed_since(self, now: float) -> float:
-        """The latest time since when a quorum, this member included, has certainly followed."""
+        """Returns the start (s) of the latest round acknowledged by a quorum, `NEVER` if there is none.
+
+        A cluster of one voter always has its quorum, so the result is `now`.
+        """
         voters = self.raft.configuration.voters
         if not voters:
             return NEVER
@@ -69,15 +72,16 @@
         return since
 
     def quorum_lost(self, now: float) -> bool:
-        """Check-quorum (thesis, 6.2): guards against a partitioned leader that goes on as if it led."""
+        """Check-quorum (thesis, 6.2): whether this leader must step down, as it may be partitioned."""
         timeout_s = self.raft.settings.election_timeout_s
         return now - self.leader_since >= timeout_s and self.followed_since(now) < now - timeout_s
 
     def lease_until(self, now: float) -> float:
-        """Until when, by this clock, no other member can have become leader; `NEVER` without a lease.
+        """Returns the end (s) of the leader's lease on this member's clock; `NEVER` without a lease.
 
-        A quorum responded to a round that began at t, and grants nobody a vote for an election timeout after
-        t by its own clocks, which may run faster than this one by the bound on drift.
+        No other member can become leader before that time. If a quorum acknowledged a round started at t, its
+        members grant no votes for an election timeout after t on their own clocks. These may run faster than
+        this clock by up to `max_clock_drift`, by which the lease is shortened.
         """
         raft = self.raft
         if not raft.is_leader or raft.leadership_transfer.timeout_sent or not raft.commits_own_term():
--- a/gradegap/raft/leadership_transfer.py
+++ b/gradegap/raft/leadership_transfer.py
@@ -11,34 +11,34 @@
 
 
 class TransferState(enum.Enum):
-    """How far a transfer of leadership has come."""
+    """The progress of a leadership transfer."""
 
     NONE = enum.auto()
-    CATCHING_UP = enum.auto()  # the target does not have all entries yet
-    TIMEOUT_SENT = enum.auto()  # TimeoutNow is out in this term: no lease holds any more
+    CATCHING_UP = enum.auto()  # the target's log is not complete yet
+    TIMEOUT_SENT = enum.auto()  # TimeoutNow was sent in this term, which voids the leader's lease
 
 
 class LeadershipTransfer:
-    """A transfer that is under way, if one is."""
+    """At most one leadership transfer at a time, started by this member as the leader."""
 
     def __init__(self, raft: RaftContext) -> None:
         self.raft = raft
         self.state = TransferState.NONE
-        self.target = ""  # the voter that is to lead; empty without a transfer
+        self.target = ""  # member id of the next leader; empty without a transfer
         self.deadline = NEVER
 
     @property
     def timeout_sent(self) -> bool:
-        """Whether the target may call an election at any moment."""
+        """Whether `TimeoutNow` was sent, so that the target may start an election at any moment."""
         return self.state is TransferState.TIMEOUT_SENT
 
     def reset(self) -> None:
-        """This member became leader or follower, or gives up: no transfer is under way."""
+        """Forget the transfer, after a role change or when it is aborted."""
         self.state = TransferState.NONE
         self.target = ""
 
     def start(self, now: float, target: str) -> None:
-        """Have a voter lead, as soon as it has all entries; given up after an election timeout."""
+        """Transfer leadership to a voter once its log is complete. Aborts after an election timeout."""
         raft = self.raft
         peers = raft.replication.peers
         if not raft.is_leader:
@@ -54,10 +54,10 @@
         self.deadline = now + raft.settings.election_timeout_s
         self.proceed()
         if self.state is TransferState.CATCHING_UP:
-            raft.replication.send_to(target, peers[target], always=True)
+            raft.replication.send_to(target, peers[target], at_least_one=True)
 
     def proceed(self) -> None:
-        """Have the target call its election, once it has all entries."""
+        """Send `TimeoutNow` to the target if its log is complete."""
         raft = self.raft
         progress = raft.replication.peers.get(self.target)
         if (
@@ -69,18 +69,18 @@
             raft.send(self.target, TimeoutNow(raft.term))
 
     def tick(self, now: float) -> None:
-        """Give the transfer up when its time has run out."""
+        """Abort the transfer once its deadline has passed."""
         if self.state is TransferState.NONE or now < self.deadline:
             return
         timeout_sent = self.timeout_sent
         self.reset()
         if timeout_sent:
-            # The message may still arrive, and the election it calls would break no promise: only a new term
-            # makes it void.
+            # TimeoutNow may still arrive, and voters accept the election that it starts despite a leader.
+            # Only a new term voids it, so this member must not continue to lead in the current one.
             self.raft.become_follower(now, self.raft.term, "")
 
     def on_timeout_now(self, now: float, request: TimeoutNow) -> None:
-        """The leader transfers its leadership to this member."""
+        """Handle `TimeoutNow`: the leader transfers its leadership to this member."""
         raft = self.raft
         if request.term == raft.term and raft.member_id in raft.configuration.voters and not raft.is_leader:
             raft.election.campaign(now, pre_vote=False, leadership_transfer=True)
--- a/gradegap/raft/log.py
+++ b/gradegap/raft/log.py
@@ -1,4 +1,4 @@
-"""The log as the core sees it: entries behind a base, and the configurations among them."""
+"""The in-memory log: a compacted base, the entries after it and the configurations that they contain."""
 
 from __future__ import annotations
 
@@ -6,52 +6,52 @@
 from gradegap.raft.entries import Entry, EntryKind, SnapshotMetadata, decode_configuration
 from gradegap.raft.errors import LogGapError
 
-UNBOUNDED_BYTES = 1 << 40  # no bound on a slice of the log
+UNBOUNDED_BYTES = 1 << 40  # `max_bytes` for a slice of the log without a size limit
 
 
 class Log:
-    """Entries after `base`, the last index that was compacted away or came in a snapshot."""
+    """Log entries after `base`, the last entry that was compacted or covered by an installed snapshot."""
 
     def __init__(self, base: SnapshotMetadata, entries: list[Entry]) -> None:
         self.base = base
         self.entries: list[Entry] = []
-        self.size_bytes = 0  # of entries
+        self.size_bytes = 0  # total size of `entries`
         self.configurations: list[tuple[int, ClusterConfiguration]] = [(base.index, base.configuration)]
         for entry in entries:
             self.append(entry)
 
     @property
     def last_index(self) -> int:
-        """The index of the last entry, or of the base without entries."""
+        """The index of the last entry, or of the base if there are no entries."""
         return self.base.index + len(self.entries)
 
     @property
     def last_term(self) -> int:
-        """The term of the last entry, or of the base without entries."""
+        """The term of the last entry, or of the base if there are no entries."""
         return self.entries[-1].term if self.entries else self.base.term
 
     @property
     def configuration(self) -> ClusterConfiguration:
-        """The latest in the log, committed or not: it is in force at once (thesis, 4.1)."""
+        """The latest configuration in the log. It is in force before it is committed (thesis, 4.1)."""
         return self.configurations[-1][1]
 
     @property
     def configuration_index(self) -> int:
-        """The index of the entry, or base, that the latest configuration came with."""
+        """The index of the entry or base that contains the latest configuration."""
         return self.configurations[-1][0]
 
     def term_at(self, index: int) -> int | None:
-        """The term of the entry at `index`; None for one that is compacted away or not there."""
+        """Returns the term of the entry at `index`; None if it is compacted or beyond the end of the log."""
         if index == self.base.index:
             return self.base.term
         position = index - self.base.index - 1
         return self.entries[position].term if 0 <= position < len(self.entries) else None
 
     def append(self, entry: Entry) -> None:
-        """Add the entry that follows the last one.
+        """Append an entry.
 
         Raises:
-            LogGapError: It does not follow the last one.
+            LogGapError: The entry does not directly follow the last one.
         """
         if entry.index != self.last_index + 1:
             raise LogGapError(entry.index, self.last_index)
@@ -69,7 +69,7 @@
             self.configurations.pop()
 
     def slice(self, first: int, max_bytes: int, last: int | None = None) -> list[Entry]:
-        """Entries from `first` to `last`, up to `max_bytes` of them and one at the least."""
+        """Returns entries from `first` to `last` (None: the end), up to `max_bytes` but at least one."""
         start = first - self.base.index - 1
         end = len(self.entries) if last is None else last - self.base.index
         size_bytes, stop = 0, start
@@ -79,11 +79,11 @@
         return self.entries[start:stop]
 
     def configuration_at(self, index: int) -> ClusterConfiguration:
-        """The configuration in force after the entry at `index`."""
+        """Returns the configuration in force after the entry at `index`."""
         return next(configuration for at, configuration in reversed(self.configurations) if at <= index)
 
     def compact(self, index: int) -> None:
-        """Drop the entries up to `index`, which the state on this member's disk covers."""
+        """Drop the entries up to `index`, which the state on disk covers."""
         term = self.term_at(index)
         if index <= self.base.index or term is None:
             return
@@ -98,18 +98,19 @@
         ]
 
     def reset(self, base: SnapshotMetadata) -> None:
-        """Begin anew after a snapshot that takes the place of all entries."""
+        """Replace all entries by a snapshot."""
         self.base, self.entries, self.size_bytes = base, [], 0
         self.configurations = [(base.index, base.configuration)]
 
     def is_up_to_date(self, last_index: int, last_term: int) -> bool:
-        """Whether a log that ends so has all that this one may have committed (Raft paper, 5.4.1)."""
+        """Whether a log with this end is at least as up to date as this one (Raft paper, 5.4.1)."""
         return (last_term, last_index) >= (self.last_term, self.last_index)
 
     def find_conflict_hint(self, prev_log_index: int) -> tuple[int, int]:
-        """Where the leader should try next, and the term there, after a mismatch (Raft paper, 5.3).
+        """Returns the index and term that the leader should probe next after a mismatch (Raft paper, 5.3).
 
-        It is the end of the log, or the last entry before the run of one term that `prev_log_index` is in.
+        The hint is the end of the log if `prev_log_index` is beyond it, otherwise the last entry before all
+        entries of the term at `prev_log_index`.
         """
         if prev_log_index > self.last_index:
             return self.last_index, self.last_term
@@ -120,7 +121,7 @@
         return index, self.term_at(index) or 0
 
     def last_index_up_to_term(self, index: int, term: int) -> int:
-        """The last entry up to `index` with a term of at most `term`."""
+        """Returns the index of the last entry up to `index` whose term is at most `term`."""
         index = min(index, self.last_index)
         while index > self.base.index and (self.term_at(index) or 0) > term:
             index -= 1
--- a/gradegap/raft/membership.py
+++ b/gradegap/raft/membership.py
@@ -1,7 +1,7 @@
-"""Changes of members, one at a time, each in force from its entry on (thesis, 4.1).
+"""Single-server membership changes, each in force as soon as its entry is in the log (thesis, 4.1).
 
-With the correction published on raft-dev in 2015: a leader changes members only once it has committed an
-entry of its own term, as otherwise two leaders can commit on quorums that don't overlap.
+Includes the correction published on raft-dev in 2015: a leader accepts a change only after it has committed
+an entry of its own term. Otherwise two leaders could commit with quorums that don't overlap.
 """
 
 from __future__ import annotations
@@ -23,27 +23,32 @@
 
 
 class Membership:
-    """Adds and removes members, while this member leads."""
+    """Adds and removes members while this member leads."""
 
     def __init__(self, raft: RaftContext) -> None:
         self.raft = raft
 
     def is_change_committed(self) -> bool:
-        """Whether the latest configuration is committed: no change is under way."""
+        """Whether the latest configuration is committed, so that no change is pending."""
         return self.raft.log.configuration_index <= self.raft.commit_index
 
     def was_removed(self) -> bool:
-        """Whether the latest committed configuration leaves this member out.
+        """Whether the latest committed configuration excludes this member.
 
-        Guards a member that was just added: its log replays configurations from before it was added, and
-        each of them is the latest that it has until it has all that its leader said to be committed.
+        A member that was just added first receives configurations from before it was added. Each of them is
+        the latest that it knows, so they are ignored until the member has all entries that its leader
+        reported as committed.
         """
         raft = self.raft
         caught_up = raft.is_leader or raft.follower.leader_commit <= raft.commit_index
         return raft.configuration.get(raft.member_id) is None and self.is_change_committed() and caught_up
 
     def check_can_change(self) -> None:
-        """Raise where a change would not be safe now."""
+        """Check that a membership change is safe.
+
+        Raises:
+            NotLeaderError, TransferInProgressError, LeaderNotReadyError, ChangePendingError: It is not.
+        """
         raft = self.raft
         if not raft.is_leader:
             raise NotLeaderError
@@ -55,7 +60,7 @@
             raise ChangePendingError
 
     def change(self, now: float, configuration: ClusterConfiguration) -> int:
-        """Put a new configuration into the log; the index of the change."""
+        """Append a new configuration and return the index of its entry."""
         self.check_can_change()
         replication = self.raft.replication
         index = replication.append(EntryKind.CONFIGURATION, encode_configuration(configuration))
@@ -64,7 +69,7 @@
         return index
 
     def add(self, now: float, member: Member) -> int:
-        """Add a learner, or make a learner that has caught up a voter; the index of the change."""
+        """Add a learner, or promote a caught-up learner to voter. Returns the index of the entry."""
         self.check_can_change()
         configuration = self.raft.configuration
         known = configuration.get(member.id)
@@ -85,7 +90,7 @@
         )
 
     def remove(self, now: float, member_id: str) -> int:
-        """Remove a member, this one too; the index of the change."""
+        """Remove a member, which may be this one. Returns the index of the entry."""
         self.check_can_change()
         configuration = self.raft.configuration
         if configuration.get(member_id) is None:
--- a/gradegap/raft/messages.py
+++ b/gradegap/raft/messages.py
@@ -1,6 +1,6 @@
-"""The messages between members (Raft paper, figures 2 and 13; thesis, 3.10 and 9.6).
+"""Raft messages between members (Raft paper, figures 2 and 13; thesis, 3.10 and 9.6).
 
-Their tags and the names of their fields on the wire are those of every release.
+Tags and wire names of fields (`msgspec.field(name=...)`) are the same in every release and must not change.
 """
 
 from __future__ import annotations
@@ -11,18 +11,18 @@
 
 
 class RequestVote(msgspec.Struct, frozen=True, tag="vote"):
-    """A candidate requests a vote; a pre-vote only asks whether it would be granted (thesis, 9.6)."""
+    """Requests a vote for the sender. A pre-vote only asks if the vote would be granted (thesis, 9.6)."""
 
     term: int
     last_log_index: int = msgspec.field(name="last_index")
     last_log_term: int = msgspec.field(name="last_term")
     pre_vote: bool = msgspec.field(default=False, name="pre")
-    # The leader itself wants to be followed by this candidate: a live leader is no reason to reject it.
+    # The current leader has asked the sender to take over, so voters skip their check for a live leader.
     leadership_transfer: bool = msgspec.field(default=False, name="forced")
 
 
 class RequestVoteResponse(msgspec.Struct, frozen=True, tag="voted"):
-    """Responds to a `RequestVote`."""
+    """The response to `RequestVote`."""
 
     term: int
     granted: bool
@@ -30,35 +30,36 @@
 
 
 class AppendEntries(msgspec.Struct, frozen=True, tag="append"):
-    """Entries that follow the one at `prev_log_index`; without any, a heartbeat."""
+    """Carries the log entries that follow `prev_log_index`. Without entries it is a heartbeat."""
 
     term: int
     prev_log_index: int = msgspec.field(name="prev_index")
     prev_log_term: int = msgspec.field(name="prev_term")
     leader_commit: int = msgspec.field(name="commit")
-    # Echoed in the response, so that the leader knows since when it has been followed.
+    # The response echoes this round, which tells the leader since when the follower has accepted it.
     heartbeat_round: int = msgspec.field(name="round")
     entries: tuple[Entry, ...] = ()
 
 
 class AppendEntriesResponse(msgspec.Struct, frozen=True, tag="appended"):
-    """Responds to an `AppendEntries`."""
+    """The response to `AppendEntries`."""
 
     term: int
     success: bool = msgspec.field(name="ok")
-    # On success the log is the leader's up to here; else this is where the leader should try next.
+    # On success, the last index up to which the follower's log matches the leader's. On failure, a hint: the
+    # index that the leader should use as the next `prev_log_index`.
     match_index: int = msgspec.field(name="match")
     prev_log_index: int = msgspec.field(name="prev_index")
     heartbeat_round: int = msgspec.field(name="round")
-    hint_term: int = 0  # without success: the term of the entry at `match_index`
+    hint_term: int = 0  # on failure, the term of the entry at `match_index`
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True, tag="snap"):
-    """A chunk of a snapshot; the last one has `done`, and each the checksum of the whole."""
+    """Carries one chunk of a snapshot. `done` marks the last chunk; `checksum` covers the whole snapshot."""
 
     term: int
     metadata: SnapshotMetadata = msgspec.field(name="meta")
-    offset: int  # in bytes
+    offset: int  # position of this chunk in the snapshot, in bytes
     data: bytes
     done: bool
     checksum: int  # CRC-32
@@ -66,17 +67,17 @@
 
 
 class InstallSnapshotResponse(msgspec.Struct, frozen=True, tag="snapped"):
-    """Responds to an `InstallSnapshot`."""
+    """The response to `InstallSnapshot`."""
 
     term: int
     snapshot_index: int = msgspec.field(name="index")
-    offset: int  # of the chunk that is wanted next
+    offset: int  # position of the next chunk that the follower expects, in bytes
     heartbeat_round: int = msgspec.field(name="round")
     done: bool = False
 
 
 class TimeoutNow(msgspec.Struct, frozen=True, tag="now"):
-    """Call an election at once: the leader transfers its leadership (thesis, 3.10)."""
+    """Tells the target of a leadership transfer to start an election at once (thesis, 3.10)."""
 
     term: int
 
--- a/gradegap/raft/node_state.py
+++ b/gradegap/raft/node_state.py
@@ -1,4 +1,4 @@
-"""The state of a member that all parts of the core share."""
+"""The state of a member that the parts of the core share."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class NodeState:
-    """The state of the Raft paper's figure 2, but for a leader's, and the `Ready` that is being gathered."""
+    """The state of figure 2 of the Raft paper except the leader's, and the pending output (`Ready`)."""
 
     def __init__(
         self,
@@ -32,39 +32,42 @@
         self.term = hard_state.term
         self.voted_for = hard_state.voted_for
         self.role = Role.FOLLOWER
-        self.leader_id = ""  # empty: not known
+        self.leader_id = ""  # empty if not known
         self.commit_index = max(log.base.index, applied_index)
         self.applied_index = self.commit_index
-        self.stable_index = log.last_index  # the last index that is on this member's disk
+        self.stable_index = log.last_index  # the last index synced to this member's disk
         self.pending = Ready()
 
     @property
     def configuration(self) -> ClusterConfiguration:
-        """The members in force, committed or not (thesis, 4.1)."""
+        """The configuration in force, which may not be committed yet (thesis, 4.1)."""
         return self.log.configuration
 
     @property
     def is_leader(self) -> bool:
-        """Whether this member takes itself to be the leader."""
+        """Whether this member considers itself the leader."""
         return self.role is Role.LEADER
 
     def send(self, recipient: str, message: Message) -> None:
-        """Send a message once all that was gathered before it is on this member's disk."""
+        """Queue a message that is sent after the pending state and entries are synced to disk."""
         self.pending.messages.append(OutgoingMessage(recipient, message))
 
     def send_immediately(self, recipient: str, message: Message) -> None:
-        """Send a message that rests on nothing that is not on disk yet."""
+        """Queue a message that depends on no unsynced state and may be sent at once."""
         self.pending.immediate_messages.append(OutgoingMessage(recipient, message))
 
     def append_entry(self, entry: Entry) -> None:
-        """Add an entry to the log, and have it written."""
+        """Append an entry to the log and queue it for writing."""
         self.log.append(entry)
         self.pending.entries.append(entry)
 
     def persist_hard_state(self) -> None:
-        """Have the term and the vote written before any message that rests on them is sent."""
+        """Queue the term and the vote for writing, ahead of messages that depend on them."""
         self.pending.hard_state = HardState(self.term, self.voted_for)
 
     def commits_own_term(self) -> bool:
-        """Whether the commit index is known to cover all that earlier leaders committed."""
+        """Whether the entry at the commit index is of the current term.
+
+        Only then does the commit index certainly cover all entries that earlier leaders committed.
+        """
         return self.log.term_at(self.commit_index) == self.term
--- a/gradegap/raft/read_index.py
+++ b/gradegap/raft/read_index.py
@@ -1,4 +1,4 @@
-"""Linearizable reads by ReadIndex, at once under a lease (thesis, 6.4)."""
+"""Linearizable reads by ReadIndex, served without a heartbeat round under a lease (thesis, 6.4)."""
 
 from __future__ import annotations
 
@@ -11,22 +11,27 @@
 
 @dataclass(slots=True, frozen=True)
 class PendingRead:
-    """A read that waits until a quorum has confirmed that this member still leads."""
+    """A read that waits for a quorum to confirm that this member still leads."""
 
     request_id: int
-    commit_index: int  # what it must see
-    heartbeat_round: int  # that a quorum must respond to
+    commit_index: int  # the lowest applied index at which the read may be served
+    heartbeat_round: int  # the round that a quorum must acknowledge first
 
 
 class ReadIndexQueue:
-    """The reads that were requested of this leader and are not confirmed yet."""
+    """Reads requested from this leader that are not confirmed yet."""
 
     def __init__(self, raft: RaftContext) -> None:
         self.raft = raft
         self.waiting: list[PendingRead] = []
 
     def request(self, now: float, request_id: int) -> None:
-        """Find the index that a read must see, under the lease or by a round of heartbeats."""
+        """Confirm a read at once under the lease, else after a round of heartbeats.
+
+        Raises:
+            NotLeaderError: This member does not lead.
+            LeaderNotReadyError: The leader has not committed an entry of its term yet.
+        """
         raft = self.raft
         if not raft.is_leader:
             raise NotLeaderError
@@ -41,7 +46,7 @@
         self.confirm()
 
     def confirm(self) -> None:
-        """Hand over the reads whose round a quorum has responded to."""
+        """Complete the reads whose heartbeat round a quorum has acknowledged."""
         if not self.waiting:
             return
         acknowledged = self.raft.heartbeats.acknowledged_round()
@@ -50,6 +55,6 @@
         self.waiting = [read for read in self.waiting if read.heartbeat_round > acknowledged]
 
     def abort(self) -> None:
-        """This member is no longer the leader: the reads must be requested elsewhere."""
+        """Abort all reads after a loss of leadership; they must be requested from the new leader."""
         self.raft.pending.aborted_reads += [read.request_id for read in self.waiting]
         self.waiting = []
--- a/gradegap/raft/ready.py
+++ b/gradegap/raft/ready.py
@@ -1,4 +1,4 @@
-"""What the core hands its driver after a call."""
+"""The output of the consensus core: the work that its driver carries out after each call."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 
 class OutgoingMessage(NamedTuple):
-    """A message and the identity of the member that it is for."""
+    """A message and the member id of its recipient."""
 
     recipient: str
     message: Message
 
 
 class Snapshot(NamedTuple):
-    """A state that came from the leader, in the place of the log up to it."""
+    """A snapshot received from the leader. It replaces the log up to and including `metadata.index`."""
 
     metadata: SnapshotMetadata
     data: bytes
 
 
 class ReadState(NamedTuple):
-    """A confirmed read: linearizable at any state that is applied up to `commit_index` at the least."""
+    """A confirmed read, linearizable on any state with an applied index of at least `commit_index`."""
 
     request_id: int
     commit_index: int
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RaftStatus:
-    """What an operator is shown of a member; `store status` has these names."""
+    """The status of a member. `gradegap store status` prints it under these field names."""
 
     id: str
     role: str
@@ -47,10 +47,11 @@
 
 @dataclass(slots=True)
 class Ready:
-    """What the driver is to do, in this order.
+    """A batch of work for the driver.
 
-    Install `snapshot`; write `hard_state` and `entries` (an entry replaces all from its index on) and
-    sync; then send `messages`. `immediate_messages` may go before.
+    The driver installs `snapshot`, writes `hard_state` and `entries` (an entry replaces all stored entries
+    from its index on), syncs, and only then sends `messages`. It may send `immediate_messages` before the
+    sync.
     """
 
     hard_state: HardState | None = None
@@ -60,10 +61,11 @@
     messages: list[OutgoingMessage] = field(default_factory=list)
     committed_entries: list[Entry] = field(default_factory=list)
     read_states: list[ReadState] = field(default_factory=list)
-    aborted_reads: list[int] = field(default_factory=list)  # request ids that this member can't confirm
-    snapshot_wanted: bool = False  # a member is behind the log: `offer_snapshot` is awaited
+    aborted_reads: list[int] = field(default_factory=list)  # request ids of reads lost with the leadership
+    # A follower needs entries that are compacted here: the driver calls `Raft.offer_snapshot`.
+    snapshot_wanted: bool = False
 
     @property
     def must_sync(self) -> bool:
-        """Whether anything must be on disk before `messages` go."""
+        """Whether the driver must write and sync before it sends `messages`."""
         return self.hard_state is not None or self.snapshot is not None or bool(self.entries)
--- a/gradegap/raft/replication.py
+++ b/gradegap/raft/replication.py
@@ -1,7 +1,7 @@
-"""The leader's side of replication: entries are proposed, sent to each member, and committed by a majority.
+"""The leader's side of replication: appends proposals, sends them to members and commits them by majority.
 
-A member's log is probed with one message at a time until it is known to fit; then entries are sent ahead of
-its responses, up to a window of messages.
+A member is probed with one message at a time until it is known where its log matches the leader's. After
+that, entries are pipelined up to `RaftSettings.max_inflight_messages`.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 from gradegap.raft.messages import AppendEntries, AppendEntriesResponse
 from gradegap.raft.progress import Progress, ProgressState, majority_value
 
-# Bound once: before Python 3.12 each look-up of an enum's member is a call.
+# Bound at import, because before Python 3.12 each access to an enum member is a function call.
 REPLICATE, SNAPSHOT = ProgressState.REPLICATE, ProgressState.SNAPSHOT
 
-PROBE_BYTES = 4096  # of entries in a message while it is not known where the logs agree
+PROBE_BYTES = 4096  # limit on the entries in one message to a member in state PROBE
 
 
 class Replication:
-    """What the leader knows of the other members' logs, and what of its own is committed."""
+    """Tracks the progress of the other members and advances the commit index."""
 
     def __init__(self, raft: RaftContext) -> None:
         self.raft = raft
         self.peers: dict[str, Progress] = {}
-        self.uncommitted_bytes = 0  # of entries
+        self.uncommitted_bytes = 0  # total size of entries that are not committed
 
     def start(self, now: float) -> None:
-        """This member became leader: nothing is known of the others yet."""
+        """Start a term as leader, with no knowledge of the other members' logs."""
         raft = self.raft
         self.peers = {}
         self.uncommitted_bytes = sum(
@@ -37,19 +37,23 @@
         self.track_members(now)
 
     def track_members(self, now: float) -> None:
-        """Follow the configuration: new members are probed, removed ones are sent nothing."""
+        """Match the tracked members to the configuration: probe new ones, drop removed ones."""
         members = self.raft.configuration.members
         ids = {member.id for member in members}
         for removed in [peer for peer in self.peers if peer not in ids]:
             del self.peers[removed]
-        for member in members:  # in their order, so that one seed gives one run
+        for member in members:  # not iterated by `ids`: set order would make simulated runs irreproducible
             if member.id != self.raft.member_id and member.id not in self.peers:
                 self.peers[member.id] = Progress(self.raft.log.last_index + 1, last_response_at=now)
 
     # Proposals
 
     def propose(self, data: bytes, kind: EntryKind) -> int:
-        """Append an entry for a client; its index."""
+        """Append an entry for a client and return its index.
+
+        Raises:
+            NotLeaderError, TransferInProgressError, TooMuchUncommittedError: Nothing was appended.
+        """
         raft = self.raft
         if not raft.is_leader:
             raise NotLeaderError
@@ -63,7 +67,7 @@
         return self.append(kind, data)
 
     def append(self, kind: EntryKind, data: bytes) -> int:
-        """Append an entry of this term to the leader's own log; its index."""
+        """Append an entry of the current term to the leader's own log and return its index."""
         raft = self.raft
         entry = Entry(raft.log.last_index + 1, raft.term, kind, data)
         raft.append_entry(entry)
@@ -73,22 +77,22 @@
     # Sending
 
     def flush(self, now: float) -> None:
-        """Send each member the entries that it is due, and commit what is ready."""
+        """Send pending entries to all members and advance the commit index."""
         for peer, progress in self.peers.items():
             self.send_to(peer, progress)
         self.advance_commit(now)
 
     def broadcast(self) -> None:
-        """Send each member a message, with entries or without: it carries the round of heartbeats."""
+        """Send every member at least one message, which carries the current heartbeat round."""
         for peer, progress in self.peers.items():
             progress.awaiting_response = False
-            self.send_to(peer, progress, always=True)
+            self.send_to(peer, progress, at_least_one=True)
 
-    def send_to(self, peer: str, progress: Progress, always: bool = False) -> None:
-        """Send a member the entries or the chunk that it is due; with `always`, one message at least."""
+    def send_to(self, peer: str, progress: Progress, at_least_one: bool = False) -> None:
+        """Send a member its next entries or snapshot chunk; with `at_least_one`, an empty message if none."""
         raft = self.raft
         if progress.state is SNAPSHOT or progress.next_index <= raft.log.base.index:
-            raft.snapshot_sender.send_chunk(peer, progress, again=always)
+            raft.snapshot_sender.send_chunk(peer, progress, resend=at_least_one)
             return
         sent = self._stream(peer, progress)
         if progress.state is not REPLICATE and not progress.awaiting_response:
@@ -98,11 +102,11 @@
                 progress,
                 raft.log.slice(progress.next_index, min(PROBE_BYTES, raft.settings.max_message_bytes)),
             )
-        if always and not sent:
+        if at_least_one and not sent:
             self._send_entries(peer, progress, [])
 
     def _stream(self, peer: str, progress: Progress) -> bool:
-        """Send entries ahead of the member's responses, as far as the window allows; whether any were."""
+        """Pipeline entries up to the limit on inflight messages. Returns whether any were sent."""
         raft = self.raft
         sent = False
         while (
@@ -135,7 +139,7 @@
     def on_append_entries_response(
         self, now: float, sender: str, progress: Progress, response: AppendEntriesResponse
     ) -> None:
-        """A member responds: its log agrees up to an index, or differs."""
+        """Handle a response, which reports a match up to an index or a mismatch."""
         progress.awaiting_response = False
         if response.success:
             self._on_match(now, sender, progress, response)
@@ -143,7 +147,7 @@
             self._on_mismatch(sender, progress, response)
 
     def _on_mismatch(self, sender: str, progress: Progress, response: AppendEntriesResponse) -> None:
-        # Guards against a late rejection of entries that were since sent again and appended.
+        # Ignores a delayed rejection of entries that have since been sent again and appended.
         if response.prev_log_index <= progress.match_index or (
             progress.state is REPLICATE and response.prev_log_index >= progress.next_index
         ):
@@ -170,14 +174,14 @@
             self.send_to(sender, progress)
             self.raft.leadership_transfer.proceed()
 
-    # Commits
+    # Commit index
 
     def can_commit(self, index: int) -> bool:
-        """Whether responses for this entry count: only in the leader's own term (Raft paper, 5.4.2)."""
+        """Whether counting replicas may commit the entry: only in the current term (Raft paper, 5.4.2)."""
         return self.raft.log.term_at(index) == self.raft.term
 
     def _stored_by_majority(self) -> int:
-        """The last index that is on the disks of a majority of voters."""
+        """Returns the last index that a majority of voters has on disk."""
         raft, peers = self.raft, self.peers
         return majority_value(
             raft.stable_index
@@ -189,7 +193,7 @@
         )
 
     def advance_commit(self, now: float) -> None:
-        """Commit what a majority stores, and notify the members that have all entries."""
+        """Commit the entries that a majority of voters stores, and notify members that have all entries."""
         raft = self.raft
         index = self._stored_by_majority()
         if index <= raft.commit_index or not self.can_commit(index):
@@ -201,9 +205,9 @@
         )
         for peer, progress in self.peers.items():
             if progress.state is REPLICATE and progress.next_index > raft.log.last_index:
-                self._send_entries(peer, progress, [])  # so that they apply it before the next heartbeat
+                self._send_entries(peer, progress, [])  # lets the member apply them before the next heartbeat
         if (
             raft.log.configuration_index <= raft.commit_index
             and raft.member_id not in raft.configuration.voters
         ):
-            raft.become_follower(now, raft.term, "")  # its own removal is committed (thesis, 4.2.2)
+            raft.become_follower(now, raft.term, "")  # this member's own removal is committed (thesis, 4.2.2)
--- a/gradegap/raft/role.py
+++ b/gradegap/raft/role.py
@@ -1,4 +1,4 @@
-"""The states of a member (Raft paper, figure 4)."""
+"""Roles of a member (Raft paper, figure 4)."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Role(enum.Enum):
-    """What a member does at present."""
+    """The role of a member; the values are printed by `gradegap store status`."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
--- a/gradegap/raft/settings.py
+++ b/gradegap/raft/settings.py
@@ -1,4 +1,4 @@
-"""Timeouts and limits of the consensus core."""
+"""Settings of the consensus core."""
 
 from __future__ import annotations
 
@@ -7,14 +7,15 @@
 
 @dataclass(slots=True, frozen=True)
 class RaftSettings:
-    """Timeouts and limits of a member, the same for all members of a cluster."""
+    """Timeouts and limits, which must be the same at all members of a cluster."""
 
     heartbeat_interval_s: float = 0.08
-    election_timeout_s: float = 0.4  # a follower waits for a leader this long, and up to twice
-    # How much faster one member's clock may run than another's, as a fraction: leases are shortened by it,
-    # promises not to vote are not.
+    # A follower starts an election after one to two times this long without contact with a leader.
+    election_timeout_s: float = 0.4
+    # How much faster one member's clock may run than another's, as a ratio. The leader's lease is shortened
+    # by it; the time during which followers grant no votes is not.
     max_clock_drift: float = 0.1
-    max_message_bytes: int = 256 * 1024  # of entries in one message
-    max_inflight_messages: int = 16  # with entries, on their way to one member
-    max_uncommitted_bytes: int = 4 * 1024 * 1024  # of entries: above, proposals are rejected
+    max_message_bytes: int = 256 * 1024  # limit on the entries in one message
+    max_inflight_messages: int = 16  # unacknowledged messages with entries to one member
+    max_uncommitted_bytes: int = 4 * 1024 * 1024  # proposals that would exceed it are rejected
     snapshot_chunk_bytes: int = 256 * 1024
--- a/gradegap/raft/snapshots.py
+++ b/gradegap/raft/snapshots.py
@@ -1,4 +1,4 @@
-"""Transfer of snapshots to members that are behind the log: chunks by offset, and a checksum of the whole."""
+"""Transfer of snapshots, in chunks with a checksum, to members that need compacted entries."""
 
 from __future__ import annotations
 
@@ -15,30 +15,34 @@
 
 @dataclass(slots=True, frozen=True)
 class OutgoingSnapshot:
-    """The state that a leader sends, and its checksum."""
+    """The snapshot that a leader sends, with its checksum."""
 
     metadata: SnapshotMetadata
     data: bytes
-    checksum: int
+    checksum: int  # CRC-32 of `data`
 
 
 @dataclass(slots=True)
 class IncomingSnapshot:
-    """The chunks of a snapshot that have arrived so far."""
+    """The part of a snapshot received so far."""
 
     metadata: SnapshotMetadata
     data: bytearray = field(default_factory=bytearray)
 
 
 class SnapshotSender:
-    """The leader's side: one snapshot at a time, to as many members as need it."""
+    """The leader's side: sends one snapshot at a time to all members that need it."""
 
     def __init__(self, raft: RaftContext) -> None:
         self.raft = raft
         self.outgoing: OutgoingSnapshot | None = None
 
     def offer(self, metadata: SnapshotMetadata, data: bytes) -> None:
-        """The driver hands over the state at `metadata`, for members that are behind the log."""
+        """Offer a snapshot and start to send it to members that need compacted entries.
+
+        Raises:
+            SnapshotTooOldError: The log begins after the last entry that the snapshot covers.
+        """
         raft = self.raft
         if not raft.is_leader:
             return
@@ -47,10 +51,10 @@
         self.outgoing = OutgoingSnapshot(metadata, data, zlib.crc32(data))
         for peer, progress in raft.replication.peers.items():
             if progress.next_index <= raft.log.base.index:
-                raft.replication.send_to(peer, progress, always=True)
+                raft.replication.send_to(peer, progress, at_least_one=True)
 
-    def send_chunk(self, peer: str, progress: Progress, again: bool) -> None:
-        """Send the chunk that the member wants next; with `again`, also while its response is awaited."""
+    def send_chunk(self, peer: str, progress: Progress, resend: bool) -> None:
+        """Send the next chunk; with `resend`, also while a response to it is outstanding."""
         raft = self.raft
         snapshot = self.outgoing
         if snapshot is None or snapshot.metadata.index < raft.log.base.index:
@@ -58,7 +62,7 @@
             return
         if progress.snapshot_index != snapshot.metadata.index:
             progress.become_snapshot(snapshot.metadata.index)
-        elif not again and progress.awaiting_response:
+        elif not resend and progress.awaiting_response:
             return
         progress.awaiting_response = True
         raft.send_immediately(peer, self._chunk(snapshot, progress.snapshot_offset))
@@ -74,7 +78,7 @@
     def on_install_snapshot_response(
         self, now: float, sender: str, progress: Progress, response: InstallSnapshotResponse
     ) -> None:
-        """A member responds to a chunk: where the next begins, or that it has the whole."""
+        """Handle a response: the offset of the next chunk, or the end of the transfer."""
         raft = self.raft
         if progress.state is not ProgressState.SNAPSHOT or response.snapshot_index != progress.snapshot_index:
             return
@@ -91,14 +95,14 @@
 
 
 class SnapshotReceiver:
-    """A follower's side: chunks are collected, and the whole takes the place of the log."""
+    """The follower's side: collects chunks and replaces the log by the complete snapshot."""
 
     def __init__(self, raft: RaftContext) -> None:
         self.raft = raft
         self.incoming: IncomingSnapshot | None = None
 
     def on_install_snapshot(self, now: float, sender: str, chunk: InstallSnapshot) -> None:
-        """The leader sends a chunk of a snapshot."""
+        """Handle a chunk from the leader."""
         if chunk.metadata.index <= self.raft.commit_index:
             self.incoming = None
             self._respond(sender, chunk, 0, done=True)
@@ -107,9 +111,8 @@
             self.incoming = IncomingSnapshot(chunk.metadata)
         received = self.incoming.data
         if chunk.offset != len(received):
-            self._respond(
-                sender, chunk, len(received)
-            )  # guards against chunks that arrive twice or out of order
+            # A duplicate or out-of-order chunk: ask for the next missing byte.
+            self._respond(sender, chunk, len(received))
             return
         received += chunk.data
         if chunk.done:
