--- a/gradegap/commands/store_server.py
+++ b/gradegap/commands/store_server.py
@@ -57,7 +57,7 @@
     )
 
     def stop() -> None:
-        loop.call_later(HAND_OVER_WAIT_S if member.hand_over() else 0.0, end)
+        loop.call_later(HAND_OVER_WAIT_S if member.transfer_leadership() else 0.0, end)
 
     def print_counters() -> None:
         log.info("counters", **metrics.snapshot())
--- a/gradegap/store/embedded.py
+++ b/gradegap/store/embedded.py
@@ -175,7 +175,7 @@
         This node's applied index is not reported any more, so no write is acknowledged that it does not know.
         """
         left_s = max(0.0, self.member.leases.holder.until - time.monotonic())
-        self.member.hand_over()
+        self.member.transfer_leadership()
         self.member.leases.wanted = False
         return left_s
 
--- a/gradegap/store/links.py
+++ b/gradegap/store/links.py
@@ -229,7 +229,7 @@
             lambda: Link(self, self.channel(is_dialer=False)), host, port, reuse_address=True
         )
 
-    def want(self, addresses: set[str]) -> None:
+    def set_addresses(self, addresses: set[str]) -> None:
         """Keep links to these, and to no others."""
         for address in addresses - self.dialers.keys():
             self.dialers[address] = Dialer(self, address)
--- a/gradegap/store/member.py
+++ b/gradegap/store/member.py
@@ -165,7 +165,7 @@
         )
         self.membership.want_links()
 
-    def hand_over(self) -> bool:
+    def transfer_leadership(self) -> bool:
         """Transfer leadership, where this member leads, to another voter; whether that was begun.
 
         Guards against the time without a leader that a planned end would cost.
--- a/gradegap/store/membership.py
+++ b/gradegap/store/membership.py
@@ -172,7 +172,7 @@
             known = {member.name for member in members}
             listed = {peer.address for peer in settings.peers if peer.name in known}
             addresses = {member.address for member in members} or listed
-        self.links.want(addresses - {settings.listen, settings.advertise})
+        self.links.set_addresses(addresses - {settings.listen, settings.advertise})
 
     def send_raft_message(self, recipient: str, message: Message) -> None:
         """Send a message of the consensus core to the member of this id."""
