--- a/gradegap/store/committed_state.py
+++ b/gradegap/store/committed_state.py
@@ -32,7 +32,7 @@
             self.proxy.enable_endpoint(endpoint_id)
             return
         try:
-            since = msgspec.convert(value, schema.Out).at_ms / 1000
+            since = msgspec.convert(value, schema.DisabledEndpoint).at_ms / 1000
         except msgspec.ValidationError:
             since = 0.0  # long ago where no time is given: no grace is left, then
         self.proxy.disable_endpoint(endpoint_id, min(since, self.proxy.now()))
--- a/gradegap/store/log_writer.py
+++ b/gradegap/store/log_writer.py
@@ -17,8 +17,8 @@
 from gradegap.store.storage import AppliedPosition, MemberStorage, WriteBatch
 
 RETAINED_ENTRIES = 1000  # applied entries that stay in the log, for members that are a little behind
-COMPACTION_ENTRIES = 4 * RETAINED_ENTRIES  # in the log, at which it is compacted
-COMPACTION_BYTES = 8 * 1024 * 1024  # of the log, at which it is compacted further
+COMPACTION_THRESHOLD_ENTRIES = 4 * RETAINED_ENTRIES  # in the log, at which it is compacted
+COMPACTION_THRESHOLD_BYTES = 8 * 1024 * 1024  # of the log, at which it is compacted further
 
 
 class WriterHost(Protocol):
@@ -73,21 +73,24 @@
         for ready in queue:
             self._add_ready(batch, ready)
         machine = self.host.machine
-        if batch.whole is None or machine.index >= batch.whole.index:
+        if batch.full_state is None or machine.index >= batch.full_state.index:
             batch.unsaved = machine.take_unsaved()
         self.received_snapshot = None
         batch.applied = AppliedPosition(machine.index, machine.revision, machine.clock_ms)
-        if raft.log.size_bytes > COMPACTION_BYTES or len(raft.log.entries) > COMPACTION_ENTRIES:
+        if (
+            raft.log.size_bytes > COMPACTION_THRESHOLD_BYTES
+            or len(raft.log.entries) > COMPACTION_THRESHOLD_ENTRIES
+        ):
             self._compact(batch, raft)
         return batch
 
     def _add_ready(self, batch: WriteBatch, ready: Ready) -> None:
         if ready.hard_state is not None:
-            batch.hard = ready.hard_state
+            batch.raft_hard_state = ready.hard_state
         if ready.snapshot is not None:
             batch.base = ready.snapshot.metadata
             batch.entries = []
-            batch.whole = self.received_snapshot
+            batch.full_state = self.received_snapshot
         for entry in ready.entries:
             if batch.entries and entry.index <= batch.entries[-1].index:
                 batch.entries = [each for each in batch.entries if each.index < entry.index]
@@ -95,7 +98,9 @@
 
     def _compact(self, batch: WriteBatch, raft: Raft) -> None:
         """Drop the log that the state on disk has made superfluous, but for a tail."""
-        retained = RETAINED_ENTRIES if raft.log.size_bytes <= COMPACTION_BYTES else RETAINED_ENTRIES // 10
+        retained = (
+            RETAINED_ENTRIES if raft.log.size_bytes <= COMPACTION_THRESHOLD_BYTES else RETAINED_ENTRIES // 10
+        )
         index = min(self.host.machine.index, raft.stable_index) - retained
         term = raft.log.term_at(index)
         if index <= raft.log.base.index or term is None or batch.base is not None or self._compacting_to:
@@ -109,7 +114,7 @@
         raft = self.host.raft
         if raft is None:
             return
-        self.storage.point("synced")
+        self.storage.reach_fault_point("synced")
         if self._compacting_to:
             raft.compact(self._compacting_to)
             self._compacting_to = 0
@@ -124,4 +129,4 @@
         last = next((ready.entries[-1] for ready in reversed(queue) if ready.entries), None)
         if last is not None:
             raft.persisted(time.monotonic(), last.index, last.term)
-        self.storage.point("sent")
+        self.storage.reach_fault_point("sent")
--- a/gradegap/store/member.py
+++ b/gradegap/store/member.py
@@ -144,8 +144,8 @@
         if cluster:
             self.start_raft(self.stored.base)
         else:
-            self.membership.form_alone()
-        self.membership.want_links()
+            self.membership.form_single_member_cluster()
+        self.membership.update_links()
         self._tick()
 
     def start_raft(self, base: SnapshotMetadata) -> None:
@@ -159,11 +159,11 @@
             seed,
             base,
             stored.entries,
-            stored.hard,
+            stored.raft_hard_state,
             stored.state.index,
             self.raft_settings,
         )
-        self.membership.want_links()
+        self.membership.update_links()
 
     def hand_over(self) -> bool:
         """Transfer leadership, where this member leads, to another voter; whether that was begun.
@@ -323,7 +323,7 @@
     # Links
 
     def _linked(self, link: Link, peer: wire.Hello) -> None:
-        self.membership.linked(link, peer)
+        self.membership.link_authenticated(link, peer)
         link.close_callbacks.append(lambda: self.requests.link_lost(peer.id))
         self.requests.leader_changed()
         self.peer_linked(link)
--- a/gradegap/store/membership.py
+++ b/gradegap/store/membership.py
@@ -58,7 +58,7 @@
 
     # To a cluster
 
-    def form_alone(self) -> None:
+    def form_single_member_cluster(self) -> None:
         """Begin a cluster of one, where no peers are listed."""
         formed = self.bootstrap.alone()
         if formed is not None:
@@ -90,9 +90,9 @@
         """Another member has named the cluster that this one belongs to."""
         if formed.configuration.get(self.host.identity.id) is not None:
             self.form(formed.cluster, formed.configuration)
-            self.want_links()
+            self.update_links()
 
-    def linked(self, link: Link, peer: wire.Hello) -> None:
+    def link_authenticated(self, link: Link, peer: wire.Hello) -> None:
         """A link to the member `peer` is authenticated."""
         host = self.host
         if not host.identity.cluster:
@@ -143,7 +143,7 @@
         log.info("members", names=[f"{m.name}{'' if m.voter else ' (learner)'}" for m in members])
         if raft.is_leader:
             self._tell_removed(raft)
-        self.want_links()
+        self.update_links()
 
     def _tell_removed(self, raft: Raft) -> None:
         addresses = {member.address for member in raft.configuration.members}
@@ -162,7 +162,7 @@
 
     # Links to the others
 
-    def want_links(self) -> None:
+    def update_links(self) -> None:
         """Keep links to the members, or before there is a cluster to the peers of the operator's file."""
         settings, raft = self.host.settings, self.host.raft
         addresses = {peer.address for peer in settings.peers if peer.name != settings.name}
--- a/gradegap/store/schema.py
+++ b/gradegap/store/schema.py
@@ -30,7 +30,7 @@
     ] = ""
 
 
-class Out(msgspec.Struct, forbid_unknown_fields=True):
+class DisabledEndpoint(msgspec.Struct, forbid_unknown_fields=True):
     """`out/SERVER`: an endpoint that is administratively disabled at every node."""
 
     at_ms: Annotated[int, msgspec.Meta(ge=0, description="since when, Unix time in ms")] = 0
@@ -38,7 +38,7 @@
     why: Annotated[str, msgspec.Meta(max_length=200)] = ""
 
 
-class Invited(msgspec.Struct, forbid_unknown_fields=True):
+class Invitation(msgspec.Struct, forbid_unknown_fields=True):
     """`cluster/invited/NAME`: a member that may come."""
 
     address: Annotated[str, msgspec.Meta(pattern=r":\d+$")]
@@ -86,9 +86,9 @@
                 raise ValueError(f"there is no {key}; there are {', '.join(sorted(FIELDS))}")
             return msgspec.convert(value, field.type)
         if prefix == "out":
-            return msgspec.convert(value, Out)
+            return msgspec.convert(value, DisabledEndpoint)
         if key.startswith("cluster/invited/"):
-            return msgspec.convert(value, Invited)
+            return msgspec.convert(value, Invitation)
         if key == "keys/resume":
             return msgspec.convert(value, SealingKeys)
         if key == "keys/quic":
@@ -98,7 +98,7 @@
     return value
 
 
-def check(update: KeyUpdate) -> None:
+def validate_update(update: KeyUpdate) -> None:
     """`CommandError` where a write doesn't fit its key."""
     if not update.delete:
         try:
@@ -109,7 +109,7 @@
 
 def json_schema() -> dict[str, Any]:
     """JSON Schema of all keys, for editors and for review."""
-    kinds = (Settings, Out, Invited, SealingKeys, QuicKeys)
+    kinds = (Settings, DisabledEndpoint, Invitation, SealingKeys, QuicKeys)
     parts, defs = msgspec.json.schema_components(kinds, ref_template="#/$defs/{name}")
     config, out, invited, sealing, quic = parts
     return {
--- a/gradegap/store/storage.py
+++ b/gradegap/store/storage.py
@@ -64,10 +64,10 @@
 class WriteBatch:
     """What is to be durable together: all of it, or none."""
 
-    hard: HardState | None = None
+    raft_hard_state: HardState | None = None
     identity: Identity | None = None
     base: SnapshotMetadata | None = None  # entries up to here can go
-    whole: StoreState | None = None  # in place of all state and log
+    full_state: StoreState | None = None  # in place of all state and log
     entries: list[Entry] = field(default_factory=list)
     unsaved: UnsavedChanges | None = None
     applied: AppliedPosition | None = None  # of the state with `unsaved`
@@ -78,7 +78,7 @@
     """What a folder holds at the start of its member."""
 
     identity: Identity
-    hard: HardState
+    raft_hard_state: HardState
     base: SnapshotMetadata
     entries: list[Entry]
     state: StoreState
@@ -118,7 +118,7 @@
             FolderError: where it is damaged, can't be used, or another process uses it.
         """
         self.folder = folder
-        self.point: Callable[[str], None] = lambda name: None  # where tests end the process
+        self.reach_fault_point: Callable[[str], None] = lambda name: None  # where tests end the process
         self._lock = _lock(folder)
         self._is_new = not (folder / "data.mdb").exists()
         try:
@@ -217,8 +217,8 @@
         try:
             with self.env.begin(write=True) as txn:
                 yield txn
-                self.point("before-commit")
-            self.point("after-commit")
+                self.reach_fault_point("before-commit")
+            self.reach_fault_point("after-commit")
         except lmdb.MapFullError:
             raise FolderError(
                 f"the store's folder {self.folder} is full: {self.env.info()['map_size']} bytes"
@@ -237,18 +237,18 @@
         def put(table: Any, key: bytes, value: object) -> None:
             txn.put(key, add_checksum(key, _encode(value)), db=table)
 
-        if batch.whole is not None:
-            self._put_whole(txn, batch.whole, put)
+        if batch.full_state is not None:
+            self._put_whole(txn, batch.full_state, put)
         if batch.identity is not None:
             put(self.meta, b"identity", batch.identity)
-        if batch.hard is not None:
-            put(self.meta, b"hard", batch.hard)
+        if batch.raft_hard_state is not None:
+            put(self.meta, b"hard", batch.raft_hard_state)
         if batch.entries:
             # What was there from here on was replaced by a newer leader's.
             self._cut(txn, self.log, encode_number(batch.entries[0].index), None)
             for entry in batch.entries:
                 put(self.log, encode_number(entry.index), entry)
-            self.point("entries")
+            self.reach_fault_point("entries")
         if batch.unsaved is not None:
             self._put_unsaved(txn, batch.unsaved, put)
         if batch.applied is not None:
@@ -266,7 +266,7 @@
             put(self.history, _event_key(event), event)
         for session in state.sessions:
             put(self.sessions, session.client.encode(), session)
-        self.point("whole")
+        self.reach_fault_point("whole")
 
     def _put_unsaved(self, txn: lmdb.Transaction, unsaved: UnsavedChanges, put: Put) -> None:
         for key, item in unsaved.items.items():
@@ -283,7 +283,7 @@
                 txn.delete(client.encode(), db=self.sessions)
             else:
                 put(self.sessions, client.encode(), session)
-        self.point("state")
+        self.reach_fault_point("state")
 
     def _cut(self, txn: lmdb.Transaction, table: Any, first: bytes | None, end: bytes | None) -> None:
         """Remove what is stored from `first` on, up to before `end`."""
--- a/gradegap/store/write_stamps.py
+++ b/gradegap/store/write_stamps.py
@@ -57,7 +57,7 @@
         """The write as it can be proposed; `CommandError` for one that no member would apply."""
         for update in (*write.then, *write.otherwise):
             check_update(update)
-            schema.check(update)
+            schema.validate_update(update)
         if len(write.client) > MAX_CLIENT_NAME_LENGTH or len(write.author) > MAX_AUTHOR_LENGTH:
             raise CommandError("bad_name: a client's or author's name is too long")
         if write.client and write.deadline_ms:
--- a/tests/compatibility/present.py
+++ b/tests/compatibility/present.py
@@ -136,8 +136,8 @@
         "value",
         _own(
             settings=schema.Settings,
-            out=schema.Out,
-            invited=schema.Invited,
+            out=schema.DisabledEndpoint,
+            invited=schema.Invitation,
             sealing_key=schema.SealingKey,
             sealing_keys=schema.SealingKeys,
             quic_key=schema.QuicKey,
--- a/tests/compatibility/readers.py
+++ b/tests/compatibility/readers.py
@@ -77,7 +77,7 @@
     made.load_state(found.state)
     contents = {
         "identity": plain(found.identity),
-        "hard": plain(found.hard),
+        "hard": plain(found.raft_hard_state),
         "base": plain(found.base),
         "entries": [_log_entry(entry) for entry in found.entries],
         "state": plain(found.state),
@@ -105,10 +105,10 @@
     state = found.state
     made.write(
         storage.WriteBatch(
-            hard=found.hard,
+            raft_hard_state=found.raft_hard_state,
             identity=found.identity,
             base=found.base,
-            whole=state,
+            full_state=state,
             entries=found.entries,
             applied=storage.AppliedPosition(state.index, state.revision, state.clock_ms),
         )
--- a/tests/support/store_process.py
+++ b/tests/support/store_process.py
@@ -17,7 +17,7 @@
 
 def set_up() -> None:
     if keep := os.environ.get("STORE_KEEP"):
-        log_writer.RETAINED_ENTRIES, log_writer.COMPACTION_ENTRIES = int(keep), 4 * int(keep)
+        log_writer.RETAINED_ENTRIES, log_writer.COMPACTION_THRESHOLD_ENTRIES = int(keep), 4 * int(keep)
     if room := os.environ.get("STORE_MAP"):
         storage.MemberStorage.__init__.__defaults__ = (int(room),)
     if wrong := os.environ.get("STORE_WALL"):
@@ -29,7 +29,7 @@
         left = [int(count)]
         plain = storage.MemberStorage.__init__
 
-        def point(name: str) -> None:
+        def reach_fault_point(name: str) -> None:
             if name == where:
                 left[0] -= 1
                 if not left[0]:
@@ -37,7 +37,7 @@
 
         def made(self: storage.MemberStorage, *args: object) -> None:
             plain(self, *args)  # type: ignore[arg-type]
-            self.point = point
+            self.reach_fault_point = reach_fault_point
 
         storage.MemberStorage.__init__ = made  # type: ignore[method-assign,assignment]
 
--- a/tests/test_store_schema.py
+++ b/tests/test_store_schema.py
@@ -55,10 +55,10 @@
 )
 def test_values_fit_their_keys(key: str, value: Any, good: bool) -> None:
     if good:
-        schema.check(KeyUpdate(key, value))
+        schema.validate_update(KeyUpdate(key, value))
     else:
         with pytest.raises(CommandError, match=r"^invalid: "):
-            schema.check(KeyUpdate(key, value))
+            schema.validate_update(KeyUpdate(key, value))
 
 
 def test_the_schema_is_json_schema() -> None:
--- a/tests/test_store_storage.py
+++ b/tests/test_store_storage.py
@@ -30,13 +30,14 @@
     write_some(disk)
     disk.write(
         WriteBatch(
-            entries=[Entry(2, 3, EntryKind.NO_OP), Entry(3, 3, EntryKind.NO_OP)], hard=HardState(3, "")
+            entries=[Entry(2, 3, EntryKind.NO_OP), Entry(3, 3, EntryKind.NO_OP)],
+            raft_hard_state=HardState(3, ""),
         )
     )
     disk.close()
     disk = MemberStorage(tmp_path / "d")
     found = disk.start()
-    assert found.identity == first.identity and found.hard == HardState(3, "")
+    assert found.identity == first.identity and found.raft_hard_state == HardState(3, "")
     assert [(e.index, e.term) for e in found.entries] == [(1, 1), (2, 3), (3, 3)]
     assert {i.key: i.value for i in found.state.items} == {"a": 1, "b": [1, None, "x"]}
     disk.write(WriteBatch(base=SnapshotMetadata(2, 3, ClusterConfiguration())))
@@ -108,5 +109,5 @@
     disk.close()
     disk = MemberStorage(tmp_path, map_size=256 * 1024)
     found = disk.start()
-    assert found.hard == HardState(1, "x") and len(found.entries) == 2
+    assert found.raft_hard_state == HardState(1, "x") and len(found.entries) == 2
     disk.close()
