--- a/gradegap/store/errors.py
+++ b/gradegap/store/errors.py
@@ -1,44 +1,46 @@
-"""What goes wrong in the store: one base, and a type for each of its parts.
+"""Exceptions of the store: a common base class, and one class for each part of the store.
 
-The text of each is one line for operators. Where it begins with a name and a colon, that is the reason
-by which it is counted.
+The text of each exception is a single line for operators. A word before a colon at its beginning is the
+reason under which metrics count it.
 """
 
 from __future__ import annotations
 
 
 class StoreError(Exception):
-    """Base of the store's errors."""
+    """Base class of the store's exceptions."""
 
 
 class CommandError(StoreError, ValueError):
-    """A command that no member applies; its text begins with the reason.
+    """A command was rejected and nothing was changed; the text begins with the reason.
 
-    Nothing was done. What to change is in the text: the key, the value, or the size of the transaction.
+    The text names what the caller has to correct: the key, the value, or the size of the transaction.
     """
 
 
 class FolderError(StoreError):
-    """A folder that a member can't start with, or can't write to.
+    """A member can't start from its data folder, or can't write to it.
 
-    A damaged folder is never repaired: it is moved away, and the member comes back under a new identity. One
-    that is full or of a later version is used again once that is mended.
+    A damaged folder is never repaired: the operator moves it away, and the member rejoins under a new
+    identity. A folder that is full or was written by a later version can be used again once the cause is
+    removed.
     """
 
 
 class LinkError(StoreError, ValueError):
-    """Why a link ends; its text begins with the reason that is counted.
+    """A link between members, or of a client to a member, is closed; the text begins with the counted reason.
 
-    Operators can mend `secret`, `cluster`, `lease` and `version` by the members' files; others are faults of
-    the network or of the other side, and the link is made anew.
+    Operators correct the reasons `secret`, `cluster`, `lease` and `version` in the operator's files of the
+    members. All other reasons are faults of the network or of the other side; the link is then set up again.
     """
 
 
 class RequestFailedError(StoreError):
-    """Why a request was not done.
+    """A request failed, or its outcome is unknown.
 
-    `kind` is "unreachable" (try another member), "no" (nothing was done), "unknown" (it may be done by now:
-    look before it is sent again) or "no_quorum" (nothing was done; too few members are up).
+    `kind` is "unreachable" (try another member), "no" (rejected, nothing was changed), "unknown" (the request
+    may have been carried out: read the state before sending it again) or "no_quorum" (nothing was changed
+    because too few members are available).
     """
 
     def __init__(self, kind: str, text: str) -> None:
--- a/gradegap/store/machine.py
+++ b/gradegap/store/machine.py
@@ -1,7 +1,8 @@
-"""The replicated state: what the log makes of it, entry after entry, the same at every member.
+"""The replicated state machine: applies log entries in order, with the same result at every member.
 
-No clock, no file, no socket. All that an entry may depend on is in the log, its time included. What changed
-since the last `take_unsaved` is kept apart, so that a disk can write it along with the next entries.
+It uses no clock, file or socket: everything that the result of an entry depends on is in the log, including
+the time. Changes since the last call of `take_unsaved` are collected separately, so that the log writer can
+store them together with the next entries.
 """
 
 from __future__ import annotations
@@ -30,40 +31,40 @@
     StoreState,
     check_update,
     encode,
-    event_size,
+    event_size_bytes,
 )
 
 MAX_KEYS = 200_000
 MAX_TRANSACTION_UPDATES = 128
-MAX_SESSIONS = 50_000  # of writes at once at all members, and of clients that name themselves
-MAX_HISTORY_EVENTS = 10_000  # events that can be watched from, and rolled back
-MAX_HISTORY_BYTES = 16 * 1024 * 1024
+MAX_SESSIONS = 50_000  # one for each concurrent write at all members, and for each client that chose its name
+MAX_HISTORY_EVENTS = 10_000  # a watch can start at a retained event, and values before it can be computed
+MAX_HISTORY_BYTES = 16 * 1024 * 1024  # limits the estimated memory of all retained events
 
 _record_decoder: msgspec.msgpack.Decoder[LogRecord] = msgspec.msgpack.Decoder(LogRecord)
 
 
 @dataclass(slots=True)
 class UnsavedChanges:
-    """What has changed since it was last taken to be written; None: deleted."""
+    """Changes of the state that are not yet written to disk; the value None stands for a deletion."""
 
     items: dict[str, Item | None] = field(default_factory=dict)
     events: list[Event] = field(default_factory=list)
-    first_kept_revision: int = 0  # events of earlier revisions can go
+    first_kept_revision: int = 0  # stored events of earlier revisions can be deleted; 0: none
     sessions: dict[str, Session | None] = field(default_factory=dict)
 
 
 class StateMachine:
-    """The keys with their history, and the sessions of those who write them.
+    """The keys with their history, and the sessions of the clients that write them.
 
-    `listeners` are called with the events of each revision, once it is applied.
+    Each of `listeners` is called with the events of a revision after the revision is applied.
     """
 
     def __init__(self) -> None:
-        self.index = 0  # of the last entry that was applied
+        self.index = 0  # index of the last applied log entry
         self.revision = 0
         self.clock_ms = 0  # log time
         self.items: dict[str, Item] = {}
-        self.size_bytes = 0  # of keys and values
+        self.size_bytes = 0  # total size of all keys and encoded values
         self.events: deque[Event] = deque()
         self.history_bytes = 0
         self.sessions: dict[str, Session] = {}
@@ -72,23 +73,23 @@
         self._expiry_queue: list[tuple[int, str]] = []
         self._session_queue: list[tuple[int, str]] = []
 
-    # What an entry does
+    # Applying entries
 
     def apply(self, index: int, data: bytes) -> Result:
-        """An entry of the log, in order. It never raises for what a client sent: that is its result."""
+        """Applies the next log entry. An invalid command doesn't raise: its error is in the result."""
         self.index = index
         record = _record_decoder.decode(data)
         self.clock_ms = max(self.clock_ms, record.time_ms)
         self._forget_sessions()
         if isinstance(record.body, Expire):
             return self._expire(record.wall_ms)
-        return self._command(record.body, record.wall_ms)
+        return self._apply_command(record.body, record.wall_ms)
 
     def skip(self, index: int) -> None:
-        """An entry that is not for this state."""
+        """Passes an entry that doesn't change the state, such as a change of the cluster's members."""
         self.index = index
 
-    def _command(self, command: Command, wall_ms: int) -> Result:
+    def _apply_command(self, command: Command, wall_ms: int) -> Result:
         known = self.sessions.get(command.client)
         if known is not None and known.seq >= command.seq:
             if known.seq == command.seq:
@@ -99,27 +100,30 @@
         if known is None and len(self.sessions) >= MAX_SESSIONS:
             return Result(self.revision, False, "busy: too many clients wrote within the last minute")
         result = self._transact(command, wall_ms)
-        until = max(command.deadline_ms, known.remembered_until_ms if known is not None else 0)
-        session = self.sessions[command.client] = Session(command.client, command.seq, until, result)
+        session_end_ms = max(command.deadline_ms, known.remembered_until_ms if known is not None else 0)
+        session = self.sessions[command.client] = Session(command.client, command.seq, session_end_ms, result)
         self.unsaved.sessions[command.client] = session
-        heapq.heappush(self._session_queue, (until, command.client))
+        heapq.heappush(self._session_queue, (session_end_ms, command.client))
         return result
 
     def _transact(self, command: Command, wall_ms: int) -> Result:
-        held = all(self._compare_holds(compare) for compare in command.compares)
-        updates = command.then if held else command.otherwise
+        holds = all(self._compare_holds(compare) for compare in command.compares)
+        updates = command.then if holds else command.otherwise
         try:
             self._check_transaction(updates)
         except CommandError as error:
             return Result(self.revision, False, str(error))
         events: list[Event] = []
         for update in updates:
-            self._update(update, command.author, wall_ms, events)
+            self._apply_update(update, command.author, wall_ms, events)
         self._commit_events(events)
-        return Result(self.revision, held)
+        return Result(self.revision, holds)
 
     def _check_transaction(self, updates: tuple[KeyUpdate, ...]) -> None:
-        """All of a transaction, or none of it."""
+        """Checks all updates before the first one is applied, because a transaction is atomic.
+
+        The error texts are part of the replicated results.
+        """
         if len(updates) > MAX_TRANSACTION_UPDATES:
             raise CommandError(f"too_large: a transaction has at most {MAX_TRANSACTION_UPDATES} parts")
         if len({update.key for update in updates}) != len(updates):
@@ -139,7 +143,7 @@
             return (0 if item is None else item.modified_revision) == compare.revision
         return item is not None and bool(item.value == compare.value)
 
-    def _update(
+    def _apply_update(
         self, update: KeyUpdate, author: str, wall_ms: int, events: list[Event], cause: str = "write"
     ) -> None:
         old = self.items.get(update.key)
@@ -166,13 +170,15 @@
             del self.items[update.key]
             self.unsaved.items[update.key] = None
             return
-        created, version = (revision, 1) if old is None else (old.created_revision, old.version + 1)
-        expires = self.clock_ms + update.ttl_ms if update.ttl_ms else 0
-        item = Item(update.key, update.value, created, revision, version, expires, author, wall_ms)
-        self._insert(item)
+        creation_revision, version = (revision, 1) if old is None else (old.created_revision, old.version + 1)
+        expiry_ms = self.clock_ms + update.ttl_ms if update.ttl_ms else 0
+        item = Item(
+            update.key, update.value, creation_revision, revision, version, expiry_ms, author, wall_ms
+        )
+        self._insert_item(item)
         self.unsaved.items[update.key] = item
 
-    def _insert(self, item: Item) -> None:
+    def _insert_item(self, item: Item) -> None:
         self.items[item.key] = item
         self.size_bytes += len(item.key) + len(encode(item.value))
         if item.expires_at_ms:
@@ -186,10 +192,10 @@
         for event in events:
             self._append_history(event)
         while len(self.events) > MAX_HISTORY_EVENTS or self.history_bytes > MAX_HISTORY_BYTES:
-            self.history_bytes -= event_size(self.events.popleft())
-        # A revision is remembered whole or not at all.
+            self.history_bytes -= event_size_bytes(self.events.popleft())
+        # The events of a revision are retained together or not at all.
         while self.events and self.events[0].position:
-            self.history_bytes -= event_size(self.events.popleft())
+            self.history_bytes -= event_size_bytes(self.events.popleft())
         self.unsaved.first_kept_revision = self.events[0].revision if self.events else self.revision + 1
         self._notify(events)
 
@@ -199,7 +205,7 @@
 
     def _append_history(self, event: Event) -> None:
         self.events.append(event)
-        self.history_bytes += event_size(event)
+        self.history_bytes += event_size_bytes(event)
 
     def _expire(self, wall_ms: int) -> Result:
         events: list[Event] = []
@@ -208,58 +214,66 @@
             and self._expiry_queue[0][0] <= self.clock_ms
             and len(events) < MAX_TRANSACTION_UPDATES
         ):
-            expires, key = heapq.heappop(self._expiry_queue)
+            expiry_ms, key = heapq.heappop(self._expiry_queue)
             item = self.items.get(key)
-            if item is not None and item.expires_at_ms == expires:
-                self._update(KeyUpdate(key, delete=True), item.author, wall_ms, events, "expired")
+            if item is not None and item.expires_at_ms == expiry_ms:
+                self._apply_update(KeyUpdate(key, delete=True), item.author, wall_ms, events, "expired")
         self._commit_events(events)
         return Result(self.revision)
 
     def next_expiry(self) -> int | None:
-        """The log time at which the next key ends."""
+        """The log time in ms at which the next key expires; None if no key expires."""
         while self._expiry_queue:
-            expires, key = self._expiry_queue[0]
+            expiry_ms, key = self._expiry_queue[0]
             item = self.items.get(key)
-            if item is not None and item.expires_at_ms == expires:
-                return expires
+            if item is not None and item.expires_at_ms == expiry_ms:
+                return expiry_ms
             heapq.heappop(self._expiry_queue)
         return None
 
     def _forget_sessions(self) -> None:
         while self._session_queue and self._session_queue[0][0] < self.clock_ms:
-            until, client = heapq.heappop(self._session_queue)
+            session_end_ms, client = heapq.heappop(self._session_queue)
             session = self.sessions.get(client)
-            if session is not None and session.remembered_until_ms == until:
+            if session is not None and session.remembered_until_ms == session_end_ms:
                 del self.sessions[client]
                 self.unsaved.sessions[client] = None
 
-    # What is read
+    # Reading
 
     def get(self, key: str) -> Item | None:
-        """One key; None where it is not there."""
+        """The item of a key; None if the key doesn't exist."""
         return self.items.get(key)
 
     def list(self, prefix: str = "") -> list[Item]:
-        """The keys that begin so, in order."""
+        """The items whose keys begin with `prefix`, sorted by key."""
         return [self.items[key] for key in sorted(self.items) if key.startswith(prefix)]
 
     @property
     def first_retained_revision(self) -> int:
-        """The revision from which on all changes are remembered."""
+        """The first revision since which all changes are in the history."""
         return self.events[0].revision if self.events else self.revision + 1
 
     def events_since(self, revision: int, prefix: str = "") -> Iterator[Event]:
-        """Changes from `revision` on; `CommandError` where they are forgotten."""
+        """The changes of keys with a prefix since `revision`, this one included.
+
+        Raises:
+            CommandError: if changes since `revision` are no longer in the history.
+        """
         if revision < self.first_retained_revision:
-            raise CommandError(f"compacted: changes are kept from revision {self.first_retained_revision}")
+            raise CommandError(f"compacted: the history begins at revision {self.first_retained_revision}")
         return (event for event in self.events if event.revision >= revision and event.key.startswith(prefix))
 
     def values_at(self, revision: int, prefix: str) -> dict[str, Any]:
-        """The values as they were after `revision`; `CommandError` where that is forgotten."""
+        """The values of keys with a prefix as they were after `revision`.
+
+        Raises:
+            CommandError: if there is no such revision yet, or later changes are no longer in the history.
+        """
         if not 0 <= revision <= self.revision:
-            raise CommandError(f"no_such_revision: the store is at {self.revision}")
+            raise CommandError(f"no_such_revision: the latest revision is {self.revision}")
         if revision + 1 < self.first_retained_revision:
-            raise CommandError(f"compacted: changes are kept from revision {self.first_retained_revision}")
+            raise CommandError(f"compacted: the history begins at revision {self.first_retained_revision}")
         values = {item.key: item.value for item in self.list(prefix)}
         for event in reversed(self.events):
             if event.revision <= revision:
@@ -271,17 +285,17 @@
                     values.pop(event.key, None)
         return values
 
-    # Whole
+    # The complete state
 
     def digest(self) -> str:
-        """The same at two members that hold the same keys."""
+        """A hash of all items; members with the same items have the same digest."""
         digest = hashlib.blake2b(digest_size=16)
         for key in sorted(self.items):
             digest.update(encode(self.items[key]))
         return digest.hexdigest()
 
     def export_state(self) -> StoreState:
-        """All of the state, as a snapshot has it."""
+        """The complete state, as a snapshot holds it."""
         return StoreState(
             self.index,
             self.revision,
@@ -292,12 +306,12 @@
         )
 
     def load_state(self, state: StoreState) -> None:
-        """Take a state in place of this one. Listeners see the difference as changes of its revision."""
+        """Replaces the state. Listeners are called with the differences, in one call for the new revision."""
         old, self.items = self.items, {}
         self.index, self.revision, self.clock_ms = state.index, state.revision, state.clock_ms
         self.size_bytes, self._expiry_queue, self._session_queue = 0, [], []
         for item in state.items:
-            self._insert(item)
+            self._insert_item(item)
         self.events, self.history_bytes = deque(), 0
         for event in state.events:
             self._append_history(event)
@@ -310,14 +324,14 @@
             self._notify(events)
 
     def take_unsaved(self) -> UnsavedChanges:
-        """What changed since the last call, to be written."""
+        """Returns the changes since the last call, which the caller writes to disk."""
         unsaved = self.unsaved
         self.unsaved = UnsavedChanges(first_kept_revision=unsaved.first_kept_revision)
         return unsaved
 
 
 def _difference(old: dict[str, Item], new: dict[str, Item], revision: int) -> list[Event]:
-    """The events that lead from old items to new ones; deletions are of `revision`."""
+    """The events that lead from the old items to the new ones; deletions have the given `revision`."""
     puts = [
         Event(
             item.modified_revision,
--- a/gradegap/store/records.py
+++ b/gradegap/store/records.py
@@ -1,7 +1,8 @@
-"""The records of the replicated state: what entries of the log, snapshots and the folder hold. No I/O.
+"""Data types of the replicated state, as stored in log entries, snapshots and data folders. No I/O.
 
-All are stored array-like: the order of their fields is the format. Log time is the leaders' steady clock in
-milliseconds since the cluster began, as entries carry it; wall-clock times are Unix milliseconds.
+All structs are encoded as arrays, so the order of their fields is the storage format. Log time is the steady
+clock of the leaders in milliseconds since the cluster was formed; each log entry carries it. Wall-clock times
+are Unix milliseconds.
 """
 
 from __future__ import annotations
@@ -12,28 +13,28 @@
 
 from gradegap.store.errors import CommandError
 
-MAX_KEY_BYTES = 480  # what LMDB takes
-MAX_VALUE_BYTES = 64 * 1024  # as msgpack
+MAX_KEY_BYTES = 480  # within LMDB's limit for the length of a key
+MAX_VALUE_BYTES = 64 * 1024  # limits a value encoded as msgpack
 MAX_TTL_MS = 366 * 86_400_000  # 366 days
-EVENT_OVERHEAD_BYTES = 64  # of an event in memory, beside its key and values
-MAX_STATE_BYTES = 128 * 1024 * 1024  # of keys and values together
+EVENT_OVERHEAD_BYTES = 64  # estimated memory of an event in addition to its key and values
+MAX_STATE_BYTES = 128 * 1024 * 1024  # limits the total size of all keys and values
 
 
 class Item(msgspec.Struct, frozen=True, array_like=True):
-    """A key with its value and the revisions that made and last changed it."""
+    """A key with its value, and the revisions at which it was created and last modified."""
 
     key: str
     value: Any
     created_revision: int
     modified_revision: int
-    version: int = 1  # how often it was written since it was made
-    expires_at_ms: int = 0  # log time in ms; 0: never
+    version: int = 1  # number of writes since the key was created
+    expires_at_ms: int = 0  # log time in ms; 0: the key does not expire
     author: str = ""
-    wall_ms: int = 0  # when, by the wall clock of the leader of then
+    wall_ms: int = 0  # wall-clock time of the last write at the leader that proposed it
 
 
 class Event(msgspec.Struct, frozen=True, array_like=True):
-    """One change, with the previous value."""
+    """One change of a key, with the key's previous value."""
 
     revision: int
     key: str
@@ -43,12 +44,16 @@
     existed_before: bool
     author: str
     wall_ms: int
-    cause: str = "write"  # or "expired"
-    position: int = 0  # within the revision
+    cause: str = "write"  # "write", "expired", or "snapshot" for a difference found when a snapshot is loaded
+    position: int = 0  # index of this change among the changes of its revision
 
 
 class Compare(msgspec.Struct, frozen=True, array_like=True):
-    """Holds where the key was last changed at `revision` (0: it is not there), or has this value."""
+    """A condition on a key.
+
+    With a `revision`, it holds if the key was last modified at that revision; 0 means that the key does not
+    exist. Without one, it holds if the key exists and has this value.
+    """
 
     key: str
     revision: int | None = None
@@ -56,7 +61,7 @@
 
 
 class KeyUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """A put, or a delete; `ttl_ms` after which the leader ends the key."""
+    """A put or a delete of one key; the leader deletes the key `ttl_ms` after a put (0: never)."""
 
     key: str
     value: Any = None
@@ -65,10 +70,10 @@
 
 
 class Command(msgspec.Struct, frozen=True, array_like=True, tag="write"):
-    """A transaction: all of `then` where each compare holds, else all of `otherwise`.
+    """A transaction: applies all of `then` if every compare holds, else all of `otherwise`.
 
-    `client` and `seq` name it, so that one that is proposed again is applied once; `deadline_ms` (log time)
-    bounds when it may still be applied, and so how long it has to be remembered.
+    `client` and `seq` identify the command, so that one that is proposed several times is applied once.
+    `deadline_ms` is the log time until which it may be applied; members remember its result until then.
     """
 
     client: str
@@ -81,11 +86,11 @@
 
 
 class Expire(msgspec.Struct, frozen=True, array_like=True, tag="expire"):
-    """Ends the keys whose time is over by the time of this entry."""
+    """Deletes the keys whose time to live has ended at the log time of this entry."""
 
 
 class LogRecord(msgspec.Struct, frozen=True, array_like=True):
-    """An entry's data: the leader's log time and wall clock, and what is to be done."""
+    """The data of a log entry: the leader's log time and wall-clock time, and the operation to apply."""
 
     time_ms: int
     wall_ms: int
@@ -93,15 +98,15 @@
 
 
 class Result(msgspec.Struct, frozen=True, array_like=True):
-    """What came of a command. `error` is empty, or begins with the reason that is counted."""
+    """The result of a command. `error` is empty, or begins with the reason under which metrics count it."""
 
     revision: int
-    succeeded: bool = True  # whether the compares held
+    succeeded: bool = True  # whether all compares held
     error: str = ""
 
 
 class Session(msgspec.Struct, frozen=True, array_like=True):
-    """The last command of a client with its result, kept until no copy of it may be applied any more."""
+    """The last command of a client with its result, kept until the deadlines of its copies have passed."""
 
     client: str
     seq: int
@@ -110,7 +115,7 @@
 
 
 class StoreState(msgspec.Struct, frozen=True, array_like=True):
-    """All of it, as a snapshot has it."""
+    """The complete replicated state, as a snapshot holds it."""
 
     index: int
     revision: int
@@ -124,7 +129,13 @@
 
 
 def check_update(update: KeyUpdate) -> None:
-    """Guards the state against keys and values that would fill it; the same rule at every member."""
+    """Rejects invalid keys, and values and times to live over their limits; all members apply the same rule.
+
+    The error texts are part of the replicated results.
+
+    Raises:
+        CommandError: if the key, the value or the time to live is not allowed.
+    """
     key = update.key
     if not 0 < len(key.encode()) <= MAX_KEY_BYTES or not key.isprintable() or " " in key:
         raise CommandError("bad_key: a key has 1 to 480 bytes of printable characters and no space")
@@ -134,7 +145,7 @@
         raise CommandError("bad_ttl: a time to live is 0 to 366 days")
 
 
-def event_size(event: Event) -> int:
-    """About the bytes that an event takes in memory."""
+def event_size_bytes(event: Event) -> int:
+    """The estimated size of an event in memory, in bytes."""
     values = len(encode(event.value)) + len(encode(event.previous_value))
     return len(event.key) + values + EVENT_OVERHEAD_BYTES
--- a/gradegap/store/schema.py
+++ b/gradegap/store/schema.py
@@ -1,7 +1,7 @@
-"""What keys of the store may hold. A new kind of configuration is a field here, and nowhere else.
+"""The schema of the store's keys. A new configuration setting is added as a field here, and nowhere else.
 
-Checked by whoever proposes a value and by whoever lets it take effect, not by the log: members of two
-versions must come to the same state.
+Values are checked by the member that receives a write and by the node on which the value takes effect. They
+are not checked when a log entry is applied, because members of two versions must reach the same state.
 """
 
 from __future__ import annotations
@@ -15,31 +15,37 @@
 from gradegap.store.records import KeyUpdate
 
 LogLevel = Literal["debug", "info", "warning", "error"]
-Count = Annotated[int, msgspec.Meta(ge=0, le=1_000_000)]
+SessionCount = Annotated[int, msgspec.Meta(ge=0, le=1_000_000)]
 
 
 class Settings(msgspec.Struct, forbid_unknown_fields=True):
-    """`config/` keys: what operators set for all nodes."""
-
-    log_level: Annotated[LogLevel, msgspec.Meta(description="the least level that is logged")] = "info"
-    quic_accept: Annotated[bool, msgspec.Meta(description="whether the QUIC front takes new sessions")] = True
-    quic_max_sessions: Annotated[Count, msgspec.Meta(description="sessions over QUIC at once")] = 4000
-    capture: Annotated[bool, msgspec.Meta(description="whether nodes with [capture] record")] = True
+    """`config/` keys: settings that operators change for all nodes at runtime."""
+
+    log_level: Annotated[LogLevel, msgspec.Meta(description="the least severe level that is logged")] = "info"
+    quic_accept: Annotated[bool, msgspec.Meta(description="whether the QUIC front accepts new sessions")] = (
+        True
+    )
+    quic_max_sessions: Annotated[
+        SessionCount, msgspec.Meta(description="maximum number of concurrent QUIC sessions of a node")
+    ] = 4000
+    capture: Annotated[
+        bool, msgspec.Meta(description="whether nodes with a [capture] table write recordings")
+    ] = True
     motd: Annotated[
-        str, msgspec.Meta(max_length=200, description="a note for whoever looks at the configuration")
+        str, msgspec.Meta(max_length=200, description="a note for readers of the configuration")
     ] = ""
 
 
 class DisabledEndpoint(msgspec.Struct, forbid_unknown_fields=True):
-    """`out/SERVER`: an endpoint that is administratively disabled at every node."""
+    """`out/SERVER` keys: an endpoint that is administratively disabled on every node."""
 
-    at_ms: Annotated[int, msgspec.Meta(ge=0, description="since when, Unix time in ms")] = 0
-    by: Annotated[str, msgspec.Meta(max_length=128, description="who took it out")] = ""
+    at_ms: Annotated[int, msgspec.Meta(ge=0, description="when it was disabled, Unix time in ms")] = 0
+    by: Annotated[str, msgspec.Meta(max_length=128, description="who disabled it")] = ""
     why: Annotated[str, msgspec.Meta(max_length=200)] = ""
 
 
 class Invitation(msgspec.Struct, forbid_unknown_fields=True):
-    """`cluster/invited/NAME`: a member that may come."""
+    """`cluster/invited/NAME` keys: a member that is allowed to join the cluster."""
 
     address: Annotated[str, msgspec.Meta(pattern=r":\d+$")]
 
@@ -54,7 +60,7 @@
 
 
 class SealingKeys(msgspec.Struct, forbid_unknown_fields=True):
-    """`keys/resume`: the ring that seals tokens. `gradegap keys` writes it."""
+    """`keys/resume`: the key ring that seals resumption tokens. `gradegap keys` writes it."""
 
     keys: Annotated[list[SealingKey], msgspec.Meta(max_length=16)] = []
 
@@ -68,22 +74,29 @@
 
 
 class QuicKeys(msgspec.Struct, forbid_unknown_fields=True):
-    """`keys/quic`: what QUIC's ids, resets and address tokens are made from. `gradegap keys` writes it."""
+    """`keys/quic`: secrets for QUIC connection ids, stateless resets and address validation tokens.
+
+    `gradegap keys` writes it.
+    """
 
     keys: Annotated[list[QuicKey], msgspec.Meta(min_length=1, max_length=6)]
 
 
-FIELDS = {f.encode_name: f for f in msgspec.structs.fields(Settings)}
+SETTINGS_FIELDS = {field.encode_name: field for field in msgspec.structs.fields(Settings)}
 
 
 def check_value(key: str, value: Any) -> Any:
-    """The value as it takes effect; `ValueError` in one line where it can't."""
+    """Returns the value converted to the type that its key requires.
+
+    Raises:
+        ValueError: with a single line of text, if the key or the value doesn't fit the schema.
+    """
     prefix, _, name = key.partition("/")
     try:
         if prefix == "config":
-            field = FIELDS.get(name)
+            field = SETTINGS_FIELDS.get(name)
             if field is None:
-                raise ValueError(f"there is no {key}; there are {', '.join(sorted(FIELDS))}")
+                raise ValueError(f"unknown setting {key}; there are {', '.join(sorted(SETTINGS_FIELDS))}")
             return msgspec.convert(value, field.type)
         if prefix == "out":
             return msgspec.convert(value, DisabledEndpoint)
@@ -99,7 +112,11 @@
 
 
 def validate_update(update: KeyUpdate) -> None:
-    """`CommandError` where a write doesn't fit its key."""
+    """Checks the value of a write against the schema of its key.
+
+    Raises:
+        CommandError: if the value doesn't fit.
+    """
     if not update.delete:
         try:
             check_value(update.key, update.value)
@@ -108,15 +125,15 @@
 
 
 def json_schema() -> dict[str, Any]:
-    """JSON Schema of all keys, for editors and for review."""
+    """Returns the JSON Schema of all keys, for editors and for review."""
     kinds = (Settings, DisabledEndpoint, Invitation, SealingKeys, QuicKeys)
-    parts, defs = msgspec.json.schema_components(kinds, ref_template="#/$defs/{name}")
-    config, out, invited, sealing, quic = parts
+    parts, definitions = msgspec.json.schema_components(kinds, ref_template="#/$defs/{name}")
+    config, disabled, invitation, sealing, quic = parts
     return {
         "$schema": "https://json-schema.org/draft/2020-12/schema",
         "title": "keys of the store",
         "type": "object",
         "properties": {"config/": config, "keys/resume": sealing, "keys/quic": quic},
-        "patternProperties": {"^out/.+": out, "^cluster/invited/.+": invited},
-        "$defs": defs,
+        "patternProperties": {"^out/.+": disabled, "^cluster/invited/.+": invitation},
+        "$defs": definitions,
     }
--- a/gradegap/store/storage.py
+++ b/gradegap/store/storage.py
@@ -1,7 +1,7 @@
-"""A member's folder: log, vote, identity and state in LMDB, written and synced in one transaction.
+"""The data folder of a member: log, vote, identity and state in LMDB, written and synced in one transaction.
 
-Whatever is wrong with a folder is one plain error. Nothing is repaired by guess: a member that votes again
-after it forgot its vote can undo a committed change.
+Every fault of a folder is reported as a `FolderError`. Nothing is repaired by guessing: a member that lost
+its vote and votes a second time in the same term can undo a committed change.
 """
 
 from __future__ import annotations
@@ -29,31 +29,37 @@
 T = TypeVar("T")
 Put = Callable[[Any, bytes, object], None]
 FORMAT_VERSION = 1
-MAP_SIZE_BYTES = 1 << 30  # of address space; the file grows as it is written
-CHECKSUM_BYTES = 4
+MAP_SIZE_BYTES = 1 << 30  # limits the file and reserves address space; the file grows with its data
+CHECKSUM_BYTES = 4  # CRC-32
 IDENTITY_BYTES = 8
-REJOIN_REMEDY = "to rejoin, move the folder away and start again: the member comes back under a new identity"
+REJOIN_REMEDY = "to rejoin, move the folder away and start again: the member rejoins under a new identity"
 
 
 def data_folder(settings: StoreSettings) -> Path:
-    """Where a member keeps what it must not forget; in `$TMPDIR` it comes back empty, as a new member."""
+    """The folder in which a member persists its data: the setting `store.data`, else a folder in `$TMPDIR`.
+
+    If `$TMPDIR` is emptied between two runs, the member starts with an empty folder, as a new member.
+
+    Raises:
+        FolderError: if `store.data` is empty and `TMPDIR` is not set.
+    """
     if settings.data:
         return Path(settings.data)
-    encode_number = os.environ.get("TMPDIR")
-    if not encode_number:
-        raise FolderError("store.data names no folder, and there is no TMPDIR")
-    return Path(encode_number) / f"gradegap-store-{settings.name}"
+    temporary_folder = os.environ.get("TMPDIR")
+    if not temporary_folder:
+        raise FolderError("store.data must name a folder if the environment variable TMPDIR is not set")
+    return Path(temporary_folder) / f"gradegap-store-{settings.name}"
 
 
 class Identity(msgspec.Struct, frozen=True, array_like=True):
-    """Who this member is, for as long as its folder lasts."""
+    """The identity of a member; a new folder gets a new identity."""
 
     id: str
-    cluster: str = ""  # empty: it belongs to no cluster yet
+    cluster: str = ""  # empty: the member doesn't belong to a cluster yet
 
 
 class AppliedPosition(NamedTuple):
-    """How far a stored state is; the order of the fields is the format."""
+    """The position in the log of a stored state; the order of the fields is the storage format."""
 
     log_index: int
     revision: int
@@ -62,20 +68,20 @@
 
 @dataclass(slots=True)
 class WriteBatch:
-    """What is to be durable together: all of it, or none."""
+    """Data that is written atomically; None means that the stored value stays as it is."""
 
     raft_hard_state: HardState | None = None
     identity: Identity | None = None
-    base: SnapshotMetadata | None = None  # entries up to here can go
-    full_state: StoreState | None = None  # in place of all state and log
+    base: SnapshotMetadata | None = None  # log entries up to this index are deleted
+    full_state: StoreState | None = None  # replaces the stored state and the log
     entries: list[Entry] = field(default_factory=list)
     unsaved: UnsavedChanges | None = None
-    applied: AppliedPosition | None = None  # of the state with `unsaved`
+    applied: AppliedPosition | None = None  # position of the stored state after `unsaved` is added
 
 
 @dataclass(slots=True)
 class StoredMember:
-    """What a folder holds at the start of its member."""
+    """The contents of a folder, read when its member starts."""
 
     identity: Identity
     raft_hard_state: HardState
@@ -85,20 +91,24 @@
 
 
 def add_checksum(key: bytes, body: bytes) -> bytes:
-    """A value as it is stored under `key`."""
+    """Returns `body` with the checksum of key and body in front, as it is stored under `key`."""
     return zlib.crc32(body, zlib.crc32(key)).to_bytes(CHECKSUM_BYTES, "big") + body
 
 
 def verify_checksum(key: bytes, raw: bytes) -> bytes:
-    """The value that is stored under `key`; `ValueError` where it is damaged."""
+    """Returns the body of a value that is stored under `key`.
+
+    Raises:
+        ValueError: if the checksum doesn't match.
+    """
     body = raw[CHECKSUM_BYTES:]
     if len(raw) < CHECKSUM_BYTES or add_checksum(key, body)[:CHECKSUM_BYTES] != raw[:CHECKSUM_BYTES]:
-        raise ValueError(f"the checksum of {key!r} is wrong")
+        raise ValueError(f"the checksum of {key!r} doesn't match")
     return body
 
 
 def encode_number(number: int) -> bytes:
-    """A number as a key, in the order of numbers."""
+    """Encodes a number as a key whose byte order is the numeric order."""
     return number.to_bytes(8, "big")
 
 
@@ -109,16 +119,17 @@
 
 
 class MemberStorage:
-    """One process's hold on a member's folder."""
+    """Reads and writes a member's folder, which no other process can use at the same time."""
 
     def __init__(self, folder: Path, map_size: int = MAP_SIZE_BYTES) -> None:
-        """Open the folder, which is made where there is none.
+        """Opens the folder, and creates it if it doesn't exist; `map_size` limits the file, in bytes.
 
         Raises:
-            FolderError: where it is damaged, can't be used, or another process uses it.
+            FolderError: if the folder is damaged, can't be used, or is in use by another process.
         """
         self.folder = folder
-        self.reach_fault_point: Callable[[str], None] = lambda name: None  # where tests end the process
+        # Tests replace this callback by one that kills the process at a named point of a write.
+        self.reach_fault_point: Callable[[str], None] = lambda name: None
         self._lock = _lock(folder)
         self._is_new = not (folder / "data.mdb").exists()
         try:
@@ -132,31 +143,31 @@
             os.close(self._lock)
             raise self._damaged(str(error)) from None
 
-    def _damaged(self, why: str) -> FolderError:
-        return FolderError(f"the store's folder {self.folder} is damaged ({why}); {REJOIN_REMEDY}")
+    def _damaged(self, reason: str) -> FolderError:
+        return FolderError(f"the store's folder {self.folder} is damaged ({reason}); {REJOIN_REMEDY}")
 
     def _check_size(self) -> None:
-        """Guards against a file that was cut: mapped, its missing pages would end the process by a signal."""
+        """Rejects a truncated file: access to its missing pages in the memory map would raise SIGBUS."""
         path = self.folder / "data.mdb"
         if not self._is_new and path.stat().st_size < MIN_FILE_BYTES:
-            raise lmdb.Error("its file is cut short")
+            raise lmdb.Error("its file is truncated")
 
     def _check_pages(self) -> None:
         page = self.env.stat()["psize"]
         if self._is_new:
             return
         if (self.env.info()["last_pgno"] + 1) * page > (self.folder / "data.mdb").stat().st_size:
-            raise lmdb.Error("its file is cut short")
+            raise lmdb.Error("its file is truncated")
 
     def start(self) -> StoredMember:
-        """What the folder holds; a new identity where it is new.
+        """Reads the contents of the folder; a new folder is given a new identity first.
 
         Raises:
-            FolderError: where it is damaged, or of a later format, whose version the text names.
+            FolderError: if the folder is damaged, or has the format of a later version, which the text names.
         """
         try:
             with self.env.begin() as txn:
-                stored = self._read(txn) if self._has_format(txn) else None
+                stored = self._read(txn) if self._has_readable_format(txn) else None
         except (lmdb.Error, ValueError, msgspec.MsgspecError, KeyError) as error:
             raise self._damaged(str(error)) from None
         if stored is not None:
@@ -164,23 +175,28 @@
         self._create()
         return self.start()
 
-    def _has_format(self, txn: lmdb.Transaction) -> bool:
-        """Whether the folder holds a member; `FolderError` where that is of a later format."""
+    def _has_readable_format(self, txn: lmdb.Transaction) -> bool:
+        """Whether the folder holds the data of a member; False for a new folder.
+
+        Raises:
+            FolderError: if the data has the format of a later version.
+            ValueError: if there is data without a format version.
+        """
         raw = txn.get(b"format", db=self.meta)
         if raw is None:
             if any(txn.stat(table)["entries"] for table in (self.meta, self.log, self.keys)):
-                raise ValueError("it has no format")
+                raise ValueError("it has no format version")
             return False
         version = int.from_bytes(verify_checksum(b"format", bytes(raw)), "big")
         if version > FORMAT_VERSION:
             raise FolderError(
-                f"the folder {self.folder} is of format {version}, this version reads up to "
-                f"{FORMAT_VERSION}: start a newer one"
+                f"the folder {self.folder} has format {version}, this version reads formats up to "
+                f"{FORMAT_VERSION}: start a newer version"
             )
         return True
 
     def _create(self) -> None:
-        # Written before anybody learns of it: a member is who its folder names.
+        # The identity is stored before the member sends it to anyone, so that it keeps it after a crash.
         identity = Identity(secrets.token_hex(IDENTITY_BYTES))
         base = SnapshotMetadata(0, 0, ClusterConfiguration())
         batch = WriteBatch(HardState(), identity, base, applied=AppliedPosition(0, 0, 0))
@@ -189,31 +205,37 @@
             self._put(txn, batch)
 
     def _read(self, txn: lmdb.Transaction) -> StoredMember:
-        def one(name: bytes, kind: type[T]) -> T:
+        def read_meta(name: bytes, kind: type[T]) -> T:
             raw = txn.get(name, db=self.meta)
             if raw is None:
-                raise ValueError(f"it lacks {name.decode()}")
+                raise ValueError(f"it has no record {name.decode()}")
             return msgspec.msgpack.decode(verify_checksum(name, bytes(raw)), type=kind)
 
-        def every(table: Any, kind: type[T]) -> list[T]:
+        def read_table(table: Any, kind: type[T]) -> list[T]:
             decoder = msgspec.msgpack.Decoder(kind)
             return [decoder.decode(verify_checksum(bytes(key), bytes(raw))) for key, raw in txn.cursor(table)]
 
-        base = one(b"base", SnapshotMetadata)
-        index, revision, clock_ms = one(b"applied", AppliedPosition)
-        entries = every(self.log, Entry)
+        base = read_meta(b"base", SnapshotMetadata)
+        index, revision, clock_ms = read_meta(b"applied", AppliedPosition)
+        entries = read_table(self.log, Entry)
         for expected, entry in enumerate(entries, base.index + 1):
             if entry.index != expected:
-                raise ValueError(f"its log lacks entry {expected}")
+                raise ValueError(f"its log has no entry {expected}")
         if not base.index <= index <= base.index + len(entries):
-            raise ValueError(f"its state is of entry {index}, its log ends at {base.index + len(entries)}")
-        items, events = every(self.keys, Item), every(self.history, Event)
-        state = StoreState(index, revision, clock_ms, items, events, every(self.sessions, Session))
-        return StoredMember(one(b"identity", Identity), one(b"hard", HardState), base, entries, state)
+            raise ValueError(f"its state is at entry {index}, its log ends at {base.index + len(entries)}")
+        items, events = read_table(self.keys, Item), read_table(self.history, Event)
+        state = StoreState(index, revision, clock_ms, items, events, read_table(self.sessions, Session))
+        return StoredMember(
+            read_meta(b"identity", Identity), read_meta(b"hard", HardState), base, entries, state
+        )
 
     @contextmanager
     def _writing(self) -> Iterator[lmdb.Transaction]:
-        """One transaction, synced at its end; `FolderError` where that fails, and then nothing is written."""
+        """One write transaction, committed and synced at the end of the `with` block.
+
+        Raises:
+            FolderError: if the transaction fails; nothing is written then.
+        """
         try:
             with self.env.begin(write=True) as txn:
                 yield txn
@@ -221,15 +243,21 @@
             self.reach_fault_point("after-commit")
         except lmdb.MapFullError:
             raise FolderError(
-                f"the store's folder {self.folder} is full: {self.env.info()['map_size']} bytes"
+                f"the store's folder {self.folder} is full: the limit is {self.env.info()['map_size']} bytes"
             ) from None
         except (lmdb.Error, OSError) as error:
-            full = any(os.strerror(e) in str(error) for e in (errno.ENOSPC, errno.EFBIG, errno.EDQUOT))
-            why = "its disk is full" if full else str(error)
-            raise FolderError(f"the store's folder {self.folder} can't be written: {why}") from None
+            is_full = any(
+                os.strerror(number) in str(error) for number in (errno.ENOSPC, errno.EFBIG, errno.EDQUOT)
+            )
+            reason = "its disk is full" if is_full else str(error)
+            raise FolderError(f"the store's folder {self.folder} can't be written: {reason}") from None
 
     def write(self, batch: WriteBatch) -> None:
-        """All of it or none, and on the disk once this returns."""
+        """Writes the batch atomically; it is synced to the disk when this method returns.
+
+        Raises:
+            FolderError: if the write fails; nothing of the batch is written then.
+        """
         with self._writing() as txn:
             self._put(txn, batch)
 
@@ -238,14 +266,14 @@
             txn.put(key, add_checksum(key, _encode(value)), db=table)
 
         if batch.full_state is not None:
-            self._put_whole(txn, batch.full_state, put)
+            self._put_full_state(txn, batch.full_state, put)
         if batch.identity is not None:
             put(self.meta, b"identity", batch.identity)
         if batch.raft_hard_state is not None:
             put(self.meta, b"hard", batch.raft_hard_state)
         if batch.entries:
-            # What was there from here on was replaced by a newer leader's.
-            self._cut(txn, self.log, encode_number(batch.entries[0].index), None)
+            # Stored entries from this index on were never committed; those of a newer leader replace them.
+            self._delete_range(txn, self.log, encode_number(batch.entries[0].index), None)
             for entry in batch.entries:
                 put(self.log, encode_number(entry.index), entry)
             self.reach_fault_point("entries")
@@ -255,9 +283,9 @@
             put(self.meta, b"applied", batch.applied)
         if batch.base is not None:
             put(self.meta, b"base", batch.base)
-            self._cut(txn, self.log, None, encode_number(batch.base.index + 1))
+            self._delete_range(txn, self.log, None, encode_number(batch.base.index + 1))
 
-    def _put_whole(self, txn: lmdb.Transaction, state: StoreState, put: Put) -> None:
+    def _put_full_state(self, txn: lmdb.Transaction, state: StoreState, put: Put) -> None:
         for table in (self.log, self.keys, self.history, self.sessions):
             txn.drop(table, delete=False)
         for item in state.items:
@@ -277,7 +305,7 @@
         for event in unsaved.events:
             put(self.history, _event_key(event), event)
         if unsaved.first_kept_revision:
-            self._cut(txn, self.history, None, encode_number(unsaved.first_kept_revision))
+            self._delete_range(txn, self.history, None, encode_number(unsaved.first_kept_revision))
         for client, session in unsaved.sessions.items():
             if session is None:
                 txn.delete(client.encode(), db=self.sessions)
@@ -285,25 +313,31 @@
                 put(self.sessions, client.encode(), session)
         self.reach_fault_point("state")
 
-    def _cut(self, txn: lmdb.Transaction, table: Any, first: bytes | None, end: bytes | None) -> None:
-        """Remove what is stored from `first` on, up to before `end`."""
+    def _delete_range(
+        self, txn: lmdb.Transaction, table: Any, first: bytes | None, end: bytes | None
+    ) -> None:
+        """Deletes the keys from `first` (None: the first one) to before `end` (None: no end)."""
         cursor = txn.cursor(table)
         found = cursor.set_range(first) if first is not None else cursor.first()
         while found and (end is None or bytes(cursor.key()) < end):
             found = cursor.delete()
 
     def size(self) -> int:
-        """Bytes of the file."""
+        """The size of the database file in bytes."""
         return (self.folder / "data.mdb").stat().st_size
 
     def close(self) -> None:
-        """Give the folder up."""
+        """Closes the database and releases the folder for other processes."""
         self.env.close()
         os.close(self._lock)
 
 
 def _lock(folder: Path) -> int:
-    """The descriptor by which this process holds the folder, and no other."""
+    """Locks the folder for this process and returns the descriptor of the lock file.
+
+    Raises:
+        FolderError: if the folder can't be created, or another process has locked it.
+    """
     try:
         folder.mkdir(parents=True, exist_ok=True)
         lock = os.open(folder / "in-use", os.O_RDWR | os.O_CREAT, 0o600)
