--- a/gradegap/balancing/admission.py
+++ b/gradegap/balancing/admission.py
@@ -14,7 +14,7 @@
 """Load, relative to capacity, up to which all proxies together may fill an endpoint."""
 
 LOW_PRIORITY_RESERVE = 0.15
-"""Load, relative to capacity, that is reserved from a request of priority 0.
+"""Load, relative to capacity, that a request of priority 0 must leave unused below the admission limit.
 
 The reserve shrinks linearly to 0 for a request of priority 1.
 """
--- a/gradegap/balancing/grouping.py
+++ b/gradegap/balancing/grouping.py
@@ -15,7 +15,7 @@
 from gradegap.balancing.model import Endpoint, Request
 
 RING_CANDIDATE_COUNT = 8
-"""Endpoints of the hash ring that are offered to a group's request before all ready endpoints are."""
+"""Number of endpoints after a group's key on the ring that are tried before all ready endpoints are."""
 
 GROUP_SETUP_CONNECTIONS = 8.0
 """Cost of a group on an endpoint that does not have it yet, as a number of connections.
--- a/gradegap/balancing/model.py
+++ b/gradegap/balancing/model.py
@@ -114,7 +114,7 @@
     deduplication_group: object = None
     """Endpoints that drop duplicates of a keyed request that may have run; retries must stay within them."""
     retry_until: float = math.inf
-    """No attempt is sent after this time, since endpoints no longer drop duplicates."""
+    """No attempt is sent after this time, since endpoints no longer drop duplicates of the request then."""
     last_attempt_at: float = 0.0
     attempted_endpoints: list[Endpoint] = field(default_factory=list)
     endpoint: Endpoint | None = None
@@ -126,4 +126,4 @@
     fallback_endpoint: Endpoint | None = None
     """The least loaded of the endpoints that were drawn and found full."""
     redraws: int = 0
-    """Further pairs that were drawn for this request because the pairs before were full."""
+    """Further pairs that were drawn for this request because earlier pairs were full."""
--- a/gradegap/balancing/settings.py
+++ b/gradegap/balancing/settings.py
@@ -93,8 +93,8 @@
     passthrough: bool = False  # packets are forwarded unterminated: connections outlive the proxy
     slow_start_share: float = 1.0  # least fraction of its capacity that an endpoint has when it starts
     slow_start_time: float = 0.0  # time after which an endpoint has its full capacity
-    overload_multiple: float = 3.0  # a warming endpoint fails above this multiple of the sustainable rate
-    overload_window: float = 1.0  # if the rate stays above it for this long
+    overload_multiple: float = 3.0  # multiple of the sustainable rate above which a warming endpoint fails
+    overload_window: float = 1.0  # time for which a warming endpoint survives a higher rate
     cross_zone_cost: float = 0.0  # points for a request that is sent to another zone
     migration_cost: float = 0.0  # points for one migration of a client
     health_check_cost: float = 0.0  # points for one health check per request
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -271,15 +271,15 @@
         for _ in range(round(share * self.arrivals_per_s * MEAN_CONNECTION_S)):
             self.schedule(self.rng.uniform(0.1, 1.1), self.arrive)
 
-    def run(self, wave: float = 0.0, restart: bool = False, after: float = 0.5) -> None:
+    def run(self, reconnect_share: float = 0.0, restart: bool = False, after: float = 0.5) -> None:
         self.now = -WARM_UP_S
         self.update_reports()
         self.arrive_continuously()
         self.schedule(WARM_UP_S, self.start_warming_endpoints)
         if restart:
             self.schedule(WARM_UP_S + after, self.restart_proxies)
-        elif wave:
-            self.schedule(WARM_UP_S + 0.5, lambda: self.reconnect_clients(wave))
+        elif reconnect_share:
+            self.schedule(WARM_UP_S + 0.5, lambda: self.reconnect_clients(reconnect_share))
         while self.queue and self.queue[0][0] < END_S:
             self.now, _, callback = heapq.heappop(self.queue)
             callback()
@@ -327,10 +327,10 @@
 
 
 CASES = [
-    (proxy_count, deployment, load, warming_count, wave, informed_ratio)
+    (proxy_count, deployment, load, warming_count, reconnect_share, informed_ratio)
     for proxy_count in (20, 30)
     for deployment in (SLOW_RAMP, FAST_RAMP, LOW_OVERLOAD_MULTIPLE)
-    for load, warming_count, wave, informed_ratio in [
+    for load, warming_count, reconnect_share, informed_ratio in [
         (0.4, 1, 0.0, 1.0),
         (0.4, 6, 0.0, 1.0),
         (0.4, 2, 0.5, 1.0),
@@ -340,20 +340,20 @@
 
 
 @pytest.mark.parametrize(
-    ("proxy_count", "deployment", "load", "warming_count", "wave", "informed_ratio"), CASES
+    ("proxy_count", "deployment", "load", "warming_count", "reconnect_share", "informed_ratio"), CASES
 )
 def test_forwards_of_all_proxies_stay_within_the_budget_and_use_it(
     proxy_count: int,
     deployment: Deployment,
     load: float,
     warming_count: int,
-    wave: float,
+    reconnect_share: float,
     informed_ratio: float,
 ) -> None:
     simulation = FleetSimulation(
         proxy_count, deployment, 5 * proxy_count + warming_count, load, warming_count, informed_ratio
     )
-    simulation.run(wave)
+    simulation.run(reconnect_share)
     print(
         f"{proxy_count} {deployment}: "
         f"{simulation.peak_ratio():.2f} of the limit, load {simulation.final_load():.2f}"
@@ -432,7 +432,7 @@
             200, Deployment(0.13, 24.0, 3.0, 1.5), seed, 0.4, 3, group_count=30, without_reports=True
         )
         simulation.use_group_with_first_endpoint("s0")
-        simulation.run(wave=0.7)
+        simulation.run(reconnect_share=0.7)
         ratios.append(simulation.peak_ratio())
     print("ratios to the limit:", " ".join(f"{each:.2f}" for each in ratios))
     assert max(ratios) <= 1.0
@@ -446,7 +446,7 @@
     simulation = FleetSimulation(
         proxy_count, SLOW_RAMP, proxy_count, 0.4, 3, without_reports=without_reports, busiest_factor=10.0
     )
-    simulation.run(wave=0.3)
+    simulation.run(reconnect_share=0.3)
     print(
         f"{proxy_count} {without_reports=}: "
         f"{simulation.peak_ratio():.2f} of the limit, load {simulation.final_load():.2f}"
@@ -478,7 +478,7 @@
     simulation = FleetSimulation(
         proxy_count, FAST_RAMP, proxy_count, 0.4, 7, without_reports=without_reports, uses_zones=True
     )
-    simulation.run(wave=0.5)
+    simulation.run(reconnect_share=0.5)
     print(
         f"{proxy_count} {without_reports=}: "
         f"{simulation.peak_ratio():.2f} of the limit, load {simulation.final_load():.2f}"
@@ -493,6 +493,6 @@
     simulation = FleetSimulation(
         proxy_count, LOW_OVERLOAD_MULTIPLE, proxy_count, 0.4, 3, without_reports=True, failure_ratio=0.5
     )
-    simulation.run(wave=0.3)
+    simulation.run(reconnect_share=0.3)
     print(f"{proxy_count}: {simulation.peak_ratio():.2f} of the limit, load {simulation.final_load():.2f}")
     assert simulation.peak_ratio() <= 1.0
