--- a/gradegap/transport/descriptors.py
+++ b/gradegap/transport/descriptors.py
@@ -1,9 +1,9 @@
-"""The node's budget of file descriptors: how many are open, and who is evicted when they run short.
+"""The node's budget of file descriptors: counts open ones, and evicts connections when they run short.
 
-Established sessions, attempts, health checks and discovery come first. Connections that have been answered,
-then those without a request are closed for them, first whose last activity is the oldest: so a
-client that checks on and on whether the node is ready outlasts a crowd that sends nothing. They are dismissed
-a little before the budget is used up, and closed when it is.
+Established sessions, attempts, health checks and discovery have priority. For them, connections are closed
+that have been answered, then connections without a request; of each kind, those with the oldest activity
+first. So a client that repeatedly checks whether the node is ready outlasts many clients that send nothing.
+Connections without a request are dismissed shortly before the budget is exhausted, and closed when it is.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 from gradegap.metrics import Metrics
 
 PROCESS_RESERVE = 32
-"""Descriptors for the process itself, its listeners, discovery, the store's peers and some health checks."""
+"""Descriptors reserved for the process, its listeners, discovery, store members and some health checks."""
 
 DIAL_RESERVE_DIVISOR = 16
-"""One part in so many is kept from new clients, for attempts and health checks."""
+"""The limit over this divisor is reserved for attempts and health checks, and not used for new clients."""
 
 DISMISSAL_MARGIN_DIVISOR = 32
-"""Connections are dismissed while one part in so many is free, before any has to be closed."""
+"""Connections are dismissed once less than the limit over this divisor is free, before any must be closed."""
 
 
 class EvictionRank(IntEnum):
-    """How far a connection that may be evicted has come; the answered ones go first."""
+    """Progress of a connection that may be evicted; answered connections are evicted first."""
 
     ANSWERED = 0
     PINGED = 1
@@ -35,17 +35,17 @@
 
 
 class Evictable(Protocol):
-    """A client's connection, as the budget sees it."""
+    """A client connection, as the budget sees it."""
 
     def dismiss(self) -> None:
-        """Answer that there is no capacity; a `set_rank` as answered follows."""
+        """Answer that there is no capacity; the connection then calls `set_rank` with `ANSWERED`."""
 
     def evict(self) -> None:
-        """Close at once; `on_closed` follows."""
+        """Close at once; the connection then calls `on_closed`."""
 
 
 class DescriptorBudget:
-    """How many descriptors the process may use, and who holds them."""
+    """The number of descriptors that the process may use, and the connections that hold them."""
 
     def __init__(self, limit: int, metrics: Metrics) -> None:
         self.limit = limit
@@ -53,37 +53,37 @@
         self.held_count = 0
         self.reserved = PROCESS_RESERVE
         self.held_by_other_process = 0
-        """What another process of this node holds: both have one limit."""
+        """Descriptors held by another process of this node, with which this process shares the limit."""
         self.ranked: tuple[dict[Evictable, int], ...] = tuple({} for _ in EvictionRank)
-        """By rank, each connection with the number of its last activity, the oldest first."""
+        """For each rank, its connections with the sequence number of their last activity, oldest first."""
         self.activity_numbers = count()
         metrics.gauge("sockets", lambda: f"{self.held_count}/{self.limit}")
 
     def reserve(self, count: int) -> None:
-        """Keep some more that only their owner uses, so that no client's flood shuts them out."""
+        """Reserve `count` more descriptors for the caller, so that a flood of clients cannot use them up."""
         self.reserved += count
 
     def owned_count(self) -> int:
-        """What this process holds, its reserve included."""
+        """Return the number of descriptors that this process holds, including its reserve."""
         return self.held_count + self.reserved
 
     def on_taken_back(self, channel: Evictable, pinged: bool) -> None:
-        """A connection that was to go on in another process stays in this one."""
+        """Rank a connection again that was to be transferred to another process but stays in this one."""
         self.set_rank(channel, EvictionRank.PINGED if pinged else EvictionRank.UNOPENED)
 
     def on_accepted(self, channel: Evictable) -> None:
-        """A client has connected.
+        """Count a new client connection, and evict others if necessary.
 
-        Guards against clients that connect and send nothing: they would take the descriptors that requests
+        Guards against clients that connect and send nothing: they would use up the descriptors that requests
         need.
         """
         self.held_count += 1
         self.set_rank(channel, EvictionRank.UNOPENED)
         available = self._available() - self.limit // DIAL_RESERVE_DIVISOR
-        # Guards against a close in the very moment in which a client sends its request: it is dismissed while
-        # there still are descriptors, and what it has sent meanwhile is read and dropped.
-        lingering = len(self.ranked[EvictionRank.ANSWERED])
-        if self.held_count - lingering > available - self.limit // DISMISSAL_MARGIN_DIVISOR:
+        # Guards against closing a connection just as its client sends a request: it is dismissed while
+        # descriptors are left, and data that the client sends meanwhile are read and dropped.
+        lingering_count = len(self.ranked[EvictionRank.ANSWERED])
+        if self.held_count - lingering_count > available - self.limit // DISMISSAL_MARGIN_DIVISOR:
             rank, oldest = self._oldest(EvictionRank.PINGED, EvictionRank.UNOPENED)
             if oldest is not None and oldest is not channel:
                 self.metrics.count(f"evicted_{rank.name.lower()}")
@@ -91,19 +91,19 @@
         self._evict_beyond(available)
 
     def set_rank(self, channel: Evictable, rank: EvictionRank | None) -> None:
-        """How far a connection has come; None: it is in use and stays."""
+        """Set the rank of a connection after activity; None: it is in use and must not be evicted."""
         for connections in self.ranked:
             connections.pop(channel, None)
         if rank is not None:
             self.ranked[rank][channel] = next(self.activity_numbers)
 
     def on_closed(self, channel: Evictable) -> None:
-        """A client's connection has ended."""
+        """Remove a client connection that has ended."""
         self.held_count -= 1
         self.set_rank(channel, None)
 
     def open_socket(self, family: int) -> DialedSocket:
-        """A TCP socket to dial with; the oldest evictable connection is closed for it where none is free."""
+        """Return a TCP socket to dial with; if no descriptor is free, evict a connection for it."""
         self._evict_beyond(self._available())
         return DialedSocket(self, family)
 
@@ -122,18 +122,18 @@
             channel.evict()
 
     def _oldest(self, *ranks: EvictionRank) -> tuple[EvictionRank, Evictable | None]:
-        """Of connections with these ranks, the one whose last activity is the oldest."""
+        """Return the connection of these ranks whose last activity is the oldest, with its rank."""
         oldest = [
             (*next(iter(connections.items())), rank) for rank in ranks if (connections := self.ranked[rank])
         ]
         if not oldest:
             return ranks[0], None
-        channel, _, rank = min(oldest, key=lambda found: found[1])
+        channel, _, rank = min(oldest, key=lambda candidate: candidate[1])
         return rank, channel
 
 
 class DialedSocket(socket.socket):
-    """A TCP socket of the node's own, in the budget from its opening to its close, whoever closes it."""
+    """An outgoing TCP socket. It counts against the budget from its creation until any code closes it."""
 
     owner: DescriptorBudget | None = None
 
@@ -148,20 +148,21 @@
             self.owner = None
 
     def close(self) -> None:
-        """Close, and leave the budget."""
+        """Close the socket, and remove it from the budget."""
         self._release()
         super().close()
 
     def detach(self) -> int:
-        """Leave the budget, open: how uvloop lets go of a socket whose transport it closes."""
+        """Remove the open socket from the budget; uvloop detaches a socket when it closes its transport."""
         self._release()
         return super().detach()
 
 
 def raise_descriptor_limit(wanted: int) -> int:
-    """Raise the process's soft limit to `wanted`, as far as its hard limit allows; how many can be used then.
+    """Raise the process's soft limit of descriptors to `wanted`, as far as the hard limit allows.
 
-    Zero or less: as many as the soft limit has.
+    Returns the number of descriptors that the process may use: at most `wanted`, or the soft limit if
+    `wanted` is zero or less.
     """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < wanted:
--- a/gradegap/transport/dialer.py
+++ b/gradegap/transport/dialer.py
@@ -1,4 +1,4 @@
-"""Outgoing TCP connections, established without a task for each."""
+"""Outgoing TCP connections, established without one task per connect."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 class _PendingConnect:
-    """One connect under way, until it is up, has failed or is stopped."""
+    """A connect in progress, until it succeeds, fails or is stopped."""
 
-    __slots__ = ("_dialer", "_failed", "_over", "_protocol", "_sock", "_timer")
+    __slots__ = ("_dialer", "_is_finished", "_on_failed", "_protocol", "_sock", "_timer")
 
-    def __init__(self, dialer: Dialer, protocol: asyncio.Protocol, failed: Callable[[], None]) -> None:
+    def __init__(self, dialer: Dialer, protocol: asyncio.Protocol, on_failed: Callable[[], None]) -> None:
         self._dialer = dialer
         self._protocol = protocol
-        self._failed = failed
-        self._over = False
+        self._on_failed = on_failed
+        self._is_finished = False
         self._sock: socket.socket | None = None
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self, address: str, timeout: float) -> None:
-        """Begin; a connect that can't begin fails on the loop's next turn."""
+        """Start the connect; if that fails at once, the failure is reported in the loop's next iteration."""
         loop = self._dialer.loop
         try:
             host, port = split_address(address)
@@ -42,19 +42,19 @@
         self._timer = loop.call_later(timeout, self._fail)
 
     def stop(self) -> None:
-        """Give up without a call of `failed`; harmless once it is over."""
-        if not self._over:
+        """Stop the connect without reporting a failure; no effect after its end."""
+        if not self._is_finished:
             self._finish()
             if self._sock is not None:
                 self._sock.close()
 
     def _fail(self) -> None:
-        if not self._over:
+        if not self._is_finished:
             self.stop()
-            self._failed()
+            self._on_failed()
 
     def _finish(self) -> None:
-        self._over = True
+        self._is_finished = True
         if self._timer is not None:
             self._timer.cancel()
         if self._sock is not None:
@@ -62,7 +62,7 @@
 
     def _on_writable(self) -> None:
         sock = self._sock
-        if self._over or sock is None:
+        if self._is_finished or sock is None:
             return
         if sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
             self._fail()
@@ -72,7 +72,7 @@
 
 
 class Dialer:
-    """Establishes TCP connections without a task for each: one task hands all of them to the loop."""
+    """Establishes TCP connections. One task creates the transports of all of them."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, descriptors: DescriptorBudget) -> None:
         self.loop = loop
@@ -81,18 +81,18 @@
         self.task = loop.create_task(self._create_transports())
 
     def dial(
-        self, address: str, timeout: float, protocol: asyncio.Protocol, failed: Callable[[], None]
+        self, address: str, timeout: float, protocol: asyncio.Protocol, on_failed: Callable[[], None]
     ) -> Callable[[], None]:
-        """Connect within `timeout` seconds: `protocol` gets the transport, or `failed` is called.
+        """Connect within `timeout` s: `protocol` gets the transport, or `on_failed` is called.
 
-        Returns what stops it.
+        Returns a function that stops the connect.
         """
-        pending = _PendingConnect(self, protocol, failed)
+        pending = _PendingConnect(self, protocol, on_failed)
         pending.start(address, timeout)
         return pending.stop
 
     def adopt(self, sock: socket.socket, protocol: asyncio.Protocol) -> None:
-        """Give `protocol` a transport for a socket that is connected already."""
+        """Create a transport between a connected socket and `protocol`."""
         self._connected.put_nowait((sock, protocol))
 
     async def _create_transports(self) -> None:
@@ -105,8 +105,9 @@
                 protocol.connection_lost(error)
                 continue
             if transport.is_closing():
-                # Guards against another connection's end. uvloop lets go of `sock` when it closes the
-                # transport, but ties the two together only after `connection_made`. Closed by then, as by an
-                # attempt that was given up, `sock` kept the number of a descriptor that was closed, and when
-                # it was collected it closed whatever had that number.
+                # Guards against closing another connection's descriptor. uvloop detaches `sock` when it
+                # closes the transport, but associates the two only after `connection_made`. If the transport
+                # is closed by then, for example because the attempt was cancelled, `sock` still has the
+                # number of the closed descriptor, and its garbage collection would close the new owner of
+                # that number.
                 sock.detach()
--- a/gradegap/transport/sockets.py
+++ b/gradegap/transport/sockets.py
@@ -7,11 +7,11 @@
 import struct
 
 WRITE_BUFFER_HIGH_BYTES = 64 * 1024
-"""Kept for one side of a connection until the other is no longer read."""
+"""Bytes buffered for one side of a connection at which reading from the other side stops."""
 
 
 class Pausable(asyncio.Protocol):
-    """A TCP connection that is not read while the other side takes no more."""
+    """A TCP connection whose reading can be paused while the other side accepts no more data."""
 
     transport: asyncio.Transport | None = None
     paused = False
@@ -23,14 +23,14 @@
             self.transport.pause_reading()
 
     def resume(self) -> None:
-        """Read on."""
+        """Continue to read."""
         if self.transport is not None and self.paused:
             self.paused = False
             self.transport.resume_reading()
 
 
 def close_now(transport: asyncio.Transport) -> None:
-    """Close a connection at once: what the other side has not taken by now is dropped."""
+    """Close a connection at once; unsent data are dropped."""
     if transport.get_write_buffer_size():
         transport.abort()
     else:
@@ -45,7 +45,7 @@
 
 
 def reset_connection(transport: asyncio.Transport) -> None:
-    """End a connection by a reset, as the other side of it was."""
+    """End a connection by a TCP reset."""
     sock = transport.get_extra_info("socket")
     if sock is not None and not transport.is_closing():
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
--- a/gradegap/upstream/__init__.py
+++ b/gradegap/upstream/__init__.py
@@ -1,6 +1,6 @@
-"""The endpoints' side: connections for attempts and for health checks.
+"""Connections to endpoints, for attempts and for health checks.
 
-Owns the connections to endpoints. `tcp_upstream` is the proxy's port, `connection` one attempt's connection,
-`health_checks` those for load reports, `answers` the lines of endpoints; `interfaces` says what a client
-session has to be for them.
+Owns the connections to endpoints. `tcp_upstream` implements the proxy's `UpstreamPort`; `connection` has the
+connection of one attempt; `health_checks` the connections for health checks; `answers` the parser of
+endpoints' lines; `interfaces` the interfaces between an upstream connection and its client session.
 """
--- a/gradegap/upstream/answers.py
+++ b/gradegap/upstream/answers.py
@@ -1,4 +1,4 @@
-"""What endpoints answer: `UP`, the lines that end a connection, and load reports."""
+"""Parser of endpoints' answers: `UP`, the lines that announce the end of a connection, and load reports."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from gradegap.balancing.settings_reader import FIELDS
 from gradegap.transport.lines import InvalidLineError, parse_number
 
-_ESTABLISHED = re.compile(rb"UP [!-~][ -~]*")
+_CONFIRMATION = re.compile(rb"UP [!-~][ -~]*")
 
 LOAD_PREFIX = b"LOAD "
-"""Begins a line with the load that its connection is for its endpoint."""
+"""Prefix of a line in which an endpoint reports the load of its connection."""
 
 LOAD_PREFIX_BYTES = len(LOAD_PREFIX)
 
 LOAD_UNIT = 1e-6
-"""Loads are written in millionths of what the balancer reckons in."""
+"""Unit of loads on the wire, as a fraction of the balancer's unit."""
 
 RESULT_BY_WORD = {
     "BYE": AttemptResult.OK,
@@ -26,38 +26,38 @@
     "BUSY": AttemptResult.FULL,
     "MOVE": AttemptResult.CANCELLED,
 }
-"""First words of the lines that announce how a connection ends."""
+"""Results by the first word of the line that announces the end of a connection."""
 
 
 @dataclass(slots=True, frozen=True)
 class EndAnnouncement:
-    """A line by which an endpoint announces the end of a connection."""
+    """The content of a line with which an endpoint announces the end of a connection."""
 
     result: AttemptResult
     report: dict[str, float] | None
 
 
 def confirms(line: bytes) -> bool:
-    """Whether an answer, without its line end, confirms that the connection is established."""
-    return _ESTABLISHED.fullmatch(line) is not None
+    """Return whether an answer, given without its line end, confirms the connection."""
+    return _CONFIRMATION.fullmatch(line) is not None
 
 
 def parse_announcement(line: bytes) -> EndAnnouncement | None:
-    """The end that a line announces; None for all other lines."""
+    """Return the announcement in a line, or None if the line is of another kind."""
     word, _, rest = line.decode("utf-8", "replace").partition(" ")
     result = RESULT_BY_WORD.get(word)
     return None if result is None else EndAnnouncement(result, parse_load_report(rest))
 
 
 def parse_load_report(text: str) -> dict[str, float] | None:
-    """The load report that may end an answer, as in `inflight=7,x0=0.61`; None where there is none.
+    """Parse the optional load report at the end of an answer, such as `inflight=7,x0=0.61`.
 
-    Values that are no number are skipped.
+    Values that are not numbers are skipped. Returns None if there are no values.
     """
     report: dict[str, float] = {}
     for pair in text.strip().split(","):
-        name, sign, value = pair.partition("=")
-        if sign:
+        name, separator, value = pair.partition("=")
+        if separator:
             with contextlib.suppress(InvalidLineError):
                 report[FIELDS.get(name, name)] = parse_number(value)
     return report or None
--- a/gradegap/upstream/connection.py
+++ b/gradegap/upstream/connection.py
@@ -1,4 +1,4 @@
-"""One attempt on its own connection: the first line out, the answer in, then lines both ways."""
+"""The connection of one attempt: sends the first line, reads the answer, then relays lines both ways."""
 
 from __future__ import annotations
 
@@ -29,31 +29,32 @@
 from gradegap.upstream.interfaces import DownstreamSession
 
 CLOSE_TIMEOUT_S = 0.9
-"""For an endpoint to close its side once the client has closed its own."""
+"""Time limit for an endpoint to close its side after the client has closed its own."""
 
 
 class ConnectState(Enum):
-    """How far a connection to an endpoint is. Only `UpstreamConnection` changes it, in this order.
+    """State of a connection to an endpoint. Only `UpstreamConnection` changes it, and only in this order.
 
-    A connection that was released for another process can become established again.
+    The exception is a connection that was released for another process: it can become established again.
     """
 
     CONNECTING = auto()
     ESTABLISHED = auto()
     """The endpoint has confirmed the request."""
     ENDED = auto()
-    """Its attempt has its result, or was cancelled; nothing more is reported."""
+    """The attempt has its result or was cancelled; no further events are reported to it."""
 
 
-# For each line that passes: looking a member up in its enum costs more than what is done with it.
+# Module constants, because they are used for each relayed line, where an enum member lookup is too costly.
 _ESTABLISHED, _ENDED = ConnectState.ESTABLISHED, ConnectState.ENDED
 
 
 class UpstreamConnection(Pausable):
     """A connection to an endpoint, for one attempt.
 
-    Beside its state: `sent` stays when the attempt has ended, as by it the proxy decides whether the endpoint
-    may have begun to serve; `eof_sent` is about this side of a connection only, whatever its state.
+    Two booleans are independent of the state: `sent` stays set after the attempt has ended, because the proxy
+    derives from it whether the endpoint may have begun to process the request; `eof_sent` tells whether this
+    side of the connection was closed.
     """
 
     def __init__(self, session: DownstreamSession, attempt: Attempt) -> None:
@@ -63,10 +64,10 @@
         self.state = ConnectState.CONNECTING
         self.adopted = False
         self.sent = False
-        """The first line was written."""
+        """Whether the first line was written."""
         self.eof_sent = False
         self.announced_result: AttemptResult | None = None
-        """The end that the endpoint's last line announced."""
+        """The result that the endpoint's last line announced; None if it announced no end."""
         self.announced_report: dict[str, float] | None = None
         self.buffer = b""
 
@@ -78,7 +79,7 @@
         announced_result: AttemptResult | None,
         announced_report: dict[str, float] | None,
     ) -> UpstreamConnection:
-        """A connection that another process of this node has established."""
+        """Create the object for a connection that another process of this node established."""
         connection = cls(session, attempt)
         connection.state = ConnectState.ESTABLISHED
         connection.adopted = connection.sent = True
@@ -86,15 +87,16 @@
         return connection
 
     def connect_failed(self) -> None:
-        """No connection in its time: the dialer's answer."""
+        """End the attempt, because the dialer could not connect in time."""
         self._end(AttemptResult.CONNECT_FAILED)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Forward the first line, if the attempt still may."""
+        """Forward the first line, if the attempt is still active and allowed to send."""
         self.transport = cast(asyncio.Transport, transport)
-        # Guards against a first line for an attempt given up while it was connecting, or as of now.
-        wanted = self.state is not ConnectState.ENDED and self.session.opening is not None
-        if not (wanted and (self.attempt.active if self.adopted else self.attempt.may_send())):
+        # Guards against sending the first line of an attempt that was cancelled during the connect, or is
+        # ended by `may_send`.
+        is_wanted = self.state is not ConnectState.ENDED and self.session.opening is not None
+        if not (is_wanted and (self.attempt.active if self.adopted else self.attempt.may_send())):
             self.transport.close() if self.adopted else self.transport.abort()
             return
         assert self.session.opening is not None
@@ -107,7 +109,7 @@
         self.transport.write(self.session.opening.with_wait(self.attempt.time_left()))
 
     def data_received(self, data: bytes) -> None:
-        """Pass an established connection's data on; before that, wait for the answer."""
+        """Relay the data of an established connection; before that, read the endpoint's answer."""
         if self.state is _ESTABLISHED:
             self.session.on_upstream_data(data)
         elif self.state is ConnectState.CONNECTING:
@@ -118,9 +120,9 @@
             elif len(self.buffer) >= LINE_MAX_BYTES:
                 self._reject(AttemptResult.ERROR)
 
-    def _on_answer(self, line: bytes, bounded: bool) -> None:
-        # Guards against half an answer, or noise, taken for the confirmation that an endpoint gives.
-        if bounded and confirms(line):
+    def _on_answer(self, line: bytes, is_within_limit: bool) -> None:
+        # Guards against taking an incomplete or malformed answer for a confirmation.
+        if is_within_limit and confirms(line):
             self.state = ConnectState.ESTABLISHED
             self.session.on_upstream_established(self, self.buffer)
             self.buffer = b""
@@ -132,7 +134,7 @@
             self._reject(self.announced_result or AttemptResult.ERROR)
 
     def on_line(self, line: bytes) -> None:
-        """A line went by on an established connection."""
+        """Handle a line that was relayed to the client: a reported load or an announced end."""
         if line.startswith(LOAD_PREFIX):
             with contextlib.suppress(ValueError):
                 self.attempt.on_load(parse_number(line[LOAD_PREFIX_BYTES:].decode()) * LOAD_UNIT)
@@ -146,20 +148,20 @@
         self.announced_result, self.announced_report = announcement.result, announcement.report
 
     def _reject(self, result: AttemptResult) -> None:
-        """The answer doesn't confirm the request."""
+        """End the attempt, because the answer does not confirm the request."""
         if result is AttemptResult.OK:
-            result = AttemptResult.ERROR  # ended before it was established
+            result = AttemptResult.ERROR  # the connection ended before it was established
         transport = self.transport
         self._end(result, self.announced_report)
         if transport is not None:
             transport.close()
 
     def eof_received(self) -> bool:
-        """The endpoint has closed its side: the connection closes."""
+        """Close the connection, because the endpoint has closed its side."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended."""
+        """Handle the end of the connection: end the attempt with the matching result."""
         self.transport = None
         if self.state is ConnectState.CONNECTING:
             self._end(AttemptResult.RESET if self.sent else AttemptResult.CONNECT_FAILED)
@@ -176,39 +178,39 @@
             self.attempt.on_ended(result, report)
 
     def cancel(self) -> None:
-        """Give the attempt up by closing its connection."""
+        """Cancel the attempt by closing its connection."""
         self.state = ConnectState.ENDED
         if self.stop_dial is not None:
             self.stop_dial()
         if self.transport is not None:
             close_now(self.transport)
 
-    # Moves of an established connection: to another session, or to another process
+    # Transfer of an established connection to another session or another process
 
     def is_idle(self) -> bool:
-        """Whether nothing is on its way out, and both sides are open: another process can take over."""
+        """Return whether all data are sent and both sides are open, so that another process can take over."""
         transport = self.transport
         if transport is None or transport.is_closing() or transport.get_write_buffer_size():
             return False
         return self.state is not ConnectState.ENDED and not self.paused and not self.eof_sent
 
     def release(self) -> None:
-        """Report nothing further: the connection goes on elsewhere, or is of no use any more."""
+        """Stop reporting to the attempt: the connection continues elsewhere or is no longer needed."""
         self.state = ConnectState.ENDED
 
     def take_back(self) -> None:
-        """Go on with an established connection that was released."""
+        """Undo `release`: the connection is established again in this process."""
         self.state = ConnectState.ESTABLISHED
 
-    # As its session's pipe
+    # The `UpstreamPipe` interface
 
     def write(self, data: bytes) -> None:
-        """Send to the endpoint, unless the connection or this side of it has ended."""
+        """Send data to the endpoint, unless the connection or this side of it has ended."""
         if self.transport is not None and self.state is not _ENDED and not self.eof_sent:
             self.transport.write(data)
 
     def write_eof(self) -> None:
-        """Close this side; the endpoint has a while to close its own."""
+        """Close this side; the endpoint has a limited time to close its own."""
         transport = self.transport
         if transport is None or self.eof_sent:
             return
@@ -218,14 +220,14 @@
         self.session.proxy.loop.call_later(CLOSE_TIMEOUT_S, close_now, transport)
 
     def reset(self) -> None:
-        """End the connection by a reset, as its client did."""
+        """Reset the connection, as the client has reset its own."""
         if self.transport is not None:
             reset_connection(self.transport)
 
     def pause_writing(self) -> None:
-        """The endpoint takes no more: the client is not read."""
+        """Stop reading from the client, because the write buffer to the endpoint is full."""
         self.session.channel.pause()
 
     def resume_writing(self) -> None:
-        """The endpoint takes more."""
+        """Continue to read from the client, because the write buffer has space again."""
         self.session.channel.resume()
--- a/gradegap/upstream/health_checks.py
+++ b/gradegap/upstream/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks of endpoints, each over a connection that is kept while it answers."""
+"""Health checks of endpoints, over connections that are kept open as long as the endpoint answers."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from gradegap.upstream.answers import parse_load_report
 
 IDLE_TIMEOUT_S = 20.0
-"""After which a connection without a health check is closed."""
+"""Time without a health check after which a connection is closed."""
 
 REQUEST = b"STATS\r\n"
 
 
 class HealthCheckConnection(asyncio.Protocol):
-    """A connection that carries health checks of one endpoint, one at a time."""
+    """A connection for health checks of one endpoint, one at a time."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, on_closed: Callable[[HealthCheckConnection], None]
@@ -29,15 +29,15 @@
         self.transport: asyncio.Transport | None = None
         self.stop_dial: Callable[[], None] | None = None
         self.pending: HealthCheckDone | None = None
-        """Takes the result of the health check that is out."""
+        """Callback for the result of the health check in progress; None if there is none."""
         self.timer: asyncio.TimerHandle | None = None
         self.idle_timer: asyncio.TimerHandle | None = None
         self.sent = False
         self.buffer = b""
 
     def check(self, timeout: float, done: HealthCheckDone) -> None:
-        """Ask for the endpoint's load report; `done` is called once, within `timeout` seconds."""
-        self.buffer = b""  # what came unasked answers nothing
+        """Request the endpoint's load report; `done` is called once, within `timeout` s."""
+        self.buffer = b""  # data received before the request are not its answer
         self.pending = done
         self.sent = False
         self.timer = self.loop.call_later(timeout, self._on_timeout)
@@ -51,7 +51,7 @@
             self.transport.write(REQUEST)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the health check that waits for the connection."""
+        """Send the health check that is waiting for the connection."""
         self.transport = cast(asyncio.Transport, transport)
         no_delay(self.transport)
         if self.pending is None:
@@ -60,13 +60,13 @@
             self._send()
 
     def data_received(self, data: bytes) -> None:
-        """Read on, up to the end of one answer."""
+        """Read data up to the end of one answer."""
         self.buffer += data
         end = self.buffer.find(b"\n")
         if end < 0 and len(self.buffer) < LINE_MAX_BYTES:
             return
         if self.pending is None or not 0 <= end < LINE_MAX_BYTES:
-            # Guards against lines without end, and against an extra line taken for the next answer.
+            # Guards against endless lines, and against taking an unrequested line for the next answer.
             self.close()
             self._finish(AttemptResult.ERROR)
             return
@@ -86,29 +86,29 @@
             done(result, report)
 
     def _on_timeout(self) -> None:
-        # Guards against a late answer taken for the next one's: this connection is not used again.
+        # The connection is not used again: a late answer would be taken for that of the next health check.
         result = AttemptResult.TIMEOUT if self.sent else AttemptResult.CONNECT_FAILED
         self.close()
         self._finish(result)
 
     def connect_failed(self) -> None:
-        """No connection in its time: the dialer's answer."""
+        """End the health check, because the dialer could not connect in time."""
         self.on_closed(self)
         self._finish(AttemptResult.CONNECT_FAILED)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended, and with it the health check that was out."""
+        """Handle the end of the connection, which ends the health check in progress."""
         self.transport = None
         self.on_closed(self)
         self._finish(AttemptResult.RESET if self.sent else AttemptResult.CONNECT_FAILED)
 
     def cancel(self) -> None:
-        """Close; the health check that is out ends on the loop's next turn."""
+        """Close; the health check in progress ends in the loop's next iteration."""
         self.close()
         self.loop.call_soon(self._finish, AttemptResult.RESET)
 
     def close(self) -> None:
-        """Close at once."""
+        """Close the connection at once."""
         self.on_closed(self)
         if self.idle_timer is not None:
             self.idle_timer.cancel()
--- a/gradegap/upstream/interfaces.py
+++ b/gradegap/upstream/interfaces.py
@@ -1,4 +1,4 @@
-"""What an upstream connection sees of the client session that it serves."""
+"""Interfaces between an upstream connection and the client session that it serves."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 
 class ForwardedLine(Protocol):
-    """A client's first line, as it is forwarded."""
+    """A client's first line, in the form that is forwarded."""
 
     def with_wait(self, wait: float) -> bytes:
-        """The line with the seconds that the node will wait."""
+        """Return the line with its wait replaced by `wait` s, the time that the node will wait."""
         ...
 
 
 class ClientFlow(Protocol):
-    """Flow control of a client's channel."""
+    """Flow control of the client's channel."""
 
     def pause(self) -> None:
         """Stop reading."""
         ...
 
     def resume(self) -> None:
-        """Read on."""
+        """Continue to read."""
         ...
 
 
@@ -33,15 +33,15 @@
     session: DownstreamSession
 
     def write(self, data: bytes) -> None:
-        """Send to the endpoint."""
+        """Send data to the endpoint."""
         ...
 
     def write_eof(self) -> None:
-        """Close this side; the endpoint has a while to close its own."""
+        """Close this side; the endpoint has a limited time to close its own."""
         ...
 
     def reset(self) -> None:
-        """End the connection by a reset, as its client did."""
+        """Reset the connection, as the client has reset its own."""
         ...
 
     def pause(self) -> None:
@@ -49,15 +49,15 @@
         ...
 
     def resume(self) -> None:
-        """Read on."""
+        """Continue to read."""
         ...
 
     def on_line(self, line: bytes) -> None:
-        """A line of the endpoint has gone by to the client."""
+        """Handle a line of the endpoint that was relayed to the client."""
         ...
 
     def release(self) -> None:
-        """Its attempt has nothing to do with it any more: report nothing further."""
+        """Detach the connection from its attempt, so that it reports nothing further."""
         ...
 
 
@@ -66,7 +66,7 @@
 
     @property
     def proxy(self) -> Proxy:
-        """The proxy that both belong to."""
+        """The proxy to which the session and its connection belong."""
         ...
 
     @property
@@ -76,17 +76,17 @@
 
     @property
     def opening(self) -> ForwardedLine | None:
-        """The client's first line; None before it has come."""
+        """The client's first line; None until it has been received."""
         ...
 
     def on_upstream_established(self, upstream: UpstreamPipe, data: bytes) -> None:
-        """The endpoint has confirmed the connection; `data` is its answer and what came behind it."""
+        """Handle the endpoint's confirmation; `data` is its answer and the bytes received behind it."""
         ...
 
     def on_upstream_data(self, data: bytes) -> None:
-        """What the endpoint sent on an established connection."""
+        """Process data from the endpoint on an established connection."""
         ...
 
     def on_upstream_lost(self, reset: bool) -> None:
-        """The established connection has ended, by a reset or not; its attempt's end follows."""
+        """Handle the end of the established connection, by a reset or not; the end of its attempt follows."""
         ...
--- a/gradegap/upstream/tcp_upstream.py
+++ b/gradegap/upstream/tcp_upstream.py
@@ -1,4 +1,4 @@
-"""The proxy's upstream port over TCP."""
+"""The implementation of the proxy's `UpstreamPort` over TCP."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class TcpUpstream:
-    """Dials endpoints, for attempts and for health checks."""
+    """Connects to endpoints, for attempts and for health checks."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, connect_timeout: float, descriptors: DescriptorBudget
@@ -24,14 +24,14 @@
         self.loop = loop
         self.dialer = Dialer(loop, descriptors)
         self.connect_timeout = connect_timeout
-        """Seconds that a TCP connection may take."""
+        """Time limit for a TCP connect, in s."""
         self.health_checks: dict[str, HealthCheckConnection] = {}
-        """By endpoint, the connection for its health checks."""
+        """The connection for health checks of each endpoint, by endpoint id."""
 
     def connect(
         self, session: DownstreamSession, endpoint: Endpoint, timeout: float, attempt: Attempt
     ) -> UpstreamConnection:
-        """Start an attempt; the endpoint has `timeout` seconds for its answer."""
+        """Start the connection of an attempt, which may take `timeout` s."""
         connection = UpstreamConnection(session, attempt)
         connect_timeout = min(timeout, self.connect_timeout)
         connection.stop_dial = self.dialer.dial(
@@ -40,7 +40,11 @@
         return connection
 
     def check_health(self, endpoint: Endpoint, timeout: float, done: HealthCheckDone) -> None:
-        """Ask for a load report, by the connection that is kept; one at a time for each endpoint."""
+        """Request a load report within `timeout` s.
+
+        Each endpoint has one connection for health checks, which is kept open. While a check is in progress,
+        another one for the same endpoint ends at once with the result FULL.
+        """
         connection = self.health_checks.get(endpoint.id)
         if connection is not None and connection.pending is not None:
             self.loop.call_soon(done, AttemptResult.FULL, None)
@@ -61,12 +65,12 @@
             del self.health_checks[endpoint_id]
 
     def close_health_check(self, endpoint: Endpoint) -> None:
-        """Close the connection for an endpoint's health checks."""
+        """Close the connection for the health checks of an endpoint."""
         connection = self.health_checks.get(endpoint.id)
         if connection is not None:
             connection.cancel()
 
     def close_health_checks(self) -> None:
-        """Close the connections for all health checks."""
+        """Close the health check connections of all endpoints."""
         for connection in list(self.health_checks.values()):
             connection.close()
