--- a/tests/test_watch_schedule.py
+++ b/tests/test_watch_schedule.py
@@ -15,9 +15,16 @@
 
 from gradegap.discovery import watch_schedule
 from gradegap.discovery.watch_schedule import Mismatch, WatchSchedule
-from tests.support import helpers
+from tests.support import balancer_driver
+from tests.support.node_environment import (
+    SCHEDULING_SLACK_S,
+    SETTINGS,
+    EndpointServer,
+    NodeEnvironment,
+    running_node,
+    wait_for,
+)
 from tests.support.silent_discovery import PHASES, SilentDiscovery
-from tests.support.world import BUSY_MACHINE, SETTINGS, EndpointServer, World, wait_for, world
 
 SECOND = 1_000_000_000
 GRACES = (0.25, 0.75, 2.0, 4.0)
@@ -26,7 +33,9 @@
 
 
 def schedule(pushed: bool, grace: float = 2.0, seed: int = 1) -> WatchSchedule:
-    told = helpers.settings(polls_endpoints=not pushed, drain_grace=grace, poll_within=10.0, proxy_count=40)
+    told = balancer_driver.settings(
+        polls_endpoints=not pushed, drain_grace=grace, poll_within=10.0, proxy_count=40
+    )
     made = WatchSchedule(told, Random(seed))
     made.record_answer(made.next_poll(0.0), 0.02, 7)
     return made
@@ -88,14 +97,14 @@
 
 
 def test_a_list_known_from_before_the_start_is_watched_from_its_version_where_polls_are_dear() -> None:
-    made = WatchSchedule(helpers.settings(polls_endpoints=True, poll_within=10.0), Random(1))
+    made = WatchSchedule(balancer_driver.settings(polls_endpoints=True, poll_within=10.0), Random(1))
     made.start_from(0)
     first = made.next_poll(0.0)
     assert first.since_version == 0 and 2.5 <= first.wait_s <= 7.5
     assert first.timeout_s < first.wait_s + watch_schedule.WAIT_NOTIFIED_S
     made.record_answer(first, 6.0, 0)
     assert 5.0 <= made.next_poll(6.0).wait_s <= 15.0
-    made = WatchSchedule(helpers.settings(polls_endpoints=False), Random(1))
+    made = WatchSchedule(balancer_driver.settings(polls_endpoints=False), Random(1))
     made.start_from(7)
     assert made.next_poll(0.0).since_version is None
 
@@ -105,7 +114,9 @@
     for first, about in ((True, 5.0), (False, 10.0)):
         waits_of = []
         for seed in range(200):
-            made = WatchSchedule(helpers.settings(polls_endpoints=True, poll_within=10.0), Random(seed))
+            made = WatchSchedule(
+                balancer_driver.settings(polls_endpoints=True, poll_within=10.0), Random(seed)
+            )
             made.start_from(7)
             if not first:
                 made.record_answer(made.next_poll(0.0), 6.0, 7)
@@ -167,21 +178,21 @@
     return made
 
 
-def ask_until(w: World, ended: threading.Event) -> None:
+def ask_until(w: NodeEnvironment, ended: threading.Event) -> None:
     while not ended.is_set():
         client = w.client()
-        client.ask()
+        client.open_request()
         client.sock.close()
         time.sleep(0.004)
 
 
-def last_open(a: EndpointServer, w: World, d: SilentDiscovery, bound: float) -> float:
+def last_open(a: EndpointServer, w: NodeEnvironment, d: SilentDiscovery, bound: float) -> float:
     """Ask without pause until `a` has drained and the bound is over; when `a` was last sent to, in s after it
     began to drain."""
     ended = threading.Event()
     asking = threading.Thread(target=ask_until, args=(w, ended), daemon=True)
     asking.start()
-    wait_for(lambda: a.opens)
+    wait_for(lambda: a.open_lines)
     told = d.announce(a.entry, state="Terminating")
     wait_for(lambda: time.time() > told + bound + 0.3, bound + 5.0)
     ended.set()
@@ -206,7 +217,7 @@
     a, b = EndpointServer("a"), EndpointServer("b")
     d = SilentDiscovery([a.entry, b.entry], indent=2)
     grace = 2000 if mode == "pushed" else 250
-    with world(tmp_path, [a, b], settings=settings(mode, grace), discovery=d.address) as w:
+    with running_node(tmp_path, [a, b], settings=settings(mode, grace), discovery=d.address) as w:
         wait_for(lambda: any("index" in path for _, path in d.calls))
         began, path = [call for call in d.calls if "index" in call[1]][-1]
         d.fall_silent(phase, calls)
@@ -216,9 +227,9 @@
         bound = told + grace / 1000 + 0.05
         last = last_open(a, w, d, bound)
         print(f"last sent {last:.2f} s after, bound {bound:.2f}, calls {[p for _, p in d.calls]}")
-        assert last <= bound + BUSY_MACHINE / 2
+        assert last <= bound + SCHEDULING_SLACK_S / 2
         assert int(w.counters()["lists_silent"]) == calls
-        assert d.left == 0
+        assert d.silent_calls_left == 0
 
 
 @pytest.mark.parametrize("spoilt", ["twice", "older"])
@@ -229,20 +240,20 @@
     back: the first server said is Ready in it."""
     a, b = EndpointServer("a"), EndpointServer("b")
     d = SilentDiscovery([a.entry, b.entry])
-    with world(tmp_path, [a, b], settings=settings("on_request", 250), discovery=d.address) as w:
+    with running_node(tmp_path, [a, b], settings=settings("on_request", 250), discovery=d.address) as w:
         wait_for(lambda: any("index" in path for _, path in d.calls))
         with d.changed:
-            d.twice = 1 if spoilt == "twice" else 0
+            d.duplicate_answers = 1 if spoilt == "twice" else 0
         d.announce(a.entry, state="Terminating")
         wait_for(lambda: w.counters().get("lists_delta") == "1")
         if spoilt == "older":
             with d.changed:
-                d.older = 1
+                d.stale_answers = 1
                 d.changed.notify_all()
         why = "out_of_turn" if spoilt == "twice" else "older"
         wait_for(lambda: any(f"lists_refused_{why}" in n or "behind" in n for n in w.counters()))
         for _ in range(30):
-            assert w.client().ask() == "UP b"
+            assert w.client().open_request() == "UP b"
         d.announce(b.entry, state="Terminating")
         d.announce(a.entry, state="Ready")
-        wait_for(lambda: w.client().ask() == "UP a")
+        wait_for(lambda: w.client().open_request() == "UP a")
