--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,7 +1,7 @@
-"""Where an attempt breaks, and what may follow: by each class's effect, on sockets.
+"""Retries after failed attempts, for each idempotency of a traffic class, over real sockets.
 
-The stand-in server breaks at one point of the first line or of the answer, and nowhere else. Where the line
-may have run, an unsafe class is not repeated; where it can't have, any class is.
+The test server fails at one point of the first line or of the answer. If the request may have run, an unsafe
+class is not retried; if it cannot have run, any class is.
 """
 
 from __future__ import annotations
@@ -25,44 +25,59 @@
 )
 
 MS = 1_000_000
-BREAKS = ["refused", "at accept", "in the line", "after the line", "busy", "half an answer", "noise", "hang"]
-NEVER_RAN = {"refused", "busy"}
-
-
-def lane(effect: str, group: str = "all", window: int = 5000, limit: int = 1500) -> dict[str, Any]:
+FAILURE_POINTS = [
+    "refused",
+    "at accept",
+    "in the line",
+    "after the line",
+    "busy",
+    "half an answer",
+    "noise",
+    "hang",
+]
+FAILURE_POINTS_WITHOUT_EFFECT = {"refused", "busy"}
+
+
+def traffic_class(
+    idempotency: str, group: str = "all", dedup_window_ms: int = 5000, time_limit_ms: int = 1500
+) -> dict[str, Any]:
     return {
-        "Name": effect,
+        "Name": idempotency,
         "AimNs": 300 * MS,
-        "HardLimitNs": limit * MS,
+        "HardLimitNs": time_limit_ms * MS,
         "Points": 1.0,
-        "Idempotency": effect,
+        "Idempotency": idempotency,
         "Group": group,
-        "DedupWindowNs": window * MS,
+        "DedupWindowNs": dedup_window_ms * MS,
     }
 
 
-def settings(*lanes: dict[str, Any]) -> dict[str, Any]:
-    info = {"MessageAimNs": [50 * MS] * len(lanes), "Mode": "proxy", "TenantQuotaConnections": []}
-    return SETTINGS | {"Lanes": list(lanes), "FamilyInfo": info}
+def settings(*traffic_classes: dict[str, Any]) -> dict[str, Any]:
+    family_info = {
+        "MessageAimNs": [50 * MS] * len(traffic_classes),
+        "Mode": "proxy",
+        "TenantQuotaConnections": [],
+    }
+    return SETTINGS | {"Lanes": list(traffic_classes), "FamilyInfo": family_info}
 
 
-class Breaks(EndpointServer):
-    """Answers probes as the lightest there is, and breaks at one point of every attempt."""
+class FailingEndpoint(EndpointServer):
+    """A server that reports the lowest load to health checks, and fails at one point of every attempt."""
 
-    def __init__(self, name: str, where: str) -> None:
-        self.where = where
+    def __init__(self, name: str, failure_point: str) -> None:
+        self.failure_point = failure_point
         self.attempts: list[socket.socket] = []
         super().__init__(name, load="x0=0.0,inflight=1")
-        if where == "refused":
+        if failure_point == "refused":
             self.stop()
 
     def _serve(self, sock: socket.socket) -> None:
-        first = sock.recv(1, socket.MSG_PEEK)
-        if first != b"O":  # a probe, or nothing at all
+        first_byte = sock.recv(1, socket.MSG_PEEK)
+        if first_byte != b"O":  # a health check, or no data
             super()._serve(sock)
             return
         self.attempts.append(sock)
-        match self.where:
+        match self.failure_point:
             case "at accept":
                 hard_reset(sock)
             case "in the line":
@@ -87,69 +102,84 @@
                 sock.sendall(b"U")
 
 
-@pytest.mark.parametrize("where", BREAKS)
-@pytest.mark.parametrize("effect", ["safe", "unsafe", "keyed"])
-def test_what_follows_a_failed_attempt(tmp_path: Path, effect: str, where: str) -> None:
-    """Each server breaks in the same way, and so every attempt; of an unsafe class one may have run."""
-    made = [Breaks("a", where), Breaks("b", where)]
-    with running_node(tmp_path, [*made], settings=settings(lane(effect))) as w:
-        c, began = w.client(), time.monotonic()
-        said = c.open_request(f"c={effect},d=1500")
-        assert time.monotonic() - began < 1.5 + 0.07 + SCHEDULING_SLACK_S
-        assert c.read_line() == ""
-        attempts = sum(len(each.attempts) for each in made)
-        if where == "refused":
-            assert attempts == 0 and re.fullmatch(r"BUSY \d+", said)
-        elif effect == "unsafe" and where not in NEVER_RAN:
-            assert attempts == 1 and said == "ERR"
+@pytest.mark.parametrize("failure_point", FAILURE_POINTS)
+@pytest.mark.parametrize("idempotency", ["safe", "unsafe", "keyed"])
+def test_failed_attempt_is_retried_unless_an_unsafe_request_may_have_run(
+    tmp_path: Path, idempotency: str, failure_point: str
+) -> None:
+    """All servers fail at the same point, so every attempt fails there. An unsafe request may run at most
+    once."""
+    endpoints = [FailingEndpoint("a", failure_point), FailingEndpoint("b", failure_point)]
+    with running_node(tmp_path, [*endpoints], settings=settings(traffic_class(idempotency))) as node:
+        client, started_at = node.client(), time.monotonic()
+        answer = client.open_request(f"c={idempotency},d=1500")
+        assert time.monotonic() - started_at < 1.5 + 0.07 + SCHEDULING_SLACK_S
+        assert client.read_line() == ""
+        attempts = sum(len(endpoint.attempts) for endpoint in endpoints)
+        if failure_point == "refused":
+            assert attempts == 0 and re.fullmatch(r"BUSY \d+", answer)
+        elif idempotency == "unsafe" and failure_point not in FAILURE_POINTS_WITHOUT_EFFECT:
+            assert attempts == 1 and answer == "ERR"
         else:
-            assert attempts >= 2 and re.fullmatch(r"BUSY \d+", said)
+            assert attempts >= 2 and re.fullmatch(r"BUSY \d+", answer)
 
 
-def test_a_retry_within_its_window_goes_to_the_group_of_the_first_attempt_and_later_not_at_all(
+def test_retry_of_a_keyed_request_stays_in_its_deduplication_group(
     tmp_path: Path,
 ) -> None:
-    """Both servers of a zone break after the line; the third, of another zone, would serve."""
-    a, b, other = Breaks("a", "after the line"), Breaks("b", "after the line"), EndpointServer("c")
-    other.entry["zone"] = "y"
-    other.load = "x0=0.9,inflight=900"
-    with running_node(tmp_path, [a, b, other], settings=settings(lane("keyed", group="zone"))) as w:
-        broke = 0
-        for k in range(12):
-            before = len(a.attempts) + len(b.attempts)
-            said = w.client().open_request("c=keyed,d=1500", ident=f"{k:x}")
-            tried = len(a.attempts) + len(b.attempts) - before
-            # What the other zone serves had no attempt in the first, where it may have run; and what broke
-            # there is neither served elsewhere nor refused, as a client's repeat might go elsewhere too.
-            assert not tried or said == "ERR"
-            broke += tried
-        assert broke
-
-
-class Second(EndpointServer):
-    """Notes, as a first line comes, whether the attempt before it has been given up on the wire."""
-
-    def __init__(self, name: str, before: Breaks) -> None:
-        self.before = before
+    """Both servers of a zone fail after the first line; the server of the other zone answers requests."""
+    endpoint_a, endpoint_b, other_zone_endpoint = (
+        FailingEndpoint("a", "after the line"),
+        FailingEndpoint("b", "after the line"),
+        EndpointServer("c"),
+    )
+    other_zone_endpoint.entry["zone"] = "y"
+    other_zone_endpoint.load = "x0=0.9,inflight=900"
+    with running_node(
+        tmp_path,
+        [endpoint_a, endpoint_b, other_zone_endpoint],
+        settings=settings(traffic_class("keyed", group="zone")),
+    ) as node:
+        failed_count = 0
+        for index in range(12):
+            count_before = len(endpoint_a.attempts) + len(endpoint_b.attempts)
+            answer = node.client().open_request("c=keyed,d=1500", ident=f"{index:x}")
+            attempt_count = len(endpoint_a.attempts) + len(endpoint_b.attempts) - count_before
+            # A request that was attempted in the first zone may have run there. It must neither be served in
+            # the other zone nor be rejected, because the client would then retry, possibly in the other zone.
+            assert not attempt_count or answer == "ERR"
+            failed_count += attempt_count
+        assert failed_count
+
+
+class OverlapRecorder(EndpointServer):
+    """A server that records, for each first line, whether the previous attempts' connections are still
+    open."""
+
+    def __init__(self, name: str, previous_endpoint: FailingEndpoint) -> None:
+        self.previous_endpoint = previous_endpoint
         self.overlaps: list[bool] = []
         super().__init__(name, load="x0=0.5,inflight=500")
 
     def _serve(self, sock: socket.socket) -> None:
         if sock.recv(1, socket.MSG_PEEK) == b"O":
-            for earlier in self.before.attempts:
-                ended = select.select([earlier], [], [], 0)[0] and not earlier.recv(1, socket.MSG_PEEK)
+            for previous_attempt in self.previous_endpoint.attempts:
+                ended = select.select([previous_attempt], [], [], 0)[0] and not previous_attempt.recv(
+                    1, socket.MSG_PEEK
+                )
                 self.overlaps.append(not ended)
         super()._serve(sock)
 
 
-def test_the_attempt_before_is_closed_when_the_next_ones_line_is_there(tmp_path: Path) -> None:
-    """It hung and timed out: its end is on the wire before the next first line, and so never two are out."""
-    a = Breaks("a", "hang")
-    b = Second("b", a)
-    with running_node(tmp_path, [a, b], settings=settings(lane("safe"))) as w:
+def test_timed_out_attempt_is_closed_before_the_retry_is_sent(tmp_path: Path) -> None:
+    """The first attempt hangs and times out. Its connection is closed before the next first line is sent, so
+    that two attempts never overlap."""
+    endpoint_a = FailingEndpoint("a", "hang")
+    endpoint_b = OverlapRecorder("b", endpoint_a)
+    with running_node(tmp_path, [endpoint_a, endpoint_b], settings=settings(traffic_class("safe"))) as node:
         for _ in range(20):
-            w.client().open_request("c=safe,d=1500")
-            if b.overlaps:
+            node.client().open_request("c=safe,d=1500")
+            if endpoint_b.overlaps:
                 break
-        wait_for(lambda: b.overlaps)
-        assert not any(b.overlaps)
+        wait_for(lambda: endpoint_b.overlaps)
+        assert not any(endpoint_b.overlaps)
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -1,5 +1,5 @@
-"""A client's TCP channel as it closes, in the loop of the test: what the other side does in that very moment
-is done before the loop may see it."""
+"""Closing of a client's TCP channel. The tests run in the channel's event loop, so that the client can act at
+the moment of the close, before the loop reads from the socket."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Listener:
-    """The node's listener without a node: channels whose requests reach no endpoint."""
+    """A client listener without a node: its channels have a proxy without endpoints."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
@@ -35,29 +35,29 @@
         self.server_socket.setblocking(False)
 
     async def open(self) -> None:
-        await self.loop.create_server(self._made, sock=self.server_socket)
+        await self.loop.create_server(self._create_channel, sock=self.server_socket)
 
-    def _made(self) -> TcpChannel:
+    def _create_channel(self) -> TcpChannel:
         return TcpChannel(self.proxy, self.metrics, lambda: True, self.channels, self.descriptors)
 
-    async def client(self, small: bool = False) -> tuple[socket.socket, TcpChannel]:
+    async def client(self, small_buffer: bool = False) -> tuple[socket.socket, TcpChannel]:
         sock = socket.socket()
-        if small:
+        if small_buffer:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.connect(self.server_socket.getsockname())
         before = set(self.channels)
-        while not (new := self.channels - before):
+        while not (new_channels := self.channels - before):
             await asyncio.sleep(0)
-        return sock, new.pop()
+        return sock, new_channels.pop()
 
-    async def until(self, true: Callable[[], bool], within: float) -> None:
-        end = self.loop.time() + within
-        while not true():
-            assert self.loop.time() < end, "it never came about"
+    async def wait_until(self, condition: Callable[[], bool], within_s: float) -> None:
+        end = self.loop.time() + within_s
+        while not condition():
+            assert self.loop.time() < end, "condition not met in time"
             await asyncio.sleep(0.01)
 
 
-def in_loop(test: Callable[[Listener], Coroutine[Any, Any, None]]) -> None:
+def run_in_loop(test: Callable[[Listener], Coroutine[Any, Any, None]]) -> None:
     async def main() -> None:
         listener = Listener()
         await listener.open()
@@ -67,101 +67,103 @@
 
 
 async def read_to_end(sock: socket.socket) -> bytes:
-    """All that comes until the end; a reset raises."""
+    """Read until the end of the connection; a reset raises an exception."""
     sock.setblocking(False)
-    loop, got = asyncio.get_running_loop(), b""
+    loop, received = asyncio.get_running_loop(), b""
     while data := await asyncio.wait_for(loop.sock_recv(sock, 1_000_000), 5.0):
-        got += data
-    return got
+        received += data
+    return received
 
 
 def was_reset(sock: socket.socket) -> bool:
-    """Whether a reset came, also where the end before it hides it from a reader."""
+    """Return whether the connection was reset, even if a preceding end hides the reset from readers."""
     return sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) != 0
 
 
-@pytest.mark.parametrize("said", [FIRST_LINE, FIRST_LINE[:9], FIRST_LINE + b"x" * 200_000])
-def test_an_eviction_over_unread_bytes_still_answers(said: bytes) -> None:
-    """The client's line is in the socket's buffer as the channel is evicted. The close over it reset the
-    connection, and the answer went with it."""
+@pytest.mark.parametrize("sent_bytes", [FIRST_LINE, FIRST_LINE[:9], FIRST_LINE + b"x" * 200_000])
+def test_evicted_client_with_unread_bytes_gets_its_answer(sent_bytes: bytes) -> None:
+    """The client's line is in the socket's buffer when the channel is evicted. Closing a socket with unread
+    bytes resets the connection, so that the answer is lost."""
 
     async def test(listener: Listener) -> None:
         sock, channel = await listener.client()
         sock.setblocking(False)
-        sock.send(said)  # the loop has no turn between this line and the next
+        sock.send(sent_bytes)  # the loop does not run between this line and the next
         channel.evict()
         assert (await read_to_end(sock)).startswith(b"BUSY ")
-        await listener.until(lambda: listener.descriptors.held_count == 0, 2.0)
+        await listener.wait_until(lambda: listener.descriptors.held_count == 0, 2.0)
         assert not was_reset(sock)
 
-    in_loop(test)
+    run_in_loop(test)
 
 
-@pytest.mark.parametrize("ending", [CloseReason.MIGRATED, CloseReason.FAILED, CloseReason.SERVED])
-def test_the_end_of_a_linger_over_unread_bytes_is_no_reset(ending: CloseReason) -> None:
-    """The client writes as the linger ends; it finds the last line and an end."""
+@pytest.mark.parametrize("close_reason", [CloseReason.MIGRATED, CloseReason.FAILED, CloseReason.SERVED])
+def test_linger_end_with_unread_bytes_causes_no_reset(close_reason: CloseReason) -> None:
+    """The client writes when the linger ends; it must still receive the last line and a regular end."""
 
     async def test(listener: Listener) -> None:
         sock, channel = await listener.client()
         channel.write(b"MOVE\r\n")
-        channel.close(ending)
+        channel.close(close_reason)
         await asyncio.sleep(LINGER_S / 2)
         sock.send(FIRST_LINE)
         channel._on_linger_over()
         assert await read_to_end(sock) == b"MOVE\r\n"
-        await listener.until(lambda: listener.descriptors.held_count == 0, 2.0)
+        await listener.wait_until(lambda: listener.descriptors.held_count == 0, 2.0)
         assert not was_reset(sock)
 
-    in_loop(test)
+    run_in_loop(test)
 
 
 @pytest.mark.parametrize("evicted", [False, True])
-def test_a_peer_that_never_reads_does_not_keep_its_descriptor(evicted: bool) -> None:
-    """More is on its way to it than its buffers hold. Its connection was closed once all was out, and so
-    never; evicting it did nothing."""
+def test_client_that_never_reads_loses_its_descriptor(evicted: bool) -> None:
+    """More data are unsent than the buffers of the connection hold. A close that waits until all data are
+    sent would never happen, and neither would an eviction that waits for it."""
 
     async def test(listener: Listener) -> None:
-        _sock, channel = await listener.client(small=True)
+        _sock, channel = await listener.client(small_buffer=True)
         channel.write(b"x" * 16_000_000 + b"\r\n")
         channel.close(CloseReason.MIGRATED)
         if evicted:
             channel.evict()
-        within_s = LINGER_S / 2 if evicted else LINGER_MAX_S
-        await listener.until(lambda: listener.descriptors.held_count == 0, within_s)
+        limit_s = LINGER_S / 2 if evicted else LINGER_MAX_S
+        await listener.wait_until(lambda: listener.descriptors.held_count == 0, limit_s)
 
-    in_loop(test)
+    run_in_loop(test)
 
 
-def test_a_peer_that_reads_slowly_has_its_last_lines() -> None:
-    """It goes on reading past the linger: what it takes time for is not cut off."""
+def test_client_that_reads_slowly_receives_its_last_lines() -> None:
+    """The client reads for longer than the linger time; the rest of its data must not be cut off."""
 
     async def test(listener: Listener) -> None:
         sock, channel = await listener.client()
-        size = 40_000_000
-        channel.write(b"x" * size + b"MOVE\r\n")
+        size_bytes = 40_000_000
+        channel.write(b"x" * size_bytes + b"MOVE\r\n")
         channel.close(CloseReason.MIGRATED)
         sock.setblocking(False)
-        got = b""
+        received = b""
         end = listener.loop.time() + 1.5 * LINGER_S
         while listener.loop.time() < end:
-            got += await listener.loop.sock_recv(sock, size // 50)
+            received += await listener.loop.sock_recv(sock, size_bytes // 50)
             await asyncio.sleep(LINGER_S / 20)
-        assert len(got) < size and channel.transport is not None
-        assert (got + await read_to_end(sock)).endswith(b"xMOVE\r\n")
+        assert len(received) < size_bytes and channel.transport is not None
+        assert (received + await read_to_end(sock)).endswith(b"xMOVE\r\n")
 
-    in_loop(test)
+    run_in_loop(test)
 
 
 @pytest.mark.parametrize(
-    ("how", "disconnected"),
+    ("client_action", "disconnected"),
     [("stays", False), ("speaks", False), ("ends its side", True), ("closes", True), ("resets", True)],
 )
-def test_a_client_that_disconnected_is_seen_before_the_loop_reads_of_it(how: str, disconnected: bool) -> None:
-    """Between a client's end and its reading lies all that the loop does first, timers that send included."""
+def test_is_disconnected_detects_a_client_end_that_the_loop_has_not_read(
+    client_action: str, disconnected: bool
+) -> None:
+    """Before the loop reads the end, it runs other callbacks, among them timers that forward requests."""
 
     async def test(listener: Listener) -> None:
         sock, channel = await listener.client()
-        match how:
+        match client_action:
             case "speaks":
                 sock.send(b"P")
             case "ends its side":
@@ -170,42 +172,43 @@
                 sock.close()
             case "resets":
                 hard_reset(sock)
-        assert channel.is_disconnected() is disconnected  # in the same turn of the loop
+        assert channel.is_disconnected() is disconnected  # in the same loop iteration
         assert channel.is_disconnected() is disconnected and (channel.transport is not None)
 
-    in_loop(test)
+    run_in_loop(test)
 
 
-def test_a_client_that_is_dismissed_may_send_its_request_in_that_moment() -> None:
-    """It is told, and closed once there is no room any more: its line comes in between and has its answer."""
+def test_request_sent_during_dismissal_is_answered() -> None:
+    """A client is dismissed first and closed when no descriptor is left; its line arrives in between."""
 
     async def test(listener: Listener) -> None:
         sock, channel = await listener.client()
         channel.dismiss()
         await asyncio.sleep(0)
-        sock.send(FIRST_LINE)  # on its way as the end came
+        sock.send(FIRST_LINE)  # sent while the dismissal is in progress
         channel.evict()
         assert (await read_to_end(sock)).startswith(b"BUSY ")
-        await listener.until(lambda: listener.descriptors.held_count == 0, 2.0)
+        await listener.wait_until(lambda: listener.descriptors.held_count == 0, 2.0)
         assert not was_reset(sock) and not listener.proxy.requests
 
-    in_loop(test)
+    run_in_loop(test)
 
 
-def test_a_reset_between_the_accept_and_the_first_read_leaves_nothing() -> None:
-    """The system has accepted, and the loop has not: a channel is made for a connection that is gone."""
+def test_reset_between_accept_and_first_read_releases_everything() -> None:
+    """The kernel has accepted the connection and the loop has not, so a channel is created for a closed
+    one."""
 
     async def test(listener: Listener) -> None:
-        for said in (b"", FIRST_LINE, b"PING\r\n"):
+        for sent_bytes in (b"", FIRST_LINE, b"PING\r\n"):
             sock = socket.create_connection(listener.server_socket.getsockname())
-            sock.send(said)
+            sock.send(sent_bytes)
             hard_reset(sock)
         sock, _channel = await listener.client()
-        await listener.until(
+        await listener.wait_until(
             lambda: listener.descriptors.held_count == 1 and len(listener.channels) == 1, 2.0
         )
         sock.close()
-        await listener.until(lambda: listener.descriptors.held_count == 0, 2.0)
+        await listener.wait_until(lambda: listener.descriptors.held_count == 0, 2.0)
         assert not listener.proxy.requests
 
-    in_loop(test)
+    run_in_loop(test)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Which connections are evicted when descriptors run short."""
+"""Eviction of connections when descriptors run short."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 )
 
 LIMIT = 512
-MOST = LIMIT - PROCESS_RESERVE - LIMIT // DIAL_RESERVE_DIVISOR
+CLIENT_LIMIT = LIMIT - PROCESS_RESERVE - LIMIT // DIAL_RESERVE_DIVISOR
 
 
 class Connection:
-    """A connection that closes when it is asked to."""
+    """A connection that follows the requests of the budget at once."""
 
     def __init__(self, descriptors: DescriptorBudget) -> None:
         self.descriptors = descriptors
@@ -31,51 +31,54 @@
         self.descriptors.on_closed(self)
 
 
-def test_a_client_that_pings_on_outlasts_a_crowd_that_sends_nothing() -> None:
-    """A client that only sent PING was once closed before all that had sent nothing yet."""
+def test_client_that_keeps_pinging_outlasts_silent_clients() -> None:
+    """A client that sends only PING must not be closed before clients that have sent nothing."""
     budget = DescriptorBudget(LIMIT, Metrics())
-    pinging = Connection(budget)
-    budget.on_accepted(pinging)
-    crowd = []
+    pinging_connection = Connection(budget)
+    budget.on_accepted(pinging_connection)
+    silent_connections = []
     for _ in range(3 * LIMIT):
-        budget.set_rank(pinging, EvictionRank.PINGED)
-        crowd.append(Connection(budget))
-        budget.on_accepted(crowd[-1])
-        assert budget.held_count <= MOST
-    assert not pinging.dismissed and not pinging.closed
-    closed = [each.closed for each in crowd]
-    assert closed == sorted(closed, reverse=True) and sum(closed) > 2 * LIMIT  # the oldest activity first
+        budget.set_rank(pinging_connection, EvictionRank.PINGED)
+        silent_connections.append(Connection(budget))
+        budget.on_accepted(silent_connections[-1])
+        assert budget.held_count <= CLIENT_LIMIT
+    assert not pinging_connection.dismissed and not pinging_connection.closed
+    closed = [connection.closed for connection in silent_connections]
+    # Connections were closed in the order of their last activity.
+    assert closed == sorted(closed, reverse=True) and sum(closed) > 2 * LIMIT
 
 
-def test_connections_are_dismissed_while_descriptors_are_left_and_closed_when_none_is() -> None:
+def test_connections_are_dismissed_before_the_budget_is_exhausted_and_closed_after() -> None:
     budget = DescriptorBudget(LIMIT, Metrics())
-    crowd = [Connection(budget) for _ in range(2 * LIMIT)]
-    for each in crowd:
-        budget.on_accepted(each)
-    assert all(each.dismissed for each in crowd if each.closed)
-    waiting = sum(each.dismissed and not each.closed for each in crowd)
-    assert waiting >= LIMIT // DISMISSAL_MARGIN_DIVISOR - 1
+    silent_connections = [Connection(budget) for _ in range(2 * LIMIT)]
+    for connection in silent_connections:
+        budget.on_accepted(connection)
+    assert all(connection.dismissed for connection in silent_connections if connection.closed)
+    dismissed_count = sum(connection.dismissed and not connection.closed for connection in silent_connections)
+    assert dismissed_count >= LIMIT // DISMISSAL_MARGIN_DIVISOR - 1
 
 
-def test_a_dial_uses_what_is_kept_from_clients() -> None:
-    """Discovery, attempts and health checks find descriptors in a node that idle clients have filled."""
+def test_dialed_sockets_use_the_reserve_withheld_from_clients() -> None:
+    """Discovery, attempts and health checks get descriptors even if idle clients use all others."""
     budget = DescriptorBudget(LIMIT, Metrics())
     for _ in range(2 * LIMIT):
         budget.on_accepted(Connection(budget))
-    held = budget.held_count
-    dials = [budget.open_socket(2) for _ in range(LIMIT // DIAL_RESERVE_DIVISOR)]
-    assert budget.held_count == held + LIMIT // DIAL_RESERVE_DIVISOR
-    for sock in dials:
+    held_before = budget.held_count
+    dialed_sockets = [budget.open_socket(2) for _ in range(LIMIT // DIAL_RESERVE_DIVISOR)]
+    assert budget.held_count == held_before + LIMIT // DIAL_RESERVE_DIVISOR
+    for sock in dialed_sockets:
         sock.close()
-    assert budget.held_count == held
+    assert budget.held_count == held_before
 
 
-def test_established_connections_are_never_closed_and_the_next_client_is_evicted_at_once() -> None:
+def test_established_connections_are_kept_and_a_new_client_is_evicted() -> None:
     budget = DescriptorBudget(LIMIT, Metrics())
-    established = [Connection(budget) for _ in range(MOST)]
-    for each in established:
-        budget.on_accepted(each)
-        budget.set_rank(each, None)
-    late = Connection(budget)
-    budget.on_accepted(late)
-    assert late.closed and not any(each.dismissed or each.closed for each in established)
+    established = [Connection(budget) for _ in range(CLIENT_LIMIT)]
+    for connection in established:
+        budget.on_accepted(connection)
+        budget.set_rank(connection, None)
+    last_connection = Connection(budget)
+    budget.on_accepted(last_connection)
+    assert last_connection.closed and not any(
+        connection.dismissed or connection.closed for connection in established
+    )
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -1,4 +1,4 @@
-"""First lines, load reports and line ends as the protocol has them."""
+"""Parsers of first lines and load reports, and the scanner for line ends."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from gradegap.upstream.answers import parse_load_report
 
 
-def test_a_first_line_is_forwarded_unchanged_but_for_its_wait() -> None:
+def test_first_line_is_forwarded_unchanged_except_for_its_wait() -> None:
     line = b"OPEN 9b1f 7f3a c=chat,d=2000,g=5c0f,r=1,again=1,h=12.5,x=d=7\r\n"
     opening = framing.parse_opening(line)
     assert opening.with_wait(0.7315) == line.replace(b"d=2000", b"d=731")
@@ -20,15 +20,15 @@
 
 @pytest.mark.parametrize("fields", ["d=%s,c=chat", "c=chat,x=d=7,d=%s,dd=9", "z=d=1,c=chat,g=,n=-4.5e3,d=%s"])
 @pytest.mark.parametrize("wait", ["2000", "1999.5", "2e3", "0002000"])
-def test_whatever_its_form_only_the_wait_is_written_anew(fields: str, wait: str) -> None:
-    """A wait that was not plain once went on as the client had it; names that are not known are kept."""
+def test_wait_of_any_form_is_replaced_and_all_else_is_kept(fields: str, wait: str) -> None:
+    """The wait is replaced even if it is not a plain integer; values under unknown names are kept."""
     opening = framing.parse_opening(f"OPEN 1 2 {fields % wait}\r\n".encode())
     assert opening.with_wait(0.25) == f"OPEN 1 2 {fields % 250}\r\n".encode()
     assert opening.request.wait == float(wait) / 1000
 
 
-def test_connections_from_before_the_run_may_wait_for_hours() -> None:
-    """Waits over an hour were once read as bad lines, and every such connection was lost."""
+def test_inherited_connection_may_wait_for_hours() -> None:
+    """Waits over an hour are valid; if they were rejected, every inherited connection would be lost."""
     request = framing.parse_opening(b"OPEN 1 2 c=chat,d=4294967,at=s-1\r\n").request
     assert framing.parse_opening(b"OPEN 1 2 c=chat,d=4294967295,at=s-1\r\n").request.inherited_from == "s-1"
     assert request.inherited_from == "s-1" and request.wait == 4294.967
@@ -46,7 +46,7 @@
         b"OPEN 1 2 c=chat,junk\r\n",
         b"OPEN 1 \xff c=chat\r\n",
         b"\r\n",
-        # What float() takes and no save server does; each once went on to one, some with another wait.
+        # Numbers that float() accepts but no save server does. They must not be forwarded, changed or not.
         *(b"OPEN 1 2 c=chat,d=" + wait + b"\r\n" for wait in (b"", b"+5", b"1_000", b" 5", b"inf", b"1e999")),
         *(b"OPEN 1 2 c=chat,d=" + wait + b"\r\n" for wait in (b"9" * 15, b"9" * 400, "\u0665".encode())),
         *(b"OPEN 1 2 c=chat,d=5,h=" + load + b"\r\n" for load in (b"nan", b"-1", b"1e30", b"")),
@@ -61,22 +61,22 @@
         b"OPEN 1 2 c=chat,d=5\r\r\n",
     ],
 )
-def test_bad_first_lines_raise_an_error(line: bytes) -> None:
+def test_invalid_first_line_raises_an_error(line: bytes) -> None:
     with pytest.raises(InvalidLineError):
         framing.parse_opening(line)
 
 
-def test_load_reports_are_read_under_the_balancers_names_and_what_is_no_number_is_skipped() -> None:
+def test_load_report_uses_the_balancers_names_and_skips_invalid_numbers() -> None:
     report = parse_load_report("x0=0.61,concurrent=7,pace=high,odd,a=nan,b=-1,c=inf,d=1_0,e=")
     assert report == {"x0": 0.61, "inflight": 7.0}
     assert parse_load_report("") is None
 
 
-def test_lines_are_found_however_they_are_cut() -> None:
-    seen: list[bytes] = []
-    scanner = framing.LineScanner(seen.append)
-    for piece in (b"LO", b"AD 5\r", b"\nBYE\r\nPA"):
-        scanner.feed(piece)
-    assert seen == [b"LOAD 5", b"BYE"] and not scanner.at_line_end
+def test_line_scanner_joins_lines_across_fragments() -> None:
+    lines: list[bytes] = []
+    scanner = framing.LineScanner(lines.append)
+    for fragment in (b"LO", b"AD 5\r", b"\nBYE\r\nPA"):
+        scanner.feed(fragment)
+    assert lines == [b"LOAD 5", b"BYE"] and not scanner.at_line_end
     scanner.feed(b"RT\r\n")
     assert scanner.at_line_end
--- a/tests/test_proxy_connections.py
+++ b/tests/test_proxy_connections.py
@@ -14,7 +14,7 @@
 from tests.support.proxy_harness import ProxyHarness
 
 
-def test_an_inherited_connection_has_the_drain_grace_of_its_endpoint() -> None:
+def test_inherited_connection_may_be_sent_during_the_drain_grace() -> None:
     harness = ProxyHarness()
     harness.open_request(wait=40.0, inherited_from="a")
     harness.list_endpoint("a", phase=EndpointPhase.DRAINING)
@@ -27,7 +27,7 @@
     )
 
 
-def test_a_connection_whose_endpoint_is_unresponsive_is_migrated_within_seven_seconds() -> None:
+def test_connection_to_an_unresponsive_endpoint_is_migrated_within_seven_seconds() -> None:
     harness = ProxyHarness()
     session, request, _ = harness.establish()
     harness.loop.run(2.0)
@@ -36,7 +36,7 @@
     assert session.call_names == ["up", "move"] and harness.loop.now - session.calls[0][1] <= 7.0
 
 
-def test_an_idle_or_answered_connection_is_not_migrated() -> None:
+def test_idle_or_answered_connection_is_not_migrated() -> None:
     harness = ProxyHarness()
     session, request, _ = harness.establish()
     harness.loop.run(20.0)
@@ -46,18 +46,20 @@
     assert session.call_names == ["up"]
 
 
-def test_slow_messages_are_observed_at_most_once_a_second() -> None:
+def test_slow_messages_are_reported_at_most_once_a_second() -> None:
     harness = ProxyHarness()
     _, request, _ = harness.establish()
-    for k in range(10):
+    for index in range(10):
         request.on_client_line()
-        harness.loop.run(0.01 if k == 0 else 0.4)
+        harness.loop.run(0.01 if index == 0 else 0.4)
         request.on_endpoint_data()
-    notes = [e for e in harness.balancer.events if isinstance(e, ConnectionObserved)]
-    assert 2 <= len(notes) <= 4 and all(n.message_delay == pytest.approx(0.39) for n in notes)
+    observations = [event for event in harness.balancer.events if isinstance(event, ConnectionObserved)]
+    assert 2 <= len(observations) <= 4 and all(
+        observation.message_delay == pytest.approx(0.39) for observation in observations
+    )
 
 
-def test_an_inherited_connection_that_could_not_be_made_is_tried_again() -> None:
+def test_inherited_connection_is_retried_after_a_failed_connect() -> None:
     harness = ProxyHarness()
     session, _ = harness.open_request(wait=40.0, inherited_from="a")
     harness.upstream.connections[0].attempt.on_ended(AttemptResult.CONNECT_FAILED)
@@ -65,4 +67,4 @@
     harness.upstream.connections[1].write()
     harness.upstream.connections[1].attempt.on_established()
     assert session.call_names == ["up"]
-    assert [type(e) for e in harness.balancer.events[1:]] == [ConnectionInherited]
+    assert [type(event) for event in harness.balancer.events[1:]] == [ConnectionInherited]
--- a/tests/test_proxy_endpoints.py
+++ b/tests/test_proxy_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints of a proxy: restarts, drain grace, health checks, administrative disabling."""
+"""Endpoints of a proxy: restarts, drain grace, health checks and administrative disabling."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from tests.support.proxy_harness import ProxyHarness
 
 
-def test_an_endpoint_restarted_under_its_id_starts_with_nothing_known_of_it() -> None:
-    """Its drain is over; its report and its health check connection are those of the process before."""
+def test_restarted_endpoint_loses_the_state_of_its_previous_process() -> None:
+    """The drain state, the load report and the health check connection belong to the previous process."""
     harness = ProxyHarness()
     harness.list_endpoint("a", phase=EndpointPhase.DRAINING)
     harness.proxy.record_report(harness.proxy.now(), "a", {"x0": 0.9})
@@ -31,10 +31,10 @@
         and harness.proxy.within_drain_grace(endpoint)
     )
     harness.open_request()
-    assert [each.endpoint.id for each in harness.upstream.connections] == ["a"]
+    assert [connection.endpoint.id for connection in harness.upstream.connections] == ["a"]
 
 
-def test_a_repeated_drain_notice_does_not_restart_the_grace() -> None:
+def test_repeated_drain_notice_does_not_restart_the_grace() -> None:
     harness = ProxyHarness()
     harness.list_endpoint("a", phase=EndpointPhase.DRAINING)
     harness.loop.run(1.5)
@@ -44,40 +44,40 @@
     assert not harness.upstream.connections
 
 
-def test_an_endpoint_past_its_drain_grace_is_not_checked_nor_taken_for_unresponsive() -> None:
-    """It once counted as unresponsive, and its connections were migrated in one wave."""
+def test_endpoint_past_its_drain_grace_is_neither_checked_nor_unresponsive() -> None:
+    """If the missing check counted as a timeout, the balancer would migrate all connections at once."""
     harness = ProxyHarness()
-    harness.balancer.answers[TimerFired] = lambda e: [CheckHealth("a")]
+    harness.balancer.answers[TimerFired] = lambda event: [CheckHealth("a")]
     harness.list_endpoint("a", phase=EndpointPhase.DRAINING)
     harness.proxy.feed(TimerFired("look"))
     harness.loop.run(2.5)
     harness.proxy.feed(TimerFired("look"))
     harness.loop.run(0.1)
     assert harness.upstream.checked == ["a"]
-    assert [e.result for e in harness.balancer.events if isinstance(e, HealthCheckEnded)] == [
+    assert [event.result for event in harness.balancer.events if isinstance(event, HealthCheckEnded)] == [
         AttemptResult.FULL
     ]
 
 
-@pytest.mark.parametrize(("grace", "stays"), [(0.25, 2.0), (2.0, 2.0), (6.0, 6.0)])
-def test_a_disabled_endpoint_is_emptied_over_seconds_however_short_the_grace(
-    grace: float, stays: float
+@pytest.mark.parametrize(("grace", "expected_stops_within"), [(0.25, 2.0), (2.0, 2.0), (6.0, 6.0)])
+def test_disabled_endpoint_is_drained_over_at_least_two_seconds(
+    grace: float, expected_stops_within: float
 ) -> None:
-    """With a grace of 250 ms all its clients were migrated within a fifth of a second."""
+    """With a drain grace of 250 ms all clients would otherwise be migrated within a fifth of a second."""
     harness = ProxyHarness()
     harness.proxy.settings = settings(drain_grace=grace)
     assert harness.proxy.disable_endpoint("a")
-    (entry,) = [e for e in harness.balancer.events if isinstance(e, EndpointList)][-1].entries
-    assert entry.phase is EndpointPhase.DRAINING and entry.stops_within == stays
+    (entry,) = [event for event in harness.balancer.events if isinstance(event, EndpointList)][-1].entries
+    assert entry.phase is EndpointPhase.DRAINING and entry.stops_within == expected_stops_within
 
 
-@pytest.mark.parametrize(("grace", "sends_for"), [(0.05, 0.03), (0.25, 0.15), (2.0, 1.9)])
-def test_a_short_grace_leaves_some_of_it_to_send_in(grace: float, sends_for: float) -> None:
+@pytest.mark.parametrize(("grace", "expected_send_window"), [(0.05, 0.03), (0.25, 0.15), (2.0, 1.9)])
+def test_short_drain_grace_leaves_time_to_send(grace: float, expected_send_window: float) -> None:
     harness = ProxyHarness()
     harness.proxy.settings = settings(drain_grace=grace)
     harness.list_endpoint("a", phase=EndpointPhase.DRAINING)
     endpoint = harness.proxy.endpoints["a"]
-    harness.loop.run(sends_for - 0.001)
+    harness.loop.run(expected_send_window - 0.001)
     assert harness.proxy.within_drain_grace(endpoint)
     harness.loop.run(0.002)
     assert not harness.proxy.within_drain_grace(endpoint)
--- a/tests/test_proxy_requests.py
+++ b/tests/test_proxy_requests.py
@@ -1,4 +1,4 @@
-"""What a proxy keeps of each request: one final answer, in time, and nothing after it."""
+"""Requests of a proxy: each gets one final answer by its deadline, and nothing afterwards."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.support.proxy_harness import ProxyHarness
 
 
-def test_a_request_that_the_balancer_never_answers_fails_at_its_deadline() -> None:
+def test_request_without_a_balancer_decision_fails_at_its_deadline() -> None:
     harness = ProxyHarness()
     harness.balancer.answers.clear()
     started_at = harness.loop.now
@@ -24,9 +24,9 @@
     assert session.calls == [("fail", started_at + 1.5)] and not harness.proxy.requests
 
 
-def test_reports_about_a_finished_request_change_nothing() -> None:
+def test_events_after_the_final_answer_are_ignored() -> None:
     harness = ProxyHarness()
-    harness.balancer.answers[AttemptEnded] = lambda e: [Reject(e.request_id, 0.5)]
+    harness.balancer.answers[AttemptEnded] = lambda event: [Reject(event.request_id, 0.5)]
     session, request = harness.open_request(wait=1.0)
     attempt = harness.upstream.connections[0].attempt
     harness.loop.run(1.2)
@@ -38,10 +38,11 @@
     assert session.call_names == ["busy"] and len(harness.balancer.results()) == 1
 
 
-def test_a_client_that_disconnected_unread_while_it_waited_is_not_forwarded() -> None:
-    """Its end lies in the socket as a timer lets the balancer choose: the busy loop did not read it yet."""
+def test_client_that_disconnected_unread_while_waiting_is_not_forwarded() -> None:
+    """The client's end is in the socket's buffer, unread by the busy loop, when a timer makes the balancer
+    forward."""
     harness = ProxyHarness()
-    harness.balancer.answers = {TimerFired: lambda e: [Forward(1, "a", 1.0)]}
+    harness.balancer.answers = {TimerFired: lambda event: [Forward(1, "a", 1.0)]}
     session, _ = harness.open_request()
     session.disconnected = True
     harness.proxy.feed(TimerFired("h1"))
@@ -51,7 +52,7 @@
     assert isinstance(disconnected, ClientDisconnected) and isinstance(ended, AttemptEnded) and ended.settled
 
 
-def test_nothing_is_sent_for_a_client_that_disconnected_unread_during_the_dial() -> None:
+def test_client_that_disconnected_unread_during_the_connect_sends_nothing() -> None:
     harness = ProxyHarness()
     session, _ = harness.open_request()
     session.disconnected = True
@@ -60,10 +61,11 @@
     assert harness.upstream.connections[0].cancelled and not session.calls and not harness.proxy.requests
 
 
-def test_a_request_rejected_by_the_gate_as_it_is_forwarded_is_settled_for_the_balancer() -> None:
-    """The balancer once saw the client disconnect, and kept waiting for the end of an attempt never begun."""
+def test_request_rejected_by_the_gate_on_forward_ends_for_the_balancer() -> None:
+    """The balancer must see the end of the attempt, although it was never started; else it waits for it
+    forever."""
     harness = ProxyHarness()
-    harness.balancer.answers = {TimerFired: lambda e: [Forward(1, "a", 1.0)]}
+    harness.balancer.answers = {TimerFired: lambda event: [Forward(1, "a", 1.0)]}
     session, _ = harness.open_request()
     harness.proxy.set_admission_gate(lambda: 0.5)
     harness.proxy.feed(TimerFired("h1"))
@@ -71,7 +73,7 @@
     assert isinstance(harness.balancer.events[-1], AttemptEnded) and harness.balancer.events[-1].settled
 
 
-def test_a_disconnect_cancels_the_attempt_and_gives_no_answer() -> None:
+def test_disconnect_cancels_the_attempt_without_an_answer() -> None:
     harness = ProxyHarness()
     session, request = harness.open_request()
     request.on_disconnect()
@@ -79,7 +81,7 @@
     assert harness.upstream.connections[0].cancelled and not session.calls and not harness.proxy.requests
 
 
-def test_a_request_that_ended_can_enter_no_other_state() -> None:
+def test_ended_request_rejects_any_transition() -> None:
     harness = ProxyHarness()
     _, request = harness.open_request()
     request.on_disconnect()
