--- a/gradegap/downstream/first_line.py
+++ b/gradegap/downstream/first_line.py
@@ -121,8 +121,7 @@
         pings = 0
         while self._handler.awaits_request:
             end = self.buffer.find(b"\n")
-            # Guards against endless first lines: a line over the length limit is answered with a failure
-            # line.
+            # Guards against endless first lines: an over-long line is answered with a failure line.
             if end >= LINE_MAX_BYTES or (end < 0 and len(self.buffer) >= LINE_MAX_BYTES):
                 self._metrics.count("bad_first_lines")
                 self._handler.reject_line()
--- a/gradegap/proxy/attempts.py
+++ b/gradegap/proxy/attempts.py
@@ -101,7 +101,7 @@
         return attempt.active
 
     def on_sent(self, attempt: Attempt) -> None:
-        """Handle that the first line was written."""
+        """Remove the attempt from those still connecting, because its first line was written."""
         self._no_longer_connecting(attempt)
 
     def cancel_connecting(self, endpoint: Endpoint) -> None:
--- a/gradegap/proxy/draining.py
+++ b/gradegap/proxy/draining.py
@@ -15,16 +15,16 @@
         # While out of service: clock time in s after which no connection may be established here.
         self.deadline: float | None = None
 
-    def begin_shutdown(self, within: float) -> None:
-        """Start the shutdown of this process: migrate all established connections within `within` s."""
+    def begin_shutdown(self, duration: float) -> None:
+        """Start the shutdown of this process: migrate all established connections within `duration` s."""
         if not self.shutting_down:
             self.shutting_down = True
-            self.context.feed(ProxyDraining(self.context.now() + within, process_ends=True))
+            self.context.feed(ProxyDraining(self.context.now() + duration, process_ends=True))
 
-    def start(self, within: float) -> None:
-        """Go out of service: migrate present and new established connections within `within` s."""
+    def start(self, duration: float) -> None:
+        """Go out of service: migrate present and new established connections within `duration` s."""
         if self.deadline is None and not self.shutting_down:
-            self.deadline = self.context.now() + within
+            self.deadline = self.context.now() + duration
             self.context.feed(ProxyDraining(self.deadline))
 
     def stop(self) -> None:
--- a/gradegap/proxy/health_checks.py
+++ b/gradegap/proxy/health_checks.py
@@ -34,9 +34,8 @@
         self.context.metrics.count("probes")
         if endpoint is None or not self.endpoints.within_drain_grace(endpoint):
             # A draining endpoint whose grace is over gets no new connections, including those for health
-            # checks. Guards against a missing health check being taken for an unresponsive endpoint, whose
-            # connections the balancer would migrate all at once. The result FULL has no meaning for the
-            # balancer's view.
+            # checks. Guards against the missing check being taken for an unresponsive endpoint, all of whose
+            # connections the balancer would migrate at once: it does not count the result FULL as a fault.
             self.context.loop.call_soon(done, AttemptResult.FULL, None)
         else:
             timeout = self.latency.timeout(HEALTH_CHECK_TIMEOUT_S, HEALTH_CHECK_TIMEOUT_MAX_S)
--- a/gradegap/proxy/proxy.py
+++ b/gradegap/proxy/proxy.py
@@ -240,13 +240,13 @@
         """The clock time in s by which all connections are migrated; None while in service."""
         return self._draining.deadline
 
-    def begin_shutdown(self, within: float) -> None:
-        """Start the shutdown of this process: migrate all established connections within `within` s."""
-        self._draining.begin_shutdown(within)
+    def begin_shutdown(self, duration: float) -> None:
+        """Start the shutdown of this process: migrate all established connections within `duration` s."""
+        self._draining.begin_shutdown(duration)
 
-    def start_draining(self, within: float) -> None:
-        """Go out of service: migrate present and new established connections within `within` s."""
-        self._draining.start(within)
+    def start_draining(self, duration: float) -> None:
+        """Go out of service: migrate present and new established connections within `duration` s."""
+        self._draining.start(duration)
 
     def stop_draining(self) -> None:
         """Go back in service."""
--- a/gradegap/proxy/request.py
+++ b/gradegap/proxy/request.py
@@ -136,7 +136,7 @@
     state: RequestState = RequestState.PENDING
     deadline_timer: asyncio.TimerHandle | None = None
     last_response_at: float = 0.0  # once established: when the endpoint last sent data
-    unanswered_since: float | None = None  # once established: when the oldest unanswered client line came
+    unanswered_since: float | None = None  # once established: arrival of the oldest unanswered line
 
     @property
     def pending(self) -> bool:
@@ -209,7 +209,7 @@
     endpoint: Endpoint
     number: int
     started_at: float
-    timeout: float  # s
+    timeout: float  # s, counted from `started_at`
     send_by: float = math.inf  # clock time after which the first line must not be written
     active: bool = True  # whether the attempt has not ended
     connection: ConnectPort | None = None
