--- a/gradegap/store/bootstrap.py
+++ b/gradegap/store/bootstrap.py
@@ -1,9 +1,10 @@
-"""How a new cluster comes about, and why a member that lost its disk never begins one. No I/O.
+"""Forms a new cluster, and ensures that a member that lost its disk never forms a second one. No I/O.
 
-A member whose folder is new belongs to no cluster. One is begun only when every peer of the operator's file
-was met and none belongs to one either; then the member with the smallest name names its members: the first
-`voters` members by name as voters, the rest as learners, which are promoted when a voter goes. If any of them
-belongs to a cluster, this one requests to be admitted, under its new identity.
+A member with a new folder doesn't belong to a cluster. A cluster is formed only after links to all peers in
+the operator's file were authenticated and none of the peers belongs to a cluster. The member with the
+smallest name then decides on the members: the first `voters` members by name become voters, the others
+learners, which are promoted when a voter is removed. If any peer belongs to a cluster, this member asks to be
+admitted to that cluster under its new identity.
 """
 
 from __future__ import annotations
@@ -19,25 +20,29 @@
 
 
 class NewCluster(NamedTuple):
-    """A cluster that this member begins: its name, and its first members."""
+    """A cluster that this member forms: its name and its first members."""
 
     name: str
     configuration: ClusterConfiguration
 
 
 def promotable(configuration: ClusterConfiguration, settings: StoreSettings) -> list[Member]:
-    """The learners that may become voters.
+    """The learners that may be promoted to voters.
 
-    None where there are enough, and none whose region would then hold a majority of as many voters as are
-    wanted.
+    The list is empty if there are enough voters. It omits learners whose promotion would give their region a
+    majority of the configured number of voters.
     """
     if len(configuration.voters) >= settings.voters:
         return []
     learners = [member for member in configuration.members if not member.voter]
-    return [learner for learner in learners if not _outweighs(learner, configuration, settings)]
+    return [
+        learner for learner in learners if not _would_give_region_majority(learner, configuration, settings)
+    ]
 
 
-def _outweighs(learner: Member, configuration: ClusterConfiguration, settings: StoreSettings) -> bool:
+def _would_give_region_majority(
+    learner: Member, configuration: ClusterConfiguration, settings: StoreSettings
+) -> bool:
     regions = settings.regions
     region = regions.get(learner.name, "")
     if not region or len({each for each in regions.values() if each}) < 2:
@@ -47,36 +52,36 @@
 
 
 class Bootstrap:
-    """What a member without a cluster knows of its peers."""
+    """The state of a member without a cluster: which of its peers it has links to, and their clusters."""
 
     def __init__(self, settings: StoreSettings, member: Member) -> None:
         self.member = member
         self.peers = {peer.name: peer.address for peer in settings.peers if peer.name != member.name}
         self.voters = set(settings.first_voters)
-        self.seen: dict[str, Hello] = {}  # by name, the latest of a peer
+        self.hellos: dict[str, Hello] = {}  # the latest hello of each peer, by name
 
-    def alone(self) -> NewCluster | None:
-        """A cluster of one, where no peers are listed."""
+    def form_single_member(self) -> NewCluster | None:
+        """A new cluster of this member alone; None if the settings list peers."""
         return None if self.peers else self._new_cluster(())
 
-    def met(self, hello: Hello) -> None:
-        """A link to a peer is authenticated."""
+    def peer_authenticated(self, hello: Hello) -> None:
+        """Records the hello of a peer whose link is authenticated."""
         if hello.name in self.peers:
-            self.seen[hello.name] = hello
+            self.hellos[hello.name] = hello
 
-    def waits_for(self, hello: Hello | None) -> bool:
-        """Whether a peer was without a cluster at its last hello, and none can be formed with it now."""
-        return hello is not None and not hello.cluster and self.form() is None
+    def may_join_later(self, hello: Hello | None) -> bool:
+        """Whether the peer sent its hello before it had a cluster, and none can be formed with it now."""
+        return hello is not None and not hello.cluster and self.form_cluster() is None
 
-    def form(self) -> NewCluster | None:
-        """The new cluster, where it is this member that begins it."""
-        if not self.peers or self.seen.keys() != self.peers.keys():
+    def form_cluster(self) -> NewCluster | None:
+        """The new cluster, if this member forms it; None if peers are missing, or another member has to."""
+        if not self.peers or self.hellos.keys() != self.peers.keys():
             return None
-        if any(hello.cluster for hello in self.seen.values()) or self.member.name > min(self.peers):
+        if any(hello.cluster for hello in self.hellos.values()) or self.member.name > min(self.peers):
             return None
         others = [
             Member(hello.id, name, self.peers[name], name in self.voters)
-            for name, hello in sorted(self.seen.items())
+            for name, hello in sorted(self.hellos.items())
         ]
         return self._new_cluster(tuple(others))
 
--- a/gradegap/store/host.py
+++ b/gradegap/store/host.py
@@ -1,4 +1,4 @@
-"""The member as its parts see it."""
+"""The interface of a member that its request handlers use."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class RequestHost(Protocol):
-    """The member whose requests are answered."""
+    """The interface of the member whose requests are answered."""
 
     loop: asyncio.AbstractEventLoop
     metrics: Metrics
@@ -31,36 +31,40 @@
 
     @property
     def removed(self) -> bool:
-        """Whether the member takes no part any more: it was removed, or its folder failed."""
+        """Whether the member has left the cluster for good: it was removed, or its folder failed."""
 
     @property
     def granter(self) -> LeaseGranter | None:
-        """The leases that this member granted, while it leads."""
+        """The leases that this member has granted; None while it doesn't lead."""
 
     @property
     def holder(self) -> LeaseHolder:
         """This member's own lease."""
 
     def log_clock(self) -> int:
-        """The log time (ms) as the leader has it."""
+        """The log time in ms at the leader."""
 
     def propose(self, body: Command) -> int:
-        """The index of a proposed entry; `RequestRejectedError` where it can't be."""
+        """Proposes an entry and returns its log index.
+
+        Raises:
+            RequestRejectedError: if the entry can't be proposed now.
+        """
 
     def settle(self) -> None:
-        """Carry out what the consensus core has ready."""
+        """Processes the output that the consensus core has ready."""
 
     def flush(self) -> None:
-        """Have the core send what was proposed, then `settle`."""
+        """Makes the core send the proposed entries, then calls `settle`."""
 
     def report(self, revision: int) -> MachineReport:
-        """Which nodes that subscribe here lack a revision."""
+        """Reports which nodes that subscribe at this member have not acknowledged a revision."""
 
     def send_to_member(self, member: Member, request: wire.Request) -> bool:
-        """Whether the request was sent to this member, whoever leads."""
+        """Sends a request to this member, leader or not, and returns whether it was sent."""
 
     def send_to_leader(self, message: wire.LinkMessage) -> bool:
-        """Whether the message was sent to the leader."""
+        """Sends a message to the leader, and returns whether it was sent."""
 
     def run_in_thread(self, work: Future[Any], done: Callable[[Any], None]) -> None:
-        """`done` on the loop with the result of work in `thread`."""
+        """Calls `done` on the event loop with the result of `work`, which runs in `thread`."""
--- a/gradegap/store/log_writer.py
+++ b/gradegap/store/log_writer.py
@@ -1,6 +1,7 @@
-"""Writes what the consensus core hands out before it is sent: a batch at a time, in the member's disk thread.
+"""Persists the output of the consensus core before its messages are sent, one batch at a time.
 
-What comes meanwhile is the next batch, so that many writes share a sync.
+Batches are written in the member's disk thread. Output that arrives during a write forms the next batch, so
+that many entries share one sync of the disk.
 """
 
 from __future__ import annotations
@@ -16,13 +17,13 @@
 from gradegap.store.records import StoreState
 from gradegap.store.storage import AppliedPosition, MemberStorage, WriteBatch
 
-RETAINED_ENTRIES = 1000  # applied entries that stay in the log, for members that are a little behind
-COMPACTION_THRESHOLD_ENTRIES = 4 * RETAINED_ENTRIES  # in the log, at which it is compacted
-COMPACTION_THRESHOLD_BYTES = 8 * 1024 * 1024  # of the log, at which it is compacted further
+RETAINED_ENTRIES = 1000  # applied entries kept in the log, so that a member slightly behind needs no snapshot
+COMPACTION_THRESHOLD_ENTRIES = 4 * RETAINED_ENTRIES  # log length that starts a compaction
+COMPACTION_THRESHOLD_BYTES = 8 * 1024 * 1024  # log size that starts a compaction to a shorter tail
 
 
 class WriterHost(Protocol):
-    """The member whose log is written."""
+    """The interface of the member whose log is written."""
 
     metrics: Metrics
     machine: StateMachine
@@ -30,27 +31,27 @@
     thread: ThreadPoolExecutor
 
     def settle(self) -> None:
-        """Carry out what the consensus core has ready."""
+        """Processes the output that the consensus core has ready."""
 
     def send_raft_message(self, recipient: str, message: Message) -> None:
-        """Send a message of the core to the member of this id."""
+        """Sends a message of the consensus core to the member with the id `recipient`."""
 
     def run_in_thread(self, work: Future[Any], done: Callable[[Any], None]) -> None:
-        """`done` on the loop with the result of work in `thread`."""
+        """Calls `done` on the event loop with the result of `work`, which runs in `thread`."""
 
 
 class LogWriter:
-    """The queue of what is to be written, and the batch that is being written."""
+    """The queue of outputs of the consensus core, and the batch that is being written."""
 
     def __init__(self, host: WriterHost, storage: MemberStorage) -> None:
         self.host, self.storage = host, storage
-        self.received_snapshot: StoreState | None = None  # the latest that came, until it is written
+        self.received_snapshot: StoreState | None = None  # the latest one, until it is written
         self._queue: list[Ready] = []
         self._is_writing = False
-        self._compacting_to = 0  # the index up to which the batch being written compacts the log; 0: none
+        self._compacting_to = 0  # the index up to which the current batch compacts the log; 0: no compaction
 
     def add(self, ready: Ready) -> None:
-        """Write this and send its messages, as soon as what came before is written."""
+        """Queues an output: it is written, and its messages are sent, after all earlier outputs."""
         self._queue.append(ready)
         self._write()
 
@@ -97,7 +98,10 @@
             batch.entries.append(entry)
 
     def _compact(self, batch: WriteBatch, raft: Raft) -> None:
-        """Drop the log that the state on disk has made superfluous, but for a tail."""
+        """Adds a compaction to the batch: drops log entries that the stored state includes, except a tail.
+
+        The tail is a tenth as long while the log is over its limit in bytes.
+        """
         retained = (
             RETAINED_ENTRIES if raft.log.size_bytes <= COMPACTION_THRESHOLD_BYTES else RETAINED_ENTRIES // 10
         )
--- a/gradegap/store/membership.py
+++ b/gradegap/store/membership.py
@@ -1,4 +1,4 @@
-"""How a member comes to a cluster, follows its changes and leaves it, and its links to the others."""
+"""Membership of a cluster: forming, joining, following its changes, removal, and links to other members."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 log = structlog.get_logger()
 
-JOIN_PERIOD_S = 0.5  # between two requests to be admitted to a cluster
-PROMOTION_PERIOD_S = 0.2  # between two looks whether a learner has caught up
-REMOVED = "removed"  # the reason of a `LinkRejected` to a former member
+JOIN_PERIOD_S = 0.5  # interval of the requests to be admitted to a cluster
+PROMOTION_PERIOD_S = 0.2  # interval of the checks whether a learner can be promoted
+REMOVED = "removed"  # reason in the `LinkRejected` that the leader sends to a former member
 
 
 class MembershipHost(Protocol):
-    """The member whose membership this is."""
+    """The interface of the member whose membership is managed."""
 
     settings: StoreSettings
     metrics: Metrics
@@ -32,20 +32,20 @@
 
     @property
     def removed(self) -> bool:
-        """Whether the member takes no part any more: it was removed, or its folder failed."""
+        """Whether the member has left the cluster for good: it was removed, or its folder failed."""
 
     def start_raft(self, base: SnapshotMetadata) -> None:
-        """Take part in the cluster, whose log begins after `base`."""
+        """Starts the consensus core in the cluster, whose log begins after `base`."""
 
     def fail(self, error: FolderError) -> None:
-        """The folder can't be written: take no part any more."""
+        """Ends the participation of this member, because its folder can't be written."""
 
     def mark_removed(self) -> None:
-        """The cluster has removed this member: take no part any more."""
+        """Ends the participation of this member, because the cluster has removed it."""
 
 
 class Membership:
-    """One member's place in its cluster."""
+    """Manages the membership of one member in its cluster."""
 
     def __init__(
         self, host: MembershipHost, storage: MemberStorage, links: MemberLinks, member: Member
@@ -53,19 +53,19 @@
         self.host, self.storage, self.links = host, storage, links
         self.bootstrap = Bootstrap(host.settings, member)
         self.member = member
-        self._joined_at = 0.0  # the steady time of the last request to be admitted
-        self._promoted_at = 0.0
+        self._admission_requested_at = 0.0  # steady time of the last request to be admitted
+        self._promotion_checked_at = 0.0  # steady time of the last check for learners to promote
 
-    # To a cluster
+    # Forming and joining
 
     def form_single_member_cluster(self) -> None:
-        """Begin a cluster of one, where no peers are listed."""
-        formed = self.bootstrap.alone()
+        """Forms a cluster of this member alone, if the settings list no peers."""
+        formed = self.bootstrap.form_single_member()
         if formed is not None:
-            self.form(*formed)
+            self.form_cluster(*formed)
 
-    def form(self, cluster: str, configuration: ClusterConfiguration) -> None:
-        """Belong to a cluster from now on. Written before anybody learns of it."""
+    def form_cluster(self, cluster: str, configuration: ClusterConfiguration) -> None:
+        """Makes this member part of a cluster; this is stored before any other member is told."""
         host = self.host
         if host.identity.cluster:
             return
@@ -79,7 +79,7 @@
         host.identity = identity
         self.links.set_cluster(cluster)
         host.metrics.count("store_formed")
-        log.info("cluster joined", cluster=cluster, members=[m.name for m in configuration.members])
+        log.info("cluster joined", cluster=cluster, members=[each.name for each in configuration.members])
         host.start_raft(base)
         for member in configuration.members:
             if member.id != identity.id:
@@ -87,27 +87,27 @@
                 self.links.send(member.id, member.address, formed)
 
     def cluster_formed(self, formed: wire.ClusterFormed) -> None:
-        """Another member has named the cluster that this one belongs to."""
+        """Handles the message of another member that names the cluster to which this member belongs."""
         if formed.configuration.get(self.host.identity.id) is not None:
-            self.form(formed.cluster, formed.configuration)
+            self.form_cluster(formed.cluster, formed.configuration)
             self.update_links()
 
     def link_authenticated(self, link: Link, peer: wire.Hello) -> None:
-        """A link to the member `peer` is authenticated."""
+        """Handles a newly authenticated link to the member `peer`."""
         host = self.host
         if not host.identity.cluster:
-            self.bootstrap.met(peer)
-            formed = self.bootstrap.form()
+            self.bootstrap.peer_authenticated(peer)
+            formed = self.bootstrap.form_cluster()
             if formed is not None:
-                self.form(*formed)
+                self.form_cluster(*formed)
         elif not peer.cluster and host.raft is not None and host.raft.configuration.get(peer.id):
             link.send(wire.ClusterFormed(host.identity.cluster, host.raft.configuration))
 
     def request_admission(self, now: float) -> None:
-        """Request the members of a cluster to admit this one; `now` is the steady time."""
-        if now - self._joined_at <= JOIN_PERIOD_S:
+        """Asks the members of a cluster to admit this member; `now` is the steady time in seconds."""
+        if now - self._admission_requested_at <= JOIN_PERIOD_S:
             return
-        self._joined_at = now
+        self._admission_requested_at = now
         for dialer in self.links.dialers.values():
             self._request_admission(dialer)
 
@@ -118,34 +118,40 @@
             return
         if peer is not None and peer.cluster:
             link.send(wire.Join(self.member))
-        elif link.transport is not None and self.bootstrap.waits_for(peer):
-            link.transport.close()  # its next hello may name a cluster that was formed since
+        elif link.transport is not None and self.bootstrap.may_join_later(peer):
+            link.transport.close()  # the hello on the next link may name a cluster that was formed meanwhile
 
-    # Changes
+    # Changes of the configuration
 
     def promote_learners(self, now: float, raft: Raft) -> None:
-        """Make a learner that has caught up a voter, while there are fewer voters than wanted."""
-        if now < self._promoted_at + PROMOTION_PERIOD_S:
+        """Promotes a learner that has caught up, while the cluster has fewer voters than configured.
+
+        `now` is the steady time in seconds; one learner is promoted at a time.
+        """
+        if now < self._promotion_checked_at + PROMOTION_PERIOD_S:
             return
-        self._promoted_at = now
+        self._promotion_checked_at = now
         for member in promotable(raft.configuration, self.host.settings):
             try:
                 raft.add_member(now, Member(member.id, member.name, member.address))
             except RequestRejectedError:
-                continue  # it has not caught up yet; tried again soon
+                continue  # the learner has not caught up yet; the next check tries again
             self.host.metrics.count("store_promoted")
             log.info("learner promoted", member=member.name)
             return
 
     def configuration_applied(self, raft: Raft) -> None:
-        """The cluster's members have changed."""
+        """Handles a committed change of the cluster's members."""
         members = raft.configuration.members
-        log.info("members", names=[f"{m.name}{'' if m.voter else ' (learner)'}" for m in members])
+        log.info(
+            "cluster configuration changed",
+            names=[f"{member.name}{'' if member.voter else ' (learner)'}" for member in members],
+        )
         if raft.is_leader:
-            self._tell_removed(raft)
+            self._notify_removed_members(raft)
         self.update_links()
 
-    def _tell_removed(self, raft: Raft) -> None:
+    def _notify_removed_members(self, raft: Raft) -> None:
         addresses = {member.address for member in raft.configuration.members}
         for link in self.links.all:
             peer = link.channel.peer_hello
@@ -156,18 +162,18 @@
                 link.send(wire.LinkRejected(REMOVED))
 
     def link_rejected(self, reason: str) -> None:
-        """The leader has rejected a link of this member."""
+        """Handles a `LinkRejected` message: the reason "removed" ends the participation of this member."""
         if reason == REMOVED and self.host.raft is not None and not self.host.removed:
             self.host.mark_removed()
 
-    # Links to the others
+    # Links to other members
 
     def update_links(self) -> None:
-        """Keep links to the members, or before there is a cluster to the peers of the operator's file."""
+        """Keeps links to the members, or to the peers in the operator's file before there is a cluster."""
         settings, raft = self.host.settings, self.host.raft
         addresses = {peer.address for peer in settings.peers if peer.name != settings.name}
         if raft is not None:
-            # A committed configuration takes precedence over the file of the first start.
+            # A committed configuration takes precedence over the operator's file of the first start.
             members = raft.configuration.members
             known = {member.name for member in members}
             listed = {peer.address for peer in settings.peers if peer.name in known}
@@ -175,25 +181,28 @@
         self.links.want(addresses - {settings.listen, settings.advertise})
 
     def send_raft_message(self, recipient: str, message: Message) -> None:
-        """Send a message of the consensus core to the member of this id."""
+        """Sends a message of the consensus core to the member with the id `recipient`."""
         raft = self.host.raft
         member = raft.configuration.get(recipient) if raft is not None else None
         if member is not None:
             self.links.send(recipient, member.address, wire.RaftMessage(message))
             return
-        # Somebody who is not a member, or not yet: answered on whichever link there is to it.
+        # The recipient is not in this member's configuration, or not yet: it is answered on any link to it.
         for dialer in self.links.dialers.values():
             if dialer.link is not None and dialer.link.id == recipient:
                 dialer.link.send(wire.RaftMessage(message))
 
     def send_to_leader(self, message: wire.LinkMessage) -> bool:
-        """Whether the message was sent to the leader."""
+        """Sends a message to the leader, and returns whether it was sent."""
         raft = self.host.raft
         leader = raft.configuration.get(raft.leader_id) if raft is not None and raft.leader_id else None
         return leader is not None and self.links.send(leader.id, leader.address, message)
 
     def send_to_member(self, member: Member, request: wire.Request) -> bool:
-        """Whether the request was sent; no where the member is away, or of a release that can't read it."""
+        """Sends a request to a member, and returns whether it was sent.
+
+        False means that the member has no link, or runs a release that can't read the request.
+        """
         dialer = self.links.dialers.get(member.address)
         peer = dialer.link.channel.peer_hello if dialer is not None and dialer.link is not None else None
         if peer is None or wire.IN_FORCE_TAG not in peer.readable_requests:
--- a/gradegap/store/reads.py
+++ b/gradegap/store/reads.py
@@ -1,4 +1,4 @@
-"""What reads are answered from the state of a member."""
+"""Answers read requests from the state of a member."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def read(machine: StateMachine, body: wire.RequestBody) -> wire.Response:
-    """The response to a read, by the state as it is applied here."""
+    """The response to a read request, from the state that this member has applied."""
     revision = machine.revision
     try:
         match body:
@@ -25,6 +25,6 @@
                 values = machine.values_at(body.revision, body.prefix)
                 return wire.Response(0, revision=revision, status=values)
             case _:
-                return wire.Response(0, "no", "bad_wish: nothing to read")
+                return wire.Response(0, "no", "bad_wish: the request is not a read")
     except CommandError as error:
         return wire.Response(0, "no", str(error))
--- a/gradegap/store/restore.py
+++ b/gradegap/store/restore.py
@@ -1,4 +1,4 @@
-"""A new folder made from a backup."""
+"""Creates a new data folder from a backup."""
 
 from __future__ import annotations
 
@@ -17,14 +17,16 @@
 
 
 def restore(data: bytes, settings: StoreSettings) -> SnapshotMetadata:
-    """Make a new folder from a backup: a cluster of this member alone, which the other peers may join.
+    """Creates a new folder from a backup: a new cluster of this member alone, which the other peers may join.
 
-    `ValueError` where it is no backup, `FolderError` where the folder is not empty.
+    Raises:
+        ValueError: if `data` is not a backup.
+        FolderError: if the folder is not empty or can't be written.
     """
     state = decode_snapshot(data)
     folder = data_folder(settings)
     if folder.exists() and any(folder.iterdir()):
-        raise FolderError(f"{folder} is not empty; a backup makes a new folder, and replaces none")
+        raise FolderError(f"{folder} is not empty; a backup can only be restored to an empty or new folder")
     storage = MemberStorage(folder)
     try:
         member_id = storage.start().identity.id
@@ -42,7 +44,7 @@
 
 
 def _invitations(settings: StoreSettings, revision: int) -> list[Item]:
-    """The keys by which the other peers of the operator's file may join."""
+    """The keys that allow the other peers in the operator's file to join."""
     return [
         Item(INVITED_PREFIX + peer.name, {"address": peer.address}, revision, revision, author="restore")
         for peer in settings.peers
--- a/gradegap/store/snapshot_transfer.py
+++ b/gradegap/store/snapshot_transfer.py
@@ -1,4 +1,4 @@
-"""A backup of the whole state, sent to a client in pieces."""
+"""Sends a backup of the complete state to a client in pieces."""
 
 from __future__ import annotations
 
@@ -11,43 +11,44 @@
 from gradegap.store.state_snapshot import encode_snapshot
 
 SNAPSHOT_PIECE_BYTES = 512 * 1024
-CATCH_UP_PERIOD_S = 0.05  # between two looks whether this member has caught up with the leader
-NO_SUCH_PREFIX = "\0"  # no key begins so: a list of it is a linearizable read of nothing
+CATCH_UP_PERIOD_S = 0.05  # interval of the checks whether this member has caught up with the leader
+# No key begins with this character, so listing this prefix is a linearizable read with an empty result.
+NO_SUCH_PREFIX = "\0"
 
 
 class Requester(Protocol):
-    """Who answers requests at this member."""
+    """The interface of the service that answers requests at this member."""
 
     def request(self, body: wire.RequestBody, respond: ResponseCallback, timeout_s: float = 5.0) -> None:
-        """`respond` with one response."""
+        """Calls `respond` with the one response to a request."""
 
 
 class SnapshotTransfer:
-    """One backup: read linearizably, then encoded in a thread, then sent."""
+    """One backup: a linearizable read, after which the state is encoded in a thread and sent."""
 
     def __init__(
         self, host: RequestHost, requester: Requester, respond: ResponseCallback, timeout_s: float
     ) -> None:
         self.host, self.requester, self.respond, self.timeout_s = host, requester, respond, timeout_s
-        self.gives_up_at = 0.0
+        self.expires_at = 0.0
 
     def start(self) -> None:
-        """Begin. The state is read here, so a member that does not lead first catches up with the leader."""
+        """Starts the backup. The state is read at this member, so a follower first catches up."""
         raft = self.host.raft
-        follows = raft is not None and not raft.is_leader
-        then = self._wait_for_revision if follows else self._encode
-        self.gives_up_at = time.monotonic() + self.timeout_s
-        self.requester.request(wire.List(NO_SUCH_PREFIX), then, self.timeout_s)
+        is_follower = raft is not None and not raft.is_leader
+        continuation = self._wait_for_revision if is_follower else self._encode
+        self.expires_at = time.monotonic() + self.timeout_s
+        self.requester.request(wire.List(NO_SUCH_PREFIX), continuation, self.timeout_s)
 
     def _wait_for_revision(self, response: wire.Response) -> None:
-        self.gives_up_at = time.monotonic() + self.timeout_s
+        self.expires_at = time.monotonic() + self.timeout_s
         self._check_revision(response)
 
     def _check_revision(self, response: wire.Response) -> None:
         if response.outcome != "ok" or self.host.machine.revision >= response.revision:
             self._encode(response)
-        elif time.monotonic() > self.gives_up_at:
-            self.respond(wire.Response(0, "no_quorum", "no_quorum: this member is behind"))
+        elif time.monotonic() > self.expires_at:
+            self.respond(wire.Response(0, "no_quorum", "no_quorum: this member is behind the leader"))
         else:
             self.host.loop.call_later(CATCH_UP_PERIOD_S, self._check_revision, response)
 
--- a/gradegap/store/state_snapshot.py
+++ b/gradegap/store/state_snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots of the replicated state: msgpack, compressed by Zstandard. Also the form of backups."""
+"""Snapshots of the replicated state: msgpack, compressed with Zstandard. Backups have the same format."""
 
 from __future__ import annotations
 
@@ -14,18 +14,22 @@
 
 
 def encode_snapshot(state: StoreState) -> bytes:
-    """The bytes of a snapshot of `state`."""
+    """Encodes a snapshot of `state`."""
     import zstandard
 
     return zstandard.ZstdCompressor(level=3).compress(encode(state))
 
 
 def decode_snapshot(data: bytes) -> StoreState:
-    """The state of a snapshot's bytes; `ValueError` where they are none."""
+    """Decodes the state from a snapshot.
+
+    Raises:
+        ValueError: if `data` is not a valid snapshot, or its state is too large.
+    """
     import zstandard
 
     try:
         raw = zstandard.ZstdDecompressor().decompress(data, max_output_size=4 * MAX_STATE_BYTES)
         return _decoder.decode(raw)
     except (zstandard.ZstdError, msgspec.MsgspecError) as error:
-        raise ValueError(f"no snapshot: {error}") from None
+        raise ValueError(f"invalid snapshot: {error}") from None
--- a/gradegap/store/watches.py
+++ b/gradegap/store/watches.py
@@ -1,4 +1,4 @@
-"""Watches of clients: the changes of keys with a prefix, sent over their links as they are committed."""
+"""Watches of clients: changes of keys with a prefix are sent over the client's link once committed."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from gradegap.store.records import Event
 
 MAX_WATCHES = 1000
-MAX_WATCH_UNSENT_BYTES = 4 * 1024 * 1024  # for a watcher that reads slowly; then its link ends
-MAX_EVENTS_PER_RESPONSE = 200  # of the history that a new watch is sent
+MAX_WATCH_UNSENT_BYTES = 4 * 1024 * 1024  # the link of a slow watcher with more unsent data is closed
+MAX_EVENTS_PER_RESPONSE = 200  # splits the history that a new watch receives into several responses
 
 
 @dataclass(slots=True, eq=False)
 class Watch:
-    """One watch; `serial` is that of its request."""
+    """One watch; `serial` is the number of its request, which all its responses carry."""
 
     link: Link
     serial: int
@@ -34,10 +34,10 @@
         machine.listeners.append(self._changed)
 
     def add(self, link: Link, serial: int, request: wire.Watch) -> None:
-        """Send the history that is wanted, and from then on each change until the link ends."""
+        """Sends the requested history, and after it each change until the link is closed."""
         if len(self.open) >= MAX_WATCHES:
             self.metrics.count("store_busy")
-            link.send(wire.Response(serial, "no", "busy: too many watches"))
+            link.send(wire.Response(serial, "no", "busy: too many watches at this member"))
             return
         try:
             missed = self._events_since(request)
@@ -64,7 +64,7 @@
             if not matching:
                 continue
             if watch.link.unsent_bytes() > MAX_WATCH_UNSENT_BYTES:
-                # It can come again from the revision that it saw last, and will miss nothing.
+                # The client can watch again from the last revision that it received, and misses nothing.
                 watch.link.end("slow_watcher")
                 continue
             revision = max(event.revision for event in matching)
--- a/tests/test_store_bootstrap.py
+++ b/tests/test_store_bootstrap.py
@@ -17,10 +17,12 @@
     made = {n: Bootstrap(StoreSettings(n, "l", peers), Member(f"id-{n}", n, "l")) for n in "abc"}
     for n, forming in made.items():
         for other in set("abc") - {n}:
-            assert forming.form() is None
-            forming.met(hello(other))
-    assert made["b"].form() is None and made["c"].form() is None
-    formed = made["a"].form()
+            assert forming.form_cluster() is None
+            forming.peer_authenticated(hello(other))
+    assert made["b"].form_cluster() is None and made["c"].form_cluster() is None
+    formed = made["a"].form_cluster()
     assert formed is not None and {m.id for m in formed[1].members} == {"id-a", "id-b", "id-c"}
-    made["a"].met(hello("c", "theirs"))  # one of them belongs to a cluster: this one lost its disk
-    assert made["a"].form() is None and made["a"].alone() is None
+    made["a"].peer_authenticated(
+        hello("c", "theirs")
+    )  # one of them belongs to a cluster: this one lost its disk
+    assert made["a"].form_cluster() is None and made["a"].form_single_member() is None
--- a/tests/test_store_voters.py
+++ b/tests/test_store_voters.py
@@ -77,8 +77,8 @@
     names = [f"n{k}" for k in range(1, 7)]
     forming = Bootstrap(store_of(list(reversed(names[1:]))[:0] + names), member("n1"))
     for name in names[1:]:
-        forming.met(wire.Hello(1, "member", b"", f"id-{name}", name))
-    formed = forming.form()
+        forming.peer_authenticated(wire.Hello(1, "member", b"", f"id-{name}", name))
+    formed = forming.form_cluster()
     assert formed is not None
     assert {m.name: m.voter for m in formed[1].members} == {n: n != "n6" for n in names}
 
