--- a/gradegap/store/consensus.py
+++ b/gradegap/store/consensus.py
@@ -1,4 +1,4 @@
-"""Drives the consensus core of a member: proposes, carries out what is ready, and follows its role."""
+"""Drives the consensus core of a member: proposes entries, processes its output, follows its role."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class ConsensusHost(Protocol):
-    """The member whose core is driven."""
+    """The interface of the member whose consensus core is driven."""
 
     loop: asyncio.AbstractEventLoop
     metrics: Metrics
@@ -41,40 +41,44 @@
 
     @property
     def removed(self) -> bool:
-        """Whether the member takes no part any more: it was removed, or its folder failed."""
+        """Whether the member has left the cluster for good: it was removed, or its folder failed."""
 
     @property
     def closed(self) -> bool:
-        """Whether the member has ended."""
+        """Whether the member is closed."""
 
     def fail(self, error: FolderError) -> None:
-        """The folder can't be written: take no part any more."""
+        """Ends the participation of this member, because its folder can't be written."""
 
     def mark_removed(self) -> None:
-        """The cluster has removed this member: take no part any more."""
+        """Ends the participation of this member, because the cluster has removed it."""
 
     def run_in_thread(self, work: Future[Any], done: Callable[[Any], None]) -> None:
-        """`done` on the loop with the result of work in `thread`."""
+        """Calls `done` on the event loop with the result of `work`, which runs in `thread`."""
 
 
 class ConsensusDriver:
-    """Between one member's core and its disk, links, state and requests."""
+    """Connects the consensus core of one member with its disk, links, state and requests."""
 
     def __init__(self, host: ConsensusHost) -> None:
         self.host = host
         self._is_encoding_snapshot = False
         self._was_leader = False
         self._known_leader = ""
-        self._led_since = 0.0  # steady time, s
-        self._led_since_ms = 0  # log time then
+        self._leader_since_s = 0.0  # steady time at which this member became the leader
+        self._leader_since_log_ms = 0  # log time at that moment
 
     def log_clock(self) -> int:
-        """The log time (ms), as the leader has it: steady, and never behind what was logged."""
-        elapsed_ms = int((time.monotonic() - self._led_since) * 1000)
-        return max(self.host.machine.clock_ms, self._led_since_ms + elapsed_ms)
+        """The log time in ms at the leader: advances with the steady clock, and is never behind the log."""
+        elapsed_ms = int((time.monotonic() - self._leader_since_s) * 1000)
+        return max(self.host.machine.clock_ms, self._leader_since_log_ms + elapsed_ms)
 
     def propose(self, body: Command | Expire) -> int:
-        """The index to wait for; `RequestRejectedError` where it can't be proposed."""
+        """Proposes an entry and returns its log index.
+
+        Raises:
+            RequestRejectedError: if the entry can't be proposed now, for example at a follower.
+        """
         assert self.host.raft is not None
         record = LogRecord(self.log_clock(), time.time_ns() // 1_000_000, body)
         index = self.host.raft.propose(time.monotonic(), encode(record))
@@ -82,13 +86,13 @@
         return index
 
     def flush(self) -> None:
-        """Have the core send what was proposed, then `settle`."""
+        """Makes the core send the proposed entries, then calls `settle`."""
         if self.host.raft is not None and not self.host.closed:
             self.host.raft.flush(time.monotonic())
             self.settle()
 
     def settle(self) -> None:
-        """Carry out what the core has ready: send, apply, answer reads, write, and follow its role."""
+        """Processes the output of the core: sends, applies, answers reads, writes, and follows its role."""
         raft = self.host.raft
         if raft is None or self.host.closed:
             return
@@ -112,7 +116,7 @@
         try:
             state = decode_snapshot(data)
         except ValueError as error:
-            self.host.fail(FolderError(f"a snapshot that came can't be read: {error}"))
+            self.host.fail(FolderError(f"a received snapshot can't be read: {error}"))
             return False
         self.host.metrics.count("store_snapshots_taken")
         self.host.machine.load_state(state)
@@ -135,7 +139,7 @@
     def _index_applied(self) -> None:
         now, index = time.monotonic(), self.host.machine.index
         self.host.leases.index_applied(index)
-        self.host.requests.led.index_applied(index)
+        self.host.requests.leader_requests.index_applied(index)
         self._stop_as_removed(index)
         if self.host.subscription_server is not None:
             self.host.subscription_server.committed()
@@ -153,9 +157,9 @@
 
     def _answer_reads(self, ready: Ready) -> None:
         for serial, index in ready.read_states:
-            self.host.requests.led.read_index_known(serial, index)
+            self.host.requests.leader_requests.read_index_known(serial, index)
         for serial in ready.aborted_reads:
-            self.host.requests.led.read_aborted(serial)
+            self.host.requests.leader_requests.read_aborted(serial)
 
     def _follow_role(self, raft: Raft) -> None:
         if raft.is_leader != self._was_leader:
@@ -175,12 +179,15 @@
     def _leadership_gained(self, raft: Raft) -> None:
         now = time.monotonic()
         self.host.metrics.count("store_elected")
-        self._led_since, self._led_since_ms = now, self.host.machine.clock_ms
+        self._leader_since_s, self._leader_since_log_ms = now, self.host.machine.clock_ms
         self.host.leases.leadership_gained(now)
         log.info("leadership gained", term=raft.term)
 
     def _encode_snapshot(self, raft: Raft) -> None:
-        """A snapshot for a member that is behind the log; made in a thread, as it takes a while."""
+        """Encodes a snapshot for a member that is behind the compacted log.
+
+        This takes long for a large state, and is therefore done in a thread.
+        """
         index = self.host.machine.index
         term = raft.log.term_at(index)
         if term is None:
--- a/gradegap/store/in_force.py
+++ b/gradegap/store/in_force.py
@@ -1,4 +1,4 @@
-"""Whether a revision is in force at all living nodes, by what each control machine reports. No I/O."""
+"""Determines from the reports of all control machines whether a revision is in force at all nodes. No I/O."""
 
 from __future__ import annotations
 
@@ -8,34 +8,35 @@
 
 
 class MachineReport(msgspec.Struct, frozen=True, array_like=True):
-    """What one machine knows of its nodes about one revision."""
+    """The report of one control machine on which of its nodes have acknowledged a revision."""
 
     machine: str
-    revision: int  # the least of the requested one and what this machine has applied
+    revision: int  # the requested revision, or the one that the machine has applied if that is lower
     subscribers: int
-    behind: tuple[str, ...] = ()  # connected here, and not acknowledged
-    lost: tuple[str, ...] = ()  # not acknowledged when the connection to here was lost, lately
-    arrived: tuple[str, ...] = ()  # connected here lately, and acknowledged
-    restarted: bool = False  # lately: nodes of its earlier incarnation that are not back are unknown
+    behind: tuple[str, ...] = ()  # connected nodes that have not acknowledged the revision
+    lost: tuple[str, ...] = ()  # recently disconnected nodes that had not acknowledged it before
+    arrived: tuple[str, ...] = ()  # recently connected nodes that have acknowledged it
+    # The machine started recently: it doesn't know nodes of its earlier incarnation that are not yet back.
+    restarted: bool = False
 
 
 class InForceVerdict(msgspec.Struct, frozen=True):
-    """The answer to whether a revision is in force."""
+    """The result of a check whether a revision is in force."""
 
     revision: int
     subscribers: int
-    missing: tuple[str, ...]  # nodes that have not acknowledged
-    unreachable: tuple[str, ...]  # machines that did not report, whose nodes are unknown
-    restarted: tuple[str, ...] = ()  # machines whose earlier incarnation's nodes are unknown
+    missing: tuple[str, ...]  # nodes that have not acknowledged the revision
+    unreachable: tuple[str, ...]  # machines without a report, whose nodes are unknown
+    restarted: tuple[str, ...] = ()  # machines that started recently, with unknown nodes of an earlier run
 
     @property
     def in_force(self) -> bool:
-        """Whether every living node has acknowledged."""
+        """Whether every live node is known to have acknowledged the revision."""
         return not self.missing and not self.unreachable and not self.restarted
 
 
 class InForceTally:
-    """Collects the reports of all members about one revision."""
+    """Collects the reports of all control machines on one revision."""
 
     def __init__(self, revision: int, machines: Iterable[str]) -> None:
         self.revision = revision
@@ -43,12 +44,12 @@
         self.reports: dict[str, MachineReport] = {}
 
     def add_report(self, report: MachineReport) -> None:
-        """The latest report of a machine counts; one of an unknown machine is left out."""
+        """Adds a report in place of the machine's earlier one; reports of unknown machines are ignored."""
         if report.machine in self.machines:
             self.reports[report.machine] = report
 
     def verdict(self) -> InForceVerdict:
-        """What is known by now."""
+        """The verdict from the reports that were added so far."""
         reports = self.reports.values()
         behind = {node for report in reports for node in report.behind}
         arrived = {node for report in reports for node in report.arrived}
--- a/gradegap/store/in_force_check.py
+++ b/gradegap/store/in_force_check.py
@@ -1,7 +1,7 @@
-"""Whether a revision is in force at all nodes that subscribe: one member collects what all know, in rounds.
+"""Checks whether a revision is in force at all subscribed nodes: one member collects reports in rounds.
 
-Each member knows the nodes that subscribe there. One that can't be reached, or that was started lately,
-leaves nodes unknown; the revision then counts as not in force.
+Each member knows the nodes that subscribe at it. The nodes of a member that can't be reached, or that started
+recently, may be unknown; the revision then counts as not in force.
 """
 
 from __future__ import annotations
@@ -19,34 +19,34 @@
 if TYPE_CHECKING:
     import asyncio
 
-ROUND_PERIOD_S = 0.1  # between two rounds
-ROUND_TIMEOUT_S = 1.0  # in which a member has to answer
-MIN_ROUND_TIMEOUT_S = 0.01
-RESPONSE_MARGIN_S = 0.2  # before the requester gives up
-MAX_NAMED_NODES = 20  # in a response
+ROUND_PERIOD_S = 0.1  # pause between two rounds
+ROUND_TIMEOUT_S = 1.0  # limits the time until a member reports
+MIN_ROUND_TIMEOUT_S = 0.01  # for a round that starts shortly before the deadline
+RESPONSE_MARGIN_S = 0.2  # time between the deadline of a check and that of its requester
+MAX_NAMED_NODES = 20  # limits the names of missing nodes in a response
 
 
 class InForceHost(Protocol):
-    """The member that collects."""
+    """The interface of the member that collects the reports."""
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
-        """The loop that it runs on."""
+        """The member's event loop."""
 
     def members(self) -> list[Member]:
-        """All members, this one among them."""
+        """All members of the cluster, including this one."""
 
     def local_report(self, revision: int) -> MachineReport:
-        """What this member knows itself."""
+        """The report of this member."""
 
     def request_from_member(
         self, member: Member, body: wire.RequestBody, respond: ResponseCallback, timeout_s: float
     ) -> None:
-        """`respond` with the member's response, or with a no."""
+        """Calls `respond` with the member's response, or with a rejection."""
 
 
 class InForceCheck:
-    """The reports about one revision, collected in rounds until it is in force or the requester gives up."""
+    """Collects reports on one revision in rounds, until it is in force or the deadline has passed."""
 
     def __init__(
         self,
@@ -56,18 +56,22 @@
         expires_at: float,
         respond: ResponseCallback,
     ) -> None:
-        """`member_id` is this member's; `expires_at` the steady time at which the requester gives up."""
+        """Prepares a check.
+
+        `member_id` is the id of this member. `expires_at` is the steady time in seconds at which the
+        requester stops waiting.
+        """
         self.host, self.member_id, self.revision, self.respond = host, member_id, revision, respond
-        self._last_round_at = expires_at - RESPONSE_MARGIN_S
+        self._deadline = expires_at - RESPONSE_MARGIN_S
         self._awaited_reports = 0
 
     def start(self) -> None:
-        """Begin a round: request the reports of all members."""
+        """Starts a round: requests the reports of all members."""
         members = self.host.members()
         tally = InForceTally(self.revision, [member.name for member in members])
         self._awaited_reports = len(members)
-        left_s = self._last_round_at - time.monotonic()
-        timeout_s = min(ROUND_TIMEOUT_S, max(MIN_ROUND_TIMEOUT_S, left_s))
+        remaining_s = self._deadline - time.monotonic()
+        timeout_s = min(ROUND_TIMEOUT_S, max(MIN_ROUND_TIMEOUT_S, remaining_s))
         for member in members:
             if member.id == self.member_id:
                 self._reported(tally, self.host.local_report(self.revision))
@@ -94,7 +98,7 @@
         if verdict.in_force:
             text = f"in force at {verdict.subscribers} nodes"
             self.respond(wire.Response(0, text=text, revision=self.revision, status=_status(verdict)))
-        elif time.monotonic() + ROUND_PERIOD_S >= self._last_round_at:
+        elif time.monotonic() + ROUND_PERIOD_S >= self._deadline:
             text = f"not_in_force: {describe(verdict)}"
             self.respond(wire.Response(0, "no", text, self.revision, status=_status(verdict)))
         else:
@@ -112,7 +116,7 @@
 
 
 def describe(verdict: InForceVerdict) -> str:
-    """Who is missing, and what is unknown, in one line."""
+    """Describes the missing nodes and the members with unknown nodes in one line."""
     parts = []
     if verdict.missing:
         named = ", ".join(verdict.missing[:MAX_NAMED_NODES])
@@ -124,5 +128,5 @@
     if verdict.unreachable:
         parts.append(f"could not ask {', '.join(verdict.unreachable)}, whose nodes are unknown")
     if verdict.restarted:
-        parts.append(f"{', '.join(verdict.restarted)} started lately, and knows no nodes of its earlier life")
+        parts.append(f"{', '.join(verdict.restarted)} started recently: nodes of the earlier run are unknown")
     return "; ".join(parts)
--- a/gradegap/store/leader_requests.py
+++ b/gradegap/store/leader_requests.py
@@ -1,4 +1,4 @@
-"""Requests that a member carries out as the leader: writes, changes of membership, and linearizable reads."""
+"""Requests that a member handles as the leader: writes, changes of membership, and linearizable reads."""
 
 from __future__ import annotations
 
@@ -20,47 +20,49 @@
 log = structlog.get_logger()
 
 INVITED_PREFIX = "cluster/invited/"
-INCARNATION_SILENCE_S = 2.0  # since a member's last response, within which no new incarnation replaces it
+# A new incarnation replaces a member of the same name only if that member has not responded for this long.
+INCARNATION_SILENCE_S = 2.0
+# Reasons of rejections after which another attempt may succeed.
 TRANSIENT_REASONS = (
     "not_leader",
     "transferring",
     "not_ready",
-)  # of rejections that another attempt may not meet
+)
 
 
 def reason_of(text: str) -> str:
-    """The reason that the text of a rejection begins with."""
+    """The reason at the beginning of the text of a rejection."""
     return text.split(":")[0].split(" ")[0]
 
 
 class Responder(Protocol):
-    """Who gives requests their responses."""
+    """The interface of the service that sends responses."""
 
     def respond(self, pending: PendingRequest, response: wire.Response) -> None:
-        """The one response of a request."""
+        """Sends the one response to a request."""
 
 
 class LeaderRequests:
-    """The requests that wait for the log of the member that leads."""
+    """The pending requests that a member handles while it is the leader."""
 
     def __init__(self, host: RequestHost, responder: Responder, stamper: WriteStamper) -> None:
         self.host, self.responder, self.stamper = host, responder, stamper
         self.metrics = host.metrics
-        self.by_index: dict[int, list[PendingRequest]] = {}  # of entries that are not committed yet
-        self.awaiting_apply: list[PendingRequest] = []
-        self.awaiting_read_index: dict[int, PendingRequest] = {}  # by serial
+        self.awaiting_commit: dict[int, list[PendingRequest]] = {}  # by the log index of their entries
+        self.awaiting_apply: list[PendingRequest] = []  # reads whose index this member has not applied yet
+        self.awaiting_read_index: dict[int, PendingRequest] = {}  # reads without an index yet, by serial
 
     @property
     def raft(self) -> Raft:
-        """The consensus core of a member that leads."""
+        """The consensus core; it exists as long as this member handles requests as the leader."""
         raft = self.host.raft
         assert raft is not None
         return raft
 
-    # Begin
+    # Starting requests
 
     def start(self, pending: PendingRequest) -> None:
-        """Carry out a request; rejections that may pass leave it waiting for a leader."""
+        """Starts a request. After a transient rejection it waits for another attempt."""
         try:
             self._start(pending)
         except RequestRejectedError as error:
@@ -97,8 +99,8 @@
                 self.host.settle()
 
     def _propose(self, pending: PendingRequest, write: wire.Transaction) -> None:
-        if pending.from_member and not write.attempts and self._is_stamped_late(write):
-            raise RequestRejectedError("restamp: it bears a time that is over")
+        if pending.from_member and not write.attempts and self._has_early_deadline(write):
+            raise RequestRejectedError("restamp: the deadline of the write is too early")
         command = Command(
             write.client,
             write.seq,
@@ -110,18 +112,18 @@
         )
         self._wait_for_commit(pending, self.host.propose(command))
 
-    def _is_stamped_late(self, write: wire.Transaction) -> bool:
+    def _has_early_deadline(self, write: wire.Transaction) -> bool:
         return write.deadline_ms < self.host.log_clock() + WRITE_LIFETIME_MS // 2
 
     def _member_named(self, name: str) -> Member:
         member = self.raft.configuration.find_by_name(name)
         if member is None:
-            raise RequestRejectedError(f"no_such_member: {name}")
+            raise RequestRejectedError(f"no_such_member: the cluster has no member {name}")
         return member
 
     def _transfer(self, pending: PendingRequest, member: Member) -> None:
         if member.id == self.raft.member_id:
-            # It was requested before, and this member has taken over.
+            # An earlier attempt of this request was successful: this member has become the leader.
             self.responder.respond(pending, wire.Response(0))
             return
         pending.wait(RequestState.TRANSFER)
@@ -129,19 +131,22 @@
         self.host.settle()
 
     def _admit(self, pending: PendingRequest, member: Member) -> None:
-        """Add the member; an earlier incarnation is removed first, and the member then comes again."""
+        """Adds the member; an earlier incarnation is removed first, and the member then has to ask again."""
         if self.raft.configuration.get(member.id) is not None:
-            self.responder.respond(pending, wire.Response(0, text="taken in"))
+            self.responder.respond(pending, wire.Response(0, text="member admitted"))
             return
         earlier = self.raft.configuration.find_by_name(member.name)
         if earlier is not None:
             self._remove_incarnation(earlier, member)
             self.responder.respond(
-                pending, wire.Response(0, "no", "again: its earlier incarnation is removed first")
+                pending,
+                wire.Response(0, "no", "again: the earlier incarnation of the member is removed first"),
             )
             return
         if self.host.machine.get(INVITED_PREFIX + member.name) is None:
-            raise RequestRejectedError(f"not_invited: nobody added {member.name}; see `gradegap store add`")
+            raise RequestRejectedError(
+                f"not_invited: member {member.name} was not added; see `gradegap store add`"
+            )
         learner = Member(member.id, member.name, member.address, voter=False)
         self._wait_for_commit(pending, self.raft.add_member(time.monotonic(), learner))
 
@@ -150,7 +155,7 @@
         progress = self.raft.peers.get(earlier.id)
         answers = progress is not None and now - progress.last_response_at < INCARNATION_SILENCE_S
         if earlier.id == self.host.identity.id or answers:
-            raise RequestRejectedError(f"alive: another process is {member.name} and answers")
+            raise RequestRejectedError(f"alive: another process is member {member.name} and answers")
         self.raft.remove_member(now, earlier.id)
         self.metrics.count("store_lives_replaced")
         log.warning("earlier incarnation removed", member=member.name, id=earlier.id)
@@ -160,17 +165,17 @@
 
     def _wait_for_commit(self, pending: PendingRequest, index: int) -> None:
         pending.wait_for_commit(index, self.raft.term)
-        self.by_index.setdefault(index, []).append(pending)
+        self.awaiting_commit.setdefault(index, []).append(pending)
 
     # Progress of the log
 
     def entry_applied(self, entry: Entry, result: Result) -> None:
-        """An entry is committed and applied: respond to the request that it came from."""
-        for pending in self.by_index.pop(entry.index, ()):
+        """Handles a committed and applied entry: responds to the request that proposed it."""
+        for pending in self.awaiting_commit.pop(entry.index, ()):
             if pending.is_done:
                 continue
             if entry.term != pending.term:
-                # Another leader's entry is at this index: the request's own was never committed.
+                # The entry at this index is another leader's: that of the request was never committed.
                 pending.wait(RequestState.LEADER)
                 continue
             self._committed(pending, entry, result)
@@ -185,20 +190,20 @@
         if isinstance(body, wire.Transaction) and granter is not None:
             keys = [update.key for update in (*body.then, *body.otherwise)]
             if affects_decisions(keys):
-                # Nobody may decide by what was there before, once its replacement is acknowledged.
+                # After the write is acknowledged, no lease holder may still decide by the old values.
                 pending.wait(RequestState.LEASE_HOLDERS)
                 done = self._responds(pending, response)
                 granter.when_applied_by_all(time.monotonic(), entry.index, done)
                 return
         if entry.kind is EntryKind.CONFIGURATION and isinstance(body, wire.AdmitMember):
-            response = wire.Response(0, text="taken in", revision=result.revision)
+            response = wire.Response(0, text="member admitted", revision=result.revision)
         self.responder.respond(pending, response)
 
     def _responds(self, pending: PendingRequest, response: wire.Response) -> Callable[[], None]:
         return lambda: self.responder.respond(pending, response)
 
     def read_index_known(self, serial: int, index: int) -> None:
-        """A read is linearizable once this index is applied."""
+        """Handles the index of a read: the read is linearizable after this member has applied it."""
         pending = self.awaiting_read_index.pop(serial, None)
         if pending is None or pending.is_done:
             return
@@ -209,13 +214,13 @@
             self.awaiting_apply.append(pending)
 
     def read_aborted(self, serial: int) -> None:
-        """The leader could not confirm that it leads: the read is tried again."""
+        """Handles a read for which leadership could not be confirmed: the read is retried."""
         pending = self.awaiting_read_index.pop(serial, None)
         if pending is not None:
             pending.wait(RequestState.LEADER)
 
     def index_applied(self, index: int) -> None:
-        """This member has applied the log up to `index`."""
+        """Answers the reads that are linearizable now that this member has applied the log up to `index`."""
         waiting = self.awaiting_apply
         self.awaiting_apply = [each for each in waiting if each.index > index and not each.is_done]
         for pending in waiting:
@@ -226,18 +231,20 @@
         self.responder.respond(pending, read(self.host.machine, pending.body))
 
     def forget(self, pending: PendingRequest) -> None:
-        """It has its response."""
+        """Drops an answered request from the reads that wait for an index."""
         self.awaiting_read_index.pop(pending.serial, None)
 
     def forget_all(self) -> None:
-        """This member leads no more, or anew: all are tried again."""
-        self.by_index.clear()
+        """Drops all requests after a gain or loss of leadership; the service retries them."""
+        self.awaiting_commit.clear()
         self.awaiting_apply = []
         self.awaiting_read_index.clear()
 
     def check_transfer(self, pending: PendingRequest) -> None:
-        """Respond to a transfer that was given up."""
+        """Responds to a request for a leadership transfer that the core has aborted."""
         raft = self.host.raft
-        gave_up = raft is not None and raft.is_leader and not raft.transferee
-        if gave_up and isinstance(pending.body, wire.TransferLeadership):
-            self.responder.respond(pending, wire.Response(0, "no", "failed: it did not take over in time"))
+        is_aborted = raft is not None and raft.is_leader and not raft.transferee
+        if is_aborted and isinstance(pending.body, wire.TransferLeadership):
+            self.responder.respond(
+                pending, wire.Response(0, "no", "failed: the member did not become the leader in time")
+            )
--- a/gradegap/store/pending.py
+++ b/gradegap/store/pending.py
@@ -1,4 +1,4 @@
-"""A request under way at a member, its states and what leads from one to the next. No I/O."""
+"""A pending request at a member, its states and the transitions between them. No I/O."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 
 class RequestState(Enum):
-    """What a request waits for."""
+    """The states of a request; each comment names the event that the request waits for."""
 
     NEW = auto()
-    LEADER = auto()  # a leader to be known, or another attempt
-    MEMBER = auto()  # the response of the member that it was forwarded to
-    COMMIT = auto()  # its entry of the log to be committed
-    READ_INDEX = auto()  # the index from which a read is linearizable
-    APPLIED = auto()  # that index to be applied here
-    LEASE_HOLDERS = auto()  # every lease holder to have applied it
-    TRANSFER = auto()  # another member to lead
-    IN_FORCE = auto()  # all subscribed nodes to have a revision
+    LEADER = auto()  # a leader is known, or the next attempt is due
+    MEMBER = auto()  # the member that it was forwarded to responds
+    COMMIT = auto()  # its log entry is committed
+    READ_INDEX = auto()  # the log index is known from which the read is linearizable
+    APPLIED = auto()  # this member has applied that index
+    LEASE_HOLDERS = auto()  # every lease holder has applied its log entry
+    TRANSFER = auto()  # another member becomes the leader
+    IN_FORCE = auto()  # all subscribed nodes have acknowledged a revision
     DONE = auto()
 
 
-LED_STATES = frozenset(
+LEADER_STATES = frozenset(
     {
         RequestState.COMMIT,
         RequestState.READ_INDEX,
@@ -37,63 +37,63 @@
         RequestState.TRANSFER,
     }
 )
-"""States of a request that this member carries out as the leader; they end with its leadership."""
+"""States of a request that this member carries out as the leader; it leaves them when leadership is lost."""
 
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request under way. Its state changes by these methods only, and never once it is done."""
+    """A pending request. Its state is changed only by these methods, and never after it is done."""
 
     serial: int
     body: wire.RequestBody
     respond: ResponseCallback
-    expires_at: float  # steady time (s) at which the requester gives up
-    from_member: bool  # it was forwarded by a member, which retries it itself
-    may_be_applied: bool = False  # a leader had it: what came of it may be unknown
+    expires_at: float  # steady time (s) at which the requester stops waiting
+    from_member: bool  # sent by another member, which retries it itself if it forwarded it
+    may_be_applied: bool = False  # it reached a leader, so its outcome may be unknown
     state: RequestState = RequestState.NEW
-    member_id: str = ""  # of whom it waits for in state MEMBER
-    index: int = 0  # of its entry, or of its read
-    term: int = 0
+    member_id: str = ""  # in state MEMBER: the member whose response it waits for
+    index: int = 0  # log index of its entry, or the index from which its read is linearizable
+    term: int = 0  # term of its entry
 
     @property
     def is_done(self) -> bool:
-        """Whether it has its response."""
+        """Whether the request has been answered."""
         return self.state is RequestState.DONE
 
     @property
     def is_in_doubt(self) -> bool:
-        """Whether it would change something and a leader had it: nobody can say here what came of it."""
+        """Whether the request changes state and reached a leader, so that its outcome is unknown here."""
         return self.may_be_applied and isinstance(self.body, CHANGING_REQUESTS)
 
     @property
-    def is_led(self) -> bool:
-        """Whether this member carries it out as the leader."""
-        return self.state in LED_STATES
+    def is_handled_as_leader(self) -> bool:
+        """Whether this member carries out the request as the leader."""
+        return self.state in LEADER_STATES
 
     def waits_for_member(self, member_id: str) -> bool:
-        """Whether it waits for this member's response."""
+        """Whether the request was forwarded to this member and waits for its response."""
         return self.state is RequestState.MEMBER and self.member_id == member_id
 
     def wait(self, state: RequestState) -> None:
-        """Go on to a state that needs nothing else to be known."""
+        """Changes to a state that needs no further data."""
         if not self.is_done:
             self.state = state
 
     def wait_for_member(self, member_id: str) -> None:
-        """It was forwarded to this member."""
+        """Records that the request was forwarded to this member."""
         self.member_id = member_id
         self.wait(RequestState.MEMBER)
 
     def wait_for_commit(self, index: int, term: int) -> None:
-        """It was proposed as this entry of the log."""
+        """Records that the request was proposed as the log entry with this index and term."""
         self.may_be_applied, self.index, self.term = True, index, term
         self.wait(RequestState.COMMIT)
 
     def wait_for_index(self, index: int) -> None:
-        """It is a read that is linearizable from this index on."""
+        """Records that the request is a read that is linearizable once this index is applied."""
         self.index = index
         self.wait(RequestState.APPLIED)
 
     def finish(self) -> None:
-        """It has its response."""
+        """Records that the request has been answered."""
         self.state = RequestState.DONE
--- a/gradegap/store/service.py
+++ b/gradegap/store/service.py
@@ -1,8 +1,9 @@
-"""Requests of clients to a member: answered here, or by the leader, and retried until the outcome is known.
+"""Handles client requests at a member: answers them or forwards them to the leader, and retries attempts.
 
-A write is stamped (client, number, deadline) before it is first proposed, so that it can be proposed again
-when a leader is lost, and is applied once. Three outcomes are distinguished: done; "no_quorum", where nobody
-ever had it; and "unknown", where a leader had it and nobody can say by now what came of it.
+A write is stamped with a client name, a sequence number and a deadline before it is first proposed. It can
+then be proposed again after the loss of a leader, and is applied only once. Apart from a rejection, a request
+has three outcomes: it is done; "no_quorum", if it never reached a leader; and "unknown", if it reached a
+leader and its result can't be determined in time.
 """
 
 from __future__ import annotations
@@ -33,42 +34,42 @@
 log = structlog.get_logger()
 
 MAX_PENDING_REQUESTS = 4096
-MAX_TIMEOUT_S = 60.0  # that a client may be willing to wait
-RETRY_PERIOD_S = 0.05
-ADMISSION_TIMEOUT_S = 2.0
+MAX_TIMEOUT_S = 60.0  # limits the timeout that a client may set for a request
+RETRY_PERIOD_S = 0.05  # interval of the attempts of requests that wait for a leader
+ADMISSION_TIMEOUT_S = 2.0  # for the request of a new member to be admitted, which the member repeats
 
-REMOVED = "removed: this member belongs to no cluster"
-NOT_LEADER = "not_leader: ask again"
+REMOVED = "removed: this member does not belong to a cluster"
+NOT_LEADER = "not_leader: this member does not lead, try again"
 
 
 class NodeState(NamedTuple):
-    """What a node reported of itself, and when (steady time, s)."""
+    """The latest state that a node reported of itself."""
 
-    at: float
+    at: float  # steady time (s) of the report
     state: dict[str, Any]
 
 
 class RequestService:
-    """Answers requests at one member."""
+    """Handles the requests of clients and other members at one member."""
 
     def __init__(self, host: RequestHost) -> None:
         self.host = host
         self.metrics = host.metrics
         self.pending: dict[int, PendingRequest] = {}  # by serial
-        self._node_states: dict[str, NodeState] = {}  # by name
+        self._node_states: dict[str, NodeState] = {}  # by the node's name
         self.clock = LogClockEstimate(host)
         self.stamper = WriteStamper(self.clock)
-        self.led = LeaderRequests(host, self, self.stamper)
+        self.leader_requests = LeaderRequests(host, self, self.stamper)
         self.watches = Watches(host.machine, host.metrics)
         self._last_serial = 0
         self._last_retry_at = 0.0
         self.metrics.gauge("store_pending", lambda: len(self.pending))
         self.metrics.gauge("store_watches", lambda: len(self.watches.open))
 
-    # Requests come
+    # Receiving requests
 
     def receive_request(self, link: Link, request: wire.Request) -> None:
-        """A request on a link, of a client or forwarded by a member."""
+        """Handles a request that a client or another member sent on a link."""
 
         def respond(response: wire.Response) -> None:
             link.send(msgspec.structs.replace(response, serial=request.serial))
@@ -88,10 +89,13 @@
         timeout_s: float = 5.0,
         from_member: bool = False,
     ) -> None:
-        """`respond` with one response, at the latest after `timeout_s`."""
+        """Calls `respond` with the one response to a request, at the latest after `timeout_s` seconds.
+
+        `from_member` is set for a request that another member sent.
+        """
         if len(self.pending) >= MAX_PENDING_REQUESTS:
             self.metrics.count("store_busy")
-            respond(wire.Response(0, "no", "busy: too many requests are under way"))
+            respond(wire.Response(0, "no", "busy: too many requests are pending"))
             return
         try:
             if isinstance(body, wire.Transaction):
@@ -109,10 +113,10 @@
         self._last_serial += 1
         return self._last_serial
 
-    # One attempt
+    # Attempts
 
     def _attempt(self, pending: PendingRequest) -> None:
-        """Answer here what needs no leader; lead, forward or wait with the rest."""
+        """Answers a request that needs no leader; else handles it as the leader, forwards it, or waits."""
         machine, body, raft = self.host.machine, pending.body, self.host.raft
         if isinstance(body, wire.Status):
             self.respond(pending, wire.Response(0, status=self.status()))
@@ -127,7 +131,7 @@
         elif raft is None:
             pending.wait(RequestState.LEADER)
         elif raft.is_leader:
-            self.led.start(pending)
+            self.leader_requests.start(pending)
         elif pending.from_member:
             self.respond(pending, wire.Response(0, "no", NOT_LEADER))
         else:
@@ -136,11 +140,13 @@
     def _respond_as_removed(self, pending: PendingRequest) -> None:
         own_removal = wire.RemoveMember(self.host.settings.name)
         if pending.may_be_applied and pending.body == own_removal and self.host.raft is not None:
-            # What was requested is what ended this member: it is committed, or it would not be removed. (One
-            # whose disk failed has no core any more, and can't say so.)
+            # The request was to remove this member, which shows that its entry is committed. A member whose
+            # disk failed also counts as removed, but has no consensus core any more and can't confirm this.
             self.respond(pending, wire.Response(0))
         elif pending.is_in_doubt:
-            text = "unknown: this member has ended with it under way; it may be committed or not"
+            text = (
+                "unknown: this member stopped while the request was pending; it may or may not be committed"
+            )
             self.respond(pending, wire.Response(0, "unknown", text))
         else:
             self.respond(pending, wire.Response(0, "no", REMOVED))
@@ -157,7 +163,7 @@
             attempts = pending.body.attempts + 1
             pending.body = msgspec.structs.replace(pending.body, attempts=attempts)
 
-    # In force
+    # Checks whether a revision is in force
 
     def _check_in_force(self, pending: PendingRequest, body: wire.InForce) -> None:
         host = self.host
@@ -176,25 +182,28 @@
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
-        """The member's."""
+        """The member's event loop."""
         return self.host.loop
 
     def members(self) -> list[Member]:
-        """All members, this one among them."""
+        """All members of the cluster, including this one."""
         raft = self.host.raft
         return list(raft.configuration.members) if raft is not None else []
 
     def local_report(self, revision: int) -> MachineReport:
-        """What this member knows of the nodes that subscribe here."""
+        """Reports which nodes that subscribe at this member have not acknowledged a revision."""
         return self.host.report(revision)
 
     def request_from_member(
         self, member: Member, body: wire.RequestBody, respond: ResponseCallback, timeout_s: float
     ) -> None:
-        """`respond` with the member's response, or with a no, after `timeout_s` at the latest."""
+        """Calls `respond` with the response of `member`, or with a rejection if it can't be reached.
+
+        `timeout_s` limits the time in seconds until `respond` is called.
+        """
         serial = self._next_serial()
         if not self.host.send_to_member(member, wire.Request(serial, body, timeout_s)):
-            respond(wire.Response(0, "no", f"unreachable: {member.name}"))
+            respond(wire.Response(0, "no", f"unreachable: no usable link to member {member.name}"))
             return
         expires_at = time.monotonic() + timeout_s
         pending = PendingRequest(serial, body, respond, expires_at, from_member=True)
@@ -204,19 +213,19 @@
     # Responses
 
     def respond(self, pending: PendingRequest, response: wire.Response) -> None:
-        """The one response of a request; later ones are passed over."""
+        """Sends the one response to a request; a later response is ignored."""
         if pending.is_done:
             return
         pending.finish()
         self.pending.pop(pending.serial, None)
-        self.led.forget(pending)
+        self.leader_requests.forget(pending)
         if isinstance(pending.body, wire.Transaction):
             self.stamper.release(pending.body.client)
         self.metrics.count(f"store_answers_{response.outcome}")
         pending.respond(msgspec.structs.replace(response, clock_ms=self.clock.now_ms()))
 
     def receive_response(self, link: Link, response: wire.Response) -> None:
-        """From the member that a request was forwarded to."""
+        """Handles the response of the member to which a request was forwarded."""
         pending = self.pending.get(response.serial)
         if pending is None or not pending.waits_for_member(link.id):
             return
@@ -224,7 +233,8 @@
             self.clock.observe(response.clock_ms)
         reason = reason_of(response.text)
         if reason == "restamp" and isinstance(pending.body, wire.Transaction):
-            # Nobody proposed it: it only bore a time that this member had not kept up with.
+            # The leader did not propose the write: its deadline, from this member's estimate of the log time,
+            # was too early.
             deadline_ms = self.stamper.new_deadline()
             pending.body = msgspec.structs.replace(pending.body, deadline_ms=deadline_ms, attempts=0)
             pending.may_be_applied = False
@@ -234,35 +244,35 @@
         else:
             self.respond(pending, response)
 
-    # Changes of leader, and time
+    # Changes of the leader, and time
 
     def leadership_changed(self) -> None:
-        """This member leads no more, or anew: what it carried out is only answered after another attempt."""
+        """Handles a gain or loss of leadership: requests that this member handled as leader are retried."""
         for pending in list(self.pending.values()):
-            if pending.is_led:
+            if pending.is_handled_as_leader:
                 pending.wait(RequestState.LEADER)
-        self.led.forget_all()
+        self.leader_requests.forget_all()
         self._last_retry_at = 0.0
 
     def link_lost(self, member_id: str) -> None:
-        """What waits for this member's response is tried again."""
+        """Handles a lost link: requests that wait for a response of this member are retried."""
         for pending in list(self.pending.values()):
             if pending.waits_for_member(member_id):
                 pending.wait(RequestState.LEADER)
 
     def leader_changed(self) -> None:
-        """Another member leads: what was forwarded to the one before is tried again."""
+        """Handles a change of the leader: requests forwarded to the previous leader are retried."""
         raft = self.host.raft
         leader_id = raft.leader_id if raft is not None else ""
         for pending in list(self.pending.values()):
             if isinstance(pending.body, wire.InForce):
-                continue  # sent to each member, whoever leads
+                continue  # these are sent to each member, regardless of the leader
             if pending.state is RequestState.MEMBER and pending.member_id != leader_id:
                 pending.wait(RequestState.LEADER)
         self._last_retry_at = 0.0
 
     def tick(self, now: float) -> None:
-        """End what is late, and retry what waits for a leader; `now` is the steady time in seconds."""
+        """Ends expired requests, and retries those that wait for a leader; `now` is the steady time (s)."""
         for pending in list(self.pending.values()):
             if now >= pending.expires_at:
                 self._time_out(pending)
@@ -271,7 +281,7 @@
         self._last_retry_at = now
         for pending in list(self.pending.values()):
             if pending.state is RequestState.TRANSFER:
-                self.led.check_transfer(pending)
+                self.leader_requests.check_transfer(pending)
             elif pending.state is RequestState.LEADER and pending.from_member:
                 self.respond(pending, wire.Response(0, "no", NOT_LEADER))
             elif pending.state is RequestState.LEADER:
@@ -279,22 +289,22 @@
 
     def _time_out(self, pending: PendingRequest) -> None:
         if pending.is_in_doubt:
-            text = "unknown: it may be committed or not; nobody could say in time"
+            text = "unknown: the request timed out after it reached a leader; it may or may not be committed"
             self.respond(pending, wire.Response(0, "unknown", text))
         else:
-            text = "no_quorum: no leader with a quorum answered in time"
+            text = "no_quorum: no leader with a quorum responded in time"
             self.respond(pending, wire.Response(0, "no_quorum", text))
 
     # The log
 
     def entry_applied(self, entry: Entry, result: Result) -> None:
-        """An entry is committed and applied."""
-        self.led.entry_applied(entry, result)
+        """Handles a committed entry that this member has applied."""
+        self.leader_requests.entry_applied(entry, result)
 
-    # Members that come
+    # Admission of members
 
     def admit(self, link: Link, member: Member) -> None:
-        """Add a member that came on `link`, and send it its cluster once that is committed."""
+        """Adds the member that asked on `link`, and sends it the cluster's configuration after the commit."""
 
         def respond(response: wire.Response) -> None:
             raft = self.host.raft
@@ -314,11 +324,11 @@
     # Status
 
     def node_reported(self, node: str, state: dict[str, Any]) -> None:
-        """A node has reported its state, which `status` shows."""
+        """Records the state that a node reported of itself, which `status` includes."""
         self._node_states[node] = NodeState(time.monotonic(), state)
 
     def status(self) -> dict[str, Any]:
-        """This member's status and its cluster's."""
+        """The status of this member and its cluster."""
         now = time.monotonic()
         nodes = {
             name: reported.state | {"age_ms": round((now - reported.at) * 1000)}
@@ -327,7 +337,7 @@
         return member_status(self.host, nodes)
 
     def close(self) -> None:
-        """The member ends: so do all requests under way."""
+        """Answers all pending requests, because the member closes."""
         for pending in list(self.pending.values()):
             outcome = "unknown" if pending.is_in_doubt else "no"
-            self.respond(pending, wire.Response(0, outcome, f"{outcome}: this member ends"))
+            self.respond(pending, wire.Response(0, outcome, f"{outcome}: this member is shutting down"))
--- a/tests/test_store_service.py
+++ b/tests/test_store_service.py
@@ -49,7 +49,7 @@
     requests.tick(time.monotonic())
     requests.request(wire.Transaction((KeyUpdate("b", 1),)), responses.append)
     assert [a.outcome for a in responses] == ["unknown", "no", "no"]
-    assert responses[0].text.startswith("unknown: this member has ended")
+    assert responses[0].text.startswith("unknown: this member stopped")
     assert not requests.pending
 
 
