--- a/gradegap/store/membership.py
+++ b/gradegap/store/membership.py
@@ -178,7 +178,7 @@
             known = {member.name for member in members}
             listed = {peer.address for peer in settings.peers if peer.name in known}
             addresses = {member.address for member in members} or listed
-        self.links.want(addresses - {settings.listen, settings.advertise})
+        self.links.set_addresses(addresses - {settings.listen, settings.advertise})
 
     def send_raft_message(self, recipient: str, message: Message) -> None:
         """Sends a message of the consensus core to the member with the id `recipient`."""
