--- a/tests/test_store_linearizability.py
+++ b/tests/test_store_linearizability.py
@@ -1,4 +1,4 @@
-"""Histories of many clients under faults, checked for linearizability."""
+"""Histories of concurrent clients under faults are linearizable."""
 
 from __future__ import annotations
 
@@ -19,104 +19,111 @@
 
 
 class Clients:
-    """Clients that write, read and compare-and-set a few keys, and keep a history of it."""
+    """Clients that write, read and compare-and-set the same keys, and record a history for each key."""
 
-    def __init__(self, c: Cluster, seed: int) -> None:
-        self.c, self.seed = c, seed
+    def __init__(self, store_cluster: Cluster, seed: int) -> None:
+        self.store_cluster, self.seed = store_cluster, seed
         self.history: dict[str, list[Operation]] = {}
-        self.acked = 0
-        self.ended = threading.Event()
+        self.acknowledged = 0
+        self.stopped = threading.Event()
         self.lock = threading.Lock()
-        self.threads = [threading.Thread(target=self.run, args=(k,), daemon=True) for k in range(6)]
+        self.threads = [threading.Thread(target=self.run, args=(number,), daemon=True) for number in range(6)]
 
-    def keep(self, key: str, operation: Operation) -> None:
+    def record(self, key: str, operation: Operation) -> None:
         with self.lock:
             self.history.setdefault(key, []).append(operation)
-            self.acked += operation.ended != NEVER_ENDED
+            self.acknowledged += operation.ended != NEVER_ENDED
 
     def run(self, number: int) -> None:
         rng = random.Random(self.seed * 100 + number)
-        remote: MemberClient | None = None
-        for k in range(100_000):
-            if self.ended.is_set():
+        client: MemberClient | None = None
+        for attempt in range(100_000):
+            if self.stopped.is_set():
                 return
             key = f"r{rng.randrange(60)}"
-            began = time.monotonic()
-            mine = f"{number}-{k}"
+            started = time.monotonic()
+            new_value = f"{number}-{attempt}"
             kind = rng.choice(["write", "read", "read", "cas"])
             try:
-                if remote is None or rng.random() < 0.02:
-                    remote = MemberClient(self.c.listen_addresses[rng.choice(self.c.names)], SECRET, 1.5)
+                if client is None or rng.random() < 0.02:
+                    client = MemberClient(
+                        self.store_cluster.listen_addresses[rng.choice(self.store_cluster.names)], SECRET, 1.5
+                    )
                 if kind == "write":
-                    remote.set(key, mine)
-                    self.keep(key, Operation.write(mine, began, time.monotonic()))
+                    client.set(key, new_value)
+                    self.record(key, Operation.write(new_value, started, time.monotonic()))
                 elif kind == "read":
-                    got = remote.value(key)
-                    self.keep(key, Operation.read(got, began, time.monotonic()))
+                    read_value = client.value(key)
+                    self.record(key, Operation.read(read_value, started, time.monotonic()))
                 else:
-                    item = remote.get(key)
-                    self.keep(key, Operation.read(item and item.value, began, time.monotonic()))
-                    began = time.monotonic()
-                    answer = remote.compare_and_set(key, item.modified_revision if item else 0, mine)
+                    item = client.get(key)
+                    self.record(key, Operation.read(item and item.value, started, time.monotonic()))
+                    started = time.monotonic()
+                    answer = client.compare_and_set(key, item.modified_revision if item else 0, new_value)
                     if item is not None:
-                        expected = item.value  # values are never written twice
+                        expected = item.value  # identifies the revision, as each value is written only once
                         done = answer.succeeded
-                        self.keep(
-                            key, Operation.compare_and_set(mine, began, time.monotonic(), expected, done)
+                        self.record(
+                            key,
+                            Operation.compare_and_set(new_value, started, time.monotonic(), expected, done),
                         )
                     else:
-                        self.keep(
+                        self.record(
                             key,
-                            Operation.compare_and_set(mine, began, time.monotonic(), None, answer.succeeded),
+                            Operation.compare_and_set(
+                                new_value, started, time.monotonic(), None, answer.succeeded
+                            ),
                         )
             except RequestFailedError as error:
                 if error.kind == "unknown" and kind == "write":
-                    self.keep(key, Operation.write(mine, began))
+                    self.record(key, Operation.write(new_value, started))
                 elif error.kind == "unknown" and kind == "cas":
                     expected = item.value if item else None
-                    self.keep(key, Operation.compare_and_set(mine, began, NEVER_ENDED, expected, None))
-                remote = None
+                    self.record(
+                        key, Operation.compare_and_set(new_value, started, NEVER_ENDED, expected, None)
+                    )
+                client = None
                 time.sleep(0.05)
 
 
-def test_histories_under_kills_stops_and_cuts_are_linearizable(tmp_path: Path) -> None:
+def test_histories_under_kills_suspensions_and_partitions_are_linearizable(tmp_path: Path) -> None:
     seed = random.SystemRandom().randrange(1000)
     print("seed", seed)
     rng = random.Random(seed)
-    with cluster(tmp_path) as c:
-        clients = Clients(c, seed)
+    with cluster(tmp_path) as store_cluster:
+        clients = Clients(store_cluster, seed)
         for thread in clients.threads:
             thread.start()
-        for turn in range(9):
-            victim = rng.choice([c.leader() or "n1", rng.choice(c.names)])
-            what = ("kill", "freeze", "cut")[turn % 3]
-            before = clients.acked
-            if what == "kill":
-                c.kill(victim)
-            elif what == "freeze":
-                c.suspend(victim)
+        for round_number in range(9):
+            victim = rng.choice([store_cluster.leader() or "n1", rng.choice(store_cluster.names)])
+            fault = ("kill", "freeze", "cut")[round_number % 3]
+            before = clients.acknowledged
+            if fault == "kill":
+                store_cluster.kill(victim)
+            elif fault == "freeze":
+                store_cluster.suspend(victim)
             else:
-                c.relay.partition({victim}, set(c.others(victim)))
-            # Until the rest has gone on without it.
-            wait_for(lambda before=before: clients.acked > before + 60, 20.0)  # type: ignore[misc]
-            if what == "kill":
-                c.start(victim)
-            elif what == "freeze":
-                c.resume(victim)
+                store_cluster.relay.partition({victim}, set(store_cluster.others(victim)))
+            # Wait until the other members have made progress without this one.
+            wait_for(lambda before=before: clients.acknowledged > before + 60, 20.0)  # type: ignore[misc]
+            if fault == "kill":
+                store_cluster.start(victim)
+            elif fault == "freeze":
+                store_cluster.resume(victim)
             else:
-                c.relay.heal()
-            before = clients.acked
-            wait_for(lambda before=before: clients.acked > before + 60, 20.0)  # type: ignore[misc]
-        wait_for(lambda: clients.acked > 2000, 60.0)
-        clients.ended.set()
+                store_cluster.relay.heal()
+            before = clients.acknowledged
+            wait_for(lambda before=before: clients.acknowledged > before + 60, 20.0)  # type: ignore[misc]
+        wait_for(lambda: clients.acknowledged > 2000, 60.0)
+        clients.stopped.set()
         for thread in clients.threads:
             thread.join(10.0)
-        wait_for(c.has_equal_states, 20.0)
-        with c.member_client(c.leader()) as r:
-            final = {i.key: i.value for i in r.list("r")}
+        wait_for(store_cluster.has_equal_states, 20.0)
+        with store_cluster.member_client(store_cluster.leader()) as leader_client:
+            final = {item.key: item.value for item in leader_client.list("r")}
         end = time.monotonic()
         for key, history in clients.history.items():
-            told = [*history, Operation.read(final.get(key), end, end + 1)]
-            assert find_linearization(told) is not None, (
-                f"seed {seed}, key {key}: {sorted(told, key=lambda d: d.started)}"
+            operations = [*history, Operation.read(final.get(key), end, end + 1)]
+            assert find_linearization(operations) is not None, (
+                f"seed {seed}, key {key}: {sorted(operations, key=lambda operation: operation.started)}"
             )
--- a/tests/test_store_schema.py
+++ b/tests/test_store_schema.py
@@ -1,4 +1,4 @@
-"""What the operator's `[store]` table and keys of the store may hold."""
+"""Checks of the `[store]` table in the operator's file, and of the values of the store's keys."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message_part"),
     [
         ('listen = "127.0.0.1:1"\npeers = ["127.0.0.1:2"]', "peers = [{ name ="),
         ('listen = "127.0.0.1:1"', "store has no name"),
@@ -29,16 +29,16 @@
         ('name = "a"\nlisten = "127.0.0.1:1"\nfoo = 1', "foo"),
     ],
 )
-def test_a_wrong_store_table_is_one_plain_line(tmp_path: Path, text: str, said: str) -> None:
+def test_invalid_store_table_is_reported_in_one_line(tmp_path: Path, text: str, message_part: str) -> None:
     path = tmp_path / "o.toml"
     path.write_text(f"[store]\n{text}\n")
     with pytest.raises(OperatorFileError) as error:
         load_operator(str(path))
-    assert said in str(error.value) and "\n" not in str(error.value)
+    assert message_part in str(error.value) and "\n" not in str(error.value)
 
 
 @pytest.mark.parametrize(
-    ("key", "value", "good"),
+    ("key", "value", "is_valid"),
     [
         ("config/log_level", "debug", True),
         ("config/log_level", "loud", False),
@@ -53,16 +53,16 @@
         ("keys/resume", {"keys": [{"id": "0", "secret": "x"}]}, False),
     ],
 )
-def test_values_fit_their_keys(key: str, value: Any, good: bool) -> None:
-    if good:
+def test_value_is_checked_against_the_schema_of_its_key(key: str, value: Any, is_valid: bool) -> None:
+    if is_valid:
         schema.validate_update(KeyUpdate(key, value))
     else:
         with pytest.raises(CommandError, match=r"^invalid: "):
             schema.validate_update(KeyUpdate(key, value))
 
 
-def test_the_schema_is_json_schema() -> None:
-    made = schema.json_schema()
-    config = made["$defs"]["Settings"]["properties"]
+def test_json_schema_has_enums_and_bounds_of_settings() -> None:
+    document = schema.json_schema()
+    config = document["$defs"]["Settings"]["properties"]
     assert config["log_level"]["enum"] == ["debug", "error", "info", "warning"]
     assert config["quic_max_sessions"]["maximum"] == 1_000_000
--- a/tests/test_store_service.py
+++ b/tests/test_store_service.py
@@ -1,4 +1,4 @@
-"""What a member responds to requests under way when it loses its place, without processes."""
+"""Responses to pending requests when the member is removed, fails or closes; without processes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from gradegap.store.service import RequestService
 
 
-def service() -> tuple[RequestService, Any]:
+def leader_service() -> tuple[RequestService, Any]:
     """A service at a leader whose entries are never committed."""
     raft = SimpleNamespace(is_leader=True, term=1, leader_id="m1", transferee="", status=lambda now: {})
     member = SimpleNamespace(
@@ -38,48 +38,48 @@
     return RequestService(cast(Any, member)), member
 
 
-def test_a_proposed_write_is_unknown_once_its_member_is_removed() -> None:
-    """It was answered "no", and could be committed all the same: a no is tried again, and runs twice."""
-    requests, member = service()
+def test_proposed_write_at_removed_member_is_answered_as_unknown() -> None:
+    """Guards against answering "no" to a write that may be committed: clients retry it, so it runs twice."""
+    service, member = leader_service()
     responses: list[wire.Response] = []
-    requests.request(wire.Transaction((KeyUpdate("a", 1),)), responses.append)
-    requests.request(wire.Get("a"), responses.append)
+    service.request(wire.Transaction((KeyUpdate("a", 1),)), responses.append)
+    service.request(wire.Get("a"), responses.append)
     member.removed, member.raft.is_leader = True, False
-    requests.leadership_changed()
-    requests.tick(time.monotonic())
-    requests.request(wire.Transaction((KeyUpdate("b", 1),)), responses.append)
-    assert [a.outcome for a in responses] == ["unknown", "no", "no"]
+    service.leadership_changed()
+    service.tick(time.monotonic())
+    service.request(wire.Transaction((KeyUpdate("b", 1),)), responses.append)
+    assert [response.outcome for response in responses] == ["unknown", "no", "no"]
     assert responses[0].text.startswith("unknown: this member stopped")
-    assert not requests.pending
+    assert not service.pending
 
 
-def test_a_leader_that_removed_itself_confirms_its_removal() -> None:
-    """It steps down before it has applied its removal; that was a "no", or unknown, now and then."""
-    requests, member = service()
+def test_leader_removed_by_own_request_confirms_the_removal() -> None:
+    """Guards against the answers "no" and "unknown": the leader steps down before it applies its removal."""
+    service, member = leader_service()
     responses: list[wire.Response] = []
-    requests.request(wire.RemoveMember("n1"), responses.append)
-    requests.request(wire.RemoveMember("n2"), responses.append)
+    service.request(wire.RemoveMember("n1"), responses.append)
+    service.request(wire.RemoveMember("n2"), responses.append)
     member.removed, member.raft.is_leader = True, False
-    requests.leadership_changed()
-    requests.tick(time.monotonic())
-    requests.request(wire.RemoveMember("n1"), responses.append)
-    assert [a.outcome for a in responses] == ["ok", "unknown", "no"]
+    service.leadership_changed()
+    service.tick(time.monotonic())
+    service.request(wire.RemoveMember("n1"), responses.append)
+    assert [response.outcome for response in responses] == ["ok", "unknown", "no"]
 
 
-def test_a_leader_whose_disk_failed_does_not_confirm_its_removal() -> None:
-    requests, member = service()
+def test_leader_with_failed_disk_does_not_confirm_its_removal() -> None:
+    service, member = leader_service()
     responses: list[wire.Response] = []
-    requests.request(wire.RemoveMember("n1"), responses.append)
+    service.request(wire.RemoveMember("n1"), responses.append)
     member.removed, member.raft = True, None
-    requests.leadership_changed()
-    requests.tick(time.monotonic())
-    assert [a.outcome for a in responses] == ["unknown"]
+    service.leadership_changed()
+    service.tick(time.monotonic())
+    assert [response.outcome for response in responses] == ["unknown"]
 
 
-def test_requests_under_way_when_a_member_ends_are_unknown_only_where_they_write() -> None:
-    requests, _ = service()
+def test_close_answers_pending_writes_as_unknown_and_reads_as_rejected() -> None:
+    service, _ = leader_service()
     responses: list[wire.Response] = []
-    requests.request(wire.Transaction((KeyUpdate("a", 1),)), responses.append)
-    requests.request(wire.Get("a"), responses.append)
-    requests.close()
-    assert [a.outcome for a in responses] == ["unknown", "no"]
+    service.request(wire.Transaction((KeyUpdate("a", 1),)), responses.append)
+    service.request(wire.Get("a"), responses.append)
+    service.close()
+    assert [response.outcome for response in responses] == ["unknown", "no"]
