--- a/gradegap/observer/observed_store.py
+++ b/gradegap/observer/observed_store.py
@@ -132,7 +132,7 @@
             for server in list(self.proxy.disabled):
                 if DISABLED_PREFIX + server not in kept:
                     self.proxy.enable_endpoint(server)
-            for name in list(self.live.set):
+            for name in list(self.live.values):
                 if CONFIGURATION_PREFIX + name not in kept:
                     self.live.reset(name)
         for key in self.machine.items.keys() - kept:
--- a/gradegap/store/dynamic_configuration.py
+++ b/gradegap/store/dynamic_configuration.py
@@ -39,19 +39,19 @@
     def __init__(self, metrics: Metrics) -> None:
         self.metrics = metrics
         self.settings: dict[str, DynamicSetting] = {}
-        self.set: dict[str, Any] = {}  # what was set, also before there was something to apply it
+        self.values: dict[str, Any] = {}  # what was set, also before there was something to apply it
 
     def register(self, name: str, initial: Any, apply: Callable[[Any], None]) -> None:
         """A setting that can change from now on; a value that was set before takes effect at once."""
         self.settings[name] = DynamicSetting(initial, apply)
-        if name in self.set:
-            self.apply(name, self.set[name])
+        if name in self.values:
+            self.apply(name, self.values[name])
 
     def apply(self, name: str, value: Any) -> None:
         """Put a value in force; one that the setting can't have is ignored, counted and logged."""
         from gradegap.store.schema import check_value  # only a node with a store comes here
 
-        self.set[name] = value
+        self.values[name] = value
         if name not in self.settings:
             return
         try:
@@ -65,7 +65,7 @@
 
     def reset(self, name: str) -> None:
         """The key was deleted: the value that the process started with is in force again."""
-        self.set.pop(name, None)
+        self.values.pop(name, None)
         if name in self.settings:
             setting = self.settings[name]
             setting.apply(setting.initial)
