--- a/gradegap/store/__init__.py
+++ b/gradegap/store/__init__.py
@@ -1,11 +1,11 @@
-"""The replicated store: a few keys that nodes decide by, the same at every member, and leases on them.
+"""The replicated store: a small set of keys that nodes decide by, and leases that keep these decisions fresh.
 
-It owns the member's folder (`storage`: log, vote, identity, state), the replicated state (`machine`, of
-`records`), the links between members (`links`, `channel`, `wire`), requests to a member (`service` and what
-it is made of), and leases (`leases`, `member_leases`). `member.StoreMember` is one process's part;
-`embedded.EmbeddedStore` joins it to a node; `member_client.MemberClient` is a blocking client. Consensus is
-`gradegap.raft`, subscriptions are `gradegap.observer`, which this package never imports: whoever assembles a
-process passes a `subscriptions` server.
+It contains the data folder of a member (`storage`: log, vote, identity, state), the replicated state
+(`machine`, with the types in `records`), links between members (`links`, `channel`, `wire`), requests to a
+member (`service` and the modules that it uses), and leases (`leases`, `member_leases`). `member.StoreMember`
+is a process's member, `embedded.EmbeddedStore` connects it to a node, and `member_client.MemberClient` is a
+blocking client. Consensus is in `gradegap.raft`. Subscriptions are in `gradegap.observer`, which this package
+never imports; the code that assembles a process passes in a server with the interface in `subscriptions`.
 
-Nothing is imported here, so that a node without a store does without the memory of its libraries.
+This module imports nothing, so that a node without a store doesn't load the store's libraries.
 """
--- a/gradegap/store/channel.py
+++ b/gradegap/store/channel.py
@@ -1,13 +1,14 @@
-"""One end of a link: how it is authenticated, and how messages are framed. No I/O.
+"""Authentication and message framing of one end of a link. No I/O.
 
-A link begins with a `Hello` from each side and a `Proof`: an HMAC-SHA256 under the cluster's secret over both
-hellos, each with a nonce, so that neither can be replayed. From then on each frame carries a keyed BLAKE2b
-checksum over its number and body: what is garbled, doubled, left out or out of order ends the link.
+Each side first sends a `Hello` and then a `Proof`: an HMAC-SHA256, keyed with the cluster's secret, over both
+hellos. The nonce in each hello prevents replays. Every later frame carries a keyed BLAKE2b checksum over its
+sequence number and body, so a corrupted, duplicated, missing or reordered frame ends the link.
 
     hello, proof:  length (4 bytes) body
     afterwards:    length (4 bytes) checksum (16 bytes) body
 
-Bodies are msgpack. Nothing is encrypted: links stay on loopback until TLS comes, whose place is below this.
+Bodies are msgpack. Frames are not encrypted, so links are restricted to loopback addresses. TLS, once it is
+added, belongs in the layer below.
 """
 
 from __future__ import annotations
@@ -38,13 +39,13 @@
 LENGTH_BYTES = 4
 CHECKSUM_BYTES = 16
 NONCE_BYTES = 16
-MAX_HELLO_BYTES = 2048  # of a frame before the link is authenticated
-MAX_FRAME_BYTES = 2 * 1024 * 1024  # of a frame afterwards
-MEMBER = "member"  # the kind of end that a `Hello` names, where it is a member of the cluster
+MAX_HELLO_BYTES = 2048  # limit on the body of a frame before the link is authenticated
+MAX_FRAME_BYTES = 2 * 1024 * 1024  # limit on the body of a frame on an authenticated link
+MEMBER_KIND = "member"  # `Hello.kind` of a member of the cluster
 
 
 def mac_of_parts(secret: bytes, *parts: bytes) -> bytes:
-    """HMAC-SHA256 over parts, each with its length, so that no two lists of parts look alike."""
+    """Returns the HMAC-SHA256 over length-prefixed parts, so that different lists of parts never collide."""
     from cryptography.hazmat.primitives import hashes
     from cryptography.hazmat.primitives.hmac import HMAC
 
@@ -55,17 +56,17 @@
 
 
 class HandshakePhase(Enum):
-    """What the other side has shown so far."""
+    """The handshake message that is expected next, or the end of the handshake."""
 
-    HELLO_WANTED = auto()
-    PROOF_WANTED = auto()
+    AWAITING_HELLO = auto()
+    AWAITING_PROOF = auto()
     AUTHENTICATED = auto()
 
 
 class LinkChannel:
-    """One end of a link: bytes in, messages out; messages in, bytes out.
+    """One end of a link, which converts between bytes and messages.
 
-    `hello` is this end's; `peer_hello` the other's once it came.
+    `hello` is the hello of this end, `peer_hello` the hello of the other end once it was received.
     """
 
     def __init__(
@@ -76,14 +77,18 @@
         decode: Callable[[bytes], Any] = decode_message,
         max_frame_bytes: int = MAX_FRAME_BYTES,
     ) -> None:
-        """`decode` reads the bodies of an authenticated link; `max_frame_bytes` bounds them, either way."""
+        """Create one end of a link.
+
+        `decode` decodes the bodies of frames on the authenticated link, and `max_frame_bytes` limits their
+        size in both directions.
+        """
         self.secret = secret
         self.decode = decode
         self.max_frame_bytes = max_frame_bytes
         self.hello = hello
         self.is_dialer = is_dialer
         self.peer_hello: Hello | None = None
-        self._phase = HandshakePhase.HELLO_WANTED
+        self._phase = HandshakePhase.AWAITING_HELLO
         self.buffer = bytearray()
         self._send_key = self._receive_key = b""
         self._sent_frames = self._received_frames = 0
@@ -102,7 +107,7 @@
         decode: Callable[[bytes], Any] = decode_message,
         max_frame_bytes: int = MAX_FRAME_BYTES,
     ) -> LinkChannel:
-        """A channel with a new nonce. A client has no identity: `member` is none."""
+        """Create a channel with a new nonce. `member` is None for clients, which have no member id."""
         hello = Hello(PROTOCOL_VERSION, kind, secrets.token_bytes(NONCE_BYTES))
         if member is not None:
             hello = msgspec.structs.replace(
@@ -118,35 +123,43 @@
 
     @property
     def authenticated(self) -> bool:
-        """Whether the other side has proven that it knows the secret."""
+        """Whether the other side has proven knowledge of the cluster's secret."""
         return self._phase is HandshakePhase.AUTHENTICATED
 
-    # Out
+    # Sending
 
     def begin(self) -> bytes:
-        """What this end sends first."""
+        """Returns the frame with this end's hello, the first bytes that it sends."""
         return _plain_frame(self._own_hello_body)
 
     def send(self, message: msgspec.Struct) -> bytes:
-        """One frame with a message."""
+        """Returns one frame with `message`."""
         return self.send_encoded(encode_message(message))
 
     def send_encoded(self, body: bytes) -> bytes:
-        """One frame with a body that is encoded already, once for all links that it is sent on."""
+        """Returns one frame with an encoded body, which may be shared by several links.
+
+        Raises:
+            ValueError: The body exceeds `max_frame_bytes`.
+        """
         if len(body) > self.max_frame_bytes:
-            raise ValueError(f"a frame of {len(body)} bytes")
+            raise ValueError(f"frame of {len(body)} bytes exceeds the limit")
         checksum = frame_checksum(self._send_key, self._sent_frames, body)
         self._sent_frames += 1
         return len(body).to_bytes(LENGTH_BYTES, "big") + checksum + body
 
     def reject(self, reason: str) -> bytes:
-        """The last frame on a link that was not authenticated."""
+        """Returns the last frame on a link that is rejected; empty if the link is authenticated."""
         return b"" if self.authenticated else _plain_frame(encode_message(LinkRejected(reason)))
 
-    # In
+    # Receiving
 
     def receive(self, data: bytes) -> tuple[list[Any], bytes]:
-        """The messages that are complete by now, and what to send at once; `LinkError` ends the link."""
+        """Process received bytes; returns complete messages and the bytes to send in reply.
+
+        Raises:
+            LinkError: The other side was rejected, rejected this one or sent invalid data; the link must end.
+        """
         self.buffer += data
         messages: list[Any] = []
         reply = b""
@@ -156,7 +169,7 @@
                 continue
             message = _decode(self.decode, body)
             if isinstance(message, Hello | Proof):
-                raise LinkError("garbled: a second beginning")
+                raise LinkError("garbled: handshake message on an authenticated link")
             messages.append(message)
         return messages, reply
 
@@ -167,8 +180,8 @@
             return None
         size = int.from_bytes(self.buffer[:LENGTH_BYTES], "big")
         if size > (self.max_frame_bytes if authenticated else MAX_HELLO_BYTES):
-            # Guards memory against a length that is none: nothing of it is waited for.
-            raise LinkError(f"garbled: a frame of {size} bytes")
+            # Protects memory against an invalid length: the body is not buffered.
+            raise LinkError(f"garbled: frame of {size} bytes exceeds the limit")
         if len(self.buffer) < header + size:
             return None
         body = bytes(self.buffer[header : header + size])
@@ -177,39 +190,43 @@
             if not hmac.compare_digest(
                 checksum, frame_checksum(self._receive_key, self._received_frames, body)
             ):
-                raise LinkError("garbled: the sum of a frame is wrong")
+                raise LinkError("garbled: frame checksum mismatch")
             self._received_frames += 1
         del self.buffer[: header + size]
         return body
 
-    # The handshake
+    # Handshake
 
     def _handshake(self, message: LinkMessage, body: bytes) -> bytes:
-        """Take the other side's next step; what this end answers."""
+        """Handle the other side's next handshake message; returns the bytes to send in reply."""
         match message:
             case LinkRejected():
                 raise LinkError(f"turned: {message.reason}")
-            case Hello() if self._phase is HandshakePhase.HELLO_WANTED:
+            case Hello() if self._phase is HandshakePhase.AWAITING_HELLO:
                 return self._receive_hello(message, body)
-            case Proof() if self._phase is HandshakePhase.PROOF_WANTED:
+            case Proof() if self._phase is HandshakePhase.AWAITING_PROOF:
                 return self._receive_proof(message)
-        raise LinkError("garbled: it begins with something else")
+        raise LinkError("garbled: unexpected message during the handshake")
 
     def _receive_hello(self, hello: Hello, body: bytes) -> bytes:
         if hello.version != PROTOCOL_VERSION:
-            raise LinkError(f"version: the other side speaks {hello.version}, this one {PROTOCOL_VERSION}")
+            raise LinkError(
+                f"version: the other side has protocol version {hello.version}, this one {PROTOCOL_VERSION}"
+            )
         if len(hello.nonce) != NONCE_BYTES or hello.nonce == self.hello.nonce:
-            raise LinkError("garbled: no fit nonce")  # guards against one's own frames sent back
+            # An equal nonce means that this end's own hello was reflected.
+            raise LinkError("garbled: invalid nonce")
         self.peer_hello = hello
         self._peer_hello_body = body
-        self._phase = HandshakePhase.PROOF_WANTED
-        # Who accepts proves nothing before it was proven something: a stray learns nothing, and is seen.
+        self._phase = HandshakePhase.AWAITING_PROOF
+        # The acceptor sends its proof only after it has verified the dialer's. A stranger thus obtains no
+        # HMAC under the secret, and its failed attempt is counted here.
         return self._proof(b"dialer") if self.is_dialer else self.begin()
 
     def _receive_proof(self, proof: Proof) -> bytes:
         peer_role = b"acceptor" if self.is_dialer else b"dialer"
         if not hmac.compare_digest(proof.mac, self._mac(peer_role)):
-            raise LinkError("secret: the other side does not know the cluster's secret")
+            raise LinkError("secret: the other side does not have this cluster's secret")
         assert self.peer_hello is not None
         self._check_membership(self.peer_hello)
         dialer_key, acceptor_key = self._mac(b"keys dialer"), self._mac(b"keys acceptor")
@@ -220,22 +237,22 @@
 
     def _check_membership(self, peer: Hello) -> None:
         own = self.hello
-        if peer.kind != MEMBER:
+        if peer.kind != MEMBER_KIND:
             return
         if own.cluster and peer.cluster and own.cluster != peer.cluster:
             raise LinkError("cluster: the other side belongs to another cluster")
-        if own.kind == MEMBER and own.lease_s != peer.lease_s:
-            # Guards against a leader that takes leases of another length for over too early.
+        if own.kind == MEMBER_KIND and own.lease_s != peer.lease_s:
+            # A leader with a shorter lease would consider the leases of other members expired too early.
             raise LinkError(
                 f"lease: the other member has lease_s = {peer.lease_s:g}, this one {own.lease_s:g}; "
-                "give all members the same"
+                "set the same value at all members"
             )
 
     def _proof(self, role: bytes) -> bytes:
         return _plain_frame(encode_message(Proof(self._mac(role))))
 
     def _mac(self, role: bytes) -> bytes:
-        """Over both hellos, the dialer's first."""
+        """Returns the HMAC over `role` and both hellos, the dialer's first."""
         hellos = (self._own_hello_body, self._peer_hello_body)
         return mac_of_parts(self.secret, role, *(hellos if self.is_dialer else reversed(hellos)))
 
@@ -252,7 +269,7 @@
 
 
 def frame_checksum(key: bytes, number: int, body: bytes) -> bytes:
-    """The checksum of the frame that is the `number`th of its direction."""
+    """Returns the checksum of frame `number` (from 0) of one direction of a link."""
     checksum = hashlib.blake2b(number.to_bytes(8, "big"), digest_size=CHECKSUM_BYTES, key=key)
     checksum.update(body)
     return checksum.digest()
--- a/gradegap/store/committed_state.py
+++ b/gradegap/store/committed_state.py
@@ -1,4 +1,4 @@
-"""Committed keys that a node decides by, put in force at its proxy and its dynamic configuration."""
+"""Applies committed keys that a node decides by to its proxy and its dynamic configuration."""
 
 from __future__ import annotations
 
@@ -11,17 +11,19 @@
 
 DISABLED_PREFIX = "out/"
 CONFIGURATION_PREFIX = "config/"
-ADMIN_CALL_TIMEOUT_S = 2.2  # of a call to the admin API; twice the time that others' leases are waited for
+# Timeout of admin API requests: twice the time (1.0 s lease plus clock drift) that a write waits for the
+# leases of failed nodes to expire.
+ADMIN_CALL_TIMEOUT_S = 2.2
 
 
 class CommittedState:
-    """Puts changes of committed keys in force at one node."""
+    """Applies changes of committed keys at one node."""
 
     def __init__(self, proxy: Proxy, dynamic_configuration: DynamicConfiguration) -> None:
         self.proxy, self.dynamic_configuration = proxy, dynamic_configuration
 
     def apply(self, key: str, value: object, deleted: bool) -> None:
-        """One change; keys that a node does not decide by are passed over."""
+        """Apply one change; keys that a node does not decide by are ignored."""
         if key.startswith(DISABLED_PREFIX):
             self._apply_disabled(key.removeprefix(DISABLED_PREFIX), value, deleted)
         elif key.startswith(CONFIGURATION_PREFIX):
@@ -34,7 +36,7 @@
         try:
             since = msgspec.convert(value, schema.Out).at_ms / 1000
         except msgspec.ValidationError:
-            since = 0.0  # long ago where no time is given: no grace is left, then
+            since = 0.0  # no valid time: treated as long ago, which leaves no grace period
         self.proxy.disable_endpoint(endpoint_id, min(since, self.proxy.now()))
 
     def _apply_configuration(self, name: str, value: object, deleted: bool) -> None:
@@ -43,11 +45,11 @@
         else:
             self.dynamic_configuration.apply(name, value)
 
-    def disabled_by_operator(self, endpoint_id: str, author: str) -> KeyUpdate:
-        """The update that takes an endpoint out of use from now on."""
+    def disable_update(self, endpoint_id: str, author: str) -> KeyUpdate:
+        """Returns the update that disables an endpoint from now on."""
         value = {"at_ms": round(self.proxy.now() * 1000), "by": author}
         return KeyUpdate(DISABLED_PREFIX + endpoint_id, value)
 
-    def enabled_by_operator(self, endpoint_id: str) -> KeyUpdate:
-        """The update that takes an endpoint into use again."""
+    def enable_update(self, endpoint_id: str) -> KeyUpdate:
+        """Returns the update that enables an endpoint again."""
         return KeyUpdate(DISABLED_PREFIX + endpoint_id, delete=True)
--- a/gradegap/store/disabled_endpoints.py
+++ b/gradegap/store/disabled_endpoints.py
@@ -1,4 +1,4 @@
-"""Administratively disabled endpoints, in a file for this node's next process where there is no store."""
+"""A file that keeps administratively disabled endpoints for the next process of a node without a store."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 log = structlog.get_logger()
 
-MAX_FILE_BYTES = 64 * 1024  # the file counts as memory
-CHECKSUM_BYTES = 4  # before the entries
+MAX_FILE_BYTES = 64 * 1024  # the file is read into memory
+CHECKSUM_BYTES = 4  # CRC-32 ahead of the msgpack body
 
 
 class DisabledEndpointsFile:
-    """Endpoints with when they were disabled (Unix time, s), at a path; none: nothing is kept.
+    """A file with disabled endpoint ids and the times (Unix, s) at which they were disabled.
 
-    It is written beside and renamed into place, so that half a file is never read.
+    Without a path nothing is stored. The file is replaced atomically, so a partial file is never read.
     """
 
     def __init__(self, path: Path | None, metrics: Metrics) -> None:
@@ -29,7 +29,7 @@
         self.metrics = metrics
 
     def write(self, disabled: Mapping[str, float]) -> None:
-        """Keep these in place of what was kept; a failure is counted and logged."""
+        """Replace the contents of the file; a failure is counted and logged."""
         if self.path is None:
             return
         body = msgspec.msgpack.encode(dict(disabled))
@@ -38,22 +38,22 @@
             temporary.write_bytes(zlib.crc32(body).to_bytes(CHECKSUM_BYTES, "big") + body)
             os.replace(temporary, self.path)
         except OSError as error:
-            # The state is in force all the same, and a process that finds this one running gets it from here.
+            # Not fatal: the endpoints stay disabled here, and a hot restart gets the state from this process.
             self.metrics.count("snapshots_failed")
-            log.error("snapshot not written", error=str(error))
+            log.error("disabled endpoints write failed", error=str(error))
 
     def read(self) -> dict[str, float]:
-        """What was kept. Guards against a damaged file: it is counted, and the node starts without."""
+        """Returns the stored endpoints; empty without a file or if it is damaged, which is counted."""
         if self.path is None or not self.path.exists():
             return {}
         try:
             with self.path.open("rb") as file:
                 raw = file.read(MAX_FILE_BYTES)
             if zlib.crc32(raw[CHECKSUM_BYTES:]) != int.from_bytes(raw[:CHECKSUM_BYTES], "big"):
-                raise ValueError("its checksum is wrong")
+                raise ValueError("file checksum mismatch")
             disabled = msgspec.msgpack.decode(raw[CHECKSUM_BYTES:], type=dict[str, float])
         except (OSError, ValueError) as error:
             self.metrics.count("snapshots_damaged")
-            log.error("snapshot not used", error=str(error)[:200])
+            log.error("disabled endpoints read failed", error=str(error)[:200])
             return {}
         return disabled
--- a/gradegap/store/dynamic_configuration.py
+++ b/gradegap/store/dynamic_configuration.py
@@ -1,4 +1,4 @@
-"""Operator configuration that takes effect while the node runs: `config/` keys of the store."""
+"""Operator configuration that takes effect while the node runs, from the `config/` keys of the store."""
 
 from __future__ import annotations
 
@@ -22,34 +22,34 @@
 
 
 def set_log_level(name: str) -> None:
-    """Log nothing below this level, from now on."""
+    """Set the minimum level of log events."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(LOG_LEVELS[name]))
 
 
 class DynamicSetting(NamedTuple):
-    """A setting with the value that the process started with, and what puts a value in force."""
+    """A setting, with the value that the process started with and the function that applies a value."""
 
     initial: Any
     apply: Callable[[Any], None]
 
 
 class DynamicConfiguration:
-    """The settings that can change while the node runs."""
+    """Settings that can change while the node runs."""
 
     def __init__(self, metrics: Metrics) -> None:
         self.metrics = metrics
         self.settings: dict[str, DynamicSetting] = {}
-        self.values: dict[str, Any] = {}  # what was set, also before there was something to apply it
+        self.values: dict[str, Any] = {}  # by setting, also for those that are not registered yet
 
     def register(self, name: str, initial: Any, apply: Callable[[Any], None]) -> None:
-        """A setting that can change from now on; a value that was set before takes effect at once."""
+        """Register a setting; a value that was received before takes effect at once."""
         self.settings[name] = DynamicSetting(initial, apply)
         if name in self.values:
             self.apply(name, self.values[name])
 
     def apply(self, name: str, value: Any) -> None:
-        """Put a value in force; one that the setting can't have is ignored, counted and logged."""
-        from gradegap.store.schema import check_value  # only a node with a store comes here
+        """Apply a value; an invalid one is ignored, counted and logged."""
+        from gradegap.store.schema import check_value  # needed only by nodes with a store
 
         self.values[name] = value
         if name not in self.settings:
@@ -57,14 +57,14 @@
         try:
             checked = check_value(f"config/{name}", value)
         except ValueError as error:
-            # Guards against a value written by another version: what was in force stays so.
+            # Another version of the software may have written the value. The previous one stays in force.
             self.metrics.count("config_ignored")
             log.warning("configuration ignored", key=name, error=str(error)[:MAX_LOGGED_ERROR_LENGTH])
             return
         self.settings[name].apply(checked)
 
     def reset(self, name: str) -> None:
-        """The key was deleted: the value that the process started with is in force again."""
+        """Restore the value that the process started with, after the key was deleted."""
         self.values.pop(name, None)
         if name in self.settings:
             setting = self.settings[name]
--- a/gradegap/store/embedded.py
+++ b/gradegap/store/embedded.py
@@ -1,8 +1,9 @@
-"""The store in a node's own process: what the node decides by, and whether it may decide.
+"""A member of the store in a node's own process.
 
-Administratively disabled endpoints and configuration come from committed keys. A node without a lease rejects
-new requests at once, with a time to come again, and says no to `PING`; what is established stays. With
-`when_stale = "serve"` it continues, which is counted and logged.
+The node takes administratively disabled endpoints and its dynamic configuration from committed keys, and may
+decide only while it has a lease. Without one it rejects new requests at once, with a time after which to
+retry, and answers `PING` as not ready; established sessions stay. With `when_stale = "serve"` it keeps
+serving, which is counted and logged.
 """
 
 from __future__ import annotations
@@ -39,7 +40,7 @@
 
 
 class EmbeddedStore:
-    """One node's member of the store, joined to its proxy and its dynamic configuration."""
+    """Connects a node's member of the store to its proxy and its dynamic configuration."""
 
     def __init__(
         self,
@@ -54,10 +55,13 @@
         has_endpoint_list: Callable[[], bool],
         make_subscription_server: SubscriptionServerFactory | None = None,
     ) -> None:
-        """`state` is what siblings get to know of the node; `has_endpoint_list`: discovery gave one.
+        """Create the member and connect it, without starting it.
+
+        `state` returns the state that the node reports to other nodes, `has_endpoint_list` whether discovery
+        has provided an endpoint list.
 
         Raises:
-            FolderError: where the folder can't be started with.
+            FolderError: The data folder can't be used.
         """
         self.settings, self.proxy, self.metrics, self.loop = settings, proxy, metrics, loop
         self.dynamic_configuration = dynamic_configuration
@@ -73,45 +77,49 @@
             make_subscription_server=make_subscription_server,
         )
         self.operations = EndpointOperations(self.committed, settings.name, self.service.request)
-        self.member.leases.wanted = True
-        self.member.leases.changed = self._follow_lease
+        self.member.leases.is_needed = True
+        self.member.leases.changed = self._lease_changed
         self.member.gossip_received = self._gossip_received
         self.member.peer_linked = self._peer_linked
         self.member.machine.listeners.append(self._apply_events)
         self.gossip = GossipExchange(settings.name, proxy, metrics, has_endpoint_list)
         self._was_fresh: bool | None = None
-        self._is_synchronized = False  # once the first lease has put the store's keys in force
+        self._is_synchronized = False  # set once the store's keys are in force, at the first lease
         self._gossip_timer: asyncio.TimerHandle | None = None
         metrics.gauge("store_fresh", lambda: int(self.fresh()))
 
     @property
     def machine(self) -> StateMachine:
-        """The replicated state as it is applied here."""
+        """The replicated state, as applied at this member."""
         return self.member.machine
 
     @property
     def service(self) -> RequestService:
-        """Who answers requests to the store."""
+        """The service that answers requests to the store."""
         return self.member.requests
 
     @property
     def cluster(self) -> str:
-        """The cluster's name; empty before there is one."""
+        """The cluster's name; empty before a cluster is formed."""
         return self.member.identity.cluster
 
     async def start(self) -> None:
-        """Take part; `OSError` where the address can't be had."""
+        """Start the member and gossip.
+
+        Raises:
+            OSError: An address can't be bound.
+        """
         await self.member.start()
         self._send_gossip()
-        self._follow_lease()
+        self._lease_changed()
 
-    # May it decide?
+    # Lease
 
     def fresh(self) -> bool:
-        """Whether a decision made now is by committed state."""
+        """Whether the lease is valid, so that decisions are based on up-to-date committed state."""
         return self.member.is_fresh()
 
-    def _follow_lease(self) -> None:
+    def _lease_changed(self) -> None:
         fresh = self.fresh()
         if fresh and not self._is_synchronized:
             self._is_synchronized = True
@@ -121,13 +129,13 @@
             report_lease_change(self.metrics, fresh, self.settings.when_stale)
 
     def _member_failed(self, error: FolderError) -> None:
-        # The lease runs out, and the node rejects requests; its clients stay.
+        # The lease will expire, and the node then rejects new requests. Established sessions stay.
         log.error("store failed, node continues without it", error=str(error))
 
-    # What it decides by
+    # Committed state
 
     def _apply_state(self) -> None:
-        """At the first lease the store is what is in force, whatever an earlier process kept."""
+        """Put the store's keys in force at the first lease, replacing state kept from an earlier process."""
         disabled = {
             item.key.removeprefix(DISABLED_PREFIX): item.value for item in self.machine.list(DISABLED_PREFIX)
         }
@@ -142,14 +150,14 @@
         for event in events:
             self.committed.apply(event.key, event.value, event.deleted)
 
-    # Operators' calls
+    # Operator requests
 
     def disable_endpoint(self, server: str, done: ResultCallback) -> None:
-        """Yes, once it is committed and every node with a lease decides by it."""
+        """Disable an endpoint; succeeds once committed and in force at every node with a lease."""
         self.operations.disable(server, done)
 
     def enable_endpoint(self, server: str, done: ResultCallback) -> None:
-        """Yes, once it is committed and every node with a lease decides by it."""
+        """Enable an endpoint; succeeds once committed and in force at every node with a lease."""
         self.operations.enable(server, done)
 
     # Gossip
@@ -160,27 +168,28 @@
             self._gossip_timer = self.loop.call_later(GOSSIP_PERIOD_S, self._send_gossip)
 
     def _peer_linked(self, link: Link) -> None:
-        """A sibling that has just started gets a message at once: it is about to serve."""
+        """Send a message at once to a newly connected member, which may just have started to serve."""
         link.send(self.gossip.message(self.state()))
 
     def _gossip_received(self, gossip: wire.Gossip) -> None:
         self.gossip.receive(gossip)
         self.service.node_reported(gossip.node, gossip.state)
 
-    # The end
+    # Stop
 
     def leave(self) -> float:
-        """Give the folder and the port up, for the next process; s of the lease that are left.
+        """Prepare to release the folder and the port to the next process. Returns the rest of the lease (s).
 
-        This node's applied index is not reported any more, so no write is acknowledged that it does not know.
+        The member stops reporting its applied index, so writes that it doesn't know are acknowledged only
+        after its lease has expired.
         """
         left_s = max(0.0, self.member.leases.holder.until - time.monotonic())
         self.member.transfer_leadership()
-        self.member.leases.wanted = False
+        self.member.leases.is_needed = False
         return left_s
 
     def close(self) -> None:
-        """End this process's part in the store."""
+        """Stop gossip and close the member."""
         if self._gossip_timer is not None:
             self._gossip_timer.cancel()
         self.member.close()
--- a/gradegap/store/endpoint_operations.py
+++ b/gradegap/store/endpoint_operations.py
@@ -1,4 +1,4 @@
-"""Operators' calls about endpoints, as writes to the store by whichever way the node has."""
+"""Operator requests about endpoints, carried out as writes to the store."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 log = structlog.get_logger()
 
 SendRequest = Callable[[wire.RequestBody, Callable[[wire.Response], None], float], None]
-"""Sends a request to the store; the callback gets one response within so many seconds."""
+"""Sends a request to the store. The callback gets one response within the timeout (s), the last argument."""
 
 
 class EndpointOperations:
-    """Takes endpoints out of use and back, for every node that decides by the store."""
+    """Disables and enables endpoints at every node that decides by the store."""
 
     def __init__(
         self,
@@ -30,17 +30,17 @@
         send: SendRequest,
         describe_remedy: Callable[[], str] = lambda: "",
     ) -> None:
-        """`describe_remedy` is added to the text of a failure."""
+        """`describe_remedy` returns text that is appended to the error message of a failure."""
         self.committed, self.node, self.send = committed, node, send
         self.describe_remedy = describe_remedy
 
     def disable(self, endpoint: str, done: ResultCallback) -> None:
-        """Succeeds once it is committed and no node decides without it."""
-        self._write(self.committed.disabled_by_operator(endpoint, self.node), done)
+        """Disable an endpoint; succeeds once committed and in force at every node that decides."""
+        self._write(self.committed.disable_update(endpoint, self.node), done)
 
     def enable(self, endpoint: str, done: ResultCallback) -> None:
-        """Succeeds once it is committed and in force at every node that decides."""
-        self._write(self.committed.enabled_by_operator(endpoint), done)
+        """Enable an endpoint; succeeds once committed and in force at every node that decides."""
+        self._write(self.committed.enable_update(endpoint), done)
 
     def _write(self, update: KeyUpdate, done: ResultCallback) -> None:
         def finish(response: wire.Response) -> None:
@@ -56,7 +56,7 @@
 def report_lease_change(
     metrics: Metrics, fresh: bool, when_stale: Literal["refuse", "serve"], **fields: object
 ) -> None:
-    """Count and log that a node may decide by committed state from now on, or no more."""
+    """Count and log that a node has obtained a lease, or that its lease has expired."""
     metrics.count("store_fresh_again" if fresh else "store_stale")
     if fresh:
         log.info("lease obtained", **fields)
--- a/gradegap/store/gossip.py
+++ b/gradegap/store/gossip.py
@@ -1,9 +1,9 @@
-"""What nodes see of endpoints, passed between them: bounded, with its age, never through the log.
+"""Exchange of endpoint observations between nodes. It is size-limited and bypasses the replicated log.
 
-A node that has just started knows no loads, and an endpoint list that may be out of date. What its siblings
-report reaches the balancer as its own events: load reports at the time they were made, so that they are
-weighed by their age; draining and restarted endpoints as changes of the list, until discovery itself has
-named one; unresponsive endpoints as health checks that timed out.
+A node that has just started has no load reports, and its endpoint list may be out of date. Observations of
+other nodes are passed to its balancer as local events. Load reports keep their original time, so that they
+are weighted by age. Draining and restarted endpoints are changes of the endpoint list, until discovery has
+provided one. Unresponsive endpoints are health checks that timed out.
 """
 
 from __future__ import annotations
@@ -25,35 +25,37 @@
 from gradegap.store.wire import Gossip, GossipReport
 
 GOSSIP_PERIOD_S = 1.0
-MAX_REPORT_AGE_S = 5.0  # older reports say nothing any more
-MIN_NEWER_S = 0.25  # by which a report must be newer than this node's own to be taken
-MAX_REPORTS = 2000  # of one message
-MAX_REPORT_FIELDS = 16
-MAX_SANE_AGE_S = 3600.0
-MAX_SANE_TIME_S = 1e11  # Unix time
+MAX_REPORT_AGE_S = 5.0  # older observations are outdated: neither sent nor used
+MIN_REPORT_ADVANCE_S = 0.25  # an observation is used only if newer by this than the one known here
+MAX_REPORT_COUNT = 2000  # limit on the reports in one message
+MAX_REPORT_FIELD_COUNT = 16
+MAX_VALID_AGE_S = 3600.0  # a report with a greater age is invalid
+MAX_VALID_UNIX_TIME_S = 1e11  # a report with a later start time is invalid
 KNOWN_PHASES = {int(phase) for phase in EndpointPhase}
-NEVER = -1e9  # steady time, s
+NEVER = -1e9  # steady time (s) before every other time
 
 
 class GossipExchange:
-    """One node's part: what it reports to its siblings, and what it takes of their reports."""
+    """Creates a node's gossip messages, and passes those of other nodes to its balancer."""
 
     def __init__(
         self, node: str, proxy: Proxy, metrics: Metrics, has_endpoint_list: Callable[[], bool]
     ) -> None:
-        """`has_endpoint_list`: whether discovery has given this node a list."""
+        """`has_endpoint_list` returns whether discovery has provided an endpoint list to this node."""
         self.node, self.proxy, self.metrics = node, proxy, metrics
         self.has_endpoint_list = has_endpoint_list
-        self._unresponsive_at: dict[str, float] = {}  # by endpoint, as siblings saw it; steady time, s
+        self._unresponsive_at: dict[
+            str, float
+        ] = {}  # by endpoint id, as reported by other nodes (steady time, s)
 
     # Outgoing
 
     def message(self, state: dict[str, object]) -> Gossip:
-        """Only what this node saw itself: reports of siblings are not passed on, so nothing circulates."""
-        reports = self._load_reports() + self._unanswered()
+        """Create a message with this node's own observations only, so that no observation circulates."""
+        reports = self._load_reports() + self._unresponsive_reports()
         if self.has_endpoint_list():
-            reports += self._listed()
-        return Gossip(self.node, state, reports[:MAX_REPORTS])
+            reports += self._list_reports()
+        return Gossip(self.node, state, reports[:MAX_REPORT_COUNT])
 
     def _load_reports(self) -> list[GossipReport]:
         now = self.proxy.now()
@@ -65,7 +67,7 @@
             and now - endpoint.report_at < MAX_REPORT_AGE_S
         ]
 
-    def _unanswered(self) -> list[GossipReport]:
+    def _unresponsive_reports(self) -> list[GossipReport]:
         now = self.proxy.now()
         return [
             GossipReport(endpoint.id, "silent", now - endpoint.unanswered_at)
@@ -73,7 +75,7 @@
             if now - endpoint.unanswered_at < MAX_REPORT_AGE_S
         ]
 
-    def _listed(self) -> list[GossipReport]:
+    def _list_reports(self) -> list[GossipReport]:
         return [
             GossipReport(endpoint.id, "listed", 0.0, None, int(entry.phase), entry.started_at)
             for endpoint in self.proxy.endpoints.values()
@@ -83,20 +85,20 @@
     # Incoming
 
     def receive(self, gossip: Gossip) -> None:
-        """Pass what a sibling has seen to the balancer, where this node knows nothing newer."""
+        """Pass another node's observations to the balancer, unless this node has newer ones."""
         if gossip.node == self.node:
             return
         self.metrics.count("gossip_heard")
         changes: list[tuple[EndpointEntry, str]] = []
-        for report in gossip.reports[:MAX_REPORTS]:
-            if not _is_sane(report):
+        for report in gossip.reports[:MAX_REPORT_COUNT]:
+            if not _is_valid(report):
                 self.metrics.count("gossip_unfit")
                 continue
             endpoint = self.proxy.endpoints.get(report.endpoint_id)
             if endpoint is None or endpoint.entry is None:
                 self.metrics.count("gossip_unknown_server")
             elif report.kind == "silent":
-                self._receive_unanswered(report, endpoint)
+                self._receive_unresponsive(report, endpoint)
             elif report.kind == "listed":
                 changes += self._changes(report, endpoint.entry)
             else:
@@ -114,42 +116,44 @@
 
     def _receive_load_report(self, report: GossipReport, endpoint: Endpoint) -> None:
         reported_at = self.proxy.now() - report.age_s
-        if report.age_s > MAX_REPORT_AGE_S or reported_at < endpoint.report_at + MIN_NEWER_S:
+        if report.age_s > MAX_REPORT_AGE_S or reported_at < endpoint.report_at + MIN_REPORT_ADVANCE_S:
             self.metrics.count("gossip_old")
             return
         self.metrics.count("gossip_taken")
         endpoint.report_from_peer = True
-        assert report.report is not None  # of this kind; see `_is_sane`
+        assert report.report is not None  # guaranteed by `_is_valid`
         self.proxy.record_report(reported_at, endpoint.id, report.report)
 
-    def _receive_unanswered(self, report: GossipReport, endpoint: Endpoint) -> None:
-        """A sibling's health check was left unanswered.
+    def _receive_unresponsive(self, report: GossipReport, endpoint: Endpoint) -> None:
+        """Handle another node's unanswered health check.
 
-        The balancer gets it as one of this node's own, and no more often than of these, where this
-        node has no later answer.
+        Unless this node received a later report from the endpoint, the balancer gets the event as a health
+        check of its own that timed out, at most once per `MIN_REPORT_ADVANCE_S`.
         """
         unanswered_at = self.proxy.now() - report.age_s
-        known = max(endpoint.unanswered_at, self._unresponsive_at.get(endpoint.id, NEVER)) + MIN_NEWER_S
+        known = (
+            max(endpoint.unanswered_at, self._unresponsive_at.get(endpoint.id, NEVER)) + MIN_REPORT_ADVANCE_S
+        )
         if unanswered_at <= max(endpoint.report_at, known) or report.age_s > MAX_REPORT_AGE_S:
             self.metrics.count("gossip_old")
             return
-        # Kept apart from what this node saw itself, which alone it passes on.
+        # Stored separately from this node's own observations, as only those are passed on.
         self._unresponsive_at[endpoint.id] = unanswered_at
         self.metrics.count("gossip_silent")
         timed_out = HealthCheckEnded(endpoint.id, AttemptResult.TIMEOUT, HEALTH_CHECK_TIMEOUT_S, None)
         self.proxy.feed(timed_out)
 
 
-def _is_sane(report: GossipReport) -> bool:
-    """Guards the balancer against figures that no health check could have brought."""
+def _is_valid(report: GossipReport) -> bool:
+    """Whether a report has values that a health check or endpoint list can contain."""
     fields = report.report
     if report.kind == "listed":
         known_phase = report.phase in KNOWN_PHASES
-        return fields is None and known_phase and 0 <= report.started_at < MAX_SANE_TIME_S
-    if not 0.0 <= report.age_s < MAX_SANE_AGE_S:
+        return fields is None and known_phase and 0 <= report.started_at < MAX_VALID_UNIX_TIME_S
+    if not 0.0 <= report.age_s < MAX_VALID_AGE_S:
         return False
     if report.kind == "silent":
         return fields is None
-    if report.kind != "report" or fields is None or len(fields) > MAX_REPORT_FIELDS:
+    if report.kind != "report" or fields is None or len(fields) > MAX_REPORT_FIELD_COUNT:
         return False
     return all(math.isfinite(value) and value >= 0.0 for value in fields.values())
--- a/gradegap/store/links.py
+++ b/gradegap/store/links.py
@@ -1,7 +1,7 @@
-"""Links between members, and from clients: TCP on loopback, opened, authenticated, bounded and counted.
+"""TCP links on loopback between members, and from clients to members.
 
-What a member sends another goes over the link that it dialed itself; responses return on the link of their
-request. So each direction fails alone, as networks do.
+A member sends requests to another member over the link that it dialed itself, and responses return on the
+link of their request. A failure in one direction therefore doesn't affect requests in the other.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from gradegap.metrics import Metrics
 from gradegap.raft import Member
-from gradegap.store.channel import MEMBER, LinkChannel
+from gradegap.store.channel import MEMBER_KIND, LinkChannel
 from gradegap.store.errors import LinkError
 from gradegap.store.leases import DEFAULT_LEASE_S
 from gradegap.store.wire import Hello, LinkMessage
@@ -26,31 +26,31 @@
 MAX_ACCEPTED_LINKS = 1024
 AUTHENTICATION_TIMEOUT_S = 2.0
 CONNECT_TIMEOUT_S = 1.0
-MIN_RECONNECT_BACKOFF_S = 0.05  # after the first failure; it doubles with each further one
+MIN_RECONNECT_BACKOFF_S = 0.05  # after the first failure; doubles with each further one
 MAX_RECONNECT_BACKOFF_S = 1.0
-HIGH_WATER_BYTES = 1 << 20  # of a transport's write buffer
-MAX_UNSENT_BYTES = 8 * 1024 * 1024  # for a member that reads slowly; what is more is dropped
-REJECTED_REASON = "turned"  # of a `LinkError` that is the other side's
+HIGH_WATER_BYTES = 1 << 20  # high-water mark of a transport's write buffer
+MAX_UNSENT_BYTES = 8 * 1024 * 1024  # above this in the write buffer, messages to a slow member are dropped
+REJECTED_REASON = "turned"  # error word of a `LinkError` when the other side rejected the link
 
 
 class Link(asyncio.Protocol):
-    """A connection, whichever side opened it; `dialer` where it was this one."""
+    """One connection. `dialer` is set if this side opened it, None if this side accepted it."""
 
     def __init__(self, links: MemberLinks, channel: LinkChannel, dialer: Dialer | None = None) -> None:
         self.links, self.channel, self.dialer = links, channel, dialer
         self.transport: asyncio.Transport | None = None
-        self.close_callbacks: list[Callable[[], None]] = []  # called once it has ended
+        self.close_callbacks: list[Callable[[], None]] = []  # called once the connection has ended
         self._end_reason = ""
         self._authentication_timer: asyncio.TimerHandle | None = None
 
     @property
     def id(self) -> str:
-        """The member at the other end, once it is authenticated; empty for a client."""
+        """The id of the member at the other end once authenticated; empty for a client."""
         peer = self.channel.peer_hello
         return peer.id if peer is not None and self.channel.authenticated else ""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open: the dialing side begins."""
+        """Start the handshake on a new connection; the dialing side sends the first hello."""
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(high=HIGH_WATER_BYTES)
         if self.dialer is None and len(self.links.accepted) >= MAX_ACCEPTED_LINKS:
@@ -69,7 +69,7 @@
             self.end("silent")
 
     def data_received(self, data: bytes) -> None:
-        """Take the handshake on, and pass on the messages that are complete."""
+        """Continue the handshake and dispatch complete messages."""
         was_authenticated = self.channel.authenticated
         try:
             messages, reply = self.channel.receive(data)
@@ -101,23 +101,23 @@
             self._authentication_timer.cancel()
 
     def send(self, message: LinkMessage) -> bool:
-        """Whether the message was sent; not on a link that is closing or not authenticated."""
+        """Send a message. Returns False if the link is closing, unauthenticated or too slow."""
         transport = self.transport
         if transport is None or transport.is_closing() or not self.channel.authenticated:
             return False
         if transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
-            # Guards memory against a member that is stopped: the consensus core repeats its messages anyway.
+            # Protects memory against a member that is stopped. The consensus core repeats lost messages.
             self.links.metrics.count("store_dropped_slow")
             return False
         transport.write(self.channel.send(message))
         return True
 
     def unsent_bytes(self) -> int:
-        """What the other side has not read yet, as far as it is not with the system."""
+        """Returns the bytes in the transport's write buffer, without those in the kernel's."""
         return self.transport.get_write_buffer_size() if self.transport is not None else 0
 
     def end(self, reason: str, detail: str = "") -> None:
-        """End it for a reason, which is counted and logged."""
+        """Close the link. `reason` is part of the counter's name, and `detail` is logged."""
         if self.transport is None or self._end_reason:
             return
         self._end_reason = reason
@@ -127,7 +127,7 @@
         self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended."""
+        """Clean up after the connection has ended."""
         self.transport = None
         self._cancel_timer()
         self.links.all.discard(self)
@@ -140,22 +140,22 @@
 
 
 class Dialer:
-    """Keeps a link to one address, for as long as it is wanted."""
+    """Maintains a link to one address: reconnects with backoff until it is stopped."""
 
     def __init__(self, links: MemberLinks, address: str) -> None:
         self.links, self.address = links, address
-        self.link: Link | None = None  # while it is authenticated
+        self.link: Link | None = None  # set while the link is authenticated
         self._backoff_s = MIN_RECONNECT_BACKOFF_S
         self._stopped = False
         self._connecting: asyncio.Task[None] | None = None
-        self._connect_soon()
+        self._start_connecting()
 
-    def _connect_soon(self) -> None:
+    def _start_connecting(self) -> None:
         if not self._stopped:
             self._connecting = self.links.loop.create_task(self._connect())
 
     async def _connect(self) -> None:
-        # The one task: it ends once the connection is open or has failed.
+        # A task of its own, which ends once the connection is open or has failed.
         loop = self.links.loop
         host, port = split_address(self.address)
         link = Link(self.links, self.links.channel(is_dialer=True), self)
@@ -168,24 +168,24 @@
         if not self._stopped:
             wait_s = self._backoff_s * random.uniform(0.5, 1.0)
             self._backoff_s = min(self._backoff_s * 2, MAX_RECONNECT_BACKOFF_S)
-            self.links.loop.call_later(wait_s, self._connect_soon)
+            self.links.loop.call_later(wait_s, self._start_connecting)
 
     def link_authenticated(self, link: Link) -> None:
-        """The other side of the link has proven that it knows the secret."""
+        """Record that the link is authenticated, and reset the backoff."""
         self.link = link
         self._backoff_s = MIN_RECONNECT_BACKOFF_S
         peer = link.channel.peer_hello
         assert peer is not None
-        self.links.linked(link, peer)
+        self.links.on_link_authenticated(link, peer)
 
     def link_lost(self, link: Link) -> None:
-        """The link has ended: connect again."""
+        """Reconnect after the link has ended."""
         if self.link is link:
             self.link = None
         self._retry()
 
     def stop(self) -> None:
-        """The link is not wanted any more."""
+        """Close the link and stop reconnecting."""
         self._stopped = True
         if self._connecting is not None:
             self._connecting.cancel()
@@ -194,7 +194,10 @@
 
 
 class MemberLinks:
-    """All links of a member. `receive` gets each message, `linked` each dialed link that is authenticated."""
+    """All links of a member.
+
+    `receive` is called with each message, `on_link_authenticated` with each dialed link once authenticated.
+    """
 
     def __init__(
         self,
@@ -202,10 +205,10 @@
         metrics: Metrics,
         secret: bytes,
         receive: Callable[[Link, LinkMessage], None],
-        linked: Callable[[Link, Hello], None],
+        on_link_authenticated: Callable[[Link, Hello], None],
     ) -> None:
         self.loop, self.metrics, self.secret = loop, metrics, secret
-        self.receive, self.linked = receive, linked
+        self.receive, self.on_link_authenticated = receive, on_link_authenticated
         self.member: Member | None = None
         self.lease_s = DEFAULT_LEASE_S
         self.cluster = ""
@@ -215,46 +218,50 @@
         self._server: asyncio.Server | None = None
 
     def introduce(self, member: Member, cluster: str, lease_s: float) -> None:
-        """What this member's hello on each new link names."""
+        """Set the member, cluster and lease length (s) in this member's hello on new links."""
         self.member, self.cluster, self.lease_s = member, cluster, lease_s
 
     def channel(self, is_dialer: bool) -> LinkChannel:
-        """This member's end of a new link."""
-        return LinkChannel.open(self.secret, MEMBER, is_dialer, self.member, self.cluster, self.lease_s)
+        """Create this member's end of a new link."""
+        return LinkChannel.open(self.secret, MEMBER_KIND, is_dialer, self.member, self.cluster, self.lease_s)
 
     async def listen(self, address: str) -> None:
-        """Accept links; `OSError` where the address can't be had."""
+        """Accept links at an address.
+
+        Raises:
+            OSError: The address can't be bound.
+        """
         host, port = split_address(address)
         self._server = await self.loop.create_server(
             lambda: Link(self, self.channel(is_dialer=False)), host, port, reuse_address=True
         )
 
     def set_addresses(self, addresses: set[str]) -> None:
-        """Keep links to these, and to no others."""
+        """Maintain links to exactly these addresses."""
         for address in addresses - self.dialers.keys():
             self.dialers[address] = Dialer(self, address)
         for address in self.dialers.keys() - addresses:
             self.dialers.pop(address).stop()
 
     def send(self, member_id: str, address: str, message: LinkMessage) -> bool:
-        """Over the link dialed to a member; False where there is none, or it is another incarnation of it."""
+        """Send over the link dialed to a member. Returns False if there is none or the id at it differs."""
         dialer = self.dialers.get(address)
         if dialer is None or dialer.link is None or dialer.link.id != member_id:
             return False
         return dialer.link.send(message)
 
     def send_to_all(self, message: LinkMessage) -> None:
-        """Over each link that was dialed."""
+        """Send over every dialed link."""
         for dialer in self.dialers.values():
             if dialer.link is not None:
                 dialer.link.send(message)
 
     def set_cluster(self, cluster: str) -> None:
-        """The cluster that new links name; those that are open go on."""
+        """Set the cluster in the hello on new links; open links are not affected."""
         self.cluster = cluster
 
     def close(self) -> None:
-        """Accept and keep no links any more."""
+        """Stop accepting links and close all open ones."""
         if self._server is not None:
             self._server.close()
         for dialer in self.dialers.values():
--- a/gradegap/store/member.py
+++ b/gradegap/store/member.py
@@ -1,6 +1,7 @@
-"""A member of the store: the consensus core driven by a clock, a disk and links.
+"""A member of the store, which drives the consensus core with a clock, a disk and links.
 
-All that the core hands out is written before it is sent. Disk work is done in one thread.
+State from the core is synced to disk before the messages that depend on it are sent. Disk I/O runs in one
+separate thread.
 """
 
 from __future__ import annotations
@@ -36,22 +37,25 @@
 
 log = structlog.get_logger()
 
-TICK_PERIOD_S = 0.05  # between two looks at the clock, at the most
-MIN_TICK_PERIOD_S = 0.001
+TICK_PERIOD_S = 0.05  # upper limit on the time between two ticks
+MIN_TICK_PERIOD_S = 0.001  # lower limit on the time between two ticks
 
 
 class MemberState(Enum):
-    """What part a member takes; CLOSED is the last."""
+    """The lifecycle of a member; CLOSED is final."""
 
-    FORMING = auto()  # it belongs to no cluster yet
+    FORMING = auto()  # belongs to no cluster yet
     ACTIVE = auto()
-    REMOVED = auto()  # by its cluster
-    FAILED = auto()  # its folder can't be written
+    REMOVED = auto()  # removed from its cluster
+    FAILED = auto()  # its data folder can't be written
     CLOSED = auto()
 
 
 class StoreMember:
-    """One process's part in the store. `failed` is called, once, when its folder can't be written."""
+    """A process's member of the store.
+
+    `failed` is called once if the data folder can't be written.
+    """
 
     def __init__(
         self,
@@ -64,10 +68,13 @@
         raft_settings: RaftSettings | None = None,
         make_subscription_server: SubscriptionServerFactory | None = None,
     ) -> None:
-        """`make_subscription_server` is needed where the settings have `publish`, and used only then.
+        """Open the data folder and create the member, without starting it.
+
+        `make_subscription_server` is required if `settings.publish` is set, and unused otherwise.
 
         Raises:
-            FolderError: where the folder can't be started with.
+            FolderError: The data folder can't be used.
+            ValueError: `settings.publish` is set and `make_subscription_server` is None.
         """
         self.settings, self.loop, self.metrics, self.failed = settings, loop, metrics, failed
         self.raft_settings = raft_settings or RaftSettings()
@@ -78,7 +85,9 @@
             self.storage.close()
             raise
         self.identity = self.stored.identity
-        self.links = MemberLinks(loop, metrics, secret, MessageRouter(self).receive, self._linked)
+        self.links = MemberLinks(
+            loop, metrics, secret, MessageRouter(self).receive, self._on_link_authenticated
+        )
         member = Member(self.identity.id, settings.name, settings.advertise or settings.listen)
         self.links.introduce(member, self.identity.cluster, settings.lease_s)
         self.machine = StateMachine()
@@ -103,8 +112,8 @@
         if not self.settings.publish:
             return None
         if make is None:
-            raise ValueError("a member with `publish` needs a server of subscriptions")
-        self.leases.wanted = True
+            raise ValueError("make_subscription_server is required if store.publish is set")
+        self.leases.is_needed = True
         self.leases.subscription_server = server = make(self, secret)
         return server
 
@@ -122,18 +131,22 @@
 
     @property
     def removed(self) -> bool:
-        """Whether the member takes no part any more: it was removed, or its folder failed."""
+        """Whether the member has left the cluster: it was removed, or its data folder failed."""
         return self.state in (MemberState.REMOVED, MemberState.FAILED)
 
     @property
     def closed(self) -> bool:
-        """Whether the member has ended."""
+        """Whether the member is closed."""
         return self.state is MemberState.CLOSED
 
-    # Start and end
+    # Start and stop
 
     async def start(self) -> None:
-        """Listen and take part; `OSError` where an address can't be had."""
+        """Listen, and join or form the cluster.
+
+        Raises:
+            OSError: An address can't be bound.
+        """
         await self.links.listen(self.settings.listen)
         if self.subscription_server is not None:
             await self.subscription_server.start()
@@ -149,7 +162,7 @@
         self._tick()
 
     def start_raft(self, base: SnapshotMetadata) -> None:
-        """Take part in the cluster, whose log begins after `base`."""
+        """Start the consensus core, with a log that begins after `base`."""
         seed = int.from_bytes(self.identity.id.encode()[:6], "big") ^ time.monotonic_ns()
         stored = self.stored
         self._enter(MemberState.ACTIVE)
@@ -166,25 +179,29 @@
         self.membership.want_links()
 
     def transfer_leadership(self) -> bool:
-        """Transfer leadership, where this member leads, to another voter; whether that was begun.
+        """Start to transfer leadership to the most up-to-date voter. Returns whether a transfer was started.
 
-        Guards against the time without a leader that a planned end would cost.
+        Called before a planned stop, which would otherwise leave the cluster without a leader for a time.
         """
         raft = self.raft
         if raft is None or not raft.is_leader:
             return False
-        voters = [v for v in raft.configuration.voters if v != raft.member_id and v in raft.peers]
+        voters = [
+            voter for voter in raft.configuration.voters if voter != raft.member_id and voter in raft.peers
+        ]
         if not voters:
             return False
         try:
-            raft.transfer_leadership(time.monotonic(), max(voters, key=lambda v: raft.peers[v].match_index))
+            raft.transfer_leadership(
+                time.monotonic(), max(voters, key=lambda voter: raft.peers[voter].match_index)
+            )
             self.settle()
         except RequestRejectedError:
             return False
         return True
 
     def fail(self, error: FolderError) -> None:
-        """Guards against going on with what is not on disk: the member is as good as dead."""
+        """Stop the member after a failed write, as it must not continue with state that is not on disk."""
         if self.closed:
             return
         self.metrics.count("store_disk_failed")
@@ -196,18 +213,18 @@
         self.failed(error)
 
     def mark_removed(self) -> None:
-        """The cluster has removed this member: take no part any more."""
+        """Stop taking part after the cluster has removed this member."""
         self._enter(MemberState.REMOVED)
         self._stop_subscriptions()
         self.metrics.count("store_removed")
-        log.warning("member removed", detail="this member takes no part in its cluster any more")
+        log.warning("member removed", detail="this member no longer belongs to its cluster")
 
     def _stop_subscriptions(self) -> None:
         if self.subscription_server is not None:
             self.subscription_server.stop()
 
     def close(self) -> None:
-        """End at once; what is being written is written first."""
+        """Close the member at once, after writes in progress have completed."""
         self._enter(MemberState.CLOSED)
         if self._timer is not None:
             self._timer.cancel()
@@ -217,7 +234,7 @@
         self.thread.shutdown(wait=True)
         self.storage.close()
 
-    # Time
+    # Timers
 
     def _tick(self) -> None:
         if self.closed:
@@ -246,11 +263,11 @@
             self.propose(Expire())
         self.membership.promote_learners(now, raft)
 
-    # What the parts need of each other
+    # Interface for the parts of the member
 
     @property
     def granter(self) -> LeaseGranter | None:
-        """The leases that this member granted, while it leads."""
+        """The leases granted by this member while it leads; None otherwise."""
         return self.leases.granter
 
     @property
@@ -259,49 +276,53 @@
         return self.leases.holder
 
     def is_fresh(self) -> bool:
-        """Whether a decision made now is by committed state."""
+        """Whether the lease is valid, so that decisions are based on up-to-date committed state."""
         return self.leases.is_fresh()
 
     def report_applied(self) -> None:
-        """Report to the leader what this member, and the nodes that subscribe here, have applied."""
+        """Report to the leader the index that this member and its subscribed nodes have applied."""
         self.leases.report_applied()
 
     def report(self, revision: int) -> MachineReport:
-        """Which nodes that subscribe here lack a revision."""
+        """Returns which nodes subscribed at this member lack a revision."""
         if self.subscription_server is not None:
             return self.subscription_server.report(revision)
         return MachineReport(self.settings.name, min(self.machine.revision, revision), 0)
 
     def log_clock(self) -> int:
-        """The log time (ms), as the leader has it."""
+        """Returns the log time (ms), estimated as the leader has it."""
         return self.consensus.log_clock()
 
     def propose(self, body: Command | Expire) -> int:
-        """The index to wait for; `RequestRejectedError` where it can't be proposed."""
+        """Propose an entry and return its index.
+
+        Raises:
+            RequestRejectedError: The entry was not proposed.
+        """
         return self.consensus.propose(body)
 
     def flush(self) -> None:
-        """Have the core send what was proposed, then `settle`."""
+        """Send proposed entries, then `settle`."""
         self.consensus.flush()
 
     def settle(self) -> None:
-        """Carry out what the consensus core has ready."""
+        """Process the pending output of the consensus core."""
         self.consensus.settle()
 
     def send_raft_message(self, recipient: str, message: Message) -> None:
-        """Send a message of the core to the member of this id."""
+        """Send a message of the core to the member with this id."""
         self.membership.send_raft_message(recipient, message)
 
     def send_to_leader(self, message: wire.LinkMessage) -> bool:
-        """Whether the message was sent to the leader."""
+        """Send a message to the leader. Returns whether it was sent."""
         return self.membership.send_to_leader(message)
 
     def send_to_member(self, member: Member, request: wire.Request) -> bool:
-        """Whether the request was sent to this member, whoever leads."""
+        """Send a request to a member, whether or not it leads. Returns whether it was sent."""
         return self.membership.send_to_member(member, request)
 
     def run_in_thread(self, work: Future[Any], done: Callable[[Any], None]) -> None:
-        """`done` on the loop with the result of work in `thread`; a `FolderError` of it ends the member."""
+        """Call `done` on the event loop with the result of `work`; a `FolderError` stops the member."""
 
         def finished(future: Future[Any]) -> None:
             if not self.closed:
@@ -322,7 +343,7 @@
 
     # Links
 
-    def _linked(self, link: Link, peer: wire.Hello) -> None:
+    def _on_link_authenticated(self, link: Link, peer: wire.Hello) -> None:
         self.membership.linked(link, peer)
         link.close_callbacks.append(lambda: self.requests.link_lost(peer.id))
         self.requests.leader_changed()
--- a/gradegap/store/member_client.py
+++ b/gradegap/store/member_client.py
@@ -1,4 +1,4 @@
-"""A member reached from a command line or a test: one request at a time, over a blocking socket."""
+"""A blocking client of one member for command lines and tests, with one request at a time."""
 
 from __future__ import annotations
 
@@ -15,24 +15,27 @@
 from gradegap.store.records import Compare, Event, Item, KeyUpdate
 from gradegap.transport.addresses import split_address
 
-RESPONSE_MARGIN_S = 1.0  # that a response may take beyond the time that the member was given
+RESPONSE_MARGIN_S = 1.0  # the client waits this much longer than the timeout sent in the request
 MAX_CONNECT_TIMEOUT_S = 2.0
 RECEIVE_BYTES = 65536
 
 
 class MemberClient:
-    """A link to one member. `timeout_s` is how long it may try; writes are applied at most once."""
+    """A link to one member.
+
+    `timeout_s` is the time in which the member must complete a request. Writes are applied at most once.
+    """
 
     def __init__(self, address: str, secret: bytes = b"", timeout_s: float = 5.0) -> None:
         """Connect and authenticate.
 
         Raises:
-            RequestFailedError: "unreachable".
+            RequestFailedError: With kind "unreachable": no connection, or the handshake failed.
         """
         self.address, self.timeout_s = address, timeout_s
         self.channel = LinkChannel.open(secret, "client", is_dialer=True)
         self.serial = 0
-        self.messages: list[wire.LinkMessage] = []  # received, and not looked at yet
+        self.messages: list[wire.LinkMessage] = []  # received but not processed yet
         try:
             connect_timeout_s = min(timeout_s, MAX_CONNECT_TIMEOUT_S)
             self.sock = socket.create_connection(split_address(address), timeout=connect_timeout_s)
@@ -40,24 +43,24 @@
             while not self.channel.authenticated:
                 self.receive()
         except (OSError, ValueError) as error:
-            text = f"the store at {address} can't be reached: {error}"
+            text = f"store member at {address} is unreachable: {error}"
             raise RequestFailedError("unreachable", text) from None
 
     def receive(self) -> None:
-        """Wait for bytes, and keep the messages that they complete in `messages`."""
+        """Wait for bytes and append the messages that they complete to `messages`."""
         data = self.sock.recv(RECEIVE_BYTES)
         if not data:
-            raise ConnectionError("it ended the connection")
+            raise ConnectionError("connection closed by the member")
         messages, reply = self.channel.receive(data)
         if reply:
             self.sock.sendall(reply)
         self.messages += messages
 
     def responses(self, body: wire.RequestBody) -> Iterator[wire.Response]:
-        """The responses to one request, as they come.
+        """Send a request and yield its responses as they arrive.
 
         Raises:
-            RequestFailedError: where it is not done.
+            RequestFailedError: The member rejected or failed the request, or the link failed.
         """
         self.serial += 1
         deadline = time.monotonic() + self.timeout_s + RESPONSE_MARGIN_S
@@ -69,7 +72,7 @@
                 yield response
                 more = response.more
         except (OSError, ValueError) as error:
-            text = f"the store at {self.address}: {error}"
+            text = f"store member at {self.address}: {error}"
             if isinstance(body, CHANGING_REQUESTS):
                 raise RequestFailedError("unknown", f"unknown: {text}") from None
             raise RequestFailedError("no_quorum", text) from None
@@ -88,65 +91,72 @@
     def _wait_for_message(self, forever: bool, deadline: float) -> None:
         left_s = deadline - time.monotonic()
         if left_s <= 0 and not forever:
-            raise TimeoutError("it does not answer")
+            raise TimeoutError("timed out waiting for a response")
         self.sock.settimeout(None if forever else left_s)
         self.receive()
 
     def request(self, body: wire.RequestBody) -> wire.Response:
-        """The one response to a request; `RequestFailedError` where it is not done."""
+        """Send a request and return its only response; raises as `responses` does."""
         (response,) = self.responses(body)
         return response
 
-    # By operation
+    # Operations
 
     def get(self, key: str, stale: bool = False) -> Item | None:
-        """A key with its value; None where it is not there."""
+        """Returns a key with its value; None if the key does not exist."""
         items = self.request(wire.Get(key, stale)).items
         return items[0] if items else None
 
     def value(self, key: str, stale: bool = False) -> Any:
-        """A key's value; None where it is not there."""
+        """Returns the value of a key; None if the key does not exist."""
         item = self.get(key, stale)
         return None if item is None else item.value
 
     def set(self, key: str, value: Any, ttl_ms: int = 0, author: str = "") -> int:
-        """Put a key; its revision. `ttl_ms` of log time after it the key ends; 0: never."""
+        """Set a key and return the revision.
+
+        The key expires `ttl_ms` of log time after the write; 0: it never expires.
+        """
         update = KeyUpdate(key, value, ttl_ms=ttl_ms)
         return self.request(wire.Transaction((update,), author=author)).revision
 
     def delete(self, key: str, author: str = "") -> int:
-        """Delete a key; the revision afterwards."""
+        """Delete a key and return the revision."""
         update = KeyUpdate(key, delete=True)
         return self.request(wire.Transaction((update,), author=author)).revision
 
     def compare_and_set(self, key: str, revision: int, value: Any, author: str = "") -> wire.Response:
-        """Set it only where it was last changed at `revision`; 0: only where it is not there."""
+        """Set a key if it was last changed at `revision`; 0: if it does not exist."""
         write = wire.Transaction((KeyUpdate(key, value),), (Compare(key, revision),), author=author)
         return self.request(write)
 
     def list(self, prefix: str = "", stale: bool = False) -> list[Item]:
-        """The keys that begin so, with their values."""
+        """Returns the keys with a prefix, with their values."""
         return self.request(wire.List(prefix, stale)).items
 
     def watch(self, prefix: str = "", revision: int = 0) -> Iterator[Event]:
-        """Changes of keys that begin so, from `revision` on; 0: from now on. It does not end by itself."""
+        """Yield changes of keys with a prefix, from `revision` on (0: only future ones), without end."""
         for response in self.responses(wire.Watch(prefix, revision)):
             yield from response.events
 
     def in_force(self, revision: int) -> wire.Response:
-        """Once all nodes that subscribe have it; else `RequestFailedError` "no", which names who lacks it."""
+        """Wait until all subscribed nodes have acknowledged a revision.
+
+        Raises:
+            RequestFailedError: With kind "no", and the nodes that lack the revision in the text.
+        """
         return self.request(wire.InForce(revision))
 
     def status(self) -> dict[str, Any]:
-        """The member's status and its cluster's."""
+        """Returns the status of the member and its view of the cluster."""
         return self.request(wire.Status()).status
 
     def snapshot(self) -> bytes:
-        """A backup of all keys, as committed now."""
+        """Returns a backup of all committed keys."""
         return b"".join(response.data for response in self.responses(wire.Snapshot()))
 
     def close(self) -> None:
-        """End the link."""
+        """Close the link."""
         self.sock.close()
 
     def __enter__(self) -> Self:
--- a/gradegap/store/member_leases.py
+++ b/gradegap/store/member_leases.py
@@ -1,4 +1,4 @@
-"""Leases at a member: those that it grants while it leads, and its own, by which its node decides."""
+"""Leases at a member: those that it grants while it leads, and the one that it holds itself."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from gradegap.store.storage import Identity
 from gradegap.store.subscriptions import SubscriptionServer
 
-REQUEST_PERIOD_S = 0.1  # between two requests for a lease, at the least
+REQUEST_PERIOD_S = 0.1  # lower limit on the time between two lease requests
 
 
 class LeaseHost(Protocol):
-    """The member whose leases these are."""
+    """The member, as its leases use it."""
 
     metrics: Metrics
     settings: StoreSettings
@@ -29,33 +29,36 @@
 
     @property
     def removed(self) -> bool:
-        """Whether the member takes no part any more: it was removed, or its folder failed."""
+        """Whether the member has left the cluster: it was removed, or its data folder failed."""
 
     @property
     def identity(self) -> Identity:
-        """Who the member is."""
+        """The member id and the cluster of the member."""
 
     def send_to_leader(self, message: wire.LinkMessage) -> bool:
-        """Whether the message was sent to the leader."""
+        """Send a message to the leader. Returns whether it was sent."""
 
 
 class MemberLeases:
-    """Grants leases where the member leads, and keeps its own; `changed` is called where it may differ."""
+    """Grants leases while the member leads, and maintains the member's own lease.
+
+    `changed` is called whenever the state of the own lease may have changed.
+    """
 
     def __init__(self, host: LeaseHost, max_clock_drift: float) -> None:
         self.host = host
         self.max_clock_drift = max_clock_drift
-        self.granter: LeaseGranter | None = None  # while the member leads
+        self.granter: LeaseGranter | None = None  # set while the member leads
         self.holder = LeaseHolder(self._holder_name(), max_clock_drift)
-        self.wanted = False  # whether something here decides by a lease
+        self.is_needed = False  # whether this process makes decisions that require a lease
         self.changed: Callable[[], None] = lambda: None
         self.subscription_server: SubscriptionServer | None = None
 
     def _holder_name(self) -> str:
-        """Who holds this member's lease.
+        """Returns the holder name of this member's lease.
 
-        With subscriptions each start of the process is another holder: the leases that nodes were granted
-        under the one before count until that one ends.
+        A member that serves subscriptions uses a new name for each start of the process. Nodes may still
+        decide under the lease of the previous process, which must stay in effect until it expires.
         """
         name = f"{self.host.settings.name}.{self.host.identity.id[:6]}"
         return f"{name}.{secrets.token_hex(4)}" if self.host.settings.publish else name
@@ -63,15 +66,15 @@
     # As the leader
 
     def leadership_gained(self, now: float) -> None:
-        """This member leads: it begins with no record of leases that an earlier leader granted."""
+        """Start to grant leases, without a record of those that earlier leaders granted."""
         self.granter = LeaseGranter(now, self.max_clock_drift, self.host.settings.lease_s)
 
     def leadership_lost(self) -> None:
-        """This member leads no more."""
+        """Stop granting leases."""
         self.granter = None
 
     def grant(self, request: wire.LeaseRequest) -> wire.LeaseGrant:
-        """A lease for a node, where this member leads for certain; else one of no length."""
+        """Respond to a lease request; the duration is 0 unless this member certainly leads."""
         raft, now = self.host.raft, time.monotonic()
         if raft is None or self.granter is None or self.host.removed:
             return wire.LeaseGrant(request.holder, request.serial, 0, 0, 0.0)
@@ -81,25 +84,25 @@
         return wire.LeaseGrant(request.holder, request.serial, raft.term, raft.commit_index, duration_s)
 
     def holder_applied(self, holder: str, index: int) -> None:
-        """A lease holder has applied the log up to `index`."""
+        """Record that a lease holder has applied the log up to `index`."""
         if self.granter is not None:
             self.granter.holder_applied(holder, index)
             self.granter.expire(time.monotonic())
 
     def tick(self, now: float) -> None:
-        """Respond to writes whose last lease holders are done by `now`, or whose leases ran out."""
+        """Drop expired leases, and respond to the writes that waited only for their holders."""
         if self.granter is not None:
             self.granter.expire(now)
 
     # This member's own lease
 
     def is_fresh(self) -> bool:
-        """Whether a decision made now is by committed state."""
+        """Whether the lease is valid, so that decisions are based on up-to-date committed state."""
         return self.holder.is_fresh(time.monotonic())
 
     def renew(self, now: float) -> None:
-        """Request a longer lease in time, where one is wanted."""
-        if not self.wanted:
+        """Request an extension of the lease ahead of its expiry, if a lease is needed."""
+        if not self.is_needed:
             return
         if self.holder.should_renew(now, self.host.settings.lease_s):
             last_request_at = max(self.holder.requested_at.values(), default=NEVER)
@@ -115,7 +118,7 @@
             self.host.send_to_leader(request)
 
     def granted(self, grant: wire.LeaseGrant) -> None:
-        """The leader's answer to a request."""
+        """Handle the leader's response to a lease request."""
         now, applied = time.monotonic(), self.host.machine.index
         self.holder.granted(now, grant.serial, grant.term, grant.index, grant.duration_s, applied)
         if self.subscription_server is not None:
@@ -123,19 +126,19 @@
         self.changed()
 
     def index_applied(self, index: int) -> None:
-        """This member has applied the log up to `index`."""
+        """Record that this member has applied the log up to `index`."""
         self.holder.applied(index)
 
     def safe_index(self) -> int:
-        """What this member, and every node that may decide by it, has applied."""
+        """Returns the index that this member and every node that may decide under its lease have applied."""
         if self.subscription_server is None:
             return self.host.machine.index
         return self.subscription_server.safe_index()
 
     def report_applied(self) -> None:
-        """Report to the leader, so that a write that nodes decide by can be acknowledged."""
+        """Report the applied index to the leader, which acknowledges a write once all holders have it."""
         now, raft = time.monotonic(), self.host.raft
-        if not self.wanted or self.holder.until <= now or raft is None:
+        if not self.is_needed or self.holder.until <= now or raft is None:
             return
         if raft.is_leader and self.granter is not None:
             self.granter.holder_applied(self.holder.name, self.safe_index())
--- a/gradegap/store/member_status.py
+++ b/gradegap/store/member_status.py
@@ -1,4 +1,4 @@
-"""The status of a member and its cluster: the map of `gradegap store status`."""
+"""The status of a member and its cluster, as printed by `gradegap store status`."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def member_status(host: RequestHost, nodes: dict[str, Any]) -> dict[str, Any]:
-    """The member as of now; `nodes` is the state that nodes reported, by name."""
+    """Returns the current status; `nodes` is the reported state of nodes by name."""
     now = time.monotonic()
     raft = host.raft
     status: dict[str, Any] = {
--- a/gradegap/store/message_router.py
+++ b/gradegap/store/message_router.py
@@ -1,4 +1,4 @@
-"""Passes each message on a member's links to the part that it is for."""
+"""Dispatches messages received on a member's links to the parts of the member."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class RouterHost(Protocol):
-    """The member that messages come to."""
+    """The member, as the router uses it."""
 
     metrics: Metrics
     identity: Identity
@@ -29,20 +29,20 @@
 
     @property
     def removed(self) -> bool:
-        """Whether the member takes no part any more."""
+        """Whether the member has left the cluster."""
 
     def settle(self) -> None:
-        """Carry out what the consensus core has ready."""
+        """Process the pending output of the consensus core."""
 
 
 class MessageRouter:
-    """Knows what may come from whom: from members all, from clients requests."""
+    """Dispatches messages by sender: members may send any message, clients only requests."""
 
     def __init__(self, host: RouterHost) -> None:
         self.host = host
 
     def receive(self, link: Link, message: wire.LinkMessage) -> None:
-        """A message on an authenticated link; one that does not fit its link or this member is counted."""
+        """Dispatch a message from an authenticated link; one that is not allowed there is only counted."""
         raft = self.host.raft
         match message:
             case wire.Request():
--- a/gradegap/store/settings.py
+++ b/gradegap/store/settings.py
@@ -1,4 +1,4 @@
-"""What the operator sets for a member of the store."""
+"""Operator settings of a member of the store."""
 
 from __future__ import annotations
 
@@ -20,35 +20,40 @@
 
 
 class StoreSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """The `[store]` table: this member of the replicated store, and the members it begins with."""
+    """The `[store]` table: this member of the replicated store, and the initial members."""
 
     name: str
     listen: str
-    peers: tuple[Peer, ...] = ()  # this member may be among them
-    advertise: str = ""  # where the others reach this member, if not at `listen`
-    data: str = ""  # a folder that lasts; none: `$TMPDIR`, and the member comes back empty
-    when_stale: Literal["refuse", "serve"] = "refuse"  # what a node does without a lease
-    secret: str = ""  # a file with the cluster's secret, the same for all
-    publish: str = ""  # where nodes subscribe; none: this member serves no subscriptions
-    voters: Annotated[int, msgspec.Meta(ge=1, le=9)] = 5  # at most; further members are learners in reserve
+    peers: tuple[Peer, ...] = ()  # may include this member
+    advertise: str = ""  # address at which other members reach this one, if not `listen`
+    data: str = ""  # persistent data folder; empty: in `$TMPDIR`, and the member restarts empty
+    when_stale: Literal["refuse", "serve"] = "refuse"  # for new requests while the node has no lease
+    secret: str = ""  # path of the file with the cluster's secret, the same at all members
+    publish: str = ""  # address for subscriptions; empty: this member serves none
+    voters: Annotated[int, msgspec.Meta(ge=1, le=9)] = 5  # most voters; further members are learners
     region: str = ""
-    lease_s: Annotated[float, msgspec.Meta(ge=0.3, le=30.0)] = 1.0  # the same at all members
+    lease_s: Annotated[float, msgspec.Meta(ge=0.3, le=30.0)] = (
+        1.0  # lease length (s), the same at all members
+    )
 
     @property
     def regions(self) -> dict[str, str]:
-        """The region of each member by its name; empty where none is named."""
-        return {p.name: p.region for p in self.peers} | {self.name: self.region}
+        """The region of each member by name; empty if none is set."""
+        return {peer.name: peer.region for peer in self.peers} | {self.name: self.region}
 
     @property
     def first_voters(self) -> list[str]:
-        """The names of the voters of a new cluster: the same at each member, whatever its file's order."""
-        return sorted({self.name, *(p.name for p in self.peers)})[: self.voters]
+        """The names of the initial voters, the first ones by name.
+
+        Every member gets the same result, in whichever order its file lists the peers.
+        """
+        return sorted({self.name, *(peer.name for peer in self.peers)})[: self.voters]
 
     def check(self) -> None:
-        """What single keys don't show.
+        """Check names, addresses and constraints between settings.
 
         Raises:
-            OperatorFileError: for the first setting that can't be used.
+            OperatorFileError: A setting is invalid; the text names the first one.
         """
         check_name(self.name, "store.name is")
         check_loopback(self.listen, "store.listen")
@@ -58,7 +63,9 @@
         if self.publish:
             check_loopback(self.publish, "store.publish")
             if self.publish in (self.listen, self.advertise):
-                raise OperatorFileError("store.publish is a port of its own, not that of store.listen")
+                raise OperatorFileError(
+                    "store.publish must have a port of its own, other than that of store.listen"
+                )
         self._check_regions()
 
     def _check_peers(self) -> None:
@@ -67,7 +74,8 @@
             check_loopback(peer.address, f"store.peers: the address of {peer.name}")
             if (peer.name == self.name) != (peer.address in (self.listen, self.advertise)):
                 raise OperatorFileError(
-                    f"store.peers: {peer.name} at {peer.address} is and is not this member"
+                    f"store.peers: {peer.name} at {peer.address} must match this member in both name and "
+                    "address, or in neither"
                 )
         if has_duplicates(peer.name for peer in self.peers):
             raise OperatorFileError("store.peers: two peers have the same name")
@@ -75,7 +83,7 @@
             raise OperatorFileError("store.peers: two peers have the same address")
 
     def _check_regions(self) -> None:
-        """Guards against a cluster that the loss of one region ends, where there are several."""
+        """Reject a majority of voters in one of several regions: its loss would stop the cluster."""
         regions = self.regions
         if len({region for region in regions.values() if region}) < 2:
             return
@@ -91,16 +99,16 @@
 
 
 def check_store_table_form(table: Any) -> None:
-    """Guards against a `[store]` table of an earlier version, which would only be called unreadable.
+    """Detect a `[store]` table in the format of an earlier version, for a more specific error message.
 
     Raises:
-        OperatorFileError: saying what to write instead.
+        OperatorFileError: The table has the old format; the text gives the new one.
     """
     if not isinstance(table, dict):
         return
     if any(isinstance(peer, str) for peer in table.get("peers", ()) or ()):
         raise OperatorFileError(
-            'store.peers has the form of an earlier version; write peers = [{ name = "n2", address = '
+            'store.peers has the format of an earlier version; write peers = [{ name = "n2", address = '
             '"127.0.0.1:7401" }, ...], and a name for this member: name = "n1"'
         )
     if "name" not in table:
--- a/gradegap/store/subscription_settings.py
+++ b/gradegap/store/subscription_settings.py
@@ -1,4 +1,4 @@
-"""What the operator sets for a node that subscribes."""
+"""Operator settings of a node that subscribes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     """A control machine that serves subscriptions."""
 
     name: str
-    address: str  # its `store.publish`
+    address: str  # the machine's `store.publish`
     region: str = ""
 
 
@@ -22,17 +22,17 @@
     """The `[observer]` table: this node subscribes to committed configuration and is no member itself."""
 
     machines: Annotated[tuple[ObserverMachine, ...], msgspec.Meta(min_length=1, max_length=32)]
-    name: str = ""  # none: the node's
+    name: str = ""  # empty: the node's name
     region: str = ""  # machines of the same region are tried first
-    secret: str = ""  # a file with the cluster's secret
-    when_stale: Literal["refuse", "serve"] = "refuse"  # what the node does without a lease
-    bytes_per_s: Annotated[int, msgspec.Meta(ge=500, le=1_000_000)] = 3000  # that the node may send
+    secret: str = ""  # path of the file with the cluster's secret
+    when_stale: Literal["refuse", "serve"] = "refuse"  # for new requests while the node has no lease
+    bytes_per_s: Annotated[int, msgspec.Meta(ge=500, le=1_000_000)] = 3000  # send rate limit of the node
 
     def check(self) -> None:
-        """What single keys don't show.
+        """Check names and addresses.
 
         Raises:
-            OperatorFileError: for the first setting that can't be used.
+            OperatorFileError: A setting is invalid; the text names the first one.
         """
         if self.name:
             check_name(self.name, "observer.name is")
--- a/gradegap/store/subscriptions.py
+++ b/gradegap/store/subscriptions.py
@@ -1,6 +1,6 @@
-"""What a member expects of a server of subscriptions, which whoever assembles the process gives it.
+"""The interface between a member and the subscription server that is passed to it.
 
-The server itself is `gradegap.observer.server.PublisherServer`. The store imports nothing of
+The implementation is `gradegap.observer.server.PublisherServer`. The store doesn't import
 `gradegap.observer`, so a member that serves no subscriptions runs without it.
 """
 
@@ -29,11 +29,11 @@
         timeout_s: float = 5.0,
         from_member: bool = False,
     ) -> None:
-        """`respond` with one response, at the latest after `timeout_s`."""
+        """Call `respond` with one response within `timeout_s`."""
 
 
 class SubscriptionHost(Protocol):
-    """The member as a server of subscriptions sees it."""
+    """The member, as the subscription server uses it."""
 
     loop: asyncio.AbstractEventLoop
     metrics: Metrics
@@ -42,37 +42,41 @@
 
     @property
     def identity(self) -> Identity:
-        """Who the member is, and its cluster once it has one."""
+        """The member id, and the cluster once there is one."""
 
     @property
     def requests(self) -> RequestHandler:
-        """Who answers what subscribers request of the store."""
+        """The handler for subscribers' requests to the store."""
 
     def report_applied(self) -> None:
-        """Report a `SubscriptionServer.safe_index` that has risen to the leader."""
+        """Report an increased `SubscriptionServer.safe_index` to the leader."""
 
 
 class SubscriptionServer(Protocol):
     """Serves subscriptions of nodes on behalf of one member."""
 
     async def start(self) -> None:
-        """Listen; `OSError` where the address can't be had."""
+        """Listen for subscriptions.
+
+        Raises:
+            OSError: The address can't be bound.
+        """
 
     def stop(self) -> None:
-        """Serve no more."""
+        """Stop serving subscriptions."""
 
     def committed(self) -> None:
-        """The member has applied more of the log."""
+        """Handle newly applied entries of the log."""
 
     def lease(self, until: float) -> None:
-        """The member's own lease is good until `until` (steady time, s)."""
+        """Handle an extension of the member's own lease to `until` (steady time, s)."""
 
     def safe_index(self) -> int:
-        """The index that the member and every node that still decides by it have applied."""
+        """Returns the index applied by the member and by every node that may still decide under its lease."""
 
     def report(self, revision: int) -> MachineReport:
-        """Which subscribed nodes lack a revision."""
+        """Returns which subscribed nodes lack a revision."""
 
 
 SubscriptionServerFactory = Callable[[SubscriptionHost, bytes], SubscriptionServer]
-"""Makes the server of a member's subscriptions; the bytes are the cluster's secret."""
+"""Creates a member's subscription server; the second argument is the cluster's secret."""
--- a/gradegap/store/wire.py
+++ b/gradegap/store/wire.py
@@ -1,8 +1,7 @@
-"""The messages on links between members, and from clients to a member. No I/O.
+"""Messages on links between members, and from clients to a member. No I/O.
 
-Each has a tag, which is its name on the wire. Fields go by the names of the first release, which
-`msgspec.field(name=...)` declares where they are called otherwise here. How a link is authenticated and
-framed is in `channel`.
+The tag of each message is its name on the wire. Fields keep the wire names of the first release, declared by
+`msgspec.field(name=...)` where the attribute has another name. Authentication and framing are in `channel`.
 """
 
 from __future__ import annotations
@@ -18,11 +17,11 @@
 IN_FORCE_TAG = "in_force"  # the tag of `InForce`
 
 
-# The beginning of a link
+# Handshake of a link
 
 
 class Hello(msgspec.Struct, frozen=True, tag="hello"):
-    """Who is at one end of a link; the first frame of each end."""
+    """Identifies one end of a link; the first frame that each end sends."""
 
     version: int
     kind: str  # "member" or "client"
@@ -30,21 +29,20 @@
     id: str = ""
     name: str = ""
     address: str = ""
-    cluster: str = ""  # none: not formed yet
-    lease_s: float = DEFAULT_LEASE_S  # of a member; the same in all of a cluster
-    readable_requests: tuple[str, ...] = msgspec.field(
-        default=(), name="reads"
-    )  # tags of requests that this end can read, and an earlier release can't
+    cluster: str = ""  # empty while the member belongs to no cluster
+    lease_s: float = DEFAULT_LEASE_S  # a member's lease length (s), which must be the same in a cluster
+    # Tags of requests that this end understands and earlier releases don't.
+    readable_requests: tuple[str, ...] = msgspec.field(default=(), name="reads")
 
 
 class Proof(msgspec.Struct, frozen=True, tag="proof"):
-    """Proves that an end knows the cluster's secret."""
+    """Proves that an end has the cluster's secret."""
 
     mac: bytes
 
 
 class LinkRejected(msgspec.Struct, frozen=True, tag="turned"):
-    """The last message on a link that is rejected."""
+    """The last message on a rejected link."""
 
     reason: str
 
@@ -59,20 +57,20 @@
 
 
 class ClusterFormed(msgspec.Struct, frozen=True, tag="form"):
-    """To a member without a cluster: this is the one you belong to."""
+    """Tells a member without a cluster which cluster it belongs to."""
 
     cluster: str
     configuration: ClusterConfiguration = msgspec.field(name="config")
 
 
 class Join(msgspec.Struct, frozen=True, tag="join"):
-    """From a member without a cluster: admit this one, in place of an earlier incarnation of it."""
+    """Requests that the cluster admit the sender, replacing an earlier incarnation of the same name."""
 
     member: Member
 
 
 class LeaseRequest(msgspec.Struct, frozen=True, tag="lease_ask"):
-    """A node requests a lease, or a longer one, and reports the index that it has applied."""
+    """Requests a new or extended lease, and reports the index that the holder has applied."""
 
     holder: str
     serial: int
@@ -80,27 +78,28 @@
 
 
 class LeaseGrant(msgspec.Struct, frozen=True, tag="lease_grant"):
-    """The leader's answer to a `LeaseRequest`."""
+    """The leader's response to a `LeaseRequest`."""
 
     holder: str
     serial: int
     term: int
-    index: int  # to be applied before the lease is good
-    duration_s: float = msgspec.field(name="duration")  # since the request; 0: none is granted
+    index: int  # the lease is valid once the holder has applied this index
+    duration_s: float = msgspec.field(name="duration")  # counted from the request; 0: no lease granted
 
 
 class LeaseApplied(msgspec.Struct, frozen=True, tag="lease_applied"):
-    """The index that a lease holder has applied since its request."""
+    """Reports the index that a lease holder has applied by now."""
 
     holder: str
     applied: int
 
 
 class GossipReport(msgspec.Struct, frozen=True, array_like=True):
-    """Something that a node has seen of an endpoint, and how long ago."""
+    """One observation of an endpoint by a node, with its age."""
 
     endpoint_id: str
-    kind: str  # "report"; "silent": a health check unanswered; "listed": as in its endpoint list
+    # "report": a load report; "silent": an unanswered health check; "listed": the entry of the endpoint list
+    kind: str
     age_s: float
     report: dict[str, float] | None = None
     phase: int = 0
@@ -108,7 +107,7 @@
 
 
 class Gossip(msgspec.Struct, frozen=True, tag="gossip"):
-    """A node's report to its siblings: its own state, and what it has seen of endpoints."""
+    """A node's message to the other nodes: its own state and its observations of endpoints."""
 
     node: str
     state: dict[str, Any]
@@ -119,21 +118,25 @@
 
 
 class Get(msgspec.Struct, frozen=True, tag="get"):
-    """One key; `stale`: as the requested member has it, else linearizable."""
+    """Reads one key: with `stale` from the state of the requested member, else linearizably."""
 
     key: str
     stale: bool = False
 
 
 class List(msgspec.Struct, frozen=True, tag="list"):
-    """All keys with a prefix; `stale` as for `Get`."""
+    """Reads all keys with a prefix; `stale` as for `Get`."""
 
     prefix: str = ""
     stale: bool = False
 
 
 class Transaction(msgspec.Struct, frozen=True, tag="write"):
-    """A write. `client` and `seq` identify it, whoever proposes it again; without them the member does."""
+    """Writes keys.
+
+    `client` and `seq` identify the write, so that it is applied once even if it is proposed again. The member
+    fills them in if they are empty.
+    """
 
     then: tuple[KeyUpdate, ...]
     compares: tuple[Compare, ...] = ()
@@ -141,72 +144,73 @@
     author: str = ""
     client: str = ""
     seq: int = 0
-    deadline_ms: int = msgspec.field(default=0, name="until")  # log time
-    attempts: int = msgspec.field(default=0, name="tries")  # how often it was forwarded before
+    deadline_ms: int = msgspec.field(default=0, name="until")  # deadline in log time
+    attempts: int = msgspec.field(default=0, name="tries")  # how often the write was forwarded before
 
 
 class Watch(msgspec.Struct, frozen=True, tag="watch"):
-    """Changes of keys with a prefix, as they are committed."""
+    """Subscribes to changes of keys with a prefix as they are committed."""
 
     prefix: str = ""
-    revision: int = 0  # the first that is wanted; 0: from now on
+    revision: int = 0  # first revision to send; 0: only future changes
 
 
 class Status(msgspec.Struct, frozen=True, tag="status"):
-    """What one member knows of itself and its cluster."""
+    """Reads the status of the member and its view of the cluster."""
 
 
 class Digest(msgspec.Struct, frozen=True, tag="digest"):
-    """A digest of all keys as this member has them, with its revision."""
+    """Reads a digest of all keys in this member's state, with its revision."""
 
 
 class AddMember(msgspec.Struct, frozen=True, tag="add"):
-    """Invite a new member; it is admitted once it comes."""
+    """Invites a new member, which is admitted once it sends `Join`."""
 
     name: str
     address: str
 
 
 class RemoveMember(msgspec.Struct, frozen=True, tag="remove"):
-    """Remove a member from the cluster."""
+    """Removes a member from the cluster."""
 
     name: str
 
 
 class AdmitMember(msgspec.Struct, frozen=True, tag="take_in"):
-    """Add a member that came with `Join`, as a learner."""
+    """Adds a member that sent `Join` as a learner."""
 
     member: Member
 
 
 class TransferLeadership(msgspec.Struct, frozen=True, tag="transfer"):
-    """Have another member lead."""
+    """Transfers leadership to another member."""
 
     name: str
 
 
 class Snapshot(msgspec.Struct, frozen=True, tag="snapshot"):
-    """The whole state, in pieces, read linearizably."""
+    """Reads the full state linearizably, in several responses."""
 
 
 class History(msgspec.Struct, frozen=True, tag="history"):
-    """The remembered changes of keys with a prefix."""
+    """Reads the retained history of changes of keys with a prefix."""
 
     prefix: str
     first_revision: int = msgspec.field(default=0, name="least")
 
 
 class ValuesAt(msgspec.Struct, frozen=True, tag="at"):
-    """The values of keys as they were after a revision."""
+    """Reads the values of keys with a prefix as of a revision."""
 
     revision: int
     prefix: str
 
 
 class InForce(msgspec.Struct, frozen=True, tag=IN_FORCE_TAG):
-    """Whether all nodes that subscribe have acknowledged a revision.
+    """Asks whether all subscribed nodes have acknowledged a revision.
 
-    A client's is answered once they have, or it is late; a member's at once, with a `MachineReport` as data.
+    A request of a client is answered once they have or its timeout has passed. A request of a member is
+    answered at once, with a `MachineReport` in `Response.data`.
     """
 
     revision: int
@@ -231,26 +235,30 @@
 
 
 class Request(msgspec.Struct, frozen=True, tag="ask"):
-    """A request with the number by which its sender knows the responses."""
+    """Wraps a request with the serial number that its responses repeat."""
 
     serial: int
     body: RequestBody = msgspec.field(name="wish")
-    timeout_s: float = msgspec.field(default=5.0, name="left")  # until the requester gives up
+    timeout_s: float = msgspec.field(default=5.0, name="left")  # remaining time until the requester gives up
 
 
 class Response(msgspec.Struct, frozen=True, tag="answer"):
-    """To one `Request`. `outcome`: "ok"; "no" (rejected, nothing was done); "unknown"; "no_quorum"."""
+    """A response to a `Request`.
+
+    `outcome` is "ok", "no" (rejected, nothing was changed), "unknown" (the request may or may not have been
+    carried out) or "no_quorum" (nothing was changed, as no leader was reached).
+    """
 
     serial: int
     outcome: str = "ok"
     text: str = ""
     revision: int = 0
-    clock_ms: int = msgspec.field(default=0, name="clock")  # log time of the responder
+    clock_ms: int = msgspec.field(default=0, name="clock")  # log time at the responder
     succeeded: bool = True
     items: list[Item] = []
     events: list[Event] = []
     data: bytes = b""
-    more: bool = False  # another response with this serial follows
+    more: bool = False  # whether another response with this serial follows
     status: dict[str, Any] = {}
 
 
--- a/tests/test_observer_settings.py
+++ b/tests/test_observer_settings.py
@@ -29,7 +29,7 @@
     ("text", "said"),
     [
         (MEMBER + 'publish = "10.0.0.1:7500"\n', "store.publish is no loopback address"),
-        (MEMBER + 'publish = "127.0.0.1:7400"\n', "store.publish is a port of its own"),
+        (MEMBER + 'publish = "127.0.0.1:7400"\n', "store.publish must have a port of its own"),
         (MEMBER + OBSERVER, "[observer] and [store] exclude each other"),
         ("[observer]\nmachines = []\n", "$.observer.machines"),
         (OBSERVER + "bytes_per_s = 10\n", "$.observer.bytes_per_s"),
--- a/tests/test_store_schema.py
+++ b/tests/test_store_schema.py
@@ -23,7 +23,7 @@
         ('name = "a"\nlisten = "10.0.0.1:1"', "no loopback address"),
         (
             'name = "a"\nlisten = "127.0.0.1:1"\npeers = [{name = "a", address = "127.0.0.1:2"}]',
-            "is and is not",
+            "must match this member in both name and address",
         ),
         ('name = "a"\nlisten = "127.0.0.1:1"\nwhen_stale = "maybe"', "when_stale"),
         ('name = "a"\nlisten = "127.0.0.1:1"\nfoo = 1', "foo"),
