--- a/gradegap/store/committed_state.py
+++ b/gradegap/store/committed_state.py
@@ -34,7 +34,7 @@
             self.proxy.enable_endpoint(endpoint_id)
             return
         try:
-            since = msgspec.convert(value, schema.Out).at_ms / 1000
+            since = msgspec.convert(value, schema.DisabledEndpoint).at_ms / 1000
         except msgspec.ValidationError:
             since = 0.0  # no valid time: treated as long ago, which leaves no grace period
         self.proxy.disable_endpoint(endpoint_id, min(since, self.proxy.now()))
