--- a/tests/test_store_cluster.py
+++ b/tests/test_store_cluster.py
@@ -1,4 +1,7 @@
-"""Three members as processes: killed, stopped, cut off, replaced, flooded; nothing committed is lost."""
+"""Three store members as processes, under kills, pauses, partitions, corruption and floods of writes.
+
+No acknowledged write may be lost, and no read may return stale state.
+"""
 
 from __future__ import annotations
 
@@ -24,256 +27,272 @@
 from tests.support.node_environment import wait_for
 
 
-def test_a_write_is_at_every_member_and_survives_the_death_of_any(tmp_path: Path) -> None:
-    with cluster(tmp_path) as c:
-        for k, victim in enumerate((c.leader(), "n1", "n2", "n3")):
-            assert put(c, c.names[k % 3], f"k{k}", k) > 0
-            c.kill(victim)
-            left = [n for n in c.names if n != victim]
-            assert [value(c, n, f"k{k}") for n in left] == [k, k]
-            c.start(victim)
-            wait_for(lambda victim=victim: value_if_reachable(c, victim, "k0") == 0)  # type: ignore[misc]
-        wait_for(c.has_equal_states, 10.0)
-        # All at once: nothing was in memory alone.
-        for n in c.names:
-            c.kill(n)
-        for n in c.names:
-            c.start(n)
-        wait_for(c.leader, 10.0)
-        assert [value(c, "n1", f"k{k}") for k in range(4)] == [0, 1, 2, 3]
-
-
-POINTS = ["before-commit", "entries", "after-commit", "synced", "sent", "state"]
-
-
-@pytest.mark.parametrize("point", POINTS)
-@pytest.mark.parametrize("who", ["leader", "follower"])
-def test_a_member_killed_at_any_step_of_a_write_loses_nothing(tmp_path: Path, point: str, who: str) -> None:
-    with cluster(tmp_path) as c:
-        leader = c.leader()
-        victim = leader if who == "leader" else c.others(leader)[0]
-        # Started again, so that it ends itself in the middle of one of the next writes.
-        c.kill(victim)
-        c.start(victim, {"STORE_FAULT": f"{point}:9"})
-        wait_for(lambda: c.leader(), 10.0)
-        # It takes part again, or is dead already: else the writes are over before it has come up.
+def test_write_is_replicated_and_survives_kill_of_any_member(tmp_path: Path) -> None:
+    with cluster(tmp_path) as store:
+        for k, victim in enumerate((store.leader(), "n1", "n2", "n3")):
+            assert put(store, store.names[k % 3], f"k{k}", k) > 0
+            store.kill(victim)
+            remaining = [name for name in store.names if name != victim]
+            assert [value(store, name, f"k{k}") for name in remaining] == [k, k]
+            store.start(victim)
+            wait_for(lambda victim=victim: value_if_reachable(store, victim, "k0") == 0)  # type: ignore[misc]
+        wait_for(store.has_equal_states, 10.0)
+        # Kill all members at once: committed state must not have been in memory only.
+        for name in store.names:
+            store.kill(name)
+        for name in store.names:
+            store.start(name)
+        wait_for(store.leader, 10.0)
+        assert [value(store, "n1", f"k{k}") for k in range(4)] == [0, 1, 2, 3]
+
+
+FAULT_POINTS = ["before-commit", "entries", "after-commit", "synced", "sent", "state"]
+
+
+@pytest.mark.parametrize("fault_point", FAULT_POINTS)
+@pytest.mark.parametrize("role", ["leader", "follower"])
+def test_member_killed_at_any_step_of_write_loses_no_acknowledged_write(
+    tmp_path: Path, fault_point: str, role: str
+) -> None:
+    with cluster(tmp_path) as store:
+        leader = store.leader()
+        victim = leader if role == "leader" else store.others(leader)[0]
+        # Restart the victim with a fault point, at which it kills itself during one of the next writes.
+        store.kill(victim)
+        store.start(victim, {"STORE_FAULT": f"{fault_point}:9"})
+        wait_for(lambda: store.leader(), 10.0)
+        # Wait until the victim is up or already dead; otherwise the writes may end before it takes part.
         wait_for(
-            lambda: c.processes[victim].poll() is not None or status_if_reachable(c, victim)["role"], 15.0
+            lambda: store.processes[victim].poll() is not None or status_if_reachable(store, victim)["role"],
+            15.0,
         )
-        if who == "leader":
+        if role == "leader":
             try:
-                with c.member_client(c.leader()) as r:
-                    r.request(wire.TransferLeadership(victim))
+                with store.member_client(store.leader()) as client:
+                    client.request(wire.TransferLeadership(victim))
             except RequestFailedError:
-                pass  # it died on the way
-        acked, unknown = {}, set()
-        alive = [n for n in c.names if n != victim]
+                pass  # the victim died during the transfer
+        acknowledged, unknown = {}, set()
+        alive = [name for name in store.names if name != victim]
         for k in range(2000):
-            via = random.Random(k).choice(alive)
+            contact = random.Random(k).choice(alive)
             try:
-                acked[f"w{k}"] = put(c, via, f"w{k}", k, 8.0)
+                acknowledged[f"w{k}"] = put(store, contact, f"w{k}", k, 8.0)
             except RequestFailedError as error:
                 assert error.kind == "unknown", error  # noqa: PT017
                 unknown.add(k)
-            if c.processes[victim].poll() is not None and k > 5:
+            if store.processes[victim].poll() is not None and k > 5:
                 break
-        assert c.processes[victim].wait(5) == -signal.SIGKILL
-        c.start(victim)
-        wait_for(lambda: value_if_reachable(c, victim, "w0") is not None or 0 in unknown, 15.0)
-        wait_for(c.has_equal_states, 10.0)
-        for name in c.names:
-            with c.member_client(name) as r:
-                held = {i.key: i.value for i in r.list("w")}
-            assert acked.keys() <= held.keys()
-
-
-def test_an_isolated_leader_commits_nothing_and_steps_down(tmp_path: Path) -> None:
-    with cluster(tmp_path) as c:
-        old = c.leader()
-        rest = c.others(old)
-        put(c, old, "k", "before")
-        c.relay.partition({old}, set(rest))
+        assert store.processes[victim].wait(5) == -signal.SIGKILL
+        store.start(victim)
+        wait_for(lambda: value_if_reachable(store, victim, "w0") is not None or 0 in unknown, 15.0)
+        wait_for(store.has_equal_states, 10.0)
+        for name in store.names:
+            with store.member_client(name) as client:
+                stored = {item.key: item.value for item in client.list("w")}
+            assert acknowledged.keys() <= stored.keys()
+
+
+def test_isolated_leader_commits_nothing_and_steps_down(tmp_path: Path) -> None:
+    with cluster(tmp_path) as store:
+        old_leader = store.leader()
+        others = store.others(old_leader)
+        put(store, old_leader, "k", "before")
+        store.relay.partition({old_leader}, set(others))
         results: list[str] = []
 
         def minority() -> None:
             for k in range(20):
                 try:
-                    put(c, old, f"minority{k}", k, 0.5)
+                    put(store, old_leader, f"minority{k}", k, 0.5)
                     results.append("ok")
                 except RequestFailedError as error:
                     results.append(error.kind)
 
         thread = threading.Thread(target=minority)
         thread.start()
-        new = wait_for(lambda: c.leader(rest), 5.0)
-        assert new != old
+        new_leader = wait_for(lambda: store.leader(others), 5.0)
+        assert new_leader != old_leader
         for k in range(20):
-            put(c, new, f"majority{k}", k)
+            put(store, new_leader, f"majority{k}", k)
         thread.join()
         assert "ok" not in results and set(results) <= {"unknown", "no_quorum"}
-        with pytest.raises(RequestFailedError) as error, c.member_client(old, 1.0) as r:
-            r.get("k")  # no stale answer either
+        with pytest.raises(RequestFailedError) as error, store.member_client(old_leader, 1.0) as client:
+            client.get("k")  # must not return a stale value
         assert error.value.kind == "no_quorum"
-        with c.member_client(old, 1.0) as r:
-            assert r.value("k", stale=True) == "before"
-        c.relay.heal()
-        wait_for(c.has_equal_states, 15.0)
-        with c.member_client(old) as r:
-            held = {i.key for i in r.list()}
-        assert {f"majority{k}" for k in range(20)} <= held
-
-
-@pytest.mark.parametrize("way", ["in", "out"])
-def test_one_way_partitions_don_t_stop_the_rest(tmp_path: Path, way: str) -> None:
-    with cluster(tmp_path) as c:
-        old = c.leader()
-        rest = c.others(old)
-        pairs = {(old, n) for n in rest} if way == "out" else {(n, old) for n in rest}
-        c.relay.blocked_pairs |= pairs
-        wait_for(lambda: write_through_any(c, way, "k", rest), 10.0)
-        assert value(c, c.leader(rest), "k") == way
-        c.relay.heal()
-        wait_for(c.has_equal_states, 15.0)
-
-
-def test_a_paused_leader_that_resumes_answers_nothing_stale(tmp_path: Path) -> None:
-    with cluster(tmp_path) as c:
-        old = c.leader()
-        rest = c.others(old)
-        put(c, old, "k", 1)
-        with c.member_client(old, 8.0) as r:
-            c.suspend(old)
-            wait_for(lambda: c.leader(rest), 5.0)
-            put(c, rest[0], "k", 2)
-            # Asked while it is stopped: it reads the question before anything that deposes it.
-            r.sock.sendall(r.channel.send(wire.Request(1, wire.Get("k"), 6.0)))
-            c.resume(old)
-            while not r.messages:
-                r.receive()
-            answer = r.messages[0]
+        with store.member_client(old_leader, 1.0) as client:
+            assert client.value("k", stale=True) == "before"
+        store.relay.heal()
+        wait_for(store.has_equal_states, 15.0)
+        with store.member_client(old_leader) as client:
+            stored = {item.key for item in client.list()}
+        assert {f"majority{k}" for k in range(20)} <= stored
+
+
+@pytest.mark.parametrize("direction", ["in", "out"])
+def test_one_way_partition_does_not_stop_other_members(tmp_path: Path, direction: str) -> None:
+    with cluster(tmp_path) as store:
+        old_leader = store.leader()
+        others = store.others(old_leader)
+        pairs = (
+            {(old_leader, name) for name in others}
+            if direction == "out"
+            else {(name, old_leader) for name in others}
+        )
+        store.relay.blocked_pairs |= pairs
+        wait_for(lambda: write_through_any(store, direction, "k", others), 10.0)
+        assert value(store, store.leader(others), "k") == direction
+        store.relay.heal()
+        wait_for(store.has_equal_states, 15.0)
+
+
+def test_resumed_leader_serves_no_stale_read(tmp_path: Path) -> None:
+    with cluster(tmp_path) as store:
+        old_leader = store.leader()
+        others = store.others(old_leader)
+        put(store, old_leader, "k", 1)
+        with store.member_client(old_leader, 8.0) as client:
+            store.suspend(old_leader)
+            wait_for(lambda: store.leader(others), 5.0)
+            put(store, others[0], "k", 2)
+            # Sent while the leader is stopped, so that it reads the request before it learns of the new term.
+            client.sock.sendall(client.channel.send(wire.Request(1, wire.Get("k"), 6.0)))
+            store.resume(old_leader)
+            while not client.messages:
+                client.receive()
+            answer = client.messages[0]
         assert isinstance(answer, wire.Response) and answer.items[0].value == 2
-        wait_for(c.has_equal_states, 10.0)
+        wait_for(store.has_equal_states, 10.0)
 
 
-def test_garbled_links_are_reconnected_and_lose_nothing(tmp_path: Path) -> None:
-    with cluster(tmp_path) as c:
-        leader = c.leader()
-        pairs = [(a, b) for a in c.names for b in c.names if a != b]
-        c.relay.delay_s = 0.01
+def test_corrupted_links_reconnect_without_loss(tmp_path: Path) -> None:
+    with cluster(tmp_path) as store:
+        leader = store.leader()
+        pairs = [(dialer, member) for dialer in store.names for member in store.names if dialer != member]
+        store.relay.delay_s = 0.01
         for k in range(60):
-            c.relay.corrupted_pairs.add(pairs[k % len(pairs)])
-            wait_for(lambda k=k: write_through_any(c, str(k), f"k{k}", c.names), 10.0)  # type: ignore[misc]
-        with c.member_client(leader) as r:
-            assert len(r.list("k")) == 60
-        counted = sum(int(c.counters(n).get("store_link_garbled", 0)) for n in c.names)
+            store.relay.corrupted_pairs.add(pairs[k % len(pairs)])
+            wait_for(lambda k=k: write_through_any(store, str(k), f"k{k}", store.names), 10.0)  # type: ignore[misc]
+        with store.member_client(leader) as client:
+            assert len(client.list("k")) == 60
+        counted = sum(int(store.counters(name).get("store_link_garbled", 0)) for name in store.names)
         assert counted >= 3
-        wait_for(c.has_equal_states, 10.0)
+        wait_for(store.has_equal_states, 10.0)
 
 
-def test_a_watch_over_a_change_of_leader_misses_and_repeats_nothing(tmp_path: Path) -> None:
-    with cluster(tmp_path) as c:
-        leader = c.leader()
-        follower = c.others(leader)[0]
-        seen: list[Event] = []
+def test_watch_across_leader_change_yields_each_event_once(tmp_path: Path) -> None:
+    with cluster(tmp_path) as store:
+        leader = store.leader()
+        follower = store.others(leader)[0]
+        events: list[Event] = []
 
         def watch(name: str) -> None:
             since = 1
             while True:
                 try:
-                    with c.member_client(name) as r:
-                        for event in r.watch("w", since):
-                            seen.append(event)
+                    with store.member_client(name) as client:
+                        for event in client.watch("w", since):
+                            events.append(event)
                             since = event.revision + 1
                 except (RequestFailedError, OSError):
                     if ended.is_set():
                         return
-                    name = c.names[(c.names.index(name) + 1) % 3]
+                    name = store.names[(store.names.index(name) + 1) % 3]
                     time.sleep(0.05)
 
         ended = threading.Event()
         thread = threading.Thread(target=watch, args=(leader,), daemon=True)
         thread.start()
         for k in range(30):
-            wait_for(lambda k=k: write_through_any(c, "x", f"w{k}", c.others(leader)), 10.0)  # type: ignore[misc]
+            wait_for(lambda k=k: write_through_any(store, "x", f"w{k}", store.others(leader)), 10.0)  # type: ignore[misc]
             if k == 10:
-                c.kill(leader)  # which the watch hangs on
-        wait_for(lambda: len(seen) >= 30 and seen[-1].key == "w29", 10.0)
-        with c.member_client(follower) as r:
-            history = r.request(wire.History("w")).events
-        assert [(e.revision, e.key) for e in seen] == [(e.revision, e.key) for e in history]
+                store.kill(leader)  # the member that serves the watch
+        wait_for(lambda: len(events) >= 30 and events[-1].key == "w29", 10.0)
+        with store.member_client(follower) as client:
+            history = client.request(wire.History("w")).events
+        assert [(event.revision, event.key) for event in events] == [
+            (event.revision, event.key) for event in history
+        ]
         ended.set()
 
 
-def test_a_flood_of_writes_is_rejected_and_costs_no_memory(tmp_path: Path) -> None:
-    with cluster(tmp_path) as c:
-        leader = c.leader()
+def test_write_flood_is_rejected_with_bounded_memory(tmp_path: Path) -> None:
+    with cluster(tmp_path) as store:
+        leader = store.leader()
 
-        def memory() -> int:
-            pid = c.processes[leader].pid
-            line = next(x for x in Path(f"/proc/{pid}/status").read_text().splitlines() if "VmRSS" in x)
+        def resident_kb() -> int:
+            pid = store.processes[leader].pid
+            line = next(
+                line for line in Path(f"/proc/{pid}/status").read_text().splitlines() if "VmRSS" in line
+            )
             return int(line.split()[1])
 
-        put(c, leader, "k", 1)
-        before = memory()
-        for name in c.others(leader):
-            c.suspend(name)  # nothing can be committed
-        with c.member_client(leader, 1.0) as r:
-            big = "x" * 30_000
+        put(store, leader, "k", 1)
+        before_kb = resident_kb()
+        for name in store.others(leader):
+            store.suspend(name)  # without a majority nothing can be committed
+        with store.member_client(leader, 1.0) as client:
+            large_value = "x" * 30_000
             for k in range(6000):
-                r.sock.sendall(
-                    r.channel.send(
-                        wire.Request(k + 10, wire.Transaction((KeyUpdate(f"f{k % 9}", big),)), 3.0)
+                client.sock.sendall(
+                    client.channel.send(
+                        wire.Request(k + 10, wire.Transaction((KeyUpdate(f"f{k % 9}", large_value),)), 3.0)
                     )
                 )
             outcomes: dict[str, int] = {}
-            r.sock.settimeout(15.0)
+            client.sock.settimeout(15.0)
             while sum(outcomes.values()) < 6000:
-                r.receive()
-                for word in r.messages:
-                    assert isinstance(word, wire.Response)
-                    outcomes[word.text.split(":")[0] if word.outcome == "no" else word.outcome] = (
-                        outcomes.get(word.text.split(":")[0] if word.outcome == "no" else word.outcome, 0) + 1
+                client.receive()
+                for response in client.messages:
+                    assert isinstance(response, wire.Response)
+                    outcomes[
+                        response.text.split(":")[0] if response.outcome == "no" else response.outcome
+                    ] = (
+                        outcomes.get(
+                            response.text.split(":")[0] if response.outcome == "no" else response.outcome, 0
+                        )
+                        + 1
                     )
-                r.messages.clear()
+                client.messages.clear()
         assert outcomes.get("busy", 0) > 1000 and "ok" not in outcomes, outcomes
-        assert memory() - before < 150_000, "kB"
-        for name in c.others(leader):
-            c.resume(name)
-        wait_for(lambda: write_through_any(c, "x", "after", c.names), 10.0)
-        wait_for(c.has_equal_states, 15.0)
-
-
-def test_keys_with_a_time_to_live_expire_over_a_change_of_leader(tmp_path: Path) -> None:
-    with cluster(tmp_path) as c:
-        leader = c.leader()
-        with c.member_client(leader) as r:
-            r.set("t", 1, ttl_ms=1500)
-        c.kill(leader)
-        rest = c.others(leader)
-        wait_for(lambda: c.leader(rest), 5.0)
-        wait_for(lambda: value_if_reachable(c, rest[0], "t") is None, 8.0)
-        with c.member_client(rest[0]) as r:
-            (event,) = [e for e in r.request(wire.History("t")).events if e.deleted]
+        assert resident_kb() - before_kb < 150_000, "kB"
+        for name in store.others(leader):
+            store.resume(name)
+        wait_for(lambda: write_through_any(store, "x", "after", store.names), 10.0)
+        wait_for(store.has_equal_states, 15.0)
+
+
+def test_key_with_ttl_expires_across_leader_change(tmp_path: Path) -> None:
+    with cluster(tmp_path) as store:
+        leader = store.leader()
+        with store.member_client(leader) as client:
+            client.set("t", 1, ttl_ms=1500)
+        store.kill(leader)
+        others = store.others(leader)
+        wait_for(lambda: store.leader(others), 5.0)
+        wait_for(lambda: value_if_reachable(store, others[0], "t") is None, 8.0)
+        with store.member_client(others[0]) as client:
+            (event,) = [event for event in client.request(wire.History("t")).events if event.deleted]
         assert event.cause == "expired"
 
 
-def test_wall_clocks_that_are_wrong_and_jump_change_nothing(tmp_path: Path) -> None:
-    with cluster(tmp_path, started=False) as c:
-        for name, wrong in zip(c.names, ("-90000", "0", "90000"), strict=True):
-            c.start(name, {"STORE_WALL": wrong})
-        wait_for(c.leader, 15.0)
-        term = c.status(c.leader())["term"]
-        with c.member_client(c.leader()) as r:
-            r.set("short", 1, ttl_ms=1200)
-            r.set("long", 1, ttl_ms=60_000)
-        for name in c.names:
-            with c.member_client(c.leader()) as r:
-                if c.leader() != name:
-                    r.request(wire.TransferLeadership(name))
-            wait_for(lambda name=name: c.leader() == name, 5.0)  # type: ignore[misc]
-            put(c, name, "k", name)
-        began = time.monotonic()
-        wait_for(lambda: value_if_reachable(c, "n1", "short") is None, 8.0)
-        assert time.monotonic() - began < 5.0 and value(c, "n1", "long") == 1
-        assert c.status(c.leader())["term"] <= term + 6
-        wait_for(c.has_equal_states, 10.0)
+def test_wrong_wall_clocks_affect_neither_expiry_nor_elections(tmp_path: Path) -> None:
+    with cluster(tmp_path, started=False) as store:
+        for name, offset_ms in zip(store.names, ("-90000", "0", "90000"), strict=True):
+            store.start(name, {"STORE_WALL": offset_ms})
+        wait_for(store.leader, 15.0)
+        term = store.status(store.leader())["term"]
+        with store.member_client(store.leader()) as client:
+            client.set("short", 1, ttl_ms=1200)
+            client.set("long", 1, ttl_ms=60_000)
+        for name in store.names:
+            with store.member_client(store.leader()) as client:
+                if store.leader() != name:
+                    client.request(wire.TransferLeadership(name))
+            wait_for(lambda name=name: store.leader() == name, 5.0)  # type: ignore[misc]
+            put(store, name, "k", name)
+        started_at = time.monotonic()
+        wait_for(lambda: value_if_reachable(store, "n1", "short") is None, 8.0)
+        assert time.monotonic() - started_at < 5.0 and value(store, "n1", "long") == 1
+        assert store.status(store.leader())["term"] <= term + 6
+        wait_for(store.has_equal_states, 10.0)
--- a/tests/test_store_leases.py
+++ b/tests/test_store_leases.py
@@ -1,4 +1,4 @@
-"""Leases: what a write waits for, and that nobody decides by replaced state."""
+"""Leases: which holders a write waits for, and that no holder decides by stale state."""
 
 from __future__ import annotations
 
@@ -11,94 +11,95 @@
 from gradegap.store.leases import DEFAULT_LEASE_S, LeaseGranter, LeaseHolder
 
 
-def test_a_write_waits_for_lease_holders_and_no_others() -> None:
+def test_write_waits_only_for_holders_of_valid_leases() -> None:
     granter = LeaseGranter(0.0, 0.1)
     now = granter.unknown_until
-    seen: list[str] = []
+    acknowledged: list[str] = []
     assert granter.grant(now, "a", 5, now + 1) == DEFAULT_LEASE_S
-    assert granter.grant(now, "b", 4, now) == 0.0  # the leader's own lease is over: it gives none
-    granter.when_applied_by_all(now, 6, lambda: seen.append("6"))
-    assert not seen
+    assert granter.grant(now, "b", 4, now) == 0.0  # the leader's own lease has expired, so it grants none
+    granter.when_applied_by_all(now, 6, lambda: acknowledged.append("6"))
+    assert not acknowledged
     granter.holder_applied("a", 6)
     granter.expire(now)
-    assert seen == ["6"]
-    granter.when_applied_by_all(now, 7, lambda: seen.append("7"))
+    assert acknowledged == ["6"]
+    granter.when_applied_by_all(now, 7, lambda: acknowledged.append("7"))
     granter.expire(now + DEFAULT_LEASE_S)
-    assert len(seen) == 1
-    granter.expire(now + DEFAULT_LEASE_S / 0.9 + 0.001)  # it has run out, by whatever clock
-    assert seen == ["6", "7"]
+    assert len(acknowledged) == 1
+    granter.expire(now + DEFAULT_LEASE_S / 0.9 + 0.001)  # expired by every clock within the drift bound
+    assert acknowledged == ["6", "7"]
 
 
-def test_a_new_leader_waits_out_the_leases_of_its_predecessor() -> None:
-    granter, seen = LeaseGranter(0.0, 0.1), []
-    granter.when_applied_by_all(0.0, 1, lambda: seen.append(1))
+def test_new_leader_waits_until_leases_of_its_predecessor_expire() -> None:
+    granter, acknowledged = LeaseGranter(0.0, 0.1), []
+    granter.when_applied_by_all(0.0, 1, lambda: acknowledged.append(1))
     granter.expire(DEFAULT_LEASE_S)
-    assert not seen
+    assert not acknowledged
     granter.expire(granter.next_expiry() or 0.0)
-    assert seen
+    assert acknowledged
 
 
-def test_a_lease_is_valid_only_once_its_index_is_applied() -> None:
+def test_lease_is_valid_only_after_its_index_is_applied() -> None:
     holder = LeaseHolder("a", 0.1)
     serial = holder.begin_request(10.0)
     holder.granted(10.3, serial, 2, 8, DEFAULT_LEASE_S, applied=7)
     assert not holder.is_fresh(10.3)
     holder.applied(8)
     assert holder.is_fresh(10.3) and not holder.is_fresh(10.0 + DEFAULT_LEASE_S * 0.9)
-    holder.granted(10.4, serial, 2, 8, DEFAULT_LEASE_S, applied=8)  # an answer that comes twice
-    late = holder.begin_request(10.5)
-    holder.granted(30.0, late, 2, 8, DEFAULT_LEASE_S, applied=8)  # the process was stopped meanwhile
+    holder.granted(10.4, serial, 2, 8, DEFAULT_LEASE_S, applied=8)  # a duplicate response
+    late_serial = holder.begin_request(10.5)
+    # The process was suspended in between.
+    holder.granted(30.0, late_serial, 2, 8, DEFAULT_LEASE_S, applied=8)
     assert not holder.is_fresh(30.0)
 
 
-class LeaseWorld:
-    """A leader, its successor and a node, clocks at the edge of the bound, words late."""
+class LeaseSimulation:
+    """A leader, its successor and a lease holder, with clocks at the drift bound and delayed messages."""
 
     def __init__(self, seed: int) -> None:
         self.rng = rng = random.Random(seed)
         self.rates = [rng.choice([1.0, 1.0 / 0.9]) for _ in range(3)]
         self.offsets = [rng.uniform(0, 100) for _ in range(3)]
-        self.t = 0.0
-        self.leader = 0  # whose clock leads
+        self.now = 0.0
+        self.leader = 0  # index of the leader's clock
         self.granter = LeaseGranter(self.clock(0) - 99.0, 0.1)
         self.holder = LeaseHolder("h", 0.1)
-        self.applied = self.committed = self.acked = 0
-        self.todo: list[tuple[float, Callable[[], None]]] = []
+        self.applied = self.committed = self.acknowledged = 0
+        self.scheduled: list[tuple[float, Callable[[], None]]] = []
 
-    def clock(self, k: int) -> float:
-        return self.offsets[k] + self.rates[k] * self.t
+    def clock(self, index: int) -> float:
+        return self.offsets[index] + self.rates[index] * self.now
 
-    def later(self, most: float, action: Callable[[], None]) -> None:
-        self.todo.append((self.t + self.rng.uniform(0, most), action))
+    def schedule(self, max_delay_s: float, action: Callable[[], None]) -> None:
+        self.scheduled.append((self.now + self.rng.uniform(0, max_delay_s), action))
 
     def write(self, index: int) -> None:
-        self.granter.when_applied_by_all(self.clock(self.leader), index, lambda: self.ack(index))
+        self.granter.when_applied_by_all(self.clock(self.leader), index, lambda: self.acknowledge(index))
 
-    def ack(self, index: int) -> None:
-        self.acked = max(self.acked, index)
+    def acknowledge(self, index: int) -> None:
+        self.acknowledged = max(self.acknowledged, index)
 
-    def ask(self) -> None:
-        serial, has = self.holder.begin_request(self.clock(2)), self.applied
+    def request_lease(self) -> None:
+        serial, applied = self.holder.begin_request(self.clock(2)), self.applied
 
         def grant() -> None:
             now = self.clock(self.leader)
-            given = self.granter.grant(now, "h", has, now + 1)
+            duration_s = self.granter.grant(now, "h", applied, now + 1)
             term, index = 1 + self.leader, self.committed
 
             def granted() -> None:
-                self.holder.granted(self.clock(2), serial, term, index, given, self.applied)
+                self.holder.granted(self.clock(2), serial, term, index, duration_s, self.applied)
 
-            self.later(0.8, granted)
+            self.schedule(0.8, granted)
 
-        self.later(0.4, grant)
+        self.schedule(0.4, grant)
 
     def apply(self) -> None:
         self.applied += 1
         self.holder.applied(self.applied)
-        has = self.applied
-        self.later(0.5, lambda: self.granter.holder_applied("h", has))
+        applied = self.applied
+        self.schedule(0.5, lambda: self.granter.holder_applied("h", applied))
 
-    def depose(self) -> None:
+    def change_leader(self) -> None:
         waiting = [index for index, _ in self.granter.waiting]
         self.leader = 1
         self.granter = LeaseGranter(self.clock(1), 0.1)
@@ -106,30 +107,30 @@
             self.write(index)
 
     def step(self) -> None:
-        self.t += self.rng.uniform(0.0, 0.2)
-        for due in [x for x in self.todo if x[0] <= self.t]:
-            self.todo.remove(due)
+        self.now += self.rng.uniform(0.0, 0.2)
+        for due in [action for action in self.scheduled if action[0] <= self.now]:
+            self.scheduled.remove(due)
             due[1]()
         self.granter.expire(self.clock(self.leader))
-        what = self.rng.random()
-        if what < 0.4:
-            self.ask()
-        elif what < 0.6:
+        choice = self.rng.random()
+        if choice < 0.4:
+            self.request_lease()
+        elif choice < 0.6:
             self.committed += 1
             self.write(self.committed)
-        elif what < 0.75 and self.applied < self.committed:
+        elif choice < 0.75 and self.applied < self.committed:
             self.apply()
-        elif what < 0.78 and not self.leader:
-            self.depose()
+        elif choice < 0.78 and not self.leader:
+            self.change_leader()
 
 
 @settings(max_examples=80, deadline=None)
 @given(st.integers(0, 10_000))
-def test_nobody_decides_by_replaced_state_whatever_the_clocks(seed: int) -> None:
-    world = LeaseWorld(seed)
-    while world.t < 12.0:
-        world.step()
-        if world.holder.is_fresh(world.clock(2)):
-            assert world.applied >= world.acked, (
-                f"it decides at {world.applied}, {world.acked} was acknowledged"
+def test_valid_lease_implies_that_acknowledged_writes_are_applied(seed: int) -> None:
+    simulation = LeaseSimulation(seed)
+    while simulation.now < 12.0:
+        simulation.step()
+        if simulation.holder.is_fresh(simulation.clock(2)):
+            assert simulation.applied >= simulation.acknowledged, (
+                f"holder decides at index {simulation.applied}, but {simulation.acknowledged} is acknowledged"
             )
