--- a/gradegap/store/gossip.py
+++ b/gradegap/store/gossip.py
@@ -44,9 +44,8 @@
         """`has_endpoint_list` returns whether discovery has provided an endpoint list to this node."""
         self.node, self.proxy, self.metrics = node, proxy, metrics
         self.has_endpoint_list = has_endpoint_list
-        self._unresponsive_at: dict[
-            str, float
-        ] = {}  # by endpoint id, as reported by other nodes (steady time, s)
+        # Steady time (s) of the last unanswered health check of other nodes, by endpoint id.
+        self._unresponsive_at: dict[str, float] = {}
 
     # Outgoing
 
--- a/gradegap/store/leases.py
+++ b/gradegap/store/leases.py
@@ -41,9 +41,8 @@
         self.grants: dict[str, Grant] = {}  # by holder
         # Leases granted by an earlier leader are not known here, so writes wait until all have expired.
         self.unknown_until = self._expiry(now)
-        self.waiting: list[
-            tuple[int, Callable[[], None]]
-        ] = []  # an index, and the callback that waits for it
+        # An index, and the callback that waits for it.
+        self.waiting: list[tuple[int, Callable[[], None]]] = []
 
     def _expiry(self, now: float) -> float:
         return now + self.lease_s / (1.0 - self.max_clock_drift)
--- a/tests/test_store_node.py
+++ b/tests/test_store_node.py
@@ -153,9 +153,8 @@
     gossip.receive(Gossip("other", {}, [valid, *invalid, old, unknown_endpoint]))
     assert [server for _, server in events] == ["s1"] and 1.9 < events[0][0] < 2.1
     assert proxy.metrics.counts["gossip_unfit"] == len(invalid)
-    gossip.receive(
-        Gossip("other", {}, [GossipReport("s1", "report", 1.95, {"x0": 0.4})])
-    )  # newer than the known report by less than MIN_REPORT_ADVANCE_S
+    # Newer than the known report by less than MIN_REPORT_ADVANCE_S.
+    gossip.receive(Gossip("other", {}, [GossipReport("s1", "report", 1.95, {"x0": 0.4})]))
     assert len(events) == 1
     # The node sends its own observations only, not those of other nodes.
     assert gossip.message({}).reports == []
@@ -235,9 +234,8 @@
     client.send("still here")
     assert client.read_line() == "still here"
     nodes.environments[leader] = second
-    wait_for(
-        lambda: "UP b" in nodes.open_answers(leader)
-    )  # a single server may answer BUSY to several requests at once
+    # A single server may answer BUSY to several requests at once.
+    wait_for(lambda: "UP b" in nodes.open_answers(leader))
     assert "UP a" not in nodes.open_answers(leader)
     assert call(console, "save-servers/s-a/online") == 200
     wait_for(lambda: "UP a" in nodes.open_answers(leader))
