--- a/bench/quic.py
+++ b/bench/quic.py
@@ -217,7 +217,7 @@
     """A client whose connection is established; one that is rejected tries again."""
     for _ in range(50):
         client = connect()
-        answer = client.ask()
+        answer = client.open_request()
         if answer.startswith("UP"):
             return client
         time.sleep(0.1)
@@ -233,7 +233,7 @@
     client = clients[-1]
     for _ in range(LINES):
         client.send(b"hello\r\n")
-        client.line()
+        client.read_line()
     cpu_after_lines = cpu_seconds(pid)
     return {
         "a session's start, us": round((cpu_connected - cpu_before) / SESSIONS * 1e6),
--- a/tests/test_observer_cluster.py
+++ b/tests/test_observer_cluster.py
@@ -246,7 +246,7 @@
     for name in fleet.machines.names:
         fleet.machines.suspend(name)
     for node in fleet.nodes.values():
-        wait_for(lambda n=node: not n.ready(), 6.0)  # type: ignore[misc]
+        wait_for(lambda n=node: not n.is_ready(), 6.0)  # type: ignore[misc]
     for name in fleet.machines.names:
         fleet.machines.resume(name)
     wait_for(lambda: fleet.level(0), 15.0)
--- a/tests/test_observer_server.py
+++ b/tests/test_observer_server.py
@@ -41,7 +41,7 @@
         for node in nodes:
             assert "out/s-a" in node.keys or not node.fresh()  # type: ignore[attr-defined]
         await w.write("config/motd", "hello")
-        await w.until(lambda: all(n.keys.get("config/motd") == "hello" for n in nodes))  # type: ignore[attr-defined]
+        await w.wait_until(lambda: all(n.keys.get("config/motd") == "hello" for n in nodes))  # type: ignore[attr-defined]
         await w.wait_until(lambda: all(n.revision == answer.revision + 1 for n in nodes))
         assert w.counts["observer_accepted"] == 5
         traffic = nodes[0].traffic
