--- a/tests/support/balancer_driver.py
+++ b/tests/support/balancer_driver.py
@@ -1,4 +1,4 @@
-"""A small driver: one balancer, its clock, and shorthand for the events it is fed."""
+"""Drives one balancer with a simulated clock, with short methods for the usual events."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class BalancerDriver:
-    """Feeds events to one balancer and keeps what it did."""
+    """Passes events to one balancer and records the actions it returns."""
 
     def __init__(self, servers: int = 6, seed: int = 1, **changes: Any) -> None:
         self.settings = settings(**changes)
@@ -68,29 +68,32 @@
         return self.feed(RequestArrived(**fields))
 
     def report_health(self, server: str, x0: float, inflight: float = 5.0) -> list[Action]:
-        self.report_count += 1  # reports are never quite the same twice
+        self.report_count += 1  # makes each report differ slightly from the one before
         report = {"x0": x0 * (1.0 + 1e-9 * self.report_count), "inflight": inflight}
         return self.feed(HealthCheckEnded(server, AttemptResult.OK, 0.001, report))
 
     def answer_health_checks(self, actions: list[Action], x0: Any, inflight: float = 5.0) -> list[Action]:
-        """Answer every probe, and those that follow, with the load `x0` gives; all other actions."""
-        rest: list[Action] = []
-        todo = list(actions)
-        while todo:
-            action = todo.pop(0)
+        """Answers every health check, and those that follow from it, and returns all other actions.
+
+        `x0` is the reported load, or a function that returns it for an endpoint.
+        """
+        other_actions: list[Action] = []
+        pending = list(actions)
+        while pending:
+            action = pending.pop(0)
             if isinstance(action, CheckHealth):
-                todo += self.report_health(
+                pending += self.report_health(
                     action.endpoint, x0(action.endpoint) if callable(x0) else x0, inflight
                 )
             else:
-                rest.append(action)
-        return rest
+                other_actions.append(action)
+        return other_actions
 
-    def end_attempt(self, send: Forward, result: AttemptResult, settled: bool = False) -> list[Action]:
-        return self.feed(AttemptEnded(send.request_id, 0, send.endpoint, result, 0.01, settled))
+    def end_attempt(self, forward: Forward, result: AttemptResult, settled: bool = False) -> list[Action]:
+        return self.feed(AttemptEnded(forward.request_id, 0, forward.endpoint, result, 0.01, settled))
 
-    def establish(self, send: Forward) -> list[Action]:
-        return self.feed(ConnectionEstablished(send.request_id, 0, send.endpoint, 0.01))
+    def establish(self, forward: Forward) -> list[Action]:
+        return self.feed(ConnectionEstablished(forward.request_id, 0, forward.endpoint, 0.01))
 
     def set_phase(self, server: str, phase: EndpointPhase, started_at: float = 0.0) -> None:
         entry = EndpointEntry(server, phase=phase, started_at=started_at)
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -1,4 +1,4 @@
-"""Members of a store as processes, each behind a relay, with what a test does to them."""
+"""Members of a store as processes, each behind a relay, with operations that inject faults."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 
 class Cluster:
-    """`n1` to `nN`; each can be killed, stopped, started, and cut off."""
+    """Members `n1` to `nN`; each can be killed, suspended, restarted and partitioned."""
 
     def __init__(
         self, folder: Path, size: int = 3, env: dict[str, str] | None = None, relayed: bool = True
     ) -> None:
         self.folder, self.relayed = folder, relayed
         self.env = os.environ | {"PYTHONPATH": str(ROOT), "PYTHONUNBUFFERED": "1"} | (env or {})
-        self.names = [f"n{k}" for k in range(1, size + 1)]
+        self.names = [f"n{number}" for number in range(1, size + 1)]
         self.relay = Relay()
         self.listen_addresses: dict[str, str] = {}
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
@@ -45,13 +45,15 @@
             self.relay.addresses[name] = self.listen_addresses[name]
 
     def write_config(self, name: str, names: list[str] | None = None, more: str = "") -> Path:
-        peers = [n for n in names or self.names if n != name]
-        listed = ", ".join(f'{{name = "{p}", address = "{self.relay.addresses[p]}"}}' for p in peers)
+        peers = [member for member in names or self.names if member != name]
+        peer_tables = ", ".join(
+            f'{{name = "{peer}", address = "{self.relay.addresses[peer]}"}}' for peer in peers
+        )
         path = self.folder / f"{name}.toml"
         path.write_text(
             f'[store]\nname = "{name}"\nlisten = "{self.listen_addresses[name]}"\n'
             f'advertise = "{self.relay.addresses[name]}"\ndata = "{self.folder / name}"\n'
-            f'secret = "{self.folder / "secret"}"\npeers = [{listed}]\n{more}'
+            f'secret = "{self.folder / "secret"}"\npeers = [{peer_tables}]\n{more}'
         )
         return path
 
@@ -75,14 +77,14 @@
         return MemberClient(self.listen_addresses[name], SECRET, wait)
 
     def status(self, name: str) -> dict[str, Any]:
-        with self.member_client(name, 1.0) as r:
-            return r.status()
+        with self.member_client(name, 1.0) as client:
+            return client.status()
 
     def running(self) -> list[str]:
-        return [n for n, p in self.processes.items() if p.poll() is None]
+        return [member for member, process in self.processes.items() if process.poll() is None]
 
     def leader(self, among: list[str] | None = None) -> str:
-        """A leader that holds its lease; empty where there is none."""
+        """Returns the name of a leader that holds its lease, or an empty string."""
         for name in among or self.running():
             with contextlib.suppress(RequestFailedError):
                 status = self.status(name)
@@ -91,7 +93,7 @@
         return ""
 
     def others(self, name: str) -> list[str]:
-        return [n for n in self.names if n != name]
+        return [member for member in self.names if member != name]
 
     def kill(self, name: str) -> None:
         self.processes[name].kill()
@@ -104,30 +106,32 @@
         self.processes[name].send_signal(signal.SIGCONT)
 
     def cli(self, *words: str, timeout: float = 30.0) -> subprocess.CompletedProcess[str]:
-        line = [sys.executable, "-m", "gradegap", *words]
+        command_line = [sys.executable, "-m", "gradegap", *words]
         env = self.env | {"GRADEGAP_STORE_SECRET": str(self.folder / "secret")}
-        return subprocess.run(line, capture_output=True, text=True, cwd=ROOT, timeout=timeout, env=env)
+        return subprocess.run(
+            command_line, capture_output=True, text=True, cwd=ROOT, timeout=timeout, env=env
+        )
 
     def counters(self, name: str) -> dict[str, str]:
         before = self.log(name).count("event=counters")
         self.processes[name].send_signal(signal.SIGUSR1)
         wait_for(lambda: self.log(name).count("event=counters") > before)
-        last = [line for line in self.log(name).splitlines() if "event=counters" in line][-1]
-        return dict(part.split("=", 1) for part in last.split() if "=" in part)
+        last_event = [line for line in self.log(name).splitlines() if "event=counters" in line][-1]
+        return dict(field.split("=", 1) for field in last_event.split() if "=" in field)
 
     def has_equal_states(self) -> bool:
-        """All members hold the same keys at the same revision."""
-        seen = set()
+        """Returns whether all running members hold the same keys at the same revision."""
+        digests = set()
         for name in self.running():
             try:
-                with self.member_client(name, 2.0) as r:
-                    answer = r.request(wire.Digest())
+                with self.member_client(name, 2.0) as client:
+                    answer = client.request(wire.Digest())
             except RequestFailedError:
                 return False
-            seen.add((answer.revision, answer.text))
-            if len(seen) > 1:
+            digests.add((answer.revision, answer.text))
+            if len(digests) > 1:
                 return False
-        return len(seen) == 1
+        return len(digests) == 1
 
     def stop(self) -> None:
         for process in self.processes.values():
@@ -139,48 +143,48 @@
 
 @contextlib.contextmanager
 def cluster(folder: Path, size: int = 3, started: bool = True, **env: str) -> Iterator[Cluster]:
-    made = Cluster(folder, size, env)
+    created = Cluster(folder, size, env)
     try:
         if started:
-            made.start_all()
-        yield made
-        for name in made.names:
-            if (made.folder / f"{name}.log").exists():
-                assert "Traceback" not in made.log(name), made.log(name)
+            created.start_all()
+        yield created
+        for name in created.names:
+            if (created.folder / f"{name}.log").exists():
+                assert "Traceback" not in created.log(name), created.log(name)
     finally:
-        made.stop()
+        created.stop()
 
 
-def put(c: Cluster, name: str, key: str, value: Any, wait: float = 5.0) -> int:
-    with c.member_client(name, wait) as r:
-        return r.set(key, value)
+def put(members: Cluster, name: str, key: str, value: Any, wait: float = 5.0) -> int:
+    with members.member_client(name, wait) as client:
+        return client.set(key, value)
 
 
-def value(c: Cluster, name: str, key: str) -> Any:
-    with c.member_client(name) as r:
-        return r.value(key)
+def value(members: Cluster, name: str, key: str) -> Any:
+    with members.member_client(name) as client:
+        return client.value(key)
 
 
-def value_if_reachable(c: Cluster, name: str, key: str) -> Any:
-    """What a member has, or None while it can't be asked."""
+def value_if_reachable(members: Cluster, name: str, key: str) -> Any:
+    """Returns the value that a member has for a key, or None while the member is unreachable."""
     try:
-        return value(c, name, key)
+        return value(members, name, key)
     except RequestFailedError:
         return None
 
 
-def status_if_reachable(c: Cluster, name: str) -> dict[str, Any]:
+def status_if_reachable(members: Cluster, name: str) -> dict[str, Any]:
     try:
-        return c.status(name)
+        return members.status(name)
     except RequestFailedError:
         return {"role": "", "members": [], "removed": False}
 
 
-def write_through_any(c: Cluster, name: str, key: str, among: list[str]) -> Any:
-    """Write through any of `among` until one says yes."""
+def write_through_any(members: Cluster, name: str, key: str, among: list[str]) -> Any:
+    """Tries to write through each of `among` in order; returns the first revision, or None if all fail."""
     for other in among:
         try:
-            return put(c, other, key, name, 2.0)
+            return put(members, other, key, name, 2.0)
         except RequestFailedError:
             pass
     return None
--- a/tests/support/deployments.py
+++ b/tests/support/deployments.py
@@ -1,7 +1,7 @@
-"""Settings of two deployments, written by hand after what their operators say, and a short day for either.
+"""Settings of two deployments, as their operators describe them, and a short scenario that runs with either.
 
-Neither may be forgotten: what serves one by luck has broken the other. Figures that only a day's length
-depends on (waits for a list that is asked for) are at the short end.
+Both have to be tested: a change that happened to work in one deployment has broken the other. Settings that
+only determine how long the scenario takes (the waits for a polled endpoint list) are at the short end.
 """
 
 from __future__ import annotations
@@ -28,14 +28,21 @@
 )
 from tests.support.silent_discovery import SilentDiscovery
 
-MS = 1_000_000
+MS = 1_000_000  # nanoseconds
 
 
-def lane(name: str, aim: int, limit: int, points: float) -> dict[str, Any]:
-    return {"Name": name, "AimNs": aim * MS, "HardLimitNs": limit * MS, "Points": points, "Stream": True}
+def lane(name: str, aim_ms: int, limit_ms: int, points: float) -> dict[str, Any]:
+    """Returns the settings of one request class; latencies in milliseconds."""
+    return {
+        "Name": name,
+        "AimNs": aim_ms * MS,
+        "HardLimitNs": limit_ms * MS,
+        "Points": points,
+        "Stream": True,
+    }
 
 
-PUSHED: dict[str, Any] = {  # three data centres, nobody shares, a grace of 2 s
+PUSHED: dict[str, Any] = {  # three data centres, no tenants, a drain grace of 2 s
     "Bounds": {"ConnectTimeoutNs": 200 * MS, "MaxAttempts": 4, "MaxRetryAfterNs": 1000 * MS}
     | {"Probes": True, "RetryAfter": True},
     "FamilyInfo": {"Groups": True, "MessageAimNs": [50 * MS, 100 * MS], "Mode": "proxy"},
@@ -48,7 +55,7 @@
     "Tenants": None,
     "Weights": "live",
 }
-# Four sites, six tenants (two here) with shares, one list service, a grace of 0.25 s.
+# Four sites, six tenants with shares (two of them here), one discovery service, a drain grace of 0.25 s.
 ON_REQUEST: dict[str, Any] = {
     "Bounds": {"ConnectTimeoutNs": 250 * MS, "MaxAttempts": 3, "MaxRetryAfterNs": 1500 * MS}
     | {"Probes": True, "RetryAfter": True},
@@ -72,9 +79,9 @@
 
 
 class LoadReportingServer(EndpointServer):
-    """A save server whose load is what it holds, and which may send its clients away when it drains."""
+    """A save server that reports its connections as load and can migrate its clients when it drains."""
 
-    capacity_connections = 60.0  # connections that fill it
+    capacity_connections = 60.0  # connections at full load
 
     def _serve(self, sock: Any) -> None:
         super()._serve(sock)
@@ -83,8 +90,10 @@
         self.report()
 
     def report(self) -> None:
-        n = len(self.established)
-        self.load = f"x0={n / self.capacity_connections + 0.001 * random.random():.4f},x1=0,inflight={n}"
+        count = len(self.established)
+        self.load = (
+            f"x0={count / self.capacity_connections + 0.001 * random.random():.4f},x1=0,inflight={count}"
+        )
 
     def migrate_clients(self) -> None:
         for sock in list(self.established):
@@ -94,7 +103,7 @@
 
 
 class NodeProcess:
-    """One node as a process, started again under its name with nothing but its last list."""
+    """One node as a process, which restarts under its name with only its last endpoint list."""
 
     def __init__(
         self,
@@ -103,7 +112,7 @@
         settings: dict[str, Any],
         discovery_server: SilentDiscovery,
         wait: bool = True,
-        discovery: str = "",  # its address, where this node has one of its own
+        discovery: str = "",  # address, if this node uses another discovery than `discovery_server`
     ) -> None:
         self.folder, self.index, self.settings, self.discovery_server = (
             folder,
@@ -115,7 +124,7 @@
         self.address = f"127.0.0.1:{free_port()}"
         self.log = folder / f"n{index}.log"
         self.stopped_at = 0.0
-        self.killed_pids: set[int] = set()  # processes of it that were
+        self.killed_pids: set[int] = set()  # process ids that were killed
         self.start(wait)
 
     def start(self, wait: bool = True) -> None:
@@ -144,130 +153,134 @@
     def counters(self) -> dict[str, str]:
         return read_counters(self.process, self.log)
 
-    def stop(self, how: signal.Signals) -> None:
+    def stop(self, signal_number: signal.Signals) -> None:
         self.stopped_at = time.time()
-        if how is signal.SIGKILL:
+        if signal_number is signal.SIGKILL:
             self.killed_pids.add(self.process.pid)
-        self.process.send_signal(how)
+        self.process.send_signal(signal_number)
         self.process.wait(10)
 
 
 @dataclass
 class ClientObservations:
-    """What clients saw, for the rules."""
+    """Observations of the clients, to check against the rules."""
 
     answer_counts: Counter[str] = field(default_factory=Counter)
     late_answers: list[str] = field(default_factory=list)
-    lost_connections: list[tuple[float, str]] = field(
-        default_factory=list
-    )  # connections that ended without MOVE
+    lost_connections: list[tuple[float, str]] = field(default_factory=list)  # ended without MOVE
     established: set[int] = field(default_factory=set)
 
 
 class ClientThread(threading.Thread):
-    """A client that comes again until the day is over."""
+    """A client that reconnects until the scenario ends."""
 
-    def __init__(self, index: int, day: DeploymentRun) -> None:
+    def __init__(self, index: int, deployment: DeploymentRun) -> None:
         super().__init__(daemon=True)
-        self.index, self.deployment, self.rng = index, day, random.Random(index)
+        self.index, self.deployment, self.rng = index, deployment, random.Random(index)
         self.is_reconnect = False
 
     def run(self) -> None:
-        day = self.deployment
-        while not day.stopped.is_set():
-            nodes = [n for n in day.nodes if not n.stopped_at]
+        deployment = self.deployment
+        while not deployment.stopped.is_set():
+            nodes = [node for node in deployment.nodes if not node.stopped_at]
             node = self.rng.choice(nodes)
             try:
                 self.run_session(node)
-            except OSError as error:  # by one that was just killed, or ends: the next is another
-                if not node.stopped_at and not day.stopped.is_set():
-                    day.observations.lost_connections.append(
+            # A node that ends or was just killed; the next attempt picks a node again.
+            except OSError as error:
+                if not node.stopped_at and not deployment.stopped.is_set():
+                    deployment.observations.lost_connections.append(
                         (time.time(), f"player {self.index} at n{node.index}: {error!r}")
                     )
-            day.observations.established.discard(self.index)
-            day.stopped.wait(self.rng.uniform(0.1, 0.3))
+            deployment.observations.established.discard(self.index)
+            deployment.stopped.wait(self.rng.uniform(0.1, 0.3))
 
     def run_session(self, node: NodeProcess) -> None:
-        day = self.deployment
-        cls = day.settings["Lanes"][self.index % len(day.settings["Lanes"])]
-        limit = cls["HardLimitNs"] / 1e9
-        fields = f"c={cls['Name']},d={round(limit * 1000)},g=group-{self.index % 4}"
-        if day.settings["Tenants"]:
-            fields += f",t={day.settings['Tenants'][self.index % 2]['Name']}"
+        deployment = self.deployment
+        request_class = deployment.settings["Lanes"][self.index % len(deployment.settings["Lanes"])]
+        limit = request_class["HardLimitNs"] / 1e9
+        fields = f"c={request_class['Name']},d={round(limit * 1000)},g=group-{self.index % 4}"
+        if deployment.settings["Tenants"]:
+            fields += f",t={deployment.settings['Tenants'][self.index % 2]['Name']}"
         pid = node.process.pid
         client = Client(node.address)
-        began = time.time()
+        started_at = time.time()
         answer = client.open_request(fields + (",again=1" if self.is_reconnect else ""))
-        spent = time.time() - began
-        word = answer.split(" ")[0] if answer else ("gone" if node.stopped_at else "none")
-        day.observations.answer_counts[word] += 1
-        if spent > limit + 0.3 and not node.stopped_at:
-            day.observations.late_answers.append(
-                f"player {self.index}: {word} after {spent:.2f} s of {limit}"
+        elapsed_s = time.time() - started_at
+        answer_word = answer.split(" ")[0] if answer else ("gone" if node.stopped_at else "none")
+        deployment.observations.answer_counts[answer_word] += 1
+        if elapsed_s > limit + 0.3 and not node.stopped_at:
+            deployment.observations.late_answers.append(
+                f"player {self.index}: {answer_word} after {elapsed_s:.2f} s of {limit}"
             )
-        if word != "UP":
+        if answer_word != "UP":
             return
-        day.observations.established.add(self.index)
+        deployment.observations.established.add(self.index)
         client.sock.settimeout(4.0)
-        while not day.stopped.is_set():
+        while not deployment.stopped.is_set():
             try:
                 client.send("hello")
                 line = client.read_line()
-            except OSError:  # the reset of its server, passed on
+            except OSError:  # the reset of the endpoint server, forwarded by the node
                 line = ""
             if line == "MOVE":
                 self.is_reconnect = True
                 return
             if not line:
-                killed = pid in node.killed_pids
-                dead = any(
-                    s.name == answer.split(" ")[1] and s.name in day.killed_servers for s in day.servers
+                is_node_killed = pid in node.killed_pids
+                is_server_killed = any(
+                    server.name == answer.split(" ")[1] and server.name in deployment.killed_servers
+                    for server in deployment.servers
                 )
-                if not killed and not dead:
-                    day.observations.lost_connections.append(
+                if not is_node_killed and not is_server_killed:
+                    deployment.observations.lost_connections.append(
                         (time.time(), f"player {self.index} at n{node.index} {answer}")
                     )
                 self.is_reconnect = True
                 return
-            day.stopped.wait(0.15)
+            deployment.stopped.wait(0.15)
 
 
 class DeploymentRun:
-    """Three nodes, five save servers, one discovery and some players, and what is done to them."""
+    """Three nodes, five save servers, one discovery and a number of clients."""
 
     def __init__(self, folder: Path, settings: dict[str, Any], players: int = 36) -> None:
         self.settings = settings
-        self.servers = [LoadReportingServer(f"s{k}") for k in range(5)]
-        for s in self.servers:
-            s.report()
-        self.discovery = SilentDiscovery([s.entry for s in self.servers])
-        self.nodes = [NodeProcess(folder, k, settings, self.discovery) for k in range(3)]
+        self.servers = [LoadReportingServer(f"s{number}") for number in range(5)]
+        for server in self.servers:
+            server.report()
+        self.discovery = SilentDiscovery([server.entry for server in self.servers])
+        self.nodes = [NodeProcess(folder, number, settings, self.discovery) for number in range(3)]
         self.stopped = threading.Event()
         self.killed_servers: set[str] = set()
         self.observations = ClientObservations()
-        self.drain_known_at: dict[str, float] = {}  # when a drain counts as told at the latest
-        self.clients = [ClientThread(k, self) for k in range(players)]
-        for p in self.clients:
-            p.start()
+        self.drain_known_at: dict[str, float] = {}  # latest time at which nodes know of a drain
+        self.clients = [ClientThread(number, self) for number in range(players)]
+        for client in self.clients:
+            client.start()
 
     @property
     def drain_grace_s(self) -> float:
         return float(self.settings["Rules"]["DrainGraceNs"]) / 1e9
 
     def late_forwards(self) -> list[str]:
-        """First lines that came to a server after its grace, the rules' 50 ms and this machine's 100 more."""
+        """Lists OPEN lines that reached a server after its drain grace.
+
+        The rules tolerate 50 ms after the grace; another 100 ms allow for scheduling on this machine.
+        """
         return [
-            f"{s.name} {at - self.drain_known_at[s.name]:.2f} s after it was told: {line}"
-            for s in self.servers
-            if s.name in self.drain_known_at
-            for at, line in s.lines
-            if line.startswith("OPEN") and at > self.drain_known_at[s.name] + self.drain_grace_s + 0.05 + 0.1
+            f"{server.name} {at - self.drain_known_at[server.name]:.2f} s after it was told: {line}"
+            for server in self.servers
+            if server.name in self.drain_known_at
+            for at, line in server.lines
+            if line.startswith("OPEN")
+            and at > self.drain_known_at[server.name] + self.drain_grace_s + 0.05 + 0.1
         ]
 
     def stop(self) -> None:
         self.stopped.set()
-        for p in self.clients:
-            p.join(6.0)
+        for client in self.clients:
+            client.join(6.0)
         for node in self.nodes:
             if node.process.poll() is None:
                 node.process.kill()
--- a/tests/support/lossy_datagram_relay.py
+++ b/tests/support/lossy_datagram_relay.py
@@ -1,4 +1,4 @@
-"""A relay of datagrams that loses, doubles and reorders some, by a seed; between QUIC clients and a node."""
+"""A datagram relay between QUIC clients and a node that drops, duplicates and reorders by a seed."""
 
 from __future__ import annotations
 
@@ -12,17 +12,20 @@
 
 
 class LossyDatagramRelay:
-    """Clients speak to `port`; each has a socket of its own towards the node."""
+    """Clients send to `port`; each client has its own socket towards the node."""
 
     def __init__(
         self, peer: tuple[str, int], seed: int, loss_ratio: float, duplicate_ratio: float, late_ratio: float
     ) -> None:
-        """Parts of all datagrams, either way; one that is late comes up to 30 ms after others."""
+        """Sets the shares of datagrams, in both directions, that are dropped, duplicated and delayed.
+
+        A delayed datagram is sent up to 30 ms later, so that others overtake it.
+        """
         self.peer, self.rng = peer, random.Random(seed)
         self.loss_ratio, self.duplicate_ratio, self.late_ratio = loss_ratio, duplicate_ratio, late_ratio
         self.client_socket = self._socket()
         self.port: int = self.client_socket.getsockname()[1]
-        self.socket_by_client: dict[tuple[str, int], socket.socket] = {}  # by client
+        self.socket_by_client: dict[tuple[str, int], socket.socket] = {}
         self.client_by_socket: dict[socket.socket, tuple[str, int]] = {}
         self.waiting: list[tuple[float, int, socket.socket, tuple[str, int], bytes]] = []
         self.count = self.dropped = 0
@@ -69,6 +72,6 @@
                     self._pass(self.client_socket, self.client_by_socket[sock], data)
                     continue
                 if address not in self.socket_by_client:
-                    self.socket_by_client[address] = made = self._socket()
-                    self.client_by_socket[made] = address
+                    self.socket_by_client[address] = node_socket = self._socket()
+                    self.client_by_socket[node_socket] = address
                 self._pass(self.socket_by_client[address], self.peer, data)
--- a/tests/support/node_environment.py
+++ b/tests/support/node_environment.py
@@ -1,4 +1,4 @@
-"""Stand-ins on loopback for all that a node meets: save servers, discovery and clients."""
+"""Runs a node as a process on loopback, with stand-ins for save servers, discovery and clients."""
 
 from __future__ import annotations
 
@@ -22,8 +22,9 @@
 from urllib.parse import parse_qs, urlsplit
 
 ROOT = Path(__file__).resolve().parents[2]
-IDS = count(1)
-SCHEDULING_SLACK_S = 0.25  # s that a machine shared with others may add to what a test times
+REQUEST_NUMBERS = count(1)
+# Delay in seconds that scheduling on a shared machine may add to a duration that a test measures.
+SCHEDULING_SLACK_S = 0.25
 SETTINGS: dict[str, Any] = {
     "Bounds": {"ConnectTimeoutNs": 200_000_000, "MaxAttempts": 4, "MaxRetryAfterNs": 1_000_000_000}
     | {"Probes": True, "RetryAfter": True},
@@ -39,29 +40,34 @@
 }
 
 
-def wait_for(true: Callable[[], Any], within: float = 5.0) -> Any:
-    """What `true` gives, once it gives something."""
+def wait_for(condition: Callable[[], Any], within: float = 5.0) -> Any:
+    """Polls `condition` until its result is true and returns that result; fails after `within` seconds."""
     end = time.monotonic() + within
-    while not (seen := true()):
-        assert time.monotonic() < end, "it never came about"
+    while not (result := condition()):
+        assert time.monotonic() < end, f"condition not met within {within} s"
         time.sleep(0.005)
-    return seen
+    return result
 
 
 def new_request_id() -> str:
-    return f"{next(IDS):016x}"
+    return f"{next(REQUEST_NUMBERS):016x}"
 
 
-PORTS_FROM, PORTS_EACH = 10_000, 2_000  # below what the system gives to connections; for each test worker
+# Each test worker has 2000 ports, from 10000 on: below the range from which the system picks the local ports
+# of connections.
+PORT_RANGE_START, PORTS_PER_WORKER = 10_000, 2_000
 WORKER = int(os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw")) % 11
-_ports = count(random.Random(os.getpid()).randrange(PORTS_EACH))
+_port_offsets = count(random.Random(os.getpid()).randrange(PORTS_PER_WORKER))
 
 
 def free_port(kind: int = socket.SOCK_STREAM) -> int:
-    """A port that stays free until it is listened on: no connection is given it meanwhile, and no other
-    worker asks for it. One that the system chose was now and then taken by the time a process came to it."""
-    for _ in range(PORTS_EACH):
-        port = PORTS_FROM + WORKER * PORTS_EACH + next(_ports) % PORTS_EACH
+    """Returns a port that stays free until a process listens on it.
+
+    The system assigns it to no connection, and no other test worker uses it. A port that the system picks
+    from its ephemeral range was sometimes in use by the time the process bound it.
+    """
+    for _ in range(PORTS_PER_WORKER):
+        port = PORT_RANGE_START + WORKER * PORTS_PER_WORKER + next(_port_offsets) % PORTS_PER_WORKER
         with socket.socket(socket.AF_INET, kind) as sock:
             try:
                 sock.bind(("127.0.0.1", port))
@@ -72,27 +78,34 @@
 
 
 def hard_reset(sock: socket.socket) -> None:
+    """Closes a connection with a TCP reset instead of a FIN."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     os.close(sock.detach())
 
 
 def reset_from_other_thread(sock: socket.socket) -> None:
-    """A reset of a connection that another thread reads. A close would wait for that thread's read to end:
-    it is woken, and its own close is the reset."""
+    """Resets a connection that another thread reads.
+
+    A close here would wait until that thread's read returns. Shutting down the receiving side wakes the
+    thread, and its own close then sends the reset.
+    """
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.shutdown(socket.SHUT_RD)
 
 
 class EndpointServer:
-    """A save server: logs every line it receives, answers OPEN with `answer`, then echoes."""
+    """A save server that records every line, answers OPEN with `answer` and then echoes.
+
+    An `answer` of "reset" resets the connection instead, and "silence" sends no answer.
+    """
 
     def __init__(self, name: str, answer: str = "UP {name}", load: str = "x0=0.05,inflight=40") -> None:
         self.name, self.answer, self.load = name, answer, load
         self.lines: list[tuple[float, str]] = []
         self.established: list[socket.socket] = []
         self.connection_ends: list[str] = []
-        self.ignores_health_checks = threading.Event()  # once set, probes are left unanswered
-        self.open_answers_allowed = threading.Event()  # no answer to OPEN until it is set
+        self.ignores_health_checks = threading.Event()  # once set, health checks get no answer
+        self.open_answers_allowed = threading.Event()  # answers to OPEN wait for this event
         self.open_answers_allowed.set()
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=256)
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
@@ -109,7 +122,7 @@
                 sock, _ = self.listener.accept()
             except OSError:
                 return
-            # Without it every other answer waits 40 ms for the node's acknowledgement.
+            # With Nagle's algorithm every other answer waits 40 ms for the node's delayed acknowledgement.
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             threading.Thread(target=self._serve, args=(sock,), daemon=True).start()
 
@@ -132,12 +145,13 @@
                     return
                 elif line.startswith("OPEN") and (answer := self.answer) != "silence":
                     self.open_answers_allowed.wait(10)
-                    # Noted first: a client that was told UP may ask for its connection at once.
-                    stands = answer.startswith("UP")
-                    if stands:
+                    # Recorded before the answer is sent: once a client has read UP, its test may look up the
+                    # connection here at once.
+                    established = answer.startswith("UP")
+                    if established:
                         self.established.append(sock)
                     sock.sendall(answer.format(name=self.name).encode() + b"\r\n")
-                    if not stands:
+                    if not established:
                         break
             self.connection_ends.append("end")
         except OSError:
@@ -145,14 +159,14 @@
         sock.close()
 
     def stop(self) -> None:
-        """No longer listening: new connections are refused."""
+        """Stops listening, so that new connections are refused."""
         with socket.create_connection(self.listener.getsockname()):
             self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
 
 
 class DiscoveryServer:
-    """Discovery: answers with what `entries` holds, and holds a watch until `announce` changes it."""
+    """Discovery over HTTP, which answers with `entries`; a watch waits until `announce` changes them."""
 
     def __init__(self, entries: list[dict[str, Any]]) -> None:
         self.changed = threading.Condition()
@@ -161,8 +175,8 @@
         self.changes: list[tuple[int, dict[str, Any]]] = []
         self.calls: list[tuple[float, str]] = []
         self.answered_at: list[float] = []
-        self.raw_answers: list[bytes] = []  # what the next answers are instead
-        self.answers_allowed: threading.Event | None = None  # no answer until it is set
+        self.raw_answers: list[bytes] = []  # sent verbatim in place of the next answers
+        self.answers_allowed: threading.Event | None = None  # if given, answers wait for this event
         discovery = self
 
         class Handler(BaseHTTPRequestHandler):
@@ -177,7 +191,8 @@
                     self.close_connection = True
                     return
                 body = json.dumps(discovery.answer(parse_qs(urlsplit(self.path).query))).encode()
-                # Noted first: the node's next call may come before a later line runs.
+                # Recorded before the answer is sent: the node's next call may arrive before a later statement
+                # of this handler runs.
                 discovery.answered_at.append(time.time())
                 self.send_response(200)
                 self.send_header("Content-Length", str(len(body)))
@@ -199,13 +214,13 @@
                 return {"version": self.version, "full": True, "servers": list(self.entries.values())}
             index = int(query["index"][0])
             self.changed.wait_for(lambda: self.version > index, int(query["wait"][0]) / 1000)
-            news = {e["id"]: e for version, e in self.changes if version > index}
-            return {"version": self.version, "full": False, "servers": list(news.values())}
+            changed = {e["id"]: e for version, e in self.changes if version > index}
+            return {"version": self.version, "full": False, "servers": list(changed.values())}
 
-    def announce(self, backend: EndpointServer, **changes: Any) -> float:
+    def announce(self, server: EndpointServer, **changes: Any) -> float:
         with self.changed:
             self.version += 1
-            self.entries[backend.entry["id"]] = entry = {**backend.entry, **changes}
+            self.entries[server.entry["id"]] = entry = {**server.entry, **changes}
             self.changes.append((self.version, entry))
             self.changed.notify_all()
         wait_for(lambda: any(f"index={self.version}&" in path for _, path in list(self.calls)))
@@ -213,7 +228,7 @@
 
 
 class Client:
-    """A game client on the line front."""
+    """A game client that speaks the line protocol over TCP."""
 
     def __init__(self, address: str) -> None:
         host, _, port = address.rpartition(":")
@@ -224,7 +239,7 @@
         self.sock.sendall(line if isinstance(line, bytes) else line.encode() + b"\r\n")
 
     def read_line(self) -> str:
-        """The next line; empty at the end of the connection."""
+        """Returns the next line, or an empty string at the end of the connection."""
         return self.file.readline().decode().rstrip("\r\n")
 
     def open_request(self, fields: str = "c=live,d=1500,g=1", ident: str = "") -> str:
@@ -236,7 +251,7 @@
 
 
 def is_node_ready(address: str) -> bool:
-    """Whether a node answers there and is ready."""
+    """Returns whether a node at `address` answers PING with PONG, which it does once it is ready."""
     try:
         client = Client(address)
     except OSError:
@@ -248,14 +263,14 @@
 def start_process(
     config: Path, log: IO[bytes], extra: dict[str, str], launcher: list[str]
 ) -> subprocess.Popen[bytes]:
-    """The program as a process, under that configuration and no other `NODE_` variable."""
+    """Starts the program with this configuration and without other `NODE_` variables of the environment."""
     env = {name: value for name, value in os.environ.items() if not name.startswith("NODE_")}
     env |= {"NODE_CONFIG": str(config), "PYTHONUNBUFFERED": "1"} | extra
     return subprocess.Popen([sys.executable, *launcher], env=env, cwd=ROOT, stdout=log, stderr=log)
 
 
 def read_counters(process: subprocess.Popen[bytes], log: Path) -> dict[str, str]:
-    """The counters as the program prints them."""
+    """Makes the program log its counters (SIGUSR1) and returns them by name."""
     before = log.read_text().count("event=counters")
     process.send_signal(signal.SIGUSR1)
     wait_for(lambda: log.read_text().count("event=counters") > before)
@@ -264,7 +279,7 @@
 
 
 class NodeEnvironment:
-    """A node as a process, with its endpoints and its discovery."""
+    """A node as a process, with its endpoint servers and its discovery."""
 
     def __init__(
         self,
@@ -281,8 +296,13 @@
         self.discovery_servers = [self.discovery]
         self.address = str(config.get("listen") or f"127.0.0.1:{free_port()}")
         self.config = path = folder / "config.json"
-        full = {"name": "n0", "listen": self.address, "discovery": self.discovery.address, "seed": "8c1f"}
-        path.write_text(json.dumps(full | {"settings": SETTINGS} | config))
+        base_config = {
+            "name": "n0",
+            "listen": self.address,
+            "discovery": self.discovery.address,
+            "seed": "8c1f",
+        }
+        path.write_text(json.dumps(base_config | {"settings": SETTINGS} | config))
         extra = {name: value or self.discovery.address for name, value in (env or {}).items()}
         if operator is not None:
             (folder / "operator.toml").write_text(operator)
@@ -312,14 +332,14 @@
     launcher: list[str] | None = None,
     **config: Any,
 ) -> Iterator[NodeEnvironment]:
-    made = NodeEnvironment(folder, endpoint_servers, operator, env, launcher=launcher, **config)
+    environment = NodeEnvironment(folder, endpoint_servers, operator, env, launcher=launcher, **config)
     try:
-        wait_for(made.is_ready, 15.0)
-        yield made
-        assert made.process.poll() in (None, 0), made.log.read_text()
-        assert "Traceback" not in made.log.read_text()
+        wait_for(environment.is_ready, 15.0)
+        yield environment
+        assert environment.process.poll() in (None, 0), environment.log.read_text()
+        assert "Traceback" not in environment.log.read_text()
     finally:
-        made.process.kill()
-        made.process.wait()
-        for discovery in made.discovery_servers:
+        environment.process.kill()
+        environment.process.wait()
+        for discovery in environment.discovery_servers:
             discovery.server.shutdown()
--- a/tests/support/observer_harness.py
+++ b/tests/support/observer_harness.py
@@ -1,4 +1,4 @@
-"""A publisher and subscribers joined without sockets and driven by a simulated clock."""
+"""A publisher and its subscribers, connected without sockets and driven by a simulated clock."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class ReplicatedState:
-    """A member's state, with entries written straight into it."""
+    """A member's state machine, to which a test writes directly."""
 
     def __init__(self) -> None:
         self.machine = StateMachine()
@@ -38,19 +38,19 @@
         self.seq = 0
 
     def put(self, key: str, value: object, delete: bool = False) -> int:
-        """Commit one change; its revision."""
+        """Commits one change and returns its revision."""
         return self.transact(records.KeyUpdate(key, value, delete))
 
     def transact(self, *ops: records.KeyUpdate) -> int:
         self.seq += 1
         command = records.Command(f"c{self.seq}", 1, 10**12, "test", (), ops)
-        logged = records.LogRecord(0, 0, command)
-        self.machine.apply(self.machine.index + 1, records.encode(logged))
+        log_record = records.LogRecord(0, 0, command)
+        self.machine.apply(self.machine.index + 1, records.encode(log_record))
         return self.machine.revision
 
 
 class PublisherHarness:
-    """One publisher, and nodes that talk to it over lossless links."""
+    """One publisher and nodes that are connected to it over lossless links."""
 
     def __init__(self, limits: Limits = LIMITS) -> None:
         self.state = ReplicatedState()
@@ -65,7 +65,7 @@
         self.blocked: set[int] = set()
 
     def add_node(self, name: str, instance: str = "") -> int:
-        """A new node; its connection's number."""
+        """Adds a node and returns the number of its connection."""
         number = len(self.nodes) + 1
         node = Subscriber(
             name, instance or f"i{number}", "r0", MACHINES[:1], self.limits, self.now, random.Random(number)
@@ -77,7 +77,7 @@
         return number
 
     def run(self, seconds: float, lease: bool = True) -> None:
-        """Let time pass in steps of 10 ms."""
+        """Advances the clock in steps of 10 ms."""
         end = self.now + seconds
         while self.now < end:
             self.now += 0.01
@@ -140,15 +140,17 @@
         return [type(message).__name__ for message in self.received[number]]
 
     def expected_state(self) -> dict[str, object]:
-        return {k: i.value for k, i in self.state.machine.items.items() if is_subscribed(k)}
+        return {key: item.value for key, item in self.state.machine.items.items() if is_subscribed(key)}
 
 
 def send_renew(
     publisher: Publisher, now: float, number: int, revision: int, serial: int = 1
 ) -> list[FromPublisher]:
-    """Send a Renew; the messages that answer it."""
+    """Sends a Renew and returns the messages that answer it."""
     publisher.receive(now, number, Renew(serial, revision))
-    return [o.message for o in take_all_outputs(publisher) if isinstance(o, publisher_module.Send)]
+    return [
+        output.message for output in take_all_outputs(publisher) if isinstance(output, publisher_module.Send)
+    ]
 
 
 def take_all_outputs(publisher: Publisher) -> list[publisher_module.Output]:
@@ -159,9 +161,11 @@
 
 
 def send_subscribe(publisher: Publisher, now: float, number: int, revision: int, node: str = "") -> list[str]:
-    """Subscribe and drain; the kinds of what is answered."""
+    """Subscribes and returns the types of the answering messages."""
     message = Subscribe(VERSION, node or f"n{number}", f"i{number}", "r0", "", revision)
     publisher.subscribe(now, number, message)
     return [
-        type(o.message).__name__ for o in take_all_outputs(publisher) if isinstance(o, publisher_module.Send)
+        type(output.message).__name__
+        for output in take_all_outputs(publisher)
+        if isinstance(output, publisher_module.Send)
     ]
--- a/tests/support/observer_sockets.py
+++ b/tests/support/observer_sockets.py
@@ -1,4 +1,4 @@
-"""A member that publishes over real sockets, and the clients and bare connections of a test."""
+"""A store member that publishes over real sockets, with clients and raw connections."""
 
 from __future__ import annotations
 
@@ -16,9 +16,7 @@
 from gradegap.observer.client import ObserverClient
 from gradegap.observer.limits import Limits
 from gradegap.observer.link import subscriber_channel
-from gradegap.observer.messages import (
-    Change,
-)
+from gradegap.observer.messages import Change
 from gradegap.observer.server import PublisherServer
 from gradegap.store import wire
 from gradegap.store.member import StoreMember
@@ -29,11 +27,11 @@
 from tests.support.node_environment import free_port
 
 SECRET = b"0123456789abcdef of a test"
-TIMEOUT_S = 10.0  # s
+TIMEOUT_S = 10.0
 
 
 class PublisherEnvironment:
-    """One member that publishes, and what a test connects to it."""
+    """One publishing member and the clients that a test connects to it."""
 
     def __init__(
         self, folder: Path, loop: asyncio.AbstractEventLoop, limits: Limits | None, lease_s: float
@@ -63,7 +61,7 @@
         return dict(self.member.metrics.counts)
 
     def client(self, name: str, **more: Any) -> ObserverClient:
-        """A node's subscription that remembers what it was given in `keys`."""
+        """Starts a node's subscription, which keeps the received values in its attribute `keys`."""
         machines = (ObserverMachine("c1", self.publish),)
         settings = ObserverSettings(machines, name, secret=str(self.folder / "secret"), **more)
         keys: dict[str, Any] = {}
@@ -74,26 +72,26 @@
             for change in changes:
                 keys[change.key] = None if change.deleted else change.value
 
-        made = ObserverClient(settings, self.loop, Metrics(), apply, lambda fresh: None)
-        made.keys = keys  # type: ignore[attr-defined]
-        self.clients.append(made)
-        made.start()
-        return made
+        client = ObserverClient(settings, self.loop, Metrics(), apply, lambda fresh: None)
+        client.keys = keys  # type: ignore[attr-defined]
+        self.clients.append(client)
+        client.start()
+        return client
 
     async def write(self, key: str, value: Any) -> wire.Response:
         return await self.transact(KeyUpdate(key, value))
 
     async def transact(self, *ops: KeyUpdate) -> wire.Response:
-        told: asyncio.Future[wire.Response] = self.loop.create_future()
-        self.member.requests.request(wire.Transaction(ops), told.set_result, TIMEOUT_S)
-        return await told
+        response: asyncio.Future[wire.Response] = self.loop.create_future()
+        self.member.requests.request(wire.Transaction(ops), response.set_result, TIMEOUT_S)
+        return await response
 
-    async def wait_until(self, true: Callable[[], Any], within: float = TIMEOUT_S) -> Any:
+    async def wait_until(self, condition: Callable[[], Any], within: float = TIMEOUT_S) -> Any:
         end = time.monotonic() + within
-        while not (seen := true()):
-            assert time.monotonic() < end, f"it never came about: {self.counts}"
+        while not (result := condition()):
+            assert time.monotonic() < end, f"condition not met within {within} s: {self.counts}"
             await asyncio.sleep(0.005)
-        return seen
+        return result
 
     async def dial(self, receive_buffer: int = 0) -> RawConnection:
         sock = socket.socket()
@@ -105,7 +103,7 @@
 
 
 class RawConnection:
-    """A connection that says what a test wants."""
+    """A connection on which a test sends arbitrary messages."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -118,7 +116,7 @@
             await self.read()
 
     async def read(self) -> bool:
-        """More of what the other side says; no once it has ended."""
+        """Reads more data; returns False once the other side has closed the connection."""
         try:
             data = await asyncio.wait_for(self.reader.read(65536), TIMEOUT_S)
         except ConnectionError:
@@ -146,21 +144,21 @@
 
 def run_with_publisher(
     folder: Path,
-    part: Callable[[PublisherEnvironment], Awaitable[None]],
+    scenario: Callable[[PublisherEnvironment], Awaitable[None]],
     limits: Limits | None = None,
     lease_s: float = 1.0,
 ) -> None:
-    """Run `part` against a member that leads."""
+    """Runs `scenario` against a member that leads."""
 
     async def main() -> None:
-        world = PublisherEnvironment(folder, asyncio.get_running_loop(), limits, lease_s)
-        await world.member.start()
+        environment = PublisherEnvironment(folder, asyncio.get_running_loop(), limits, lease_s)
+        await environment.member.start()
         try:
-            await world.wait_until(world.member.is_fresh)
-            await part(world)
+            await environment.wait_until(environment.member.is_fresh)
+            await scenario(environment)
         finally:
-            for client in world.clients:
+            for client in environment.clients:
                 client.leave()
-            world.member.close()
+            environment.member.close()
 
     uvloop.run(main())
--- a/tests/support/proxy_harness.py
+++ b/tests/support/proxy_harness.py
@@ -1,4 +1,4 @@
-"""A proxy on a clock, a network, client sessions and a balancer of the test's own."""
+"""A proxy with a simulated clock and fake network, client sessions and balancer."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class FakeTimer:
-    """A timer handle of the loop."""
+    """A timer handle of the fake loop."""
 
     def __init__(self) -> None:
         self.cancelled = False
@@ -34,7 +34,7 @@
 
 
 class FakeLoop:
-    """The event loop's clock and timers, moved on by hand."""
+    """The clock and timers of an event loop, advanced by the test."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -52,11 +52,11 @@
     def call_soon(self, call: Callable[..., Any], *args: Any) -> FakeTimer:
         return self.call_later(0.0, call, *args)
 
-    def run(self, length: float) -> None:
-        end = self.now + length
+    def run(self, duration_s: float) -> None:
+        end = self.now + duration_s
         while self.timers and self.timers[0][0] <= end:
-            at, _, handle, call, args = heapq.heappop(self.timers)
-            self.now = max(self.now, at)
+            due_at, _, handle, call, args = heapq.heappop(self.timers)
+            self.now = max(self.now, due_at)
             if not handle.cancelled:
                 call(*args)
         self.now = end
@@ -68,7 +68,7 @@
     def __init__(self, loop: FakeLoop) -> None:
         self.loop = loop
         self.calls: list[tuple[str, float]] = []
-        self.disconnected = False  # its client's end has come, and was not read yet
+        self.disconnected = False  # whether the client has closed, which the proxy has not read yet
 
     def is_disconnected(self) -> bool:
         return self.disconnected
@@ -97,7 +97,7 @@
 
 
 class FakeConnection:
-    """The network side of an attempt, moved on by hand."""
+    """The network side of an attempt, advanced by the test."""
 
     def __init__(self, attempt: Attempt, endpoint: Endpoint) -> None:
         self.attempt, self.endpoint = attempt, endpoint
@@ -112,7 +112,7 @@
 
 
 class FakeUpstream:
-    """Endpoints that never answer by themselves."""
+    """Endpoints that answer only when the test makes them."""
 
     def __init__(self) -> None:
         self.connections: list[FakeConnection] = []
@@ -136,7 +136,7 @@
 
 
 class ScriptedBalancer:
-    """A balancer that acts as the test says, and keeps its events."""
+    """A balancer that returns the actions that the test sets and records its events."""
 
     def __init__(self) -> None:
         self.events: list[Event] = []
@@ -144,14 +144,14 @@
 
     def handle(self, now: float, event: Event) -> list[Action]:
         self.events.append(event)
-        return self.answers.get(type(event), lambda e: [])(event)
+        return self.answers.get(type(event), lambda event: [])(event)
 
     def results(self) -> list[AttemptResult]:
-        return [e.result for e in self.events if isinstance(e, AttemptEnded)]
+        return [event.result for event in self.events if isinstance(event, AttemptEnded)]
 
 
 class ProxyHarness:
-    """A proxy on fakes, with one ready endpoint `a` to which every request is forwarded."""
+    """A proxy on fakes with one ready endpoint `a`, to which every request is forwarded."""
 
     def __init__(self) -> None:
         self.loop, self.upstream, self.balancer = FakeLoop(), FakeUpstream(), ScriptedBalancer()
@@ -159,7 +159,7 @@
         self.proxy = Proxy(settings(drain_grace=2.0), 1, self.upstream, Metrics(), loop)
         self.proxy.balancer = self.balancer  # type: ignore[assignment]
         self.list_endpoint("a", EndpointListKind.FULL)
-        self.balancer.answers[RequestArrived] = lambda e: [Forward(e.request_id, "a", 5.0)]
+        self.balancer.answers[RequestArrived] = lambda event: [Forward(event.request_id, "a", 5.0)]
 
     def list_endpoint(
         self, name: str, kind: EndpointListKind = EndpointListKind.DELTA, **fields: Any
--- a/tests/support/quic_harness.py
+++ b/tests/support/quic_harness.py
@@ -1,4 +1,4 @@
-"""A QUIC client with a changing address, a certificate, and the program with its QUIC listener."""
+"""A QUIC client whose address can change, a certificate, and a node process with a QUIC listener."""
 
 from __future__ import annotations
 
@@ -30,13 +30,14 @@
 
 
 def make_certificate(folder: Path, days: int = 1) -> None:
+    """Writes a self-signed certificate that expires in `days`, and its key, as `cert.pem` and `key.pem`."""
     key = ec.generate_private_key(ec.SECP256R1())
     name = x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, "localhost")])
     now = datetime.datetime.now(datetime.UTC)
     builder = x509.CertificateBuilder(name, name, key.public_key(), x509.random_serial_number())
     builder = builder.not_valid_before(now - datetime.timedelta(days=1))
-    made = builder.not_valid_after(now + datetime.timedelta(days=days)).sign(key, hashes.SHA256())
-    (folder / "cert.pem").write_bytes(made.public_bytes(serialization.Encoding.PEM))
+    certificate = builder.not_valid_after(now + datetime.timedelta(days=days)).sign(key, hashes.SHA256())
+    (folder / "cert.pem").write_bytes(certificate.public_bytes(serialization.Encoding.PEM))
     private = key.private_bytes(
         serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
     )
@@ -51,7 +52,7 @@
         self.peer = ("127.0.0.1", port)
         self.quic = QuicConnection(configuration=config)
         self.sockets = [self._socket()]
-        self.connection_ids: set[bytes] = set()  # the node's ids that its packets were sent to
+        self.connection_ids: set[bytes] = set()  # connection ids of the node that packets were sent to
         self.received_data = b""
         self.closed: events.ConnectionTerminated | None = None
         self.handshake_done = self.stream_ended = self.got_stateless_reset = False
@@ -64,7 +65,7 @@
         return sock
 
     def change_address(self, new_id: bool = False) -> None:
-        """From now on from another port; the old one hears nothing more."""
+        """Sends from another port from now on; the old port receives nothing more."""
         self.sockets.append(self._socket())
         self.sockets.pop(0).close()
         if new_id:
@@ -78,7 +79,7 @@
         if select.select(self.sockets, [], [], wait)[0]:
             data, address = self.sockets[0].recvfrom(65536)
             known = (self.quic._peer_cid, *self.quic._peer_cid_available)
-            # RFC 9000, 10.3.1; aioquic's own client does not look for it.
+            # Stateless reset, RFC 9000, 10.3.1: aioquic's own client does not check for one.
             self.got_stateless_reset = self.got_stateless_reset or data[-16:] in {
                 i.stateless_reset_token for i in known
             } - {b""}
@@ -92,15 +93,17 @@
             elif isinstance(event, events.StreamDataReceived):
                 self.received_data += event.data
                 self.stream_ended = self.stream_ended or event.end_stream
-        # The frame as it came. aioquic tells of a close only three probe timeouts later, and for a client
-        # that was left alone for a second these are 7 s and more: the time until it reads counts as delay.
+        # The close frame as received. aioquic reports a close only after three probe timeouts, which take 7 s
+        # or more for a client that read nothing for a second: the time until it reads counts as round trip.
         self.closed = self.quic._close_event
 
-    def run_until(self, true: object, within: float = 5.0) -> None:
-        assert callable(true)
+    def run_until(self, condition: object, within: float = 5.0) -> None:
+        assert callable(condition)
         end = time.monotonic() + within
-        while not true():
-            assert time.monotonic() < end, f"it never came about; heard {self.received_data[-80:]!r}"
+        while not condition():
+            assert time.monotonic() < end, (
+                f"condition not met within {within} s; received {self.received_data[-80:]!r}"
+            )
             self.step()
 
     def send(self, line: bytes, end: bool = False) -> None:
@@ -117,7 +120,7 @@
         return self.read_line()
 
     def close_code(self) -> CloseCode:
-        """The application error code that the node closes the connection with."""
+        """Waits until the node closes the connection and returns its application error code."""
         self.run_until(lambda: self.closed is not None)
         assert self.closed is not None and self.closed.frame_type is None
         assert self.closed.reason_phrase == CloseCode(self.closed.error_code).name.lower()
@@ -128,6 +131,7 @@
 def running_quic_node(
     folder: Path, endpoint_servers: list[EndpointServer], more: str = "", at: int = 0, **config: Any
 ) -> Iterator[tuple[NodeEnvironment, int]]:
+    """Runs a node with a QUIC listener on a free port, or on port `at`; gives the node and the port."""
     make_certificate(folder)
     port = at or free_port(socket.SOCK_DGRAM)
     operator = f"""[quic]
@@ -137,5 +141,5 @@
 {more}
 """
     shared = str(folder.parent if at else folder)
-    with running_node(folder, endpoint_servers, operator, env={"TMPDIR": shared}, **config) as w:
-        yield w, port
+    with running_node(folder, endpoint_servers, operator, env={"TMPDIR": shared}, **config) as node:
+        yield node, port
--- a/tests/support/recorded_workload.py
+++ b/tests/support/recorded_workload.py
@@ -1,4 +1,4 @@
-"""A made-up day of a balancer, its recording, and a replay of it: what tests of recordings share."""
+"""A random workload of a balancer, its recording and a replay of the recording."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class RandomWorkload:
-    """A day of a module's life, made up: lists, arrivals, probes, deaths and drains, as seeded."""
+    """A seeded random workload: endpoint lists, requests, health checks, connection ends and drains."""
 
     def __init__(self, seed: int, servers: int = 8, groups: bool = True) -> None:
         self.rng = random.Random(seed)
@@ -49,72 +49,80 @@
         self.established: dict[int, str] = {}
         self.probes: list[str] = []
         self.timers: list[tuple[float, str]] = []
-        self.names = [f"s{k}" for k in range(servers)]
+        self.names = [f"s{number}" for number in range(servers)]
         self.phases = dict.fromkeys(self.names, EndpointPhase.READY)
-        entries = tuple(EndpointEntry(n, zone="a") for n in self.names)
+        entries = tuple(EndpointEntry(name, zone="a") for name in self.names)
         self.feed(EndpointList(EndpointListKind.FULL, entries))
 
     def feed(self, event: Any) -> None:
-        did = self.balancer.handle(self.now, event)
+        actions = self.balancer.handle(self.now, event)
         self.steps.append(
-            ["s", len(self.steps), self.now, records.plain(event), [records.plain(a) for a in did]]
+            [
+                "s",
+                len(self.steps),
+                self.now,
+                records.plain(event),
+                [records.plain(action) for action in actions],
+            ]
         )
-        for a in did:
-            match a:
+        for action in actions:
+            match action:
                 case Forward():
-                    self.pending_attempts[a.request_id] = a.endpoint
+                    self.pending_attempts[action.request_id] = action.endpoint
                 case CheckHealth():
-                    self.probes.append(a.endpoint)
+                    self.probes.append(action.endpoint)
                 case SetTimer():
-                    self.timers.append((self.now + a.delay, a.token))
+                    self.timers.append((self.now + action.delay, action.token))
                 case Migrate():
-                    if (server := self.established.pop(a.request_id, None)) is not None:
+                    if (server := self.established.pop(action.request_id, None)) is not None:
                         result = AttemptResult.CANCELLED
-                        self.feed(AttemptEnded(a.request_id, 0, server, result, 1.0, True))
+                        self.feed(AttemptEnded(action.request_id, 0, server, result, 1.0, True))
 
     def run_steps(self, steps: int) -> RandomWorkload:
         for _ in range(steps):
             self.now += self.rng.expovariate(200.0)
-            due = [t for t in self.timers if t[0] <= self.now]
-            for t in due:
-                self.timers.remove(t)
-                self.feed(TimerFired(t[1]))
+            due = [timer for timer in self.timers if timer[0] <= self.now]
+            for timer in due:
+                self.timers.remove(timer)
+                self.feed(TimerFired(timer[1]))
             self.run_step()
         return self
 
     def run_step(self) -> None:
-        what = self.rng.random()
-        if what < 0.35:
+        draw = self.rng.random()
+        if draw < 0.35:
             self.last_request_id += 1
-            team = f"g{self.rng.randrange(20)}" if self.rng.random() < 0.3 else ""
+            group = f"g{self.rng.randrange(20)}" if self.rng.random() < 0.3 else ""
             self.feed(
                 RequestArrived(
-                    self.last_request_id, "live", self.now + 2.0, "", f"k{self.last_request_id}", team
+                    self.last_request_id, "live", self.now + 2.0, "", f"k{self.last_request_id}", group
                 )
             )
-        elif what < 0.65 and self.pending_attempts:
-            ident = self.rng.choice(list(self.pending_attempts))
-            server = self.pending_attempts.pop(ident)
+        elif draw < 0.65 and self.pending_attempts:
+            request_id = self.rng.choice(list(self.pending_attempts))
+            server = self.pending_attempts.pop(request_id)
             if self.rng.random() < 0.9:
-                self.established[ident] = server
-                self.feed(ConnectionEstablished(ident, 0, server, 0.01))
+                self.established[request_id] = server
+                self.feed(ConnectionEstablished(request_id, 0, server, 0.01))
             else:
                 result = self.rng.choice([AttemptResult.RESET, AttemptResult.FULL, AttemptResult.TIMEOUT])
-                self.feed(AttemptEnded(ident, 0, server, result, 0.1, False))
-        elif what < 0.85 and self.probes:
+                self.feed(AttemptEnded(request_id, 0, server, result, 0.1, False))
+        elif draw < 0.85 and self.probes:
             server = self.probes.pop(0)
-            load = len([s for s in self.established.values() if s == server]) / 40
+            load = len([endpoint for endpoint in self.established.values() if endpoint == server]) / 40
             report = {"x0": load + self.rng.random() * 0.1, "inflight": load * 40}
-            good = self.rng.random() < 0.9
+            is_healthy = self.rng.random() < 0.9
             self.feed(
                 HealthCheckEnded(server, AttemptResult.OK, 0.001, report)
-                if good
+                if is_healthy
                 else HealthCheckEnded(server, AttemptResult.TIMEOUT, 0.25)
             )
-        elif what < 0.97 and self.established:
-            ident = self.rng.choice(list(self.established))
-            self.feed(AttemptEnded(ident, 0, self.established.pop(ident), AttemptResult.OK, 5.0, True))
-        elif what > 0.99:
+        elif draw < 0.97 and self.established:
+            request_id = self.rng.choice(list(self.established))
+            self.feed(
+                AttemptEnded(request_id, 0, self.established.pop(request_id), AttemptResult.OK, 5.0, True)
+            )
+        elif draw > 0.99:
             name = self.rng.choice(self.names)
             ready = self.phases[name] is EndpointPhase.READY
             self.phases[name] = phase = EndpointPhase.DRAINING if ready else EndpointPhase.READY
@@ -129,20 +137,20 @@
         return frames.pack(FrameKind.STATE, state.dump(self.balancer), 0, len(self.steps), self.now, self.now)
 
 
-def workload_recording(seed: int, steps: int = 600, parts: int = 4) -> bytes:
-    """A capture of a day, with states in between."""
-    day = RandomWorkload(seed)
-    first = Balancer(day.settings, seed)
-    held = frames.pack(FrameKind.STATE, state.dump(first), 0, 0, 0.0, 0.0)
-    data, written = day.start_frame() + held, 0
-    for _ in range(parts):
-        day.run_steps(steps // parts)
-        rows = day.steps[written:]
+def workload_recording(seed: int, steps: int = 600, part_count: int = 4) -> bytes:
+    """Returns a recording of a random workload with a state after each of its parts."""
+    workload = RandomWorkload(seed)
+    first = Balancer(workload.settings, seed)
+    state_frame = frames.pack(FrameKind.STATE, state.dump(first), 0, 0, 0.0, 0.0)
+    data, written_count = workload.start_frame() + state_frame, 0
+    for _ in range(part_count):
+        workload.run_steps(steps // part_count)
+        rows = workload.steps[written_count:]
         data += (
-            frames.pack(FrameKind.STEPS, rows, len(rows), written, rows[0][2], rows[-1][2])
-            + day.state_frame()
+            frames.pack(FrameKind.STEPS, rows, len(rows), written_count, rows[0][2], rows[-1][2])
+            + workload.state_frame()
         )
-        written = len(day.steps)
+        written_count = len(workload.steps)
     return data
 
 
@@ -153,7 +161,7 @@
 
 
 class BlockedDisk:
-    """Writes of a recorder that wait until the test lets them go."""
+    """Holds back the writes of a recorder until the test allows them."""
 
     def __init__(self, recorder: Recorder) -> None:
         self.recorder, self.write_through = recorder, recorder.writer._write
@@ -161,7 +169,7 @@
         recorder.writer._write = self.write  # type: ignore[method-assign]
 
     def write(self, data: bytes) -> None:
-        assert self.writes_allowed.wait(60.0), "the test never let the disk go"
+        assert self.writes_allowed.wait(60.0), "writes were not allowed within 60 s"
         self.write_through(data)
 
     async def allow_writes(self) -> None:
@@ -170,31 +178,46 @@
             await asyncio.sleep(0.001)
 
 
-def record_workload(folder: Path, day: RandomWorkload, held: bool = False, **changes: Any) -> Metrics:
-    """A day under a recorder; `held`: twice the disk takes nothing until batches were dropped."""
+def record_workload(
+    folder: Path, workload: RandomWorkload, disk_blocked: bool = False, **changes: Any
+) -> Metrics:
+    """Runs a workload under a recorder and returns the metrics.
+
+    With `disk_blocked`, writes are held back twice, until batches have been dropped.
+    """
     metrics = Metrics()
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        set_up = CaptureSettings(str(folder), state_s=1.0, **changes)
-        made = Recorder(set_up, day.balancer, day.settings, day.seed, metrics, loop, lambda: day.now, "n")
-        disk = BlockedDisk(made) if held else None
-        day.balancer = RecordedBalancer(day.balancer, made)  # type: ignore[assignment]
-        made.begin()
+        capture_settings = CaptureSettings(str(folder), state_s=1.0, **changes)
+        recorder = Recorder(
+            capture_settings,
+            workload.balancer,
+            workload.settings,
+            workload.seed,
+            metrics,
+            loop,
+            lambda: workload.now,
+            "n",
+        )
+        disk = BlockedDisk(recorder) if disk_blocked else None
+        workload.balancer = RecordedBalancer(workload.balancer, recorder)  # type: ignore[assignment]
+        recorder.begin()
         for part in range(60):
-            day.run_steps(300)
+            workload.run_steps(300)
             await asyncio.sleep(0)
-            while disk is None and made.pending > MAX_PENDING_BATCHES // 2:
-                await asyncio.sleep(0.001)  # this day is faster than any node's, and a thread is held up
+            while disk is None and recorder.pending > MAX_PENDING_BATCHES // 2:
+                # Events arrive faster than on any node, so the writer thread has to catch up.
+                await asyncio.sleep(0.001)
             if disk is not None and part in (29, 59):
                 await disk.allow_writes()
-                made._tick()
+                recorder._tick()
                 disk.writes_allowed.clear()
         if disk is not None:
             await disk.allow_writes()
-            day.run_steps(300)
-        made.close()
-        while not made.is_idle:
+            workload.run_steps(300)
+        recorder.close()
+        while not recorder.is_idle:
             await asyncio.sleep(0.01)
 
     asyncio.run(main())
@@ -202,5 +225,5 @@
 
 
 def run_gradegap(*words: str) -> subprocess.CompletedProcess[str]:
-    line = [sys.executable, "-m", "gradegap", *words]
-    return subprocess.run(line, capture_output=True, text=True, cwd=ROOT, timeout=60)
+    command_line = [sys.executable, "-m", "gradegap", *words]
+    return subprocess.run(command_line, capture_output=True, text=True, cwd=ROOT, timeout=60)
--- a/tests/support/resume_servers.py
+++ b/tests/support/resume_servers.py
@@ -1,4 +1,4 @@
-"""Save servers that know `resume/1`, and the save store that they share; stand-ins, in threads."""
+"""Stand-ins in threads for save servers that speak `resume/1` and for the save store that they share."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 
 
 class SaveStore:
-    """The shared save store: `claim`, `fence` by epoch, `release`; one step for what ran and its answer."""
+    """The shared save store: sessions are claimed, fenced by epoch and released.
+
+    The effect of a request and its answer are written in one atomic step.
+    """
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
@@ -27,8 +30,8 @@
 
     def claim(self, session: str, epoch: int, server: str = "") -> ServerWindow | None:
         with self.lock:
-            held, executed, answers = self.sessions.get(session, (0, 0, {}))
-            if epoch <= held:
+            stored_epoch, executed, answers = self.sessions.get(session, (0, 0, {}))
+            if epoch <= stored_epoch:
                 return None
             self.sessions[session] = (epoch, executed, answers)
             self.log.append(Record("claimed", server, session=session, epoch=epoch))
@@ -45,8 +48,8 @@
             if effect is not None:
                 self.effects[session].append(effect)
                 number, answer = window.executed, window.answers[window.executed]
-                said = effect.decode(), answer.decode()
-                self.log.append(Record("ran", server, number, *said, session, epoch))
+                texts = effect.decode(), answer.decode()
+                self.log.append(Record("ran", server, number, *texts, session, epoch))
             return True
 
     def release(self, session: str) -> None:
@@ -55,9 +58,16 @@
 
 
 class ResumableEndpointServer(EndpointServer):
-    """A save server. `knows` is whether it speaks the extension; `dies` ends the next request's connection:
-    "before" it ran, or "after" it ran and before its answer, or "always" before; "claimed" ends each that
-    would open, once its session is claimed, and "silent" says nothing more to it."""
+    """A save server that may speak the resume extension and fails on demand.
+
+    `failure_point` selects where it fails:
+
+    - "before": resets the connection of the next request before the request is executed.
+    - "after": resets it after the execution and before the answer.
+    - "always": resets the connection of every request before the request is executed.
+    - "claimed": resets each new connection once its session is claimed.
+    - "silent": sends nothing on a new connection once its session is claimed.
+    """
 
     def __init__(self, name: str, store: SaveStore, supports_resume: bool = True) -> None:
         self.store, self.supports_resume, self.failure_point = store, supports_resume, ""
@@ -106,9 +116,8 @@
             sock.close()
 
     def kill(self) -> None:
-        """As when its process is killed: every connection is reset, whatever was under way, and none is
-        taken."""
-        self.is_killed = True  # what still comes in, before its reader is awake, is read by nobody
+        """Acts as if the process were killed: resets every connection and accepts no new one."""
+        self.is_killed = True  # readers that wake up later discard what they have received
         self.stop()
         for sock in list(self.established):
             with contextlib.suppress(OSError):
@@ -132,27 +141,27 @@
             line = lines.decode(raw.rstrip(b"\r\n"))
             if isinstance(line, Seen):
                 window.acknowledge(line.number)
-                good = self.store.write(session, epoch, window, None)
+                is_written = self.store.write(session, epoch, window, None)
                 answer = None
             elif isinstance(line, Request):
-                dies, self.failure_point = (
+                failure_point, self.failure_point = (
                     self.failure_point,
                     self.failure_point if self.failure_point == "always" else "",
                 )
-                if dies in ("before", "always"):
+                if failure_point in ("before", "always"):
                     hard_reset(sock)
                     return
-                answer, good = window.request(line), True
+                answer, is_written = window.request(line), True
                 if answer is None:
                     answer = window.record_answer(line.number, b"done " + line.text)
-                    good = self.store.write(session, epoch, window, line.text, self.name)
-                if dies == "after":
+                    is_written = self.store.write(session, epoch, window, line.text, self.name)
+                if failure_point == "after":
                     hard_reset(sock)
                     return
             else:
                 sock.sendall(raw)
                 continue
-            if not good:
+            if not is_written:
                 sock.sendall(b"X fenced\r\n")
                 return
             if answer is not None:
--- a/tests/support/seccomp_filter.py
+++ b/tests/support/seccomp_filter.py
@@ -1,10 +1,16 @@
-"""A stand-in for the fleet bench's system-call filter: what it refuses, refused here in the same way.
+"""A stand-in for the system-call filter of the fleet bench, which fails the same calls with the same errors.
 
-`python tests/support/seccomp_filter.py` sets a seccomp filter (seccomp(2), SECCOMP_MODE_FILTER,
-no_new_privs, so without special rights) on this process before any thread starts, then runs the node in
-it as `python -m gradegap` would. Refused, as the fleet page says: fork, vfork, clone without CLONE_THREAD, clone3 (glibc
-then makes its threads by clone), execve, execveat, io_uring_*, sendfile with ENOSYS; splice, tee and
-vmsplice with EINVAL; IPv6 sockets with EAFNOSUPPORT. x86_64 only: elsewhere `install` raises `OSError`."""
+`python tests/support/seccomp_filter.py` installs a seccomp filter (seccomp(2), SECCOMP_MODE_FILTER with
+no_new_privs, so without privileges) on this process before any thread starts, and then runs the node in it as
+`python -m gradegap` would. The filter rejects the calls that the fleet page lists:
+
+- ENOSYS: fork, vfork, clone without CLONE_THREAD, clone3 (glibc then creates threads with clone), execve,
+  execveat, io_uring_* and sendfile.
+- EINVAL: splice, tee and vmsplice.
+- EAFNOSUPPORT: IPv6 sockets.
+
+The filter is for x86_64 only; on other machines `install` raises `OSError`.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +40,7 @@
 
 
 def filter_program() -> list[tuple[int, int, int, int]]:
-    """The filter as (code, jt, jf, k); jumps are resolved from named places."""
+    """Returns the BPF program as (code, jt, jf, k) of struct sock_filter, with labels resolved to offsets."""
     code: list[tuple[int, str | int, str | int, int]] = [
         (LD_W_ABS, 0, 0, ARCH_AT),
         (JEQ, 0, "allow", ARCH_X86_64),
@@ -43,26 +49,29 @@
     code += [(JEQ, "enosys", 0, nr) for nr in ENOSYS_CALLS]
     code += [(JEQ, "einval", 0, nr) for nr in EINVAL_CALLS]
     code += [(JEQ, "clone", 0, CLONE), (JEQ, "socket", 0, SOCKET), (RET, 0, 0, ALLOW)]
-    places: dict[str, int] = {}
-    places["clone"] = len(code)
+    labels: dict[str, int] = {}
+    labels["clone"] = len(code)
     code += [(LD_W_ABS, 0, 0, ARG0_AT), (JSET, "allow", "enosys", CLONE_THREAD)]
-    places["socket"] = len(code)
+    labels["socket"] = len(code)
     code += [(LD_W_ABS, 0, 0, ARG0_AT), (JEQ, "noinet6", "allow", AF_INET6)]
-    # BPF jumps forward only: the ways out come last.
-    for place, answer in (
+    # BPF jumps forward only, so the return instructions come last.
+    for label, result in (
         ("enosys", ERRNO | errno.ENOSYS),
         ("einval", ERRNO | errno.EINVAL),
         ("allow", ALLOW),
     ):
-        places[place] = len(code)
-        code.append((RET, 0, 0, answer))
-    places["noinet6"] = len(code)
+        labels[label] = len(code)
+        code.append((RET, 0, 0, result))
+    labels["noinet6"] = len(code)
     code.append((RET, 0, 0, ERRNO | errno.EAFNOSUPPORT))
 
-    def jump(at: int, to: str | int) -> int:
-        return to if isinstance(to, int) else places[to] - at - 1
+    def offset(index_of_jump: int, target: str | int) -> int:
+        return target if isinstance(target, int) else labels[target] - index_of_jump - 1
 
-    return [(c, jump(i, jt), jump(i, jf), k) for i, (c, jt, jf, k) in enumerate(code)]
+    return [
+        (operation, offset(index, jt), offset(index, jf), k)
+        for index, (operation, jt, jf, k) in enumerate(code)
+    ]
 
 
 class _Prog(ctypes.Structure):
@@ -70,13 +79,19 @@
 
 
 def install() -> None:
-    """Sets the filter on this thread and all that it starts. `OSError` where the kernel or machine won't."""
+    """Installs the filter on this thread and on all threads that it starts.
+
+    Raises:
+        OSError: the kernel rejects the filter, or the machine is not x86_64.
+    """
     if platform.machine() != "x86_64":
         raise OSError(errno.ENOTSUP, "the filter is written for x86_64")
     libc = ctypes.CDLL(None, use_errno=True)
-    steps = filter_program()
-    raw = ctypes.create_string_buffer(b"".join(struct.pack("HBBI", *step) for step in steps))
-    prog = _Prog(len(steps), ctypes.cast(raw, ctypes.c_void_p))
+    instructions = filter_program()
+    program_bytes = ctypes.create_string_buffer(
+        b"".join(struct.pack("HBBI", *instruction) for instruction in instructions)
+    )
+    prog = _Prog(len(instructions), ctypes.cast(program_bytes, ctypes.c_void_p))
     pr_set_no_new_privs, pr_set_seccomp, mode_filter = 38, 22, 2
     for args in ((pr_set_no_new_privs, 1, 0, 0, 0), (pr_set_seccomp, mode_filter, ctypes.byref(prog), 0, 0)):
         if libc.prctl(*args) != 0:
@@ -86,6 +101,7 @@
 
 if __name__ == "__main__":
     install()
-    sys.path[0] = str(Path(__file__).absolute().parents[2])  # the checkout, not tests/support
-    sys.argv = [sys.argv[0]]  # the node as the platform starts it: no command line
+    # The root of the checkout in place of tests/support.
+    sys.path[0] = str(Path(__file__).absolute().parents[2])
+    sys.argv = [sys.argv[0]]  # without arguments, as the platform starts the node
     runpy.run_module("gradegap", run_name="__main__", alter_sys=True)
--- a/tests/support/silent_discovery.py
+++ b/tests/support/silent_discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in discovery that falls silent in the middle of a call, wherever it is told to."""
+"""A discovery stand-in that stops answering at a chosen phase of a call."""
 
 from __future__ import annotations
 
@@ -16,8 +16,11 @@
 
 
 class SilentDiscovery:
-    """Answers lists and watches. After `fall_silent` so many calls, the watch that is open among them, get as
-    far as the phase says and then nothing, their connections staying open; later ones are answered."""
+    """Answers list requests and watches, until `fall_silent` makes it stop.
+
+    The given number of calls from then on, including a watch that is open, are processed up to the given
+    phase and then get no more bytes, while their connections stay open. Later calls are answered.
+    """
 
     def __init__(self, entries: list[dict[str, Any]], indent: int | None = None) -> None:
         self.changed = threading.Condition()
@@ -26,10 +29,10 @@
         self.changes: list[tuple[int, dict[str, Any]]] = []
         self.phase, self.silent_calls_left = "", 0
         self.calls: list[tuple[float, str]] = []
-        self.called_at: list[tuple[float, str, str]] = []  # the same, with the address that was dialled
-        self.duplicate_answers = 0  # answers that are sent a second time, some ms later
-        self.open_watches = 0  # watches that are open now
-        self.stale_answers = 0  # answers to watches that are of an older version
+        self.called_at: list[tuple[float, str, str]] = []  # the same calls, with the address that was dialed
+        self.duplicate_answers = 0  # number of answers to send a second time, 5 ms later
+        self.open_watches = 0  # number of watches that are open now
+        self.stale_answers = 0  # number of watch answers to send with an older version
         self.open_connections: list[socket.socket] = []
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=64)
         self.port = self.listener.getsockname()[1]
@@ -37,7 +40,10 @@
         threading.Thread(target=self._accept, args=(self.listener,), daemon=True).start()
 
     def listen_on(self, host: str) -> str:
-        """Another loopback address, on the same port, where calls are told apart by; `host:port`."""
+        """Listens on another loopback address too, with the same port, and returns it as `host:port`.
+
+        `called_at` tells the calls at different addresses apart.
+        """
         listener = socket.create_server((host, self.port), backlog=64)
         threading.Thread(target=self._accept, args=(listener,), daemon=True).start()
         return f"{host}:{self.port}"
@@ -76,7 +82,7 @@
                     end = data.index(b"\r\n\r\n") + 4
                     sent = {"in_head": end // 2, "in_body": end + (len(data) - end) // 2}
                     sock.sendall(data[: sent.get(phase, 0)])
-                    return  # open, and silent from here on
+                    return  # the connection stays open without further bytes
                 sock.sendall(data)
                 if self.duplicate_answers:
                     self.duplicate_answers -= 1
@@ -84,24 +90,24 @@
                     sock.sendall(data)
 
     def _answer(self, path: str, waited: float = 0.0) -> bytes:
-        """What the call is answered; `waited` of its time it has waited already."""
-        found = re.search(r"index=(\d+)&wait=(\d+)", path)
+        """Returns the answer to a call; `waited` seconds of its wait have already passed."""
+        watch = re.search(r"index=(\d+)&wait=(\d+)", path)
         with self.changed:
-            if found is None:
+            if watch is None:
                 body = {"version": self.version, "full": True, "servers": list(self.entries.values())}
             else:
-                index = int(found[1])
+                index = int(watch[1])
                 self.open_watches += 1
                 self.changed.wait_for(
-                    lambda: self.version > index or self.stale_answers, int(found[2]) / 1000 - waited
+                    lambda: self.version > index or self.stale_answers, int(watch[2]) / 1000 - waited
                 )
                 self.open_watches -= 1
-                news = [e for version, e in self.changes if version > index]
-                body = {"version": self.version, "full": False, "servers": news}
+                changed_entries = [e for version, e in self.changes if version > index]
+                body = {"version": self.version, "full": False, "servers": changed_entries}
                 if self.stale_answers:
                     self.stale_answers -= 1
-                    old = {**next(iter(self.entries.values())), "state": "Ready"}
-                    body = {"version": index - 1, "full": False, "servers": [old]}
+                    stale_entry = {**next(iter(self.entries.values())), "state": "Ready"}
+                    body = {"version": index - 1, "full": False, "servers": [stale_entry]}
         text = json.dumps(body, indent=self.indent).encode()
         return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nX-Pad: %b\r\n\r\n%b" % (len(text), b"p" * 64, text)
 
@@ -112,16 +118,18 @@
     def announce(self, entry: dict[str, Any], **changes: Any) -> float:
         with self.changed:
             self.version += 1
-            self.entries[entry["id"]] = new = {**entry, **changes}
-            self.changes.append((self.version, new))
+            self.entries[entry["id"]] = changed_entry = {**entry, **changes}
+            self.changes.append((self.version, changed_entry))
             self.changed.notify_all()
             return time.time()
 
 
 class SerializedDiscovery(SilentDiscovery):
-    """One service for all nodes: calls wait in turn, each takes a while; one that has waited too long gets
-    503 or a reset, in turn. A call that its caller has given up takes its turn all the same. A watch waits
-    from its arrival on."""
+    """A discovery that serves the calls of all nodes one after another, `service_time_s` each.
+
+    A call that has waited `max_wait_s` fails, alternately with 503 and with a reset. A call that its client
+    has abandoned is served all the same. The wait of a watch counts from its arrival.
+    """
 
     def __init__(self, entries: list[dict[str, Any]], service_time_s: float, max_wait_s: float = 2.0) -> None:
         self.turn = threading.Lock()
--- a/tests/support/state_machine_driver.py
+++ b/tests/support/state_machine_driver.py
@@ -1,4 +1,4 @@
-"""A state machine fed with entries, as the tests of the store's parts need it."""
+"""Drives a store's state machine with log entries."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class StateMachineDriver:
-    """Feeds a machine, and counts the entries."""
+    """Applies entries to a state machine and keeps them in order."""
 
     def __init__(self) -> None:
         self.machine = StateMachine()
--- a/tests/support/store_nodes.py
+++ b/tests/support/store_nodes.py
@@ -1,4 +1,4 @@
-"""Nodes that are members of a store, each behind a relay, with what a test does to them."""
+"""Nodes that are members of a store, each behind a relay, with operations that inject faults."""
 
 from __future__ import annotations
 
@@ -17,31 +17,33 @@
 
 
 def call(console: str, path: str) -> int:
-    """A call whose yes waits for every node that holds a lease."""
+    """Calls the admin API, with time for an answer that waits for every node that holds a lease."""
     return plain_call(console, path, most=3.0)
 
 
 class StoreNodes:
-    """Three nodes, each with a member of the store in its process, behind a relay."""
+    """Three nodes, each with a store member in its process and a relay in front of the member."""
 
     def __init__(self, folder: Path, stack: ExitStack) -> None:
         self.folder, self.stack = folder, stack
         self.endpoint_servers = [EndpointServer("a"), EndpointServer("b")]
         self.relay = Relay()
         self.names = ["n1", "n2", "n3"]
-        self.listen_addresses = {n: f"127.0.0.1:{free_port()}" for n in self.names}
-        self.consoles = {n: f"127.0.0.1:{free_port()}" for n in self.names}
-        for n in self.names:
-            self.relay.add_route(n, self.listen_addresses[n])
+        self.listen_addresses = {member: f"127.0.0.1:{free_port()}" for member in self.names}
+        self.consoles = {member: f"127.0.0.1:{free_port()}" for member in self.names}
+        for member in self.names:
+            self.relay.add_route(member, self.listen_addresses[member])
         self.relay.start()
         self.environments: dict[str, NodeEnvironment] = {}
 
     def operator_config(self, name: str, more: str = "") -> str:
-        listed = ", ".join(
-            f'{{name = "{p}", address = "{self.relay.addresses[p]}"}}' for p in self.names if p != name
+        peer_tables = ", ".join(
+            f'{{name = "{peer}", address = "{self.relay.addresses[peer]}"}}'
+            for peer in self.names
+            if peer != name
         )
         return (
-            f'[store]\nname = "{name}"\nlisten = "{self.listen_addresses[name]}"\npeers = [{listed}]\n'
+            f'[store]\nname = "{name}"\nlisten = "{self.listen_addresses[name]}"\npeers = [{peer_tables}]\n'
             f'advertise = "{self.relay.addresses[name]}"\ndata = "{self.folder / name / "data"}"\n{more}'
         )
 
@@ -50,17 +52,19 @@
         folder.mkdir(exist_ok=True)
         config = {"name": name, "console": self.consoles[name]} | config
         env = {"TMPDIR": str(self.folder / name)}
-        made = NodeEnvironment(folder, self.endpoint_servers, self.operator_config(name, more), env, **config)
-        self.stack.callback(self.stop_node, made)
+        environment = NodeEnvironment(
+            folder, self.endpoint_servers, self.operator_config(name, more), env, **config
+        )
+        self.stack.callback(self.stop_node, environment)
         if not place:
-            self.environments[name] = made
-        return made
+            self.environments[name] = environment
+        return environment
 
-    def stop_node(self, made: NodeEnvironment) -> None:
-        made.process.kill()
-        made.process.wait()
-        made.discovery.server.shutdown()
-        assert "Traceback" not in made.log.read_text(), made.log.read_text()
+    def stop_node(self, environment: NodeEnvironment) -> None:
+        environment.process.kill()
+        environment.process.wait()
+        environment.discovery.server.shutdown()
+        assert "Traceback" not in environment.log.read_text(), environment.log.read_text()
 
     def start_all(self, more: str = "") -> None:
         for name in self.names:
@@ -74,26 +78,29 @@
     def leader(self) -> str:
         for name in self.names:
             try:
-                with self.member_client(name) as r:
-                    if r.status()["role"] == "leader":
+                with self.member_client(name) as client:
+                    if client.status()["role"] == "leader":
                         return name
             except RequestFailedError:
                 pass
         return ""
 
     def others(self, name: str) -> list[str]:
-        return [n for n in self.names if n != name]
+        return [member for member in self.names if member != name]
 
     def isolate(self, name: str) -> None:
         self.relay.partition({name}, set(self.others(name)))
 
     def open_answers(self, name: str, times: int = 8) -> set[str]:
-        return {self.environments[name].client().open_request(f"c=live,d=900,g={k}") for k in range(times)}
+        return {
+            self.environments[name].client().open_request(f"c=live,d=900,g={number}")
+            for number in range(times)
+        }
 
 
 @pytest.fixture
 def nodes(tmp_path: Path) -> Iterator[StoreNodes]:
     with ExitStack() as stack:
-        made = StoreNodes(tmp_path, stack)
-        yield made
-    made.relay.stop()
+        environment = StoreNodes(tmp_path, stack)
+        yield environment
+    environment.relay.stop()
--- a/tests/support/store_process.py
+++ b/tests/support/store_process.py
@@ -1,8 +1,11 @@
-"""The command line with what a test wants of it: a short log, a small disk, or an end at a fault point.
+"""Runs the program's command line with a short log, a small disk, a crash point or a wrong wall clock.
 
-`STORE_KEEP` entries are kept behind the state; `STORE_MAP` bytes is the folder's room; `STORE_FAULT` is
-`point:count`, the place in the disk's work at whose count-th passing the process ends as if killed.
-`STORE_WALL` seconds are what the wall clock is wrong by; it jumps back and forth by as much again.
+Environment variables set them:
+
+    STORE_KEEP   number of log entries that are retained behind the stored state
+    STORE_MAP    size of the member's database in bytes
+    STORE_FAULT  `point:count`: the process kills itself when storage reaches this point for the count-th time
+    STORE_WALL   offset of the wall clock in seconds; the clock also jumps back and forth by the same amount
 """
 
 from __future__ import annotations
@@ -16,30 +19,33 @@
 
 
 def set_up() -> None:
-    if keep := os.environ.get("STORE_KEEP"):
-        log_writer.RETAINED_ENTRIES, log_writer.COMPACTION_ENTRIES = int(keep), 4 * int(keep)
-    if room := os.environ.get("STORE_MAP"):
-        storage.MemberStorage.__init__.__defaults__ = (int(room),)
-    if wrong := os.environ.get("STORE_WALL"):
-        plain_ns, jumps = time.time_ns, itertools.cycle([0, int(wrong), -int(wrong)])
-        time.time_ns = lambda: plain_ns() + (int(wrong) + next(jumps)) * 1_000_000_000
+    if retained_entries := os.environ.get("STORE_KEEP"):
+        log_writer.RETAINED_ENTRIES, log_writer.COMPACTION_ENTRIES = (
+            int(retained_entries),
+            4 * int(retained_entries),
+        )
+    if map_bytes := os.environ.get("STORE_MAP"):
+        storage.MemberStorage.__init__.__defaults__ = (int(map_bytes),)
+    if offset_s := os.environ.get("STORE_WALL"):
+        real_time_ns, jumps = time.time_ns, itertools.cycle([0, int(offset_s), -int(offset_s)])
+        time.time_ns = lambda: real_time_ns() + (int(offset_s) + next(jumps)) * 1_000_000_000
         time.time = lambda: time.time_ns() / 1e9
     if fault := os.environ.get("STORE_FAULT"):
-        where, _, count = fault.partition(":")
-        left = [int(count)]
-        plain = storage.MemberStorage.__init__
-
-        def point(name: str) -> None:
-            if name == where:
-                left[0] -= 1
-                if not left[0]:
+        crash_point, _, count = fault.partition(":")
+        passes_left = [int(count)]
+        original_init = storage.MemberStorage.__init__
+
+        def crash_at(name: str) -> None:
+            if name == crash_point:
+                passes_left[0] -= 1
+                if not passes_left[0]:
                     os.kill(os.getpid(), signal.SIGKILL)
 
-        def made(self: storage.MemberStorage, *args: object) -> None:
-            plain(self, *args)  # type: ignore[arg-type]
-            self.point = point
+        def init_with_crash_point(self: storage.MemberStorage, *args: object) -> None:
+            original_init(self, *args)  # type: ignore[arg-type]
+            self.point = crash_at
 
-        storage.MemberStorage.__init__ = made  # type: ignore[method-assign,assignment]
+        storage.MemberStorage.__init__ = init_with_crash_point  # type: ignore[method-assign,assignment]
 
 
 if __name__ == "__main__":
--- a/tests/test_capture_recorder.py
+++ b/tests/test_capture_recorder.py
@@ -35,7 +35,7 @@
 
 
 def test_a_slow_disk_costs_whole_batches_marked_as_gaps_and_no_decision(tmp_path: Path) -> None:
-    metrics = record_workload(tmp_path, RandomWorkload(6), held=True)
+    metrics = record_workload(tmp_path, RandomWorkload(6), disk_blocked=True)
     (path,) = tmp_path.iterdir()
     found = replay_recording(path.read_bytes())
     read = [f for f in frames.read(path.read_bytes()) if not isinstance(f, Damage)]
