--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,8 @@
-"""Tests that are known to fail for a real fault, from KNOWN-RED.txt at the root: passed over, and printed.
+"""A pytest plugin that skips and prints the tests in KNOWN-RED.txt, which fail because of a known fault.
 
-A line is `tests/test_FILE.py::test_NAME | cause | issue`. Guards against a list that hides more than it says:
-a line that names no test, one without cause or issue, or a fourth line ends the run before any test.
+Each line of the file at the root is `tests/test_FILE.py::test_NAME | cause | issue`. The list must not hide
+more than it states: a line that names no existing test, a line without cause or issue, or a fourth line ends
+the run before any test starts.
 """
 
 from __future__ import annotations
@@ -27,24 +28,28 @@
 
 
 def read(root: Path) -> list[KnownFailure]:
-    """What the list names; a ValueError where it may not be gone by."""
+    """Reads the list of known failures.
+
+    Raises:
+        ValueError: a line is malformed or names no test, or there are more than `MAX_ENTRIES` lines.
+    """
     path = root / FILE_NAME
     if not path.exists():
         return []
-    reds = []
+    failures = []
     for line in filter(str.strip, path.read_text().splitlines()):
         parts = [part.strip() for part in line.split("|")]
         if len(parts) != 3 or not all(parts):
             raise ValueError(f"{FILE_NAME}: {line[:80]!r} is not `test | cause | issue`")
-        red = KnownFailure(*parts)
-        file, _, name = red.test.partition("::")
-        known = (root / file).is_file() and name.isidentifier() and name.startswith("test_")
-        if not known or not re.search(rf"^(async )?def {name}\(", (root / file).read_text(), re.M):
-            raise ValueError(f"{FILE_NAME}: {red.test[:80]!r} is no test")
-        reds.append(red)
-    if len(reds) > MAX_ENTRIES:
-        raise ValueError(f"{FILE_NAME}: {len(reds)} lines, and {MAX_ENTRIES} at most may stand there")
-    return reds
+        failure = KnownFailure(*parts)
+        file, _, name = failure.test.partition("::")
+        exists = (root / file).is_file() and name.isidentifier() and name.startswith("test_")
+        if not exists or not re.search(rf"^(async )?def {name}\(", (root / file).read_text(), re.M):
+            raise ValueError(f"{FILE_NAME}: {failure.test[:80]!r} is no test")
+        failures.append(failure)
+    if len(failures) > MAX_ENTRIES:
+        raise ValueError(f"{FILE_NAME}: {len(failures)} lines, and {MAX_ENTRIES} at most may stand there")
+    return failures
 
 
 def pytest_configure(config: pytest.Config) -> None:
@@ -56,16 +61,20 @@
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     for item in items:
-        for red in config.stash[KNOWN_FAILURES]:
-            if red.matches(item.nodeid):
-                item.add_marker(pytest.mark.xfail(run=False, reason=f"{FILE_NAME}: {red.cause}, {red.issue}"))
+        for failure in config.stash[KNOWN_FAILURES]:
+            if failure.matches(item.nodeid):
+                item.add_marker(
+                    pytest.mark.xfail(run=False, reason=f"{FILE_NAME}: {failure.cause}, {failure.issue}")
+                )
 
 
 def pytest_terminal_summary(
     terminalreporter: pytest.TerminalReporter, exitstatus: int, config: pytest.Config
 ) -> None:
-    for red in config.stash[KNOWN_FAILURES]:
-        terminalreporter.write_line(f"KNOWN RED, passed over: {red.test}: {red.cause} ({red.issue})")
+    for failure in config.stash[KNOWN_FAILURES]:
+        terminalreporter.write_line(
+            f"KNOWN RED, passed over: {failure.test}: {failure.cause} ({failure.issue})"
+        )
 
 
 KNOWN_FAILURES = pytest.StashKey[list[KnownFailure]]()
