--- a/tests/compatibility/__init__.py
+++ b/tests/compatibility/__init__.py
@@ -1,1 +1,1 @@
-"""What the version before the renames wrote and was called by, held against the code as it stands."""
+"""Tests that the code reads the data, and keeps the outer names, of the version before the renames."""
--- a/tests/compatibility/fixtures.py
+++ b/tests/compatibility/fixtures.py
@@ -10,15 +10,15 @@
 
 
 def load(name: str) -> Any:
-    """A fixture that is JSON."""
+    """Returns a JSON fixture."""
     return json.loads((FILES / name).read_text())
 
 
 def messages() -> list[dict[str, Any]]:
-    """All encoded messages; those of a later version stand in a file of their own."""
+    """Returns all encoded messages; each later version has its own file."""
     return [entry for path in sorted(FILES.glob("messages*.json")) for entry in json.loads(path.read_text())]
 
 
 def exact(value: Any) -> str:
-    """A plain value so that 1, 1.0 and True differ, and the order of fields counts."""
+    """Returns a plain value as JSON text, so that 1, 1.0 and True differ and the order of fields counts."""
     return json.dumps(value, indent=1)
--- a/tests/compatibility/present.py
+++ b/tests/compatibility/present.py
@@ -1,7 +1,7 @@
-"""The code as it stands, by the labels of the fixtures: the one place of this suite that names its classes.
+"""Maps the labels of the fixtures to the classes of the current code.
 
-A class that is renamed or moved changes its line here, and never a fixture. What is no single message is read
-by `readers`.
+Only this module of the suite names classes: when a class is renamed or moved, its line here changes, never a
+fixture. `readers` reads data that is not a single message.
 """
 
 from __future__ import annotations
@@ -36,24 +36,24 @@
 
 @dataclass(frozen=True)
 class Form:
-    """A class that is stored or sent, and the type that its reader in the program decodes."""
+    """A class that is stored or sent, and the type with which the program decodes it."""
 
     kind: type
     reader: Any
 
 
 def _own(**classes: type) -> dict[str, Form]:
-    """Classes that are read as what they are."""
+    """Returns forms of classes that are decoded by their own type."""
     return {label: Form(kind, kind) for label, kind in classes.items()}
 
 
 def _one_of(union: Any, **classes: type) -> dict[str, Form]:
-    """Classes that are read as one of a union, and told apart by their tags."""
+    """Returns forms of classes that are decoded as members of a union, by their tags."""
     return {label: Form(kind, union) for label, kind in classes.items()}
 
 
 def _in(group: str, *forms: dict[str, Form]) -> dict[str, Form]:
-    return {f"{group}.{label}": form for each in forms for label, form in each.items()}
+    return {f"{group}.{label}": form for element in forms for label, form in element.items()}
 
 
 FORMS: dict[str, Form] = (
@@ -202,8 +202,9 @@
     | _in("node", _own(config=configuration.NodeConfiguration, limits=configuration.ResourceLimits))
 )
 
-# By label: the stored name of an attribute that is called otherwise now, where the class does not say it
-# itself by `msgspec.field(name=...)`. Order is the format of array-like classes: this must not change it.
+# Stored names of renamed attributes, by label, where the class does not declare them with
+# `msgspec.field(name=...)`. The fields of array-like classes are stored by position, so
+# their order must not change.
 STORED_NAMES: dict[str, dict[str, str]] = {
     "store.state": {"clock_ms": "clock"},
     "store.session": {"remembered_until_ms": "until"},
@@ -214,13 +215,14 @@
     "raft.snap_meta": {"configuration": "config"},
 }
 
-# Structs that no other process and no later version reads. Tables of the operator's file are held by name.
+# Structs that no other process and no later version reads. `surface` covers the tables of the
+# operator's file.
 NOT_STORED: frozenset[type] = frozenset(
     {
-        in_force.InForceVerdict,  # its answer's map is written by hand
-        evaluation.ServiceFigures,  # printed by `gradegap whatif --json`, read by nobody
+        in_force.InForceVerdict,  # the map of its answer is built by hand
+        evaluation.ServiceFigures,  # only printed, by `gradegap whatif --json`
         simulation.WhatIfResult,
-        selection.MachineAddress,  # made from the operator's file
+        selection.MachineAddress,  # built from the operator's file
         checked_sessions.Record,  # of the model checker's save store
         checked_sessions._Execution,
         operator_file.OperatorSettings,
@@ -240,7 +242,7 @@
 
 
 def plain(value: Any) -> Any:
-    """A value as JSON has it: classes by their labels, fields by their stored names and in their order."""
+    """Converts a value to JSON types: classes by label, fields by stored name and in their order."""
     kind = type(value)
     if isinstance(value, msgspec.Struct) or dataclasses.is_dataclass(kind):
         return {"is": LABELS[kind], "fields": _fields(value, LABELS[kind])}
@@ -251,9 +253,9 @@
     if isinstance(value, enum.Enum):
         return value.value
     if isinstance(value, list | tuple):
-        return [plain(each) for each in value]
+        return [plain(element) for element in value]
     if isinstance(value, dict):
-        return {"map": {key: plain(each) for key, each in value.items()}}
+        return {"map": {key: plain(element) for key, element in value.items()}}
     return value
 
 
--- a/tests/compatibility/readers.py
+++ b/tests/compatibility/readers.py
@@ -1,7 +1,8 @@
-"""The code as it stands, as a reader of what is no single message.
+"""Reads and writes, with the current code, stored data that is not a single message.
 
-A function that is renamed or moved changes its line here, and never a fixture: recordings' frames, a store's
-folder, snapshots, sealed tokens, connection ids, the lines of a session and the beginning of a link.
+This covers frames of recordings, a store member's folder, snapshots, sealed tokens, connection ids, lines of
+a session and the handshake of a link. When a function is renamed or moved, its line here changes, never a
+fixture.
 """
 
 from __future__ import annotations
@@ -25,36 +26,36 @@
 
 
 def frame_bodies(data: bytes) -> list[Any]:
-    """What the sound frames of a recording hold."""
+    """Returns the bodies of the valid frames of a recording."""
     return [frame.body for frame in frames.read(data) if isinstance(frame, frames.Frame)]
 
 
 @dataclass(frozen=True)
 class StoreFolder:
-    """What a member's folder holds, plain, and the state machine that a member begins with."""
+    """The plain contents of a member's folder, and the state machine with which the member starts."""
 
     contents: dict[str, Any]
     entries: list[raft.Entry]
     machine: machine.StateMachine
 
     def digest(self) -> str:
-        """Of all keys, as members compare it."""
+        """Returns the digest of all keys that members compare."""
         return self.machine.digest()
 
     def state(self) -> Any:
-        """All of the state, plain."""
+        """Returns the whole state, plain."""
         return plain(self.machine.export_state())
 
     def at(self, revision: int) -> Any:
-        """The values as they were after a revision, plain."""
+        """Returns the values as of a revision, plain."""
         return plain(self.machine.values_at(revision, ""))
 
     def revisions_of_the_last(self, revisions: int) -> list[int]:
-        """Of the changes that a watch from so many revisions back is sent."""
+        """Returns the revisions of the events that a watch gets if it starts `revisions` revisions back."""
         return [event.revision for event in self.machine.events_since(self.machine.revision - revisions)]
 
     def apply_the_rest(self) -> list[Any]:
-        """Apply the entries that the stored state does not have yet; their results by index."""
+        """Applies the entries that the stored state does not include; returns their indices and results."""
         results = []
         for entry in self.entries:
             if entry.index <= self.machine.index:
@@ -67,26 +68,26 @@
 
 
 def read_store_folder(folder: Path) -> StoreFolder:
-    """A folder as a member reads it at its start."""
-    opened = storage.MemberStorage(folder)
+    """Reads a folder as a member does when it starts."""
+    source_storage = storage.MemberStorage(folder)
     try:
-        found = opened.start()
+        stored = source_storage.start()
     finally:
-        opened.close()
+        source_storage.close()
     made = machine.StateMachine()
-    made.load_state(found.state)
+    made.load_state(stored.state)
     contents = {
-        "identity": plain(found.identity),
-        "hard": plain(found.hard),
-        "base": plain(found.base),
-        "entries": [_log_entry(entry) for entry in found.entries],
-        "state": plain(found.state),
+        "identity": plain(stored.identity),
+        "hard": plain(stored.hard),
+        "base": plain(stored.base),
+        "entries": [_log_entry(entry) for entry in stored.entries],
+        "state": plain(stored.state),
     }
-    return StoreFolder(contents, found.entries, made)
+    return StoreFolder(contents, stored.entries, made)
 
 
 def _log_entry(entry: raft.Entry) -> dict[str, Any]:
-    """An entry of the log with what it carries."""
+    """Returns a log entry, plain, with its decoded payload."""
     row: dict[str, Any] = plain(entry)
     if entry.kind is raft.EntryKind.COMMAND:
         row["logged"] = plain(msgspec.msgpack.decode(entry.data, type=records.LogRecord))
@@ -96,20 +97,20 @@
 
 
 def copy_store_folder(source: Path, target: Path) -> None:
-    """Read a folder and write all of it into a new one."""
-    opened = storage.MemberStorage(source)
-    found = opened.start()
-    opened.close()
+    """Reads a folder and writes its whole contents into a new one."""
+    source_storage = storage.MemberStorage(source)
+    stored = source_storage.start()
+    source_storage.close()
     made = storage.MemberStorage(target)
     made.start()
-    state = found.state
+    state = stored.state
     made.write(
         storage.WriteBatch(
-            hard=found.hard,
-            identity=found.identity,
-            base=found.base,
+            hard=stored.hard,
+            identity=stored.identity,
+            base=stored.base,
             whole=state,
-            entries=found.entries,
+            entries=stored.entries,
             applied=storage.AppliedPosition(state.index, state.revision, state.clock_ms),
         )
     )
@@ -117,22 +118,22 @@
 
 
 def unpack_snapshot(data: bytes) -> Any:
-    """The state that a packed snapshot holds, plain."""
+    """Returns the state in an encoded snapshot, plain."""
     return plain(state_snapshot.decode_snapshot(data))
 
 
 def repack_snapshot(data: bytes) -> bytes:
-    """A snapshot read and packed again."""
+    """Decodes a snapshot and encodes it again."""
     return state_snapshot.encode_snapshot(state_snapshot.decode_snapshot(data))
 
 
 def open_session_token(ring: dict[str, Any], cluster: str, sealed: str, now: float) -> Any:
-    """What a token of a resumable session proves, plain."""
+    """Returns the place that a token of a resumable session proves, plain."""
     return plain(token.open_token(msgspec.convert(ring, token.KeyRing), cluster, sealed, now))
 
 
 def refusal_of_session_token(ring: dict[str, Any], cluster: str, sealed: str, now: float) -> str:
-    """The reason for which a token is refused; empty for one that is not."""
+    """Returns the reason for which a token is rejected, or an empty string if it is valid."""
     try:
         token.open_token(msgspec.convert(ring, token.KeyRing), cluster, sealed, now)
     except TokenError as error:
@@ -141,42 +142,42 @@
 
 
 def kept_of_retry_secret(secret: str) -> str:
-    """What a claim keeps of the secret by which a client shows that it is the same."""
+    """Returns the digest that a reservation stores of the secret by which a client proves its identity."""
     return reservations.secret_digest(secret)
 
 
 class Quic:
-    """Connection ids and address tokens by one ring of keys."""
+    """Connection ids and address tokens of one key ring."""
 
     def __init__(self, ring: dict[str, Any]) -> None:
         self.keys = keys.DerivedKeys(msgspec.convert(ring, keys.QuicRing))
         self.tokens = tokens.AddressTokens(self.keys)
 
     def holder_of(self, connection_id: bytes) -> Any:
-        """Who holds the session of a connection id, plain."""
+        """Returns the holder of a connection id's session, plain."""
         read = self.keys.ids.read(connection_id)
         return None if read is None else plain(keys.Holder.of(read.server))
 
     def make_id(self, bits: int, holder: dict[str, int], nonce: bytes) -> bytes:
-        """A connection id by one key of the ring."""
+        """Encodes a connection id with one key of the ring."""
         return self.keys.ids.codecs[bits].make(keys.Holder(**holder).octets(), nonce)
 
     def reset_token(self, connection_id: bytes) -> bytes:
-        """The token that ends the connection of an id."""
+        """Returns the stateless reset token of a connection id."""
         return self.keys.reset_token(connection_id)
 
     def proven(self, sealed: bytes, address: tuple[str, int], destination: bytes, now: float) -> bytes | None:
-        """The client's first id for a Retry's token; none for one of NEW_TOKEN."""
+        """Returns the client's original destination id from a Retry token; None for a NEW_TOKEN token."""
         return self.tokens.validate(sealed, address, destination, now)
 
 
 def connection_id(shape: dict[str, Any], server: bytes, nonce: bytes, chance: int) -> bytes:
-    """A connection id of a shape that is given whole."""
+    """Encodes a connection id of the given shape."""
     return _coder(shape).make(server, nonce, chance)
 
 
 def read_connection_id(shape: dict[str, Any], made: bytes) -> tuple[bytes, bytes] | None:
-    """The server id and the nonce of a connection id."""
+    """Returns the server id and the nonce of a connection id, or None if it can't be decoded."""
     read = _coder(shape).read(made)
     return None if read is None else (read.server, read.nonce)
 
@@ -199,43 +200,43 @@
 
 
 def read_line(raw: bytes) -> Any:
-    """A line of a resumable session, without its CRLF."""
+    """Decodes a line of a resumable session, given without its CRLF."""
     return lines.decode(raw)
 
 
 def write_line(line: Any) -> bytes:
-    """A line of a resumable session, with its CRLF."""
+    """Encodes a line of a resumable session, with its CRLF."""
     return lines.encode(line)
 
 
 def read_node_snapshot(path: Path) -> dict[str, float]:
-    """Servers that are out by hand, as the next process of a node reads them."""
+    """Returns the manually disabled endpoints as the next process of a node reads them."""
     return DisabledEndpointsFile(path, Metrics()).read()
 
 
 def write_node_snapshot(path: Path, out: dict[str, float]) -> None:
-    """The same, written."""
+    """Writes the manually disabled endpoints as a node does."""
     DisabledEndpointsFile(path, Metrics()).write(out)
 
 
 class LinkEnd:
-    """One end of a link that begins with a given hello."""
+    """One end of a link whose handshake starts with the given hello."""
 
     def __init__(self, secret: bytes, hello: Any, dials: bool) -> None:
         self.channel = LinkChannel(secret, msgspec.convert(hello, wire.Hello), dials)
 
     def begin(self) -> bytes:
-        """What this end sends first."""
+        """Returns the first bytes that this end sends."""
         return self.channel.begin()
 
     def receive(self, data: bytes) -> tuple[list[Any], bytes]:
-        """The messages that are whole by now, and what is sent at once."""
+        """Returns the messages that are complete and the bytes to send in reply."""
         return self.channel.receive(data)
 
     def send(self, message: Any) -> bytes:
-        """One frame."""
+        """Returns a message as one frame."""
         return self.channel.send(message)
 
     def last_word(self, reason: str) -> bytes:
-        """The last frame on a link that is refused."""
+        """Returns the last frame on a link that is rejected."""
         return self.channel.reject(reason)
--- a/tests/compatibility/source_scan.py
+++ b/tests/compatibility/source_scan.py
@@ -1,4 +1,4 @@
-"""Names that the source holds as text: counters and environment variables. Reads syntax, runs nothing."""
+"""Finds the counters and environment variables in the syntax tree of the source, without running it."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from pathlib import Path
 
 PACKAGE = Path(__file__).parents[2] / "gradegap"
-LEFT_OUT = "verification"  # models, which count for themselves
+LEFT_OUT = "verification"  # models with counts of their own, which are no metrics
 
 COUNTING_METHODS = frozenset({"count", "gauge"})
 COUNTING_MAPS = frozenset({"counts"})
 COUNTING_PARAMETERS = frozenset({"counter"})
-COUNTING_HELPERS = frozenset({"_bad"})  # pass a counter's name on
+COUNTING_HELPERS = frozenset({"_bad"})  # helpers whose second argument is a counter's name
 
 COUNTER = re.compile(r"[a-z][a-z0-9_]*")
 VARIABLE = re.compile(r"(?:NODE|GRADEGAP)_[A-Z_]+")
@@ -33,7 +33,7 @@
 
 @cache
 def _constants() -> dict[str, frozenset[str]]:
-    """Texts that are given a name in capitals, by that name."""
+    """Returns the string values of assigned names, by name."""
     found: dict[str, set[str]] = {}
     for node in _nodes():
         targets = node.targets if isinstance(node, ast.Assign) else []
@@ -46,7 +46,7 @@
 
 
 def _texts(node: ast.expr | None) -> Iterator[str]:
-    """What an expression may be as text; of an f-string its beginning, ended by `{}`."""
+    """Yields the string values that an expression can have; for an f-string its beginning and `{}`."""
     match node:
         case ast.Constant(value=str(text)):
             yield text
@@ -80,13 +80,13 @@
 
 @cache
 def counters() -> frozenset[str]:
-    """Counters and gauges; one whose end is reckoned as its beginning and `{}`."""
+    """Returns counters and gauges; a name with a computed end is listed as its beginning and `{}`."""
     found = {text for each in _counter_expressions() for text in _texts(each)}
     return frozenset(text for text in found if COUNTER.fullmatch(text.removesuffix("{}")))
 
 
 def environment_variables() -> set[str]:
-    """Variables of the environment that the source names."""
+    """Returns the environment variables that the source names."""
     found = {
         node.value for node in _nodes() if isinstance(node, ast.Constant) and isinstance(node.value, str)
     }
--- a/tests/compatibility/surface.py
+++ b/tests/compatibility/surface.py
@@ -1,6 +1,7 @@
-"""What operators, the platform and scripts call the program's parts by, as the code has it now.
+"""Returns the names by which operators, the platform and scripts use the program, from the current code.
 
-Names the code as `present` and `readers` do: what is renamed there changes its line here.
+Like `present` and `readers`, this module names the code: when a class or function is renamed, its line here
+changes.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 SIMULATOR = [sys.executable, "-m", "gradegap.simulator_adapter"]
 
-# By method of the admin API's node: what the call is for.
+# The purpose of each method of the node that the admin API calls, as the fixtures name it.
 OPERATIONS = {
     "report_ready": "ready",
     "disable_endpoint": "take a save server out",
@@ -40,7 +41,7 @@
 
 
 def commands() -> dict[str, Any]:
-    """Each command with its options: names, type and default; and how many arguments it takes."""
+    """Returns each command with its options (names, type, default) and its arguments."""
     return dict(_commands(typer.main.get_command(app), "gradegap"))
 
 
@@ -65,24 +66,24 @@
 
 
 def _type_name(annotation: Any) -> str:
-    """A type of an option; of an enum its values, as its own name is not to be seen outside."""
+    """Returns the name of an option's type; for an enum its values, as its class name is internal."""
     if isinstance(annotation, type) and issubclass(annotation, enum.Enum):
         return "|".join(str(each.value) for each in annotation)
     return str(getattr(annotation, "__name__", annotation))
 
 
 def flat_settings(nested: dict[str, Any]) -> dict[str, str]:
-    """Settings of a node's file as the pairs of the simulator's wire."""
+    """Returns the settings of a node's file as the pairs of the simulator's wire."""
     return settings_reader.flatten(nested)
 
 
 def settings(flat: dict[str, str]) -> Any:
-    """What the pairs mean, by the names under which recordings store it."""
+    """Returns the settings that the pairs express, by the names under which recordings store them."""
     return records.plain_settings(Settings(**settings_reader.read(flat)))
 
 
 def missing_setting(nested: dict[str, Any]) -> str:
-    """The name that the check of a node's settings misses; empty for none."""
+    """Returns the setting that the check of a node's settings reports as missing, or an empty string."""
     try:
         settings_reader.check(nested)
     except KeyError as error:
@@ -91,35 +92,35 @@
 
 
 def load_report(text: str) -> Any:
-    """A load report of the simulator's wire."""
+    """Parses a load report of the simulator's wire."""
     return settings_reader.report(text)
 
 
 def node_configuration(path: str | None) -> Any:
-    """A node's file, with the environment over it, plain."""
+    """Returns a node's configuration from its file and the environment, plain."""
     return plain(configuration.load(path).node)
 
 
 def private_files(path: str) -> list[str]:
-    """The files by which one process of a node finds what another left."""
+    """Returns the paths of the files that one process of a node leaves for the next."""
     node = configuration.load(path).node
     return [str(configuration.private_file(node, kind)) for kind in ("snapshot", "sock")]
 
 
 def operator_settings(path: Path) -> Any:
-    """An operator's file, by table and key."""
+    """Returns an operator's file by table and key."""
     return msgspec.to_builtins(operator_file.load_operator(str(path)))
 
 
 def operator_tables() -> dict[str, list[str]]:
-    """The tables of an operator's file with their keys."""
+    """Returns the tables of an operator's file with their keys."""
     tables: dict[str, list[str]] = {}
     _tables(msgspec.inspect.type_info(operator_file.OperatorSettings), "", tables)
     return tables
 
 
 def _tables(kind: msgspec.inspect.Type, path: str, into: dict[str, list[str]]) -> None:
-    """Enter the table that a type is, or holds one or many of."""
+    """Adds the table of a type, or of its element types, to `into`."""
     if isinstance(kind, msgspec.inspect.StructType):
         into[path] = [field.encode_name for field in kind.fields]
         for field in kind.fields:
@@ -132,7 +133,7 @@
 
 
 class _Operations:
-    """A node that only notes what it is called for."""
+    """A stand-in for a node that records the operation and arguments of its last call."""
 
     def __init__(self) -> None:
         self.called: list[Any] = []
@@ -145,7 +146,7 @@
 
 
 def admin_call(method: str, target: str) -> list[Any]:
-    """What a call at the admin API is for, with the save server that it names; or its status and `Allow`."""
+    """Returns an admin API call's operation and save server, or the status and `Allow` of an error."""
     node = _Operations()
     try:
         routes.route(node, method, target.encode())(lambda answer: None)
@@ -155,9 +156,9 @@
 
 
 def store_schema() -> Any:
-    """JSON Schema of the store's keys, without the names of classes."""
-    whole = schema.json_schema()
-    definitions = whole.pop("$defs")
+    """Returns the JSON Schema of the store's keys, without titles and descriptions."""
+    schema_document = schema.json_schema()
+    definitions = schema_document.pop("$defs")
 
     def resolved(value: Any) -> Any:
         if isinstance(value, dict):
@@ -166,20 +167,20 @@
             return {key: resolved(each) for key, each in value.items() if key not in ("title", "description")}
         return [resolved(each) for each in value] if isinstance(value, list) else value
 
-    return resolved(whole)
+    return resolved(schema_document)
 
 
 def store_value(key: str, value: Any) -> Any:
-    """A value of the store's key as it takes effect, plain."""
+    """Returns the value of a store key after validation, plain."""
     return msgspec.to_builtins(schema.check_value(key, value))
 
 
 def opening_line(line: bytes) -> Any:
-    """A client's first line: what it requests, plain, and the line as it goes on to a server."""
+    """Returns the request of a client's first line, plain, and the line as it is forwarded to a server."""
     opening = framing.parse_opening(line)
     return [plain(opening.request), opening.with_wait(1.25).decode()]
 
 
 def report_of_line(text: str) -> Any:
-    """The load report that ends a line of a save server."""
+    """Parses the load report at the end of a save server's line."""
     return answers.parse_load_report(text)
--- a/tests/compatibility/test_files.py
+++ b/tests/compatibility/test_files.py
@@ -1,4 +1,4 @@
-"""The committed files are what they were when they were committed."""
+"""Tests that the committed files are unchanged."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from tests.compatibility.fixtures import FILES
 
-SUMS = FILES.parent / "SHA256SUMS"  # as `sha256sum` writes it; files are added, and none is changed
+SUMS = FILES.parent / "SHA256SUMS"  # output of `sha256sum`; files may be added, never changed
 
 
-def test_no_fixture_was_changed_left_out_or_added_without_its_sum() -> None:
-    rows = [line.partition("  ") for line in SUMS.read_text().splitlines()]
-    expected = {path: total for total, _, path in rows}
+def test_fixture_files_match_their_checksums() -> None:
+    lines = [line.partition("  ") for line in SUMS.read_text().splitlines()]
+    expected = {path: checksum for checksum, _, path in lines}
     found = {
         str(path.relative_to(FILES.parent)): hashlib.sha256(path.read_bytes()).hexdigest()
         for path in sorted(FILES.rglob("*"))
--- a/tests/compatibility/test_simulator.py
+++ b/tests/compatibility/test_simulator.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: batches of an earlier version have the same replies."""
+"""Tests that batches on the simulator's wire get the same replies as from an earlier version."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from tests.support.node_environment import ROOT
 
 
-def test_batches_have_the_same_replies() -> None:
+def test_batches_get_the_same_replies() -> None:
     batches = (FILES / "simulator" / "batches.txt").read_text()
-    done = subprocess.run(
+    completed = subprocess.run(
         surface.SIMULATOR, input=batches, capture_output=True, text=True, cwd=ROOT, timeout=60
     )
-    assert done.returncode == 0, done.stderr
-    assert done.stdout.splitlines() == (FILES / "simulator" / "replies.txt").read_text().splitlines()
+    assert completed.returncode == 0, completed.stderr
+    assert completed.stdout.splitlines() == (FILES / "simulator" / "replies.txt").read_text().splitlines()
--- a/tests/compatibility/test_store_folder.py
+++ b/tests/compatibility/test_store_folder.py
@@ -1,4 +1,4 @@
-"""A member's folder and a snapshot of an earlier version are read for what they are."""
+"""Tests that a member's folder and a snapshot of an earlier version are read to the same state."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
-    """A copy of the committed folder, which a reader may write to."""
+    """Returns a copy of the committed folder, which a reader may write to."""
     return Path(shutil.copytree(FILES / "store", tmp_path / "store"))
 
 
 @pytest.mark.parametrize("part", ["identity", "hard", "base", "entries", "state"])
-def test_each_part_of_the_folder_is_read(folder: Path, part: str) -> None:
+def test_folder_part_is_read_to_the_same_value(folder: Path, part: str) -> None:
     read = readers.read_store_folder(folder)
     assert exact(read.contents[part]) == exact(EXPECTED[part])
 
 
-def test_the_folder_has_something_of_each_kind() -> None:
+def test_folder_contains_each_kind_of_data() -> None:
     state = EXPECTED["state"]["fields"]
     assert state["items"] and state["events"] and state["sessions"]
-    assert EXPECTED["base"]["fields"]["index"] > 0  # a part of the log was compacted away
-    assert EXPECTED["entries"][-1]["fields"]["index"] > state["index"]  # and a part is not applied yet
+    assert EXPECTED["base"]["fields"]["index"] > 0  # the beginning of the log was compacted
+    assert EXPECTED["entries"][-1]["fields"]["index"] > state["index"]  # and some entries are not applied yet
     assert any("config" in entry for entry in EXPECTED["entries"])
 
 
-def test_the_rest_of_the_log_is_applied_to_the_same_state(folder: Path) -> None:
+def test_unapplied_entries_lead_to_the_same_state(folder: Path) -> None:
     read, expected = readers.read_store_folder(folder), EXPECTED["applied"]
     assert exact(read.apply_the_rest()) == exact(expected["results"])
     assert read.digest() == expected["digest"]
@@ -46,13 +46,13 @@
     assert read.revisions_of_the_last(4) == expected["since"]
 
 
-def test_the_folder_is_written_again_to_the_same_records(folder: Path, tmp_path: Path) -> None:
+def test_copied_folder_has_the_same_records(folder: Path, tmp_path: Path) -> None:
     readers.copy_store_folder(folder, tmp_path / "copy")
     assert records(tmp_path / "copy") == records(FILES / "store")
 
 
 def records(folder: Path) -> dict[bytes, dict[bytes, bytes]]:
-    """All records of a folder, by their database."""
+    """Returns all records of a folder, by database."""
     with lmdb.open(str(folder), max_dbs=8, readonly=True, lock=False) as environment:
         found = {}
         for name in DATABASES:
@@ -63,15 +63,18 @@
     return found
 
 
-def test_a_packed_snapshot_is_read_and_survives_being_packed_again() -> None:
+def test_snapshot_is_read_and_round_trips() -> None:
     data = (FILES / "snapshot.bin").read_bytes()
     state = readers.unpack_snapshot(data)
     assert by_key(state) == by_key(EXPECTED["applied"]["state"])
-    # Compressed bytes may differ between releases of zstandard, so the state is compared and not they.
+    # The state is compared instead of the bytes: releases of zstandard may compress differently.
     assert exact(readers.unpack_snapshot(readers.repack_snapshot(data))) == exact(state)
 
 
 def by_key(state: dict[str, Any]) -> dict[str, Any]:
-    """A state without the order of its keys, which is that of their writing or of the disk."""
+    """Returns a state with sorted lists, as their order may be that of the writes or that of the database."""
     fields = state["fields"]
-    return {name: sorted(map(exact, v)) if isinstance(v, list) else v for name, v in fields.items()}
+    return {
+        name: sorted(map(exact, field)) if isinstance(field, list) else field
+        for name, field in fields.items()
+    }
--- a/tests/compatibility/test_store_member.py
+++ b/tests/compatibility/test_store_member.py
@@ -1,4 +1,4 @@
-"""A member that starts with the folder of an earlier version, asked by the commands of this one."""
+"""Tests a member that starts with the folder of an earlier version, through the commands of this version."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @pytest.fixture(scope="module")
 def member(tmp_path_factory: pytest.TempPathFactory) -> Iterator[list[str]]:
-    """A running member with a copy of the folder; the options by which commands reach it."""
+    """Runs a member with a copy of the folder; gives the options with which commands reach it."""
     folder = tmp_path_factory.mktemp("member")
     shutil.copytree(FILES / "store", folder / "store")
     (folder / "secret").write_text("0123456789abcdef0123\n")
@@ -50,32 +50,32 @@
 
 
 def wait_for_leader(options: list[str], process: subprocess.Popen[bytes], log: Path) -> None:
-    """Until the member leads its cluster of one voter."""
+    """Waits until the member is the leader of its cluster of one voter."""
     end = time.monotonic() + START_TIMEOUT_S
     while time.monotonic() < end and process.poll() is None:
-        done = run("store", "status", *options)
-        if done.returncode == 0 and json.loads(done.stdout).get("role") == "leader":
+        completed = run("store", "status", *options)
+        if completed.returncode == 0 and json.loads(completed.stdout).get("role") == "leader":
             return
         time.sleep(0.1)
-    pytest.fail(f"no leader: {log.read_text()}")
+    pytest.fail(f"no leader within {START_TIMEOUT_S} s: {log.read_text()}")
 
 
 def run(*arguments: str) -> subprocess.CompletedProcess[str]:
-    """A command of the program."""
-    line = [sys.executable, "-m", "gradegap", *arguments]
-    return subprocess.run(line, capture_output=True, text=True, cwd=ROOT, timeout=30)
+    """Runs a command of the program."""
+    command = [sys.executable, "-m", "gradegap", *arguments]
+    return subprocess.run(command, capture_output=True, text=True, cwd=ROOT, timeout=30)
 
 
-def lasting(value: Any) -> Any:
-    """An answer without the figures that differ from run to run; their names stay."""
+def without_volatile(value: Any) -> Any:
+    """Returns an answer with the values that differ between runs replaced by None."""
     if isinstance(value, dict):
-        return {name: None if name in VOLATILE else lasting(each) for name, each in value.items()}
-    return [lasting(each) for each in value] if isinstance(value, list) else value
+        return {name: None if name in VOLATILE else without_volatile(each) for name, each in value.items()}
+    return [without_volatile(each) for each in value] if isinstance(value, list) else value
 
 
 @pytest.mark.parametrize("entry", COMMANDS, ids=lambda entry: " ".join(entry["command"]))
-def test_a_command_answers_as_it_did_of_the_same_folder(member: list[str], entry: dict[str, Any]) -> None:
-    done = run(*entry["command"], *member)
-    assert done.returncode == 0, done.stderr
-    answers = [lasting(json.loads(line)) for line in done.stdout.splitlines()]
+def test_command_gives_the_same_answer_for_the_same_folder(member: list[str], entry: dict[str, Any]) -> None:
+    completed = run(*entry["command"], *member)
+    assert completed.returncode == 0, completed.stderr
+    answers = [without_volatile(json.loads(command)) for command in completed.stdout.splitlines()]
     assert exact(answers) == exact(entry["answers"])
