--- a/gradegap/store/log_writer.py
+++ b/gradegap/store/log_writer.py
@@ -1,6 +1,7 @@
-"""Writes what the consensus core hands out before it is sent: a batch at a time, in the member's disk thread.
+"""Persists the output of the consensus core before its messages are sent, one batch at a time.
 
-What comes meanwhile is the next batch, so that many writes share a sync.
+Batches are written in the member's disk thread. Output that arrives during a write forms the next batch, so
+that many entries share one sync of the disk.
 """
 
 from __future__ import annotations
@@ -16,13 +17,13 @@
 from gradegap.store.records import StoreState
 from gradegap.store.storage import AppliedPosition, MemberStorage, WriteBatch
 
-RETAINED_ENTRIES = 1000  # applied entries that stay in the log, for members that are a little behind
-COMPACTION_ENTRIES = 4 * RETAINED_ENTRIES  # in the log, at which it is compacted
-COMPACTION_BYTES = 8 * 1024 * 1024  # of the log, at which it is compacted further
+RETAINED_ENTRIES = 1000  # applied entries kept in the log, so that a member slightly behind needs no snapshot
+COMPACTION_THRESHOLD_ENTRIES = 4 * RETAINED_ENTRIES  # log length that starts a compaction
+COMPACTION_THRESHOLD_BYTES = 8 * 1024 * 1024  # log size that starts a compaction to a shorter tail
 
 
 class WriterHost(Protocol):
-    """The member whose log is written."""
+    """The interface of the member whose log is written."""
 
     metrics: Metrics
     machine: StateMachine
@@ -30,27 +31,27 @@
     thread: ThreadPoolExecutor
 
     def settle(self) -> None:
-        """Carry out what the consensus core has ready."""
+        """Processes the output that the consensus core has ready."""
 
     def send_raft_message(self, recipient: str, message: Message) -> None:
-        """Send a message of the core to the member of this id."""
+        """Sends a message of the consensus core to the member with the id `recipient`."""
 
     def run_in_thread(self, work: Future[Any], done: Callable[[Any], None]) -> None:
-        """`done` on the loop with the result of work in `thread`."""
+        """Calls `done` on the event loop with the result of `work`, which runs in `thread`."""
 
 
 class LogWriter:
-    """The queue of what is to be written, and the batch that is being written."""
+    """The queue of outputs of the consensus core, and the batch that is being written."""
 
     def __init__(self, host: WriterHost, storage: MemberStorage) -> None:
         self.host, self.storage = host, storage
-        self.received_snapshot: StoreState | None = None  # the latest that came, until it is written
+        self.received_snapshot: StoreState | None = None  # the latest one, until it is written
         self._queue: list[Ready] = []
         self._is_writing = False
-        self._compacting_to = 0  # the index up to which the batch being written compacts the log; 0: none
+        self._compacting_to = 0  # the index up to which the current batch compacts the log; 0: no compaction
 
     def add(self, ready: Ready) -> None:
-        """Write this and send its messages, as soon as what came before is written."""
+        """Queues an output: it is written, and its messages are sent, after all earlier outputs."""
         self._queue.append(ready)
         self._write()
 
@@ -73,29 +74,37 @@
         for ready in queue:
             self._add_ready(batch, ready)
         machine = self.host.machine
-        if batch.whole is None or machine.index >= batch.whole.index:
+        if batch.full_state is None or machine.index >= batch.full_state.index:
             batch.unsaved = machine.take_unsaved()
         self.received_snapshot = None
         batch.applied = AppliedPosition(machine.index, machine.revision, machine.clock_ms)
-        if raft.log.size_bytes > COMPACTION_BYTES or len(raft.log.entries) > COMPACTION_ENTRIES:
+        if (
+            raft.log.size_bytes > COMPACTION_THRESHOLD_BYTES
+            or len(raft.log.entries) > COMPACTION_THRESHOLD_ENTRIES
+        ):
             self._compact(batch, raft)
         return batch
 
     def _add_ready(self, batch: WriteBatch, ready: Ready) -> None:
         if ready.hard_state is not None:
-            batch.hard = ready.hard_state
+            batch.raft_hard_state = ready.hard_state
         if ready.snapshot is not None:
             batch.base = ready.snapshot.metadata
             batch.entries = []
-            batch.whole = self.received_snapshot
+            batch.full_state = self.received_snapshot
         for entry in ready.entries:
             if batch.entries and entry.index <= batch.entries[-1].index:
                 batch.entries = [each for each in batch.entries if each.index < entry.index]
             batch.entries.append(entry)
 
     def _compact(self, batch: WriteBatch, raft: Raft) -> None:
-        """Drop the log that the state on disk has made superfluous, but for a tail."""
-        retained = RETAINED_ENTRIES if raft.log.size_bytes <= COMPACTION_BYTES else RETAINED_ENTRIES // 10
+        """Adds a compaction to the batch: drops log entries that the stored state includes, except a tail.
+
+        The tail is a tenth as long while the log is over its limit in bytes.
+        """
+        retained = (
+            RETAINED_ENTRIES if raft.log.size_bytes <= COMPACTION_THRESHOLD_BYTES else RETAINED_ENTRIES // 10
+        )
         index = min(self.host.machine.index, raft.stable_index) - retained
         term = raft.log.term_at(index)
         if index <= raft.log.base.index or term is None or batch.base is not None or self._compacting_to:
@@ -109,7 +118,7 @@
         raft = self.host.raft
         if raft is None:
             return
-        self.storage.point("synced")
+        self.storage.reach_fault_point("synced")
         if self._compacting_to:
             raft.compact(self._compacting_to)
             self._compacting_to = 0
@@ -124,4 +133,4 @@
         last = next((ready.entries[-1] for ready in reversed(queue) if ready.entries), None)
         if last is not None:
             raft.persisted(time.monotonic(), last.index, last.term)
-        self.storage.point("sent")
+        self.storage.reach_fault_point("sent")
--- a/tests/compatibility/readers.py
+++ b/tests/compatibility/readers.py
@@ -78,7 +78,7 @@
     made.load_state(stored.state)
     contents = {
         "identity": plain(stored.identity),
-        "hard": plain(stored.hard),
+        "hard": plain(stored.raft_hard_state),
         "base": plain(stored.base),
         "entries": [_log_entry(entry) for entry in stored.entries],
         "state": plain(stored.state),
@@ -106,10 +106,10 @@
     state = stored.state
     made.write(
         storage.WriteBatch(
-            hard=stored.hard,
+            raft_hard_state=stored.raft_hard_state,
             identity=stored.identity,
             base=stored.base,
-            whole=state,
+            full_state=state,
             entries=stored.entries,
             applied=storage.AppliedPosition(state.index, state.revision, state.clock_ms),
         )
--- a/tests/support/store_process.py
+++ b/tests/support/store_process.py
@@ -20,7 +20,7 @@
 
 def set_up() -> None:
     if retained_entries := os.environ.get("STORE_KEEP"):
-        log_writer.RETAINED_ENTRIES, log_writer.COMPACTION_ENTRIES = (
+        log_writer.RETAINED_ENTRIES, log_writer.COMPACTION_THRESHOLD_ENTRIES = (
             int(retained_entries),
             4 * int(retained_entries),
         )
@@ -43,7 +43,7 @@
 
         def init_with_crash_point(self: storage.MemberStorage, *args: object) -> None:
             original_init(self, *args)  # type: ignore[arg-type]
-            self.point = crash_at
+            self.reach_fault_point = crash_at
 
         storage.MemberStorage.__init__ = init_with_crash_point  # type: ignore[method-assign,assignment]
 
--- a/tests/test_capture_replay.py
+++ b/tests/test_capture_replay.py
@@ -60,7 +60,7 @@
     ("FIRST_EJECTION_S = 0.5", "FIRST_EJECTION_S = 0.05"),
     ("DRAIN_ROUND_S = 0.1", "DRAIN_ROUND_S = 0.2"),
     ("\nDRAIN_START_SHARE = 0.75", "\nDRAIN_START_SHARE = 0.7"),
-    ("RING_CANDIDATES = 8", "RING_CANDIDATES = 1"),
+    ("RING_CANDIDATE_COUNT = 8", "RING_CANDIDATE_COUNT = 1"),
     ("GROUP_SETUP_CONNECTIONS = 8.0", "GROUP_SETUP_CONNECTIONS = -1.0"),
     ("MAX_HEALTH_CHECK_BUDGET = 30.0", "MAX_HEALTH_CHECK_BUDGET = 2.0"),
     ("HEALTH_CHECKS_PER_REQUEST = 6.0", "HEALTH_CHECKS_PER_REQUEST = 0.1"),
@@ -69,10 +69,10 @@
         "first if first_load < second_load else second",
         "first if first_load > second_load else second",
     ),
-    ("second = self._pick(request, first) or first", "second = first"),
+    ("second = self._draw_candidate(request, first) or first", "second = first"),
     ("RECENT_PLACEMENT_MEMORY_S = 1.0", "RECENT_PLACEMENT_MEMORY_S = 0.2"),
-    ("return left if last else", "return left if True else"),
-    ("left - objective)", "left - 2 * objective)"),
+    ("return remaining if is_last else", "return remaining if True else"),
+    ("remaining - objective)", "remaining - 2 * objective)"),
     ("self.answered_share += ANSWERED_SHARE_GAIN", "self.answered_share += 10 * ANSWERED_SHARE_GAIN"),
 ]
 
