--- a/gradegap/client.py
+++ b/gradegap/client.py
@@ -1,11 +1,12 @@
-"""A client of gradegap's nodes: a resumable session that goes on when its server or node goes away.
+"""A client of gradegap's nodes: a resumable session that continues when its server or node fails.
 
     session = await Session.open(["127.0.0.1:5000"], class_name="live", key="7f3a")
     answer = await session.request(b"claim 17")
     await session.close()
 
-Every request gets exactly one final answer, whatever moves meanwhile, as long as both sides know `resume/1`
-(docs/design/resume.md). Otherwise `SessionEndedError` says why: nobody can then say what became of requests.
+Every request gets exactly one final answer, also when the session migrates, as long as both sides support
+`resume/1` (docs/design/resume.md). If the session ends early, `SessionEndedError` gives the reason; it is
+then unknown whether the requests without an answer were executed.
 """
 
 from __future__ import annotations
@@ -19,22 +20,24 @@
 
 from gradegap.resume import lines
 from gradegap.resume.errors import LineError, WindowFullError
-from gradegap.resume.lines import Answer, NewToken, Over, Seen
+from gradegap.resume.lines import Acknowledgement, Answer, NewToken, SessionEnded
 from gradegap.resume.window import ClientWindow
 
-CONNECT_TIMEOUT_S = 1.0  # to a node, beside the time that the node may take
-BACKOFF_MIN_S = 0.02  # between two tries to be placed again
-BACKOFF_MAX_S = 0.5
+CONNECT_TIMEOUT_S = 1.0  # added to the attempt timeout for connecting to a node
+BACKOFF_MIN_S = 0.02  # first delay between two connection attempts; it doubles after each attempt
+BACKOFF_MAX_S = 0.5  # upper limit of that delay
 
 RequestEvent = Literal["asked", "answered", "failed"]
-RequestObserver = Callable[[RequestEvent, int, bytes], None]  # with the request's number, and a text
+RequestObserver = Callable[[RequestEvent, int, bytes], None]
+"""Called with the event, the request's number, and the text of the request, its answer or the failure."""
 
 
 class SessionEndedError(Exception):
-    """The session can't go on; `reason` is one word of the protocol, or of this library.
+    """The session can't continue; `reason` is a word of the protocol or one of this library's words.
 
-    Of this library: `closed` by its user; `gave_up`, no node could place it in time; `plain`, the node or the
-    server doesn't know resume/1; `position` and `broken`, the other side broke the protocol.
+    The words of this library are: `closed`, the user closed the session; `gave_up`, no node could place the
+    session in time; `plain`, the node or the server does not support resume/1; `position` and `broken`, the
+    other side violated the protocol.
     """
 
     def __init__(self, reason: str, detail: str = "") -> None:
@@ -43,7 +46,7 @@
 
 
 class Session:
-    """One resumable session; `Session.open` makes it, and owns the task that reads its connection."""
+    """One resumable session, created by `Session.open`. It owns the task that reads its connection."""
 
     def __init__(
         self,
@@ -62,13 +65,13 @@
         self.attempt_timeout = attempt_timeout
         self.placement_timeout = placement_timeout
         self.observer = observer
-        self.receipt = ""  # what the server that holds the session now gave with its UP
+        self.receipt = ""  # first field of the current server's UP line
         self.reconnects = 0
         self._window = ClientWindow()
         self._window_open = asyncio.Event()
         self._answers: dict[int, asyncio.Future[bytes]] = {}
         self._token = ""
-        self._retry_key = secrets.token_hex(16)  # by which a node knows that a further try is this client's
+        self._retry_key = secrets.token_hex(16)  # proves to a node that a retry comes from this client
         self._ended: SessionEndedError | None = None
         self._reader: asyncio.StreamReader | None = None
         self._writer: asyncio.StreamWriter | None = None
@@ -88,9 +91,12 @@
     ) -> Session:
         """Open a session at one of `nodes` (host:port).
 
-        A node may take `attempt_timeout` s for each try. After `placement_timeout` s without a place, and
-        where the server can't resume, this raises `SessionEndedError`. `observer` is called for each request
-        as it is asked, answered or failed: for a log that can be checked.
+        A node may take `attempt_timeout` seconds for each attempt. `observer` is called for each request
+        when it is sent, answered or failed, so that a log of all requests can be verified.
+
+        Raises:
+            SessionEndedError: if no node places the session within `placement_timeout` seconds, or the node
+                or the server does not support resumption.
         """
         session = Session(
             nodes,
@@ -106,9 +112,12 @@
         return session
 
     async def request(self, text: bytes) -> bytes:
-        """Send a request, and return its one final answer; raises `SessionEndedError` if there is none.
+        """Send a request and return its final answer.
+
+        Waits while the window is full, until the server has answered a request.
 
-        Waits while the window is full, until the server has answered.
+        Raises:
+            SessionEndedError: if the session ends before the answer is received.
         """
         while True:
             if self._ended is not None:
@@ -121,19 +130,19 @@
                 await self._window_open.wait()
         future: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         self._answers[request.number] = future
-        self._observe("asked", request.number, text)
+        self._notify_observer("asked", request.number, text)
         self._write(lines.encode(request))
         return await future
 
     async def close(self) -> None:
-        """End the session: requests without an answer fail with `SessionEndedError`."""
+        """End the session; requests without an answer fail with `SessionEndedError`."""
         if self._task is not None:
             self._task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await self._task
         self._end(SessionEndedError("closed"))
 
-    def _observe(self, event: RequestEvent, number: int, text: bytes) -> None:
+    def _notify_observer(self, event: RequestEvent, number: int, text: bytes) -> None:
         if self.observer is not None:
             self.observer(event, number, text)
 
@@ -141,17 +150,23 @@
         if self._writer is not None and not self._writer.is_closing():
             self._writer.write(data)
 
-    # Placing it, the first time and again
+    # Connecting and reconnecting
 
     async def _place(self) -> None:
-        """Connect by any node; raises `SessionEndedError` if one says that it can't go on, or time is up."""
+        """Connect to any of the nodes.
+
+        Raises:
+            SessionEndedError: if a node reports that the session can't continue, or no node places the
+                session in time.
+        """
         loop = asyncio.get_running_loop()
         deadline, pause = loop.time() + self.placement_timeout, BACKOFF_MIN_S
         failure = "no node could be reached"
         while loop.time() < deadline:
             node = random.choice(self.nodes)
             try:
-                # Not wait_for, which loses a cancellation that comes with the answer: `close` then waited on.
+                # asyncio.wait_for can lose a cancellation that arrives together with the answer; `close`
+                # would then wait forever.
                 async with asyncio.timeout(self.attempt_timeout + CONNECT_TIMEOUT_S):
                     failure = await self._connect(node)
                 if not failure:
@@ -172,10 +187,10 @@
         try:
             writer.write(self._first_line())
             answer = (await reader.readuntil(b"\n")).decode().rstrip("\r\n")
-            word, _, rest = answer.partition(" ")
-            if word == "X":
-                raise SessionEndedError(rest, "said by the node")
-            if word != "UP":
+            response, _, rest = answer.partition(" ")
+            if response == "X":
+                raise SessionEndedError(rest, "sent by the node")
+            if response != "UP":
                 return answer
             self._resume(rest, writer)
             self._reader, self._writer, established = reader, writer, True
@@ -195,16 +210,16 @@
         return f"OPEN {secrets.token_hex(8)} {self.key} {fields}\r\n".encode()
 
     def _resume(self, confirmation: str, writer: asyncio.StreamWriter) -> None:
-        """Read the rest of an UP, and send again what the server has not run."""
-        self.receipt, _, agreed = confirmation.partition(" ")
-        values = dict(pair.partition("=")[::2] for pair in agreed.split(","))
+        """Parse the rest of an UP line and send again the requests that the server has not executed."""
+        self.receipt, _, parameters = confirmation.partition(" ")
+        values = dict(pair.partition("=")[::2] for pair in parameters.split(","))
         if "t" not in values or not values.get("rs", "").isdecimal():
-            raise SessionEndedError("plain", "the node or the server does not know resume/1")
+            raise SessionEndedError("plain", "the node or the server does not support resume/1")
         self._token = values["t"]
         unexecuted = self._window.resume(int(values["rs"]))
         self._window.acknowledged = self._window.seen
         if self._window.seen:
-            writer.write(lines.encode(Seen(self._window.seen)))
+            writer.write(lines.encode(Acknowledgement(self._window.seen)))
         for request in unexecuted:
             writer.write(lines.encode(request))
 
@@ -220,7 +235,7 @@
             self._end(error)
 
     async def _read(self) -> None:
-        """Read lines until the connection ends, or the node says to come again."""
+        """Read lines until the connection ends or the node sends MOVE."""
         assert self._reader is not None
         while True:
             try:
@@ -240,20 +255,20 @@
                 self._handle_answer(line)
             case NewToken(token):
                 self._token = token
-            case Over(reason):
-                raise SessionEndedError(reason, "said by the node or server")
+            case SessionEnded(reason):
+                raise SessionEndedError(reason, "sent by the node or the server")
             case _:
-                pass  # a line of the protocol that is no part of this
+                pass  # a line of the base protocol
 
     def _handle_answer(self, answer: Answer) -> None:
         if self._window.answer(answer):
-            self._observe("answered", answer.number, answer.text)
+            self._notify_observer("answered", answer.number, answer.text)
             self._window_open.set()
             future = self._answers.pop(answer.number, None)
             if future is not None and not future.done():
                 future.set_result(answer.text)
         if (seen := self._window.to_acknowledge()) is not None:
-            self._write(lines.encode(Seen(seen)))
+            self._write(lines.encode(Acknowledgement(seen)))
 
     def _end(self, error: SessionEndedError) -> None:
         self._ended = error
@@ -261,13 +276,13 @@
         if self._writer is not None:
             self._writer.close()
         for number, future in self._answers.items():
-            self._observe("failed", number, error.reason.encode())
+            self._notify_observer("failed", number, error.reason.encode())
             if not future.done():
                 future.set_exception(error)
         self._answers.clear()
 
 
 def _retry_after(answer: str) -> float:
-    """The pause that a rejection names, in s; 0 for none."""
+    """Return the retry delay in seconds that a rejection gives, or 0 if it gives none."""
     milliseconds = answer.removeprefix("BUSY ")
     return int(milliseconds) / 1000 if milliseconds != answer and milliseconds.isdecimal() else 0.0
--- a/gradegap/resume/__init__.py
+++ b/gradegap/resume/__init__.py
@@ -1,14 +1,15 @@
-"""Resumable sessions: a client's session goes on at another endpoint, or at another node, by a token.
+"""Resumable sessions: a client's session continues at another endpoint or node, authorized by a token.
 
-The package owns, at a node, what of a session has no answer yet; and where the node has no store, which
-generation of a session was reserved and the ring that seals tokens. With a store, reservations (`claims/`)
-and the ring (`keys/resume`) are committed keys. docs/design/resume.md has the protocol.
+For each session, a node keeps the requests that have no answer yet. A node without a store also keeps, in its
+own memory, which generation of a session is reserved and the key ring that seals tokens. With a store, the
+reservations (`claims/`) and the key ring (`keys/resume`) are committed keys of the store.
+docs/design/resume.md describes the protocol.
 
-- `resumption.Resumer`: a node's part, as `downstream.interfaces` wants it
-- `session_relay.SessionRelay`, `window`: what passes between client and endpoint; no I/O
+- `resumption.Resumer`: a node's implementation of the resumption interface in `downstream.interfaces`
+- `session_relay.SessionRelay`, `window`: the lines between a client and its endpoint; no I/O
 - `lines`, `token`, `reservations`: the formats on the wire and in the store; no I/O
-- `migration`: the change to another endpoint while the client's connection stays
-- `errors.ResumeError`: the base of what is raised
+- `migration`: migration to another endpoint while the client's connection stays open
+- `errors.ResumeError`: the base class of the errors that this package raises
 
-Nothing is imported here, so that a node without a `[resume]` table does without its memory.
+This module imports nothing, so that a node without a `[resume]` table does not load the package.
 """
--- a/gradegap/resume/acceptance.py
+++ b/gradegap/resume/acceptance.py
@@ -1,4 +1,4 @@
-"""Whether an endpoint has accepted a resumable session: its `UP` line. No I/O."""
+"""Parses the `UP` line with which an endpoint accepts a resumable session. No I/O."""
 
 from __future__ import annotations
 
@@ -10,19 +10,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Acceptance:
-    """An endpoint's consent to the extension."""
+    """An endpoint's acceptance of the resume extension."""
 
-    receipt: bytes  # the word of the UP line
-    executed: int  # requests up to here have run there
+    receipt: bytes  # the first field of the UP line
+    executed: int  # the endpoint has executed the requests up to this number
 
 
 def read_acceptance(line: bytes, seen: int) -> Acceptance | None:
-    """What an `UP` line without its CRLF consents to.
+    """Parse an `UP` line, given without its CRLF.
 
-    None without consent, or where the endpoint knows less than `seen`, the answers that the client has: it
-    would begin anew.
+    Returns None if the endpoint does not accept the extension. Also returns None if the endpoint has executed
+    fewer requests than `seen`, the number of the last answer that the client has: such an endpoint would
+    start the session from the beginning.
     """
-    found = _ACCEPTED.fullmatch(line)
-    if found is None or int(found[2]) < seen:
+    match = _ACCEPTED.fullmatch(line)
+    if match is None or int(match[2]) < seen:
         return None
-    return Acceptance(found[1], int(found[2]))
+    return Acceptance(match[1], int(match[2]))
--- a/gradegap/resume/errors.py
+++ b/gradegap/resume/errors.py
@@ -1,28 +1,28 @@
-"""Errors of resumable sessions. The first word of each text is the reason that is sent and counted."""
+"""Errors of resumable sessions. The word before the colon is the reason that is sent and counted."""
 
 from __future__ import annotations
 
 
 class ResumeError(ValueError):
-    """Why a session does not go on, or not yet."""
+    """A session can't continue, either permanently or for now."""
 
     @property
     def reason(self) -> str:
-        """The one term for the client and the counter."""
+        """The word that is sent to the client and that names the counter."""
         return str(self).partition(":")[0]
 
 
 class LineError(ResumeError):
-    """A line that ends its session."""
+    """A line violates the protocol; the session ends."""
 
 
 class TokenError(ResumeError):
-    """A token that proves nothing."""
+    """A token is invalid, expired or not authentic."""
 
 
 class SessionClaimedError(ResumeError):
-    """Another has taken the session on: the token's one use is over."""
+    """The next generation of the session is already reserved, so the token has been used."""
 
 
 class WindowFullError(ResumeError):
-    """Too many requests have no answer yet: wait for one."""
+    """Too many requests have no answer yet; the caller must wait for an answer."""
--- a/gradegap/resume/key_ring_source.py
+++ b/gradegap/resume/key_ring_source.py
@@ -1,4 +1,4 @@
-"""Which ring of keys a node seals and opens tokens with, and for which cluster."""
+"""Provides the key ring with which a node seals and opens tokens, and the cluster that they are bound to."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 
 
 class StateReader(Protocol):
-    """The committed keys as this node has them."""
+    """Read access to the committed keys that this node has applied."""
 
     def get(self, key: str) -> Item | None:
-        """One key."""
+        """Return the item of a key, or None if the key is not set."""
 
 
 class RequestSender(Protocol):
-    """Requests to the store."""
+    """Sends requests to the store."""
 
     def request(
         self, body: wire.RequestBody, respond: Callable[[wire.Response], None], timeout_s: float = 5.0
     ) -> None:
-        """`respond` with one response, within `timeout_s`."""
+        """Send a request; `respond` is called with exactly one response within `timeout_s` seconds."""
 
 
 class SessionStore(Protocol):
-    """The node's store, as far as it is needed here."""
+    """The part of the node's store that resumable sessions use."""
 
     @property
     def machine(self) -> StateReader:
@@ -39,31 +39,31 @@
 
     @property
     def service(self) -> RequestSender:
-        """Requests to the store."""
+        """The sender of requests to the store."""
 
     @property
     def cluster(self) -> str:
-        """The cluster's name; empty until it is known."""
+        """The cluster's name; empty until the node knows it."""
 
     def fresh(self) -> bool:
-        """Whether a decision made now is by committed state."""
+        """Return whether this node's copy of the committed keys is current, so that decisions may use it."""
 
 
 StoreLookup = Callable[[], SessionStore | None]
-"""The node's store, where there is one by now."""
+"""Returns the node's store, or None while the store is not started."""
 
 
 class KeyRingSource:
-    """The cluster's ring from the store; or the node's own, where it has no store."""
+    """The cluster's key ring from the store, or a ring local to the node if the node has no store."""
 
     def __init__(self, node: str, store: StoreLookup | None, metrics: Metrics) -> None:
         self.node, self.store, self.metrics = node, store, metrics
-        self.own = KeyRing().rotated(time.time_ns() // 1_000_000)  # where there is no store
+        self.local = KeyRing().rotated(time.time_ns() // 1_000_000)  # used only without a store
 
     def ring(self) -> KeyRing:
-        """The ring in force; empty where the store has none, or none that can be read."""
+        """Return the key ring in force; it is empty if the store has no ring or an invalid one."""
         if self.store is None:
-            return self.own
+            return self.local
         store = self.store()
         item = store.machine.get(KEY_RING_KEY) if store is not None else None
         try:
@@ -73,23 +73,23 @@
             return KeyRing()
 
     def cluster(self) -> str:
-        """For whom tokens are sealed: the cluster, or this node alone."""
+        """Return the name that tokens are bound to: the cluster's, or this node's if it has no store."""
         store = self.store() if self.store is not None else None
         return store.cluster if store is not None else f"node {self.node}"
 
     def is_current(self) -> bool:
-        """Whether the ring can be relied on: a node without a lease may not have read it yet."""
+        """Return whether the key ring is up to date; a node without a lease may not have read it yet."""
         if self.store is None:
             return True
         store = self.store()
         return store is not None and store.fresh()
 
-    def export_own(self) -> bytes:
-        """The node's own ring, for its next process; empty where the store has the ring."""
-        return msgspec.msgpack.encode(self.own) if self.store is None else b""
+    def export_local(self) -> bytes:
+        """Return the node's local ring, encoded for its next process; empty if the store has the ring."""
+        return msgspec.msgpack.encode(self.local) if self.store is None else b""
 
-    def import_own(self, exported: bytes) -> None:
-        """Go on with the ring of the process before, so that its tokens stay good."""
+    def import_local(self, exported: bytes) -> None:
+        """Adopt the local ring of the node's previous process, so that tokens sealed by it stay valid."""
         if not exported or self.store is not None:
             return
         try:
@@ -98,4 +98,4 @@
         except ValueError:
             self.metrics.count("resume_ring_unfit")
             return
-        self.own = ring
+        self.local = ring
--- a/gradegap/resume/migration.py
+++ b/gradegap/resume/migration.py
@@ -1,8 +1,9 @@
-"""In place: an established session goes on at another endpoint, while its client's connection stays.
+"""Migrates an established session in place: to another endpoint, while its client's connection stays open.
 
-The balancer says that it migrates, and whereto is a request like any other. Until the next endpoint is up,
-what the client sends waits; then what has no answer is sent to it, and the client notices nothing. Where none
-takes it in time the client gets `MOVE`, with a token that is good for its return.
+The balancer decides that the session migrates. The next endpoint is selected by a request like any other.
+Lines from the client are queued until the next endpoint is established. Then the requests without an answer
+are sent to that endpoint, and the client does not notice the change. If no endpoint accepts the session in
+time, the client is sent a token with which it can return, and `MOVE`.
 """
 
 from __future__ import annotations
@@ -24,57 +25,68 @@
 
 log = structlog.get_logger()
 
-MIGRATION_TIMEOUT_S = 1.0  # that the next endpoint may take; then the client returns by itself
-GENERATION_GRANTED = "life of a session given"  # one line for each; checked against what endpoints claim
+# Timeout of the reservation and of the request to the next endpoint; after it the client is told to return.
+MIGRATION_TIMEOUT_S = 1.0
+# Logged once for each granted generation; verification compares it with the generations that servers claim.
+GENERATION_GRANTED_EVENT = "life of a session given"
 
 
 class PendingMigration:
-    """A session whose next generation is being reserved; then its migration begins."""
+    """A migration that starts once the session's next generation is reserved."""
 
     def __init__(
         self,
         session: ClientSession,
-        first: FirstLine,
+        first_line: FirstLine,
         offer: SessionOffer,
         relay: SessionRelay,
         tokens: TokenIssuer,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        self.session, self.first, self.relay, self.tokens, self.loop = session, first, relay, tokens, loop
-        self.following = dataclasses.replace(offer, generation=offer.generation + 1)
-        self.stopped = False
+        self.session, self.first_line, self.relay, self.tokens, self.loop = (
+            session,
+            first_line,
+            relay,
+            tokens,
+            loop,
+        )
+        self.next_offer = dataclasses.replace(offer, generation=offer.generation + 1)
+        self.is_stopped = False
 
     def stop(self) -> None:
-        """The client has disconnected."""
-        self.stopped = True
+        """Cancel the migration, because the client has disconnected."""
+        self.is_stopped = True
 
-    def reserved(self, epoch: int) -> None:
-        """The next generation is this node's."""
+    def on_reserved(self, generation: int) -> None:
+        """Start the migration, as this node has reserved the next generation."""
         session = self.session
-        if self.stopped or session.closed:
-            log.info("client left while its session migrated", session=self.following.session)
+        if self.is_stopped or session.closed:
+            log.info("client disconnected during migration", session=self.next_offer.session)
             return
-        offer = dataclasses.replace(self.following, seen=self.relay.position)
-        log.info(GENERATION_GRANTED, session=offer.session, epoch=offer.generation, how="in place")
+        offer = dataclasses.replace(self.next_offer, seen=self.relay.position)
+        log.info(GENERATION_GRANTED_EVENT, session=offer.session, epoch=offer.generation, how="in place")
         fields = {"d": str(round(MIGRATION_TIMEOUT_S * 1000)), "again": "1"}
         fields |= offer_fields(offer) | {"rh": str(offer.seen)}
-        migration = InPlaceMigration(session, self.first.opening_with(fields), offer, self.tokens)
+        migration = InPlaceMigration(session, self.first_line.opening_with(fields), offer, self.tokens)
         session.migration = migration
-        # Only once the proxy has ended the request at the endpoint that is left: they bear one id.
+        # Deferred until the proxy has ended the request at the old endpoint, because both have the same id.
         self.loop.call_soon(migration.start)
 
-    def not_reserved(self, why: str) -> None:
-        """The generation in force is not this node's to go on with: the client's own token says more."""
+    def on_not_reserved(self, reason: str) -> None:
+        """Send the client `MOVE`, as this node could not reserve the next generation.
+
+        The client can still return with its own token.
+        """
         session = self.session
         session.metrics.count("resume_in_place_unclaimed")
-        log.warning("session not migrated", session=self.following.session, reason=why)
-        if not self.stopped and not session.closed:
+        log.warning("session not migrated", session=self.next_offer.session, reason=reason)
+        if not self.is_stopped and not session.closed:
             session.migration = None
             session.send_migrate()
 
 
 class InPlaceMigration:
-    """In the client session's place, for the attempt at the next endpoint, until that is established."""
+    """Stands in for the client session in the request to the next endpoint, until that is established."""
 
     def __init__(
         self,
@@ -88,11 +100,11 @@
         self.proxy = session.proxy
         self.channel = session.channel
         self.request: Request | None = None
-        self.finished = False
+        self.is_finished = False
         self.started_at = time.monotonic()
 
     def start(self) -> None:
-        """Open the request that chooses the next endpoint."""
+        """Open the request that selects the next endpoint."""
         if self.session.closed:
             self.stop()
             return
@@ -105,20 +117,20 @@
     # Called by the attempt's connection
 
     def on_upstream_established(self, upstream: UpstreamPipe, data: bytes) -> None:
-        """The endpoint has confirmed it: the session goes on there."""
+        """Continue the session at the next endpoint, which has confirmed the request."""
         line, _, rest = data.partition(b"\n")
         acceptance = read_acceptance(line.rstrip(b"\r"), self.offer.seen)
-        session, passing = self.session, self.session.relay
-        if self.finished or session.closed or not isinstance(passing, SessionRelay):
+        session, session_relay = self.session, self.session.relay
+        if self.is_finished or session.closed or not isinstance(session_relay, SessionRelay):
             self.stop()
             return
         if acceptance is None:
             self.give_up("server")
             return
-        self.finished = True
+        self.is_finished = True
         previous, session.upstream = session.upstream, upstream
         if previous is not None:
-            # Guards against its last lines being taken for the next one's.
+            # Otherwise late lines of the previous endpoint would count as lines of the next one.
             previous.write_eof()
             previous.release()
         upstream.session = session
@@ -127,51 +139,51 @@
         request.session, session.request = session, request
         session.offer, session.migration = self.offer, None
         session.metrics.count("resume_in_place")
-        session.pass_on(passing.switch_endpoint(acceptance.executed))
+        session.pass_on(session_relay.switch_endpoint(acceptance.executed))
         if not session.closed:
-            session.channel.write(passing.token(self.tokens.issue(session, self.offer)))
+            session.channel.write(session_relay.token(self.tokens.issue(session, self.offer)))
         if rest and not session.closed:
-            session.pass_on(passing.from_endpoint(rest, passing.endpoint_number))
-        spent = round((time.monotonic() - self.started_at) * 1000)
-        log.info("session migrated", session=self.offer.session, epoch=self.offer.generation, ms=spent)
+            session.pass_on(session_relay.from_endpoint(rest, session_relay.endpoint_number))
+        duration_ms = round((time.monotonic() - self.started_at) * 1000)
+        log.info("session migrated", session=self.offer.session, epoch=self.offer.generation, ms=duration_ms)
 
     def on_upstream_data(self, data: bytes) -> None:
-        """Nothing passes before it is established."""
+        """Ignore the data, as no data is forwarded before the endpoint is established."""
 
     def on_upstream_lost(self, reset: bool) -> None:
-        """Its attempt's end, which follows, gives the move up."""
+        """Do nothing, as the end of the attempt follows and aborts the migration."""
 
     # Called by the proxy
 
     def is_disconnected(self) -> bool:
-        """Whether the client has disconnected."""
+        """Return whether the client has disconnected."""
         return self.session.is_disconnected()
 
     def on_established(self) -> None:
-        """The request's connection is established."""
+        """Forward the event to the client session."""
         self.session.on_established()
 
     def reject(self, after: float) -> None:
-        """No endpoint takes it now."""
+        """Abort the migration, as no endpoint accepts the session now."""
         self.give_up("refused")
 
     def fail(self) -> None:
-        """Nothing can be promised of it."""
+        """Abort the migration, as the outcome of the request is unknown."""
         self.give_up("failed")
 
     def migrate(self) -> None:
-        """It is to leave the next endpoint again."""
+        """Abort the migration, as the session would have to leave the next endpoint again."""
         self.give_up("moved")
 
     def on_endpoint_closed(self) -> None:
-        """The next endpoint has ended the connection."""
+        """Abort the migration, as the next endpoint has closed the connection."""
         self.give_up("ended")
 
     def give_up(self, reason: str) -> None:
-        """The client returns by itself, with a token for the generation that was reserved for it."""
-        if self.finished:
+        """Abort the migration; the client is sent `MOVE` and a token for the reserved generation."""
+        if self.is_finished:
             return
-        self.finished = True
+        self.is_finished = True
         session = self.session
         session.migration = None
         session.metrics.count(f"resume_in_place_{reason}")
@@ -185,8 +197,8 @@
             self.request.on_disconnect()
 
     def stop(self) -> None:
-        """The client has disconnected."""
-        if not self.finished:
-            self.finished = True
+        """Cancel the migration, because the client has disconnected."""
+        if not self.is_finished:
+            self.is_finished = True
             if self.request is not None:
                 self.request.on_disconnect()
--- a/gradegap/resume/reservation_service.py
+++ b/gradegap/resume/reservation_service.py
@@ -1,4 +1,4 @@
-"""Reserves the next generation of a session for this node: in the store, or locally where it has none."""
+"""Reserves the next generation of a session for this node, in the store or locally if there is no store."""
 
 from __future__ import annotations
 
@@ -9,85 +9,92 @@
 from gradegap.resume.errors import SessionClaimedError
 from gradegap.resume.key_ring_source import SessionStore, StoreLookup
 from gradegap.resume.reservations import RESERVATION_PREFIX, LocalReservations, reserve
-from gradegap.resume.token import Place
+from gradegap.resume.token import TokenPayload
 from gradegap.store import wire
 
-MIN_WRITE_TIMEOUT_S = 0.05  # for the write, however long the read took
+MIN_WRITE_TIMEOUT_S = 0.05  # the write gets at least this time, even if the read used up the whole timeout
 
 
 @dataclass(frozen=True, slots=True)
 class ReservationRequest:
-    """The generation after `place`'s, and who is called with what came of it: exactly one, once."""
+    """A request to reserve the generation after the one in `payload`.
 
-    place: Place
+    Exactly one of the three callbacks is called, and only once.
+    """
+
+    payload: TokenPayload
     timeout_s: float
-    by: str  # the client's secret as a digest, for a retry of its own
-    returns: bool  # whether the client has returned; else its node migrates it in place
-    reserved: Callable[[int], None]  # with the generation
-    claimed: Callable[[SessionClaimedError], None]  # another has it
-    unavailable: Callable[[str], None]  # nobody can say; with the reason
+    client_digest: str  # digest of the client's secret, which identifies a retry by the same client
+    is_return: bool  # True if the client has returned, False if its node migrates the session in place
+    on_reserved: Callable[[int], None]  # called with the reserved generation
+    on_claimed: Callable[[SessionClaimedError], None]  # called if the generation is already reserved
+    on_unavailable: Callable[[str], None]  # called with the reason if the store can't decide
 
 
 class ReservationService:
-    """Of two that request the same generation, one gets it."""
+    """Reserves each generation of a session only once, even if several nodes request it."""
 
     def __init__(self, node: str, store: StoreLookup | None) -> None:
         self.node, self.store = node, store
         self.local = LocalReservations()
 
     def reserve(self, request: ReservationRequest) -> None:
-        """Begin; one of the request's callbacks is called, perhaps at once."""
+        """Start a reservation; one of its callbacks is called, possibly before this method returns."""
         if self.store is None:
             self._reserve_locally(request)
             return
         store = self.store()
         if store is None:
-            request.unavailable("no store")
+            request.on_unavailable("no store")
         else:
             _StoreReservation(self.node, store, request).read()
 
     def _reserve_locally(self, request: ReservationRequest) -> None:
         try:
-            epoch = self.local.reserve(request.place, time.time(), request.by, request.returns)
+            generation = self.local.reserve(
+                request.payload, time.time(), request.client_digest, request.is_return
+            )
         except SessionClaimedError as error:
-            request.claimed(error)
+            request.on_claimed(error)
         else:
-            request.reserved(epoch)
+            request.on_reserved(generation)
 
 
 class _StoreReservation:
-    """One reservation in the store: read what is there, then compare and set."""
+    """One reservation in the store: a read of the current one, then a compare-and-set write."""
 
     def __init__(self, node: str, store: SessionStore, request: ReservationRequest) -> None:
         self.node, self.store, self.request = node, store, request
-        self.began = time.monotonic()
-        self.epoch = 0  # once it was read which comes next
+        self.started_at = time.monotonic()
+        self.generation = 0  # the generation to reserve; known once the current reservation is read
 
     def read(self) -> None:
-        key = RESERVATION_PREFIX + self.request.place.session
+        key = RESERVATION_PREFIX + self.request.payload.session
         self.store.service.request(wire.Get(key), self._write, self.request.timeout_s)
 
     def _write(self, response: wire.Response) -> None:
         request = self.request
         if response.outcome != "ok":
-            request.unavailable(response.text)
+            request.on_unavailable(response.text)
             return
         item = response.items[0] if response.items else None
         try:
-            self.epoch, compare, update = reserve(
-                request.place, self.node, item, request.by, time.time(), request.returns
+            self.generation, compare, update = reserve(
+                request.payload, self.node, item, request.client_digest, time.time(), request.is_return
             )
         except SessionClaimedError as error:
-            request.claimed(error)
+            request.on_claimed(error)
             return
         write = wire.Transaction((update,), (compare,), author=self.node)
-        left = request.timeout_s - (time.monotonic() - self.began)
-        self.store.service.request(write, self._finish, max(MIN_WRITE_TIMEOUT_S, left))
+        remaining_s = request.timeout_s - (time.monotonic() - self.started_at)
+        self.store.service.request(write, self._finish, max(MIN_WRITE_TIMEOUT_S, remaining_s))
 
     def _finish(self, response: wire.Response) -> None:
         if response.outcome != "ok":
-            self.request.unavailable(response.text)
+            self.request.on_unavailable(response.text)
         elif not response.succeeded:
-            self.request.claimed(SessionClaimedError("claimed: another came with it at this moment"))
+            self.request.on_claimed(
+                SessionClaimedError("claimed: another node was first to reserve the generation")
+            )
         else:
-            self.request.reserved(self.epoch)
+            self.request.on_reserved(self.generation)
--- a/gradegap/resume/reservations.py
+++ b/gradegap/resume/reservations.py
@@ -1,4 +1,4 @@
-"""Which of those that come with a token may go on with the session: one, by compare-and-set. No I/O."""
+"""Decides by compare-and-set which of several holders of one token may continue the session. No I/O."""
 
 from __future__ import annotations
 
@@ -8,111 +8,140 @@
 import msgspec
 
 from gradegap.resume.errors import SessionClaimedError
-from gradegap.resume.token import MAX_CLOCK_SKEW_S, TOKEN_LIFETIME_S, Place
+from gradegap.resume.token import MAX_CLOCK_SKEW_S, TOKEN_LIFETIME_S, TokenPayload
 from gradegap.store.records import Compare, Item, KeyUpdate
 
-RESERVATION_PREFIX = "claims/"  # of keys in the store
-MAX_LOCAL_RESERVATIONS = 20_000
-RETURN_RETRY_S = 30  # within which a client may try again with a token that was claimed for it
-RETENTION_S = TOKEN_LIFETIME_S + 2 * MAX_CLOCK_SKEW_S  # for which a reservation outlasts every token of it
+RESERVATION_PREFIX = "claims/"  # prefix of the reservations' keys in the store
+MAX_LOCAL_RESERVATIONS = 20_000  # bounds the memory of a node without a store
+# A client may use its token again within this time after a reservation was made for it.
+RETURN_RETRY_S = 30
+# A reservation is kept until every token of its session has expired, whatever the clock skew.
+RETENTION_S = TOKEN_LIFETIME_S + 2 * MAX_CLOCK_SKEW_S
 DIGEST_CHARS = 32
 _SECRET = re.compile(r"[0-9a-f]{16,64}")
 
 
 class Reservation(msgspec.Struct, frozen=True):
-    """`claims/SESSION`: the generation of the session that is in force, and whose it is."""
+    """The value of `claims/SESSION`: the generation of a session that is in force, and its owner."""
 
     generation: int = msgspec.field(name="epoch")
     node: str
-    claimed_generation: int = msgspec.field(default=-1, name="of")  # whose token a returning client brought
-    client_digest: str = msgspec.field(default="", name="by")  # of that client's secret, for a try again
-    reserved_at: int = msgspec.field(default=0, name="at")  # Unix time, s
+    # The generation in the token that a returning client presented.
+    claimed_generation: int = msgspec.field(default=-1, name="of")
+    # Digest of that client's secret, which identifies a retry by the same client.
+    client_digest: str = msgspec.field(default="", name="by")
+    reserved_at: int = msgspec.field(default=0, name="at")  # Unix time in seconds
 
 
 def secret_digest(secret: str) -> str:
-    """What is kept of the secret by which a returning client proves that it is the one that came before.
+    """Return the digest of the secret with which a returning client proves that it is the same client.
 
-    Empty for none.
+    The digest is stored instead of the secret. It is empty if `secret` is empty.
 
     Raises:
-        ValueError: where it can be guessed or is no such word.
+        ValueError: if the secret is too short to be safe against guessing, too long or not hexadecimal.
     """
     if not secret:
         return ""
     if _SECRET.fullmatch(secret) is None:
-        raise ValueError("ra is 16 to 64 hexadecimal digits")
+        raise ValueError("ra must be 16 to 64 lowercase hexadecimal digits")
     return hashlib.sha256(secret.encode()).hexdigest()[:DIGEST_CHARS]
 
 
 def next_reservation(
-    place: Place, node: str, held: Reservation | None, by: str, now: float, returns: bool = True
+    payload: TokenPayload,
+    node: str,
+    held: Reservation | None,
+    presented_digest: str,
+    now: float,
+    is_return: bool = True,
 ) -> Reservation:
-    """The generation after the one that the token names, at Unix time `now`.
+    """Return the reservation of the generation after the one in the token, at Unix time `now` in seconds.
 
-    Guards against a token that is lost with its use: the node that claimed the generation was killed, or no
-    endpoint took the session, before its client was given another. Who brings the same secret for the same
-    token within `RETURN_RETRY_S` is that client, and gets the generation after the one that it was not sent.
+    Guards against a client that loses its session because its token was used without result: the node that
+    reserved the generation was killed, or no endpoint accepted the session, before the client received a new
+    token. A client that presents the same secret with the same token within `RETURN_RETRY_S` is the same
+    client. It gets the generation after the one that it was never sent.
 
-    Not so a node that migrates a session in place (not `returns`): it leaves that secret, and gains nothing,
-    as the generation in force is then that very client's, which has come back elsewhere.
+    A node that migrates a session in place (`is_return` is False) records the secret's digest as well but
+    can't retry with it: if the generation in force has that digest, the same client has returned at another
+    node.
+
+    `presented_digest` is the digest of the secret that the client presents, or empty.
 
     Raises:
-        SessionClaimedError: where another has it.
+        SessionClaimedError: if the next generation is already reserved.
     """
-    if held is None or held.generation == place.generation:
-        return Reservation(place.generation + 1, node, place.generation, by, int(now))
-    same = returns and bool(by) and (held.client_digest, held.claimed_generation) == (by, place.generation)
-    if same and abs(now - held.reserved_at) <= RETURN_RETRY_S + MAX_CLOCK_SKEW_S:
-        return Reservation(held.generation + 1, node, place.generation, by, int(now))
-    raise SessionClaimedError(f"claimed: its life {place.generation} is over, {held.generation} is in force")
+    if held is None or held.generation == payload.generation:
+        return Reservation(payload.generation + 1, node, payload.generation, presented_digest, int(now))
+    is_retry = (
+        is_return
+        and bool(presented_digest)
+        and (held.client_digest, held.claimed_generation) == (presented_digest, payload.generation)
+    )
+    if is_retry and abs(now - held.reserved_at) <= RETURN_RETRY_S + MAX_CLOCK_SKEW_S:
+        return Reservation(held.generation + 1, node, payload.generation, presented_digest, int(now))
+    raise SessionClaimedError(
+        f"claimed: generation {payload.generation} has ended, {held.generation} is in force"
+    )
 
 
 def reserve(
-    place: Place, node: str, found: Item | None, by: str = "", now: float = 0.0, returns: bool = True
+    payload: TokenPayload,
+    node: str,
+    current: Item | None,
+    presented_digest: str = "",
+    now: float = 0.0,
+    is_return: bool = True,
 ) -> tuple[int, Compare, KeyUpdate]:
-    """The new generation, and the write that takes the session over, given what the store has `found`.
+    """Return the new generation with the condition and the write that reserve it in the store.
 
-    The write holds only where nobody else was first. A session is not in the store before it goes on for the
-    first time. Its reservation outlasts every token that it can still be met with, then its key expires.
+    `current` is the session's reservation in the store, or None: a session is not in the store before it
+    continues for the first time. The write takes effect only if the reservation has not changed since it was
+    read. The key expires once every token of the session has expired.
 
     Raises:
-        SessionClaimedError: where another has it already.
+        SessionClaimedError: if the next generation is already reserved or the stored reservation is invalid.
     """
-    key, held = RESERVATION_PREFIX + place.session, None
-    if found is not None:
+    key, held = RESERVATION_PREFIX + payload.session, None
+    if current is not None:
         try:
-            held = msgspec.convert(found.value, Reservation)
+            held = msgspec.convert(current.value, Reservation)
         except msgspec.ValidationError:
-            raise SessionClaimedError("claimed: what holds it can't be read") from None
-    reservation = next_reservation(place, node, held, by, now, returns)
+            raise SessionClaimedError("claimed: the stored reservation can't be read") from None
+    reservation = next_reservation(payload, node, held, presented_digest, now, is_return)
     update = KeyUpdate(key, msgspec.to_builtins(reservation), ttl_ms=RETENTION_S * 1000)
-    unchanged = Compare(key, found.modified_revision if found is not None else 0)
+    unchanged = Compare(key, current.modified_revision if current is not None else 0)
     return reservation.generation, unchanged, update
 
 
 class LocalReservations:
-    """A node's own reservations, where there is no store.
+    """The reservations of one node, in memory, used if there is no store.
 
-    Two nodes may both take one token; the save store's fence decides between them. Bounded: the oldest are
-    forgotten.
+    Two nodes may both accept the same token; the fence of the save store then decides between them. The
+    number of reservations is bounded; the oldest are dropped.
     """
 
     def __init__(self) -> None:
-        self.held: dict[str, Reservation] = {}  # by session, the oldest first
+        self.held: dict[str, Reservation] = {}  # by session, in order of reservation
 
-    def reserve(self, place: Place, now: float, by: str = "", returns: bool = True) -> int:
-        """The new generation.
+    def reserve(
+        self, payload: TokenPayload, now: float, presented_digest: str = "", is_return: bool = True
+    ) -> int:
+        """Reserve the next generation and return it.
 
         Raises:
-            SessionClaimedError: where this node knows of a later one.
+            SessionClaimedError: if this node has already reserved a later generation.
         """
-        reservation = next_reservation(place, "", self.held.get(place.session), by, now, returns)
-        self.held.pop(place.session, None)
-        self.held[place.session] = reservation
-        self._forget_oldest(now)
+        reservation = next_reservation(
+            payload, "", self.held.get(payload.session), presented_digest, now, is_return
+        )
+        self.held.pop(payload.session, None)
+        self.held[payload.session] = reservation
+        self._drop_oldest(now)
         return reservation.generation
 
-    def _forget_oldest(self, now: float) -> None:
+    def _drop_oldest(self, now: float) -> None:
         while self.held:
             oldest = next(iter(self.held))
             expired = self.held[oldest].reserved_at + RETENTION_S <= now
--- a/gradegap/resume/resumption.py
+++ b/gradegap/resume/resumption.py
@@ -1,6 +1,7 @@
-"""A node's part in resumable sessions: what it reads in first lines, and what it claims before they go on.
+"""Makes sessions resumable at a node: reads first lines, checks tokens and reserves session generations.
 
-Offered by the client (`rs=1`) and by this node (`rn=`), accepted by the server; docs/design/resume.md.
+The client (`rs=1`) and this node (`rn=`) offer the extension, and the server accepts it. It is specified in
+docs/design/resume.md.
 """
 
 from __future__ import annotations
@@ -21,27 +22,30 @@
 from gradegap.resume.first_line import FirstLine, SessionOffer, offer_fields
 from gradegap.resume.key_ring_source import KeyRingSource, StoreLookup
 from gradegap.resume.lines import NUMBER_LIMIT
-from gradegap.resume.migration import GENERATION_GRANTED, MIGRATION_TIMEOUT_S, PendingMigration
+from gradegap.resume.migration import GENERATION_GRANTED_EVENT, MIGRATION_TIMEOUT_S, PendingMigration
 from gradegap.resume.reservation_service import ReservationRequest, ReservationService
 from gradegap.resume.reservations import secret_digest
 from gradegap.resume.session_relay import RelayState, SessionRelay
 from gradegap.resume.settings import ResumeSettings
-from gradegap.resume.token import KeyRing, Place, digest, open_token
+from gradegap.resume.token import KeyRing, TokenPayload, digest, open_token
 from gradegap.resume.token_issuer import TokenIssuer
 from gradegap.resume.window import MAX_UNANSWERED
 from gradegap.transport.lines import InvalidLineError
 
 log = structlog.get_logger()
 
-UNCLAIMED_RETRY_S = 0.5  # after which a client may return whose token could not be claimed
-MAX_FRUITLESS_MIGRATIONS = 3  # in place, without an answer in between
-MIN_WAIT_S = 0.05  # that a request has left, however long its reservation took
-DEFAULT_WAIT_S, MAX_WAIT_S = 1.0, 5.0  # of a client's wait, for a reservation
-RESERVATION_SHARE = 0.8  # of it, that a reservation may take
+UNCLAIMED_RETRY_S = 0.5  # retry delay for a client while the store can't confirm a reservation
+MAX_FRUITLESS_MIGRATIONS = 3  # limits consecutive in-place migrations without an answer in between
+MIN_REMAINING_WAIT_S = 0.05  # least wait that a request keeps, however long its reservation took
+DEFAULT_WAIT_S, MAX_WAIT_S = 1.0, 5.0  # the client's wait, as used for the timeout of a reservation
+RESERVATION_TIMEOUT_RATIO = 0.8  # the timeout of a reservation is this fraction of the client's wait
 
 
 class Resumer:
-    """Makes sessions resumable at one node. `store` is the store, where there is one by now."""
+    """Makes sessions resumable at one node.
+
+    `store` returns the node's store; it is None for a node that has no store.
+    """
 
     def __init__(
         self,
@@ -56,141 +60,156 @@
         self.reservations = ReservationService(node, store)
         self.tokens = TokenIssuer(self.keys, settings, metrics, loop)
 
-    # The process that follows this one
+    # Key ring for the next process of a hot restart
 
     def export_keys(self) -> bytes:
-        """What the next process of this node must know, so that tokens stay good where there is no store."""
-        return self.keys.export_own()
+        """Return the local key ring for the next process, so that tokens stay valid without a store."""
+        return self.keys.export_local()
 
     def import_keys(self, keys: bytes) -> None:
-        """Go on with the keys that the predecessor has exported."""
-        self.keys.import_own(keys)
+        """Adopt the key ring that the predecessor has exported."""
+        self.keys.import_local(keys)
 
     # First lines
 
     def begin(self, session: ClientSession, line: bytes, opening: Opening) -> bool:
-        """Whether this first line is a resumable session's: then it is opened, or rejected, from here.
+        """Open or reject a session if its first line offers the extension; return whether it does.
 
         Raises:
-            InvalidLineError: where a field is none that a client may send.
+            InvalidLineError: if the line has a field that a client must not send, or `ra` is invalid.
         """
-        first = FirstLine(line)
-        if "rn" in first.fields:
-            # Guards the save servers: only a node says whose a session is.
-            raise InvalidLineError("rn is a node's word")
-        if first.fields.get("rs") != "1":
+        first_line = FirstLine(line)
+        if "rn" in first_line.fields:
+            # Protects the save servers: only a node may name a session and its generation.
+            raise InvalidLineError("field rn must only be added by a node")
+        if first_line.fields.get("rs") != "1":
             return False
-        ring, token = self.keys.ring(), first.fields.pop("rt", "")
-        seen = first.fields.pop("rh", "0")
+        ring, token = self.keys.ring(), first_line.fields.pop("rt", "")
+        seen = first_line.fields.pop("rh", "0")
         try:
-            by = secret_digest(first.fields.pop("ra", ""))
+            client_digest = secret_digest(first_line.fields.pop("ra", ""))
         except ValueError as error:
             raise InvalidLineError(str(error)) from None
         if token:
-            self._return(session, first, opening, ring, token, seen, by)
+            self._accept_return(session, first_line, opening, ring, token, seen, client_digest)
             return True
         if ring.sealing is None or seen != "0":
             self.metrics.count("resume_not_offered")
-            return False  # plain lines, as the endpoint does without the node's offer
-        offer = SessionOffer(secrets.token_hex(8), 1, 0, opening.request.key, opening.request.class_name, by)
-        self._go_on(session, first, offer, 0.0)
+            return False  # the session is plain, as the endpoint sees no offer from the node
+        offer = SessionOffer(
+            secrets.token_hex(8), 1, 0, opening.request.key, opening.request.class_name, client_digest
+        )
+        self._open_session(session, first_line, offer, 0.0)
         return True
 
-    def _return(
+    def _accept_return(
         self,
         session: ClientSession,
-        first: FirstLine,
+        first_line: FirstLine,
         opening: Opening,
         ring: KeyRing,
         token: str,
         seen: str,
-        by: str,
+        client_digest: str,
     ) -> None:
-        """A client has returned with a token."""
+        """Handle a client that returns with a token."""
         session.accept_opening(opening)
         if not self.keys.is_current():
-            # Guards against a ring that is not read yet: a good token would be refused for good.
-            self._reject_for_now(session, "no lease of the store")
+            # With a ring that is not up to date, a valid token would be rejected permanently.
+            self._reject_temporarily(session, "this node has no lease of the store")
             return
         try:
-            place = open_token(ring, self.keys.cluster(), token, time.time())
-            if place.client != opening.request.key or place.class_name != opening.request.class_name:
-                raise TokenError("stranger: it is another client's or class's")
-            if not seen.isdecimal() or not place.position <= int(seen) < NUMBER_LIMIT:
-                raise TokenError("position: the client was further when it got its token")
+            payload = open_token(ring, self.keys.cluster(), token, time.time())
+            if payload.client != opening.request.key or payload.class_name != opening.request.class_name:
+                raise TokenError("stranger: the token belongs to another client or class")
+            if not seen.isdecimal() or not payload.position <= int(seen) < NUMBER_LIMIT:
+                raise TokenError("position: rh must be a number and not below the position in the token")
         except TokenError as error:
-            self._refuse(session, token, error)
+            self._reject_permanently(session, token, error)
             return
         offer = SessionOffer(
-            place.session, place.generation + 1, int(seen), place.client, place.class_name, by
+            payload.session,
+            payload.generation + 1,
+            int(seen),
+            payload.client,
+            payload.class_name,
+            client_digest,
         )
-        self._claim(session, first, offer, place, token)
+        self._reserve_generation(session, first_line, offer, payload, token)
 
-    def _claim(
-        self, session: ClientSession, first: FirstLine, offer: SessionOffer, place: Place, token: str
+    def _reserve_generation(
+        self,
+        session: ClientSession,
+        first_line: FirstLine,
+        offer: SessionOffer,
+        payload: TokenPayload,
+        token: str,
     ) -> None:
-        """The token's one use: of two that bring it, one goes on."""
-        began = time.monotonic()
+        """Use up the token by reserving the next generation; only one of several holders succeeds."""
+        started_at = time.monotonic()
 
-        def reserved(epoch: int) -> None:
-            if epoch > place.generation + 1:
+        def reserved(generation: int) -> None:
+            if generation > payload.generation + 1:
                 self.metrics.count("resume_returns_again")
-            offer.generation = epoch
+            offer.generation = generation
             log.info(
-                GENERATION_GRANTED,
+                GENERATION_GRANTED_EVENT,
                 session=offer.session,
                 epoch=offer.generation,
                 how="return",
                 token=digest(token),
             )
-            self._go_on(session, first, offer, time.monotonic() - began)
+            self._open_session(session, first_line, offer, time.monotonic() - started_at)
 
-        wait = session.opening.request.wait if session.opening is not None else None
+        wait_s = session.opening.request.wait if session.opening is not None else None
         self.reservations.reserve(
             ReservationRequest(
-                place,
-                min(wait or DEFAULT_WAIT_S, MAX_WAIT_S) * RESERVATION_SHARE,
+                payload,
+                min(wait_s or DEFAULT_WAIT_S, MAX_WAIT_S) * RESERVATION_TIMEOUT_RATIO,
                 offer.client_digest,
-                returns=True,
-                reserved=reserved,
-                claimed=lambda error: self._refuse(session, token, error),
-                unavailable=lambda why: self._reject_for_now(session, why),
+                is_return=True,
+                on_reserved=reserved,
+                on_claimed=lambda error: self._reject_permanently(session, token, error),
+                on_unavailable=lambda reason: self._reject_temporarily(session, reason),
             )
         )
 
-    def _go_on(self, session: ClientSession, first: FirstLine, offer: SessionOffer, spent: float) -> None:
-        """Open the request, less the time that was `spent` on it."""
+    def _open_session(
+        self, session: ClientSession, first_line: FirstLine, offer: SessionOffer, elapsed_s: float
+    ) -> None:
+        """Open the request; its wait is reduced by `elapsed_s` seconds, the duration of the reservation."""
         fields = offer_fields(offer)
         if offer.seen:
             fields["rh"] = str(offer.seen)
-        opening = first.opening_with(fields)
-        if spent and opening.request.wait is not None:
-            wait = max(MIN_WAIT_S, opening.request.wait - spent)
-            request = msgspec.structs.replace(opening.request, wait=wait)
+        opening = first_line.opening_with(fields)
+        if elapsed_s and opening.request.wait is not None:
+            wait_s = max(MIN_REMAINING_WAIT_S, opening.request.wait - elapsed_s)
+            request = msgspec.structs.replace(opening.request, wait=wait_s)
             opening = dataclasses.replace(opening, request=request)
         session.offer = offer
         self.metrics.count("resume_offered" if offer.generation == 1 else "resume_returns")
         session.open_with(opening)
 
-    def _refuse(self, session: ClientSession, token: str, error: ResumeError) -> None:
-        """For good: this token opens nothing."""
+    def _reject_permanently(self, session: ClientSession, token: str, error: ResumeError) -> None:
+        """Reject the client permanently, as its token is invalid or used."""
         self.metrics.count(f"resume_refused_{error.reason}")
         log.info("session not resumed", token=digest(token), reason=str(error))
         session.reject_resumption(error.reason)
 
-    def _reject_for_now(self, session: ClientSession, why: str) -> None:
-        """Without a quorum nobody can be said to be the one: the client is to return."""
+    def _reject_temporarily(self, session: ClientSession, reason: str) -> None:
+        """Tell the client to retry, as without a quorum no generation can be reserved."""
         self.metrics.count("resume_not_claimed")
-        log.warning("token not claimed", reason=why)
+        log.warning("session generation not reserved", reason=reason)
         if not session.closed:
             session.reject(UNCLAIMED_RETRY_S)
 
     # The endpoint's answer
 
     def on_endpoint_established(self, session: ClientSession, first: bytes) -> bytes | None:
-        """An endpoint's `UP` as the client gets it; without the endpoint's consent the same to the byte.
+        """Return the client's version of an endpoint's first data, which begins with its `UP` line.
 
-        None where the session came to go on and this endpoint would begin anew.
+        If the endpoint does not accept the extension, the data is returned unchanged. Returns None if the
+        session has to continue but this endpoint would start it from the beginning.
         """
         offer = session.offer
         assert isinstance(offer, SessionOffer)
@@ -201,14 +220,14 @@
             if offer.generation == 1:
                 self.metrics.count("resume_not_accepted")
                 return first
-            # It came to go on; an endpoint that begins anew would lose what it had.
+            # The session has to continue; an endpoint that starts it from the beginning would lose its state.
             self.metrics.count("resume_refused_server")
             return None
         session.relay = relay = SessionRelay(offer.seen, acceptance.executed)
         self.metrics.count("resume_accepted")
         token = self.tokens.issue(session, offer).encode()
-        terms = (acceptance.receipt, acceptance.executed, MAX_UNANSWERED, token)
-        answer = b"UP %b rs=%d,w=%d,t=%b\r\n" % terms
+        fields = (acceptance.receipt, acceptance.executed, MAX_UNANSWERED, token)
+        answer = b"UP %b rs=%d,w=%d,t=%b\r\n" % fields
         if rest:
             answer += relay.from_endpoint(rest, relay.endpoint_number).to_client
         return answer
@@ -216,44 +235,48 @@
     # Established sessions
 
     def on_session_closed(self, session: ClientSession) -> None:
-        """An established session has ended here."""
+        """Release the resources of an established session that has ended at this node."""
         self.tokens.forget(session)
 
     def migrate_in_place(self, session: ClientSession) -> bool:
-        """Whether a session goes to another endpoint while its client's connection stays.
+        """Start migrating a session while its client's connection stays open; return whether it migrates.
 
-        Not from a node that leaves itself, and not while its window can't be trusted.
+        A node that is shutting down or draining migrates no session in place. Neither is a session migrated
+        that is not resumable, has ended after a protocol violation, or makes no progress.
         """
         offer, relay, opening, proxy = session.offer, session.relay, session.opening, session.proxy
         if opening is None or proxy.shutting_down or proxy.drain_deadline is not None:
             return False
         if not isinstance(offer, SessionOffer) or not isinstance(relay, SessionRelay):
             return False
-        if relay.state is RelayState.OVER or self._is_fruitless(offer, relay):
+        if relay.state is RelayState.ENDED or self._is_fruitless(offer, relay):
             return False
         relay.hold_client()
-        first = FirstLine(opening.before_wait + b"1" + opening.after_wait)
-        session.migration = pending = PendingMigration(session, first, offer, relay, self.tokens, self.loop)
-        place = Place(offer.session, offer.client_key, offer.class_name, "", 0, offer.generation, 0)
-        # The secret goes along: if this node ends before the client has a token of the new generation,
-        # the token of the old one must still bring its client back.
+        first_line = FirstLine(opening.before_wait + b"1" + opening.after_wait)
+        session.migration = pending = PendingMigration(
+            session, first_line, offer, relay, self.tokens, self.loop
+        )
+        payload = TokenPayload(offer.session, offer.client_key, offer.class_name, "", 0, offer.generation, 0)
+        # The digest of the secret is included: if this node ends before the client has a token of the new
+        # generation, the client must still be able to return with the token of the old one.
         request = ReservationRequest(
-            place,
+            payload,
             MIGRATION_TIMEOUT_S,
             offer.client_digest,
-            returns=False,
-            reserved=pending.reserved,
-            claimed=lambda error: pending.not_reserved(str(error)),
-            unavailable=pending.not_reserved,
+            is_return=False,
+            on_reserved=pending.on_reserved,
+            on_claimed=lambda error: pending.on_not_reserved(str(error)),
+            on_unavailable=pending.on_not_reserved,
         )
-        # Later: the proxy first ends what it has of the endpoint that is left.
+        # Deferred, because the proxy first ends its request at the old endpoint.
         self.loop.call_soon(self.reservations.reserve, request)
         return True
 
     def _is_fruitless(self, offer: SessionOffer, relay: SessionRelay) -> bool:
-        """Guards against a request that ends every endpoint it comes to.
+        """Return whether the last migrations brought no answer; counts this migration.
 
-        Without an answer in between, a session is not handed from one to the next for ever.
+        Guards against a request that crashes every endpoint that receives it: without this limit its session
+        would migrate from endpoint to endpoint forever.
         """
         offer.fruitless_migrations = (
             offer.fruitless_migrations + 1 if relay.position == offer.last_position else 0
@@ -262,5 +285,5 @@
         if offer.fruitless_migrations < MAX_FRUITLESS_MIGRATIONS:
             return False
         self.metrics.count("resume_in_place_fruitless")
-        log.warning("session not migrated: no answer came of the last migrations")
+        log.warning("session not migrated: no answer since the last migrations")
         return True
--- a/gradegap/resume/session_relay.py
+++ b/gradegap/resume/session_relay.py
@@ -1,8 +1,9 @@
-"""A node's part in a resumable session: bytes from both sides in, bytes for both sides out. No I/O.
+"""A node's relay of a resumable session's lines between the client and its endpoint. No I/O.
 
-It passes whole lines, remembers what has no answer, and changes from one endpoint to the next between two
-lines. What comes from an endpoint that it has left is dropped. Other lines of the protocol (`LOAD`, `BYE`)
-pass as they are.
+The relay takes bytes from either side and returns the bytes to send to both sides. It forwards complete
+lines, keeps the requests that have no answer, and switches from one endpoint to the next between two lines.
+Data from an endpoint that the session has left is dropped. Other lines of the protocol (`LOAD`, `BYE`) are
+forwarded unchanged.
 """
 
 from __future__ import annotations
@@ -12,39 +13,40 @@
 
 from gradegap.resume import lines
 from gradegap.resume.errors import LineError
-from gradegap.resume.lines import MAX_LINE_BYTES, Answer, NewToken, Over, Request, Seen
+from gradegap.resume.lines import MAX_LINE_BYTES, Acknowledgement, Answer, NewToken, Request, SessionEnded
 from gradegap.resume.window import NodeWindow
 
 
 class RelayState(enum.Enum):
-    """What the relay does with lines; an ended session stays so."""
+    """State of a relay. `ENDED` is final."""
 
-    PASSING = "passing"  # both ways
-    HELD = "held"  # the next endpoint is dialed: the client's lines wait, answers still pass
-    OVER = "over"  # nothing passes any more
+    PASSING = "passing"  # lines are forwarded in both directions
+    HELD = "held"  # the next endpoint is being connected: client lines are queued, answers are forwarded
+    ENDED = "over"  # nothing is forwarded any more
 
 
 @dataclass(slots=True)
 class RelayOutput:
-    """What is to be written, and whether the client may be read on."""
+    """The bytes to write, and whether to continue reading from the client."""
 
     to_client: bytes = b""
     to_endpoint: bytes = b""
     read_client: bool = True
-    end_reason: str = ""  # where the session has ended by somebody's fault
-    other_lines: list[bytes] = field(default_factory=list)  # the endpoint's, no part of the extension
+    end_reason: str = ""  # reason for which the session has ended; empty while it has not
+    other_lines: list[bytes] = field(default_factory=list)  # the endpoint's lines outside the extension
 
 
 def has_clean_line_ends(data: bytes) -> bool:
-    """Whether all its lines end in CRLF, and nothing else in it looks like an end."""
+    """Return whether each CR and each LF in the data belongs to a CRLF."""
     return data.count(b"\n") == data.count(b"\r") == data.count(b"\r\n")
 
 
 class SessionRelay:
-    """One session, from `UP` on. `seen` and `executed` are its positions then.
+    """The relay of one session from the endpoint's `UP` line on.
 
-    Lines that come whole and in turn go on as the bytes that they came in; whatever else comes is read line
-    by line.
+    At that point the client has the answers up to `seen`, and the endpoint has executed the requests up to
+    `executed`. Complete lines in the expected order are forwarded as received, without decoding each one; all
+    other data is decoded line by line.
     """
 
     __slots__ = (
@@ -59,175 +61,189 @@
     def __init__(self, seen: int = 0, executed: int = 0) -> None:
         self.window = NodeWindow(seen, executed)
         self.state = RelayState.PASSING
-        self.endpoint_number = 0  # whose lines count: one more at each change
-        self.client_remainder = b""  # of a line whose end has not come
+        self.endpoint_number = 0  # incremented at each switch; only data from this endpoint is forwarded
+        self.client_remainder = b""  # start of a line that is not complete yet
         self.endpoint_remainder = b""
-        self.waiting_lines: list[bytes] = []  # the client's, while held or the window is full
+        self.waiting_lines: list[bytes] = []  # client lines that can't be forwarded yet
 
     @property
     def awaits_answer(self) -> bool:
-        """Whether a request waits for its answer: only then may an endpoint be called unresponsive."""
+        """Whether a request has no answer yet; only then can an endpoint count as unresponsive."""
         return bool(self.window.unanswered)
 
     @property
     def position(self) -> int:
-        """Answers up to here have passed to the client."""
-        return self.window.answered
+        """Number of the last answer that was forwarded to the client."""
+        return self.window.last_answered
 
     def from_client(self, data: bytes) -> RelayOutput:
-        """What the client has sent."""
-        if self.state is RelayState.OVER:
+        """Process data from the client."""
+        if self.state is RelayState.ENDED:
             return RelayOutput(read_client=False)
         if self.client_remainder:
             data, self.client_remainder = self.client_remainder + data, b""
-        at = (
+        offset = (
             self._client_lines_in_order(data)
             if self.state is RelayState.PASSING and not self.waiting_lines
             else 0
         )
-        if at == len(data):
+        if offset == len(data):
             return RelayOutput(to_endpoint=data)
-        whole, self.client_remainder = self._split(data[at:])
+        complete_lines, self.client_remainder = self._split_lines(data[offset:])
         if len(self.client_remainder) >= MAX_LINE_BYTES:
             return self._end_session(LineError("long: a line without an end"))
-        self.waiting_lines += whole
-        out = self._pass_client()
-        out.to_endpoint = data[:at] + out.to_endpoint
-        return out
+        self.waiting_lines += complete_lines
+        output = self._forward_client_lines()
+        output.to_endpoint = data[:offset] + output.to_endpoint
+        return output
 
     def _client_lines_in_order(self, data: bytes) -> int:
-        """How many bytes of the client's may go on as they came: the next requests and acknowledgements."""
-        window, at = self.window, 0
+        """Return the length in bytes of the prefix that can be forwarded as received.
+
+        The prefix consists of the next requests in order and of valid acknowledgements.
+        """
+        window, offset = self.window, 0
         if not has_clean_line_ends(data):
             return 0
-        while (end := data.find(b"\r\n", at) + 2) > 1:
-            raw = data[at:end]
-            number = window.last + 1
+        while (end := data.find(b"\r\n", offset) + 2) > 1:
+            raw = data[offset:end]
+            number = window.last_request + 1
             if raw.startswith(b"Q %d " % number):
                 if len(raw) > MAX_LINE_BYTES or window.is_full:
                     break
                 window.request(number, raw)
             elif raw.startswith(b"K ") and raw[2:-2].isdigit() and len(raw) < 20:
                 seen = int(raw[2:-2])
-                if raw != b"K %d\r\n" % seen or not window.acknowledged <= seen <= window.answered:
+                if raw != b"K %d\r\n" % seen or not window.acknowledged <= seen <= window.last_answered:
                     break
                 window.acknowledged = seen
             else:
                 break
-            at = end
-        return at
+            offset = end
+        return offset
 
-    def _split(self, data: bytes) -> tuple[list[bytes], bytes]:
-        *whole, part = data.split(b"\n")
-        return [line.removesuffix(b"\r") for line in whole], part
+    def _split_lines(self, data: bytes) -> tuple[list[bytes], bytes]:
+        *complete_lines, remainder = data.split(b"\n")
+        return [line.removesuffix(b"\r") for line in complete_lines], remainder
 
-    def _pass_client(self) -> RelayOutput:
-        """What may go to the endpoint now: in order, and no more than the window holds."""
-        out = RelayOutput()
+    def _forward_client_lines(self) -> RelayOutput:
+        """Forward the queued client lines in order, as far as the relay's state and the window allow."""
+        output = RelayOutput()
         try:
             while self.waiting_lines and self.state is RelayState.PASSING:
                 raw = self.waiting_lines[0]
                 line = lines.decode(raw)
-                if isinstance(line, Request) and line.number > self.window.last and self.window.is_full:
+                if (
+                    isinstance(line, Request)
+                    and line.number > self.window.last_request
+                    and self.window.is_full
+                ):
                     break
                 self.waiting_lines.pop(0)
                 match line:
                     case Request():
                         if self.window.request(line.number, raw + b"\r\n"):
-                            out.to_endpoint += raw + b"\r\n"
-                    case Seen(n):
-                        self.window.acknowledge(n)
-                        out.to_endpoint += lines.encode(line)
+                            output.to_endpoint += raw + b"\r\n"
+                    case Acknowledgement(number):
+                        self.window.acknowledge(number)
+                        output.to_endpoint += lines.encode(line)
                     case None:
-                        out.to_endpoint += raw + b"\r\n"
+                        output.to_endpoint += raw + b"\r\n"
                     case _:
-                        raise LineError("malformed: a line that only a server sends")
+                        raise LineError("malformed: the client sent a line that only servers send")
         except LineError as error:
-            return self._end_session(error, out)
-        out.read_client = not self.waiting_lines
-        return out
+            return self._end_session(error, output)
+        output.read_client = not self.waiting_lines
+        return output
 
     def from_endpoint(self, data: bytes, number: int) -> RelayOutput:
-        """What the endpoint with this number has sent: `endpoint_number` as it was when it was chosen."""
-        if self.state is RelayState.OVER or number != self.endpoint_number:
-            return RelayOutput()  # guards against late lines of an endpoint that was left
+        """Process data from an endpoint; `number` is the `endpoint_number` at the time it was selected."""
+        if self.state is RelayState.ENDED or number != self.endpoint_number:
+            return RelayOutput()  # late data from an endpoint that the session has left
         if self.endpoint_remainder:
             data, self.endpoint_remainder = self.endpoint_remainder + data, b""
-        at = self._answers_in_order(data)
-        if at == len(data) and not self.waiting_lines:
+        offset = self._answers_in_order(data)
+        if offset == len(data) and not self.waiting_lines:
             return RelayOutput(to_client=data)
-        whole, self.endpoint_remainder = self._split(data[at:])
+        complete_lines, self.endpoint_remainder = self._split_lines(data[offset:])
         if len(self.endpoint_remainder) >= MAX_LINE_BYTES:
             return self._end_session(LineError("long: a line without an end"))
-        out = RelayOutput(to_client=data[:at])
+        output = RelayOutput(to_client=data[:offset])
         try:
-            for raw in whole:
-                match found := lines.decode(raw):
-                    case Answer(n):
-                        if self.window.answer(n):
-                            out.to_client += lines.encode(found)
-                    case Over(reason):
-                        out.to_client += lines.encode(found)
-                        self.state = RelayState.OVER
-                        out.end_reason = reason
-                        return out
+            for raw in complete_lines:
+                match line := lines.decode(raw):
+                    case Answer(answer_number):
+                        if self.window.answer(answer_number):
+                            output.to_client += lines.encode(line)
+                    case SessionEnded(reason):
+                        output.to_client += lines.encode(line)
+                        self.state = RelayState.ENDED
+                        output.end_reason = reason
+                        return output
                     case None:
-                        out.other_lines.append(raw)
-                        out.to_client += raw + b"\r\n"
+                        output.other_lines.append(raw)
+                        output.to_client += raw + b"\r\n"
                     case _:
-                        raise LineError("malformed: a line that only a client or node sends")
+                        raise LineError("malformed: the server sent a line that only clients or nodes send")
         except LineError as error:
-            return self._end_session(error, out)
-        more = self._pass_client()
-        out.to_endpoint, out.read_client, out.end_reason = more.to_endpoint, more.read_client, more.end_reason
-        out.to_client += more.to_client
-        return out
+            return self._end_session(error, output)
+        client_output = self._forward_client_lines()
+        output.to_endpoint, output.read_client, output.end_reason = (
+            client_output.to_endpoint,
+            client_output.read_client,
+            client_output.end_reason,
+        )
+        output.to_client += client_output.to_client
+        return output
 
     def _answers_in_order(self, data: bytes) -> int:
-        """How many bytes of the endpoint's may go on as they came: the next answers."""
-        window, at = self.window, 0
+        """Return the length in bytes of the prefix that consists of the next answers in order.
+
+        These bytes can be forwarded as received.
+        """
+        window, offset = self.window, 0
         if not has_clean_line_ends(data):
             return 0
-        while (end := data.find(b"\r\n", at) + 2) > 1:
-            number = window.answered + 1
+        while (end := data.find(b"\r\n", offset) + 2) > 1:
+            number = window.last_answered + 1
             if (
-                number > window.last
-                or end - at > MAX_LINE_BYTES
-                or not data.startswith(b"A %d " % number, at)
+                number > window.last_request
+                or end - offset > MAX_LINE_BYTES
+                or not data.startswith(b"A %d " % number, offset)
             ):
                 break
             window.answer(number)
-            at = end
-        return at
+            offset = end
+        return offset
 
-    def _end_session(self, error: LineError, out: RelayOutput | None = None) -> RelayOutput:
-        """Somebody broke the protocol: the session can't be trusted to be in step any more."""
-        self.state = RelayState.OVER
-        out = out or RelayOutput()
-        out.to_client += lines.encode(Over(error.reason))
-        out.read_client, out.end_reason = False, error.reason
-        return out
+    def _end_session(self, error: LineError, output: RelayOutput | None = None) -> RelayOutput:
+        """End the session after a protocol violation, as the positions of both sides may no longer match."""
+        self.state = RelayState.ENDED
+        output = output or RelayOutput()
+        output.to_client += lines.encode(SessionEnded(error.reason))
+        output.read_client, output.end_reason = False, error.reason
+        return output
 
-    # The change of endpoints
+    # Switching endpoints
 
     def hold_client(self) -> None:
-        """The next endpoint is being dialed: what the client sends waits for it. Answers still pass."""
+        """Queue client lines while the next endpoint is being connected. Answers are still forwarded."""
         if self.state is RelayState.PASSING:
             self.state = RelayState.HELD
 
     def release_client(self) -> RelayOutput:
-        """No endpoint took it before its generation was claimed anywhere: on as before, with the same one."""
+        """Resume with the current endpoint, if no endpoint has claimed the next generation of the session."""
         if self.state is RelayState.HELD:
             self.state = RelayState.PASSING
-        return self._pass_client()
+        return self._forward_client_lines()
 
     def switch_endpoint(self, executed: int) -> RelayOutput:
-        """The next endpoint is established and has proven that requests up to `executed` have run.
+        """Switch to the next endpoint, which is established and has executed the requests up to `executed`.
 
-        What the client sends goes there from now on; half a line of the endpoint before is dropped, as that
-        answer comes complete again.
+        Client lines go to this endpoint from now on. An incomplete line from the previous endpoint is
+        dropped, because the next endpoint sends that answer again in full.
         """
-        if self.state is RelayState.OVER:
+        if self.state is RelayState.ENDED:
             return RelayOutput(read_client=False)
         try:
             unexecuted = self.window.unexecuted(executed)
@@ -236,13 +252,13 @@
         self.endpoint_number += 1
         self.endpoint_remainder = b""
         self.state = RelayState.PASSING
-        sent = b"".join(unexecuted)
+        resent = b"".join(unexecuted)
         if self.window.acknowledged:
-            sent = lines.encode(Seen(self.window.acknowledged)) + sent
-        out = self._pass_client()
-        out.to_endpoint = sent + out.to_endpoint
-        return out
+            resent = lines.encode(Acknowledgement(self.window.acknowledged)) + resent
+        output = self._forward_client_lines()
+        output.to_endpoint = resent + output.to_endpoint
+        return output
 
     def token(self, token: str) -> bytes:
-        """The line that gives the client a new token, between two of its lines."""
+        """Return the line that gives the client a new token; it may be sent between any two lines."""
         return lines.encode(NewToken(token))
--- a/gradegap/resume/settings.py
+++ b/gradegap/resume/settings.py
@@ -1,4 +1,4 @@
-"""What the operator sets for resumable sessions."""
+"""The operator's settings for resumable sessions."""
 
 from __future__ import annotations
 
@@ -8,6 +8,6 @@
 
 
 class ResumeSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """The `[resume]` table: sessions that go on at another server, by a token."""
+    """The `[resume]` table, which enables sessions that continue at another server with a token."""
 
-    life_s: Annotated[int, msgspec.Meta(ge=10, le=600)] = 600  # for which a token may be used
+    life_s: Annotated[int, msgspec.Meta(ge=10, le=600)] = 600  # lifetime of a token, in seconds
--- a/gradegap/resume/token.py
+++ b/gradegap/resume/token.py
@@ -1,8 +1,8 @@
-"""Tokens that prove a session's place, and the ring of keys that seals them. No I/O and no clock.
+"""Tokens that prove a session's identity and progress, and the key ring that seals them. No I/O and no clock.
 
-AES-256-GCM (NIST SP 800-38D) with a random nonce of 96 bits; the version, the key's id and the cluster are
-authenticated with it. A ring's newest key seals; those before it open until they are retired, so that keys
-change while clients hold old tokens.
+Tokens are encrypted with AES-256-GCM (NIST SP 800-38D) and a random nonce of 96 bits. The version, the key's
+id and the cluster are authenticated as additional data. The newest key of a ring seals tokens. Older keys
+open tokens until they are retired, so that keys can be rotated while clients hold tokens of older keys.
 """
 
 from __future__ import annotations
@@ -22,76 +22,95 @@
 NONCE_BYTES = 12
 KEY_BYTES = 32
 TAG_BYTES = 16
-HEAD_BYTES = 1 + KEY_ID_BYTES  # version and key
+HEAD_BYTES = 1 + KEY_ID_BYTES  # the version and the key's id
 MAX_TOKEN_CHARS = 400
-TOKEN_LIFETIME_S = 600  # s for which a token may be used
-MAX_CLOCK_SKEW_S = 30  # s by which the clocks of two nodes may differ
-MAX_KEYS = 16  # of a ring
+TOKEN_LIFETIME_S = 600  # longest time for which a token is valid
+MAX_CLOCK_SKEW_S = 30  # largest accepted difference between the clocks of two nodes
+MAX_KEYS = 16  # in one ring
 KEY_RING_KEY = "keys/resume"  # the ring's key in the store
 
 
-class Place(msgspec.Struct, frozen=True, array_like=True):
-    """What a token proves. The names in quotes are those that `gradegap token inspect` prints."""
+class TokenPayload(msgspec.Struct, frozen=True, array_like=True):
+    """The content of a token. `gradegap token inspect` prints each field under its encoded name."""
 
     session: str
-    client: str  # the client's key
+    client: str  # the client's key, as in its `OPEN` line
     class_name: str = msgspec.field(name="cls")
-    endpoint: str = msgspec.field(name="server")  # which had it
-    position: int  # requests up to here were answered when it was made
-    generation: int = msgspec.field(name="epoch")  # of the session, which it may end once
-    expires_at: int = msgspec.field(name="until")  # Unix time, s
+    endpoint: str = msgspec.field(name="server")  # id of the endpoint that had the session
+    position: int  # requests up to this number were answered when the token was sealed
+    generation: int = msgspec.field(name="epoch")  # only one holder of the token may start the next one
+    expires_at: int = msgspec.field(name="until")  # Unix time in seconds
 
 
 class Key(msgspec.Struct, frozen=True):
-    """One key of a ring."""
+    """One key of a key ring."""
 
     id: str  # hex
     secret: str  # base64
-    made_ms: int = 0  # Unix time
+    made_ms: int = 0  # Unix time of creation, in milliseconds
     state: Literal["in use", "retired"] = "in use"
 
 
 class KeyRing(msgspec.Struct, frozen=True):
-    """`keys/resume` of the store. Newest first; the first that is in use seals."""
+    """The value of `keys/resume` in the store: the keys, the newest first.
+
+    The first key that is in use seals tokens.
+    """
 
     keys: tuple[Key, ...] = ()
 
     def check(self) -> None:
-        """Raises ValueError where a key has no id or secret of its own, or there are too many."""
+        """Check the number of keys, their ids and their secrets.
+
+        Raises:
+            ValueError: if there are too many keys, two have the same id, or an id or secret is invalid.
+        """
         if len(self.keys) > MAX_KEYS or len({k.id for k in self.keys}) != len(self.keys):
-            raise ValueError(f"a ring has at most {MAX_KEYS} keys, each with an id of its own")
+            raise ValueError(
+                f"a key ring must have at most {MAX_KEYS} keys with distinct ids, got {len(self.keys)} keys"
+            )
         for key in self.keys:
             try:
                 sizes = len(bytes.fromhex(key.id)), len(base64.b64decode(key.secret))
             except (ValueError, binascii.Error):
                 sizes = 0, 0
             if sizes != (KEY_ID_BYTES, KEY_BYTES):
-                raise ValueError(f"key {key.id[:16]!r} is no key")
+                raise ValueError(
+                    f"key {key.id[:16]!r} must have a hexadecimal id of {KEY_ID_BYTES} bytes "
+                    f"and a base64 secret of {KEY_BYTES} bytes"
+                )
 
     def rotated(self, now_ms: int) -> KeyRing:
-        """With a new key that seals. The oldest retired ones are dropped where there are too many."""
-        made = Key(
+        """Return the ring with a new sealing key, created at Unix time `now_ms` in milliseconds.
+
+        If there are too many keys, the oldest retired keys are dropped first, then the oldest others.
+        """
+        new_key = Key(
             secrets.token_hex(KEY_ID_BYTES), base64.b64encode(secrets.token_bytes(KEY_BYTES)).decode(), now_ms
         )
-        keys = (made, *self.keys)
+        keys = (new_key, *self.keys)
         while len(keys) > MAX_KEYS:
             dropped = next((key for key in reversed(keys) if key.state == "retired"), keys[-1])
             keys = tuple(key for key in keys if key is not dropped)
         return KeyRing(keys)
 
     def retired(self, key: str) -> KeyRing:
-        """Without what that key sealed. `ValueError` where it is not there, or is the one that seals."""
+        """Return the ring in which this key is retired, so that tokens sealed with it are no longer valid.
+
+        Raises:
+            ValueError: if the ring has no such key, or the key is the one that seals.
+        """
         if key not in {k.id for k in self.keys}:
-            raise ValueError(f"there is no key {key}")
+            raise ValueError(f"the ring has no key {key}")
         if self.sealing is not None and self.sealing.id == key:
-            raise ValueError(f"key {key} seals; rotate first")
+            raise ValueError(f"key {key} seals new tokens and can't be retired; rotate first")
         return KeyRing(
             tuple(msgspec.structs.replace(k, state="retired") if k.id == key else k for k in self.keys)
         )
 
     @property
     def sealing(self) -> Key | None:
-        """The key that seals; None where the ring is empty."""
+        """The key that seals new tokens; None if no key is in use."""
         return next((k for k in self.keys if k.state == "in use"), None)
 
 
@@ -101,53 +120,61 @@
     return AESGCM(base64.b64decode(key.secret))
 
 
-def seal_token(ring: KeyRing, cluster: str, place: Place) -> str:
-    """A token; `ValueError` where the ring has no key or the token would be too long."""
+def seal_token(ring: KeyRing, cluster: str, payload: TokenPayload) -> str:
+    """Return a token with this payload, bound to the cluster.
+
+    Raises:
+        ValueError: if no key of the ring is in use or the token would be too long.
+    """
     key = ring.sealing
     if key is None:
-        raise ValueError("the ring has no key that seals")
+        raise ValueError("the key ring has no key in use to seal a token with")
     head = bytes([TOKEN_VERSION]) + bytes.fromhex(key.id)
     nonce = secrets.token_bytes(NONCE_BYTES)
-    body = _cipher(key).encrypt(nonce, msgspec.msgpack.encode(place), head + cluster.encode())  # type: ignore[attr-defined]
-    made = base64.urlsafe_b64encode(head + nonce + body).decode().rstrip("=")
-    if len(made) > MAX_TOKEN_CHARS:
-        raise ValueError(f"a token of {len(made)} characters")
-    return made
+    body = _cipher(key).encrypt(nonce, msgspec.msgpack.encode(payload), head + cluster.encode())  # type: ignore[attr-defined]
+    token = base64.urlsafe_b64encode(head + nonce + body).decode().rstrip("=")
+    if len(token) > MAX_TOKEN_CHARS:
+        raise ValueError(f"a token must have at most {MAX_TOKEN_CHARS} characters, got {len(token)}")
+    return token
+
 
+def open_token(ring: KeyRing, cluster: str, token: str, now: float) -> TokenPayload:
+    """Return the payload of a token that is valid at Unix time `now`, in seconds.
 
-def open_token(ring: KeyRing, cluster: str, token: str, now: float) -> Place:
-    """What a token proves at Unix time `now`; `TokenError` where it proves nothing."""
+    Raises:
+        TokenError: if the token is malformed, not authentic, expired, or from a clock that is ahead.
+    """
     from cryptography.exceptions import InvalidTag
 
     if len(token) > MAX_TOKEN_CHARS:
-        raise TokenError("long: it has more characters than a token has")
+        raise TokenError(f"long: a token must have at most {MAX_TOKEN_CHARS} characters, got {len(token)}")
     try:
         raw = base64.b64decode(token + "=" * (-len(token) % 4), altchars=b"-_", validate=True)
     except (ValueError, binascii.Error):
-        raise TokenError("malformed: it is no token") from None
+        raise TokenError("malformed: the token is not valid base64") from None
     if len(raw) < HEAD_BYTES + NONCE_BYTES + TAG_BYTES:
-        raise TokenError("malformed: it is cut")
+        raise TokenError("malformed: the token is truncated")
     if raw[0] != TOKEN_VERSION:
-        raise TokenError("version: it is of another version")
+        raise TokenError(f"version: the token has version {raw[0]}, expected {TOKEN_VERSION}")
     head, nonce = raw[:HEAD_BYTES], raw[HEAD_BYTES : HEAD_BYTES + NONCE_BYTES]
     body = raw[HEAD_BYTES + NONCE_BYTES :]
     key = next((k for k in ring.keys if k.id == head[1:].hex()), None)
     if key is None:
-        raise TokenError("unknown_key: no key of this cluster sealed it")
+        raise TokenError("unknown_key: the token was not sealed with a key of this cluster")
     if key.state == "retired":
-        raise TokenError("retired_key: its key was retired")
+        raise TokenError("retired_key: the key that sealed the token is retired")
     try:
         plain = _cipher(key).decrypt(nonce, body, head + cluster.encode())  # type: ignore[attr-defined]
-        place = msgspec.msgpack.decode(plain, type=Place)
+        payload = msgspec.msgpack.decode(plain, type=TokenPayload)
     except (InvalidTag, msgspec.MsgspecError):
-        raise TokenError("forged: its seal is broken") from None
-    if place.expires_at < now - MAX_CLOCK_SKEW_S:
-        raise TokenError("expired: its time is over")
-    if place.expires_at > now + TOKEN_LIFETIME_S + MAX_CLOCK_SKEW_S:
-        raise TokenError("early: it was made by a clock that is ahead")
-    return place
+        raise TokenError("forged: the token failed authentication") from None
+    if payload.expires_at < now - MAX_CLOCK_SKEW_S:
+        raise TokenError("expired: the token has expired")
+    if payload.expires_at > now + TOKEN_LIFETIME_S + MAX_CLOCK_SKEW_S:
+        raise TokenError("early: the token expires too far in the future; the clock that sealed it is ahead")
+    return payload
 
 
 def digest(token: str) -> str:
-    """What a log may show of a token."""
+    """Return a short digest that identifies a token in logs without revealing it."""
     return hashlib.sha256(token.encode()).hexdigest()[:8]
--- a/gradegap/resume/token_renewal.py
+++ b/gradegap/resume/token_renewal.py
@@ -1,48 +1,54 @@
-"""When an established session is due a new token: before its own expires, or when another key seals. No I/O.
+"""Selects the established sessions that need a new token. No I/O.
 
-A session may last for hours and a token for minutes, so a client that got one at its start would have nothing
-to return with; and a key can only be retired once no client holds a token of its.
+A session needs a new token before its own expires, or when another key seals tokens. A session may last for
+hours but a token only for minutes, so a client with only its first token could not return later. A key can
+only be retired once no client holds a token sealed with it.
 """
 
 from __future__ import annotations
 
 from typing import Generic, TypeVar
 
-RENEWAL_SHARE = 0.5  # of a token's lifetime, after which it is replaced
+RENEWAL_RATIO = 0.5  # a token is replaced after this fraction of its lifetime
 
 S = TypeVar("S")
 
 
 class TokenRenewals(Generic[S]):
-    """Sessions by when they got their token, the oldest first. Each is due once in half a lifetime."""
+    """Sessions ordered by the time at which their token was issued, the oldest first.
+
+    Each session needs a new token once in half a token lifetime.
+    """
 
     def __init__(self, lifetime_s: float) -> None:
         self.lifetime_s = lifetime_s
-        self.issued: dict[S, tuple[float, str]] = {}  # steady time, and the id of the sealing key
+        # For each session: monotonic time in seconds when its token was issued, and the sealing key's id.
+        self.issued: dict[S, tuple[float, str]] = {}
 
     def __len__(self) -> int:
         return len(self.issued)
 
     def record(self, session: S, now: float, key: str) -> None:
-        """A session got a token: it is the last that is due another."""
+        """Record a token sealed with `key` at monotonic time `now`, and move the session to the end."""
         self.issued.pop(session, None)
         self.issued[session] = now, key
 
     def forget(self, session: S) -> None:
-        """This session has ended."""
+        """Remove a session that has ended."""
         self.issued.pop(session, None)
 
-    def due(self, now: float, key: str, most: int) -> list[S]:
-        """At most `most` sessions whose token is past half its lifetime, or of another key than `key`.
+    def due(self, now: float, key: str, limit: int) -> list[S]:
+        """Return at most `limit` sessions that need a new token at monotonic time `now`, in seconds.
 
-        `key` seals now. Who gets no token meanwhile is named again at the next call.
+        A session needs one if its token is past half its lifetime, or if it was sealed with another key than
+        `key`, the current sealing key. A session that is not recorded again is returned by the next call too.
         """
-        found: list[S] = []
+        sessions: list[S] = []
         for session, (issued_at, sealing_key) in self.issued.items():
-            # Keys change one after the other, so tokens of an older one come first.
-            if len(found) >= most or (
-                sealing_key == key and now < issued_at + RENEWAL_SHARE * self.lifetime_s
+            # Sealing keys replace each other in sequence, so tokens of an older key come first.
+            if len(sessions) >= limit or (
+                sealing_key == key and now < issued_at + RENEWAL_RATIO * self.lifetime_s
             ):
                 break
-            found.append(session)
-        return found
+            sessions.append(session)
+        return sessions
--- a/tests/compatibility/present.py
+++ b/tests/compatibility/present.py
@@ -182,7 +182,8 @@
         _own(known=hot_restart.EndpointState, ask=proxy_request.ConnectionRequest, handed=front.PortTransfer),
     )
     | _in(
-        "resume", _own(place=token.Place, key=token.Key, ring=token.KeyRing, claim=reservations.Reservation)
+        "resume",
+        _own(place=token.TokenPayload, key=token.Key, ring=token.KeyRing, claim=reservations.Reservation),
     )
     | _in(
         "quic",
--- a/tests/compatibility/readers.py
+++ b/tests/compatibility/readers.py
@@ -193,9 +193,9 @@
 LINES: dict[str, Any] = {
     "request": lines.Request,
     "answer": lines.Answer,
-    "seen": lines.Seen,
+    "seen": lines.Acknowledgement,
     "new_token": lines.NewToken,
-    "over": lines.Over,
+    "over": lines.SessionEnded,
 }
 
 
--- a/tests/support/resume_servers.py
+++ b/tests/support/resume_servers.py
@@ -9,7 +9,7 @@
 
 from gradegap.resume import lines
 from gradegap.resume.errors import LineError
-from gradegap.resume.lines import Request, Seen
+from gradegap.resume.lines import Acknowledgement, Request
 from gradegap.resume.window import ServerWindow
 from gradegap.verification.sessions import Record
 from tests.support.node_environment import EndpointServer, hard_reset, reset_from_other_thread
@@ -109,7 +109,7 @@
             self._session(sock, file, session, int(epoch), window)
         except LineError as error:
             with contextlib.suppress(OSError):
-                sock.sendall(lines.encode(lines.Over(str(error).split(":")[0])))
+                sock.sendall(lines.encode(lines.SessionEnded(str(error).split(":")[0])))
         except OSError:
             pass
         finally:
@@ -139,7 +139,7 @@
             if self.is_killed:
                 return
             line = lines.decode(raw.rstrip(b"\r\n"))
-            if isinstance(line, Seen):
+            if isinstance(line, Acknowledgement):
                 window.acknowledge(line.number)
                 is_written = self.store.write(session, epoch, window, None)
                 answer = None
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from gradegap.resume.token import KEY_RING_KEY, KeyRing, Place, seal_token
+from gradegap.resume.token import KEY_RING_KEY, KeyRing, TokenPayload, seal_token
 from tests.support.cluster import cluster
 
 
@@ -19,7 +19,7 @@
         first = c.cli("keys", "rotate", *node).stdout.strip()
         with c.member_client("n1") as r:
             ring = msgspec.convert(r.value(KEY_RING_KEY), KeyRing)
-            place = Place("s" * 16, "7f3a", "live", "s-1", 4, 2, int(time.time()) + 60)
+            place = TokenPayload("s" * 16, "7f3a", "live", "s-1", 4, 2, int(time.time()) + 60)
             token = seal_token(ring, r.status()["cluster"], place)
         second = c.cli("keys", "rotate", *node).stdout.strip()
         listed = c.cli("keys", "list", *node).stdout
--- a/tests/test_resume_interleavings.py
+++ b/tests/test_resume_interleavings.py
@@ -11,7 +11,7 @@
 
 from gradegap.resume import lines
 from gradegap.resume.errors import LineError, WindowFullError
-from gradegap.resume.lines import Answer, Request, Seen
+from gradegap.resume.lines import Acknowledgement, Answer, Request
 from gradegap.resume.window import (
     ClientWindow,
     NodeWindow,
@@ -63,7 +63,7 @@
         if self.dead or not self.forth:
             return
         line = self.forth.popleft()
-        if isinstance(line, Seen):
+        if isinstance(line, Acknowledgement):
             self.window.acknowledge(line.number)
             self.dead = not self.store.write(self.epoch, self.window, None)
             return
@@ -106,7 +106,7 @@
     @rule()
     def ask(self) -> None:
         try:
-            made = self.client.request(b"r%d" % (self.client.last + 1))
+            made = self.client.request(b"r%d" % (self.client.last_request + 1))
         except WindowFullError:
             return
         if self.node is not None:
@@ -118,7 +118,7 @@
             if self.node is None or not self.up or (isinstance(self.up[0], Request) and self.node.is_full):
                 return
             line = self.up.popleft()
-            if isinstance(line, Seen):
+            if isinstance(line, Acknowledgement):
                 self.node.acknowledge(line.number)
                 self.line.forth.append(line)
             elif isinstance(line, Request) and accepts_request(self.node, line):
@@ -155,7 +155,7 @@
                 self.got.append(line.text)
             seen = self.client.to_acknowledge()
             if seen is not None and self.node is not None:
-                self.up.append(Seen(seen))
+                self.up.append(Acknowledgement(seen))
 
     @precondition(lambda self: self.node is not None)
     @rule(lost=st.booleans())
@@ -167,7 +167,7 @@
                 self.node_down(1)
         self.frozen.append(self.line)
         self.epoch += 1
-        self.line = Line(self.store, self.epoch, self.node.answered)
+        self.line = Line(self.store, self.epoch, self.node.last_answered)
         for raw in self.node.unexecuted(self.line.executed):
             line = lines.decode(raw.rstrip(b"\r\n"))
             assert isinstance(line, Request)
@@ -210,7 +210,7 @@
             self.server(6)
             self.node_down(6)
             self.client_reads(6)
-        asked = [b"r%d" % k for k in range(1, self.client.last + 1)]
+        asked = [b"r%d" % k for k in range(1, self.client.last_request + 1)]
         assert self.store.effects == asked, "each ran exactly once, in order"
         assert self.got == [b"done " + r for r in asked], "each got exactly one final answer, in order"
         assert not self.client.unanswered
--- a/tests/test_resume_lines.py
+++ b/tests/test_resume_lines.py
@@ -8,16 +8,16 @@
 
 from gradegap.resume import lines
 from gradegap.resume.errors import LineError
-from gradegap.resume.lines import Answer, NewToken, Over, Request, Seen
+from gradegap.resume.lines import Acknowledgement, Answer, NewToken, Request, SessionEnded
 
 TEXT = st.binary(max_size=60).filter(lambda b: b"\r" not in b and b"\n" not in b)
 NUMBER = st.integers(1, lines.NUMBER_LIMIT - 1)
 LINES = st.one_of(
     st.builds(Request, NUMBER, TEXT),
     st.builds(Answer, NUMBER, TEXT),
-    st.builds(Seen, st.integers(0, lines.NUMBER_LIMIT - 1)),
+    st.builds(Acknowledgement, st.integers(0, lines.NUMBER_LIMIT - 1)),
     st.builds(NewToken, st.text("abcXYZ019-_", min_size=1, max_size=400)),
-    st.builds(Over, st.sampled_from(["claimed", "fenced", "expired"])),
+    st.builds(SessionEnded, st.sampled_from(["claimed", "fenced", "expired"])),
 )
 
 
--- a/tests/test_resume_nodes.py
+++ b/tests/test_resume_nodes.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from gradegap.client import Session
-from gradegap.resume.token import KEY_RING_KEY, KeyRing, Place, open_token
+from gradegap.resume.token import KEY_RING_KEY, KeyRing, TokenPayload, open_token
 from gradegap.resume.token_renewal import TokenRenewals
 from gradegap.store.member_client import MemberClient
 from gradegap.verification.sessions import Record, from_node, violations
@@ -213,7 +213,7 @@
         ring, cluster = msgspec.convert(item.value, KeyRing), r.status()["cluster"]
         now = ring.retired(old.keys[0].id)
         r.set(KEY_RING_KEY, msgspec.to_builtins(now))
-    place: Place = open_token(now, cluster, told[2:], time.time())
+    place: TokenPayload = open_token(now, cluster, told[2:], time.time())
     assert place.generation == 1 and place.client == "7f3a"
     c.sock.close()
     wait_for(lambda: opening(nodes.environments["n3"].client(), f",rh=0,rt={token}") == "X retired_key")
--- a/tests/test_resume_switch.py
+++ b/tests/test_resume_switch.py
@@ -9,7 +9,7 @@
 
 from gradegap.resume import lines
 from gradegap.resume.errors import WindowFullError
-from gradegap.resume.lines import Answer, Over, Request, Seen
+from gradegap.resume.lines import Acknowledgement, Answer, Request, SessionEnded
 from gradegap.resume.session_relay import RelayOutput, RelayState, SessionRelay
 from gradegap.resume.window import MAX_UNANSWERED, ClientWindow, ServerWindow
 
@@ -38,7 +38,7 @@
             if self.epoch != self.shared.epoch:
                 return  # fenced
             line = lines.decode(raw.rstrip(b"\r"))
-            if isinstance(line, Seen):
+            if isinstance(line, Acknowledgement):
                 self.window.acknowledge(line.number)
             elif isinstance(line, Request):
                 answer = self.window.request(line)
@@ -79,7 +79,7 @@
         what = self.rng.random()
         if what < 0.25 and not calm:
             with contextlib.suppress(WindowFullError):
-                self.up += lines.encode(self.client.request(b"r%d" % (self.client.last + 1)))
+                self.up += lines.encode(self.client.request(b"r%d" % (self.client.last_request + 1)))
         elif what < 0.45 and self.reads and self.up:
             data, self.up = self.cut(self.up)
             self.take(self.node.from_client(data))
@@ -103,7 +103,7 @@
             if self.client.answer(line):
                 self.got.append(line.text)
             if (seen := self.client.to_acknowledge()) is not None:
-                self.up += lines.encode(Seen(seen))
+                self.up += lines.encode(Acknowledgement(seen))
 
     def trouble(self) -> None:
         if self.node.state is RelayState.PASSING:
@@ -133,7 +133,7 @@
             world.step(calm=True)
             if not world.client.unanswered:
                 break
-        asked = [b"r%d" % k for k in range(1, world.client.last + 1)]
+        asked = [b"r%d" % k for k in range(1, world.client.last_request + 1)]
         assert world.shared.ran == asked, f"seed {seed}"
         assert world.got == [b"done " + r for r in asked], f"seed {seed}"
 
@@ -172,8 +172,8 @@
     assert node.from_endpoint(b"LOAD 3.5\r\nhello\r\n", 0).to_client == b"LOAD 3.5\r\nhello\r\n"
     assert node.from_endpoint(b"A 5 never asked\r\n", 0).end_reason == "order"
     node = SessionRelay()
-    out = node.from_endpoint(lines.encode(Over("fenced")), 0)
-    assert out.end_reason == "fenced" and node.state is RelayState.OVER
+    out = node.from_endpoint(lines.encode(SessionEnded("fenced")), 0)
+    assert out.end_reason == "fenced" and node.state is RelayState.ENDED
 
 
 def test_a_server_that_has_lost_what_it_answered_is_not_gone_on_with() -> None:
@@ -181,4 +181,4 @@
     node.from_client(b"Q 1 a\r\nQ 2 b\r\n")
     node.from_endpoint(b"A 1 x\r\nA 2 ", 0)
     out = node.switch_endpoint(0)
-    assert out.end_reason == "position" and node.state is RelayState.OVER
+    assert out.end_reason == "position" and node.state is RelayState.ENDED
--- a/tests/test_resume_tokens.py
+++ b/tests/test_resume_tokens.py
@@ -23,7 +23,7 @@
     MAX_TOKEN_CHARS,
     TOKEN_LIFETIME_S,
     KeyRing,
-    Place,
+    TokenPayload,
     digest,
     open_token,
     seal_token,
@@ -33,7 +33,7 @@
 
 # Tokens
 
-PLACE = Place("5c0f6e1a2b3d4c59", "7f3a", "live", "s-1", 17, 3, 10_000)
+PLACE = TokenPayload("5c0f6e1a2b3d4c59", "7f3a", "live", "s-1", 17, 3, 10_000)
 
 
 def test_a_token_proves_what_was_sealed_until_its_key_is_retired() -> None:
@@ -51,7 +51,7 @@
         ring.retired("00000000")
     assert PLACE.session not in token and digest(token) != digest(seal_token(ring, "c", PLACE))
     with pytest.raises(ValueError, match="characters"):
-        seal_token(ring, "c", Place("s" * 400, "c", "l", "s", 0, 0, 0))
+        seal_token(ring, "c", TokenPayload("s" * 400, "c", "l", "s", 0, 0, 0))
 
 
 @pytest.mark.parametrize(
@@ -96,9 +96,9 @@
         ring = ring.rotated(k)
     ring.check()
     assert len(ring.keys) == 16 and ring.sealing is not None and ring.sealing.made_ms == 39
-    with pytest.raises(ValueError, match="an id of its own"):
+    with pytest.raises(ValueError, match="keys with distinct ids"):
         KeyRing((ring.keys[0], ring.keys[0])).check()
-    with pytest.raises(ValueError, match="no key that seals"):
+    with pytest.raises(ValueError, match="no key in use"):
         seal_token(KeyRing(), "c", PLACE)
 
 
@@ -108,7 +108,7 @@
 def test_of_two_nodes_with_one_token_one_wins() -> None:
     machine, index = StateMachine(), 0
 
-    def write(node: str, place: Place, found_now: bool = True) -> bool:
+    def write(node: str, place: TokenPayload, found_now: bool = True) -> bool:
         nonlocal index
         index += 1
         _, compare, op = reserve(place, node, machine.get(RESERVATION_PREFIX + place.session))
@@ -138,7 +138,7 @@
     with pytest.raises(SessionClaimedError):
         claims.reserve(PLACE, 1.0)
     for k in range(30_000):
-        claims.reserve(Place(f"s{k}", "c", "l", "s", 0, 0, 0), 2.0)
+        claims.reserve(TokenPayload(f"s{k}", "c", "l", "s", 0, 0, 0), 2.0)
     assert len(claims.held) <= 20_000
 
 
@@ -164,7 +164,7 @@
     with pytest.raises(
         SessionClaimedError
     ):  # its client is back elsewhere: a node that still moves it takes nothing
-        moved.reserve(PLACE, 2.0, mine, returns=False)
+        moved.reserve(PLACE, 2.0, mine, is_return=False)
     latest = msgspec.structs.replace(PLACE, generation=6)
     assert claims.reserve(latest, 30.0) == 7  # in place, or at its next return
     with pytest.raises(SessionClaimedError):
