--- a/tests/test_observer_cluster.py
+++ b/tests/test_observer_cluster.py
@@ -27,8 +27,7 @@
 from tests.support.resume_servers import ResumableEndpointServer, SaveStore
 from tests.test_admin_api import answer
 from tests.test_admin_api import call as plain_call
-from tests.test_resume import ON as RESUME
-from tests.test_resume import opened, returned, token_of
+from tests.test_resume import RESUME_TABLE, open_resumable, return_with_token, token_of
 
 LEVEL_WITHIN = 10.0  # s after a fault, within which nodes have to be level again
 
@@ -319,17 +318,17 @@
     fleet.machines.start_all()
     fleet.put(KeyUpdate(KEY_RING_KEY, msgspec.to_builtins(KeyRing().rotated(1))))
     for name in ("node1", "node2"):
-        fleet.start(name, RESUME)
+        fleet.start(name, RESUME_TABLE)
     for made in fleet.nodes.values():
         wait_for(made.is_ready, 20.0)
     client = fleet.nodes["node1"].client()
-    token = token_of(opened(client))
+    token = token_of(open_resumable(client))
     client.send("Q 1 save")
     assert client.read_line() == "A 1 done save"
     client.sock.close()
-    _, said = returned(fleet.nodes["node2"], f",rh=1,rt={token},ra={'7' * 32}")
+    _, said = return_with_token(fleet.nodes["node2"], f",rh=1,rt={token},ra={'7' * 32}")
     assert said.startswith("UP"), said
-    _, said = returned(fleet.nodes["node1"], f",rh=1,rt={token},ra={'8' * 32}")
+    _, said = return_with_token(fleet.nodes["node1"], f",rh=1,rt={token},ra={'8' * 32}")
     assert not said.startswith("UP"), said  # a token has one use
 
 
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -29,23 +29,23 @@
 from tests.support.quic_harness import QuicClient, running_quic_node
 from tests.support.resume_servers import ResumableEndpointServer, SaveStore
 
-ON = "[resume]\n"
+RESUME_TABLE = "[resume]\n"
 
 
 def run(coroutine: Coroutine[Any, Any, None]) -> None:
     asyncio.run(asyncio.wait_for(coroutine, 40.0))
 
 
-def opened(client: Client, more: str = "", key: str = "7f3a") -> str:
+def open_resumable(client: Client, more: str = "", key: str = "7f3a") -> str:
     client.send(f"OPEN {new_request_id()} {key} c=live,d=1500,g=1,rs=1{more}")
     return client.read_line()
 
 
-def returned(w: NodeEnvironment, more: str, within: float = 10.0) -> tuple[Client, str]:
+def return_with_token(w: NodeEnvironment, more: str, within: float = 10.0) -> tuple[Client, str]:
     """A client that comes as clients do: told `BUSY`, as where a member has no lease for a moment, it comes
     again."""
     end = time.monotonic() + within
-    while (said := opened(client := w.client(), more)).startswith("BUSY "):
+    while (said := open_resumable(client := w.client(), more)).startswith("BUSY "):
         assert time.monotonic() < end, said
         client.sock.close()
         time.sleep(int(said[5:]) / 1000)
@@ -79,7 +79,7 @@
         assert session.reconnects == 0  # in place: its connection stood
         await session.close()
 
-    with running_node(tmp_path, [a, b], ON) as w:
+    with running_node(tmp_path, [a, b], RESUME_TABLE) as w:
         run(main(w))
         counters = w.counters()
         assert counters["resume_in_place"] == "1" and "resume_returns" not in counters
@@ -108,7 +108,7 @@
         assert session.reconnects == 0
         await session.close()
 
-    with running_node(tmp_path, endpoint_servers, ON) as w:
+    with running_node(tmp_path, endpoint_servers, RESUME_TABLE) as w:
         run(main(w))
 
 
@@ -153,16 +153,16 @@
 
 def test_a_token_works_once(tmp_path: Path) -> None:
     a = ResumableEndpointServer("a", SaveStore())
-    with running_node(tmp_path, [a], ON) as w:
+    with running_node(tmp_path, [a], RESUME_TABLE) as w:
         first = w.client()
-        token = token_of(opened(first))
+        token = token_of(open_resumable(first))
         first.send("Q 1 x")
         assert first.read_line() == "A 1 done x"
         second, third = w.client(), w.client()
-        newer = token_of(opened(second, f",rh=1,rt={token}"))
+        newer = token_of(open_resumable(second, f",rh=1,rt={token}"))
         assert newer != token
-        assert opened(third, f",rh=1,rt={token}") == "X claimed"
-        assert opened(w.client(), f",rh=1,rt={token}") == "X claimed"  # and a second later
+        assert open_resumable(third, f",rh=1,rt={token}") == "X claimed"
+        assert open_resumable(w.client(), f",rh=1,rt={token}") == "X claimed"  # and a second later
         second.send("Q 2 y")
         assert second.read_line() == "A 2 done y"
         first.send("Q 2 z")  # the life that was left
@@ -188,24 +188,24 @@
     tmp_path: Path, change: Any, key: str, reason: str
 ) -> None:
     a = ResumableEndpointServer("a", SaveStore())
-    with running_node(tmp_path, [a], ON) as w:
-        token = token_of(opened(w.client()))
+    with running_node(tmp_path, [a], RESUME_TABLE) as w:
+        token = token_of(open_resumable(w.client()))
         opens = len(a.open_lines)
         c, began = w.client(), time.monotonic()
-        assert opened(c, f",rh=0,rt={change(token)}", key) == f"X {reason}" and c.read_line() == ""
+        assert open_resumable(c, f",rh=0,rt={change(token)}", key) == f"X {reason}" and c.read_line() == ""
         assert time.monotonic() - began < 1.0 and len(a.open_lines) == opens
         assert w.counters()[f"resume_refused_{reason}"] == "1"
 
 
 def test_a_client_that_lies_about_its_position_harms_itself_alone(tmp_path: Path) -> None:
-    with running_node(tmp_path, [ResumableEndpointServer("a", SaveStore())], ON) as w:
+    with running_node(tmp_path, [ResumableEndpointServer("a", SaveStore())], RESUME_TABLE) as w:
         c = w.client()
-        token = token_of(opened(c))
+        token = token_of(open_resumable(c))
         c.send("Q 1 x")
         assert c.read_line() == "A 1 done x"
-        assert opened(w.client(), f",rh=9,rt={token}") == "X server"  # no server is so far
+        assert open_resumable(w.client(), f",rh=9,rt={token}") == "X server"  # no server is so far
         other = w.client()
-        token_of(opened(other, key="8888"))
+        token_of(open_resumable(other, key="8888"))
         other.send("K 5")
         assert other.read_line() == "X position"
 
@@ -217,9 +217,9 @@
     tmp_path: Path, on: bool, knows: bool, offers: bool
 ) -> None:
     a = ResumableEndpointServer("a", SaveStore(), knows)
-    with running_node(tmp_path, [a], ON if on else None) as w:
+    with running_node(tmp_path, [a], RESUME_TABLE if on else None) as w:
         c = w.client()
-        said = opened(c) if offers else c.open_request("c=live,d=1500,g=1")
+        said = open_resumable(c) if offers else c.open_request("c=live,d=1500,g=1")
         if on and knows and offers:
             token_of(said)
             return
@@ -232,7 +232,7 @@
 
 def test_only_a_node_says_whose_a_session_is(tmp_path: Path) -> None:
     a = ResumableEndpointServer("a", SaveStore())
-    with running_node(tmp_path, [a], ON) as w:
+    with running_node(tmp_path, [a], RESUME_TABLE) as w:
         assert w.client().open_request("c=live,d=1500,rs=1,rn=somebody.7") == "ERR"
         assert w.client().open_request("c=live,d=1500,rn=somebody.7") == "ERR" and not a.open_lines
 
@@ -252,22 +252,22 @@
                 await asyncio.sleep(0.01)
         assert error.value.reason == "server"
 
-    with running_node(tmp_path, [a], ON) as w:
+    with running_node(tmp_path, [a], RESUME_TABLE) as w:
         run(main(w))
 
 
 def test_a_frozen_server_that_goes_on_is_fenced(tmp_path: Path) -> None:
     store = SaveStore()
     a, b = ResumableEndpointServer("a", store), ResumableEndpointServer("b", store)
-    with running_node(tmp_path, [a, b], ON) as w:
+    with running_node(tmp_path, [a, b], RESUME_TABLE) as w:
         c = w.client()
-        said = opened(c)
+        said = open_resumable(c)
         token, old = token_of(said), a if said.startswith("UP a") else b
         old.processing_allowed.clear()
         c.send("Q 1 late")
         c.sock.close()
         again = w.client()
-        while (got := opened(again, f",rh=0,rt={token}")).startswith("BUSY"):
+        while (got := open_resumable(again, f",rh=0,rt={token}")).startswith("BUSY"):
             again = w.client()
         token_of(got)
         if got.startswith(f"UP {old.name}"):
@@ -288,9 +288,9 @@
 
 def test_a_client_whose_window_is_full_is_held_back(tmp_path: Path) -> None:
     a = ResumableEndpointServer("a", SaveStore())
-    with running_node(tmp_path, [a], ON) as w:
+    with running_node(tmp_path, [a], RESUME_TABLE) as w:
         c = w.client()
-        token_of(opened(c))
+        token_of(open_resumable(c))
         a.processing_allowed.clear()
         for n in range(1, 120):
             c.send(f"Q {n} x")
@@ -330,7 +330,7 @@
         for session in sessions:
             await session.close()
 
-    with running_node(tmp_path, [a, b], ON) as w:
+    with running_node(tmp_path, [a, b], RESUME_TABLE) as w:
         run(main(w))
         counters = w.counters()
         assert int(counters["resume_in_place"]) > 0
@@ -342,9 +342,9 @@
 def test_a_session_that_no_server_takes_in_place_returns_with_a_new_token(tmp_path: Path) -> None:
     store = SaveStore()
     a, plain = ResumableEndpointServer("a", store), EndpointServer("b")
-    with running_node(tmp_path, [a], ON) as w:
+    with running_node(tmp_path, [a], RESUME_TABLE) as w:
         c = w.client()
-        token = token_of(opened(c))
+        token = token_of(open_resumable(c))
         c.send("Q 1 x")
         assert c.read_line() == "A 1 done x"
         w.discovery.announce(plain)  # it does not know the extension
@@ -352,12 +352,12 @@
         told = c.read_line()
         assert told.startswith("T ") and told[2:] != token
         assert [c.read_line(), c.read_line()] == ["MOVE", ""]
-        assert opened(w.client(), f",rh=1,rt={token}") == "X claimed"
+        assert open_resumable(w.client(), f",rh=1,rt={token}") == "X claimed"
         w.discovery.announce(a, state="Ready")
         w.discovery.announce(plain, state="Gone")
         again = w.client()
-        wait_for(lambda: not opened(w.client(), key="else").startswith("BUSY"))
-        assert token_of(opened(again, f",rh=1,rt={told[2:]}"))
+        wait_for(lambda: not open_resumable(w.client(), key="else").startswith("BUSY"))
+        assert token_of(open_resumable(again, f",rh=1,rt={told[2:]}"))
         again.send("Q 2 y")
         assert again.read_line() == "A 2 done y"
         assert w.counters()["resume_in_place_server"] == "1"
@@ -366,9 +366,9 @@
 def test_a_client_that_leaves_while_it_is_moved_leaves_nothing_behind(tmp_path: Path) -> None:
     store = SaveStore()
     a, silent = ResumableEndpointServer("a", store), EndpointServer("b", "silence")
-    with running_node(tmp_path, [a], ON) as w:
+    with running_node(tmp_path, [a], RESUME_TABLE) as w:
         c = w.client()
-        token_of(opened(c))
+        token_of(open_resumable(c))
         w.discovery.announce(silent)
         w.discovery.announce(a, state="Terminating")
         wait_for(lambda: silent.open_lines)
@@ -380,7 +380,7 @@
 def test_a_quic_client_that_changes_its_address_is_moved_in_place(tmp_path: Path) -> None:
     store = SaveStore()
     a, b = ResumableEndpointServer("a", store), ResumableEndpointServer("b", store)
-    with running_quic_node(tmp_path, [a, b], ON) as (w, port):
+    with running_quic_node(tmp_path, [a, b], RESUME_TABLE) as (w, port):
         c = QuicClient(port)
         said = c.open_request("c=live,d=1500,g=1,rs=1")
         token_of(said)
@@ -411,9 +411,9 @@
 
 def test_a_client_that_never_acknowledges_is_told_why_it_ends(tmp_path: Path) -> None:
     a = ResumableEndpointServer("a", SaveStore())
-    with running_node(tmp_path, [a], ON) as w:
+    with running_node(tmp_path, [a], RESUME_TABLE) as w:
         c = w.client()
-        token_of(opened(c))
+        token_of(open_resumable(c))
         for n in range(1, 258):
             c.send(f"Q {n} x")
             assert c.read_line() == (f"A {n} done x" if n <= 256 else "X window")
@@ -424,9 +424,9 @@
     """Such a session once went from server to server some 300 times a second."""
     store = SaveStore()
     servers: list[EndpointServer] = [ResumableEndpointServer("a", store), ResumableEndpointServer("b", store)]
-    with running_node(tmp_path, servers, ON) as w:
+    with running_node(tmp_path, servers, RESUME_TABLE) as w:
         c = w.client()
-        token_of(opened(c))
+        token_of(open_resumable(c))
         for s in servers:
             assert isinstance(s, ResumableEndpointServer)
             s.failure_point = "always"
--- a/tests/test_resume_nodes.py
+++ b/tests/test_resume_nodes.py
@@ -18,8 +18,7 @@
 from tests.support.resume_servers import ResumableEndpointServer, SaveStore
 from tests.support.store_nodes import StoreNodes, nodes
 from tests.test_hot_restart import second
-from tests.test_resume import ON, returned, run, token_of
-from tests.test_resume import opened as opening
+from tests.test_resume import RESUME_TABLE, open_resumable, return_with_token, run, token_of
 
 __all__ = ["nodes"]
 
@@ -28,7 +27,7 @@
     store = SaveStore()
     servers = [ResumableEndpointServer(n, store) for n in "ab"]
     nodes.endpoint_servers = list(servers)
-    nodes.start_all(ON)
+    nodes.start_all(RESUME_TABLE)
     with MemberClient(nodes.listen_addresses["n1"], b"", 10.0) as r:
         r.set(KEY_RING_KEY, msgspec.to_builtins(KeyRing().rotated(1)))
     return store, servers
@@ -38,7 +37,7 @@
     """A resumable session; the ring comes to a node a moment after it was written."""
     while True:
         c = w.client()
-        if ",t=" in (said := opening(c)):
+        if ",t=" in (said := open_resumable(c)):
             return c, token_of(said)
 
 
@@ -56,7 +55,7 @@
         def come(k: int, token: str = token) -> None:
             gate.wait()  # noqa: B023
             secret = f"{k + 10}" * 16  # for who is told BUSY, and can't know whether its claim stands
-            told[k] = returned(ends[k], f",rh=1,rt={token},ra={secret}")[1]  # noqa: B023
+            told[k] = return_with_token(ends[k], f",rh=1,rt={token},ra={secret}")[1]  # noqa: B023
 
         threads = [threading.Thread(target=come, args=(k,)) for k in (0, 1)]
         for t in threads:
@@ -65,7 +64,9 @@
             t.join(15.0)
         won = [said for said in told if said.startswith("UP ")]
         assert len(won) == 1 and "X claimed" in told, told
-        assert returned(nodes.environments["n1"], f",rh=1,rt={token}")[1] == "X claimed"  # nor a second later
+        assert (
+            return_with_token(nodes.environments["n1"], f",rh=1,rt={token}")[1] == "X claimed"
+        )  # nor a second later
     log = [r for n in nodes.names for r in from_node(n, nodes.environments[n].log.read_text())]
     assert len(log) == 8 and not list(violations([*log, *store.log]))
 
@@ -116,10 +117,10 @@
     for wrong in (f",rh=1,rt={token}", f",rh=1,rt={token},ra={'aa' * 16}"):
 
         def refused(more: str = wrong) -> bool:
-            return opening(nodes.environments["n2"].client(), more) == "X claimed"
+            return open_resumable(nodes.environments["n2"].client(), more) == "X claimed"
 
         wait_for(refused, 10.0)
-    again, said = returned(nodes.environments["n3"], mine)  # the killed one may have led the store
+    again, said = return_with_token(nodes.environments["n3"], mine)  # the killed one may have led the store
     assert token_of(said) != token
     again.send("Q 2 y")
     assert again.read_line() == "A 2 done y"
@@ -143,7 +144,7 @@
         )
         drains.start()
         time.sleep(0.01 * turn)  # not waited for: which of them is first is what varies
-        again, said = returned(other, f",rh=1,rt={token},ra={'5e' * 16}")
+        again, said = return_with_token(other, f",rh=1,rt={token},ra={'5e' * 16}")
         drains.join(5.0)
         if said == "X claimed":  # it was moved in place: the line that stood goes on
             seen.add("in place")
@@ -172,7 +173,7 @@
         sessions = [await Session.open([w.address], key=f"k{k}", placement_timeout=20.0) for k in range(10)]
         for k, s in enumerate(sessions):
             assert await s.request(b"one-%d" % k) == b"done one-%d" % k
-        with second(w, operator=ON) as (n, _):
+        with second(w, operator=RESUME_TABLE) as (n, _):
             await asyncio.to_thread(wait_for, lambda: "successor accepts clients" in w.log.read_text())
             asks = [asyncio.create_task(s.request(b"two-%d" % k)) for k, s in enumerate(sessions)]
             w.process.terminate()
@@ -185,7 +186,7 @@
                 await s.close()
             assert n.counters()["resume_returns"] == "10"
 
-    with running_node(tmp_path, [a], ON, env={"TMPDIR": str(tmp_path)}) as w:
+    with running_node(tmp_path, [a], RESUME_TABLE, env={"TMPDIR": str(tmp_path)}) as w:
         run(main(w))
     assert sorted(store.effects.values()) == sorted(
         [b"one-%d" % k, b"two-%d" % k, b"three-%d" % k] for k in range(10)
@@ -216,8 +217,10 @@
     place: TokenPayload = open_token(now, cluster, told[2:], time.time())
     assert place.generation == 1 and place.client == "7f3a"
     c.sock.close()
-    wait_for(lambda: opening(nodes.environments["n3"].client(), f",rh=0,rt={token}") == "X retired_key")
-    assert token_of(returned(nodes.environments["n2"], f",rh=0,rt={told[2:]}")[1])
+    wait_for(
+        lambda: open_resumable(nodes.environments["n3"].client(), f",rh=0,rt={token}") == "X retired_key"
+    )
+    assert token_of(return_with_token(nodes.environments["n2"], f",rh=0,rt={told[2:]}")[1])
 
 
 def test_targets_that_die_one_after_the_other_while_a_session_moves(tmp_path: Path) -> None:
@@ -244,7 +247,7 @@
         assert session.reconnects >= 1
         await session.close()
 
-    with running_node(tmp_path, list(servers), ON) as w:
+    with running_node(tmp_path, list(servers), RESUME_TABLE) as w:
         run(main(w))
         log = list(from_node("n0", w.log.read_text()))
     assert not list(violations([*clients, *log, *store.log]))
