--- a/gradegap/discovery/errors.py
+++ b/gradegap/discovery/errors.py
@@ -1,15 +1,15 @@
-"""What can go wrong with discovery; all of it leaves the last endpoint list in use."""
+"""Errors of discovery; after each of them the last endpoint list stays in use."""
 
 from __future__ import annotations
 
 
 class DiscoveryError(Exception):
-    """Base of this package's errors."""
+    """Base class of the errors of this package."""
 
 
 class InvalidEndpointError(DiscoveryError, ValueError):
-    """An entry or record of an endpoint that can't be used; to be mended where the endpoint is registered."""
+    """An endpoint's entry or record is invalid and has to be corrected where the endpoint is registered."""
 
 
 class DnsLookupError(DiscoveryError):
-    """A name that could not be resolved now; it is looked up again after a backoff."""
+    """A DNS name could not be resolved; the lookup is repeated after a backoff."""
--- a/gradegap/discovery/http_discovery.py
+++ b/gradegap/discovery/http_discovery.py
@@ -1,7 +1,7 @@
-"""Discovery over HTTP: the full endpoint list once, then a watch that goes on poll after poll.
+"""Discovery over HTTP: one poll for the full endpoint list, then a watch, which is a sequence of long polls.
 
-What is polled, and when silence is a broken watch, is `WatchSchedule`'s; lists are read
-by `endpoint_list`.
+`WatchSchedule` decides what to poll and after which time an unanswered watch counts as broken;
+`endpoint_list` decodes the lists.
 """
 
 from __future__ import annotations
@@ -24,22 +24,23 @@
 
 log = structlog.get_logger()
 
-PATH = "/registry/instances"
+ENDPOINT_LIST_PATH = "/registry/instances"
 
 UNREAD_ANSWER_GRACE_S = 0.01
-"""In which an answer that has arrived is read, before its poll is held overdue."""
+"""Extra time to read an answer that has already arrived, before its poll counts as overdue."""
 
 OVERLOADED_STATUSES = (429, 502, 503, 504)
-"""Answers of a discovery that is there, but has no capacity."""
+"""HTTP statuses of a discovery service that is reachable but overloaded."""
 
 OPEN_POLLS_MAX = 3
-"""Polls out at once: a watch that is overdue, one for the changes since, one for the full list."""
+"""Maximum number of concurrent polls: an overdue watch, a poll for the changes, and one for the full list."""
 
 ANSWER_MAX_BYTES = 8 * 1024 * 1024
+"""Maximum size of one answer, its head included; a larger one is rejected."""
 
 
 class HttpDiscovery:
-    """Keeps the proxy's endpoint list as discovery's HTTP interface has it."""
+    """Updates the proxy's endpoint list from discovery's HTTP interface."""
 
     def __init__(self, proxy: Proxy, dialer: Dialer, address: str, metrics: Metrics) -> None:
         self.proxy = proxy
@@ -48,23 +49,23 @@
         self.metrics = metrics
         self.schedule = WatchSchedule(proxy.settings, random.Random())
         self.has_list = False
-        """Whether discovery has sent a list since the start."""
+        """Whether discovery has sent a list since the start of the process."""
         self.on_first_list: Callable[[], None] | None = None
         self.connections: list[PollConnection] = []
-        """All that are out, the latest last; those before it are overdue."""
+        """Connections of all open polls in the order of their start; all but the last are overdue."""
         self.next_poll_timer: asyncio.TimerHandle | None = None
-        """For the poll after one that failed."""
-        self.known: dict[str, AddressedEntry] = {}
-        """The last good entry of each endpoint."""
+        """Timer of the next poll while a delay or backoff runs."""
+        self.last_entries: dict[str, AddressedEntry] = {}
+        """The last valid entry of each endpoint."""
         self.decoder = msgspec.json.Decoder(EndpointListDocument)
         metrics.gauge("watch", lambda: {"version": self.schedule.version, "told": self.has_list})
 
     def start(self) -> None:
-        """Make the first poll."""
+        """Start the first poll."""
         self._connect()
 
     def stop(self) -> None:
-        """End all polls, and make no further one."""
+        """End all polls, and schedule no further one."""
         if self.next_poll_timer is not None:
             self.next_poll_timer.cancel()
         self._drop_connections()
@@ -72,8 +73,8 @@
     def change_address(self, address: str) -> None:
         """Use discovery at another address.
 
-        Its full list is polled for, and until it arrives the last one is kept. Whatever the old address still
-        sends is ignored.
+        The full list is polled there, and the last list stays in use until it arrives. Data that the old
+        address still sends is ignored.
         """
         self.metrics.count("discovery_changes")
         self.address = address
@@ -82,7 +83,7 @@
         self._poll_after(self.schedule.start_delay())
 
     def _poll_after(self, delay_s: float) -> None:
-        # Guards against two watches at once, where a change of address meets a poll that is to be made anew.
+        # Guards against two concurrent watches if the address changes while a retry is scheduled.
         if self.next_poll_timer is not None:
             self.next_poll_timer.cancel()
         if delay_s <= 0.0:
@@ -94,7 +95,7 @@
         self.next_poll_timer = None
         connection = PollConnection(self)
         self.connections.append(connection)
-        connection.stop_dial = self.dialer.dial(
+        connection.cancel_dial = self.dialer.dial(
             self.address, CONNECT_TIMEOUT_S, connection, connection.connect_failed
         )
 
@@ -105,7 +106,10 @@
             connection.drop()
 
     def accept(self, connection: PollConnection, poll: Poll, body: bytes) -> str:
-        """An answer to a poll that is out; empty: its list is in use, else the reason why it is rejected."""
+        """Apply the answer to an open poll.
+
+        Returns an empty text if the list is now in use, else the reason for the rejection.
+        """
         try:
             document = self.decoder.decode(body)
         except UNREADABLE_JSON as error:
@@ -119,7 +123,7 @@
         self._end_other_polls(connection)
         if document.full or document.servers:
             kind = EndpointListKind.FULL if document.full else EndpointListKind.DELTA
-            self.proxy.update_endpoints(kind, document.read_entries(self.known, self.metrics))
+            self.proxy.update_endpoints(kind, document.read_entries(self.last_entries, self.metrics))
         if not self.has_list:
             self.has_list = True
             if self.on_first_list is not None:
@@ -127,62 +131,63 @@
         return ""
 
     def _end_other_polls(self, answered: PollConnection) -> None:
-        """Whatever else is out, or was to be polled, is not needed any more."""
+        """Cancel all other open polls and the scheduled one: this answer has made them unnecessary."""
         if self.next_poll_timer is not None:
             self.next_poll_timer.cancel()
             self.next_poll_timer = None
         self._drop_connections(keep=answered)
 
     def on_overdue(self, connection: PollConnection) -> None:
-        """A poll had no answer in its time: discovery is polled anew on another connection.
+        """Handle a poll that was not answered before its timeout: poll discovery on another connection.
 
-        Where polls are answered in turn, this one keeps its own.
+        Where a shared service answers polls one after another, the overdue poll stays open and so keeps its
+        place in the service's queue.
         """
-        latest = connection is self.connections[-1]
+        is_latest = connection is self.connections[-1]
         delay_s = self.schedule.record_timeout()
         if not self.schedule.keeps_overdue_polls:
             self._drop_connections()
         elif len(self.connections) >= OPEN_POLLS_MAX:
             self.connections.pop(0).drop()
-        if latest:
+        if is_latest:
             self._poll_after(delay_s)
 
     def on_ended(self, connection: PollConnection, delay_s: float) -> None:
-        """A connection is not used any more: the last list is kept, and polled for after a delay.
+        """Handle the end of a poll's connection: the next poll starts after a delay.
 
-        No poll is made where a later one is out.
+        The last list stays in use. No poll is scheduled if a later one is open.
         """
         if connection not in self.connections:
             return
-        latest = connection is self.connections[-1]
+        is_latest = connection is self.connections[-1]
         self.connections.remove(connection)
-        if latest and self.next_poll_timer is None:
+        if is_latest and self.next_poll_timer is None:
             self._poll_after(delay_s)
 
 
 class PollConnection(asyncio.Protocol):
-    """A connection to discovery; the next poll goes out as soon as an answer is read."""
+    """A connection to discovery; the next poll is sent as soon as an answer has been read."""
 
     def __init__(self, discovery: HttpDiscovery) -> None:
         self.discovery = discovery
         self.metrics = discovery.metrics
         self.loop = discovery.proxy.loop
         self.transport: asyncio.Transport | None = None
-        self.stop_dial: Callable[[], None] | None = None
+        self.cancel_dial: Callable[[], None] | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.poll: Poll | None = None
-        self.answers = 0
+        self.answer_count = 0
         self._expect_answer()
 
     def _expect_answer(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
         self.body = bytearray()
-        self.complete = False
-        self.trailing = False  # a second answer has begun behind the first
-        self.received_bytes = 0  # of this answer
+        self.is_complete = False
+        self.has_trailing_answer = False  # a second answer has begun after the first
+        self.received_bytes = 0  # size of the current answer
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Make the poll, if it is still wanted."""
+        """Send the poll, unless it has been dropped meanwhile."""
         self.transport = cast(asyncio.Transport, transport)
         if self._is_in_use():
             self._send_poll()
@@ -200,69 +205,75 @@
         self.transport.write(head.encode())
 
     def data_received(self, data: bytes) -> None:
-        """Read on, up to the end of one answer."""
+        """Parse received data up to the end of one answer."""
         if not self._is_in_use():
             return
         self.received_bytes += len(data)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
-            if not self.complete:
-                log.warning("discovery answer unreadable", error=str(error))
+            if not self.is_complete:
+                log.warning("discovery answer malformed", error=str(error))
                 self._reject("not_http")
                 return
-            self.trailing = True  # what follows a complete answer spoils the next one, not this
+            self.has_trailing_answer = True  # affects the next answer, not this complete one
         if self.received_bytes > ANSWER_MAX_BYTES:
             self._reject("too_large")
-        elif self.complete:
+        elif self.is_complete:
             self._on_answer()
 
     def on_message_begin(self) -> None:
-        """Parser: an answer begins."""
-        self.trailing = self.trailing or self.complete
+        """Parser callback: an answer begins."""
+        self.has_trailing_answer = self.has_trailing_answer or self.is_complete
 
     def on_body(self, body: bytes) -> None:
-        """Parser: a part of an answer's body."""
-        if not self.trailing:
+        """Parser callback: a part of an answer's body."""
+        if not self.has_trailing_answer:
             self.body += body
 
     def on_message_complete(self) -> None:
-        """Parser: an answer is complete."""
-        if not self.trailing:
-            self.complete = True
+        """Parser callback: an answer is complete."""
+        if not self.has_trailing_answer:
+            self.is_complete = True
             self.status, self.keep_alive = self.parser.get_status_code(), self.parser.should_keep_alive()
 
     def _on_answer(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        status, keep_alive, body, trailing = self.status, self.keep_alive, bytes(self.body), self.trailing
+        status, keep_alive, body, has_trailing_answer = (
+            self.status,
+            self.keep_alive,
+            bytes(self.body),
+            self.has_trailing_answer,
+        )
         self._expect_answer()
         if status in OVERLOADED_STATUSES:
-            # It still knows which list this node has: the changes since are polled for again, which cost it
-            # less than the full list.
+            # Discovery still knows the version of this node's list: the changes are polled again, which costs
+            # it less than the full list.
             self.metrics.count("lists_busy")
             self._end(self.discovery.schedule.record_overload())
             return
         assert self.poll is not None
-        success = status == 200
-        reason = self.discovery.accept(self, self.poll, body) if success else f"status_{status // 100}xx"
+        is_success = status == 200
+        reason = self.discovery.accept(self, self.poll, body) if is_success else f"status_{status // 100}xx"
         if reason:
             self._reject(reason)
             return
-        self.answers += 1
-        if trailing:
+        self.answer_count += 1
+        if has_trailing_answer:
             self.metrics.count("lists_refused_behind_another")
             self._end(self.discovery.schedule.record_mismatch(Mismatch.OUT_OF_TURN))
         elif keep_alive and self.transport is not None and not self.transport.is_closing():
             self._send_poll()
         else:
-            self._end(0.0)  # discovery closed after an answer: it is polled at once, and the watch goes on
+            # Discovery closes the connection after each answer: poll again at once to continue the watch.
+            self._end(0.0)
 
     def _reject(self, reason: str) -> None:
-        """Guards against an answer that can't be read, or is not the one to this poll.
+        """Reject an answer that is malformed or does not belong to this poll.
 
-        The last list is kept, and this connection, whose answers may all be one behind by now, is not used
-        again.
+        The last list stays in use. The connection is closed, because each later answer on it may belong to
+        the poll before.
         """
         self.metrics.count(f"lists_refused_{reason}")
         schedule = self.discovery.schedule
@@ -273,12 +284,13 @@
             self.metrics.count("lists_malformed" if reason == "malformed" else "lists_failed")
             self._end(schedule.record_failure(forget_version=True))
 
-    def _on_timeout(self, seen_bytes: int) -> None:
-        """Guards against a node short of CPU, which has the answer and has not read it yet.
+    def _on_timeout(self, previously_received_bytes: int) -> None:
+        """Handle the poll's timeout.
 
-        The poll is held overdue when a further look finds nothing more.
+        Guards against a node short of CPU time, whose socket already holds the unread answer: the poll counts
+        as overdue only if a second check finds that no further byte has arrived.
         """
-        if seen_bytes != self.received_bytes:
+        if previously_received_bytes != self.received_bytes:
             self.timer = self.loop.call_later(UNREAD_ANSWER_GRACE_S, self._on_timeout, self.received_bytes)
             return
         assert self.poll is not None
@@ -289,7 +301,7 @@
         self.discovery.on_overdue(self)
 
     def connect_failed(self) -> None:
-        """No connection in its time: the dialer's answer."""
+        """Handle a failed or timed-out connection attempt, as reported by the dialer."""
         self.metrics.count("lists_failed")
         self.discovery.on_ended(self, self.discovery.schedule.record_failure())
 
@@ -298,28 +310,28 @@
         self.drop()
 
     def drop(self) -> None:
-        """Close, and ignore what it still sends, whatever its state."""
+        """Abort the connection in any state, also while it is being dialled."""
         if self.timer is not None:
             self.timer.cancel()
-        if self.stop_dial is not None:
-            self.stop_dial()
+        if self.cancel_dial is not None:
+            self.cancel_dial()
         if self.transport is not None:
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended: a poll that was out on it failed."""
+        """Handle the end of the connection: a poll that was open on it has failed."""
         self.transport = None
         if self.timer is not None:
             self.timer.cancel()
         if self._is_in_use():
             self.metrics.count("lists_ended")
-            # Between two answers it may just have been closed as idle: then the watch goes on at once.
-            clean = self.answers > 0 and not self.received_bytes and exc is None
-            self.discovery.on_ended(self, 0.0 if clean else self.discovery.schedule.record_failure())
+            # A close between two answers may be an idle timeout: the watch then continues without a backoff.
+            is_idle_close = self.answer_count > 0 and not self.received_bytes and exc is None
+            self.discovery.on_ended(self, 0.0 if is_idle_close else self.discovery.schedule.record_failure())
 
 
 def poll_target(poll: Poll) -> str:
-    """Path and query of a poll."""
+    """Request target of a poll: path and query."""
     if poll.since_version is None:
-        return PATH
-    return f"{PATH}?index={poll.since_version}&wait={round(poll.wait_s * 1000)}"
+        return ENDPOINT_LIST_PATH
+    return f"{ENDPOINT_LIST_PATH}?index={poll.since_version}&wait={round(poll.wait_s * 1000)}"
--- a/gradegap/discovery/settings.py
+++ b/gradegap/discovery/settings.py
@@ -1,4 +1,4 @@
-"""What the operator sets for discovery by DNS-SD."""
+"""Operator settings of discovery by DNS-SD."""
 
 from __future__ import annotations
 
@@ -8,17 +8,18 @@
 
 
 class DnsSdSettings(msgspec.Struct):
-    """The `[dnssd]` table: endpoints from DNS-SD records instead of discovery's HTTP."""
+    """The `[dnssd]` table: endpoints are read from DNS-SD records instead of discovery's HTTP interface."""
 
     server: str
-    """Address of the DNS server, as `host:port`."""
+    """Address of the DNS server, as `host:port`; must be a loopback address."""
     service: str
-    """Name whose PTR records are the endpoints, such as `_saves._tcp.prairie.example.`"""
+    """DNS name whose PTR records list the endpoints, such as `_saves._tcp.prairie.example.`"""
 
     def check(self) -> None:
-        """What single keys don't show.
+        """Validate the table beyond the types of its keys.
 
         Raises:
-            OperatorFileError: where the resolver can be reached by strangers, who could forge its answers.
+            OperatorFileError: if the resolver's address is not a loopback address: on another network its
+                answers could be forged.
         """
         check_loopback(self.server, "dnssd.server")
--- a/gradegap/discovery/watch_schedule.py
+++ b/gradegap/discovery/watch_schedule.py
@@ -1,17 +1,18 @@
-"""What to call next at discovery, how long the call may take, and when silence is a broken watch. No I/O.
-
-Two modes. Where lists are *pushed*, discovery is an agent on the node's own machine: calls cost nothing, a
-node counts as notified of what the agent holds at once, and the grace of a drain begins then. Where the list
-is *polled*, one service serves all nodes in turn, and its calls are dear. In both a watch may fall silent
-with no end. A node counts as notified of what it misses `SILENCE_NOTIFIED_S` after the silence began, or
-`WAIT_NOTIFIED_S` after the wait of its poll was over, whichever is later. So each poll here times out early
-enough for two more: one for the changes since, and one for the full list.
-
-A service that works through polls in turn takes its time for each one that reached it, also for one whose
-caller has closed it. So a poll that timed out stays open there beside the next one (`keeps_overdue_polls`),
-and the first answer counts. And each watch waits a time of its own (`POLLED_WAIT_JITTER`). Nodes that were
-started together, or got the same change, would otherwise all call in the same moment, and wait for each other
-after a silence.
+"""Decides which poll to send to discovery next, its timeout, and when an unanswered watch is broken. No I/O.
+
+There are two modes. In *pushed* mode discovery is an agent on the node's own machine: polls cost nothing, a
+node counts as notified of a change as soon as the agent has it, and the grace period of a drain begins at
+that moment. In *polled* mode one shared service answers the polls of all nodes one after another, and each
+poll is expensive. In both modes a watch may stay unanswered without its connection being closed. A node
+counts as notified of a change that it missed `SILENCE_NOTIFIED_S` after the silence began, or
+`WAIT_NOTIFIED_S` after the end of its poll's wait, whichever is later. Each poll therefore times out early
+enough for two more polls before that: one for the changes since the last list, and one for the full list.
+
+A shared service that answers polls one after another spends time on each poll that has reached it, even if
+the caller has closed the connection. A poll that timed out there therefore stays open beside the next one
+(`keeps_overdue_polls`), and the first answer is used. The wait of each watch is drawn at random
+(`POLLED_WAIT_JITTER_FACTORS`). Otherwise nodes that were started together, or received the same change, would
+all poll at the same moment and delay each other after a silence.
 """
 
 from __future__ import annotations
@@ -25,79 +26,92 @@
 from gradegap.proxy.endpoint import drain_send_window_s
 
 SILENCE_NOTIFIED_S = 6.0
-"""From the begin of a silence until nodes count as notified of what it hid; set by the platform's rules."""
+"""Time from the beginning of a silence until nodes count as notified of the changes that they missed.
+
+The platform's rules define it.
+"""
 
 WAIT_NOTIFIED_S = 2.0
-"""From the end of a poll's wait until nodes count as notified of what it hid; set by the platform's rules."""
+"""Time from the end of a poll's wait until nodes count as notified of the changes that they missed.
+
+The platform's rules define it.
+"""
 
 CONNECT_TIMEOUT_S = 0.25
-"""For a new connection to discovery; the time-outs below leave room for it."""
+"""Timeout of a new connection to discovery; the timeouts of polls below leave time for it."""
 
 PUSHED_WAIT_BOUNDS_S = (0.2, 2.0)
-"""Least and longest wait of a watch at an agent."""
+"""Minimum and maximum wait of a watch in pushed mode."""
 
 PUSHED_ANSWER_BOUNDS_S = (0.1, 0.5)
-"""Least and longest time that an agent may take for an answer."""
+"""Minimum and maximum timeout of an agent's answer, in pushed mode."""
 
 PUSHED_BACKOFF_S = 0.05
-"""About this long between polls that an agent failed; doubled up to the time-out of its answers."""
+"""Backoff after a failed poll in pushed mode, before jitter; doubled up to the agent's answer timeout."""
 
 POLLED_WAIT_BOUNDS_S = (5.0, 30.0)
-"""Least and longest wait of a watch at a shared service."""
+"""Minimum and maximum mean wait of a watch in polled mode."""
 
-POLLED_WAIT_JITTER = (0.5, 1.5)
-"""Factors between which the wait of such a watch is drawn: the mean rate of polls stays as it is."""
+POLLED_WAIT_JITTER_FACTORS = (0.5, 1.5)
+"""Range of the random factor of a watch's wait in polled mode; its mean of 1 keeps the mean rate of polls."""
 
 POLLED_LATENESS_BOUNDS_S = (0.6, 1.2)
-"""Least and longest time that such a watch may take beyond its wait."""
+"""Minimum and maximum time from the end of a watch's wait to its timeout, in polled mode."""
 
-POLLED_LATENESS_BASE_S, POLLED_LATENESS_ANSWER_TIMES = 0.25, 2.0
-"""Within these bounds: so long, and the usual time of an answer so many times."""
+POLLED_LATENESS_BASE_S, POLLED_LATENESS_ANSWER_FACTOR = 0.25, 2.0
+"""Time beyond the wait: the base plus this multiple of the mean answer time, within the bounds above."""
 
 POLLED_CHANGES_TIMEOUT_S = 0.6
-"""For the changes since the last list, polled after a watch that timed out."""
+"""Timeout of the poll for the changes that follows a timed-out watch, in polled mode."""
 
 POLLED_ANSWER_TIMEOUT_S = 2.2
-"""For a poll that waits for nothing but its turn: twice within `SILENCE_NOTIFIED_S`."""
+"""Timeout of a poll without a wait, whose only delay is the service's queue.
+
+Two such polls have to fit into `SILENCE_NOTIFIED_S`.
+"""
 
 POLLED_BACKOFF_S = 0.1
-"""About this long between two polls that failed; doubled at each further one."""
+"""Backoff before jitter after a failed poll in polled mode; doubled after each further failure."""
 
 POLLED_BACKOFF_MAX_S = 1.0
-"""Two such pauses, each with a poll that fails in its turn, are within `SILENCE_NOTIFIED_S`."""
+"""Maximum backoff in polled mode.
+
+Two such backoffs, each with a poll that fails after its time in the queue, fit into `SILENCE_NOTIFIED_S`.
+"""
 
 OVERLOAD_WAIT_FACTOR = 1.5
-"""By which the wait of a watch grows with each poll that discovery had no capacity for."""
+"""The wait factor of watches is multiplied by this for each poll that discovery rejects as overloaded."""
 
 RECOVERY_WAIT_FACTOR = 0.9
-"""By which it shrinks again with each poll that was answered."""
+"""The wait factor of watches is multiplied by this for each answered poll, down to a factor of 1."""
 
 ANSWER_TIME_WEIGHT = 0.2
-"""Weight of the latest poll in the mean time of an answer, as far as that falls."""
+"""Smoothing factor of the mean answer time for shorter answer times; a longer one replaces the mean."""
 
 INITIAL_ANSWER_TIME_S = 0.1
-"""Time of an answer until one has been measured."""
+"""Assumed answer time until one has been measured."""
 
 EARLY_TOLERANCE_S = 0.05
-"""Before the end of a watch's wait from which an answer without a change is in time."""
+"""An answer without a change may arrive this long before the end of its watch's wait."""
 
 EARLY_BACKOFF_S = 0.05
-"""Pause after a second answer out of turn; doubled, up to `EARLY_BACKOFF_MAX_S`."""
+"""Doubled once for each early answer without a change in a row, from the second on, to give the backoff."""
 
 EARLY_BACKOFF_MAX_S = 1.0
+"""Maximum backoff after early answers without a change."""
 
 BACKOFF_DOUBLINGS_MAX = 10
-"""Doublings after which a backoff is at its bound whatever that is."""
+"""Limit of the exponent of a backoff; after so many doublings each backoff exceeds its maximum."""
 
 START_SPREAD_MAX_S = 1.0
-"""Longest time over which the first polls at a new discovery are spread."""
+"""Maximum time over which the first polls at a new discovery address are spread."""
 
 START_SPREAD_PER_PROXY_S = 0.05
-"""Of that time, for each proxy of the fleet."""
+"""Time added to that spread for each proxy of the fleet."""
 
 
 class Mismatch(StrEnum):
-    """Why an answer is not the one to the poll that is out; part of a counter's name."""
+    """Why an answer does not match the open poll; the value is part of a counter's name."""
 
     CHANGES_UNASKED = "changes_unasked"
     OLDER = "older"
@@ -106,48 +120,48 @@
 
 @dataclass(slots=True, frozen=True)
 class Poll:
-    """A call for the endpoint list; with a wait it is a watch."""
+    """One HTTP call for the endpoint list; a poll with a wait is a watch."""
 
     since_version: int | None
-    """Only changes after this version; None: the full list."""
+    """Version after which changes are polled; None polls the full list."""
     wait_s: float
-    """How long discovery may wait for a change."""
+    """Time that discovery may wait for a change before it answers."""
     timeout_s: float
-    """After which the poll is overdue."""
+    """Time from the start after which the poll is overdue."""
     started_at: float
-    """Seconds of the schedule's clock."""
+    """Start time in seconds of the schedule's clock."""
 
 
 class WatchSchedule:
-    """What to poll next. Times are seconds of any steady clock; randomness is passed in."""
+    """Decides which poll comes next. Times are seconds of any monotonic clock; `rng` gives the jitter."""
 
     def __init__(self, settings: Settings, rng: Random) -> None:
         self.rng = rng
         self.configure(settings)
         self.version: int | None = None
-        """Version of the list in use; None: the next poll is for the full list."""
+        """Version of the list in use; with None the next poll is for the full list."""
         self.timeouts = 0
-        """Polls in a row that were overdue."""
+        """Number of consecutive overdue polls."""
         self.failures = 0
-        """Polls in a row that failed."""
+        """Number of consecutive failed polls."""
         self.early_answers = 0
-        """Answers in a row that were out of turn."""
+        """Number of consecutive answers that did not match their poll."""
         self.wait_factor = 1.0
-        """By which watches wait longer while discovery is overloaded."""
+        """Factor of a watch's wait in polled mode; above 1 while discovery is overloaded."""
         self.answer_time_s = INITIAL_ANSWER_TIME_S
-        """How long a poll without a wait takes, as of late."""
+        """Moving average of the time that a poll without a wait takes."""
 
     @property
     def keeps_overdue_polls(self) -> bool:
-        """Whether an overdue poll stays open beside the next one: given up, it would lose its turn."""
-        return not self.pushed
+        """Whether an overdue poll stays open: if closed, it would lose its place in the service's queue."""
+        return not self.is_pushed
 
     def configure(self, settings: Settings) -> None:
-        """Use these settings from the next poll on."""
-        self.pushed, self.proxy_count = not settings.polls_endpoints, settings.proxy_count
-        if self.pushed:
+        """Apply settings from the next poll on."""
+        self.is_pushed, self.proxy_count = not settings.polls_endpoints, settings.proxy_count
+        if self.is_pushed:
             usable_grace_s = drain_send_window_s(settings)
-            # A watch that breaks, and a poll that an outage swallows, cost this much of the grace.
+            # A broken watch uses half of the grace period, and a poll lost in an outage another quarter.
             self.wait_s = _clamp(usable_grace_s / 2, PUSHED_WAIT_BOUNDS_S)
             self.answer_timeout_s = _clamp(usable_grace_s / 4, PUSHED_ANSWER_BOUNDS_S)
         else:
@@ -155,104 +169,111 @@
             self.answer_timeout_s = POLLED_ANSWER_TIMEOUT_S
 
     def start_from(self, version: int) -> None:
-        """Begin with a list known from before the start, up to this version.
+        """Start with a list of this version that is known from before the start of the process.
 
-        Guards against a service that answers in turn and is polled twice by each node that starts, for the
-        full list and for what follows it: while it works through those polls, changes wait behind them.
+        Guards against two polls from each starting node, one for the full list and one for the changes after
+        it: a shared service that answers polls one after another would deliver changes only after all of
+        them.
         """
-        if not self.pushed:
+        if not self.is_pushed:
             self.version = version
-            self.wait_factor = 0.0  # the shortest wait, until a poll shows that discovery answers at all
+            # Gives the shortest wait until an answered poll shows that discovery is reachable.
+            self.wait_factor = 0.0
 
     def start_delay(self) -> float:
-        """Seconds before the first poll after all nodes learned of a new discovery at once.
+        """Seconds before the first poll at a new discovery address, which all nodes learn at the same time.
 
-        At a shared service they would all wait in turn behind one another, and the last ones in vain.
+        Without this random delay they would queue behind one another at a shared service, and the last ones
+        would time out.
         """
-        if self.pushed:
+        if self.is_pushed:
             return 0.0
         return self.rng.random() * min(START_SPREAD_MAX_S, START_SPREAD_PER_PROXY_S * self.proxy_count)
 
     def next_poll(self, now: float) -> Poll:
-        """The poll to make now."""
+        """The poll to send at the time `now`."""
         if self.version is None or self.timeouts >= 2:
             return Poll(None, 0.0, self.answer_timeout_s, now)
         if self.timeouts:
-            timeout_s = self.answer_timeout_s if self.pushed else POLLED_CHANGES_TIMEOUT_S
+            timeout_s = self.answer_timeout_s if self.is_pushed else POLLED_CHANGES_TIMEOUT_S
             return Poll(self.version, 0.0, timeout_s, now)
-        if self.pushed:
+        if self.is_pushed:
             return Poll(self.version, self.wait_s, self.wait_s + self.answer_timeout_s, now)
         mean_wait_s = _clamp(self.wait_s * self.wait_factor, POLLED_WAIT_BOUNDS_S)
-        wait_s = mean_wait_s * self.rng.uniform(*POLLED_WAIT_JITTER)
-        lateness_s = POLLED_LATENESS_BASE_S + POLLED_LATENESS_ANSWER_TIMES * self.answer_time_s
+        wait_s = mean_wait_s * self.rng.uniform(*POLLED_WAIT_JITTER_FACTORS)
+        lateness_s = POLLED_LATENESS_BASE_S + POLLED_LATENESS_ANSWER_FACTOR * self.answer_time_s
         lateness_s = _clamp(lateness_s, POLLED_LATENESS_BOUNDS_S)
         return Poll(self.version, wait_s, wait_s + lateness_s, now)
 
-    def find_mismatch(self, poll: Poll, now: float, full: bool, version: int) -> Mismatch | None:
-        """Why an answer is not the one to this poll; None: it is.
+    def find_mismatch(self, poll: Poll, now: float, is_full: bool, version: int) -> Mismatch | None:
+        """Return why an answer does not match this poll, or None if it does.
 
-        Guards against a second answer to the poll before, which would be taken for this one's, and every
-        later answer for the one before; and against one that rolls the list back.
+        Guards against a duplicate answer to the poll before, which would be taken for the answer to this one
+        and shift all later answers by one poll; and against an answer that rolls the list back.
         """
         if poll.since_version is None:
-            return None if full else Mismatch.CHANGES_UNASKED
+            return None if is_full else Mismatch.CHANGES_UNASKED
         if version < poll.since_version:
             return Mismatch.OLDER
-        early = now < poll.started_at + poll.wait_s - EARLY_TOLERANCE_S
-        return Mismatch.OUT_OF_TURN if version == poll.since_version and early else None
+        is_early = now < poll.started_at + poll.wait_s - EARLY_TOLERANCE_S
+        return Mismatch.OUT_OF_TURN if version == poll.since_version and is_early else None
 
     def record_answer(self, poll: Poll, now: float, version: int) -> None:
-        """This poll was answered; the list is at `version`."""
+        """Record the answer to a poll; the list in use now has this version."""
         if poll.wait_s <= 0.0:
-            spent_s = max(0.0, now - poll.started_at)
-            change_s = spent_s - self.answer_time_s
+            elapsed_s = max(0.0, now - poll.started_at)
+            change_s = elapsed_s - self.answer_time_s
             self.answer_time_s += ANSWER_TIME_WEIGHT * change_s if change_s < 0.0 else change_s
         self.version = version
         self.timeouts = self.failures = self.early_answers = 0
         self.wait_factor = max(1.0, self.wait_factor * RECOVERY_WAIT_FACTOR)
 
     def record_mismatch(self, mismatch: Mismatch) -> float:
-        """An answer was rejected; seconds before the poll is made anew, on a new connection."""
+        """Record a rejected answer; returns the seconds before the poll is repeated on a new connection."""
         if mismatch is not Mismatch.OUT_OF_TURN:
             self.version = None
         backoff_s = 0.0
         if self.early_answers:
-            backoff_s = min(EARLY_BACKOFF_MAX_S, EARLY_BACKOFF_S * _doubled(self.early_answers))
+            backoff_s = min(EARLY_BACKOFF_MAX_S, EARLY_BACKOFF_S * _backoff_factor(self.early_answers))
         self.early_answers += 1
         return backoff_s
 
     def record_timeout(self) -> float:
-        """The poll is overdue; seconds before the next, on a new connection: none, as the grace runs."""
+        """Record an overdue poll; returns the seconds before the next poll on a new connection.
+
+        There is no delay, because the grace period of a missed drain may already be running.
+        """
         self.timeouts += 1
         return 0.0
 
     def record_overload(self) -> float:
-        """Discovery answered that it has no capacity for this poll; seconds before the next one.
+        """Record that discovery rejected the poll as overloaded; returns the seconds before the next poll.
 
-        All nodes together poll it less often from now on: a watch that waits longer costs it no more than a
-        short one.
+        Longer waits reduce the rate of polls of all nodes: a watch with a long wait costs discovery no more
+        than one with a short wait.
         """
-        longest = POLLED_WAIT_BOUNDS_S[1] / POLLED_WAIT_BOUNDS_S[0]
-        self.wait_factor = min(longest, self.wait_factor * OVERLOAD_WAIT_FACTOR)
+        wait_factor_max = POLLED_WAIT_BOUNDS_S[1] / POLLED_WAIT_BOUNDS_S[0]
+        self.wait_factor = min(wait_factor_max, self.wait_factor * OVERLOAD_WAIT_FACTOR)
         return self.record_failure()
 
     def record_failure(self, forget_version: bool = False) -> float:
-        """The poll failed: no connection, a reset, no capacity, or no list. Seconds before the next one.
+        """Record a failed poll: no connection, a reset, an overloaded discovery, or no valid list.
 
-        Guards against nodes that drown a discovery which is overloaded: jitter, and doubling, up to what the
-        grace allows. A watch that ends with its connection is no more than a poll that failed.
+        Returns the seconds before the next poll. Jitter and exponential backoff, up to a maximum that the
+        grace period allows, keep the nodes from overloading discovery further. A watch whose connection is
+        closed counts as a failed poll.
         """
         if forget_version:
             self.version = None
-        if self.pushed:
-            backoff_s = min(self.answer_timeout_s, PUSHED_BACKOFF_S * _doubled(self.failures))
+        if self.is_pushed:
+            backoff_s = min(self.answer_timeout_s, PUSHED_BACKOFF_S * _backoff_factor(self.failures))
         else:
-            backoff_s = min(POLLED_BACKOFF_MAX_S, POLLED_BACKOFF_S * _doubled(self.failures))
+            backoff_s = min(POLLED_BACKOFF_MAX_S, POLLED_BACKOFF_S * _backoff_factor(self.failures))
         self.failures += 1
         return backoff_s * self.rng.uniform(0.5, 1.0)
 
     def reset(self) -> None:
-        """Discovery is at another address: its versions are its own, and so are its faults."""
+        """Forget the version and the failures, which belong to the previous discovery address."""
         self.version = None
         self.timeouts = self.failures = self.early_answers = 0
 
@@ -261,5 +282,5 @@
     return max(bounds[0], min(bounds[1], value if math.isfinite(value) else bounds[1]))
 
 
-def _doubled(times: int) -> float:
-    return 2.0 ** min(BACKOFF_DOUBLINGS_MAX, times)
+def _backoff_factor(exponent: int) -> float:
+    return 2.0 ** min(BACKOFF_DOUBLINGS_MAX, exponent)
--- a/tests/test_dns_sd_discovery.py
+++ b/tests/test_dns_sd_discovery.py
@@ -1,4 +1,4 @@
-"""DNS-SD discovery of the real program, against a stand-in that answers DNS on loopback."""
+"""DNS-SD discovery of a running node, with a DNS server of the test on loopback."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 SERVICE = "_saves._tcp.prairie.example."
 
 
-class Answerer:
-    """A DNS server over UDP and TCP that answers from `records`, and notes each query."""
+class DnsServer:
+    """A DNS server over UDP and TCP that answers from `records` and logs each query."""
 
     def __init__(self, ttl: int = 1) -> None:
         self.ttl = ttl
@@ -36,7 +36,7 @@
         threading.Thread(target=self._tcp, daemon=True).start()
 
     def _sockets(self) -> tuple[socket.socket, socket.socket] | None:
-        """One port for UDP and TCP; None where TCP has it already."""
+        """Bind one port for UDP and TCP; returns None if its TCP side is in use."""
         udp = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         udp.bind(("127.0.0.1", 0))
         try:
@@ -45,14 +45,14 @@
             udp.close()
             return None
 
-    def instance(self, b: EndpointServer, txt: str = '"state=Ready" "zone=z" "weight=1"') -> None:
-        name, port = f"s-{b.name}.{SERVICE}", b.address.rpartition(":")[2]
+    def set_instance(self, server: EndpointServer, txt: str = '"state=Ready" "zone=z" "weight=1"') -> None:
+        name, port = f"s-{server.name}.{SERVICE}", server.address.rpartition(":")[2]
         ptr = self.records.setdefault((SERVICE, "PTR"), [])
         if name not in ptr:
             ptr.append(name)
-        self.records[name, "SRV"] = [f"0 0 {port} {b.name}.prairie.example."]
+        self.records[name, "SRV"] = [f"0 0 {port} {server.name}.prairie.example."]
         self.records[name, "TXT"] = [txt]
-        self.records[f"{b.name}.prairie.example.", "A"] = ["127.0.0.1"]
+        self.records[f"{server.name}.prairie.example.", "A"] = ["127.0.0.1"]
 
     def answer(self, wire: bytes, over_tcp: bool) -> bytes | None:
         query = dns.message.from_wire(wire)
@@ -86,81 +86,87 @@
         while True:
             sock, _ = self.listener.accept()
             with sock:
-                file = sock.makefile("rb")  # reads whole: a query may come in pieces
+                file = sock.makefile("rb")  # blocks until the whole query has arrived
                 size = int.from_bytes(file.read(2), "big")
                 answer = self.answer(file.read(size), True) or b""
                 sock.sendall(len(answer).to_bytes(2, "big") + answer)
 
 
 @pytest.fixture
-def answerer() -> Answerer:
-    return Answerer()
+def dns_server() -> DnsServer:
+    return DnsServer()
 
 
-def operator(answerer: Answerer) -> str:
-    return f'[dnssd]\nserver = "127.0.0.1:{answerer.port}"\nservice = "{SERVICE}"\n'
+def operator(dns_server: DnsServer) -> str:
+    return f'[dnssd]\nserver = "127.0.0.1:{dns_server.port}"\nservice = "{SERVICE}"\n'
 
 
-def served_by(w: NodeEnvironment, times: int = 8) -> set[str]:
-    # A crowd that comes as fast as it can is partly told to come back later: that is no backend's answer.
+def open_answers(environment: NodeEnvironment, request_count: int = 8) -> set[str]:
+    # A node answers some requests of a fast series with BUSY; these are no endpoint's answers.
     time.sleep(0.1)
-    return {said for said in (w.client().open_request() for _ in range(times)) if not said.startswith("BUSY")}
-
-
-def test_endpoints_come_go_and_drain_as_their_records_have_it(tmp_path: Path, answerer: Answerer) -> None:
-    a, b = EndpointServer("a"), EndpointServer("b")
-    answerer.instance(a)
-    with running_node(tmp_path, [], operator(answerer)) as w:
-        assert served_by(w) == {"UP a"}
-        answerer.instance(b)
-        wait_for(lambda: "UP b" in served_by(w))
-        answerer.instance(a, '"state=Terminating"')
-        wait_for(lambda: served_by(w) == {"UP b"})
-        answerer.records[SERVICE, "PTR"].remove(f"s-b.{SERVICE}")
-        answerer.instance(a, '"state=Ready" "started_ms=1"')
-        wait_for(lambda: served_by(w) == {"UP a"})
+    return {
+        answer
+        for answer in (environment.client().open_request() for _ in range(request_count))
+        if not answer.startswith("BUSY")
+    }
+
+
+def test_changed_records_add_remove_and_drain_endpoints(tmp_path: Path, dns_server: DnsServer) -> None:
+    server_a, server_b = EndpointServer("a"), EndpointServer("b")
+    dns_server.set_instance(server_a)
+    with running_node(tmp_path, [], operator(dns_server)) as environment:
+        assert open_answers(environment) == {"UP a"}
+        dns_server.set_instance(server_b)
+        wait_for(lambda: "UP b" in open_answers(environment))
+        dns_server.set_instance(server_a, '"state=Terminating"')
+        wait_for(lambda: open_answers(environment) == {"UP b"})
+        dns_server.records[SERVICE, "PTR"].remove(f"s-b.{SERVICE}")
+        dns_server.set_instance(server_a, '"state=Ready" "started_ms=1"')
+        wait_for(lambda: open_answers(environment) == {"UP a"})
 
 
 @pytest.mark.parametrize("mode", ["silent", "garbage", "failing"])
-def test_failures_are_counted_and_the_last_list_is_kept(
-    tmp_path: Path, answerer: Answerer, mode: str
+def test_failed_lookups_are_counted_and_last_list_stays_in_use(
+    tmp_path: Path, dns_server: DnsServer, mode: str
+) -> None:
+    server_a = EndpointServer("a")
+    dns_server.set_instance(server_a)
+    with running_node(tmp_path, [], operator(dns_server)) as environment:
+        dns_server.mode = mode
+        wait_for(lambda: int(environment.counters().get("dns_failures", 0)) >= 2, 10.0)
+        assert open_answers(environment) == {"UP a"}
+        dns_server.mode = "answer"
+        server_b = EndpointServer("b")
+        dns_server.set_instance(server_b)
+        wait_for(lambda: "UP b" in open_answers(environment), 10.0)
+
+
+def test_truncated_udp_answer_is_queried_again_over_tcp(tmp_path: Path, dns_server: DnsServer) -> None:
+    dns_server.set_instance(EndpointServer("a"))
+    dns_server.mode = "truncated"
+    with running_node(tmp_path, [], operator(dns_server)) as environment:
+        assert open_answers(environment) == {"UP a"}
+
+
+def test_invalid_record_leaves_its_instance_unchanged(tmp_path: Path, dns_server: DnsServer) -> None:
+    server_a, server_b = EndpointServer("a"), EndpointServer("b")
+    dns_server.set_instance(server_a)
+    with running_node(tmp_path, [], operator(dns_server)) as environment:
+        dns_server.set_instance(server_a, '"state=Asleep" "weight=heavy"')
+        dns_server.set_instance(server_b, '"weight=1"')  # no valid entry so far: the instance is left out
+        wait_for(lambda: int(environment.counters().get("dns_bad_instances", 0)) >= 2)
+        assert open_answers(environment) == {"UP a"}
+
+
+def test_cached_records_are_not_queried_again_within_their_time_to_live(
+    tmp_path: Path, dns_server: DnsServer
 ) -> None:
-    a = EndpointServer("a")
-    answerer.instance(a)
-    with running_node(tmp_path, [], operator(answerer)) as w:
-        answerer.mode = mode
-        wait_for(lambda: int(w.counters().get("dns_failures", 0)) >= 2, 10.0)
-        assert served_by(w) == {"UP a"}
-        answerer.mode = "answer"
-        b = EndpointServer("b")
-        answerer.instance(b)
-        wait_for(lambda: "UP b" in served_by(w), 10.0)
-
-
-def test_an_answer_too_long_for_udp_is_queried_again_over_tcp(tmp_path: Path, answerer: Answerer) -> None:
-    answerer.instance(EndpointServer("a"))
-    answerer.mode = "truncated"
-    with running_node(tmp_path, [], operator(answerer)) as w:
-        assert served_by(w) == {"UP a"}
-
-
-def test_a_bad_record_leaves_its_instance_as_it_was(tmp_path: Path, answerer: Answerer) -> None:
-    a, b = EndpointServer("a"), EndpointServer("b")
-    answerer.instance(a)
-    with running_node(tmp_path, [], operator(answerer)) as w:
-        answerer.instance(a, '"state=Asleep" "weight=heavy"')
-        answerer.instance(b, '"weight=1"')  # never seen well: it is left out
-        wait_for(lambda: int(w.counters().get("dns_bad_instances", 0)) >= 2)
-        assert served_by(w) == {"UP a"}
-
-
-def test_records_are_not_queried_again_within_their_time_to_live(tmp_path: Path, answerer: Answerer) -> None:
-    answerer.ttl = 3
-    answerer.instance(EndpointServer("a"))
-    with running_node(tmp_path, [], operator(answerer)):
-        wait_for(lambda: [kind for _, _, kind in answerer.queries].count("PTR") == 3, 12.0)
-    queried = [at for at, _, kind in answerer.queries if kind == "PTR"]
-    assert all(later - earlier >= 2.9 for earlier, later in itertools.pairwise(queried))
+    dns_server.ttl = 3
+    dns_server.set_instance(EndpointServer("a"))
+    with running_node(tmp_path, [], operator(dns_server)):
+        wait_for(lambda: [kind for _, _, kind in dns_server.queries].count("PTR") == 3, 12.0)
+    query_times = [queried_at for queried_at, _, kind in dns_server.queries if kind == "PTR"]
+    assert all(later - earlier >= 2.9 for earlier, later in itertools.pairwise(query_times))
 
 
 @pytest.mark.parametrize(
@@ -173,13 +179,13 @@
         ),
     ],
 )
-def test_txt_pairs_are_read_as_the_rfc_says(strings: tuple[bytes, ...], entry: EndpointEntry) -> None:
+def test_txt_pairs_are_parsed_as_rfc_6763_requires(strings: tuple[bytes, ...], entry: EndpointEntry) -> None:
     assert read_entry("s", read_txt(strings)) == entry
 
 
 @pytest.mark.parametrize(
     "text", ["", "state=", "state=Ready;weight=0", "state=Ready;weight=nan", "state=Ready;started_ms=x"]
 )
-def test_a_bad_txt_record_raises_an_error(text: str) -> None:
+def test_invalid_txt_record_raises_error(text: str) -> None:
     with pytest.raises(InvalidEndpointError):
         read_entry("s", read_txt(tuple(text.encode().split(b";"))))
