--- a/gradegap/admin/__init__.py
+++ b/gradegap/admin/__init__.py
@@ -1,5 +1,5 @@
 """The operators' HTTP API of one node.
 
-Owns its listener and the callers' connections. `http_api` reads calls and writes answers, `routes` finds the
-operation of a call, `operations` is what a node offers.
+The package owns the API's listener and its connections. `http_api` parses calls and writes answers, `routes`
+maps a call to an operation, and `operations` is the interface that a node implements.
 """
--- a/gradegap/admin/http_api.py
+++ b/gradegap/admin/http_api.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP API: HTTP/1.1 beside the clients' address, one call to a connection."""
+"""The operators' HTTP/1.1 API, on an address of its own; each connection carries one call."""
 
 from __future__ import annotations
 
@@ -17,37 +17,37 @@
 log = structlog.get_logger()
 
 CALL_TIMEOUT_S = 2.5
-"""From the connection to the end of its call."""
+"""Time from accepting a connection until its call has to be complete."""
 
 CALL_MAX_BYTES = 8 * 1024
-"""Of a call, its body included."""
+"""Maximum size of a call, its body included."""
 
 CALLERS_SOFT_MAX = 16
-"""Connections held at once; beyond, the oldest whose call isn't complete is closed."""
+"""Number of connections above which a new one evicts the oldest that is answered, or else still receiving."""
 
 CALLERS_MAX = 32
-"""Connections, however new they are: what the descriptors' budget keeps for them."""
+"""Hard limit of connections, which also evicts new ones; the descriptor budget reserves this many."""
 
 UNREAD_CALL_GRACE_S = 0.1
-"""From the connection on, while its call may have arrived and not be read yet."""
+"""Minimum age of a connection evicted by the soft limit; a younger one's call may be received but unread."""
 
 LINGER_S = 1.0
-"""For a caller to close its side after its answer."""
+"""Time that a caller has to close its side of the connection after the answer."""
 
 LISTEN_BACKLOG = 128
 
 
 class CallState(Enum):
-    """How far a connection's one call is."""
+    """State of a connection's only call."""
 
     RECEIVING = auto()
     COMPLETE = auto()
-    """Received; its operation is under way."""
+    """The call is received and its operation is in progress."""
     ANSWERED = auto()
 
 
 class AdminConnection(asyncio.Protocol):
-    """A connection to the admin API: one call, one answer."""
+    """A connection to the admin API, for one call and its answer."""
 
     def __init__(self, api: AdminApi) -> None:
         self.api = api
@@ -62,25 +62,25 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Wait for a call. Guards against callers that send nothing, or half a call."""
+        """Start the timeout, which guards against callers that send nothing or an incomplete call."""
         self.transport = cast(asyncio.Transport, transport)
         self.timer = self.loop.call_later(
-            CALL_TIMEOUT_S, self.fail, HTTPStatus.REQUEST_TIMEOUT, "no whole call"
+            CALL_TIMEOUT_S, self.fail, HTTPStatus.REQUEST_TIMEOUT, "call not complete in time"
         )
         self.api.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Read the call; whatever follows it is dropped."""
+        """Parse the call; data after it is discarded."""
         if self.state is not CallState.RECEIVING:
             return
         self.received_bytes += len(data)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self.fail(HTTPStatus.BAD_REQUEST, "nothing to upgrade to")
+            self.fail(HTTPStatus.BAD_REQUEST, "protocol upgrade not supported")
             return
         except httptools.HttpParserError as error:
-            self.fail(HTTPStatus.BAD_REQUEST, f"not HTTP: {error}")
+            self.fail(HTTPStatus.BAD_REQUEST, f"invalid HTTP: {error}")
             return
         self._after_data()
 
@@ -88,29 +88,29 @@
         if self.state is CallState.COMPLETE:
             self._run_call()
         elif self.state is CallState.RECEIVING and self.received_bytes > CALL_MAX_BYTES:
-            self.fail(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "too large")
+            self.fail(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"call exceeds {CALL_MAX_BYTES} bytes")
 
     def on_url(self, url: bytes) -> None:
-        """Parser: a part of the target."""
+        """Parser callback: a part of the request target."""
         if self.state is CallState.RECEIVING:
             self.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Parser: a header."""
+        """Parser callback: a header."""
         name = name.lower()
         if name == b"content-length" and value.isdigit() and int(value[:20]) > CALL_MAX_BYTES:
-            # Answered before the body arrives: its bytes would only cost time.
-            self.fail(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "too large")
+            # Rejected before the body arrives: reading it would only cost time.
+            self.fail(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"call exceeds {CALL_MAX_BYTES} bytes")
         elif name == b"expect" and value.lower() == b"100-continue" and self.state is not CallState.ANSWERED:
             assert self.transport is not None
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_headers_complete(self) -> None:
-        """Parser: the headers' end."""
+        """Parser callback: the headers are complete."""
         self.method = self.method or self.parser.get_method().decode("ascii", "replace")
 
     def on_message_complete(self) -> None:
-        """Parser: the call's end."""
+        """Parser callback: the call is complete."""
         if self.state is CallState.RECEIVING:
             self.state = CallState.COMPLETE
 
@@ -126,11 +126,11 @@
         operation(self.answer)
 
     def fail(self, status: HTTPStatus, text: str) -> None:
-        """Answer a call that can't be carried out."""
+        """Answer the call with an error."""
         self.answer(AdminResult(status, text))
 
     def answer(self, result: AdminResult, allow: str = "") -> None:
-        """Send the call's answer and close this side; harmless once that is done."""
+        """Send the answer and half-close the connection; does nothing if an answer has been sent."""
         transport = self.transport
         if self.state is CallState.ANSWERED or transport is None:
             return
@@ -138,25 +138,26 @@
         self.api.record_answer(self, result.status)
         transport.write(_response(result, allow))
         if not transport.is_closing():
-            # Only our side ends: a close with bytes unread would reset what the caller has yet to read.
+            # Only this side is closed: closing with unread bytes would reset the connection before the caller
+            # has read the answer.
             transport.write_eof()
         if self.timer is not None:
             self.timer.cancel()
         self.timer = self.loop.call_later(LINGER_S, self.close)
 
     def close(self) -> None:
-        """Close at once, whatever is under way."""
+        """Abort the connection, in any state of its call."""
         if self.transport is not None:
             self.transport.abort()
 
     def eof_received(self) -> bool:
-        """The caller has closed its side; behind a complete call it still gets its answer."""
+        """Handle the caller's half-close; a complete call still gets its answer."""
         if self.state is CallState.RECEIVING:
-            self.fail(HTTPStatus.BAD_REQUEST, "no whole call")
+            self.fail(HTTPStatus.BAD_REQUEST, "connection closed before the call was complete")
         return self.state is not CallState.ANSWERED
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended."""
+        """Handle the end of the connection."""
         self.transport = None
         if self.timer is not None:
             self.timer.cancel()
@@ -172,7 +173,7 @@
 
 
 class AdminApi:
-    """The listener of a node's admin API, and its connections."""
+    """The listener of a node's admin API with its connections."""
 
     def __init__(self, node: AdminOperations, loop: asyncio.AbstractEventLoop, metrics: Metrics) -> None:
         self.node = node
@@ -180,31 +181,38 @@
         self.metrics = metrics
         self.connections: dict[AdminConnection, None] = {}
         self.receiving: dict[AdminConnection, None] = {}
-        """Whose call isn't complete, the oldest first."""
-        self.answered: dict[AdminConnection, None] = {}
-        """Who have yet to close their side, the oldest first."""
+        """Connections whose call is not complete, the oldest first."""
+        self.awaiting_close: dict[AdminConnection, None] = {}
+        """Answered connections whose caller has not closed its side, the oldest first."""
         self.server: asyncio.Server | None = None
         metrics.gauge("admin_callers", lambda: len(self.connections))
 
     async def start(self, host: str, port: int) -> None:
-        """Listen; raises `OSError` where the address can't be had."""
+        """Start listening.
+
+        Raises:
+            OSError: if the address cannot be bound.
+        """
         self.server = await self.loop.create_server(
             lambda: AdminConnection(self), host, port, backlog=LISTEN_BACKLOG
         )
 
     def add(self, connection: AdminConnection) -> None:
-        """Hold a new connection. Guards against callers that hold connections and so shut out others."""
+        """Register a new connection, and evict one if there are too many.
+
+        Guards against callers that keep connections open and so exclude others.
+        """
         self.connections[connection] = None
         self.receiving[connection] = None
         if len(self.connections) <= CALLERS_SOFT_MAX:
             return
-        oldest = next(iter(self.answered or self.receiving))
-        full = len(self.connections) > CALLERS_MAX
-        if oldest is connection and not full:
+        oldest = next(iter(self.awaiting_close or self.receiving))
+        is_full = len(self.connections) > CALLERS_MAX
+        if oldest is connection and not is_full:
             return
-        unread = oldest.state is not CallState.ANSWERED
-        new = unread and self.loop.time() - oldest.connected_at < UNREAD_CALL_GRACE_S
-        if not new or full:
+        is_unanswered = oldest.state is not CallState.ANSWERED
+        is_new = is_unanswered and self.loop.time() - oldest.connected_at < UNREAD_CALL_GRACE_S
+        if not is_new or is_full:
             self.metrics.count("admin_callers_evicted")
             oldest.fail(HTTPStatus.SERVICE_UNAVAILABLE, "too many callers")
             self.remove(oldest)
@@ -212,19 +220,19 @@
                 oldest.transport.close()
 
     def record_answer(self, connection: AdminConnection, status: HTTPStatus) -> None:
-        """A connection has its answer, and is to close its side."""
+        """Count an answer; its connection now waits for the caller to close."""
         self.metrics.count(f"admin_answers_{status.value}")
         self.receiving.pop(connection, None)
-        self.answered[connection] = None
+        self.awaiting_close[connection] = None
 
     def remove(self, connection: AdminConnection) -> None:
-        """A connection has ended."""
+        """Remove a connection that has ended or is evicted."""
         self.connections.pop(connection, None)
         self.receiving.pop(connection, None)
-        self.answered.pop(connection, None)
+        self.awaiting_close.pop(connection, None)
 
     def close(self) -> None:
-        """Stop listening; calls whose operation is under way still get their answer."""
+        """Stop listening; calls whose operation is in progress still get their answer."""
         if self.server is not None:
             self.server.close()
         for connection in list(self.connections):
--- a/gradegap/admin/operations.py
+++ b/gradegap/admin/operations.py
@@ -1,4 +1,4 @@
-"""What operators can ask of a node by the admin API, and the results that they get."""
+"""Operations of a node that the admin API offers to operators, and their results."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AdminResult:
-    """The result of a call, as its answer gives it."""
+    """Status and text of the answer to a call."""
 
     status: HTTPStatus
     text: str
@@ -22,30 +22,33 @@
 
 
 class AdminOperations(Protocol):
-    """A node's operations. Each calls `done` once, and with 200 only when the change is in force."""
+    """A node's operations.
+
+    Each operation calls `done` once; the status is 200 only if the change is in force.
+    """
 
     def report_ready(self, done: ResultCallback) -> None:
-        """Whether the node takes clients."""
+        """Report whether the node accepts clients."""
         ...
 
     def report_configuration(self, done: ResultCallback) -> None:
-        """Which committed revision the node decides by."""
+        """Report the committed revision of the configuration that the node applies."""
         ...
 
     def report_in_force(self, done: ResultCallback) -> None:
-        """Whether all nodes decide by the revision that this one has."""
+        """Report whether all nodes apply the revision of the configuration that this node has."""
         ...
 
     def disable_endpoint(self, endpoint: str, done: ResultCallback) -> None:
-        """Forward nothing more to an endpoint, whatever discovery says of it."""
+        """Forward no new request to an endpoint, in any state that discovery reports."""
         ...
 
     def enable_endpoint(self, endpoint: str, done: ResultCallback) -> None:
-        """End what `disable_endpoint` began."""
+        """Revert `disable_endpoint`."""
         ...
 
     def start_draining(self, done: ResultCallback) -> None:
-        """Take the node out of service: its clients are migrated."""
+        """Take the node out of service and migrate its clients."""
         ...
 
     def stop_draining(self, done: ResultCallback) -> None:
--- a/gradegap/admin/routes.py
+++ b/gradegap/admin/routes.py
@@ -1,4 +1,4 @@
-"""The paths of the admin API: which method and operation each has."""
+"""Paths of the admin API with their methods and operations."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 
 
 class AdminError(Exception):
-    """Base of this package's errors."""
+    """Base class of the errors of this package."""
 
 
 class InvalidCallError(AdminError, ValueError):
-    """A call that can't be carried out as it stands; `result` is its answer."""
+    """An invalid call; `result` is its answer."""
 
     def __init__(self, status: HTTPStatus, text: str, allow: str = "") -> None:
         super().__init__(text)
         self.result = AdminResult(status, text)
         self.allow = allow
-        """Method that the path has, for the answer's `Allow`; empty where that isn't what is wrong."""
+        """Value of the answer's `Allow` header: the path's method; empty unless the method is wrong."""
 
 
 @dataclass(slots=True, frozen=True)
 class NodeRoute:
-    """A path that is about the node."""
+    """Method and operation of a path that concerns the node."""
 
     method: str
     operation: Callable[[AdminOperations, ResultCallback], None]
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointRoute:
-    """A path that is about the endpoint which it names."""
+    """Method and operation of a path that names an endpoint."""
 
     method: str
     operation: Callable[[AdminOperations, str, ResultCallback], None]
@@ -56,15 +56,19 @@
     "offline": EndpointRoute("PUT", lambda node, endpoint, done: node.disable_endpoint(endpoint, done)),
     "online": EndpointRoute("PUT", lambda node, endpoint, done: node.enable_endpoint(endpoint, done)),
 }
-"""By the last part of `/control/save-servers/ID/...`."""
+"""Routes by the last part of `/control/save-servers/ID/...`."""
 
 
 def route(node: AdminOperations, method: str, target: bytes) -> Callable[[ResultCallback], None]:
-    """The operation that a call asks for; raises `InvalidCallError`."""
+    """Find the operation of a call.
+
+    Raises:
+        InvalidCallError: if the path, its endpoint id or the method is invalid.
+    """
     match path_parts(target):
         case ["control", "save-servers", endpoint, action] if action in ENDPOINT_ROUTES:
             if not 0 < len(endpoint) <= ENDPOINT_ID_MAX_CHARS or not endpoint.isprintable():
-                raise InvalidCallError(HTTPStatus.BAD_REQUEST, "no id of a save server")
+                raise InvalidCallError(HTTPStatus.BAD_REQUEST, "save server id invalid")
             endpoint_route = ENDPOINT_ROUTES[action]
             _check_method(method, endpoint_route.method)
             return lambda done: endpoint_route.operation(node, endpoint, done)
@@ -75,14 +79,22 @@
 
 
 def path_parts(target: bytes) -> list[str]:
-    """The path of a call's target, decoded part by part: an id may hold an escaped slash."""
+    """Split the path of a request target, then decode each part: an id may contain an escaped slash.
+
+    Raises:
+        InvalidCallError: if the target is not a valid URL, or a part is not valid UTF-8.
+    """
     try:
         path = httptools.parse_url(target).path or b""
         return [unquote_to_bytes(part).decode() for part in path.split(b"/")[1:]]
     except (httptools.HttpParserError, UnicodeDecodeError):
-        raise InvalidCallError(HTTPStatus.BAD_REQUEST, "a target that can't be read") from None
+        raise InvalidCallError(
+            HTTPStatus.BAD_REQUEST, "request target must be a valid URL in UTF-8"
+        ) from None
 
 
 def _check_method(method: str, allowed: str) -> None:
     if method != allowed:
-        raise InvalidCallError(HTTPStatus.METHOD_NOT_ALLOWED, f"asked for by {allowed}", allowed)
+        raise InvalidCallError(
+            HTTPStatus.METHOD_NOT_ALLOWED, f"method must be {allowed}, got {method}", allowed
+        )
