--- a/gradegap/cli.py
+++ b/gradegap/cli.py
@@ -1,4 +1,4 @@
-"""The command line: `serve`, `check` and `version`, and the groups of `gradegap.commands`."""
+"""Command line: `serve`, `check` and `version`, and the command groups of `gradegap.commands`."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 app.command("whatif")(replay_commands.whatif_command)
 app.command("explain")(replay_commands.explain_command)
 
-CONFIGURATION_FILE = typer.Option(None, help="configuration file, instead of NODE_CONFIG")
+CONFIGURATION_FILE = typer.Option(None, help="configuration file; overrides NODE_CONFIG")
 OPERATOR_FILE = typer.Option(
-    None, help="operator's file, instead of GRADEGAP_OPERATOR; see deploy/operator.toml"
+    None, help="operator's file; overrides GRADEGAP_OPERATOR; example: deploy/operator.toml"
 )
 
 
 @app.callback(invoke_without_command=True)
 def main(context: typer.Context) -> None:
-    """Serve, if no sub-command is named."""
+    """Run a node if no sub-command is given."""
     configure_logging()
     if context.invoked_subcommand is None:
         run_serve()
@@ -44,13 +44,13 @@
 
 @app.command()
 def serve(config: str | None = CONFIGURATION_FILE, operator: str | None = OPERATOR_FILE) -> None:
-    """Run one node until SIGTERM; SIGHUP has it read its configuration again."""
+    """Run one node until SIGTERM; SIGHUP reloads its configuration."""
     run_serve(config, operator)
 
 
 @app.command()
 def check(config: str | None = CONFIGURATION_FILE, operator: str | None = OPERATOR_FILE) -> None:
-    """Read a configuration, and say what a node would start with."""
+    """Validate a configuration, and print a summary of the settings that a node would use."""
     for line in _summary(*load_all(config, operator)):
         typer.echo(line)
 
--- a/gradegap/commands/__init__.py
+++ b/gradegap/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The command line's groups: each module is one, on the shared `base` for connecting, errors and output."""
+"""Command groups of the command line, one per module; `base` has their shared code."""
--- a/gradegap/commands/base.py
+++ b/gradegap/commands/base.py
@@ -1,4 +1,4 @@
-"""What the commands that talk to a member share: its options, connecting, errors and exit codes, output."""
+"""Shared code of the commands that talk to a store member: options, connection, exit codes and output."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 class ExitCode(IntEnum):
-    """What scripts learn from a command."""
+    """Exit codes of all commands; scripts depend on them."""
 
     DONE = 0
-    NO = 1  # not there, a compare that does not hold, rejected
-    BAD_CALL = 2  # it can't be made: its arguments, its files, or nobody answers
-    UNKNOWN = 3  # the outcome of a write
+    NO = 1  # not found, a failed compare, a rejected request or a difference
+    BAD_CALL = 2  # invalid arguments or files, or no member is reachable
+    UNKNOWN = 3  # the outcome of a write is unknown
     NO_QUORUM = 4
-    NOT_IN_FORCE = 5  # a write is committed, and not known to be in force at all nodes that subscribe
+    NOT_IN_FORCE = 5  # a write is committed, but not confirmed in force at all subscribing nodes
 
 
 EXIT_CODES = {
@@ -38,17 +38,17 @@
     "unknown": ExitCode.UNKNOWN,
     "no_quorum": ExitCode.NO_QUORUM,
 }
-"""By the kind of a `RequestFailedError`."""
+"""Exit code for each `kind` of a `RequestFailedError`."""
 
-OPERATOR = typer.Option(..., "--operator", help="operator's file; see deploy/store.toml")
-_NODE = typer.Option(..., "--node", help="address of a member, as its operator's file has it")
+OPERATOR = typer.Option(..., "--operator", help="operator's file; example: deploy/store.toml")
+_NODE = typer.Option(..., "--node", help="address of a member, as given in its operator's file")
 _JSON = typer.Option(False, "--json", help="print JSON")
-_TIMEOUT = typer.Option(5.0, "--timeout", help="seconds that the member may try")
+_TIMEOUT = typer.Option(5.0, "--timeout", help="timeout of the member's answer, in seconds")
 _SECRET = typer.Option("", "--secret", envvar="GRADEGAP_STORE_SECRET", help="file with the cluster's secret")
 
 
-def _option(name: str, kind: type, option: Any) -> inspect.Parameter:
-    return inspect.Parameter(name, inspect.Parameter.KEYWORD_ONLY, default=option, annotation=kind)
+def _option(name: str, value_type: type, option: Any) -> inspect.Parameter:
+    return inspect.Parameter(name, inspect.Parameter.KEYWORD_ONLY, default=option, annotation=value_type)
 
 
 MEMBER_OPTIONS = (
@@ -57,34 +57,34 @@
     _option("timeout", float, _TIMEOUT),
     _option("secret", str, _SECRET),
 )
-"""The options of each command that talks to a member."""
+"""Options that all commands that talk to a member have."""
 
 
 def failure(text: str, code: ExitCode) -> SystemExit:
-    """What to raise to end with this line on standard error, and this exit code."""
+    """Print a line to standard error, and return the exception that ends the command with this exit code."""
     sys.stderr.write(f"gradegap: {' '.join(text.split())}\n")
     return SystemExit(int(code))
 
 
 def to_json(value: Any) -> str:
-    """A value as JSON, in one line."""
+    """Encode a value as one line of JSON."""
     return msgspec.json.encode(value).decode()
 
 
 @dataclass(frozen=True)
 class Output:
-    """Standard output, as JSON or plain."""
+    """Standard output, in JSON or plain text."""
 
     as_json: bool
 
     def write(self, value: Any, plain: str) -> None:
-        """One result: `value` as JSON, or the plain text of it."""
+        """Print one result: `value` as JSON, or else the plain text."""
         typer.echo(to_json(value) if self.as_json else plain)
 
 
 @contextmanager
 def connect(node: str, secret_file: str, timeout_s: float) -> Iterator[MemberClient]:
-    """A link to a member; whatever fails in its use ends the command with its exit code."""
+    """Connect to a member; an error while the client is used ends the command with that error's exit code."""
     try:
         with MemberClient(node, read_secret(secret_file, "store.secret"), timeout_s) as member:
             yield member
@@ -95,21 +95,24 @@
 
 
 MemberCommand = Callable[..., None]
-"""Takes a `MemberClient`, an `Output`, and then the arguments and options of its own."""
+"""A command's function: takes a `MemberClient`, an `Output`, and the command's own arguments and options."""
 
 
 def member_command(group: typer.Typer, name: str) -> Callable[[MemberCommand], MemberCommand]:
-    """Add a command to a group that talks to a member: it has `MEMBER_OPTIONS` beside its own."""
+    """Register a command that talks to a member, with `MEMBER_OPTIONS` added to its own options."""
 
     def add(command: MemberCommand) -> MemberCommand:
         @functools.wraps(command)
-        def run(*, node: str, json: bool, timeout: float, secret: str, **own: Any) -> None:
+        def run(*, node: str, json: bool, timeout: float, secret: str, **own_parameters: Any) -> None:
             with connect(node, secret, timeout) as member:
-                command(member, Output(json), **own)
-
-        _, _, *own = inspect.signature(command, eval_str=True).parameters.values()
-        parameters = [*(each.replace(kind=inspect.Parameter.KEYWORD_ONLY) for each in own), *MEMBER_OPTIONS]
-        # By these, and not by those of `command`, typer finds the arguments and options.
+                command(member, Output(json), **own_parameters)
+
+        _, _, *own_parameters = inspect.signature(command, eval_str=True).parameters.values()
+        parameters = [
+            *(each.replace(kind=inspect.Parameter.KEYWORD_ONLY) for each in own_parameters),
+            *MEMBER_OPTIONS,
+        ]
+        # typer derives the arguments and options from this signature, not from that of `command`.
         run.__signature__ = inspect.Signature(parameters)  # type: ignore[attr-defined]
         run.__annotations__ = {each.name: each.annotation for each in parameters}
         del run.__dict__["__wrapped__"]
@@ -120,7 +123,7 @@
 
 
 def author() -> str:
-    """Who is named as the author of a write."""
+    """Name that is recorded as the author of a write: the user's login name."""
     try:
         return getpass.getuser()
     except (KeyError, OSError):
--- a/gradegap/commands/quic.py
+++ b/gradegap/commands/quic.py
@@ -1,4 +1,4 @@
-"""`gradegap conformance quic`: the suite, against any address."""
+"""`gradegap conformance quic`: the QUIC conformance suite, run against any address."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 
 from gradegap.commands.base import ExitCode, failure, to_json
 
-conformance = typer.Typer(help="Holds a running server to its protocol.", no_args_is_help=True)
+conformance = typer.Typer(help="Checks that a running server conforms to its protocol.", no_args_is_help=True)
 
 
 @conformance.callback()
 def suites() -> None:
-    """Which suite."""
+    """Run a conformance suite."""
 
 
 @conformance.command()
 def quic(
     address: str = typer.Argument(..., help="host:port of the server"),
-    alpn: str = typer.Option("gradegap/1", help="the protocol that it speaks over QUIC"),
-    section: str = typer.Option("", help="only cases whose section begins so, as '9000 19'"),
+    alpn: str = typer.Option("gradegap/1", help="ALPN name of the server's protocol"),
+    section: str = typer.Option("", help="only cases whose section has this prefix, for example '9000 19'"),
     json: bool = typer.Option(False, "--json"),
 ) -> None:
-    """RFC 9000 and the like, case by case. Exits 1 where one fails."""
+    """Run the cases for RFC 9000 and related RFCs. Exits with 1 if a case fails."""
     try:
         from conformance.quic.case import Target
         from conformance.quic.cases import CASES
@@ -31,7 +31,9 @@
     host, _, port = address.rpartition(":")
     chosen = [case for case in CASES if case.section.startswith(section)]
     if not host or not port.isdecimal() or not chosen:
-        problem = f"{address!r} is no address" if chosen else f"there is no section {section!r}"
+        problem = (
+            f"address must be host:port, got {address!r}" if chosen else f"no case in section {section!r}"
+        )
         raise failure(problem, ExitCode.BAD_CALL)
     on_result = ignore_result if json else lambda result: typer.echo(result_line(result))
     results = run(Target((host, int(port)), alpn), chosen, on_result)
--- a/gradegap/commands/recordings.py
+++ b/gradegap/commands/recordings.py
@@ -1,4 +1,4 @@
-"""What the commands on recordings share: files, modules, and how an error ends a command."""
+"""Shared code of the commands on recordings: files, decision modules, and errors that end a command."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 FILE = typer.Argument(..., help="a recording")
 MODULE = typer.Option(
-    None, "--module", help="a file with another Balancer, or a folder: a changed copy of gradegap/balancing"
+    None, "--module", help="file with another Balancer, or folder with a changed copy of gradegap/balancing"
 )
 
 
 def read_recording(path: str) -> bytes:
-    """A file's bytes, known to be a recording."""
+    """Read a file, and check that it is a recording."""
     try:
         data = recording.read_file(path)
         frames.check_magic(data)
@@ -28,7 +28,7 @@
 
 
 def write_new(path: str, data: bytes) -> None:
-    """Write a file that is not there yet."""
+    """Write a file that must not exist yet."""
     try:
         with Path(path).open("xb") as file:
             file.write(data)
@@ -37,7 +37,7 @@
 
 
 def load_module(path: str | None) -> ModuleType:
-    """The decision module at a path; the program's own where none is given."""
+    """Load the decision module at a path, or the program's own if the path is None."""
     try:
         return decision_module.load(path)
     except BadModuleError as error:
--- a/gradegap/commands/replay.py
+++ b/gradegap/commands/replay.py
@@ -22,20 +22,24 @@
 from gradegap.commands.base import ExitCode, failure, to_json
 from gradegap.commands.recordings import FILE, MODULE, load_module, read_recording
 
-REQUEST = typer.Argument(..., metavar="REQ", help="the id of a request")
-SET = typer.Option([], "--set", help="a setting in the place of the recorded one: name=value")
+REQUEST = typer.Argument(..., metavar="REQ", help="id of a request")
+SET = typer.Option([], "--set", help="setting that replaces the recorded one: name=value")
 
 
 def replay_command(
     file: str = FILE,
     module: str | None = MODULE,
     against: str | None = typer.Option(None, "--against", help="another recording of the same events"),
-    since: float = typer.Option(-1e18, "--from", help="clock of the state to begin at, at the latest"),
-    until_differs: bool = typer.Option(True, help="stop at the first decision that differs"),
-    pace: float = typer.Option(0.0, min=0.0, help="1: as fast as it was, 2: twice so; 0: as fast as it goes"),
+    since: float = typer.Option(
+        -1e18, "--from", help="clock time; replay starts at the last state before it"
+    ),
+    until_differs: bool = typer.Option(True, help="stop at the first different decision"),
+    pace: float = typer.Option(
+        0.0, min=0.0, help="1: at the recorded speed, 2: twice as fast; 0: without delays"
+    ),
     json: bool = typer.Option(False, "--json"),
 ) -> None:
-    """The same decisions again. Exits 0 where all are, 1 at one that differs."""
+    """Replay a recording. Exits with 0 if all decisions equal the recorded ones, with 1 if one differs."""
     if against is not None:
         _compare(file, against)
         return
@@ -60,7 +64,7 @@
 
 
 def _paced(source: Iterator[recording.Item], pace: float) -> Iterator[recording.Item]:
-    """Each item when its clock, run at that pace from the first on, comes to it."""
+    """Yield items at the recorded intervals divided by `pace`."""
     began, first_at = time.monotonic(), None
     for item in source:
         if isinstance(item, recording.Step):
@@ -106,8 +110,8 @@
         typer.echo(f"gap: {gap}")
     if found.first is not None:
         first = found.first[0]
-        what = "has another event" if found.events_differ else "decides otherwise"
-        typer.echo(f"step {first.number} at {first.at:.6f} {what}")
+        difference = "has another event" if found.events_differ else "decides otherwise"
+        typer.echo(f"step {first.number} at {first.at:.6f} {difference}")
         for path, step in zip((file, other), found.first, strict=True):
             typer.echo(f"  {path}: {in_one_line(step.event)} -> {all_in_one_line(step.actions)}")
     if found.first is not None or not found.steps:
@@ -115,14 +119,14 @@
 
 
 def explain_command(file: str = FILE, request_id: int = REQUEST) -> None:
-    """Why a request was placed where it was."""
+    """Explain why a request was placed on its endpoint."""
     part = index.seek(read_recording(file), request_id=request_id)
     try:
         lines = list(explain(recording.read(part), load_module(None), request_id)) if part else []
     except (BadRecordingError, BadStateError, BadRecordError) as error:
         raise failure(str(error), ExitCode.BAD_CALL) from None
     if not lines:
-        raise failure(f"request {request_id} is not in this recording", ExitCode.NO)
+        raise failure(f"request {request_id} not found in {file}", ExitCode.NO)
     typer.echo("\n".join(lines))
 
 
@@ -132,9 +136,9 @@
     assignments: list[str] = SET,
     json: bool = typer.Option(False, "--json"),
 ) -> None:
-    """The same day under another module or other settings.
+    """Simulate a recording with another decision module or other settings.
 
-    What would have come of it, as far as the record is evidence. Exits 1 where a rule is broken.
+    Prints the expected outcome as far as the recording is evidence for it. Exits with 1 if a rule is broken.
     """
     from gradegap.capture.whatif import whatif
 
@@ -158,8 +162,8 @@
     answers = ", ".join(f"{result.answers[k]} {k}" for k in ("near", "far", "modelled"))
     yield f"answers of endpoints: {answers}"
     if (other := result.first_other) is not None:
-        place = f"{other.request_id} at {other.at:.3f}, {other.recorded} and now {other.played}"
-        yield f"the first request that is placed otherwise: {place}"
+        placement = f"{other.request_id} at {other.at:.3f}, {other.recorded} and now {other.played}"
+        yield f"the first request that is placed otherwise: {placement}"
     if result.observed_until is not None:
         yield f"from {result.observed_until:.3f} on the recording alone is no proof of what follows"
     yield from (f"gap, at which it ends: {gap}" for gap in result.gaps)
--- a/gradegap/commands/resume.py
+++ b/gradegap/commands/resume.py
@@ -1,4 +1,4 @@
-"""`gradegap keys` and `gradegap token`: the rings of keys that nodes share, and what a token holds.
+"""`gradegap keys` and `gradegap token`: the key rings that nodes share, and the contents of tokens.
 
 Exit codes: `base.ExitCode`.
 """
@@ -21,29 +21,29 @@
 from gradegap.store.records import Compare, Item, KeyUpdate
 from gradegap.store.wire import Transaction
 
-keys = typer.Typer(help="Rings of keys that nodes share.", no_args_is_help=True)
-token = typer.Typer(help="Tokens of sessions.", no_args_is_help=True)
+keys = typer.Typer(help="Key rings that nodes share.", no_args_is_help=True)
+token = typer.Typer(help="Session tokens.", no_args_is_help=True)
 
 
 class RingName(StrEnum):
-    """A ring of the store."""
+    """A key ring in the store."""
 
-    RESUME = "resume"  # seals tokens of sessions
-    QUIC = "quic"  # makes QUIC's ids, resets and address tokens
+    RESUME = "resume"  # encrypts session tokens
+    QUIC = "quic"  # derives QUIC connection ids, stateless reset tokens and address validation tokens
 
 
-RING_NAME = typer.Option(RingName.RESUME, "--ring", help="which ring")
+RING_NAME = typer.Option(RingName.RESUME, "--ring", help="key ring")
 RINGS: dict[RingName, tuple[str, type[KeyRing] | type[QuicRing]]] = {
     RingName.RESUME: (KEY_RING_KEY, KeyRing),
     RingName.QUIC: (QUIC_RING, QuicRing),
 }
-"""The key of each ring in the store, and its type."""
+"""Store key and type of each key ring."""
 
 
 def read_ring(
     member: MemberClient, name: RingName = RingName.RESUME
 ) -> tuple[KeyRing | QuicRing, Item | None]:
-    """A ring, and the key that it was read from; an empty one and None where it is not there."""
+    """Read a key ring and the store item that holds it; an empty ring and None if the store has none."""
     key, kind = RINGS[name]
     item = member.get(key)
     if item is None:
@@ -57,18 +57,18 @@
 
 
 def write_ring(member: MemberClient, name: RingName, ring: KeyRing | QuicRing, old: Item | None) -> int:
-    """Write a ring only over the one that was read: of two who rotate at once, one fails."""
+    """Replace a ring if it is still the one that was read: of two concurrent rotations, one fails."""
     key = RINGS[name][0]
     update = KeyUpdate(key, msgspec.to_builtins(ring))
     unchanged = Compare(key, old.modified_revision if old is not None else 0)
     response = member.request(Transaction((update,), (unchanged,), author=author()))
     if not response.succeeded:
-        raise failure("somebody changed the ring at this moment; nothing was done", ExitCode.NO)
+        raise failure("the key ring was changed concurrently; nothing was written", ExitCode.NO)
     return response.revision
 
 
 def describe_ring(ring: KeyRing | QuicRing) -> list[dict[str, Any]]:
-    """Its keys as they are printed, newest first; never the secrets."""
+    """Describe the keys of a ring for output, newest first, without their secrets."""
     if isinstance(ring, QuicRing):
         newest = ring.keys[-1] if ring.keys else None
         return [
@@ -84,18 +84,18 @@
 
 @member_command(keys, "list")
 def keys_list(member: MemberClient, output: Output, ring: RingName = RING_NAME) -> None:
-    """Print a ring, newest first, without its secrets."""
-    found, _ = read_ring(member, ring)
-    rows = describe_ring(found)
+    """Print the keys of a ring, newest first, without their secrets."""
+    key_ring, _ = read_ring(member, ring)
+    rows = describe_ring(key_ring)
     plain = "\n".join(f"{row['id']} {row['state']} made_ms={row['made_ms']}" for row in rows)
     output.write(rows, plain or "no keys")
 
 
 @member_command(keys, "rotate")
 def keys_rotate(member: MemberClient, output: Output, ring: RingName = RING_NAME) -> None:
-    """Use a new key from now on; what clients hold of the others is still taken."""
-    found, old = read_ring(member, ring)
-    rotated = found.rotated(time.time_ns() // 1_000_000)
+    """Add a key and use it from now on; tokens and ids made with the older keys stay valid."""
+    key_ring, old = read_ring(member, ring)
+    rotated = key_ring.rotated(time.time_ns() // 1_000_000)
     write_ring(member, ring, rotated, old)
     new_id = str(rotated.keys[-1].bits) if isinstance(rotated, QuicRing) else rotated.keys[0].id
     output.write({"id": new_id}, new_id)
@@ -103,10 +103,10 @@
 
 @member_command(keys, "retire")
 def keys_retire(member: MemberClient, output: Output, key: str, ring: RingName = RING_NAME) -> None:
-    """Take nothing any more that a key has made. The one in use can't be retired: rotate first."""
-    found, old = read_ring(member, ring)
+    """Reject tokens and ids made with a key from now on. The key in use cannot be retired: rotate first."""
+    key_ring, old = read_ring(member, ring)
     try:
-        retired = _retire(found, key)
+        retired = _retire(key_ring, key)
     except ValueError as error:
         raise failure(str(error), ExitCode.NO) from None
     write_ring(member, ring, retired, old)
@@ -121,15 +121,15 @@
 
 @member_command(token, "inspect")
 def token_inspect(member: MemberClient, output: Output, text: str) -> None:
-    """Say what a token proves, by the ring of a running cluster; exits 1 where it proves nothing."""
+    """Verify and print a token with the key ring of a running cluster; exits with 1 if it is invalid."""
     ring, _ = read_ring(member)
     assert isinstance(ring, KeyRing)
     cluster = str(member.status()["cluster"])
     try:
-        place = open_token(ring, cluster, text, time.time())
+        contents = open_token(ring, cluster, text, time.time())
     except TokenError as error:
         raise failure(f"token {digest(text)}: {error}", ExitCode.NO) from None
-    found = {field.encode_name: getattr(place, field.name) for field in msgspec.structs.fields(place)} | {
-        "digest": digest(text)
-    }
-    output.write(found, "\n".join(f"{name} {value}" for name, value in found.items()))
+    values = {
+        field.encode_name: getattr(contents, field.name) for field in msgspec.structs.fields(contents)
+    } | {"digest": digest(text)}
+    output.write(values, "\n".join(f"{name} {value}" for name, value in values.items()))
--- a/gradegap/commands/store.py
+++ b/gradegap/commands/store.py
@@ -18,14 +18,16 @@
 from gradegap.store.member_client import MemberClient
 from gradegap.store.records import Event, Item
 
-store = typer.Typer(help="The replicated store: its keys, and its members.", no_args_is_help=True)
+store = typer.Typer(help="Keys, backups and members of the replicated store.", no_args_is_help=True)
 
-STALE = typer.Option(False, "--stale", help="what this member has, whatever others may have committed")
-VERIFY_ROUNDS = 20  # in which the members are to be seen at one revision
+STALE = typer.Option(
+    False, "--stale", help="read this member's state, which may lag behind the committed one"
+)
+VERIFY_ROUND_COUNT = 20  # rounds of queries in which a revision common to all members has to be found
 
 
 def parse_value(text: str) -> Any:
-    """JSON, or text where it is none."""
+    """Decode a value as JSON; text that is not valid JSON is returned unchanged."""
     try:
         return msgspec.json.decode(text)
     except msgspec.DecodeError:
@@ -33,7 +35,7 @@
 
 
 def describe_item(item: Item) -> dict[str, Any]:
-    """A key as `--json` prints it."""
+    """Describe a key in the form that `--json` prints."""
     return {
         "key": item.key,
         "value": item.value,
@@ -46,7 +48,7 @@
 
 
 def describe_event(event: Event) -> dict[str, Any]:
-    """A change as `--json` prints it."""
+    """Describe a change in the form that `--json` prints."""
     return {
         "revision": event.revision,
         "type": "delete" if event.deleted else "put",
@@ -58,12 +60,12 @@
     }
 
 
-# Processes and folders
+# Processes and data folders
 
 
 @store.command("serve")
 def store_serve(operator: str = OPERATOR) -> None:
-    """Run a member alone, without a node, until SIGTERM."""
+    """Run a store member without a node until SIGTERM."""
     from gradegap.commands.store_server import serve
 
     try:
@@ -76,13 +78,13 @@
 def store_restore(
     file: Path, operator: str = OPERATOR, json: bool = typer.Option(False, "--json", help="print JSON")
 ) -> None:
-    """Make a new, empty folder from a backup: a cluster of this member, which its peers can join."""
+    """Restore a backup into a new data folder, as a cluster of this member that its peers can join."""
     from gradegap.store.restore import restore
 
     try:
         settings = load_operator(operator).store
         if settings is None:
-            raise OperatorFileError("the operator's file has no [store] table")
+            raise OperatorFileError(f"operator's file {operator} has no [store] table")
         base = restore(file.read_bytes(), settings)
     except OSError as error:
         raise failure(f"{file} can't be read: {error.strerror}", ExitCode.BAD_CALL) from None
@@ -93,7 +95,7 @@
 
 @member_command(store, "snapshot")
 def store_snapshot(member: MemberClient, output: Output, file: Path) -> None:
-    """Write a backup of all keys, as committed now."""
+    """Write a backup of all keys at the current committed revision."""
     data = member.snapshot()
     part = file.with_name(file.name + ".part")
     try:
@@ -109,10 +111,10 @@
 
 @member_command(store, "get")
 def store_get(member: MemberClient, output: Output, key: str, stale: bool = STALE) -> None:
-    """Print a key's value; linearizable but for --stale. Exits 1 where it is not there."""
+    """Print a key's value; the read is linearizable without --stale. Exits with 1 if there is no such key."""
     item = member.get(key, stale)
     if item is None:
-        raise failure(f"{key} is not there", ExitCode.NO)
+        raise failure(f"{key} does not exist", ExitCode.NO)
     output.write(describe_item(item), to_json(item.value))
 
 
@@ -122,12 +124,16 @@
     output: Output,
     key: str,
     value: str,
-    ttl: float = typer.Option(0.0, help="seconds until the key ends"),
+    ttl: float = typer.Option(0.0, help="seconds until the key expires"),
     in_force: float = typer.Option(
-        0.0, "--in-force", min=0.0, max=59.0, help="seconds to wait until all nodes that subscribe have it"
+        0.0,
+        "--in-force",
+        min=0.0,
+        max=59.0,
+        help="seconds to wait until all subscribing nodes have the change",
     ),
 ) -> None:
-    """Write a key; the value is JSON, or text where it is none. Prints the revision once it is committed."""
+    """Write a key; the value is JSON or else text. Prints the revision after the commit."""
     revision = member.set(key, parse_value(value), round(ttl * 1000), author())
     result: dict[str, Any] = {"revision": revision}
     if in_force:
@@ -136,7 +142,10 @@
 
 
 def _wait_until_in_force(member: MemberClient, revision: int, timeout_s: float) -> dict[str, Any]:
-    """What is known once all nodes have it; else a failure that names who is missing."""
+    """Wait until a revision is in force at all nodes, and return its status.
+
+    Ends the command with `NOT_IN_FORCE` if this is not confirmed within the timeout.
+    """
     try:
         with MemberClient(member.address, member.channel.secret, timeout_s) as client:
             return client.in_force(revision).status
@@ -147,7 +156,7 @@
 
 @member_command(store, "delete")
 def store_delete(member: MemberClient, output: Output, key: str) -> None:
-    """Remove a key; prints the revision."""
+    """Delete a key; prints the revision."""
     revision = member.delete(key, author())
     output.write({"revision": revision}, str(revision))
 
@@ -157,10 +166,10 @@
     member: MemberClient,
     output: Output,
     key: str,
-    revision: int = typer.Argument(help="at which the key was last changed; 0: it is not there"),
+    revision: int = typer.Argument(help="revision of the key's last change; 0: the key does not exist"),
     value: str = typer.Argument(),
 ) -> None:
-    """Write a key only where nobody has changed it since; exits 1 where somebody has."""
+    """Write a key if it has not changed since a revision; exits with 1 if it has."""
     response = member.compare_and_set(key, revision, parse_value(value), author())
     if not response.succeeded:
         raise failure(f"{key} was not last changed at revision {revision}", ExitCode.NO)
@@ -171,7 +180,7 @@
 def store_list(
     member: MemberClient, output: Output, prefix: str = typer.Argument(""), stale: bool = STALE
 ) -> None:
-    """Print the keys that begin so, with their values."""
+    """Print the keys with a prefix, and their values."""
     items = member.list(prefix, stale)
     if output.as_json:
         typer.echo(to_json([describe_item(item) for item in items]))
@@ -185,9 +194,9 @@
     member: MemberClient,
     output: Output,
     prefix: str = typer.Argument(""),
-    since: int = typer.Option(0, "--from", help="first revision wanted; 0: from now on"),
+    since: int = typer.Option(0, "--from", help="first revision to print; 0: the next one"),
 ) -> None:
-    """Print changes as they are committed, a line each, until it is ended."""
+    """Print each committed change on a line until the command is interrupted."""
     for event in member.watch(prefix, since):
         value = "delete" if event.deleted else to_json(event.value)
         output.write(describe_event(event), f"{event.revision} {event.key} {value}")
@@ -199,7 +208,7 @@
 
 @member_command(store, "status")
 def store_status(member: MemberClient, output: Output) -> None:
-    """What one member says of itself."""
+    """Print the status of one member."""
     status = member.status()
     plain = "\n".join(f"{name} {value}" for name, value in status.items() if name != "members")
     output.write(status, plain)
@@ -207,27 +216,27 @@
 
 @member_command(store, "members")
 def store_members(member: MemberClient, output: Output) -> None:
-    """Who belongs to the cluster, as one member has it."""
+    """Print the members of the cluster as one member knows them."""
     members = member.status()["members"]
     output.write(members, "\n".join(_describe_member(each) for each in members))
 
 
 def _describe_member(member: dict[str, Any]) -> str:
     role = "voter" if member["voter"] else "learner"
-    leads = " leader" if member["leader"] else ""
-    return f"{member['name']} {member['address']} {member['id']} {role}{leads}"
+    leader = " leader" if member["leader"] else ""
+    return f"{member['name']} {member['address']} {member['id']} {role}{leader}"
 
 
 @member_command(store, "add")
 def store_add(member: MemberClient, output: Output, name: str, address: str) -> None:
-    """Let a new member come: it is taken in, as a learner first, once its daemon is started."""
+    """Allow a new member to join; it is added, first as a learner, when its daemon starts."""
     revision = member.request(wire.AddMember(name, address)).revision
     output.write({"revision": revision}, str(revision))
 
 
 @member_command(store, "remove")
 def store_remove(member: MemberClient, output: Output, name: str) -> None:
-    """Remove a member. It can come back, with an empty folder, after another `add`."""
+    """Remove a member. It can rejoin with an empty data folder after another `add`."""
     member.delete(INVITED_PREFIX + name, author())
     revision = member.request(wire.RemoveMember(name)).revision
     output.write({"revision": revision}, str(revision))
@@ -235,14 +244,14 @@
 
 @member_command(store, "transfer")
 def store_transfer(member: MemberClient, output: Output, name: str) -> None:
-    """Have another member lead."""
+    """Transfer the leadership to another member."""
     member.request(wire.TransferLeadership(name))
     output.write({"leader": name}, f"{name} leads")
 
 
 @member_command(store, "verify")
 def store_verify(member: MemberClient, output: Output) -> None:
-    """Compare the states of all members at one revision; exits 1 where they differ or one can't be asked."""
+    """Compare all members' states at one revision; exits with 1 if they differ or a member is unreachable."""
     revision, digests = _digests_at_one_revision(member)
     if len(set(digests.values())) > 1:
         raise failure(f"the members differ at revision {revision}: {digests}", ExitCode.NO)
@@ -251,18 +260,22 @@
 
 
 def _digests_at_one_revision(member: MemberClient) -> tuple[int, dict[str, str]]:
-    """A revision at which all members were seen, and their digests then by name."""
-    seen: dict[str, dict[int, str]] = {}  # by name and revision
+    """Find a revision at which all members have been queried; returns it with the digests by member name."""
+    digests_by_member: dict[str, dict[int, str]] = {}  # digests by member name and revision
     members = member.status()["members"]
-    for _ in range(VERIFY_ROUNDS):
+    for _ in range(VERIFY_ROUND_COUNT):
         for each in members:
             response = _digest(member, each)
-            seen.setdefault(each["name"], {})[response.revision] = response.text
-        common = set.intersection(*(set(digests) for digests in seen.values())) if seen else set()
+            digests_by_member.setdefault(each["name"], {})[response.revision] = response.text
+        common = (
+            set.intersection(*(set(digests) for digests in digests_by_member.values()))
+            if digests_by_member
+            else set()
+        )
         if common:
             revision = max(common)
-            return revision, {name: digests[revision] for name, digests in seen.items()}
-    text = "the members were never seen at one revision; they change too fast or one is behind"
+            return revision, {name: digests[revision] for name, digests in digests_by_member.items()}
+    text = "no revision common to all members found: the store changes too fast, or a member lags behind"
     raise failure(text, ExitCode.NO)
 
 
--- a/gradegap/commands/store_server.py
+++ b/gradegap/commands/store_server.py
@@ -1,4 +1,4 @@
-"""`gradegap store serve`: a member of the store as a process of its own."""
+"""`gradegap store serve`: a store member that runs in a separate process."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 log = structlog.get_logger()
 
-HAND_OVER_WAIT_S = 0.6  # that a leader which ends waits for its successor
+LEADERSHIP_TRANSFER_WAIT_S = 0.6  # time that a stopping leader waits for its successor to be elected
 
 
 def serve(operator: OperatorSettings) -> None:
     """Run one member until SIGTERM.
 
     Raises:
-        OperatorFileError: where the operator's file has no store, or its address can't be had.
-        FolderError: where the folder can't be started with, or can't be written any more.
+        OperatorFileError: if the operator's file has no [store] table, or its address cannot be bound.
+        FolderError: if the data folder is unusable at the start, or a write to it fails later.
     """
     import uvloop
 
@@ -57,7 +57,7 @@
     )
 
     def stop() -> None:
-        loop.call_later(HAND_OVER_WAIT_S if member.transfer_leadership() else 0.0, end)
+        loop.call_later(LEADERSHIP_TRANSFER_WAIT_S if member.transfer_leadership() else 0.0, end)
 
     def print_counters() -> None:
         log.info("counters", **metrics.snapshot())
@@ -66,11 +66,11 @@
     loop.add_signal_handler(signal.SIGINT, stop)
     loop.add_signal_handler(signal.SIGUSR1, print_counters)
     await _start(member, settings.listen)
-    failed = await done
+    folder_error = await done
     member.close()
     print_counters()
-    if failed is not None:
-        raise failed
+    if folder_error is not None:
+        raise folder_error
 
 
 async def _start(member: StoreMember, address: str) -> None:
