--- a/gradegap/__init__.py
+++ b/gradegap/__init__.py
@@ -1,4 +1,4 @@
-"""gradegap: a node that places long-lived connections, and its decisions."""
+"""gradegap: a proxy (node) that places long-lived client connections on save servers (endpoints)."""
 
 from gradegap.balancing.balancer import Balancer
 
--- a/gradegap/__main__.py
+++ b/gradegap/__main__.py
@@ -1,10 +1,11 @@
-"""`python -m gradegap`: the command line, and one node where no argument is given."""
+"""`python -m gradegap`: the command line; without arguments, it runs one node."""
 
 import sys
 
 if len(sys.argv) == 1:
-    # What the platform starts, on a part of a core: without the command line's libraries, and without rich,
-    # which structlog loads where it is there, for tracebacks in colour. A third of the time to start.
+    # The platform starts the node this way, on a fraction of a core. Not importing the libraries of the
+    # command line, nor rich, which structlog imports for coloured tracebacks if it is installed, reduces the
+    # time to start to a third.
     sys.modules["rich"] = None  # type: ignore[assignment]
     from gradegap.node.process import serve
 
--- a/gradegap/hot_restart/__init__.py
+++ b/gradegap/hot_restart/__init__.py
@@ -1,7 +1,8 @@
-"""A new process of a node takes the place of the one that serves, while clients stay connected.
+"""Hot restart: a new process of a node replaces the serving one while clients stay connected.
 
-Owns the connection between the two processes and the sessions on their way over it. `hot_restart` has both
-roles of a process (`successor`, then `predecessor`); `messages` is the format between versions.
+This package owns the connection between the two processes, and the sessions in transfer over it.
+`hot_restart` combines the two roles of a process, first `successor` and later `predecessor`; `messages`
+defines the format that processes of different versions exchange.
 """
 
 from gradegap.hot_restart.hot_restart import HotRestart
--- a/gradegap/hot_restart/errors.py
+++ b/gradegap/hot_restart/errors.py
@@ -1,15 +1,15 @@
-"""Errors of a hot restart. None of them ends a process: it starts alone, or serves on."""
+"""Errors of a hot restart. No error ends a process: it starts without a predecessor, or continues."""
 
 from __future__ import annotations
 
 
 class HotRestartError(Exception):
-    """Base of this package's errors."""
+    """Base class of this package's errors."""
 
 
 class MalformedMessageError(HotRestartError):
-    """The other process sent what this version can't read; it keeps what it passed along."""
+    """This version can't decode a message of the other process, which keeps the sessions in the message."""
 
 
 class SessionNotAdoptedError(HotRestartError):
-    """A session that the predecessor passed on can't be served here; the predecessor goes on with it."""
+    """This process can't serve a session that the predecessor sent; the predecessor continues it."""
--- a/gradegap/hot_restart/host.py
+++ b/gradegap/hot_restart/host.py
@@ -1,4 +1,4 @@
-"""What a hot restart needs of the node that it is part of."""
+"""The interface that a hot restart requires of its node."""
 
 from __future__ import annotations
 
@@ -18,54 +18,54 @@
 
 @dataclass(slots=True, frozen=True)
 class ReleasedQuicPort:
-    """The QUIC front's port, on its way to the successor."""
+    """The port of the QUIC listener, in transfer to the successor."""
 
-    state: bytes  # what the front says of itself, encoded
-    descriptors: list[int]  # its sockets, which stay open here too
+    state: bytes  # state of the listener, encoded
+    descriptors: list[int]  # sockets of the port, which stay open in this process as well
 
 
 class Host(Protocol):
-    """A node, as a hot restart sees it."""
+    """A node, as the hot restart uses it."""
 
     loop: asyncio.AbstractEventLoop
     metrics: Metrics
     proxy: Proxy
     upstream: TcpUpstream
     descriptors: DescriptorBudget
-    resuming: SessionResumption | None  # what makes sessions resumable here, where the operator has it so
-    listening_socket: socket.socket | None  # of clients; None until it is there
+    resuming: SessionResumption | None  # makes sessions resumable; None without `[resume]`
+    listening_socket: socket.socket | None  # for clients; None until it is open
 
     @property
     def channels(self) -> set[TcpChannel]:
-        """The clients' TCP connections."""
+        """The TCP connections of clients."""
 
     @property
-    def is_leaving(self) -> bool:
+    def is_shutting_down(self) -> bool:
         """Whether this process is shutting down."""
 
     def create_channel(self) -> TcpChannel:
-        """A channel for a client's connection that is still to be made."""
+        """Create a channel for a client whose connection is not attached yet."""
 
     def stop_accepting(self) -> None:
-        """Accept no more clients; the listening socket stays open."""
+        """Stop accepting clients; the listening socket stays open."""
 
     def resume_service(self) -> None:
-        """Accept clients again, and start what the successor had taken over."""
+        """Accept clients again, and start the parts that the successor had taken over."""
 
     def apply_admin_operation(self, operation: str, endpoint: str) -> None:
-        """Carry out an `AdminOperation` in this process; others are ignored."""
+        """Carry out an `AdminOperation` in this process; unknown operations are ignored."""
 
     def leave_store(self) -> float:
-        """Leave the store or the subscription to the successor: s of the lease that remain, 0 for none."""
+        """Release the store or the subscription; return the remaining seconds of the lease, 0 without one."""
 
     def inherit_store_lease(self, remaining_s: float, disabled_endpoints: Mapping[str, float]) -> None:
-        """Decide by what the predecessor had applied, for as long as its lease holds."""
+        """Base decisions on the configuration that the predecessor had applied, until its lease expires."""
 
     def release_quic_port(self) -> ReleasedQuicPort | None:
-        """Give the QUIC front's port to the successor; None where there is none."""
+        """Release the QUIC port for the successor; None if this process has none."""
 
     def adopt_quic_port(self, state: bytes, descriptors: list[int]) -> None:
-        """Take the predecessor's QUIC port; owns the descriptors."""
+        """Take over the predecessor's QUIC port; owns the descriptors."""
 
-    def keep_quic_port(self) -> None:
-        """The other process has ended, and with it what it held over QUIC."""
+    def forget_quic_predecessor(self) -> None:
+        """Drop the QUIC forwarding to the other process, which has ended with all of its QUIC sessions."""
--- a/gradegap/hot_restart/hot_restart.py
+++ b/gradegap/hot_restart/hot_restart.py
@@ -1,8 +1,9 @@
-"""A process's part in hot restarts: it follows the one that serves, and is followed by the next.
+"""The hot restarts of a process: it first follows the serving process, and is later followed by the next one.
 
-The process that serves listens on a Unix socket in the node's own folder. One that starts finds it there, and
-is given the clients' listening socket, the endpoint list with load reports, and what operators disabled. Once
-it accepts clients, the first stops doing so and passes on its sessions, each with both of its sockets.
+The serving process (the predecessor) listens on a Unix socket in the node's private folder. A starting
+process (the successor) connects to this socket, and receives the listening socket for clients, the endpoint
+list with load reports, and the endpoints that operators have disabled. When the successor accepts clients,
+the predecessor stops accepting, and sends its sessions, each with the sockets of its client and its endpoint.
 """
 
 from __future__ import annotations
@@ -37,38 +38,38 @@
 
 log = structlog.get_logger()
 
-STATE_TIMEOUT_S = 1.5  # for the predecessor to send all that a successor needs
-DESCRIPTOR_COUNT_INTERVAL_S = 0.1  # between two messages on how many descriptors are held
-_NOT_SENT = -1
+STATE_TIMEOUT_S = 1.5  # limits how long the predecessor may take to send its state
+DESCRIPTOR_COUNT_INTERVAL_S = 0.1  # time between two updates on the number of open descriptors
+_NO_COUNT_SENT = -1
 
 
 class HotRestart:
-    """Owns the link to the other process of this node, of which there is one at a time, and both roles."""
+    """Owns both roles of this process, and the link to the other process, of which there is at most one."""
 
     def __init__(self, host: Host, path: Path | None) -> None:
-        """`path` is where a successor finds this process; None: nobody does, and it follows nobody."""
+        """`path` is the Unix socket by which a successor finds this process; None disables hot restarts."""
         self._host = host
         self._path = path
         self._loop = host.loop
         self._link: Link | None = None
         self._listener: SuccessorListener | None = None
-        self._sent_descriptor_count = _NOT_SENT
+        self._sent_descriptor_count = _NO_COUNT_SENT
         self._predecessor = Predecessor(host)
         self._successor = Successor(host)
         host.metrics.gauge("successor", lambda: self.is_handing_over)
 
     @property
     def is_connected(self) -> bool:
-        """Whether another process of this node is there."""
+        """Whether this process is connected to another process of the node."""
         return self._link is not None
 
     @property
     def is_handing_over(self) -> bool:
-        """Whether a successor accepts clients, and gets this process's sessions."""
+        """Whether a successor accepts clients, and this process transfers its sessions to it."""
         return self._predecessor.state is PredecessorState.HANDING_OVER
 
     async def follow(self) -> bool:
-        """Get the state of the process that serves; False where there is none, or it does not answer."""
+        """Receive the serving process's state; False if no process serves or it does not answer in time."""
         sock = await connect_to_predecessor(self._loop, self._path) if self._path is not None else None
         if sock is None:
             return False
@@ -85,7 +86,7 @@
         return received
 
     def begin_serving(self) -> None:
-        """This process accepts clients: notify the predecessor, and wait for a successor."""
+        """Notify the predecessor that this process accepts clients, and wait for a successor."""
         if self._link is not None:
             self._link.send(SuccessorReady())
             self._send_descriptor_count()
@@ -97,9 +98,10 @@
         try:
             self._listener = SuccessorListener(self._loop, self._path, self._on_successor)
         except OSError as error:
-            # Without it a successor starts alone, and this process shuts down as at any planned stop.
+            # Without this socket, a successor starts without the state of this process, and this process
+            # migrates its clients when it shuts down.
             self._host.metrics.count("hot_restarts_failed")
-            log.error("successors can't find this process", error=str(error))
+            log.error("hot restart socket not opened", path=str(self._path), error=str(error))
 
     def _stop_listening(self) -> None:
         if self._listener is not None:
@@ -108,7 +110,7 @@
 
     def _on_successor(self, sock: socket.socket) -> None:
         host = self._host
-        if self._link is not None or host.is_leaving or host.listening_socket is None:
+        if self._link is not None or host.is_shutting_down or host.listening_socket is None:
             sock.close()
             return
         self._link = link = Link(self._loop, sock, self._on_message, self._on_link_closed)
@@ -126,10 +128,10 @@
                 self._host.adopt_quic_port(message.state, descriptors)
             case _:
                 close_descriptors(descriptors)
-                self._on_plain_message(link, message)
+                self._on_message_without_descriptors(link, message)
 
-    def _on_plain_message(self, link: Link, message: Message) -> None:
-        """A message without descriptors."""
+    def _on_message_without_descriptors(self, link: Link, message: Message) -> None:
+        """Handle a message that carries no descriptors."""
         match message:
             case EndpointBatch():
                 self._successor.receive_endpoints(message)
@@ -138,7 +140,7 @@
             case SuccessorReady():
                 self._predecessor.hand_over(link)
                 self._stop_listening()
-                self._predecessor.pass_sessions(link)
+                self._predecessor.transfer_sessions(link)
             case SessionResult():
                 self._predecessor.finish_session(message.serial, message.accepted)
             case AdminCommand():
@@ -150,7 +152,7 @@
                 self._host.inherit_store_lease(message.remaining_s, message.disabled_endpoints)
 
     def apply_everywhere(self, operation: str, endpoint: str, done: Callable[[], None]) -> None:
-        """Have an `AdminOperation` take effect in the other process too, where there is one; then `done`."""
+        """Apply an `AdminOperation` in the other process too, if there is one, and then call `done`."""
         if self._link is None:
             done()
         else:
@@ -168,18 +170,18 @@
     def _on_link_closed(self, link: Link) -> None:
         if link is not self._link:
             return
-        self._link, self._sent_descriptor_count = None, _NOT_SENT
+        self._link, self._sent_descriptor_count = None, _NO_COUNT_SENT
         was_handing_over = self.is_handing_over
         if not was_handing_over:
-            self._host.keep_quic_port()
+            self._host.forget_quic_predecessor()
         self._host.descriptors.held_by_other_process = 0
         self._successor.lose_predecessor()
         self._predecessor.lose_successor()
-        if was_handing_over and not self._host.is_leaving:
+        if was_handing_over and not self._host.is_shutting_down:
             self._listen()
 
     def close(self) -> None:
-        """End: sessions on their way come back, and nobody follows this process any more."""
+        """Take back sessions in transfer, and close the link and the socket by which a successor connects."""
         self._stop_listening()
         if self._link is not None:
             self._link.close()
--- a/gradegap/hot_restart/link.py
+++ b/gradegap/hot_restart/link.py
@@ -1,6 +1,6 @@
-"""The connection between two processes of one node: messages over a Unix socket, descriptors along.
+"""The connection between two processes of one node: messages with descriptors over a Unix socket.
 
-A packet socket keeps the borders of messages, and passes each one's descriptors with it (`SCM_RIGHTS`).
+A `SOCK_SEQPACKET` socket preserves message boundaries, and passes descriptors with a message (`SCM_RIGHTS`).
 """
 
 from __future__ import annotations
@@ -20,33 +20,35 @@
 
 log = structlog.get_logger()
 
-ADMIN_COMMAND_TIMEOUT_S = 0.6  # for the other process to carry out a command
+ADMIN_COMMAND_TIMEOUT_S = 0.6  # limits how long the other process may take to carry out a command
 MAX_MESSAGE_BYTES = 128 * 1024
 MAX_MESSAGE_DESCRIPTORS = 4
-MAX_MESSAGES_PER_TURN = 16  # read in one turn of the loop, so that clients are served in between
+MAX_MESSAGES_PER_TURN = 16  # limits messages read per iteration of the event loop, so that clients are served
 
 _decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
 
 
 def close_descriptors(descriptors: Iterable[int]) -> None:
-    """Close descriptors that came with a message and are not used."""
+    """Close descriptors that were received with a message and are not needed."""
     for descriptor in descriptors:
         with contextlib.suppress(OSError):
             os.close(descriptor)
 
 
 def _receive(sock: socket.socket) -> tuple[Message, list[int]] | None:
-    """The next message with its descriptors, which are the caller's to close; None at the end.
+    """Receive the next message and its descriptors, which the caller owns; None at the end of the connection.
 
     Raises:
-        MalformedMessageError: for a message of another version; its descriptors are closed.
+        MalformedMessageError: if the message is truncated or can't be decoded; its descriptors are closed.
     """
     body, descriptors, flags, _ = socket.recv_fds(sock, MAX_MESSAGE_BYTES, MAX_MESSAGE_DESCRIPTORS)
     if not body:
         return None
     if flags & (socket.MSG_CTRUNC | socket.MSG_TRUNC):
         close_descriptors(descriptors)
-        raise MalformedMessageError("cut short")
+        raise MalformedMessageError(
+            f"cut short: over {MAX_MESSAGE_BYTES} bytes or {MAX_MESSAGE_DESCRIPTORS} descriptors"
+        )
     try:
         message = _decoder.decode(body)
     except ValueError as error:
@@ -56,7 +58,7 @@
 
 
 class Link:
-    """One end of the connection. Owns its socket, and the commands that wait for the other process."""
+    """One end of the connection. Owns its socket, and the commands without an answer."""
 
     def __init__(
         self,
@@ -65,27 +67,27 @@
         on_message: Callable[[Link, Message, list[int]], None],
         on_closed: Callable[[Link], None],
     ) -> None:
-        """`on_message` owns the descriptors that it is called with; `on_closed` is called once."""
+        """`on_message` owns the descriptors that are passed to it; `on_closed` is called once."""
         self._loop = loop
         self._sock = sock
         self._on_message = on_message
         self._on_closed = on_closed
         self._unsent: deque[tuple[bytes, tuple[int, ...]]] = deque()
         self._closed = False
-        self._commands: dict[int, Callable[[], None]] = {}  # by serial: what to call once it has an answer
+        self._pending_commands: dict[int, Callable[[], None]] = {}  # callbacks for the answers, by serial
         self._last_serial = 0
         sock.setblocking(False)
         loop.add_reader(sock, self._on_readable)
 
     @property
     def is_closed(self) -> bool:
-        """Whether the other process has ended, or was given up."""
+        """Whether the connection was closed, by the other process or by this one."""
         return self._closed
 
     def send(self, message: Message, *descriptors: int) -> None:
-        """Send now, or as soon as the socket takes it.
+        """Send a message now, or as soon as the socket is writable.
 
-        `descriptors` stay the caller's, and open until the other process has answered.
+        The caller still owns `descriptors`, and keeps them open until the other process has answered.
         """
         if self._closed:
             return
@@ -94,9 +96,10 @@
             self._write()
 
     def send_admin_command(self, operation: str, endpoint: str, done: Callable[[], None]) -> None:
-        """Have a call take effect in the other process too.
+        """Request an operation in the other process.
 
-        `done` is called when it has, when the other process has ended, or after `ADMIN_COMMAND_TIMEOUT_S`.
+        `done` is called when the other process has applied the operation, when it has ended, or after
+        `ADMIN_COMMAND_TIMEOUT_S`.
         """
         self._last_serial += 1
         serial = self._last_serial
@@ -106,11 +109,11 @@
             timer.cancel()
             done()
 
-        self._commands[serial] = finish
+        self._pending_commands[serial] = finish
         self.send(AdminCommand(serial, operation, endpoint))
 
     def _finish_command(self, serial: int) -> None:
-        finish = self._commands.pop(serial, None)
+        finish = self._pending_commands.pop(serial, None)
         if finish is not None:
             finish()
 
@@ -123,7 +126,7 @@
                 self._loop.add_writer(self._sock, self._on_writable)
                 return
             except OSError as error:
-                log.warning("hot restart message not sent", error=str(error))
+                log.warning("hot restart message send failed", error=str(error))
                 self.close()
                 return
             self._unsent.popleft()
@@ -144,7 +147,7 @@
                 self.close()
                 return
             except MalformedMessageError as error:
-                log.error("hot restart message not readable", error=str(error))
+                log.error("hot restart message malformed", error=str(error))
                 self.close()
                 return
             if received is None:
@@ -158,14 +161,14 @@
                 self._on_message(self, message, descriptors)
 
     def close(self) -> None:
-        """End the connection: commands that wait are over, and `on_closed` is called."""
+        """Close the connection: call `done` of all unanswered commands, and then `on_closed`."""
         if self._closed:
             return
         self._closed = True
         self._loop.remove_reader(self._sock)
         self._loop.remove_writer(self._sock)
         self._sock.close()
-        commands, self._commands = self._commands, {}
+        commands, self._pending_commands = self._pending_commands, {}
         for finish in commands.values():
             finish()
         self._on_closed(self)
--- a/gradegap/hot_restart/messages.py
+++ b/gradegap/hot_restart/messages.py
@@ -1,8 +1,8 @@
-"""What two processes of one node send each other during a hot restart.
+"""The messages that two processes of one node exchange during a hot restart.
 
-Each message is one MessagePack map in one packet of a Unix socket (`link`). Tags and encoded names are the
-format between versions and never change; the attributes carry today's terms. Times are node time (Unix time
-on a clock that does not jump), in seconds.
+Each message is one MessagePack map in one packet of a Unix socket (`link`). The tags and the encoded field
+names are the format between versions and never change, so they may differ from the attributes' names. Times
+are node time (Unix time on a clock that does not jump), in seconds.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class AdminOperation(StrEnum):
-    """An operator's call that takes effect in both processes, as `AdminCommand` carries it."""
+    """An operation requested by operators, which takes effect in both processes; sent in `AdminCommand`."""
 
     DISABLE_ENDPOINT = "out"
     ENABLE_ENDPOINT = "back"
@@ -24,16 +24,16 @@
 
 
 class Offer(msgspec.Struct, tag="offer"):
-    """The first message of a predecessor; its listening socket comes along."""
+    """The first message of a predecessor, sent with its listening socket for clients."""
 
-    disabled_endpoints: dict[str, float] = msgspec.field(name="out")  # name to when an operator disabled it
-    descriptor_count: int = msgspec.field(name="sockets")  # held by the predecessor
+    disabled_endpoints: dict[str, float] = msgspec.field(name="out")  # endpoint to time of its disabling
+    descriptor_count: int = msgspec.field(name="sockets")  # descriptors that the predecessor has open
     sealing_keys: bytes = msgspec.field(name="ring", default=b"")
-    """What seals tokens of resumable sessions, where no store holds it; empty otherwise."""
+    """Keys that seal the tokens of resumable sessions; empty if a store holds them."""
 
 
 class EndpointState(msgspec.Struct, tag="known"):
-    """One endpoint: its entry in the endpoint list, since when it drains, and its last load report."""
+    """One endpoint: its entry in the endpoint list, the start of its drain, and its last load report."""
 
     id: str
     address: str
@@ -42,85 +42,87 @@
     phase: int
     weight: float
     started_at: float
-    drain_notified_at: float | None = msgspec.field(name="told_at", default=None)  # None: it does not drain
+    drain_notified_at: float | None = msgspec.field(name="told_at", default=None)  # None: not draining
     report: dict[str, float] | None = None
     report_at: float = 0.0
 
 
 class EndpointBatch(msgspec.Struct, tag="listed"):
-    """A part of the predecessor's endpoint list."""
+    """Some endpoints of the predecessor's endpoint list, which is sent in several messages."""
 
     endpoints: list[EndpointState] = msgspec.field(name="backends")
 
 
 class StateComplete(msgspec.Struct, tag="begin"):
-    """The predecessor has sent all that a successor needs to start."""
+    """The predecessor has sent all state that a successor needs to start."""
 
 
 class SuccessorReady(msgspec.Struct, tag="ready"):
-    """The successor accepts clients; the predecessor stops doing so."""
+    """The successor accepts clients, so the predecessor stops accepting."""
 
 
 class IdleSession(msgspec.Struct, tag="door"):
-    """An idle connection; its client's socket comes along."""
+    """A connection without a request, sent with the socket of its client."""
 
     serial: int
-    buffer: bytes  # the beginning of a first line
-    pinged: bool = msgspec.field(name="idle")  # its client has said PING
-    first_line_timeout_s: float = msgspec.field(name="left")  # what is left of it
+    buffer: bytes  # received bytes of an incomplete first line
+    pinged: bool = msgspec.field(name="idle")  # whether its client has sent PING
+    first_line_timeout_s: float = msgspec.field(name="left")  # remaining time for the first line
 
 
 class EstablishedSession(msgspec.Struct, tag="standing"):
-    """An established connection; its client's and its endpoint's sockets come along, in this order."""
+    """An established connection, sent with the sockets of its client and its endpoint, in this order."""
 
     serial: int
     request: ConnectionRequest = msgspec.field(name="ask")
     opening_before_wait: bytes = msgspec.field(name="before")
     opening_after_wait: bytes = msgspec.field(name="after")
     endpoint: str = msgspec.field(name="backend")
-    partial_line: bytes = msgspec.field(name="part")  # from the endpoint; its end is still to come
+    partial_line: bytes = msgspec.field(name="part")  # received from the endpoint without the line's end
     last_response_at: float = msgspec.field(name="heard_at")
-    unanswered_since: float | None = msgspec.field(name="asked_at")  # None: no line of the client's waits
-    announced_result: int | None = msgspec.field(name="said")  # an `AttemptResult`; None: no end announced
+    # None: the endpoint has answered all lines of the client.
+    unanswered_since: float | None = msgspec.field(name="asked_at")
+    # An `AttemptResult`; None: the endpoint has not announced the end of the connection.
+    announced_result: int | None = msgspec.field(name="said")
     report: dict[str, float] | None
 
 
 class SessionResult(msgspec.Struct, tag="taken"):
-    """Whether the successor serves a session that was sent to it; otherwise the predecessor goes on."""
+    """Whether the successor serves a session that was sent to it; otherwise the predecessor continues it."""
 
     serial: int
     accepted: bool = msgspec.field(name="good")
 
 
 class AdminCommand(msgspec.Struct, tag="order"):
-    """A call at the other process's admin API, to take effect here too."""
+    """An operation requested by the admin API of the sender, which the receiver applies too."""
 
     serial: int
-    operation: str = msgspec.field(name="what")  # an `AdminOperation`; a later version may send others
-    endpoint: str = msgspec.field(name="server")  # empty where the operation concerns the node
+    operation: str = msgspec.field(name="what")  # an `AdminOperation`; a later version may send other values
+    endpoint: str = msgspec.field(name="server")  # empty for operations on the node
 
 
 class AdminCommandDone(msgspec.Struct, tag="obeyed"):
-    """The command with this serial has taken effect."""
+    """The receiver of the `AdminCommand` with this serial has applied it."""
 
     serial: int
 
 
 class DescriptorCount(msgspec.Struct, tag="held"):
-    """How many descriptors this process holds: both processes share one limit."""
+    """The number of descriptors that the sender has open; both processes share one limit."""
 
     count: int = msgspec.field(name="sockets")
 
 
 class StoreLease(msgspec.Struct, tag="lease"):
-    """How long the predecessor could still decide by the store, which it has left."""
+    """The remaining lease of the predecessor, which has left the store, and the disabled endpoints."""
 
     remaining_s: float = msgspec.field(name="left")
-    disabled_endpoints: dict[str, float] = msgspec.field(name="out")  # name to when an operator disabled it
+    disabled_endpoints: dict[str, float] = msgspec.field(name="out")  # endpoint to time of its disabling
 
 
 class QuicPort(msgspec.Struct, tag="port"):
-    """The QUIC front's port goes to the successor; its sockets come along."""
+    """The port of the QUIC listener goes to the successor; sent with its sockets."""
 
     state: bytes = msgspec.field(name="told")  # `gradegap.quic.listener.PortTransfer`, encoded
 
--- a/gradegap/hot_restart/predecessor.py
+++ b/gradegap/hot_restart/predecessor.py
@@ -1,7 +1,7 @@
-"""The process that serves, and its successor: it gives away its state, then its clients.
+"""The role of the serving process in a hot restart: it sends its state and then its sessions.
 
-It stays until SIGTERM, to answer its requests, to migrate what can't pass, and to serve again if the
-successor dies.
+It runs until SIGTERM, to answer its pending requests, to migrate sessions that can't be transferred, and to
+serve again if the successor dies.
 """
 
 from __future__ import annotations
@@ -27,22 +27,22 @@
 log = structlog.get_logger()
 
 ENDPOINTS_PER_MESSAGE = 50
-SESSION_SCAN_INTERVAL_S = 0.02  # between two looks for sessions that can be passed on
+SESSION_SCAN_INTERVAL_S = 0.02  # time between two searches for sessions that can be transferred
 
 
 class PredecessorState(Enum):
-    """How far a successor has come."""
+    """The progress of a successor."""
 
     NO_SUCCESSOR = "no successor"
-    STATE_SENT = "state sent"  # it has all that it needs to start
-    HANDING_OVER = "handing over"  # it accepts clients, this process no new ones
+    STATE_SENT = "state sent"  # the successor has all state that it needs to start
+    HANDING_OVER = "handing over"  # the successor accepts clients, this process does not
 
 
 class Predecessor:
-    """This process's part as the one that is followed.
+    """The role of this process while a successor follows it.
 
     NO_SUCCESSOR -> STATE_SENT (`offer`) -> HANDING_OVER (`hand_over`) -> NO_SUCCESSOR (`lose_successor`);
-    STATE_SENT -> NO_SUCCESSOR too, where the successor dies before it is ready.
+    STATE_SENT -> NO_SUCCESSOR as well, if the successor dies before it is ready.
     """
 
     def __init__(self, host: Host) -> None:
@@ -51,24 +51,26 @@
         self.state = PredecessorState.NO_SUCCESSOR
 
     def offer(self, link: Link) -> None:
-        """Send a successor all that it needs to start."""
+        """Send a successor the state that it needs to start."""
         host = self._host
         listening_socket = host.listening_socket
-        assert listening_socket is not None, "a process that listens is followed, and no other"
+        assert listening_socket is not None, "a successor connected before this process listens for clients"
         self.state = PredecessorState.STATE_SENT
         host.metrics.count("hot_restarts_begun")
         sealing_keys = host.resuming.export_keys() if host.resuming is not None else b""
         offer = Offer(dict(host.proxy.disabled), host.descriptors.owned_count(), sealing_keys)
         link.send(offer, listening_socket.fileno())
         states = [
-            state for each in host.proxy.endpoints.values() if (state := _endpoint_state(each)) is not None
+            state
+            for endpoint in host.proxy.endpoints.values()
+            if (state := _endpoint_state(endpoint)) is not None
         ]
         for start in range(0, len(states), ENDPOINTS_PER_MESSAGE):
             link.send(EndpointBatch(states[start : start + ENDPOINTS_PER_MESSAGE]))
         link.send(StateComplete())
 
     def hand_over(self, link: Link) -> None:
-        """The successor accepts clients: it gets the store's lease and the QUIC port, then the sessions."""
+        """Stop accepting, because the successor accepts clients; send it the store's lease and QUIC port."""
         host = self._host
         log.info("successor accepts clients", sessions=len(host.channels))
         host.metrics.count("hot_restarts")
@@ -81,27 +83,27 @@
         if port is not None:
             link.send(QuicPort(port.state), *port.descriptors)
 
-    def pass_sessions(self, link: Link) -> None:
-        """Pass on what can be passed, again and again until the successor has ended."""
+    def transfer_sessions(self, link: Link) -> None:
+        """Transfer the sessions that can be transferred, and repeat this until the successor has ended."""
         if link.is_closed or self.state is not PredecessorState.HANDING_OVER:
             return
         self._transfer.send_sessions(link)
-        self._host.loop.call_later(SESSION_SCAN_INTERVAL_S, self.pass_sessions, link)
+        self._host.loop.call_later(SESSION_SCAN_INTERVAL_S, self.transfer_sessions, link)
 
     def finish_session(self, serial: int, accepted: bool) -> None:
-        """The successor's answer for a session."""
+        """Handle the successor's answer for a session."""
         self._transfer.finish(serial, accepted)
 
     def lose_successor(self) -> None:
-        """The successor has ended.
+        """Handle the end of the successor.
 
-        Guards against its death: what it has not taken stays, and unless this process is leaving, it serves
-        again.
+        Guards against the death of the successor: sessions that it has not accepted stay here, and this
+        process serves again unless it is shutting down.
         """
-        was, self.state = self.state, PredecessorState.NO_SUCCESSOR
+        previous_state, self.state = self.state, PredecessorState.NO_SUCCESSOR
         self._transfer.take_back_all()
-        if was is PredecessorState.HANDING_OVER and not self._host.is_leaving:
-            log.warning("successor lost, serving again")
+        if previous_state is PredecessorState.HANDING_OVER and not self._host.is_shutting_down:
+            log.warning("successor lost, service resumed")
             self._host.metrics.count("hot_restarts_undone")
             self._host.resume_service()
 
--- a/gradegap/hot_restart/rendezvous.py
+++ b/gradegap/hot_restart/rendezvous.py
@@ -1,4 +1,4 @@
-"""How a starting process finds the one that serves: a Unix socket in the node's own folder."""
+"""Connects a starting process to the serving one, by a Unix socket in the node's private folder."""
 
 from __future__ import annotations
 
@@ -21,7 +21,10 @@
 
 @contextlib.contextmanager
 def _short_path(folder: Path) -> Iterator[str]:
-    """A name for a folder of any length, its slash included: a Unix socket's path may have 107 bytes."""
+    """Yield a short alias of a folder's path, with a slash at its end.
+
+    The path of a Unix socket is limited to 107 bytes, which the path of the folder alone may exceed.
+    """
     descriptor = os.open(folder, os.O_PATH | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         yield f"/proc/self/fd/{descriptor}/"
@@ -30,7 +33,7 @@
 
 
 def _bind(sock: socket.socket, path: Path) -> None:
-    """Listen at `path`, in place of whoever listened there before, stale or not."""
+    """Listen at `path`, and replace a socket that another process has bound there, stale or not."""
     temporary = f"{path.name}.{os.getpid()}"
     with _short_path(path.parent) as folder:
         with contextlib.suppress(FileNotFoundError):
@@ -48,7 +51,7 @@
 
 
 class SuccessorListener:
-    """The Unix socket on which the process that serves waits for its successor."""
+    """The Unix socket on which the serving process waits for its successor."""
 
     def __init__(
         self,
@@ -56,10 +59,10 @@
         path: Path,
         on_successor: Callable[[socket.socket], None],
     ) -> None:
-        """Listen at `path`; `on_successor` owns the socket that it is called with.
+        """Listen at `path`; `on_successor` owns the connected socket that is passed to it.
 
         Raises:
-            OSError: where the path can't be listened on.
+            OSError: if the socket can't be bound at `path`.
         """
         self._loop = loop
         self._on_successor = on_successor
@@ -80,16 +83,16 @@
         if _is_same_user(sock):
             self._on_successor(sock)
         else:
-            sock.close()  # guards the clients' sockets against another user's process
+            sock.close()  # guards against clients' sockets being passed to another user's process
 
     def close(self) -> None:
-        """Stop listening. The path stays: a socket that nobody listens on is stale."""
+        """Stop listening. The socket's file remains; connections to it are refused."""
         self._loop.remove_reader(self._sock)
         self._sock.close()
 
 
 async def connect_to_predecessor(loop: asyncio.AbstractEventLoop, path: Path) -> socket.socket | None:
-    """A connection to the process that serves; None where nobody listens at `path`."""
+    """Connect to the serving process; None if no process listens at `path`."""
     if not path.exists():
         return None
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
--- a/gradegap/hot_restart/session_adoption.py
+++ b/gradegap/hot_restart/session_adoption.py
@@ -1,4 +1,4 @@
-"""A session that a predecessor passes on goes on here, where it was."""
+"""Continues a session that a predecessor has sent, in the state that it had there."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 
 def adopt_session(host: Host, message: IdleSession | EstablishedSession, descriptors: list[int]) -> None:
-    """Serve a session from now on; owns the descriptors.
+    """Continue a session in this process; owns the descriptors.
 
     Raises:
-        SessionNotAdoptedError: where it can't go on here; its descriptors are closed.
+        SessionNotAdoptedError: if the session can't be continued here; its descriptors are closed.
     """
     expected = 1 if isinstance(message, IdleSession) else 2
     if len(descriptors) != expected:
         close_descriptors(descriptors)
-        raise SessionNotAdoptedError(f"{len(descriptors)} descriptors came along, not {expected}")
+        raise SessionNotAdoptedError(f"session must have {expected} descriptors, got {len(descriptors)}")
     channel = host.create_channel()
     channel.expect_adoption()
     if isinstance(message, IdleSession):
@@ -62,7 +62,7 @@
     )
     if request is None or request.attempt is None:
         close_descriptors([client_descriptor, endpoint_descriptor])
-        raise SessionNotAdoptedError(f"it can't stand at {message.endpoint} here")
+        raise SessionNotAdoptedError(f"session can't be continued at endpoint {message.endpoint}")
     announced = None if message.announced_result is None else AttemptResult(message.announced_result)
     connection = UpstreamConnection.adopt(session, request.attempt, announced, message.report)
     request.attempt.connection = connection
@@ -70,7 +70,7 @@
     client = _client_socket(client_descriptor)
     endpoint = DialedSocket(host.descriptors, client.family, endpoint_descriptor)
     endpoint.setblocking(False)
-    # The endpoint's side first: whatever the client says then finds it there.
+    # The endpoint's connection is attached first, because data from the client is forwarded to it at once.
     dialer.adopt(endpoint, connection)
     dialer.adopt(client, channel)
     host.metrics.count("established_sessions_adopted")
--- a/gradegap/hot_restart/session_transfer.py
+++ b/gradegap/hot_restart/session_transfer.py
@@ -1,7 +1,8 @@
-"""Sessions on their way from a predecessor to its successor, each with its sockets.
+"""Transfers sessions with their sockets from a predecessor to its successor.
 
-Guards against migrations, and the wave of returns that they bring the save store: what is established goes to
-the successor as it is. What can't yet is looked at again, until this process ends and migrates it.
+Guards against migrating all clients at a restart, after which they would all reconnect at once and load the
+save store: established sessions continue in the successor unchanged. Sessions that can't be transferred yet
+are tried again, until this process shuts down and migrates the remaining ones.
 """
 
 from __future__ import annotations
@@ -17,8 +18,8 @@
 from gradegap.proxy.request import Request, RequestState
 from gradegap.upstream.connection import UpstreamConnection
 
-MAX_SESSIONS_IN_FLIGHT = 8  # sent and not answered: their descriptors are held twice
-FIRST_LINE_TIMEOUT_S = 1.0  # for an idle connection that comes back
+MAX_SESSIONS_IN_FLIGHT = 8  # limits unanswered sessions, whose descriptors are open in both processes
+FIRST_LINE_TIMEOUT_S = 1.0  # time for the first line on an idle connection that was taken back
 
 
 @dataclass(slots=True, frozen=True)
@@ -34,7 +35,7 @@
 
 
 class SessionTransfer:
-    """Passes sessions on; owns those that the successor has not answered for yet."""
+    """Transfers sessions, and owns those that the successor has not answered yet."""
 
     def __init__(self, host: Host) -> None:
         self._host = host
@@ -42,7 +43,7 @@
         self._in_flight: dict[int, _IdleInFlight | _EstablishedInFlight] = {}  # by serial
 
     def send_sessions(self, link: Link) -> None:
-        """Pass on what can be passed on now, as much as may be in flight."""
+        """Send the sessions that can be transferred now, up to `MAX_SESSIONS_IN_FLIGHT` unanswered ones."""
         for channel in list(self._host.channels):
             if len(self._in_flight) >= MAX_SESSIONS_IN_FLIGHT:
                 break
@@ -59,11 +60,11 @@
         if (
             isinstance(connection, UpstreamConnection)
             and request is not None
-            and self._can_pass(channel, connection)
+            and self._can_transfer(channel, connection)
         ):
             self._send_established(link, channel, connection, request)
 
-    def _can_pass(self, channel: TcpChannel, connection: UpstreamConnection) -> bool:
+    def _can_transfer(self, channel: TcpChannel, connection: UpstreamConnection) -> bool:
         request = channel.session.request
         if request is None or request.attempt is None or connection.transport is None:
             return False
@@ -124,44 +125,44 @@
         link.send(message, client_descriptor, endpoint_descriptor)
 
     def finish(self, serial: int, accepted: bool) -> None:
-        """The successor's answer for a session; an unknown serial is ignored."""
-        passed = self._in_flight.pop(serial, None)
-        if passed is None:
+        """Handle the successor's answer for a session; an unknown serial is ignored."""
+        transfer = self._in_flight.pop(serial, None)
+        if transfer is None:
             return
         if not accepted:
-            self._take_back(passed)
+            self._take_back(transfer)
             return
-        # Our descriptors only: the connections live on in the other process.
-        if isinstance(passed, _EstablishedInFlight):
+        # Aborting closes only this process's descriptors: the other process keeps the connections open.
+        if isinstance(transfer, _EstablishedInFlight):
             self._host.metrics.count("established_sessions_passed")
-            _abort(passed.connection)
+            _abort(transfer.connection)
         else:
             self._host.metrics.count("idle_sessions_passed")
-        _abort(passed.channel)
+        _abort(transfer.channel)
 
     def take_back_all(self) -> None:
-        """The successor has ended: what it has not answered for stays here."""
+        """Take back all unanswered sessions, because the successor has ended."""
         in_flight, self._in_flight = self._in_flight, {}
-        for passed in in_flight.values():
-            self._take_back(passed)
+        for transfer in in_flight.values():
+            self._take_back(transfer)
 
-    def _take_back(self, passed: _IdleInFlight | _EstablishedInFlight) -> None:
-        """Guards against a successor that could not take a session, or died before it said so."""
+    def _take_back(self, transfer: _IdleInFlight | _EstablishedInFlight) -> None:
+        """Continue a session here, because the successor rejected it or died before it answered."""
         self._host.metrics.count("sessions_taken_back")
-        passed.channel.session.take_back()
-        if isinstance(passed, _EstablishedInFlight):
-            if not self._restore(passed):
+        transfer.channel.session.take_back()
+        if isinstance(transfer, _EstablishedInFlight):
+            if not self._restore(transfer):
                 return
-            _resume_reading(passed.connection)
+            _resume_reading(transfer.connection)
         else:
-            session = passed.channel.session
+            session = transfer.channel.session
             session.first_line.deadline.start(FIRST_LINE_TIMEOUT_S)
-            self._host.descriptors.on_taken_back(passed.channel, session.first_line.pinged)
-        _resume_reading(passed.channel)
+            self._host.descriptors.on_taken_back(transfer.channel, session.first_line.pinged)
+        _resume_reading(transfer.channel)
 
-    def _restore(self, passed: _EstablishedInFlight) -> bool:
-        """Whether the proxy has the session again; otherwise its client's connection is ended."""
-        session, connection, message = passed.channel.session, passed.connection, passed.message
+    def _restore(self, transfer: _EstablishedInFlight) -> bool:
+        """Return a session to the proxy; if that fails, end its client's connection and return False."""
+        session, connection, message = transfer.channel.session, transfer.connection, transfer.message
         connection.take_back()
         session.request = request = self._host.proxy.adopt_connection(
             session, message.request, message.endpoint, message.last_response_at, message.unanswered_since
--- a/gradegap/hot_restart/successor.py
+++ b/gradegap/hot_restart/successor.py
@@ -1,4 +1,4 @@
-"""The process that takes the place of one that serves: it gets that one's state before it accepts clients."""
+"""The role of a starting process in a hot restart: it receives the serving process's state and sessions."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 
 class SuccessorState(Enum):
-    """How far this process has come in following another."""
+    """The progress of this process in following a predecessor."""
 
     ALONE = "alone"
     RECEIVING_STATE = "receiving state"
-    FOLLOWING = "following"  # it has the state, and is sent sessions once it accepts clients
+    FOLLOWING = "following"  # has the state, and receives sessions after it accepts clients
 
 
 class Successor:
-    """This process's part as the one that follows.
+    """The role of this process while it follows a predecessor.
 
     ALONE -> RECEIVING_STATE (`begin`) -> FOLLOWING (`complete_state`), and back to ALONE from each
     (`lose_predecessor`).
@@ -38,13 +38,13 @@
         self.state = SuccessorState.ALONE
 
     def begin(self) -> asyncio.Future[bool]:
-        """Wait for a predecessor's state: whether it came, before that process ended."""
+        """Expect a predecessor's state; the result is False if the predecessor ends before its completion."""
         self.state = SuccessorState.RECEIVING_STATE
         self._state_received = self._host.loop.create_future()
         return self._state_received
 
     def receive_offer(self, offer: Offer, descriptors: list[int]) -> None:
-        """The predecessor's listening socket, and what it holds; owns the descriptors."""
+        """Store the predecessor's listening socket and the state in its offer; owns the descriptors."""
         if self.state is not SuccessorState.RECEIVING_STATE or len(descriptors) != 1:
             close_descriptors(descriptors)
             return
@@ -55,11 +55,11 @@
         self._host.listening_socket = socket.socket(fileno=descriptors[0])
 
     def receive_endpoints(self, batch: EndpointBatch) -> None:
-        """A part of the predecessor's endpoint list."""
+        """Store some endpoints of the predecessor's endpoint list until the list is complete."""
         self._endpoints += batch.endpoints
 
     def complete_state(self) -> None:
-        """The state is complete: it is in force from here on."""
+        """Put the received state in force, because it is complete."""
         _restore_endpoints(self._host.proxy, self._endpoints, self._disabled_endpoints)
         self._endpoints = []
         if self._state_received is not None and not self._state_received.done():
@@ -67,7 +67,7 @@
             self._state_received.set_result(True)
 
     def adopt(self, message: IdleSession | EstablishedSession, descriptors: list[int]) -> bool:
-        """Whether a session goes on here; owns the descriptors."""
+        """Continue a session here, and return whether that was possible; owns the descriptors."""
         try:
             adopt_session(self._host, message, descriptors)
         except SessionNotAdoptedError:
@@ -75,25 +75,27 @@
         return True
 
     def lose_predecessor(self) -> None:
-        """The predecessor has ended, or was given up."""
+        """Handle the end of the predecessor or of the connection to it."""
         self.state = SuccessorState.ALONE
         if self._state_received is not None and not self._state_received.done():
             self._state_received.set_result(False)
 
 
 def _restore_endpoints(proxy: Proxy, endpoints: list[EndpointState], disabled: dict[str, float]) -> None:
-    """The endpoint list as the predecessor knew it, and each load report with its age, the oldest first."""
+    """Restore the predecessor's endpoint list, and its load reports with their times, the oldest first."""
     entries = []
-    for each in endpoints:
-        phase = EndpointPhase(each.phase)
-        entry = EndpointEntry(each.id, each.zone, each.cell, phase, each.weight, each.started_at)
-        entries.append((entry, each.address))
+    for state in endpoints:
+        phase = EndpointPhase(state.phase)
+        entry = EndpointEntry(state.id, state.zone, state.cell, phase, state.weight, state.started_at)
+        entries.append((entry, state.address))
     proxy.update_endpoints(EndpointListKind.CACHED, entries)
     proxy.restore_drain_times(
-        {each.id: each.drain_notified_at for each in endpoints if each.drain_notified_at is not None}
+        {state.id: state.drain_notified_at for state in endpoints if state.drain_notified_at is not None}
     )
     for endpoint, disabled_at in disabled.items():
         proxy.disable_endpoint(endpoint, disabled_at)
-    reports = sorted((each.report_at, each.id, each.report) for each in endpoints if each.report is not None)
+    reports = sorted(
+        (state.report_at, state.id, state.report) for state in endpoints if state.report is not None
+    )
     for reported_at, endpoint, report in reports:
         proxy.record_report(reported_at, endpoint, report)
--- a/gradegap/node/__init__.py
+++ b/gradegap/node/__init__.py
@@ -1,7 +1,7 @@
-"""A node assembled and its life as a process: configuration, operator's file, start, reload, shutdown.
+"""Assembles a node and runs it as a process: configuration, operator's file, start, reload, shutdown.
 
-Owns nothing that outlives the process; each part that it assembles keeps its own state. Another program
-embeds a node by `Node`, or serves as one by `run`.
+This package stores nothing that outlives the process; each part that it assembles keeps its own state. Other
+programs create a `Node` on their own event loop, or call `run` to serve as a node until a signal arrives.
 """
 
 from __future__ import annotations
@@ -16,7 +16,8 @@
 
 
 def __getattr__(name: str) -> Any:
-    # Loaded where they are used: `gradegap store` reads the operator's file and does without a node's memory.
+    # Imported on first use: `gradegap store` only reads the operator's file, and importing a whole node would
+    # cost it memory.
     if name not in __all__:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
     from gradegap.node import node, process
--- a/gradegap/node/admin_operations.py
+++ b/gradegap/node/admin_operations.py
@@ -1,4 +1,7 @@
-"""What operators can have a node do, by its admin API or by that of its other process."""
+"""Operations that operators request by the admin API of a node.
+
+During a hot restart, a request to the admin API of either process takes effect in both.
+"""
 
 from __future__ import annotations
 
@@ -11,8 +14,9 @@
 from gradegap.node.lifecycle import Lifecycle
 from gradegap.proxy.proxy import Proxy
 
-DRAIN_TIME_S = 2.8  # from the call out of service until nothing is established here
-MAX_DISABLED_ENDPOINTS = 50  # at once
+# Time from the request to take the node out of service until all of its established connections are migrated.
+DRAIN_TIME_S = 2.8
+MAX_DISABLED_ENDPOINTS = 50  # limits how many endpoints operators can have disabled at the same time
 
 NOT_READY = AdminResult(HTTPStatus.SERVICE_UNAVAILABLE, "takes no clients")
 UNKNOWN_ENDPOINT = AdminResult(HTTPStatus.NOT_FOUND, "no such save server")
@@ -20,11 +24,14 @@
     HTTPStatus.SERVICE_UNAVAILABLE, f"{MAX_DISABLED_ENDPOINTS} save servers are out already"
 )
 NO_SUBSCRIPTION = AdminResult(HTTPStatus.NOT_FOUND, "this node has no subscription: see [observer]")
-LEAVING = AdminResult(HTTPStatus.SERVICE_UNAVAILABLE, "this process is leaving")
+SHUTTING_DOWN = AdminResult(HTTPStatus.SERVICE_UNAVAILABLE, "this process is leaving")
 
 
 def apply_operation(proxy: Proxy, operation: str, endpoint: str) -> None:
-    """Carry out an `AdminOperation` in this process; others, of a later version, are ignored."""
+    """Carry out an `AdminOperation` in this process.
+
+    An operation that this version does not know, sent by a process of a later version, is ignored.
+    """
     match operation:
         case AdminOperation.DISABLE_ENDPOINT:
             proxy.disable_endpoint(endpoint)
@@ -37,7 +44,10 @@
 
 
 class NodeOperations:
-    """A node's `AdminOperations`; with a store, a disabled endpoint is committed there."""
+    """The `AdminOperations` of a node.
+
+    On a node with a store or a subscription, disabling or enabling an endpoint is committed to the store.
+    """
 
     def __init__(
         self,
@@ -54,16 +64,16 @@
         self._hot_restart = hot_restart
 
     def report_ready(self, done: ResultCallback) -> None:
-        """Whether the node takes clients."""
+        """Report whether the node accepts clients."""
         done(DONE if self._lifecycle.is_ready else NOT_READY)
 
     def report_configuration(self, done: ResultCallback) -> None:
-        """Which committed revision this node decides by, and how old that is."""
+        """Report the committed revision that this node's decisions are based on, and its age."""
         subscription = self._committed.subscription
         done(NO_SUBSCRIPTION if subscription is None else subscription.describe())
 
     def report_in_force(self, done: ResultCallback) -> None:
-        """Whether all nodes decide by the revision that this one has."""
+        """Report whether the decisions of all nodes are based on the revision that this node has."""
         subscription = self._committed.subscription
         if subscription is None:
             done(NO_SUBSCRIPTION)
@@ -71,49 +81,51 @@
             subscription.report_in_force(done)
 
     def disable_endpoint(self, endpoint: str, done: ResultCallback) -> None:
-        """Forward nothing more to an endpoint, whatever discovery says of it."""
+        """Forward no more requests to an endpoint, even if discovery lists it as ready."""
         disabled = self._proxy.disabled
         if len(disabled) >= MAX_DISABLED_ENDPOINTS and endpoint not in disabled:
             done(TOO_MANY_DISABLED)
         elif not self._is_known(endpoint):
             done(UNKNOWN_ENDPOINT)
         elif self._committed.source is not None:
-            # In force here as at every other node: once it is committed, and not before.
+            # The change takes effect when it is committed, at this node as at every other, and not earlier.
             self._committed.source.disable_endpoint(endpoint, done)
         else:
-            self._apply_in_both(AdminOperation.DISABLE_ENDPOINT, endpoint, done)
+            self._apply_in_both_processes(AdminOperation.DISABLE_ENDPOINT, endpoint, done)
 
     def enable_endpoint(self, endpoint: str, done: ResultCallback) -> None:
-        """End what `disable_endpoint` began."""
+        """Forward requests to an endpoint again that `disable_endpoint` had disabled."""
         if not self._is_known(endpoint):
             done(UNKNOWN_ENDPOINT)
         elif self._committed.source is not None:
             self._committed.source.enable_endpoint(endpoint, done)
         else:
-            self._apply_in_both(AdminOperation.ENABLE_ENDPOINT, endpoint, done)
+            self._apply_in_both_processes(AdminOperation.ENABLE_ENDPOINT, endpoint, done)
 
     def _is_known(self, endpoint: str) -> bool:
         known = self._proxy.endpoints.get(endpoint)
         return known is not None and known.entry is not None
 
     def start_draining(self, done: ResultCallback) -> None:
-        """Take the node out of service: its clients are migrated."""
-        self._change_service(AdminOperation.START_DRAIN, done)
+        """Take the node out of service and migrate its clients."""
+        self._change_drain_state(AdminOperation.START_DRAIN, done)
 
     def stop_draining(self, done: ResultCallback) -> None:
         """Put the node back in service."""
-        self._change_service(AdminOperation.STOP_DRAIN, done)
+        self._change_drain_state(AdminOperation.STOP_DRAIN, done)
 
-    def _change_service(self, operation: AdminOperation, done: ResultCallback) -> None:
+    def _change_drain_state(self, operation: AdminOperation, done: ResultCallback) -> None:
         apply_operation(self._proxy, operation, "")
-        if self._lifecycle.is_leaving and not self._hot_restart.is_connected:
-            done(LEAVING)
+        if self._lifecycle.is_shutting_down and not self._hot_restart.is_connected:
+            done(SHUTTING_DOWN)
             return
-        drains = self._proxy.drain_deadline is not None
-        self._metrics.count("calls_out_of_service" if drains else "calls_in_service")
+        is_draining = self._proxy.drain_deadline is not None
+        self._metrics.count("calls_out_of_service" if is_draining else "calls_in_service")
         self._hot_restart.apply_everywhere(operation, "", lambda: done(DONE))
 
-    def _apply_in_both(self, operation: AdminOperation, endpoint: str, done: ResultCallback) -> None:
-        """Done once it is in force in each process of this node."""
+    def _apply_in_both_processes(
+        self, operation: AdminOperation, endpoint: str, done: ResultCallback
+    ) -> None:
+        """Apply an operation in each process of this node; `done` is called when both have applied it."""
         apply_operation(self._proxy, operation, endpoint)
         self._hot_restart.apply_everywhere(operation, endpoint, lambda: done(DONE))
--- a/gradegap/node/client_listener.py
+++ b/gradegap/node/client_listener.py
@@ -1,4 +1,4 @@
-"""The clients' TCP port: its listening socket, which a successor shares, and the accepted channels."""
+"""The TCP port for clients: its listening socket, shared with a successor, and the accepted channels."""
 
 from __future__ import annotations
 
@@ -10,13 +10,14 @@
 from gradegap.errors import ConfigurationError
 from gradegap.transport.addresses import split_address
 
-ACCEPT_BACKLOG = 1024  # clients that may wait to be accepted
+ACCEPT_BACKLOG = 1024  # connections that the kernel queues until they are accepted
 
 
-def _listen(host: str, port: int) -> socket.socket:
-    """A listening socket, shared so that a process which could not be passed it starts all the same.
+def _open_listening_socket(host: str, port: int) -> socket.socket:
+    """Open a listening socket on an address that another process of this node may listen on as well.
 
-    Only processes of the same user can share it.
+    `SO_REUSEPORT` lets a new process start even if the running one could not pass its listening socket on.
+    The kernel allows this sharing only between processes of the same user.
     """
     sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -31,53 +32,53 @@
 
 
 class ClientListener:
-    """Owns the listening socket, and the server that accepts from a duplicate of it."""
+    """Owns the listening socket, and the server that accepts connections from a duplicate of it."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, create_channel: Callable[[set[TcpChannel]], TcpChannel]
     ) -> None:
-        """`create_channel` is given the set that a channel joins while it is connected."""
+        """`create_channel` is called with the set of connected channels, to which a channel adds itself."""
         self._loop = loop
         self._create_channel = create_channel
         self._server: asyncio.Server | None = None
         self.channels: set[TcpChannel] = set()
-        self.socket: socket.socket | None = None  # kept beside the one accepted from, to pass on
+        self.socket: socket.socket | None = None  # the original, which is passed on to a successor
 
     def create_channel(self) -> TcpChannel:
-        """A channel for a connection that is still to be made."""
+        """Create a channel whose connection is not attached yet."""
         return self._create_channel(self.channels)
 
     def bind(self, address: str) -> None:
-        """Listen, unless a predecessor has passed its socket on.
+        """Listen on `address`, unless a predecessor has passed its listening socket on.
 
         Raises:
-            ConfigurationError: where the address can't be listened on.
+            ConfigurationError: if the address can't be listened on.
         """
         try:
-            self.socket = self.socket or _listen(*split_address(address))
+            self.socket = self.socket or _open_listening_socket(*split_address(address))
         except OSError as error:
             raise ConfigurationError(f"can't listen on {address}: {error.strerror}") from None
 
     async def accept(self) -> None:
-        """Accept clients from now on."""
+        """Start to accept clients."""
         if self.socket is not None and self._server is None:
             self._server = await self._loop.create_server(
                 self.create_channel, sock=self.socket.dup(), backlog=ACCEPT_BACKLOG
             )
 
     def stop_accepting(self) -> None:
-        """Another process accepts from the same socket: what waits in its queue is not lost."""
+        """Stop accepting; another process accepts from the same socket, so its queue is not lost."""
         if self._server is not None:
             self._server.close()
             self._server = None
 
-    def end_idle(self, retry_after_s: float) -> None:
-        """Reject each idle connection; its client may come again elsewhere after that time."""
+    def reject_idle(self, retry_after_s: float) -> None:
+        """Reject each idle connection; its client may retry at another node after `retry_after_s` seconds."""
         for channel in list(self.channels):
             channel.dismiss_idle(retry_after_s)
 
     def close(self) -> None:
-        """End the port, and each channel as soon as all that was written to it is out."""
+        """Close the port, and each channel as soon as all data written to it has been sent."""
         if self.socket is not None:
             self.socket.close()
         self.stop_accepting()
--- a/gradegap/node/committed_configuration.py
+++ b/gradegap/node/committed_configuration.py
@@ -1,7 +1,7 @@
-"""Where a node's committed configuration comes from: a member of the store, a subscription, or nowhere.
+"""The source of a node's committed configuration: a member of the store, a subscription, or none.
 
-Says whether the node may decide: without a lease, what it knows may be out of date. Either source is loaded
-only where the operator has it, for its libraries' memory.
+Tells whether the node may make decisions: without a lease, the configuration that it knows may be out of
+date. Each source is imported only if the operator's file enables it, because its libraries need memory.
 """
 
 from __future__ import annotations
@@ -28,12 +28,13 @@
     from gradegap.store.embedded import EmbeddedStore
     from gradegap.store.machine import StateMachine
 
-STALE_RETRY_AFTER_S = 0.5  # after which a client that was rejected for want of a lease may come again
-LEADERSHIP_TRANSFER_TIMEOUT_S = 0.3  # in which a leader of the store hands over before its process leaves
+STALE_RETRY_AFTER_S = 0.5  # sent to clients that are rejected because the node has no lease
+# Limits how long a member that is the leader may take to transfer leadership before it is closed.
+LEADERSHIP_TRANSFER_TIMEOUT_S = 0.3
 
 
 class CommittedConfiguration:
-    """Owns the node's member of the store, or its subscription; never both."""
+    """Owns the node's member of the store or its subscription; a node never has both."""
 
     def __init__(
         self,
@@ -50,28 +51,28 @@
         self._dynamic_configuration = dynamic_configuration
         self._metrics = metrics
         self._loop = loop
-        self._inherited_lease_until = 0.0  # monotonic time; the predecessor's lease
-        self.source: EmbeddedStore | ObservedStore | None = None  # None: not started, or left
+        self._inherited_lease_until = 0.0  # monotonic time at which the predecessor's lease expires, s
+        self.source: EmbeddedStore | ObservedStore | None = None  # None: not started, or closed
 
     @property
     def subscription(self) -> ObservedStore | None:
-        """The node's subscription, where it has one."""
+        """The subscription of the node; None if it has none."""
         return cast("ObservedStore", self.source) if self._operator.observer is not None else None
 
     def store_machine(self) -> StateMachine | None:
-        """The committed keys, where this node knows them by now."""
+        """The state machine with the committed keys; None until this node has received them."""
         return cast("StateMachine", self.source.machine) if self.source is not None else None
 
     def allows_decisions(self) -> bool:
-        """Whether decisions may be made by what is known of the store here."""
-        settings = self._operator.decides_by
+        """Whether this node may base decisions on the committed configuration that it knows."""
+        settings = self._operator.committed_source_settings
         if settings is None or settings.when_stale == "serve":
             return True
         is_fresh = self.source is not None and self.source.fresh()
         return is_fresh or time.monotonic() < self._inherited_lease_until
 
     def retry_after(self) -> float | None:
-        """None where a decision may be made now; else the s after which a client may come again."""
+        """None if a decision may be made now; otherwise the seconds after which a client may retry."""
         if not self.allows_decisions():
             return STALE_RETRY_AFTER_S
         if self.source is None or not self.source.fresh():
@@ -79,7 +80,12 @@
         return None
 
     def inherit_lease(self, remaining_s: float, disabled_endpoints: Mapping[str, float]) -> None:
-        """Decide by what the predecessor had applied, for as long as its lease holds."""
+        """Base decisions on the configuration that the predecessor had applied, until its lease expires.
+
+        Args:
+            remaining_s: Remaining time of the lease in seconds.
+            disabled_endpoints: Maps the name of each disabled endpoint to the time when it was disabled.
+        """
         self._inherited_lease_until = time.monotonic() + remaining_s
         for endpoint in list(self._proxy.disabled.keys() - disabled_endpoints.keys()):
             self._proxy.enable_endpoint(endpoint)
@@ -95,7 +101,7 @@
         """Start this node's member of the store.
 
         Raises:
-            ConfigurationError: where its folder, secret or port can't be used.
+            ConfigurationError: if its folder, secret or port can't be used.
         """
         from gradegap.store.embedded import EmbeddedStore
         from gradegap.store.errors import FolderError
@@ -121,15 +127,15 @@
         except OSError as error:
             member.close()
             raise ConfigurationError(
-                f"the store can't listen on {settings.listen}: {error.strerror}"
+                f"store.listen: can't listen on {settings.listen}: {error.strerror}"
             ) from None
         self.source = member
 
     async def start_subscription(self, settings: ObserverSettings) -> None:
-        """Subscribe, unless this node does already.
+        """Start the subscription, unless it is already active.
 
         Raises:
-            ConfigurationError: where the secret can't be read.
+            ConfigurationError: if the secret can't be read.
         """
         from gradegap.observer.observed_store import ObservedStore
 
@@ -143,15 +149,16 @@
         self.source = subscription
 
     def leave(self) -> float:
-        """Leave the store's folder and port, or the subscription, to the successor.
+        """Release the folder and port of the store's member, or the subscription, for the successor.
 
         Returns:
-            The s of the lease that remain; 0 where there is none.
+            The remaining time of the lease in seconds; 0 without a lease.
         """
         if self.source is None:
             return 0.0
         remaining_s = self.source.leave()
-        if self._operator.observer is None:  # a subscription has neither folder nor port, and is over at once
+        # A subscription has neither folder nor port, so it ends at once.
+        if self._operator.observer is None:
             self._loop.call_later(LEADERSHIP_TRANSFER_TIMEOUT_S, self._close_member)
         return remaining_s
 
@@ -161,6 +168,6 @@
             self.source = None
 
     def close(self) -> None:
-        """The node ends."""
+        """Close the member or the subscription, because the node ends."""
         if self.source is not None:
             self.source.close()
--- a/gradegap/node/configuration.py
+++ b/gradegap/node/configuration.py
@@ -1,4 +1,4 @@
-"""The node's configuration: `config.json` as the platform writes it, with the environment over it."""
+"""The node's configuration: `config.json` as the platform writes it, overridden by environment variables."""
 
 from __future__ import annotations
 
@@ -20,36 +20,37 @@
 log = structlog.get_logger()
 
 _CONFIGURATION_PATH_VARIABLE = "NODE_CONFIG"
-# By attribute of `NodeConfiguration`: the variable that goes over it.
-_VARIABLES = {
+# Maps attributes of `NodeConfiguration` to the environment variables that override them.
+_ENVIRONMENT_VARIABLES = {
     "name": "NODE_NAME",
     "listen": "NODE_LISTEN",
     "discovery": "NODE_DISCOVERY",
     "admin_listen": "NODE_CONSOLE",
 }
-# By attribute: its key in the file.
-_ADDRESSES = {"listen": "listen", "discovery": "discovery", "admin_listen": "console"}
-_FIXED = {"name": "name", "listen": "listen", "seed": "seed", "admin_listen": "console"}
-"""What lasts for the life of a process."""
-_RELOADED = ("discovery", "limits", "known_endpoints")  # what a reload changes, besides the settings
+# Map attributes of `NodeConfiguration` to their keys in the file: addresses that are checked, and settings
+# that keep their value until the process ends.
+_ADDRESS_KEYS = {"listen": "listen", "discovery": "discovery", "admin_listen": "console"}
+_PROCESS_LIFETIME_KEYS = {"name": "name", "listen": "listen", "seed": "seed", "admin_listen": "console"}
+# Attributes of `NodeConfiguration` that a reload changes, beside `settings`.
+_RELOADED_ATTRIBUTES = ("discovery", "limits", "known_endpoints")
 
 
 class ResourceLimits(msgspec.Struct):
-    """What the platform lets this process use; 0 where it says nothing."""
+    """Resources that the platform grants this process; 0 if the platform sets no limit."""
 
     cores: float = 1.0
     memory_mb: float = 0.0  # MiB
-    sockets: int = 0  # open descriptors
+    sockets: int = 0  # number of open descriptors
 
 
 class NodeConfiguration(msgspec.Struct):
-    """`config.json`, as the platform writes it."""
+    """The content of `config.json`, as the platform writes it."""
 
     name: str
     listen: str
     discovery: str
     settings: dict[str, Any]
-    admin_listen: str = msgspec.field(name="console", default="")  # where operators call; empty: no admin API
+    admin_listen: str = msgspec.field(name="console", default="")  # of the admin API; empty: none
     seed: str = "0"
     limits: ResourceLimits = msgspec.field(default_factory=ResourceLimits)
     known_endpoints: EndpointListDocument = msgspec.field(name="known", default_factory=EndpointListDocument)
@@ -59,15 +60,15 @@
 class Configuration:
     """A configuration that was read and checked."""
 
-    node: NodeConfiguration  # in force: the file's, with the environment over it
-    settings: Settings  # of the balancer, from `node.settings`
-    path: str  # the file that it was read from
-    as_written: NodeConfiguration  # the file's alone
-    keys: dict[str, Any]  # all that the file has, but for the lists of `known`
+    node: NodeConfiguration  # the values in force: the file's, overridden by the environment
+    settings: Settings  # settings of the balancer, read from `node.settings`
+    path: str  # path of the file that it was read from
+    as_written: NodeConfiguration  # the file's values, without the environment
+    keys: dict[str, Any]  # all keys of the file, without the endpoint lists in `known`
 
     @property
     def seed(self) -> int:
-        """The seed of random draws: hexadecimal in the file, or else a checksum of its text."""
+        """The seed of the random number generator: read as hexadecimal, or else the CRC-32 of the text."""
         try:
             return int(self.node.seed, 16)
         except ValueError:
@@ -75,17 +76,19 @@
 
 
 def load(path: str | None = None) -> Configuration:
-    """The configuration from `path` or else `NODE_CONFIG`, with the other `NODE_` variables over it.
+    """Load the configuration from `path`, or else from the path in the `NODE_CONFIG` variable.
+
+    The other `NODE_` variables of the environment override values of the file.
 
     Raises:
-        ConfigurationError: where it can't be read or used.
+        ConfigurationError: if the file can't be read or its values are invalid.
     """
     path = path or os.environ.get(_CONFIGURATION_PATH_VARIABLE, "")
     if not path:
-        raise ConfigurationError(f"{_CONFIGURATION_PATH_VARIABLE} names no file")
+        raise ConfigurationError(f"no configuration file: {_CONFIGURATION_PATH_VARIABLE} is empty or not set")
     node, keys = _read(path)
     as_written = msgspec.structs.replace(node)
-    for attribute, variable in _VARIABLES.items():
+    for attribute, variable in _ENVIRONMENT_VARIABLES.items():
         setattr(node, attribute, os.environ.get(variable) or getattr(node, attribute))
     _check_addresses(node)
     return Configuration(node, _read_settings(node.settings), path, as_written, keys)
@@ -99,19 +102,19 @@
     except OSError as error:
         raise ConfigurationError(f"{path} can't be read: {error.strerror}") from None
     except (msgspec.MsgspecError, RecursionError) as error:
-        raise ConfigurationError(f"{path} is no configuration: {error}") from None
+        raise ConfigurationError(f"{path} is not a valid configuration: {error}") from None
     return node, keys
 
 
 def _check_addresses(node: NodeConfiguration) -> None:
-    for attribute, key in _ADDRESSES.items():
+    for attribute, key in _ADDRESS_KEYS.items():
         address = getattr(node, attribute)
         if not address and attribute == "admin_listen":
             continue
         try:
             split_address(address)
         except ValueError:
-            raise ConfigurationError(f"{key} is no address: {address!r}") from None
+            raise ConfigurationError(f"{key} must be an address with a port, got {address!r}") from None
 
 
 def _read_settings(nested: dict[str, Any]) -> Settings:
@@ -119,30 +122,31 @@
         settings_reader.check(nested)
         return Settings(**settings_reader.read(settings_reader.flatten(nested)))
     except KeyError as error:
-        raise ConfigurationError(f"settings lack {error}") from None
+        raise ConfigurationError(f"settings: missing key {error}") from None
     except (ValueError, TypeError) as error:
-        raise ConfigurationError(f"settings can't be used: {error}") from None
+        raise ConfigurationError(f"invalid settings: {error}") from None
 
 
 def reload(old: Configuration) -> Configuration:
-    """The configuration anew, from the file that it came from.
+    """Load the configuration again from its file.
 
-    What the file has changed since it was last read is newer than the environment of the start, and goes over
-    it; the rest stays as it is in force.
+    A value that has changed in the file since the last read is newer than the environment at the start of the
+    process, and so overrides the environment; other values stay as they are in force.
 
     Raises:
-        ConfigurationError: where it can't be read or used, or lacks a key that the one in force has.
+        ConfigurationError: if the file can't be read, its values are invalid, or it lacks a key that the
+            configuration in force has.
     """
     new = load(old.path)
-    # Guards against a file that was cut between two of its keys: what it lacks would become a default.
+    # Guards against a file truncated between two keys: the missing keys would take their defaults.
     if missing := settings_reader.first_missing(old.keys, new.keys):
-        raise ConfigurationError(f"{old.path} lacks {missing}, which the one in force has")
-    for attribute in _RELOADED:
+        raise ConfigurationError(f"{old.path}: missing key {missing}, which the configuration in force has")
+    for attribute in _RELOADED_ATTRIBUTES:
         if getattr(new.as_written, attribute) != getattr(old.as_written, attribute):
             setattr(new.node, attribute, getattr(new.as_written, attribute))
         else:
             setattr(new.node, attribute, getattr(old.node, attribute))
-    for attribute, key in _FIXED.items():
+    for attribute, key in _PROCESS_LIFETIME_KEYS.items():
         if getattr(new.as_written, attribute) != getattr(old.as_written, attribute):
             log.warning("setting takes effect at the next start only", setting=key)
         setattr(new.node, attribute, getattr(old.node, attribute))
@@ -150,9 +154,17 @@
 
 
 def private_file(node: NodeConfiguration, kind: str) -> Path | None:
-    """A file of this node's in its own folder, the same whichever process serves; None without a `TMPDIR`."""
+    """Path of a private file of this node, the same for each of its processes.
+
+    Args:
+        node: Configuration of the node; its name and listening address are part of the file's name.
+        kind: Extension of the file.
+
+    Returns:
+        A path in the folder named by `TMPDIR`; None if `TMPDIR` is not set.
+    """
     folder = os.environ.get("TMPDIR")
     if not folder:
         return None
-    tag = zlib.crc32(f"{node.name} {node.listen}".encode())
-    return Path(folder) / f"gradegap-{tag:08x}.{kind}"
+    checksum = zlib.crc32(f"{node.name} {node.listen}".encode())
+    return Path(folder) / f"gradegap-{checksum:08x}.{kind}"
--- a/gradegap/node/decision_trace.py
+++ b/gradegap/node/decision_trace.py
@@ -1,9 +1,10 @@
-"""Every step of the balancer written to standard error, one line each: the event, and the actions for it.
+"""Writes each step of the balancer to standard error, one line per step: the event and the resulting actions.
 
-On with `[trace]` in the operator's file. Meant for a day that went badly and is played again with logs: the
-lines of all nodes, merged by their clocks, follow one request through every node that handled it. A step is
-`step t=CLOCK in=EVENT out=ACTION;ACTION`, in the fields of `gradegap.balancing`, with long lists cut short.
-It costs a node some tens of microseconds a step, so it is no part of ordinary service.
+The `[trace]` table of the operator's file enables the trace. It is meant for reproducing an incident with
+logging: the lines of all nodes, merged by their clocks, follow one request through every node that handled
+it. A step is written as `step t=CLOCK in=EVENT out=ACTION;ACTION`, with the fields of `gradegap.balancing`;
+long lists are truncated. The trace costs a node some tens of microseconds per step, so it is off in normal
+service.
 """
 
 from __future__ import annotations
@@ -18,17 +19,17 @@
 from gradegap.balancing.events import Event
 from gradegap.balancing.settings import Settings
 
-MAX_ITEMS = 64  # of a list that are written; the rest are counted
+MAX_ITEMS = 64  # limits how many items of a list are written; the trace gives the number of the others
 
 
 class DecisionModule(Protocol):
-    """What decides: `gradegap.balancing.balancer.Balancer`, or what stands in for it."""
+    """The interface of `gradegap.balancing.balancer.Balancer` that the proxy uses."""
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """The actions for an event at `now`, in s."""
+        """Return the actions for an event at the time `now`, in seconds."""
 
     def adopt(self, settings: Settings) -> None:
-        """Decide by other settings from now on."""
+        """Use other settings for all later decisions."""
 
 
 def _format_value(value: Any) -> str:
@@ -36,47 +37,47 @@
         return f"{value:.4g}"
     if isinstance(value, Enum):
         return value.name
-    if hasattr(value, "_fields"):  # an event, an action or an entry of a list
+    if hasattr(value, "_fields"):  # an event, an action or an endpoint list entry
         return _format_fields(value)
     if isinstance(value, tuple):
-        more = f",+{len(value) - MAX_ITEMS}" if len(value) > MAX_ITEMS else ""
-        return "(" + ",".join(map(_format_value, value[:MAX_ITEMS])) + more + ")"
+        omitted = f",+{len(value) - MAX_ITEMS}" if len(value) > MAX_ITEMS else ""
+        return "(" + ",".join(map(_format_value, value[:MAX_ITEMS])) + omitted + ")"
     return str(value)
 
 
 def _format_fields(item: Any) -> str:
-    """One event or action: its kind and the fields that differ from their defaults."""
-    kind = type(item)
-    defaults = getattr(kind, "_field_defaults", {})
-    parts = []
+    """Format an event or action as its type and the fields that differ from their defaults."""
+    item_type = type(item)
+    defaults = getattr(item_type, "_field_defaults", {})
+    fields = []
     for name in item._fields:
         value = getattr(item, name)
         if name in defaults and value == defaults[name]:
             continue
-        parts.append(f"{name}={_format_value(value)}")
-    return f"{kind.__name__}[{' '.join(parts)}]"
+        fields.append(f"{name}={_format_value(value)}")
+    return f"{item_type.__name__}[{' '.join(fields)}]"
 
 
 class DecisionTrace:
-    """Stands in for a balancer, and writes out each of its steps; the proxy knows no difference."""
+    """Wraps a balancer behind the same interface, and writes each of its steps."""
 
     def __init__(self, balancer: DecisionModule, out: IO[str] | None = None) -> None:
-        """Write to `out`, or else to standard error."""
+        """Write the trace to `out`, by default to standard error."""
         self._balancer = balancer
         self._out = out or sys.stderr
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Have the balancer decide, and write one line."""
+        """Let the balancer handle an event, and write the step as one line."""
         actions = self._balancer.handle(now, event)
         formatted = ";".join(_format_fields(action) for action in actions)
         self._out.write(f"step t={now:.4f} in={_format_fields(event)} out={formatted}\n")
         return actions
 
     def adopt(self, settings: Settings) -> None:
-        """Have the balancer decide by other settings, and write these."""
+        """Pass other settings to the balancer, and write them."""
         self._balancer.adopt(settings)
         self.write_settings(settings)
 
     def write_settings(self, settings: Settings) -> None:
-        """The settings decided by, once at the start and at every change, as JSON."""
+        """Write the settings in force as JSON: called once at the start, and at every change."""
         self._out.write(f"settings {msgspec.json.encode(settings).decode()}\n")
--- a/gradegap/node/deferred_start.py
+++ b/gradegap/node/deferred_start.py
@@ -1,4 +1,4 @@
-"""Parts that need a port or folder that the predecessor may still hold."""
+"""Starts parts of a node that need a port or folder which the predecessor may still use."""
 
 from __future__ import annotations
 
@@ -12,41 +12,48 @@
 
 log = structlog.get_logger()
 
-RETRY_INTERVAL_S = 0.1  # between two attempts at what the predecessor still holds
+# Time between two attempts to start a part whose port or folder the predecessor still uses.
+RETRY_INTERVAL_S = 0.1
 
 
 class DeferredStart:
-    """Starts parts at once, or as soon as the predecessor has left. Owns the tasks that wait for that."""
+    """Starts parts at once, or as soon as the predecessor has released their port or folder.
+
+    Owns the tasks that retry.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         metrics: Metrics,
-        is_leaving: Callable[[], bool],
+        is_shutting_down: Callable[[], bool],
         has_predecessor: Callable[[], bool],
     ) -> None:
         self._loop = loop
         self._metrics = metrics
-        self._is_leaving = is_leaving
+        self._is_shutting_down = is_shutting_down
         self._has_predecessor = has_predecessor
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self, start_part: Callable[[], Awaitable[None]], following: bool) -> None:
-        """Start a part; where that fails and this process follows another, try again until that one has left.
+        """Start a part; if that fails and this process follows a predecessor, retry in the background.
+
+        Retries end when the part has started, when this process shuts down, or with the first failed attempt
+        that began after the predecessor's end.
 
         Raises:
-            ConfigurationError: where it fails and there is nobody to wait for.
+            ConfigurationError: if the start fails and this process does not follow a predecessor.
         """
         try:
             await start_part()
         except ConfigurationError as error:
             if not following:
                 raise
-            log.info("start waits for predecessor", error=str(error))
+            log.info("part start deferred until predecessor ends", error=str(error))
             self._tasks.append(self._loop.create_task(self._retry(start_part)))
 
     async def _retry(self, start_part: Callable[[], Awaitable[None]]) -> None:
-        while not self._is_leaving():
+        while not self._is_shutting_down():
             is_last = not self._has_predecessor()
             await asyncio.sleep(RETRY_INTERVAL_S)
             try:
@@ -54,7 +61,7 @@
             except ConfigurationError as error:
                 if is_last:
                     self._metrics.count("ports_not_free")
-                    log.error("part not started", error=str(error))
+                    log.error("part start failed", error=str(error))
                     return
             else:
                 return
--- a/gradegap/node/lifecycle.py
+++ b/gradegap/node/lifecycle.py
@@ -1,4 +1,4 @@
-"""The states of a node's process, and who may change them."""
+"""The lifecycle states of a node's process, and the transitions between them."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class LifecycleState(Enum):
-    """What a node's process is doing."""
+    """The state of a node's process."""
 
-    STARTING = "starting"  # it has no endpoint list in force yet, and asks clients to go elsewhere
+    STARTING = "starting"  # no endpoint list is in force yet; clients are asked to use another node
     READY = "ready"
-    LEAVING = "leaving"  # after SIGTERM: what it holds is ended in order
+    SHUTTING_DOWN = "leaving"  # after SIGTERM, until all requests are answered and all connections migrated
     ENDED = "ended"
 
 
 class Lifecycle:
-    """STARTING -> READY (`become_ready`) -> LEAVING (`begin_leaving`) -> ENDED (`end`).
+    """STARTING -> READY (`become_ready`) -> SHUTTING_DOWN (`begin_shutdown`) -> ENDED (`end`).
 
-    A process may leave before it was ready, and never comes back from leaving.
+    A process may shut down before it was ready. A shutdown is never cancelled.
     """
 
     def __init__(self) -> None:
@@ -25,24 +25,24 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the node takes clients, as far as its own start and end are concerned."""
+        """Whether the process has started and is not shutting down, so that the node can accept clients."""
         return self.state is LifecycleState.READY
 
     @property
-    def is_leaving(self) -> bool:
-        """Whether the process is shutting down, or has."""
-        return self.state in (LifecycleState.LEAVING, LifecycleState.ENDED)
+    def is_shutting_down(self) -> bool:
+        """Whether the process is shutting down, or has ended."""
+        return self.state in (LifecycleState.SHUTTING_DOWN, LifecycleState.ENDED)
 
     def become_ready(self) -> None:
-        """An endpoint list is in force."""
+        """Enter READY, because an endpoint list is in force; no effect after the start."""
         if self.state is LifecycleState.STARTING:
             self.state = LifecycleState.READY
 
-    def begin_leaving(self) -> None:
-        """The process was asked to stop."""
-        if not self.is_leaving:
-            self.state = LifecycleState.LEAVING
+    def begin_shutdown(self) -> None:
+        """Enter SHUTTING_DOWN, because the process was asked to stop."""
+        if not self.is_shutting_down:
+            self.state = LifecycleState.SHUTTING_DOWN
 
     def end(self) -> None:
-        """Nothing is left to do."""
+        """Enter ENDED, because no work is left."""
         self.state = LifecycleState.ENDED
--- a/gradegap/node/node.py
+++ b/gradegap/node/node.py
@@ -1,4 +1,4 @@
-"""A node, assembled: what `gradegap serve` runs, and what another program may embed."""
+"""Assembles a node: `gradegap serve` runs it, and other programs can embed it."""
 
 from __future__ import annotations
 
@@ -39,13 +39,14 @@
 
 log = structlog.get_logger()
 
-READY_WITHOUT_DISCOVERY_S = 1.0  # after which a node with the configuration's endpoint list serves by that
+# Time after which a node becomes ready with the endpoint list of its configuration, if discovery sends none.
+READY_WITHOUT_DISCOVERY_S = 1.0
 
 
 class Node:
-    """One node: a proxy, its clients' and its endpoints' side, and what the operator added, on one loop.
+    """One node on one event loop: a proxy, its connections to clients and endpoints, and its optional parts.
 
-    `start` serves, `stop` shuts down gracefully, and `done` is set once that is over.
+    `start` begins to serve, `stop` shuts down gracefully, and `done` is set when the shutdown is complete.
     """
 
     def __init__(
@@ -54,10 +55,10 @@
         loop: asyncio.AbstractEventLoop,
         operator: OperatorSettings | None = None,
     ) -> None:
-        """Assemble the parts; nothing listens yet.
+        """Assemble the parts; no port is opened yet.
 
         Raises:
-            ConfigurationError: where a file that the operator's file names can't be used.
+            ConfigurationError: if a file that the operator's file names can't be used.
         """
         self.configuration = configuration
         self.operator = operator or OperatorSettings()
@@ -73,7 +74,7 @@
         self.metrics.gauge("reqs", lambda: len(self.proxy.requests))
 
     def _assemble_proxy(self, configuration: Configuration) -> None:
-        """The decisions, the endpoints' side, and discovery."""
+        """Create the proxy with its balancer, the connections to endpoints, and discovery."""
         descriptor_limit = raise_descriptor_limit(configuration.node.limits.sockets)
         self.descriptors = DescriptorBudget(descriptor_limit, self.metrics)
         self.upstream = TcpUpstream(self.loop, configuration.settings.connect_timeout, self.descriptors)
@@ -87,7 +88,7 @@
         )
 
     def _assemble_configuration_sources(self, configuration: Configuration) -> None:
-        """What changes while the node runs: committed configuration, and endpoints that operators disable."""
+        """Create the sources of changes at run time: committed configuration and disabled endpoints."""
         self.dynamic_configuration = DynamicConfiguration(self.metrics)
         self.committed = CommittedConfiguration(
             self.operator,
@@ -102,7 +103,7 @@
         )
 
     def _assemble_optional_parts(self, configuration: Configuration) -> None:
-        """What the operator's file adds, in the order in which each wraps the balancer."""
+        """Create the parts that the operator's file enables, in the order in which they wrap the balancer."""
         self.resuming = create_resuming(
             self.operator, configuration.node.name, self.metrics, self.loop, lambda: self.committed.source
         )
@@ -111,11 +112,11 @@
         )
         trace_decisions(self.operator, self.proxy, configuration.settings)
         self.proxy.on_disabled_changed(lambda: self._disabled_file.write(self.proxy.disabled))
-        if self.operator.decides_by is not None:
+        if self.operator.committed_source_settings is not None:
             self.proxy.set_admission_gate(self.committed.retry_after)
 
     def _assemble_service(self, configuration: Configuration) -> None:
-        """The clients' side, operators' side, and the processes before and after this one."""
+        """Create the listeners for clients, the operators' operations, and the hot restart."""
         self.listener = ClientListener(self.loop, self._create_channel)
         self.quic = QuicPart(
             configuration.node.name,
@@ -136,17 +137,17 @@
             self.committed,
             self.quic,
             self.resuming,
-            self._serve_again,
+            self._restore_service,
         )
         self.hot_restart = HotRestart(host, private_file(configuration.node, "sock"))
         self.operations = NodeOperations(
             self.proxy, self.metrics, self.lifecycle, self.committed, self.hot_restart
         )
         self._admin_api: AdminApi | None = None
-        self._deferred = DeferredStart(
+        self._deferred_start = DeferredStart(
             self.loop,
             self.metrics,
-            is_leaving=lambda: self.lifecycle.is_leaving,
+            is_shutting_down=lambda: self.lifecycle.is_shutting_down,
             has_predecessor=lambda: self.hot_restart.is_connected,
         )
         self._reload = ConfigurationReload(
@@ -167,17 +168,17 @@
         channel.session.resumption = self.resuming
         return channel
 
-    # The start
+    # Start
 
     async def start(self) -> None:
-        """Follow the process that serves, if there is one, and accept clients.
+        """Take over the state of the serving process, if one is running, and accept clients.
 
         Raises:
-            ConfigurationError: where a port or folder can't be used.
+            ConfigurationError: if a port or folder can't be used.
         """
         node = self.configuration.node
         if self.recording is not None:
-            self.recording.set(self.recording.settings.on)  # before the balancer gets its first event
+            self.recording.set(self.recording.settings.on)  # before the balancer's first event
         self.dynamic_configuration.register("log_level", "info", set_log_level)
         self.discovery.on_first_list = self.lifecycle.become_ready
         following = await self.hot_restart.follow()
@@ -191,13 +192,13 @@
             await self._start_admin_api(node.admin_listen)
         await self.listener.accept()
         if following:
-            self.lifecycle.become_ready()  # the predecessor's endpoint list is the one in force
+            self.lifecycle.become_ready()  # the predecessor's endpoint list is in force
         self.hot_restart.begin_serving()
-        await self._start_added_parts(following)
+        await self._start_optional_parts(following)
         log.info("listening", part="clients", address=node.listen, name=node.name, following=following)
 
     def _use_known_endpoints(self, configuration: Configuration) -> None:
-        """Serve by the configuration's endpoint list until discovery has one."""
+        """Use the configuration's endpoint list until discovery has sent one."""
         known = configuration.node.known_endpoints
         entries = known.read_entries({}, self.metrics)
         self.proxy.update_endpoints(EndpointListKind.CACHED, entries)
@@ -213,42 +214,42 @@
         try:
             await self._admin_api.start(*split_address(address))
         except OSError as error:
-            raise ConfigurationError(f"the admin API can't listen on {address}: {error.strerror}") from None
+            raise ConfigurationError(f"console: can't listen on {address}: {error.strerror}") from None
         log.info("listening", part="admin", address=address)
 
-    async def _start_added_parts(self, following: bool) -> None:
+    async def _start_optional_parts(self, following: bool) -> None:
         quic = self.operator.quic
         if quic is not None:
-            await self._deferred.start(lambda: self.quic.start(quic), following)
+            await self._deferred_start.start(lambda: self.quic.start(quic), following)
         await self._start_committed(following)
 
     async def _start_committed(self, following: bool) -> None:
         store, observer = self.operator.store, self.operator.observer
         if store is not None:
-            await self._deferred.start(
+            await self._deferred_start.start(
                 lambda: self.committed.start_member(store, self.describe, lambda: self.discovery.has_list),
                 following,
             )
         if observer is not None:
             await self.committed.start_subscription(observer)
 
-    async def _serve_again(self) -> None:
-        """The successor has died: accept clients, and start what it had taken over."""
+    async def _restore_service(self) -> None:
+        """Accept clients again, and start the parts that the successor, which has died, had taken over."""
         await self.listener.accept()
         await self.quic.resume()
         if self.committed.source is None or self.operator.observer is not None:
             await self._start_committed(following=True)
 
-    # While it serves
+    # Service
 
     def accepts_clients(self) -> bool:
-        """Whether new clients are to come here, as PING is answered."""
+        """Whether this node accepts new clients; the answer to PING says so."""
         in_service = self.lifecycle.is_ready and self.proxy.drain_deadline is None
         return in_service and self.committed.allows_decisions()
 
     def describe(self) -> dict[str, object]:
-        """What this node is doing, for its siblings and its operator; never load or choices."""
-        if self.lifecycle.is_leaving:
+        """Describe this node to other members and to operators; load and decisions are not included."""
+        if self.lifecycle.is_shutting_down:
             state = "leaving"
         elif self.proxy.drain_deadline is not None:
             state = "out of service"
@@ -262,26 +263,26 @@
         }
 
     def reload(self) -> None:
-        """Read the configuration again and apply it; a bad one changes nothing."""
+        """Read the configuration again and apply it; an invalid one has no effect."""
         self.configuration = self._reload.run(self.configuration)
 
     def toggle_recording(self) -> None:
-        """Record where the node did not, and the other way about."""
+        """Start the recording if it is off, or stop it if it is on."""
         if self.recording is not None:
             self.recording.set(not self.recording.on)
 
     def print_counters(self) -> None:
-        """Log all metrics."""
+        """Log the values of all metrics."""
         log.info("counters", **self.metrics.snapshot())
 
-    # The end
+    # Shutdown
 
     def stop(self) -> None:
-        """Shut down gracefully; `done` is set at the end of it."""
+        """Start a graceful shutdown; `done` is set when it is complete."""
         self._shutdown.begin()
 
     def close(self) -> None:
-        """End at once, whatever is left, and set `done`."""
+        """End at once, even with requests and connections left, and set `done`."""
         self.lifecycle.end()
         self.hot_restart.close()
         if self._admin_api is not None:
--- a/gradegap/node/operator_file.py
+++ b/gradegap/node/operator_file.py
@@ -1,6 +1,7 @@
-"""The operator's file: what a node has beyond the platform's configuration. All of it is off by default.
+"""The operator's file: it enables optional parts of a node, all of which are off by default.
 
-Each package defines and checks its own table; here they are put together.
+The platform's configuration is a separate file. Each package defines and checks its own table of the
+operator's file; this module combines them.
 """
 
 from __future__ import annotations
@@ -20,13 +21,13 @@
 
 
 class TraceSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """The `[trace]` table: every step of the balancer, one line each on standard error."""
+    """The `[trace]` table: writes each step of the balancer to standard error."""
 
     decisions: bool = True
 
 
 class OperatorSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """The operator's file: one table for each optional part of a node; None where a node does without."""
+    """The operator's file: one table for each optional part of a node; None disables the part."""
 
     quic: QuicSettings | None = None
     store: StoreSettings | None = None
@@ -37,15 +38,15 @@
     observer: ObserverSettings | None = None
 
     @property
-    def decides_by(self) -> StoreSettings | ObserverSettings | None:
-        """Where committed configuration comes from; None: this node knows of none."""
+    def committed_source_settings(self) -> StoreSettings | ObserverSettings | None:
+        """Settings of the source of committed configuration; None if this node has no source."""
         return self.store if self.store is not None else self.observer
 
     def check(self) -> None:
-        """What single keys don't show.
+        """Check the conditions that the types of single keys don't express.
 
         Raises:
-            OperatorFileError: for the first setting that can't be used.
+            OperatorFileError: for the first invalid setting.
         """
         if self.store is not None:
             self.store.check()
@@ -53,7 +54,7 @@
             if self.store is not None:
                 raise OperatorFileError(
                     "[observer] and [store] exclude each other: "
-                    "a node subscribes, or is a member; leave one out"
+                    "a node is either a subscriber or a member; remove one of the tables"
                 )
             self.observer.check()
         if self.dnssd is not None:
@@ -68,10 +69,10 @@
 
 
 def load_operator(path: str | None) -> OperatorSettings:
-    """The settings of an operator's file; those of an empty one where no file is named.
+    """Load an operator's file; without a path, all optional parts are off.
 
     Raises:
-        OperatorFileError: where it can't be read or used.
+        OperatorFileError: if the file can't be read or its settings are invalid.
     """
     if not path:
         return OperatorSettings()
@@ -82,6 +83,6 @@
     except OperatorFileError as error:
         raise OperatorFileError(f"{path}: {error}") from None
     except (msgspec.MsgspecError, ValueError) as error:
-        raise OperatorFileError(f"{path} is no operator's file: {error}") from None
+        raise OperatorFileError(f"{path} is not a valid operator's file: {error}") from None
     settings.check()
     return settings
--- a/gradegap/node/optional_parts.py
+++ b/gradegap/node/optional_parts.py
@@ -1,4 +1,4 @@
-"""Parts that a node has where the operator's file says so; each is loaded only then, for its memory."""
+"""Creates the parts that the operator's file enables; each is imported only if enabled, to save memory."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 def create_discovery(
     settings: DnsSdSettings | None, address: str, proxy: Proxy, dialer: Dialer, metrics: Metrics
 ) -> HttpDiscovery | DnsSdDiscovery:
-    """The discovery client: DNS-SD where the operator has it so, or else HTTP at `address`."""
+    """Create the discovery client: DNS-SD if the operator's file has `[dnssd]`, or else HTTP at `address`."""
     if settings is None:
         return HttpDiscovery(proxy, dialer, address, metrics)
     from gradegap.discovery.dns_sd_discovery import DnsSdDiscovery
@@ -43,10 +43,10 @@
     dynamic_configuration: DynamicConfiguration,
     metrics: Metrics,
 ) -> RecordingSwitch | None:
-    """What records the balancer's steps, switched off as yet.
+    """Create the switch for recordings of the balancer's steps, initially off; None without `[capture]`.
 
     Raises:
-        ConfigurationError: where the key by which ids are hidden can't be read.
+        ConfigurationError: if the key file for hashing ids can't be read.
     """
     if settings is None:
         return None
@@ -70,21 +70,24 @@
     loop: asyncio.AbstractEventLoop,
     committed_source: Callable[[], Any],
 ) -> SessionResumption | None:
-    """What makes sessions resumable; `committed_source` is the store or subscription, where it is there."""
+    """Create the part that makes sessions resumable; None without `[resume]`.
+
+    `committed_source` returns the node's store or subscription, or None before it has started.
+    """
     if operator.resume is None:
         return None
     from gradegap.resume.resumption import Resumer
 
-    source = committed_source if operator.decides_by is not None else None
+    source = committed_source if operator.committed_source_settings is not None else None
     return Resumer(node_name, operator.resume, metrics, loop, source)
 
 
 def trace_decisions(operator: OperatorSettings, proxy: Proxy, settings: Settings) -> None:
-    """Write each step of the balancer to standard error, where the operator has it so."""
+    """Write each step of the balancer to standard error, if the operator's file enables it."""
     if operator.trace is None or not operator.trace.decisions:
         return
     from gradegap.node.decision_trace import DecisionTrace
 
     trace = DecisionTrace(proxy.balancer)
     trace.write_settings(settings)
-    proxy.balancer = cast(Any, trace)  # the proxy knows no difference
+    proxy.balancer = cast(Any, trace)  # has the interface that the proxy uses
--- a/gradegap/node/process.py
+++ b/gradegap/node/process.py
@@ -1,7 +1,7 @@
-"""A node's life as a process: what `gradegap serve` runs, and the signals that it obeys.
+"""Runs a node as a process, for `gradegap serve`, and handles its signals.
 
-SIGTERM ends it gracefully, SIGHUP has it read its configuration again, SIGUSR1 prints its counters, SIGUSR2
-turns its recording on or off.
+SIGTERM shuts the node down gracefully, SIGHUP reloads its configuration, SIGUSR1 logs its counters, and
+SIGUSR2 turns its recording on or off.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 
 
 def block_signals() -> None:
-    """Hold signals back until `run` takes them, or until the process has ended by itself.
+    """Block the signals in `SIGNALS` until `run` handles them, and again from its end to that of the process.
 
-    Guards against a SIGHUP or SIGTERM that ends the process because its handler is not there yet, or is there
-    no more.
+    Guards against a SIGHUP or SIGTERM that kills the process because the handler is not installed yet, or is
+    already removed.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
 
@@ -41,7 +41,8 @@
     loop.add_signal_handler(signal.SIGUSR2, node.toggle_recording)
     try:
         await node.start()
-        # Only now: the loop's worker threads have begun with both held, and so never take them.
+        # Unblocked only here: the loop's worker threads have started with the signals blocked, and so a
+        # signal is never delivered to them.
         signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
         await node.done
     finally:
@@ -50,10 +51,10 @@
 
 
 def run(configuration: Configuration, operator: OperatorSettings | None = None) -> None:
-    """Serve as one node until a signal ends it.
+    """Run one node until a signal ends it.
 
     Raises:
-        ConfigurationError: where the node can't start with this configuration.
+        ConfigurationError: if the node can't start with this configuration.
     """
     import uvloop
 
@@ -61,7 +62,7 @@
 
 
 def configure_logging() -> None:
-    """Log to standard error, one line in logfmt for each event."""
+    """Write log events to standard error, one line in logfmt per event."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -73,29 +74,29 @@
     )
 
 
-def _exit_for(error: ConfigurationError) -> SystemExit:
-    """One plain line, and an exit that is not zero."""
+def _report_and_exit(error: ConfigurationError) -> SystemExit:
+    """Write the error as one line to standard error, and return the exception for the exit status."""
     sys.stderr.write(f"gradegap: {' '.join(str(error).split())}\n")
     return SystemExit(EXIT_CONFIGURATION_ERROR)
 
 
 def load_all(configuration: str | None, operator: str | None) -> tuple[Configuration, OperatorSettings]:
-    """Read both files by their paths, or else by `NODE_CONFIG` and `GRADEGAP_OPERATOR`.
+    """Load both files from the given paths, or else from the paths in `NODE_CONFIG` and `GRADEGAP_OPERATOR`.
 
     Raises:
-        SystemExit: with one line on standard error, where one of them can't be used.
+        SystemExit: if a file is invalid; one line on standard error gives the reason.
     """
     try:
         return load(configuration), load_operator(operator or os.environ.get("GRADEGAP_OPERATOR"))
     except ConfigurationError as error:
-        raise _exit_for(error) from None
+        raise _report_and_exit(error) from None
 
 
 def serve(configuration: str | None = None, operator: str | None = None) -> None:
-    """Run one node until SIGTERM; SIGHUP has it read its configuration again.
+    """Run one node until SIGTERM; SIGHUP reloads its configuration.
 
     Raises:
-        SystemExit: with one line on standard error, where it can't start.
+        SystemExit: if the node can't start; one line on standard error gives the reason.
     """
     block_signals()
     configure_logging()
@@ -103,4 +104,4 @@
     try:
         run(loaded, settings)
     except ConfigurationError as error:
-        raise _exit_for(error) from None
+        raise _report_and_exit(error) from None
--- a/gradegap/node/quic_part.py
+++ b/gradegap/node/quic_part.py
@@ -1,4 +1,4 @@
-"""A node's QUIC listener, where the operator has one; loaded only then, for its libraries' memory."""
+"""The QUIC listener of a node with `[quic]`; imported only then, because its libraries need memory."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class QuicPart:
-    """Owns the listener, from its start on; before that, and without `[quic]`, it does nothing."""
+    """Owns the QUIC listener; before `start`, and on a node without `[quic]`, its methods have no effect."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         accepts_clients: Callable[[], bool],
         store_machine: Callable[[], StateMachine | None],
     ) -> None:
-        """`store_machine` gives the store's keys, where this node knows them by now."""
+        """`store_machine` returns the state machine of the committed keys; None until this node has them."""
         self._node_name = node_name
         self._proxy = proxy
         self._metrics = metrics
@@ -54,7 +54,7 @@
         """Listen, unless the predecessor's port was taken over.
 
         Raises:
-            ConfigurationError: where it can't start.
+            ConfigurationError: if the listener can't start.
         """
         try:
             if self._listener is None:
@@ -63,7 +63,7 @@
                 return
             await self._listener.listen(*split_address(settings.listen))
         except (OSError, ValueError) as error:
-            raise ConfigurationError(f"the QUIC front can't start: {error}") from None
+            raise ConfigurationError(f"QUIC listener can't start on {settings.listen}: {error}") from None
         log.info("listening", part="quic", address=settings.listen)
 
     def _create_listener(self, settings: QuicSettings) -> QuicListener:
@@ -80,53 +80,53 @@
         return listener
 
     async def resume(self) -> None:
-        """Serve again: the successor has died."""
+        """Serve again, because the successor has died."""
         if self._listener is not None:
             await self._listener.serve_again()
 
     def release_port(self) -> ReleasedQuicPort | None:
-        """Give the port to the successor; None where there is none."""
+        """Release the port for the successor; None if this process has no QUIC port."""
         if self._listener is None or self._listener.sock is None:
             return None
         transfer, descriptors = self._listener.release_port()
         return ReleasedQuicPort(msgspec.msgpack.encode(transfer), descriptors)
 
     def adopt_port(self, state: bytes, descriptors: list[int]) -> None:
-        """Take the predecessor's port; owns the descriptors."""
+        """Take over the predecessor's port; this method owns the descriptors."""
         from gradegap.quic.listener import PortTransfer
 
         try:
             transfer = msgspec.msgpack.decode(state, type=PortTransfer)
             transfer.ring.check()
         except ValueError as error:
-            self._refuse_port(str(error), descriptors)
+            self._reject_port(str(error), descriptors)
             return
         if self._listener is None:
-            self._refuse_port("this process has no QUIC front", descriptors)
+            self._reject_port("this process has no QUIC listener", descriptors)
             return
         takeover = self._listener.take_over_port(transfer, descriptors)
         self._takeovers.append(self._proxy.loop.create_task(takeover))
 
-    def _refuse_port(self, error: str, descriptors: list[int]) -> None:
+    def _reject_port(self, error: str, descriptors: list[int]) -> None:
         self._metrics.count("quic_ports_refused")
-        log.error("QUIC port not taken over", error=error)
+        log.error("QUIC port takeover failed", error=error)
         close_descriptors(descriptors)
 
-    def keep_port(self) -> None:
-        """The other process has ended, and with it what it held."""
+    def forget_other_process(self) -> None:
+        """Drop the forwarding to the other process, which has ended with all of its sessions."""
         if self._listener is not None:
             self._listener.drop_predecessors()
 
     def reload(self) -> None:
-        """Read the certificate again."""
+        """Read the certificate again from its file."""
         if self._listener is not None:
             self._listener.reload()
 
     def is_answering(self) -> bool:
-        """Whether an answer is still on its way to a client."""
+        """Whether the listener is still sending an answer to a client."""
         return self._listener is not None and self._listener.is_answering()
 
     def close(self) -> None:
-        """End all sessions, and the port."""
+        """Close all sessions and the port."""
         if self._listener is not None:
             self._listener.close()
--- a/gradegap/node/reload.py
+++ b/gradegap/node/reload.py
@@ -1,4 +1,4 @@
-"""What a changed configuration has a running node do."""
+"""Applies a changed configuration to a running node."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class ConfigurationReload:
-    """Applies a changed configuration to the parts that it concerns."""
+    """Reads the configuration again, and applies its changes to the parts that they concern."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         metrics: Metrics,
         use_known_endpoints: Callable[[Configuration], None],
     ) -> None:
-        """`use_known_endpoints` serves by a configuration's endpoint list until discovery has one."""
+        """`use_known_endpoints` applies a configuration's endpoint list until discovery has sent one."""
         self._proxy = proxy
         self._upstream = upstream
         self._discovery = discovery
@@ -45,12 +45,12 @@
         self._use_known_endpoints = use_known_endpoints
 
     def run(self, current: Configuration) -> Configuration:
-        """Read the configuration again and apply it, whatever else goes on; a bad one changes nothing.
+        """Read the configuration again and apply it, in any state of the node; an invalid one has no effect.
 
-        QUIC's certificate is read again, too, whatever becomes of the rest.
+        The QUIC certificate is read again as well, even if the configuration is invalid.
 
         Returns:
-            The configuration in force from here on.
+            The configuration that is in force after the reload.
         """
         self._quic.reload()
         try:
--- a/gradegap/node/restart_host.py
+++ b/gradegap/node/restart_host.py
@@ -1,4 +1,4 @@
-"""A node, as a hot restart sees it."""
+"""The interface that a node provides to the hot restart."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class RestartHost:
-    """The `Host` of a node's hot restart: passes each call on to the part that it concerns."""
+    """Implements the `Host` of a hot restart by calling the part of the node that is concerned."""
 
     def __init__(
         self,
@@ -35,9 +35,9 @@
         committed: CommittedConfiguration,
         quic: QuicPart,
         resuming: SessionResumption | None,
-        serve_again: Callable[[], Coroutine[Any, Any, None]],
+        restore_service: Callable[[], Coroutine[Any, Any, None]],
     ) -> None:
-        """`serve_again` starts what a successor that died had taken over."""
+        """`restore_service` accepts clients again, and starts the parts that a dead successor had."""
         self.loop = proxy.loop
         self.proxy = proxy
         self.upstream = upstream
@@ -48,12 +48,12 @@
         self._listener = listener
         self._committed = committed
         self._quic = quic
-        self._serve_again = serve_again
-        self._serving_again: asyncio.Task[None] | None = None
+        self._restore_service = restore_service
+        self._restore_task: asyncio.Task[None] | None = None
 
     @property
     def listening_socket(self) -> socket.socket | None:
-        """The clients' listening socket."""
+        """The listening socket for clients."""
         return self._listener.socket
 
     @listening_socket.setter
@@ -62,46 +62,46 @@
 
     @property
     def channels(self) -> set[TcpChannel]:
-        """The clients' TCP connections."""
+        """The TCP connections of clients."""
         return self._listener.channels
 
     @property
-    def is_leaving(self) -> bool:
+    def is_shutting_down(self) -> bool:
         """Whether this process is shutting down."""
-        return self._lifecycle.is_leaving
+        return self._lifecycle.is_shutting_down
 
     def create_channel(self) -> TcpChannel:
-        """A channel for a client's connection that is still to be made."""
+        """Create a channel for a client whose connection is not attached yet."""
         return self._listener.create_channel()
 
     def stop_accepting(self) -> None:
-        """Accept no more clients."""
+        """Stop accepting clients."""
         self._listener.stop_accepting()
 
     def resume_service(self) -> None:
-        """Accept clients again, and start what the successor had taken over."""
-        self._serving_again = self.loop.create_task(self._serve_again())
+        """Accept clients again, and start the parts that the successor had taken over."""
+        self._restore_task = self.loop.create_task(self._restore_service())
 
     def apply_admin_operation(self, operation: str, endpoint: str) -> None:
-        """Carry out a call at the other process's admin API."""
+        """Apply an operation that was requested by the admin API of the other process."""
         apply_operation(self.proxy, operation, endpoint)
 
     def leave_store(self) -> float:
-        """Leave the store or the subscription to the successor."""
+        """Release the store or the subscription; return the remaining time of the lease in seconds."""
         return self._committed.leave()
 
     def inherit_store_lease(self, remaining_s: float, disabled_endpoints: Mapping[str, float]) -> None:
-        """Decide by what the predecessor had applied."""
+        """Base decisions on the configuration that the predecessor had applied."""
         self._committed.inherit_lease(remaining_s, disabled_endpoints)
 
     def release_quic_port(self) -> ReleasedQuicPort | None:
-        """Give the QUIC port to the successor."""
+        """Release the QUIC port for the successor; None if this process has none."""
         return self._quic.release_port()
 
     def adopt_quic_port(self, state: bytes, descriptors: list[int]) -> None:
-        """Take the predecessor's QUIC port."""
+        """Take over the predecessor's QUIC port; owns the descriptors."""
         self._quic.adopt_port(state, descriptors)
 
-    def keep_quic_port(self) -> None:
-        """The other process has ended."""
-        self._quic.keep_port()
+    def forget_quic_predecessor(self) -> None:
+        """Drop the QUIC forwarding to the other process, which has ended."""
+        self._quic.forget_other_process()
--- a/gradegap/node/subscriptions.py
+++ b/gradegap/node/subscriptions.py
@@ -1,4 +1,4 @@
-"""The server of subscriptions that a member of the store is given where it publishes."""
+"""Selects the subscription server of a store member, which needs one only if it has `store.publish`."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 def subscription_server_factory(settings: StoreSettings) -> SubscriptionServerFactory | None:
-    """What makes the server; none for a member without `publish`."""
+    """Return the factory of the subscription server; None for a member without `publish`."""
     if not settings.publish:
         return None
-    # Loaded here: a member that serves no subscriptions does without the memory of these modules.
+    # Imported here, so that a member that serves no subscriptions does not need the memory of these modules.
     from gradegap.observer.server import PublisherServer
 
     return PublisherServer
--- a/tests/test_capture_index.py
+++ b/tests/test_capture_index.py
@@ -31,7 +31,7 @@
     workload_recording,
 )
 from tests.test_admin_api import call, served
-from tests.test_hot_restart import ready, second
+from tests.test_hot_restart import is_admin_ready, running_successor
 
 NUMBERS = st.integers(-(2**63), 2**63)
 FILE = index.sealed(workload_recording(31, 1200, 6))
@@ -234,8 +234,8 @@
         standing = [w.client() for _ in range(6)]
         for c in standing:
             assert c.open_request().startswith("UP")
-        with second(w, operator=after) as (n, new):
-            wait_for(lambda: ready(new))
+        with running_successor(w, operator=after) as (n, new):
+            wait_for(lambda: is_admin_ready(new))
             wait_for(lambda: int(n.counters().get("established_sessions_adopted", "0")) >= 6)
             w.process.terminate()
             assert w.process.wait(5) == 0
--- a/tests/test_observer_settings.py
+++ b/tests/test_observer_settings.py
@@ -28,14 +28,17 @@
 @pytest.mark.parametrize(
     ("text", "said"),
     [
-        (MEMBER + 'publish = "10.0.0.1:7500"\n', "store.publish is no loopback address"),
+        (MEMBER + 'publish = "10.0.0.1:7500"\n', "store.publish must be a loopback address with a port"),
         (MEMBER + 'publish = "127.0.0.1:7400"\n', "store.publish must have a port of its own"),
         (MEMBER + OBSERVER, "[observer] and [store] exclude each other"),
         ("[observer]\nmachines = []\n", "$.observer.machines"),
         (OBSERVER + "bytes_per_s = 10\n", "$.observer.bytes_per_s"),
         (OBSERVER + 'when_stale = "hope"\n', "$.observer.when_stale"),
-        (OBSERVER.replace("127.0.0.1", "10.0.0.1"), "observer.machines: the address of c1 is no loopback"),
-        (OBSERVER.replace('"c1"', '"c 1"'), "observer.machines: no name of letters"),
+        (
+            OBSERVER.replace("127.0.0.1", "10.0.0.1"),
+            "observer.machines: the address of c1 must be a loopback address",
+        ),
+        (OBSERVER.replace('"c1"', '"c 1"'), "observer.machines: not a name of 1 to 64 letters"),
         (
             '[observer]\nmachines = [{ name = "c1", address = "127.0.0.1:1" }, '
             '{ name = "c1", address = "127.0.0.1:2" }]\n',
--- a/tests/test_resume_nodes.py
+++ b/tests/test_resume_nodes.py
@@ -17,7 +17,7 @@
 from tests.support.node_environment import Client, NodeEnvironment, running_node, wait_for
 from tests.support.resume_servers import ResumableEndpointServer, SaveStore
 from tests.support.store_nodes import StoreNodes, nodes
-from tests.test_hot_restart import second
+from tests.test_hot_restart import running_successor
 from tests.test_resume import ON, returned, run, token_of
 from tests.test_resume import opened as opening
 
@@ -172,7 +172,7 @@
         sessions = [await Session.open([w.address], key=f"k{k}", placement_timeout=20.0) for k in range(10)]
         for k, s in enumerate(sessions):
             assert await s.request(b"one-%d" % k) == b"done one-%d" % k
-        with second(w, operator=ON) as (n, _):
+        with running_successor(w, operator=ON) as (n, _):
             await asyncio.to_thread(wait_for, lambda: "successor accepts clients" in w.log.read_text())
             asks = [asyncio.create_task(s.request(b"two-%d" % k)) for k, s in enumerate(sessions)]
             w.process.terminate()
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -43,7 +43,7 @@
 def send_sigterm(node: NodeEnvironment) -> float:
     """Send SIGTERM, wait until the node has handled it, and return the time."""
     node.process.send_signal(signal.SIGTERM)
-    wait_for(lambda: "event=leaving" in node.log.read_text())
+    wait_for(lambda: 'event="shutdown started"' in node.log.read_text())
     return time.time()
 
 
@@ -151,7 +151,7 @@
         assert [client.read_line(), client.read_line()] == ["MOVE", ""]
         assert node.process.wait(5) == 0
         assert time.time() - stopped_at < 2.5
-        assert node.log.read_text().count("event=leaving") == 1
+        assert node.log.read_text().count('event="shutdown started"') == 1
 
 
 def test_sigterm_before_readiness_stops_the_node_gracefully(tmp_path: Path) -> None:
--- a/tests/test_store_node.py
+++ b/tests/test_store_node.py
@@ -195,7 +195,7 @@
         nodes.environments[node_name].process.terminate()
     for node_name in nodes.names:
         assert nodes.environments[node_name].process.wait(6) == 0
-        assert "event=leaving" not in nodes.environments[node_name].log.read_text()
+        assert 'event="shutdown started"' not in nodes.environments[node_name].log.read_text()
 
 
 def test_gossip_carries_node_state_and_reports(nodes: StoreNodes) -> None:
--- a/tests/test_store_schema.py
+++ b/tests/test_store_schema.py
@@ -19,8 +19,8 @@
     [
         ('listen = "127.0.0.1:1"\npeers = ["127.0.0.1:2"]', "peers = [{ name ="),
         ('listen = "127.0.0.1:1"', "store has no name"),
-        ('name = "a b"\nlisten = "127.0.0.1:1"', "no name of letters"),
-        ('name = "a"\nlisten = "10.0.0.1:1"', "no loopback address"),
+        ('name = "a b"\nlisten = "127.0.0.1:1"', "store.name is not a name of 1 to 64 letters"),
+        ('name = "a"\nlisten = "10.0.0.1:1"', "store.listen must be a loopback address"),
         (
             'name = "a"\nlisten = "127.0.0.1:1"\npeers = [{name = "a", address = "127.0.0.1:2"}]',
             "must match this member in both name and address",
