--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -1,4 +1,4 @@
-"""docs/ARCHITECTURE.md is held to the code: the modules it names, all packages, the imports it allows."""
+"""docs/ARCHITECTURE.md agrees with the code: it lists all packages, their imports, and existing modules."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 def units() -> set[str]:
-    """The packages and modules that stand directly in `gradegap`."""
+    """Packages and modules directly in `gradegap`."""
     folders = {path.parent.name for path in PACKAGE.glob("*/__init__.py")}
     return folders | {path.stem for path in PACKAGE.glob("*.py")} - {"__init__", "__main__"}
 
 
-def imported(unit: str) -> set[str]:
-    """What a unit imports of the project, the imports inside functions included."""
+def imported_units(unit: str) -> set[str]:
+    """Units of the project that a unit imports, also inside functions."""
     files = PACKAGE.glob(f"{unit}/**/*.py") if (PACKAGE / unit).is_dir() else [PACKAGE / f"{unit}.py"]
     found: set[str] = set()
     for path in files:
@@ -40,25 +40,25 @@
     return (found & units()) - {unit}
 
 
-def told() -> dict[str, set[str]]:
-    """The table of the page: each unit with what it may import."""
+def listed_imports() -> dict[str, set[str]]:
+    """Units that each unit may import, from the page's table."""
     return {unit: set(re.findall(r"`(\w+)`", imports)) for unit, _, imports in ROW.findall(PAGE)}
 
 
-def test_each_package_and_module_stands_on_the_page() -> None:
-    assert told().keys() == units()
+def test_page_lists_all_packages_and_modules() -> None:
+    assert listed_imports().keys() == units()
 
 
 @pytest.mark.parametrize("unit", sorted(units()))
-def test_a_unit_imports_what_the_page_says_and_nothing_else(unit: str) -> None:
-    assert imported(unit) == told()[unit]
+def test_unit_imports_exactly_what_the_page_lists(unit: str) -> None:
+    assert imported_units(unit) == listed_imports()[unit]
 
 
-def test_imports_go_round_in_no_circle() -> None:
-    assert set(TopologicalSorter(told()).static_order()) == units()
+def test_listed_imports_are_not_circular() -> None:
+    assert set(TopologicalSorter(listed_imports()).static_order()) == units()
 
 
-def test_each_module_that_the_page_names_exists() -> None:
+def test_modules_named_on_the_page_exist() -> None:
     named = {name for name in re.findall(r"`([a-z_]+(?:/[a-z_]+)+)`", PAGE) if name.split("/")[0] in units()}
     assert len(named) >= 8
     for name in sorted(named):
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Python examples of README.md and of the operators' pages do print what these say."""
+"""Python examples of README.md and of the operators' pages print the output that the pages show."""
 
 from __future__ import annotations
 
@@ -10,32 +10,34 @@
 import pytest
 
 ROOT = Path(__file__).resolve().parent.parent
-FOUND = [
-    pytest.param(code, told, id=f"{page.stem}-{k}")
+EXAMPLES = [
+    pytest.param(code, expected, id=f"{page.stem}-{example_index}")
     for page in sorted((ROOT / "docs" / "operators").glob("*.md"))
-    for k, (code, told) in enumerate(
+    for example_index, (code, expected) in enumerate(
         re.findall(r"```python\n(.*?)```\s+prints\s+```text\n(.*?)```", page.read_text(), re.S)
     )
 ]
 
 
-def printed(code: str) -> str:
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, timeout=60)
-    assert done.stderr == ""
-    return done.stdout
+def run_example(code: str) -> str:
+    process = subprocess.run(
+        [sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, timeout=60
+    )
+    assert process.stderr == ""
+    return process.stdout
 
 
-def test_the_example_of_the_readme_runs() -> None:
+def test_readme_example_runs() -> None:
     found = re.search(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S)
     assert found is not None
-    told = r"open a connection to 10\.0\.0\.[1-4]:443, give it 1\.5 s\n"
-    assert re.fullmatch(told, printed(found.group(1)))
+    expected = r"open a connection to 10\.0\.0\.[1-4]:443, give it 1\.5 s\n"
+    assert re.fullmatch(expected, run_example(found.group(1)))
 
 
-@pytest.mark.parametrize(("code", "told"), FOUND)
-def test_an_example_prints_what_its_page_says(code: str, told: str) -> None:
-    assert printed(code) == told
+@pytest.mark.parametrize(("code", "expected"), EXAMPLES)
+def test_example_prints_output_shown_on_its_page(code: str, expected: str) -> None:
+    assert run_example(code) == expected
 
 
-def test_there_are_examples() -> None:
-    assert FOUND
+def test_pages_have_examples() -> None:
+    assert EXAMPLES
--- a/tests/test_docs_commands.py
+++ b/tests/test_docs_commands.py
@@ -1,4 +1,4 @@
-"""What README.md, the on-call page and the operators' pages name: commands, modules, files, counters."""
+"""Commands, modules, files and counters that README.md, the on-call and the operators' pages name exist."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 PAGES = [ROOT / "README.md", ROOT / "docs" / "oncall.md", *sorted((ROOT / "docs" / "operators").glob("*.md"))]
 COMMANDS: dict[str, Any] = surface.commands()
 GROUPS = frozenset(path.split()[1] for path in COMMANDS if " " in path)
-TAKE_MANY = frozenset({"gradegap capture merge"})
+VARIADIC_COMMANDS = frozenset({"gradegap capture merge"})
 RECORDING = "tests/captures/rolling_deploy.ggc"
 
 LINE = re.compile(r"(?:[A-Z_]+=\S+ )*(?:(?:\S*/)?python -m )?gradegap(?: (?P<arguments>.*))?")
@@ -29,14 +29,14 @@
 INDENTED = re.compile(r"^ {4,}\S.*", re.M)
 CODE = re.compile(r"`([^`\n]+(?:\n[^`\n]+)?)`")
 COUNTER = re.compile(r"[a-z][a-z0-9]*(?:_[a-z0-9]+)*(?:_(?:[A-Z]+|\.\.\.))?(?:=\d+)?")
-SAVE_SERVERS_REASONS = frozenset({"fenced"})  # of an `X` line, docs/design/resume.md
+SAVE_SERVERS_REASONS = frozenset({"fenced"})  # reasons in an `X` line, docs/design/resume.md
 COUNTER_COLUMNS = frozenset({"counter", "what shows", "name"})
 COMMANDS_HEADER = "`python -m gradegap ...`"
 LOG_EVENT = re.compile(r"[a-z]+(?:,? [a-z]+)+")
 
 
-def _in_columns(page: Path, is_wanted: Callable[[str], bool]) -> Iterator[str]:
-    """What a page's tables have in backticks, in the columns whose header is wanted."""
+def _code_in_columns(page: Path, is_wanted: Callable[[str], bool]) -> Iterator[str]:
+    """Texts in backticks from the table columns of a page whose header is wanted."""
     columns: list[int] | None = None
     for line in page.read_text().splitlines():
         if not line.strip().startswith("|"):
@@ -44,20 +44,20 @@
             continue
         cells = re.split(r"(?<!\\)\|", line.strip())[1:-1]
         if columns is None:
-            columns = [k for k, cell in enumerate(cells) if is_wanted(cell.strip())]
-        for k in columns:
-            yield from CODE.findall(cells[k])
+            columns = [column for column, cell in enumerate(cells) if is_wanted(cell.strip())]
+        for column in columns:
+            yield from CODE.findall(cells[column])
 
 
-def _in_full(text: str) -> Iterator[str]:
-    """Each command line of one that gives alternatives: `config schema|diff REV` names two of one group."""
+def _split_alternatives(text: str) -> Iterator[str]:
+    """Split a command line with alternatives: `config schema|diff REV` stands for two commands."""
     group = text.split()[0]
-    for k, alternative in enumerate(text.replace("\\|", "|").split("|")):
-        yield alternative.strip() if k == 0 else f"{group} {alternative.strip()}"
+    for index, alternative in enumerate(text.replace("\\|", "|").split("|")):
+        yield alternative.strip() if index == 0 else f"{group} {alternative.strip()}"
 
 
-def _lines(page: Path) -> Iterator[tuple[str, bool]]:
-    """Arguments of the program on a page, and whether they stand in a block, so whole."""
+def _command_lines(page: Path) -> Iterator[tuple[str, bool]]:
+    """Command lines on a page, and whether each is from a code block and so complete."""
     text = page.read_text()
     blocks = [line for block in FENCED.findall(text) for line in block.splitlines()]
     for line in blocks + INDENTED.findall(text):
@@ -65,7 +65,7 @@
         if found and found["arguments"]:
             yield found["arguments"], True
     in_tables = {
-        " ".join(code.split()) for code in _in_columns(page, lambda header: header == COMMANDS_HEADER)
+        " ".join(code.split()) for code in _code_in_columns(page, lambda header: header == COMMANDS_HEADER)
     }
     for code in CODE.findall(text):
         bare = " ".join(code.split())
@@ -74,18 +74,18 @@
         if arguments in {"...", COMMANDS_HEADER} or arguments.startswith("--"):
             continue
         if found or bare in in_tables or (" " in bare and bare.split()[0] in GROUPS):
-            yield from ((each, False) for each in _in_full(arguments))
+            yield from ((each, False) for each in _split_alternatives(arguments))
 
 
-FOUND = [
-    pytest.param(arguments, whole, id=f"{page.stem}: {arguments}")
+COMMAND_LINES = [
+    pytest.param(arguments, is_complete, id=f"{page.stem}: {arguments}")
     for page in [*PAGES, *sorted((ROOT / "deploy").glob("*.toml"))]
-    for arguments, whole in dict.fromkeys(_lines(page))
+    for arguments, is_complete in dict.fromkeys(_command_lines(page))
 ]
 
 
 def _command_of(tokens: list[str]) -> tuple[str, list[str]]:
-    """The longest command that the tokens begin with, and what follows."""
+    """Split tokens into the longest command that they begin with, and the remaining tokens."""
     path = "gradegap"
     while tokens and f"{path} {tokens[0]}" in COMMANDS:
         path, tokens = f"{path} {tokens[0]}", tokens[1:]
@@ -96,44 +96,44 @@
     return value.isupper()
 
 
-@pytest.mark.parametrize(("arguments", "whole"), FOUND)
-def test_a_command_line_of_a_page_is_one_of_the_program(arguments: str, whole: bool) -> None:
-    path, rest = _command_of(shlex.split(arguments.replace("[", "").replace("]", "")))
+@pytest.mark.parametrize(("arguments", "is_complete"), COMMAND_LINES)
+def test_command_line_on_page_is_valid(arguments: str, is_complete: bool) -> None:
+    path, remaining_tokens = _command_of(shlex.split(arguments.replace("[", "").replace("]", "")))
     assert path != "gradegap", "no such command"
     options = {
         name: described for names, described in COMMANDS[path]["options"].items() for name in names.split()
     }
-    given: set[str] = set()
+    given_options: set[str] = set()
     positional: list[str] = []
-    tokens = iter(rest)
+    tokens = iter(remaining_tokens)
     for token in tokens:
         if not token.startswith("--"):
             positional.append(token)
             continue
         assert token in options, f"{path} has no {token}"
-        given.add(token)
+        given_options.add(token)
         if options[token]["type"] != "bool":
             value = next(tokens)
             assert not value.startswith("--"), f"{token} takes a value"
             if options[token]["type"] in {"int", "float"} and not _is_placeholder(value):
                 float(value)
     described = COMMANDS[path]["arguments"]
-    assert len(positional) <= len(described) or path in TAKE_MANY
-    if whole:
+    assert len(positional) <= len(described) or path in VARIADIC_COMMANDS
+    if is_complete:
         assert len(positional) >= sum(each["required"] for each in described)
         required = {name for name, each in options.items() if each["required"]}
-        assert required <= given
+        assert required <= given_options
 
 
 def test_pages_show_commands() -> None:
-    assert len(FOUND) > 30
+    assert len(COMMAND_LINES) > 30
 
 
-# Commands that need no node, so are run; and what stands for a page's placeholders.
-RUN = re.compile(r"version|check --.*|config schema|(?:explain|whatif|replay|capture \w+) .*")
+# Commands that need no node and are therefore run, and values for the placeholders on the pages.
+RUNNABLE = re.compile(r"version|check --.*|config schema|(?:explain|whatif|replay|capture \w+) .*")
 SAMPLES = {
     "config.json": "tests/compatibility/files/config.json",
-    "KEY": "tests/compatibility/files/config.json",  # any file of 16 bytes or more
+    "KEY": "tests/compatibility/files/config.json",  # any file of at least 16 bytes
     "FILE": RECORDING,
     "REQ": "9",
     "N": "9",
@@ -163,7 +163,7 @@
 
 @pytest.fixture
 def candidate(tmp_path: Path) -> Path:
-    """A file for `--module` that decides as the program does."""
+    """A file for `--module` whose decisions are those of the program."""
     path = tmp_path / "candidate.py"
     path.write_text(SAME_DECISIONS)
     return path
@@ -171,48 +171,57 @@
 
 @pytest.mark.parametrize(
     "arguments",
-    sorted({arguments for page in PAGES for arguments, _ in _lines(page) if RUN.fullmatch(arguments)}),
+    sorted(
+        {
+            arguments
+            for page in PAGES
+            for arguments, _ in _command_lines(page)
+            if RUNNABLE.fullmatch(arguments)
+        }
+    ),
 )
-def test_a_command_that_needs_no_node_runs_as_its_page_shows_it(
+def test_command_that_needs_no_node_runs_as_shown_on_its_page(
     arguments: str, candidate: Path, tmp_path: Path
 ) -> None:
     tokens = shlex.split(arguments.replace("[", "").replace("]", ""))
-    filled, before = [], ""
+    filled_tokens, previous_token = [], ""
     for token in tokens:
-        if before == "--out":
-            filled.append(str(tmp_path / token))
+        if previous_token == "--out":
+            filled_tokens.append(str(tmp_path / token))
         elif token == "S":
-            filled.append(FROM_TO[before])
+            filled_tokens.append(FROM_TO[previous_token])
         else:
-            filled.append(str(candidate) if token == candidate.name else SAMPLES.get(token, token))
-        before = token
-    done = run(*filled)
-    assert (done.returncode, done.stderr) == (0, "")
-    assert done.stdout or "--out" in filled
-    assert "--out" not in filled or Path(filled[filled.index("--out") + 1]).stat().st_size
+            filled_tokens.append(str(candidate) if token == candidate.name else SAMPLES.get(token, token))
+        previous_token = token
+    process = run(*filled_tokens)
+    assert (process.returncode, process.stderr) == (0, "")
+    assert process.stdout or "--out" in filled_tokens
+    assert (
+        "--out" not in filled_tokens or Path(filled_tokens[filled_tokens.index("--out") + 1]).stat().st_size
+    )
 
 
-def test_a_replay_exits_with_1_at_the_first_other_decision_and_shows_it(candidate: Path) -> None:
+def test_replay_with_different_decision_prints_it_and_exits_with_1(candidate: Path) -> None:
     candidate.write_text(NO_DECISIONS)
-    done = run("replay", RECORDING, "--module", str(candidate))
-    assert done.returncode == 1
-    assert "recorded: " in done.stdout
-    assert "replayed: nothing" in done.stdout
+    process = run("replay", RECORDING, "--module", str(candidate))
+    assert process.returncode == 1
+    assert "recorded: " in process.stdout
+    assert "replayed: nothing" in process.stdout
 
 
-def test_a_configuration_that_can_t_be_used_is_one_line_and_an_exit_that_is_not_zero() -> None:
-    done = run("check", "--config", "Makefile")
-    assert done.returncode != 0
-    assert done.stderr.count("\n") == 1
+def test_check_of_invalid_configuration_prints_one_line_and_fails() -> None:
+    process = run("check", "--config", "Makefile")
+    assert process.returncode != 0
+    assert process.stderr.count("\n") == 1
 
 
-def test_a_call_that_can_t_be_made_exits_with_2() -> None:
-    done = run("store", "status", "--node", "127.0.0.1:1")
-    assert (done.returncode, done.stderr.count("\n")) == (2, 1)
+def test_command_with_unreachable_member_exits_with_2() -> None:
+    process = run("store", "status", "--node", "127.0.0.1:1")
+    assert (process.returncode, process.stderr.count("\n")) == (2, 1)
 
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.stem)
-def test_modules_and_files_that_a_page_names_exist(page: Path) -> None:
+def test_modules_and_files_named_on_page_exist(page: Path) -> None:
     text = page.read_text()
     for module in re.findall(r"python\s+-m\s+([\w.]+)", text):
         assert importlib.util.find_spec(module), module
@@ -226,7 +235,7 @@
 
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.stem)
-def test_links_of_a_page_lead_to_files(page: Path) -> None:
+def test_links_on_page_point_to_existing_files(page: Path) -> None:
     paths = re.findall(r"\]\(([^)#:]+)\)", page.read_text())
     assert paths
     for path in paths:
@@ -235,12 +244,16 @@
 
 @cache
 def _endings() -> frozenset[str]:
-    """What may end a counter's name that is put together: texts of the source, and names of enums."""
+    """Possible endings of composed counter names: strings of the source and names of enum members."""
     trees = [ast.parse(path.read_text()) for path in (ROOT / "gradegap").rglob("*.py")]
     nodes = [node for tree in trees for node in ast.walk(tree)]
-    texts = {n.value for n in nodes if isinstance(n, ast.Constant) and isinstance(n.value, str)}
+    texts = {node.value for node in nodes if isinstance(node, ast.Constant) and isinstance(node.value, str)}
     members = {
-        t.id.lower() for n in nodes if isinstance(n, ast.Assign) for t in n.targets if isinstance(t, ast.Name)
+        target.id.lower()
+        for node in nodes
+        if isinstance(node, ast.Assign)
+        for target in node.targets
+        if isinstance(target, ast.Name)
     }
     return frozenset(texts | members | SAVE_SERVERS_REASONS)
 
@@ -259,11 +272,11 @@
 
 
 def _counters_in_tables(page: Path) -> Iterator[str]:
-    cells = _in_columns(page, COUNTER_COLUMNS.__contains__)
+    cells = _code_in_columns(page, COUNTER_COLUMNS.__contains__)
     return (name for name in cells if COUNTER.fullmatch(name))
 
 
-TABLED = [
+TABLE_COUNTERS = [
     pytest.param(name, id=f"{page.stem}: {name}")
     for page in PAGES
     for name in dict.fromkeys(_counters_in_tables(page))
@@ -271,22 +284,22 @@
 ]
 
 
-@pytest.mark.parametrize("name", TABLED)
-def test_a_counter_in_a_page_s_table_is_one_that_the_code_counts(name: str) -> None:
+@pytest.mark.parametrize("name", TABLE_COUNTERS)
+def test_counter_in_table_of_page_exists_in_code(name: str) -> None:
     assert _is_counted(name)
 
 
 def test_pages_have_counters_in_tables() -> None:
-    assert len(TABLED) > 60
+    assert len(TABLE_COUNTERS) > 60
 
 
-def test_what_the_code_does_not_count_is_found() -> None:
+def test_unknown_counter_is_detected() -> None:
     assert not _is_counted("handovers_begun")
     assert not _is_counted("answered_nonsense")
     assert _is_counted("answered_refused")
 
 
-LOGGED = [
+QUOTED_LOG_EVENTS = [
     pytest.param(event, id=f"{page.stem}: {event}")
     for page in PAGES
     for event in dict.fromkeys(" ".join(code.split()) for code in CODE.findall(page.read_text()))
@@ -294,28 +307,28 @@
 ]
 
 
-@pytest.mark.parametrize("event", LOGGED)
-def test_a_log_event_that_a_page_quotes_is_a_text_of_the_source(event: str) -> None:
+@pytest.mark.parametrize("event", QUOTED_LOG_EVENTS)
+def test_log_event_quoted_on_page_exists_in_source(event: str) -> None:
     assert event in _endings()
 
 
 def test_pages_quote_log_events() -> None:
-    assert len(LOGGED) > 10
+    assert len(QUOTED_LOG_EVENTS) > 10
 
 
-CALLS = [
+ADMIN_CALLS = [
     pytest.param(method.strip() or "GET", path, id=f"{page.stem}: {method}{path}")
     for page in PAGES
     for method, path in re.findall(r"(PUT |GET )?(?:http://\$C)?(/control/[\w/-]+)`", page.read_text())
 ]
 
 
-@pytest.mark.parametrize(("method", "path"), CALLS)
-def test_a_call_of_the_admin_api_on_a_page_has_a_route(method: str, path: str) -> None:
-    called = surface.admin_call(method, path)
-    assert called[0] in surface.OPERATIONS.values()
-    assert called[1:] == (["ID"] if "/ID/" in path else [])
+@pytest.mark.parametrize(("method", "path"), ADMIN_CALLS)
+def test_admin_api_call_on_page_has_a_route(method: str, path: str) -> None:
+    routed_call = surface.admin_call(method, path)
+    assert routed_call[0] in surface.OPERATIONS.values()
+    assert routed_call[1:] == (["ID"] if "/ID/" in path else [])
 
 
 def test_pages_show_calls_of_the_admin_api() -> None:
-    assert len(CALLS) > 6
+    assert len(ADMIN_CALLS) > 6
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""Modules import in one direction: no circle, not even of types; consensus imports no other package."""
+"""Modules have no circular imports, not even for type checking; the Raft package imports no other package."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def imported_names(path: Path) -> Iterator[str]:
-    """All that a module imports, wherever it does, by the full names that may be modules."""
+    """Full names of all imports of a module, also inside functions; some of them are modules."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
@@ -33,27 +33,27 @@
     return {name: {*imported_names(path)} & paths.keys() - {name} for name, path in paths.items()}
 
 
-def test_no_module_is_imported_by_what_it_imports() -> None:
+def test_package_has_no_circular_imports() -> None:
     try:
         graphlib.TopologicalSorter(imports()).prepare()
     except graphlib.CycleError as error:
-        raise AssertionError(f"an import circle: {' <- '.join(error.args[1])}") from error
+        raise AssertionError(f"circular import: {' <- '.join(error.args[1])}") from error
 
 
-def test_a_circle_is_seen() -> None:
+def test_circular_import_is_detected() -> None:
     graph = imports() | {"gradegap.raft.role": {"gradegap.raft.core"}}
     with pytest.raises(graphlib.CycleError) as caught:
         graphlib.TopologicalSorter(graph).prepare()
     assert {"gradegap.raft.role", "gradegap.raft.core"} <= {*caught.value.args[1]}
 
 
-def test_consensus_imports_no_other_package() -> None:
+def test_raft_imports_no_other_package() -> None:
     for name, imported in imports().items():
         if name.startswith(f"{PACKAGE}.raft"):
             assert all(other.startswith(f"{PACKAGE}.raft") for other in imported), (name, imported)
 
 
-def test_nothing_that_serves_imports_the_checkers() -> None:
+def test_no_module_outside_verification_imports_it() -> None:
     for name, imported in imports().items():
         if not name.startswith(f"{PACKAGE}.verification"):
             assert not [other for other in imported if other.startswith(f"{PACKAGE}.verification")], name
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail: CI passes over just those, and over three of them at most."""
+"""The list of tests that are known to fail: CI skips only these, and at most three entries are allowed."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 def test_red_each(k):
     raise AssertionError("the fault")
 """
-RED = "cases/test_it.py::test_red | a fault | issue 7\n"
-EACH = "cases/test_it.py::test_red_each | the same | issue 8\n"
-SOUND = "cases/test_it.py::test_sound | none | issue 9\n"
+FAILING_LINE = "cases/test_it.py::test_red | a fault | issue 7\n"
+PARAMETRIZED_LINE = "cases/test_it.py::test_red_each | the same | issue 8\n"
+PASSING_LINE = "cases/test_it.py::test_sound | none | issue 9\n"
 
 
 def run(folder: Path, listed: str | None) -> tuple[int, str]:
@@ -38,25 +38,27 @@
     command = [sys.executable, "-m", "pytest", "-q", "-p", "tests.known_red", "-p", "no:cacheprovider"]
     command += ["--rootdir", str(folder), "-c", os.devnull, "cases"]
     env = os.environ | {"PYTHONPATH": str(ROOT)}
-    done = subprocess.run(command, capture_output=True, text=True, cwd=folder, env=env, timeout=60)
-    return done.returncode, done.stdout + done.stderr
+    process = subprocess.run(command, capture_output=True, text=True, cwd=folder, env=env, timeout=60)
+    return process.returncode, process.stdout + process.stderr
 
 
-def test_those_on_the_list_are_passed_over_and_printed(tmp_path: Path) -> None:
-    code, said = run(tmp_path, RED + "\n" + EACH)
-    assert code == 0 and "1 passed, 3 xfailed" in said
-    assert "KNOWN RED, passed over: cases/test_it.py::test_red: a fault (issue 7)" in said
-    assert "cases/test_it.py::test_red_each: the same (issue 8)" in said
+def test_listed_tests_are_expected_to_fail_and_printed(tmp_path: Path) -> None:
+    code, output = run(tmp_path, FAILING_LINE + "\n" + PARAMETRIZED_LINE)
+    assert code == 0 and "1 passed, 3 xfailed" in output
+    assert "KNOWN RED, passed over: cases/test_it.py::test_red: a fault (issue 7)" in output
+    assert "cases/test_it.py::test_red_each: the same (issue 8)" in output
 
 
-@pytest.mark.parametrize(("listed", "failed"), [(None, 3), ("", 3), (RED, 2)])
-def test_a_test_that_is_not_on_the_list_still_fails(tmp_path: Path, listed: str | None, failed: int) -> None:
-    code, said = run(tmp_path, listed)
-    assert code == pytest.ExitCode.TESTS_FAILED and f"{failed} failed" in said
+@pytest.mark.parametrize(("listed", "failed"), [(None, 3), ("", 3), (FAILING_LINE, 2)])
+def test_failing_test_that_is_not_listed_fails_the_run(
+    tmp_path: Path, listed: str | None, failed: int
+) -> None:
+    code, output = run(tmp_path, listed)
+    assert code == pytest.ExitCode.TESTS_FAILED and f"{failed} failed" in output
 
 
 @pytest.mark.parametrize(
-    ("listed", "why"),
+    ("listed", "reason"),
     [
         ("cases/test_it.py::test_red_no_more | a fault | issue 7\n", "is no test"),
         ("cases/test_gone.py::test_red | a fault | issue 7\n", "is no test"),
@@ -64,13 +66,13 @@
         ("cases/test_it.py::CASES | a fault | issue 7\n", "is no test"),
         ("cases/test_it.py::test_red | a fault\n", "is not `test | cause | issue`"),
         ("cases/test_it.py::test_red | | issue 7\n", "is not `test | cause | issue`"),
-        (RED + EACH + SOUND + RED, "4 lines"),
+        (FAILING_LINE + PARAMETRIZED_LINE + PASSING_LINE + FAILING_LINE, "4 lines"),
     ],
 )
-def test_a_list_that_may_not_be_gone_by_ends_the_run(tmp_path: Path, listed: str, why: str) -> None:
-    code, said = run(tmp_path, listed)
-    assert code == pytest.ExitCode.USAGE_ERROR and why in said and "passed" not in said
+def test_invalid_list_ends_the_run(tmp_path: Path, listed: str, reason: str) -> None:
+    code, output = run(tmp_path, listed)
+    assert code == pytest.ExitCode.USAGE_ERROR and reason in output and "passed" not in output
 
 
-def test_the_list_of_this_repository_can_be_gone_by() -> None:
+def test_list_of_this_repository_is_valid() -> None:
     known_red.read(ROOT)
--- a/tests/test_lint_rules.py
+++ b/tests/test_lint_rules.py
@@ -1,8 +1,8 @@
-"""The rules on names, docstrings and complexity hold everywhere, but for a list of files that only shrinks.
+"""Lint rules on names, docstrings and complexity apply to all files but those on a list that may only shrink.
 
-Ruff applies the rules; pyproject.toml lists the files that are not yet brought over, each with the families
-of rules that it still breaks. Here the list is held to its record: a file is taken off both when it is
-clean, and none is put on.
+Ruff checks the rules; pyproject.toml lists the exempt files, each with the rule families that it violates.
+These tests compare that list with the copy below: a file that violates no rule is removed from both, and none
+is added.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 from tests.support.node_environment import ROOT
 
 FAMILIES = ("N", "D", "C90", "PLR0915")
-WHOLE_TREE = ("ANN", "RET", "PTH", "PERF", "ASYNC", "RUF", "PT", "TRY")  # kept by every file
-IGNORED = [  # pyproject.toml says why of each
+WHOLE_TREE = ("ANN", "RET", "PTH", "PERF", "ASYNC", "RUF", "PT", "TRY")  # rules that apply to all files
+IGNORED = [  # pyproject.toml gives the reasons
     *("D105", "D107", "ANN401", "ASYNC110", "ASYNC240", "PTH101", "PTH104", "PTH105", "PTH108"),
     *("PT012", "PT018", "RUF001", "TRY003", "TRY004", "TRY301", "TRY400"),
 ]
 TESTS_POLICY = {"tests/**": ["D101", "D102", "D103", "D104", "D2", "D4"]}
 
-# What pyproject.toml may list, and no more. Take lines away; never add one.
+# The only exemptions that pyproject.toml may list. Lines may be removed, never added.
 RECORDED = """
 """
 
-Exceptions = Mapping[str, frozenset[str]]  # by file: the families of rules that it does not keep
+Exceptions = Mapping[str, frozenset[str]]  # rule families that each file may violate
 
 
 def recorded() -> Exceptions:
@@ -45,47 +45,49 @@
     return settings
 
 
-def listed(per_file: Mapping[str, list[str]]) -> Exceptions:
+def exempted(per_file: Mapping[str, list[str]]) -> Exceptions:
     return {path: frozenset(families) for path, families in per_file.items() if path not in TESTS_POLICY}
 
 
-def broken() -> Exceptions:
-    """What ruff finds when neither the list nor a comment on a line hides anything."""
+def violations() -> Exceptions:
+    """Violations that ruff finds with the exemptions and all `noqa` comments ignored."""
     policy = ", ".join(f"{json.dumps(glob)} = {json.dumps(codes)}" for glob, codes in TESTS_POLICY.items())
     command = [sys.executable, "-m", "ruff", "check", ".", "--no-cache", "--ignore-noqa", "--exit-zero"]
     command += ["--output-format", "json", "--config", f"lint.per-file-ignores = {{ {policy} }}"]
-    done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60)
-    assert done.returncode == 0, done.stderr
+    process = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60)
+    assert process.returncode == 0, process.stderr
     found: dict[str, set[str]] = defaultdict(set)
-    for breach in json.loads(done.stdout):
+    for violation in json.loads(process.stdout):
         for family in FAMILIES:
-            if re.fullmatch(rf"{family}\d*", breach["code"]):
-                found[breach["filename"].removeprefix(f"{ROOT}/")].add(family)
+            if re.fullmatch(rf"{family}\d*", violation["code"]):
+                found[violation["filename"].removeprefix(f"{ROOT}/")].add(family)
     return {path: frozenset(families) for path, families in found.items()}
 
 
-def problems(on_list: Exceptions, on_record: Exceptions, not_kept: Exceptions) -> list[str]:
-    """What is wrong with the list, one line for each file."""
-    wrong: list[str] = []
-    for path in sorted({*on_list, *on_record, *not_kept}):
+def problems(on_list: Exceptions, on_record: Exceptions, violated: Exceptions) -> list[str]:
+    """Errors of the list of exemptions, one line for each file and kind of error."""
+    errors: list[str] = []
+    for path in sorted({*on_list, *on_record, *violated}):
         allowed = on_list.get(path, frozenset())
         if added := allowed - on_record.get(path, frozenset()):
-            wrong.append(f"{path}: {sorted(added)} was put on the list, which only shrinks")
-        if kept := allowed - not_kept.get(path, frozenset()):
-            wrong.append(f"{path}: {sorted(kept)} is kept now, or the file is gone: take it off the list")
-        if hidden := not_kept.get(path, frozenset()) - allowed:
-            wrong.append(f"{path}: {sorted(hidden)} is broken, and the file is not listed for it")
+            errors.append(f"{path}: {sorted(added)} was put on the list, which only shrinks")
+        if unneeded := allowed - violated.get(path, frozenset()):
+            errors.append(
+                f"{path}: {sorted(unneeded)} is kept now, or the file is gone: take it off the list"
+            )
+        if hidden := violated.get(path, frozenset()) - allowed:
+            errors.append(f"{path}: {sorted(hidden)} is broken, and the file is not listed for it")
         if left := on_record.get(path, frozenset()) - allowed:
-            wrong.append(f"{path}: {sorted(left)} is off the list: take it off RECORDED too")
-    return wrong
+            errors.append(f"{path}: {sorted(left)} is off the list: take it off RECORDED too")
+    return errors
 
 
-def test_the_list_of_files_not_brought_over_is_what_it_was_or_shorter() -> None:
-    on_list = listed(ruff_settings()["lint"]["per-file-ignores"])
-    assert problems(on_list, recorded(), broken()) == []
+def test_exemptions_match_record_and_violations() -> None:
+    on_list = exempted(ruff_settings()["lint"]["per-file-ignores"])
+    assert problems(on_list, recorded(), violations()) == []
 
 
-def test_the_rules_stay_switched_on() -> None:
+def test_lint_rules_stay_enabled() -> None:
     settings = ruff_settings()
     lint = settings["lint"]
     assert {*FAMILIES} <= {*lint["select"]}
@@ -100,7 +102,7 @@
 
 
 @pytest.mark.parametrize(
-    ("on_list", "on_record", "not_kept", "problem"),
+    ("on_list", "on_record", "violated", "problem"),
     [
         ({"a": "D"}, {}, {"a": "D"}, "put on the list"),
         ({"a": "DN"}, {"a": "D"}, {"a": "DN"}, "put on the list"),
@@ -110,12 +112,12 @@
         ({}, {"a": "D"}, {}, "off RECORDED"),
     ],
 )
-def test_each_way_of_the_list_to_be_wrong_is_seen(
-    on_list: dict[str, str], on_record: dict[str, str], not_kept: dict[str, str], problem: str
+def test_each_error_of_the_exemptions_is_reported(
+    on_list: dict[str, str], on_record: dict[str, str], violated: dict[str, str], problem: str
 ) -> None:
-    sides = [
-        {path: frozenset(letters) for path, letters in side.items()}
-        for side in (on_list, on_record, not_kept)
+    arguments = [
+        {path: frozenset(letters) for path, letters in exceptions.items()}
+        for exceptions in (on_list, on_record, violated)
     ]
-    (found,) = problems(sides[0], sides[1], sides[2])
+    (found,) = problems(arguments[0], arguments[1], arguments[2])
     assert found.startswith("a: ") and problem in found
