--- a/tests/test_observer_settings.py
+++ b/tests/test_observer_settings.py
@@ -1,4 +1,4 @@
-"""The operator's tables for subscriptions, and what is imported without them."""
+"""The operator's tables for subscriptions, and the modules imported without them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.support.node_environment import ROOT, SETTINGS
 
 
-def settings_of(tmp_path: Path, text: str) -> Any:
+def load_settings(tmp_path: Path, text: str) -> Any:
     path = tmp_path / "operator.toml"
     path.write_text(text)
     return load_operator(str(path))
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "expected_message"),
     [
         (MEMBER + 'publish = "10.0.0.1:7500"\n', "store.publish is no loopback address"),
         (MEMBER + 'publish = "127.0.0.1:7400"\n', "store.publish must have a port of its own"),
@@ -43,29 +43,29 @@
         ),
     ],
 )
-def test_a_table_that_can_t_be_used_is_one_line_that_names_the_key(
-    tmp_path: Path, text: str, said: str
+def test_invalid_table_is_reported_in_one_line_naming_the_key(
+    tmp_path: Path, text: str, expected_message: str
 ) -> None:
     with pytest.raises(OperatorFileError) as error:
-        settings_of(tmp_path, text)
-    assert said in str(error.value) and "\n" not in str(error.value)
+        load_settings(tmp_path, text)
+    assert expected_message in str(error.value) and "\n" not in str(error.value)
 
 
-def test_nothing_of_subscriptions_is_imported_without_their_tables() -> None:
+def test_observer_package_is_not_imported_without_its_tables() -> None:
     program = (
         "import sys, gradegap.node.process, gradegap.cli\n"
         "import gradegap.commands.store_server, gradegap.store.embedded\n"
         "assert not [name for name in sys.modules if name.startswith('gradegap.observer')]\n"
     )
-    done = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, cwd=ROOT)
-    assert done.returncode == 0, done.stderr
+    completed = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, cwd=ROOT)
+    assert completed.returncode == 0, completed.stderr
 
 
-def test_check_says_where_a_node_subscribes(tmp_path: Path) -> None:
+def test_check_command_prints_the_machines_of_a_subscription(tmp_path: Path) -> None:
     config = {"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": SETTINGS}
     (tmp_path / "config.json").write_text(msgspec.json.encode(config).decode())
     (tmp_path / "operator.toml").write_text(OBSERVER)
-    line = [sys.executable, "-m", "gradegap", "check", "--config", str(tmp_path / "config.json")]
-    line += ["--operator", str(tmp_path / "operator.toml")]
-    done = subprocess.run(line, capture_output=True, text=True, cwd=ROOT)
-    assert done.returncode == 0 and "subscribes at c1" in done.stdout.splitlines(), done
+    command = [sys.executable, "-m", "gradegap", "check", "--config", str(tmp_path / "config.json")]
+    command += ["--operator", str(tmp_path / "operator.toml")]
+    completed = subprocess.run(command, capture_output=True, text=True, cwd=ROOT)
+    assert completed.returncode == 0 and "subscribes at c1" in completed.stdout.splitlines(), completed
