--- a/gradegap/node/configuration.py
+++ b/gradegap/node/configuration.py
@@ -122,7 +122,7 @@
         settings_reader.check(nested)
         return Settings(**settings_reader.read(settings_reader.flatten(nested)))
     except KeyError as error:
-        raise ConfigurationError(f"settings: missing key {error}") from None
+        raise ConfigurationError(f"missing key {error} in settings") from None
     except (ValueError, TypeError) as error:
         raise ConfigurationError(f"invalid settings: {error}") from None
 
--- a/gradegap/node/node.py
+++ b/gradegap/node/node.py
@@ -214,7 +214,7 @@
         try:
             await self._admin_api.start(*split_address(address))
         except OSError as error:
-            raise ConfigurationError(f"console: can't listen on {address}: {error.strerror}") from None
+            raise ConfigurationError(f"admin API can't listen on {address}: {error.strerror}") from None
         log.info("listening", part="admin", address=address)
 
     async def _start_optional_parts(self, following: bool) -> None:
