--- a/gradegap/capture/__init__.py
+++ b/gradegap/capture/__init__.py
@@ -1,16 +1,17 @@
-"""Recordings: a balancer's events, actions and states in files, and what is made of them.
+"""Recordings of a balancer's events, actions and states: their file format, writers, readers and analyses.
 
-It owns the file format and the stored form of everything in it. Imports point downwards in this list:
+The package owns the file format and the stored form of everything in it. Modules import only from modules
+that come earlier in this list:
 
-- `errors`: what can be wrong, under `CaptureError`.
-- `records`: stored names of events, actions and settings. `schema`, `state`, `state_v1`: the same for the
-  balancer's state, in its versions.
-- `frames`, `index`: the file: checked frames, and where in it is what. `recording`: a file read as steps,
-  changes of settings, states and gaps.
-- `writer`, `snapshot`, `recorder`, `switch`: a recording made while a node runs. `redaction`: ids of players
-  as a keyed hash. `settings`: the operator's `[capture]` table.
-- `decision_module`: the module that decides, or a candidate in its place. `replay`, `comparison`, `explain`,
-  `description`: the same decisions again, and what differs, in words.
-- `observations`, `simulation`, `evaluation`, `whatif`: the same day with other decisions. `plot`: a recording
-  as a picture.
+- `errors`: the exceptions, all subclasses of `CaptureError`.
+- `records`: the stored names of events, actions and settings. `schema`, `state`, `state_v1`: the stored form
+  of the balancer's state, in each version.
+- `frames`, `index`: the file as checksummed frames, and an index of them. `recording`: a file read as steps,
+  settings changes, states and gaps.
+- `writer`, `snapshot`, `recorder`, `switch`: recording in a running node. `redaction`: player ids replaced by
+  a keyed hash. `settings`: the operator's `[capture]` table.
+- `decision_module`: loads the program's decision module or a candidate. `replay`, `comparison`, `explain`,
+  `description`: replay of the recorded decisions, and descriptions of the differences.
+- `observations`, `simulation`, `evaluation`, `whatif`: simulation of a recorded day with other decisions.
+  `plot`: charts of a recording.
 """
--- a/gradegap/capture/comparison.py
+++ b/gradegap/capture/comparison.py
@@ -1,4 +1,4 @@
-"""Two recordings of the same events, compared step by step. No I/O."""
+"""Compares two recordings of the same events step by step. No I/O."""
 
 from __future__ import annotations
 
@@ -11,38 +11,40 @@
 
 @dataclass(slots=True)
 class Comparison:
-    """What came of it."""
+    """The result of comparing two recordings."""
 
     steps: int = 0
     gaps: list[str] = field(default_factory=list)
-    first: tuple[Step, Step] | None = None  # the first two that differ
-    events_differ: bool = False  # not only the actions of these two
+    first: tuple[Step, Step] | None = None  # the first pair of steps that differ, one of each recording
+    events_differ: bool = False  # whether the events of that pair differ, rather than only the actions
 
 
-def compare(one: Iterable[Item], other: Iterable[Item]) -> Comparison:
-    """Compare steps of both that bear one number; what only one has is passed over."""
-    found = Comparison()
+def compare(left_items: Iterable[Item], right_items: Iterable[Item]) -> Comparison:
+    """Compare the steps that have the same number; steps that only one recording has are skipped."""
+    comparison = Comparison()
 
     def steps(source: Iterable[Item]) -> Iterator[Step]:
         for item in source:
             if isinstance(item, Gap):
-                found.gaps.append(item.reason)
+                comparison.gaps.append(item.reason)
             elif isinstance(item, Step):
                 yield item
 
-    left, right = steps(one), steps(other)
-    a, b = next(left, None), next(right, None)
-    while a is not None and b is not None:
-        if a.number < b.number:
-            a = next(left, None)
+    left_steps, right_steps = steps(left_items), steps(right_items)
+    left_step, right_step = next(left_steps, None), next(right_steps, None)
+    while left_step is not None and right_step is not None:
+        if left_step.number < right_step.number:
+            left_step = next(left_steps, None)
             continue
-        if b.number < a.number:
-            b = next(right, None)
+        if right_step.number < left_step.number:
+            right_step = next(right_steps, None)
             continue
-        found.steps += 1
-        found.events_differ = a.at != b.at or encoded([a.event]) != encoded([b.event])
-        if found.events_differ or encoded(a.actions) != encoded(b.actions):
-            found.first = a, b
+        comparison.steps += 1
+        comparison.events_differ = left_step.at != right_step.at or encoded([left_step.event]) != encoded(
+            [right_step.event]
+        )
+        if comparison.events_differ or encoded(left_step.actions) != encoded(right_step.actions):
+            comparison.first = left_step, right_step
             break
-        a, b = next(left, None), next(right, None)
-    return found
+        left_step, right_step = next(left_steps, None), next(right_steps, None)
+    return comparison
--- a/gradegap/capture/description.py
+++ b/gradegap/capture/description.py
@@ -1,4 +1,4 @@
-"""Events, actions and a balancer's state in words. No I/O."""
+"""Describes events, actions and a balancer's state as text. No I/O."""
 
 from __future__ import annotations
 
@@ -13,27 +13,33 @@
 from gradegap.capture import records
 from gradegap.capture.schema import BALANCER, ENDPOINT, REQUEST
 
-LINE_LENGTH = 400  # characters of an event or action that are shown
+MAX_LINE_LENGTH = 400  # characters of the description of one event or action
 
 
 def in_one_line(value: Event | Action) -> str:
-    """An event or action by its stored name, with its fields as far as they say something."""
+    """Describes an event or action by its stored name and the fields that are neither empty nor false."""
 
-    def shown(v: Any) -> Any:
-        return v.name.lower() if isinstance(v, Enum) else round(v, 4) if isinstance(v, float) else v
+    def shown(field: Any) -> Any:
+        return (
+            field.name.lower()
+            if isinstance(field, Enum)
+            else round(field, 4)
+            if isinstance(field, float)
+            else field
+        )
 
     fields = zip(value._fields, value, strict=True)
-    parts = [f"{name}={shown(v)}" for name, v in fields if v not in (None, "", False)]
-    return f"{records.stored_name(value)} {' '.join(parts)}"[:LINE_LENGTH]
+    parts = [f"{name}={shown(field)}" for name, field in fields if field not in (None, "", False)]
+    return f"{records.stored_name(value)} {' '.join(parts)}"[:MAX_LINE_LENGTH]
 
 
 def all_in_one_line(actions: Iterable[Action]) -> str:
-    """Actions in their order, or that there is none."""
+    """Describes actions in their order; `nothing` for an empty sequence."""
     return "; ".join(in_one_line(action) for action in actions) or "nothing"
 
 
 def state_behind(balancer: Balancer, now: float, actions: Iterable[Action]) -> list[str]:
-    """The state behind decisions: a line for each endpoint and request that the actions name."""
+    """Returns a line for each endpoint and request that the actions name, and a line of totals."""
     lines = []
     endpoints, requests = BALANCER.get(balancer, "endpoints"), BALANCER.get(balancer, "requests")
     for name in sorted({name for action in actions for name in records.names(action)}, key=str):
@@ -48,22 +54,22 @@
 
 
 def _endpoint_line(endpoint: Endpoint, now: float) -> str:
-    held = {stored: ENDPOINT.get(endpoint, stored) for stored in ENDPOINT.fields}
-    load = "unknown" if held["load"] is None else round(held["load"], 4)
-    changed_at = held["report_changed_at"]
+    values = {field: ENDPOINT.get(endpoint, field) for field in ENDPOINT.fields}
+    load = "unknown" if values["load"] is None else round(values["load"], 4)
+    changed_at = values["report_changed_at"]
     age = f", seen {now - changed_at:.3f} s ago" if changed_at > 0 else ""
     return (
-        f"{held['name']}: {held['phase'].name.lower()}, load {load}{age}, {len(held['connections'])} held, "
-        f"{held['consecutive_failures']} failed in a row, "
-        f"{held['unanswered_probes']} health checks unanswered"
+        f"{values['name']}: {values['phase'].name.lower()}, load {load}{age}"
+        f", {len(values['connections'])} held, {values['consecutive_failures']} failed in a row, "
+        f"{values['unanswered_probes']} health checks unanswered"
     )
 
 
 def _request_line(request: Request, now: float) -> str:
-    held = {stored: REQUEST.get(request, stored) for stored in REQUEST.fields}
-    pair = " and ".join(ENDPOINT.get(each, "name") for each in held["candidates"] or ()) or "none"
-    left = held["deadline_at"] - now
+    values = {field: REQUEST.get(request, field) for field in REQUEST.fields}
+    candidates = " and ".join(ENDPOINT.get(each, "name") for each in values["candidates"] or ()) or "none"
+    remaining = values["deadline_at"] - now
     return (
-        f"request {held['id']}: {held['class'].name}, {held['attempts']} attempts, {left:.3f} s left, "
-        f"pair {pair}, {held['redraws']} redraws"
+        f"request {values['id']}: {values['class'].name}, {values['attempts']} attempts"
+        f", {remaining:.3f} s left, pair {candidates}, {values['redraws']} redraws"
     )
--- a/gradegap/capture/errors.py
+++ b/gradegap/capture/errors.py
@@ -1,59 +1,59 @@
-"""What can be wrong with a recording, or with what is to be done with it."""
+"""The exceptions of this package."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-SHOWN_FIELDS = 4  # of those in which two algorithms differ
+MAX_FIELDS_SHOWN = 4  # differing fields that the message of `OtherAlgorithmError` names
 
 
 class CaptureError(ValueError):
-    """The base of this package's errors; each is one plain line for whoever runs a command."""
+    """The base class; each message is a single line, which commands print to the user."""
 
 
 class BadRecordingError(CaptureError):
-    """A file that is no recording, can't be had, or is of a version that this program does not read."""
+    """A file that is not a recording, can't be read, or has an unsupported format version."""
 
 
 class OtherVersionError(BadRecordingError):
-    """A file in a version of the format that this program does not read; read it with one that does."""
+    """A file in a format version that this program does not support; another version of it may."""
 
     def __init__(self, found: str, known: int) -> None:
-        super().__init__(f"a capture of version {found}; this program reads version {known}")
+        super().__init__(f"recording has format version {found}; this program reads version {known}")
         self.found, self.known = found, known
 
 
 class FrameTooLargeError(CaptureError):
-    """A frame that no reader would take."""
+    """A frame whose body exceeds the size that readers accept."""
 
     def __init__(self, size: int) -> None:
-        super().__init__(f"a frame of {size} bytes")
+        super().__init__(f"frame body has {size} bytes, more than readers accept")
 
 
 class BadRecordError(CaptureError):
-    """An event, action or settings of a recording that this version does not know."""
+    """An event, action or settings in a recording that this version can't decode."""
 
 
 class BadWhatIfError(CaptureError):
-    """A setting that there is not, or a recording that nothing can be played from."""
+    """An unknown or invalid setting, or a recording that lacks the data to start a simulation."""
 
 
 class BadStateError(CaptureError):
-    """A state that does not fit the decision module."""
+    """A stored state that is malformed or does not fit the decision module."""
 
 
 class LaterStateError(BadStateError):
-    """A state that a later version of this program has written; read it with that version."""
+    """A state written by a later version of this program; only that version can read it."""
 
     def __init__(self, found: int, known: int) -> None:
-        super().__init__(f"a state of format {found}; this program reads formats up to {known}")
+        super().__init__(f"state has format {found}; this program reads formats up to {known}")
         self.found, self.known = found, known
 
 
 @dataclass(slots=True, frozen=True)
 class DecisionVersion:
-    """Which program decided, and by which code."""
+    """The version of the program that decided, and the digest of its decision module."""
 
     program: str
     digest: str  # SHA-256 of the decision module, in hexadecimal
@@ -63,7 +63,7 @@
 
 
 class OtherAlgorithmError(BadStateError):
-    """A sound state of a module that decides by another algorithm, and so keeps something else."""
+    """A valid state of a module with another algorithm, whose objects have other fields."""
 
     def __init__(
         self,
@@ -74,12 +74,12 @@
     ) -> None:
         self.kind, self.fields = kind, sorted(fields)
         self.recorded, self.present = recorded, present
-        named = ", ".join(field[:40] for field in self.fields[:SHOWN_FIELDS])
-        more = len(self.fields) - SHOWN_FIELDS
-        found = f"its {kind} differs in {named}{f' and {more} more' if more > 0 else ''}"
+        shown = ", ".join(field[:40] for field in self.fields[:MAX_FIELDS_SHOWN])
+        omitted_count = len(self.fields) - MAX_FIELDS_SHOWN
+        message = f"its {kind} differs in {shown}{f' and {omitted_count} more' if omitted_count > 0 else ''}"
         if recorded is not None and present is not None:
-            found = f"recorded by {recorded}, whose algorithm is not that of {present}: {found}"
-        super().__init__(found)
+            message = f"recorded by {recorded}, whose algorithm is not that of {present}: {message}"
+        super().__init__(message)
 
 
 class BadModuleError(CaptureError):
--- a/gradegap/capture/evaluation.py
+++ b/gradegap/capture/evaluation.py
@@ -1,7 +1,7 @@
-"""What came of a stretch of decisions: the rules that were kept, and how clients were served. No I/O.
+"""Evaluates a sequence of decisions: checks the balancer's rules and measures the service. No I/O.
 
-An `Evaluation` is given each event with the actions that answered it. It makes no difference between recorded
-and played ones, so both are measured alike.
+An `Evaluation` is given each event with the actions that the balancer returned for it. Recorded and simulated
+sequences are evaluated in the same way, so their figures can be compared.
 """
 
 from __future__ import annotations
@@ -28,32 +28,33 @@
 )
 from gradegap.balancing.settings import Settings
 
-MAX_VIOLATIONS_SHOWN = 50  # all are counted
-SHARED_FROM = 4  # connections an endpoint, on average, from which shares are compared
-LATENESS_S = 0.05  # that an answer may come behind its deadline in a recording: the event loop's own
+MAX_VIOLATIONS_SHOWN = 50  # violations kept as text; `ServiceFigures.violations` counts all of them
+MIN_MEAN_CONNECTIONS = 4  # mean connections per ready endpoint from which `peak_share` is computed
+# How late after its deadline an answer may be recorded; covers the latency of the event loop.
+MAX_LATENESS_S = 0.05
 
 
 class ServiceFigures(msgspec.Struct):
-    """How clients were served; times in seconds. The names in JSON are those of `gradegap whatif --json`."""
+    """How clients were served; times in seconds. The JSON names are those of `gradegap whatif --json`."""
 
     requests: int = msgspec.field(default=0, name="taken")
     established: int = msgspec.field(default=0, name="stood")
     rejected: int = msgspec.field(default=0, name="refused")
     failed: int = 0
-    disconnected: int = msgspec.field(default=0, name="left")  # clients that went before their answer
+    disconnected: int = msgspec.field(default=0, name="left")  # clients that disconnected before an answer
     attempts: int = 0
     health_checks: int = msgspec.field(default=0, name="probes")
     migrated: int = msgspec.field(default=0, name="moved")
-    broken: int = msgspec.field(default=0, name="broke")  # established connections that ended by a reset
+    broken: int = msgspec.field(default=0, name="broke")  # established connections that were reset
     wait_p50: float = 0.0
     wait_p99: float = 0.0
-    # The most connections of a ready endpoint over their mean, at worst.
+    # The highest ratio, at any time, of one ready endpoint's connections to the mean of all ready endpoints.
     peak_share: float = msgspec.field(default=0.0, name="most_share")
     violations: int = 0
 
     @property
     def served_share(self) -> float:
-        """Of the requests that wanted an answer, the part that got its connection."""
+        """The ratio of established connections to requests that were established, rejected or failed."""
         answered = self.established + self.rejected + self.failed
         return self.established / answered if answered else 1.0
 
@@ -62,16 +63,16 @@
 class _Request:
     arrived_at: float
     deadline_at: float
-    attempt_at: str = ""  # the endpoint of the attempt in flight, if any
-    late_by: float = 0.0  # s behind the drain grace of that endpoint
-    established_at: str = ""  # the endpoint of its connection, while there is one
+    attempt_endpoint: str = ""  # the endpoint of the attempt in flight, if any
+    late_by: float = 0.0  # s from the end of that endpoint's drain grace to the forward; negative: in time
+    established_endpoint: str = ""  # the endpoint of its established connection, if any
     migrated: bool = False
     answered: bool = False
 
 
 @dataclass(slots=True)
 class Evaluation:
-    """Holds each event and its actions to the rules, and counts how clients were served."""
+    """Checks each event and its actions against the rules, and counts how clients were served."""
 
     settings: Settings
     figures: ServiceFigures = field(default_factory=ServiceFigures)
@@ -84,16 +85,16 @@
     now: float = 0.0
 
     def observe(self, now: float, event: Event, actions: Iterable[Action]) -> None:
-        """Take an event, and the actions that answered it."""
+        """Evaluates an event and the actions that the balancer returned for it."""
         self.now = now
         self._observe_event(event)
         for action in actions:
             self._observe_action(action)
 
     def finish(self) -> ServiceFigures:
-        """The figures, once nothing more comes."""
+        """Returns the figures after the last event; reports requests that were never answered."""
         for request_id, request in self.requests.items():
-            if not request.answered and request.deadline_at + LATENESS_S < self.now:
+            if not request.answered and request.deadline_at + MAX_LATENESS_S < self.now:
                 self._violation(
                     f"request {request_id} has no answer, and its client gave up at {request.deadline_at:.3f}"
                 )
@@ -157,7 +158,7 @@
     def _compare_shares(self) -> None:
         ready = [name for name, phase in self.phases.items() if phase is EndpointPhase.READY]
         mean = sum(self.connections[name] for name in ready) / len(ready) if ready else 0.0
-        if mean >= SHARED_FROM:
+        if mean >= MIN_MEAN_CONNECTIONS:
             share = max(self.connections[name] for name in ready) / mean
             self.figures.peak_share = max(self.figures.peak_share, share)
 
@@ -166,28 +167,28 @@
     def _connection_inherited(self, event: ConnectionInherited) -> None:
         arrived = event.request
         request = _Request(self.now, arrived.deadline_at, answered=True)
-        request.established_at = event.endpoint
+        request.established_endpoint = event.endpoint
         self.requests[arrived.request_id] = request
         self.connections[event.endpoint] += 1
 
     def _forward(self, action: Forward) -> None:
         request = self.requests.get(action.request_id)
         if request is None:
-            return  # from before the recording
-        if request.attempt_at:
+            return  # the request arrived before the recording started
+        if request.attempt_endpoint:
             self._violation(f"request {action.request_id} has an attempt in flight and is forwarded again")
         if request.answered:
             self._violation(f"request {action.request_id} is forwarded after its answer")
-        request.attempt_at = action.endpoint
+        request.attempt_endpoint = action.endpoint
         since = self.unavailable_since.get(action.endpoint)
         request.late_by = self.now - since - self.settings.drain_grace if since is not None else -1.0
         self.figures.attempts += 1
 
     def _check_grace(self, request_id: int, request: _Request) -> None:
-        """The rule for an attempt that the proxy let go out. Later than a drain's grace it lets none."""
+        """Checks an attempt that the proxy sent: none may be sent after the drain grace of its endpoint."""
         if request.late_by > 0:
-            late = f"{request.late_by:.3f} s after its grace"
-            self._violation(f"request {request_id} was forwarded to {request.attempt_at} {late}")
+            lateness = f"{request.late_by:.3f} s after its grace"
+            self._violation(f"request {request_id} was forwarded to {request.attempt_endpoint} {lateness}")
 
     def _connection_established(self, event: ConnectionEstablished) -> None:
         request = self.requests.get(event.request_id)
@@ -196,12 +197,12 @@
         self._check_grace(event.request_id, request)
         if request.answered:
             self._violation(f"request {event.request_id} is established after its answer")
-        late = self.now - request.deadline_at
-        if late > LATENESS_S:
+        late_by_s = self.now - request.deadline_at
+        if late_by_s > MAX_LATENESS_S:
             self._violation(
-                f"request {event.request_id} is established {late:.3f} s after its client gave up"
+                f"request {event.request_id} is established {late_by_s:.3f} s after its client gave up"
             )
-        request.answered, request.established_at, request.attempt_at = True, event.endpoint, ""
+        request.answered, request.established_endpoint, request.attempt_endpoint = True, event.endpoint, ""
         self.figures.established += 1
         self.waits.append(self.now - request.arrived_at)
         self.connections[event.endpoint] += 1
@@ -211,15 +212,15 @@
         request = self.requests.get(event.request_id)
         if request is None:
             return
-        if request.established_at:
-            self.connections[request.established_at] -= 1
+        if request.established_endpoint:
+            self.connections[request.established_endpoint] -= 1
             if event.result is AttemptResult.RESET and not request.migrated:
                 self.figures.broken += 1
             del self.requests[event.request_id]
             return
-        if event.result is not AttemptResult.NOT_SENT and request.attempt_at:
+        if event.result is not AttemptResult.NOT_SENT and request.attempt_endpoint:
             self._check_grace(event.request_id, request)
-        request.attempt_at = ""
+        request.attempt_endpoint = ""
         if request.answered:
             del self.requests[event.request_id]
 
@@ -231,7 +232,7 @@
 
     def _migrate(self, action: Migrate) -> None:
         request = self.requests.get(action.request_id)
-        if request is not None and request.established_at and not request.migrated:
+        if request is not None and request.established_endpoint and not request.migrated:
             request.migrated = True
             self.figures.migrated += 1
 
@@ -242,9 +243,11 @@
         if request.answered:
             self._violation(f"request {action.request_id} has two answers")
             return
-        late = self.now - request.deadline_at
-        if late > LATENESS_S:
-            self._violation(f"request {action.request_id} is answered {late:.3f} s after its client gave up")
+        late_by_s = self.now - request.deadline_at
+        if late_by_s > MAX_LATENESS_S:
+            self._violation(
+                f"request {action.request_id} is answered {late_by_s:.3f} s after its client gave up"
+            )
         request.answered = True
         if isinstance(action, Reject):
             self.figures.rejected += 1
--- a/gradegap/capture/explain.py
+++ b/gradegap/capture/explain.py
@@ -1,7 +1,8 @@
-"""Why a request was placed where it was: its decisions replayed under observation, in words and figures.
+"""Explains why a request was placed on its endpoint, by a replay with an observer.
 
-Nothing is recorded at the node that a replay can find out: the module decides as it does there, and reports
-its steps to an observer (`gradegap.balancing.observer`).
+The node does not record the intermediate steps of a decision, because a replay reproduces them: the decision
+module takes the same decisions as in the node and reports their steps to an observer
+(`gradegap.balancing.observer`).
 """
 
 from __future__ import annotations
@@ -20,10 +21,10 @@
 from gradegap.capture.schema import BALANCER, ENDPOINT, REQUEST
 
 
-def _described(balancer: Balancer, endpoint: Endpoint | None, request: Request) -> str:
-    """An endpoint that was drawn, with the load that it is taken to have."""
+def _describe_endpoint(balancer: Balancer, endpoint: Endpoint | None, request: Request) -> str:
+    """Describes an endpoint that was drawn, with its estimated load and the age of its report."""
     if endpoint is None:
-        return "nobody"
+        return "no endpoint"
     load = balancer.load_estimates.comparable_load(endpoint, request)
     shown = "no load known" if load is None else f"{load:.4f}"
     seen_at = ENDPOINT.get(endpoint, "report_changed_at")
@@ -32,7 +33,7 @@
 
 
 class _Observation:
-    """A `DecisionObserver` that puts the steps of one request into lines."""
+    """A `DecisionObserver` that collects the decision steps of one request as lines of text."""
 
     def __init__(self, request_id: int) -> None:
         self.request_id = request_id
@@ -40,36 +41,36 @@
         self.lines: list[str] = []
 
     def draw_started(self, request: Request) -> None:
-        """A pair of candidates is about to be drawn."""
+        """Called before a pair of candidates is drawn."""
         again = bool(REQUEST.get(request, "attempted_endpoints"))
         self._add(request, "draws another pair" if again else "draws a pair")
 
     def endpoint_drawn(self, request: Request, endpoint: Endpoint | None) -> None:
-        """One candidate was drawn."""
+        """Called after one candidate was drawn."""
         if self.balancer is not None and self._is_observed(request):
-            self._add(request, f"  drew {_described(self.balancer, endpoint, request)}")
+            self._add(request, f"  drew {_describe_endpoint(self.balancer, endpoint, request)}")
 
     def pair_compared(self, request: Request, beta: float, older_age: float) -> None:
-        """The candidates are compared with this probability."""
-        line = f"  compares with probability {beta:.4f}, the older figure {older_age:.3f} s old"
+        """Called before the candidates are compared, with probability `beta`; `older_age` is in s."""
+        line = f"  compares with probability {beta:.4f}, the older load is {older_age:.3f} s old"
         self._add(request, line)
 
     def headroom_checked(self, request: Request, endpoint: Endpoint, has_headroom: bool) -> None:
-        """An endpoint was found to have room for the request, or not."""
+        """Called after an endpoint was checked for room for the request."""
         name = ENDPOINT.get(endpoint, "name")
         self._add(request, f"  {name} {'has room' if has_headroom else 'has no room'}")
 
     def request_forwarded(self, request: Request, endpoint: Endpoint) -> None:
-        """An attempt was sent."""
+        """Called after an attempt was sent."""
         name, attempt = ENDPOINT.get(endpoint, "name"), REQUEST.get(request, "attempts")
         self._add(request, f"  kept {name}, attempt {attempt}")
 
     def request_postponed(self, request: Request) -> None:
-        """Nothing may be sent now."""
-        self._add(request, "  nothing may be sent to now")
+        """Called when no attempt may be sent at present."""
+        self._add(request, "  no endpoint may receive an attempt now")
 
     def request_answered(self, request: Request) -> None:
-        """The request got its final answer."""
+        """Called after the request got its final answer."""
         self._add(request, "  given up")
 
     def _is_observed(self, request: Request) -> bool:
@@ -81,7 +82,7 @@
 
 
 def explain(source: Iterable[Item], module: ModuleType, request_id: int) -> Iterator[str]:
-    """A request's way, a line each; nothing where the recording does not have it.
+    """Yields the decisions about a request as lines; yields nothing if the recording does not contain it.
 
     Raises `BadStateError` for a recorded state that does not fit the module.
     """
@@ -96,7 +97,7 @@
                     balancer.observe(observation)
             case Gap(reason):
                 if began_at:
-                    yield f"here the record has a gap: {reason}"
+                    yield f"the recording has a gap here: {reason}"
                 balancer = None
             case SettingsChange():
                 if balancer is not None:
@@ -112,16 +113,16 @@
 
 
 def _concerns(request_id: int, event: Event, actions: Iterable[Action]) -> bool:
-    """Whether an event or an action that answered it names the request."""
-    return any(request_id in records.names(each) for each in (event, *actions))
+    """Whether the event, or one of the actions returned for it, names the request."""
+    return any(request_id in records.names(record) for record in (event, *actions))
 
 
 def _step_lines(
     step: Step, actions: Iterable[Action], observation: _Observation, began_at: float
 ) -> Iterator[str]:
-    """One step in words: the event, what the module did by it, and its actions.
+    """Describes one step: the event, the decision steps and the actions.
 
-    Actions that name no request (timers, health checks) are shown, since they may be this request's.
+    Actions that name no request (timers, health checks) are shown, since this request may have caused them.
     """
     yield f"{step.at - began_at:9.4f} s  {in_one_line(step.event)}"
     yield from (f"             {line}" for line in observation.lines)
--- a/gradegap/capture/frames.py
+++ b/gradegap/capture/frames.py
@@ -1,10 +1,11 @@
-"""The file of a capture: frames, each checked and compressed on its own. No I/O; docs/design/capture.md.
+"""The file format of a recording: frames, each with its own checksum and compression. No I/O.
 
     file   = MAGIC frame*
     frame  = mark kind packed-length plain-length records first-seq first-at last-at crc body
 
-A cut or damaged frame costs itself alone: a reader that meets one looks for the next mark, and says what it
-passed over. Lengths are bounded before anything is allocated; a body is unpacked into no more than it says.
+A truncated or damaged frame does not affect other frames: a reader searches for the next mark and reports the
+bytes that it skipped. Lengths are checked against a limit before memory is allocated, and decompression stops
+at the declared length. The format is described in docs/design/capture.md.
 """
 
 from __future__ import annotations
@@ -23,26 +24,27 @@
 VERSION = 1
 MAGIC = b"gradegap capture %d\n" % VERSION
 MARK = b"\xf5ggF"
-# Mark, kind, packed and plain size, number of records, first number, first and last clock, CRC.
+# Mark, kind, packed and plain size in bytes, record count, first number, first and last clock in s, CRC.
 _HEADER = struct.Struct("<4sBIIIQddI")
-MAX_BODY_BYTES = 32 * 1024 * 1024  # of a frame, packed or not: the state of some 100,000 connections
-COMPRESSION_LEVEL = 3  # of zstandard
+# Limit of a frame's body, compressed or not: enough for the state of about 100,000 connections.
+MAX_BODY_BYTES = 32 * 1024 * 1024
+ZSTD_COMPRESSION_LEVEL = 3
 
 
 class FrameKind(enum.IntEnum):
-    """What a frame holds."""
+    """The kind of a frame's content."""
 
-    START = 1  # seed, settings, versions: what a replay begins with
+    START = 1  # the seed, settings and versions that a replay starts with
     STEPS = 2
-    STATE = 3  # the module's state, after the record before
-    GAP = 4  # records were dropped here; a replay goes on at the next state
-    INDEX = 5  # of all frames before it; `gradegap.capture.index`
-    TAIL = 6  # the last frame of a file that was ended in order: where its index is
+    STATE = 3  # the decision module's state after the preceding record
+    GAP = 4  # records were dropped here; a replay continues at the next state
+    INDEX = 5  # the index of all preceding frames; see `gradegap.capture.index`
+    TAIL = 6  # the last frame of a file that was closed properly: the offset of its index
 
 
 @dataclass(slots=True, frozen=True)
 class Frame:
-    """A sound frame."""
+    """A valid frame."""
 
     kind: FrameKind
     record_count: int
@@ -54,7 +56,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Damage:
-    """Bytes that hold no sound frame."""
+    """A range of bytes that contains no valid frame."""
 
     offset: int
     length: int
@@ -69,45 +71,47 @@
     first_at: float = 0.0,
     last_at: float = 0.0,
 ) -> bytes:
-    """A frame as it is in a file; `FrameTooLargeError` for a body of more than `MAX_BODY_BYTES`."""
+    """Encodes a frame; raises `FrameTooLargeError` for a body of more than `MAX_BODY_BYTES`."""
     import zstandard
 
-    raw = msgspec.msgpack.encode(body)
-    if len(raw) > MAX_BODY_BYTES:
-        raise FrameTooLargeError(len(raw))
-    packed = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).compress(raw)
-    head = _HEADER.pack(MARK, kind, len(packed), len(raw), record_count, first_number, first_at, last_at, 0)
-    crc = zlib.crc32(packed, zlib.crc32(head))
-    return head[:-4] + struct.pack("<I", crc) + packed
+    encoded = msgspec.msgpack.encode(body)
+    if len(encoded) > MAX_BODY_BYTES:
+        raise FrameTooLargeError(len(encoded))
+    packed = zstandard.ZstdCompressor(level=ZSTD_COMPRESSION_LEVEL).compress(encoded)
+    header = _HEADER.pack(
+        MARK, kind, len(packed), len(encoded), record_count, first_number, first_at, last_at, 0
+    )
+    crc = zlib.crc32(packed, zlib.crc32(header))
+    return header[:-4] + struct.pack("<I", crc) + packed
 
 
 def check_magic(data: bytes) -> None:
-    """Raises `BadRecordingError` for another kind of file, or a version that this program does not read."""
+    """Raises `BadRecordingError` for another kind of file, or an unsupported format version."""
     if not data.startswith(b"gradegap capture "):
-        raise BadRecordingError("this is no capture")
+        raise BadRecordingError("the file is not a recording")
     if not data.startswith(MAGIC):
-        found = data[17:27].split(b"\n")[0].decode("ascii", "replace")
-        raise OtherVersionError(found, VERSION)
+        found_version = data[17:27].split(b"\n")[0].decode("ascii", "replace")
+        raise OtherVersionError(found_version, VERSION)
 
 
 def read(data: bytes) -> Iterator[Frame | Damage]:
-    """All that is sound in a file, in order, and where something was not, without its index.
+    """Yields the valid frames of a file and its damaged ranges, in order; omits index frames.
 
-    Raises `BadRecordingError` for what is no recording.
+    Raises `BadRecordingError` if the data is not a recording.
     """
-    for _, found in read_located(data):
-        if isinstance(found, Damage) or found.kind not in (FrameKind.INDEX, FrameKind.TAIL):
-            yield found
+    for _, item in read_located(data):
+        if isinstance(item, Damage) or item.kind not in (FrameKind.INDEX, FrameKind.TAIL):
+            yield item
 
 
 def read_located(data: bytes) -> Iterator[tuple[int, Frame | Damage]]:
-    """The same with the offset of each, and with the index."""
+    """Like `read`, but yields index frames as well, and the offset of each item."""
     check_magic(data)
     offset, damaged_from, reason = len(MAGIC), -1, ""
     while offset < len(data):
         try:
             frame, end = _parse(data, offset)
-        except _UnsoundFrameError as error:
+        except _InvalidFrameError as error:
             if damaged_from < 0:
                 damaged_from, reason = offset, str(error)
             next_mark = data.find(MARK, offset + 1)
@@ -123,47 +127,47 @@
 
 
 def frame_at(data: bytes, offset: int) -> Frame | None:
-    """The frame that begins there; None where none does that is sound."""
+    """Returns the frame that starts at `offset`, or None if no valid frame starts there."""
     if not len(MAGIC) <= offset < len(data):
         return None
     try:
         return _parse(data, offset)[0]
-    except _UnsoundFrameError:
+    except _InvalidFrameError:
         return None
 
 
-class _UnsoundFrameError(ValueError):
-    """What is wrong with the bytes at an offset."""
+class _InvalidFrameError(ValueError):
+    """The bytes at an offset are not a valid frame; the message is the reason."""
 
 
 def _parse(data: bytes, offset: int) -> tuple[Frame, int]:
-    """The frame at an offset, and the offset of its end."""
+    """Returns the frame at an offset, and the offset of its end."""
     import zstandard
 
     if offset + _HEADER.size > len(data) and MARK.startswith(data[offset : offset + len(MARK)]):
-        raise _UnsoundFrameError("cut off")
+        raise _InvalidFrameError("truncated")
     if not data.startswith(MARK, offset):
-        raise _UnsoundFrameError("no frame begins here")
+        raise _InvalidFrameError("no frame mark at this offset")
     header = _HEADER.unpack_from(data, offset)
     _, kind, packed_size, size, record_count, first_number, first_at, last_at, crc = header
     begin = offset + _HEADER.size
-    # Guards against declared sizes that nothing stands behind: nothing is allocated for them.
+    # Rejects excessive declared sizes before any memory is allocated for them.
     if packed_size > MAX_BODY_BYTES or size > MAX_BODY_BYTES:
-        raise _UnsoundFrameError("a size that no frame has")
+        raise _InvalidFrameError(f"declared size exceeds {MAX_BODY_BYTES} bytes")
     end = begin + packed_size
     if end > len(data):
-        raise _UnsoundFrameError("cut off")
+        raise _InvalidFrameError("truncated")
     packed = data[begin:end]
     if zlib.crc32(packed, zlib.crc32(data[offset : begin - 4] + b"\0\0\0\0")) != crc:
-        raise _UnsoundFrameError("its sum is wrong")
+        raise _InvalidFrameError("checksum mismatch")
     try:
         frame_kind = FrameKind(kind)
-        raw = zstandard.ZstdDecompressor().decompress(packed, max_output_size=size)
-        if len(raw) != size or zstandard.frame_content_size(packed) != size:
-            raise _UnsoundFrameError("a size that it does not have")
-        body = msgspec.msgpack.decode(raw)
-    except _UnsoundFrameError:
+        encoded = zstandard.ZstdDecompressor().decompress(packed, max_output_size=size)
+        if len(encoded) != size or zstandard.frame_content_size(packed) != size:
+            raise _InvalidFrameError("declared size does not match the content")
+        body = msgspec.msgpack.decode(encoded)
+    except _InvalidFrameError:
         raise
     except (ValueError, zstandard.ZstdError, RecursionError) as error:
-        raise _UnsoundFrameError(f"can't be unpacked: {str(error)[:60]}") from None
+        raise _InvalidFrameError(f"can't be unpacked: {str(error)[:60]}") from None
     return Frame(frame_kind, record_count, first_number, first_at, last_at, body), end
--- a/gradegap/capture/index.py
+++ b/gradegap/capture/index.py
@@ -1,11 +1,12 @@
-"""An index of a file's frames by clock, endpoint and request, written at its end. No I/O.
+"""An index of a recording's frames by clock, endpoint and request, written at the end of the file. No I/O.
 
     INDEX body = {"servers": [name, ...], "frames": [row, ...]}
     row        = [offset, kind, first number, records, first at, last at, settings change, servers, requests]
 
-A row's servers are places in the list of names; its requests are their ids in rising order, each as its
-distance to the one before. The last frame of a file is a TAIL, of one length always, whose first number is
-the offset of the INDEX. A file that was cut off has neither: it is indexed by reading it.
+A row's servers are positions in the list of names. Its requests are request ids in ascending order, each
+stored as the difference from the previous one. The last frame of a file is a TAIL of fixed length, whose
+first number is the offset of the INDEX. A truncated file has neither frame; its index is built by reading the
+whole file.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Entry:
-    """One frame: where it is and what it is about."""
+    """One frame: its offset, and the records, endpoints and requests that it covers."""
 
     offset: int
     kind: FrameKind
@@ -34,7 +35,7 @@
     request_ids: frozenset[int]
 
     def is_about(self, request_id: int | None, endpoint: str | None) -> bool:
-        """Whether it holds steps of that request and that endpoint; None stands for any."""
+        """Whether the frame holds steps about this request and this endpoint; None matches any."""
         return (
             self.kind is FrameKind.STEPS
             and (request_id is None or request_id in self.request_ids)
@@ -43,7 +44,7 @@
 
 
 class Builder:
-    """Makes the index of a file that is being written: `add` for each frame, `sealed` at the end."""
+    """Builds the index while a file is written: call `add` for each frame and `sealed` at the end."""
 
     def __init__(self) -> None:
         self._endpoint_numbers: dict[str, int] = {}
@@ -65,22 +66,22 @@
         changes_settings: bool = False,
         about: Iterable[Any] = (),
     ) -> None:
-        """Add a frame; `about` has names of endpoints and ids of requests, as `records.names` gives them."""
+        """Adds a frame; `about` has endpoint names and request ids, as returned by `records.names`."""
         endpoints, request_ids = set(), set()
-        for each in about:
-            if isinstance(each, str):
-                endpoints.add(self._endpoint_numbers.setdefault(each, len(self._endpoint_numbers)))
+        for name_or_id in about:
+            if isinstance(name_or_id, str):
+                endpoints.add(self._endpoint_numbers.setdefault(name_or_id, len(self._endpoint_numbers)))
             else:
-                request_ids.add(each)
+                request_ids.add(name_or_id)
         distances, previous = [], 0
         for request_id in sorted(request_ids):
             distances.append(request_id - previous)
             previous = request_id
-        place = [offset, int(kind), first_number, record_count, first_at, last_at, changes_settings]
-        self._rows.append([*place, sorted(endpoints), distances])
+        columns = [offset, int(kind), first_number, record_count, first_at, last_at, changes_settings]
+        self._rows.append([*columns, sorted(endpoints), distances])
 
     def add_frame(self, offset: int, frame: Frame) -> None:
-        """Add a frame that was read, unless it is part of an index."""
+        """Adds a frame that was read from a file; ignores index frames."""
         if frame.kind in (FrameKind.INDEX, FrameKind.TAIL):
             return
         about: Iterable[Any] = ()
@@ -90,7 +91,7 @@
                 about = list(_about(frame.body))
                 changes_settings = any(row[0] == "a" for row in frame.body)
             except (BadRecordError, LookupError, TypeError):
-                about = ()  # whoever reads that frame gets the error
+                about = ()  # the error is reported when the frame is read
         self.add(
             offset,
             frame.kind,
@@ -103,16 +104,16 @@
         )
 
     def sealed(self, offset: int) -> bytes:
-        """The frames that end a file of that many bytes."""
+        """Returns the index frames to append to a file whose other frames end at `offset`."""
         try:
-            made = frames.pack(FrameKind.INDEX, self.body, len(self._rows))
-        except FrameTooLargeError:  # a file of more steps than an index holds: it is read through instead
+            index_frame = frames.pack(FrameKind.INDEX, self.body, len(self._rows))
+        except FrameTooLargeError:  # too many steps for one index frame: readers read the whole file instead
             return b""
-        return made + tail(offset)
+        return index_frame + tail(offset)
 
 
 def tail(offset: int) -> bytes:
-    """The last frame of a file: where its index begins."""
+    """Returns the last frame of a file; `offset` is that of the index frame."""
     return frames.pack(FrameKind.TAIL, None, 0, offset)
 
 
@@ -120,7 +121,7 @@
 
 
 def _about(rows: Iterable[Any]) -> Iterator[Any]:
-    """The endpoints and requests of a STEPS frame's rows, as they are in a file."""
+    """Yields the endpoint names and request ids in the stored rows of a STEPS frame."""
     for row in rows:
         if row[0] == "s":
             for raw in (row[3], *row[4]):
@@ -129,7 +130,7 @@
 
 
 def build(data: bytes) -> list[Entry]:
-    """The index of a file that has none, by reading all of it; damage is a gap in it."""
+    """Builds the index by reading the whole file; a damaged range becomes a GAP entry."""
     builder = Builder()
     for offset, frame in frames.read_located(data):
         if isinstance(frame, Damage):
@@ -140,7 +141,7 @@
 
 
 def sealed(data: bytes) -> bytes:
-    """A file's frames, whole and in order, with an index at their end."""
+    """Returns a file without an index with its index appended."""
     builder = Builder()
     for offset, frame in frames.read_located(data):
         if isinstance(frame, Frame):
@@ -149,19 +150,38 @@
 
 
 def _entries(raw: Any, size: int) -> list[Entry] | None:
-    """The entries of an INDEX body; None for what is no index of a file of that size."""
+    """Decodes the body of an INDEX frame; None if it can't be the index of frames in `size` bytes."""
     try:
-        names, entries, last = raw["servers"], [], -1
-        for offset, kind, first, count, first_at, last_at, changes, endpoints, distances in raw["frames"]:
-            if not last < offset < size:
+        names, entries, previous_offset = raw["servers"], [], -1
+        for (
+            offset,
+            kind,
+            first_number,
+            record_count,
+            first_at,
+            last_at,
+            changes_settings,
+            endpoints,
+            distances,
+        ) in raw["frames"]:
+            if not previous_offset < offset < size:
                 return None
-            last = offset
+            previous_offset = offset
             request_ids, request_id = set(), 0
             for distance in distances:
                 request_id += distance
                 request_ids.add(request_id)
-            about = frozenset(names[k] for k in endpoints), frozenset(request_ids)
-            entry = Entry(offset, FrameKind(kind), first, count, first_at, last_at, bool(changes), *about)
+            endpoints_and_requests = frozenset(names[number] for number in endpoints), frozenset(request_ids)
+            entry = Entry(
+                offset,
+                FrameKind(kind),
+                first_number,
+                record_count,
+                first_at,
+                last_at,
+                bool(changes_settings),
+                *endpoints_and_requests,
+            )
             entries.append(entry)
     except (KeyError, IndexError, TypeError, ValueError):
         return None
@@ -169,24 +189,24 @@
 
 
 def load(data: bytes) -> list[Entry]:
-    """The index of a file, from its end where it has one that fits.
+    """Returns the index of a file: the stored one if it is valid, else one built from the frames.
 
-    Raises `BadRecordingError` for what is no recording.
+    Raises `BadRecordingError` if the data is not a recording.
     """
     frames.check_magic(data)
-    last = frames.frame_at(data, len(data) - TAIL_BYTES)
-    if last is not None and last.kind is FrameKind.TAIL:
-        found = frames.frame_at(data, last.first_number)
-        # Guards against an index that was carried over from another file: each entry must be at its offset.
-        if found is not None and found.kind is FrameKind.INDEX:
-            entries = _entries(found.body, last.first_number)
-            if entries is not None and all(data.startswith(frames.MARK, e.offset) for e in entries):
+    tail_frame = frames.frame_at(data, len(data) - TAIL_BYTES)
+    if tail_frame is not None and tail_frame.kind is FrameKind.TAIL:
+        index_frame = frames.frame_at(data, tail_frame.first_number)
+        # Guards against the index of another file: a frame must start at the offset of each entry.
+        if index_frame is not None and index_frame.kind is FrameKind.INDEX:
+            entries = _entries(index_frame.body, tail_frame.first_number)
+            if entries is not None and all(data.startswith(frames.MARK, entry.offset) for entry in entries):
                 return entries
     return build(data)
 
 
 def indexed(data: bytes) -> bool:
-    """Whether the file ended in order, with an index."""
+    """Whether the file was closed properly, with an index."""
     last = frames.frame_at(data, len(data) - TAIL_BYTES)
     return last is not None and last.kind is FrameKind.TAIL
 
@@ -198,42 +218,55 @@
     request_id: int | None = None,
     endpoint: str | None = None,
 ) -> bytes:
-    """The part of a file that can be replayed by itself; only what is asked for is unpacked.
+    """Returns a part of a file that can be replayed on its own; frames outside the part are not decompressed.
 
-    From the last state at or before `since` (or before the first frame that is about the request and the
-    endpoint) to the last frame that begins by `until` (or that is about them). Empty where none is.
+    The part starts at the last state at or before clock `since` (s), or before the first frame matching the
+    request and the endpoint if one is given. It ends with the last frame that starts by clock `until` (s), or
+    the last one matching them. Returns empty bytes if there is no such part.
     """
     entries = load(data)
     if request_id is None and endpoint is None:
-        last = max((k for k, e in enumerate(entries) if e.first_at <= until), default=-1)
-        states = [k for k, e in enumerate(entries) if e.kind is FrameKind.STATE and e.first_at <= since]
+        last = max(
+            (position for position, entry in enumerate(entries) if entry.first_at <= until), default=-1
+        )
+        states = [
+            position
+            for position, entry in enumerate(entries)
+            if entry.kind is FrameKind.STATE and entry.first_at <= since
+        ]
     else:
-        about = [
-            k
-            for k, e in enumerate(entries)
-            if e.first_at <= until and e.last_at >= since and e.is_about(request_id, endpoint)
+        matching = [
+            position
+            for position, entry in enumerate(entries)
+            if entry.first_at <= until and entry.last_at >= since and entry.is_about(request_id, endpoint)
+        ]
+        last = matching[-1] if matching else -1
+        # Compares positions instead of clocks: a state may have the same clock as the steps before it.
+        states = [
+            position
+            for position in range(matching[0] if matching else 0)
+            if entries[position].kind is FrameKind.STATE
         ]
-        last = about[-1] if about else -1
-        # By place and not by clock: a state may bear the clock of the steps before it.
-        states = [k for k in range(about[0] if about else 0) if entries[k].kind is FrameKind.STATE]
-    first_state = next((k for k, e in enumerate(entries) if e.kind is FrameKind.STATE), len(entries))
+    first_state = next(
+        (position for position, entry in enumerate(entries) if entry.kind is FrameKind.STATE), len(entries)
+    )
     begin = states[-1] if states else first_state
     return _part(data, entries, begin, last) if begin <= last else b""
 
 
 def _part(data: bytes, entries: list[Entry], begin: int, last: int) -> bytes:
-    """The frames from a state to another frame, as a file of their own; empty without a start."""
+    """Returns entries `begin` (a state) to `last` as a file; empty if no START frame precedes them."""
     start = _start_before(data, entries[:begin])
     if start is None:
         return b""
     state = entries[begin]
     head = frames.pack(FrameKind.START, start, 0, state.first_number, state.first_at, state.first_at)
-    end = entries[last + 1].offset if last + 1 < len(entries) else _end(data)
+    end = entries[last + 1].offset if last + 1 < len(entries) else _frames_end(data)
     return frames.MAGIC + head + data[state.offset : end]
 
 
 def _start_before(data: bytes, entries: list[Entry]) -> Any:
-    """The last start among these frames, with the settings that were adopted after it."""
+    """Returns the body of the last START frame, updated with the settings that were adopted after it."""
     start: Any = None
     for entry in entries:
         if entry.kind is not FrameKind.START and not entry.changes_settings:
@@ -250,7 +283,7 @@
     return start
 
 
-def _end(data: bytes) -> int:
-    """Where the frames that are no index end."""
+def _frames_end(data: bytes) -> int:
+    """Returns the offset at which the frames before the index end."""
     last = frames.frame_at(data, len(data) - TAIL_BYTES)
     return last.first_number if last is not None and last.kind is FrameKind.TAIL else len(data)
--- a/gradegap/capture/observations.py
+++ b/gradegap/capture/observations.py
@@ -1,8 +1,9 @@
-"""What a recording shows of the world behind it, whatever the module decided then. No I/O.
+"""Extracts from a recording the observations that do not depend on the decisions of the module. No I/O.
 
-Endpoint lists, arrivals and clients' own ends are nobody's decision and hold for every module. What an
-endpoint would have answered to an attempt that was not made is not in the recording; what it answered to
-others, a little before or after, is. Whoever takes such an answer sees how far away in time it was.
+Endpoint lists, arrivals, and connections that clients close themselves are not decided by the balancer and
+hold for every decision module. The answer of an endpoint to an attempt that was not made is not in the
+recording; its answers to other attempts shortly before or after are. Each answer has its time, so that a
+caller can see how far from the attempt it was.
 """
 
 from __future__ import annotations
@@ -30,40 +31,41 @@
 from gradegap.balancing.settings import Settings
 from gradegap.capture.recording import Gap, Item, SettingsChange, State, Step
 
-RETURN_DELAY_S = 0.4  # from a migration or a break to the client's return, where the recording shows none
-CONNECT_TIME_S = 0.005  # of an attempt, where the recording shows none that was established
-HEALTH_CHECK_TIMEOUT_S = 0.25  # after which a health check counts as unanswered, as in the proxy
-HEALTH_CHECK_HANDICAP_S = 0.05  # an attempt's answer is taken before a health check's that is nearer by less
-REPORT_NEIGHBOURS = 12  # answers before and after a time among which a load report is looked for
+# Time from a migration or a reset to the client's reconnect, if the recording contains no such reconnect.
+DEFAULT_RETURN_DELAY_S = 0.4
+DEFAULT_CONNECT_TIME_S = 0.005  # duration of an attempt, if the recording contains no established connection
+HEALTH_CHECK_TIMEOUT_S = 0.25  # the timeout of health checks in the proxy
+# An attempt's answer is preferred to a health check's unless the latter is nearer in time by more than this.
+HEALTH_CHECK_HANDICAP_S = 0.05
+REPORT_SEARCH_COUNT = 12  # answers on each side of a time that are searched for a load report
 
 
 class Answer(NamedTuple):
-    """What an endpoint answered, or that it did not."""
+    """The answer of an endpoint to an attempt or health check, or its timeout."""
 
-    at: float  # clock at which the attempt or health check was sent
+    at: float  # clock at which the attempt or health check was sent, s
     result: AttemptResult
     elapsed: float  # s
     report: Mapping[str, float] | None
-    connections: int  # that this node had there
+    connections: int  # connections of this node to the endpoint at that time
     is_health_check: bool
 
 
 @dataclass(slots=True)
 class Client:
-    """One that came of its own accord."""
+    """A client that connected on its own initiative, neither retrying nor reconnecting."""
 
     request: RequestArrived
     arrived_at: float
-    first_endpoint: str = ""  # that its first attempt went to, in the recording
-    ended_at: float | None = (
-        None  # clock at which it ended its connection itself, or gave up; None: it did not
-    )
-    arrivals: int = 1  # in all, for one connection
+    first_endpoint: str = ""  # the endpoint of its first attempt in the recording
+    # Clock at which the client closed its connection or gave up, s; None if it did neither.
+    ended_at: float | None = None
+    arrivals: int = 1  # the number of its requests, retries and reconnects included
 
 
 @dataclass(slots=True)
 class Observations:
-    """What a recording holds that no decision of the module made."""
+    """The parts of a recording that do not depend on the module's decisions; clocks and times in s."""
 
     start: dict[str, Any] = field(default_factory=dict)
     began_at: float = 0.0
@@ -75,27 +77,30 @@
     inherited: list[tuple[float, ConnectionInherited]] = field(default_factory=list)
     answers: dict[str, list[Answer]] = field(default_factory=lambda: defaultdict(list))  # by endpoint
     breaks: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))  # by endpoint
-    return_delay: float = RETURN_DELAY_S
-    connect_time: float = CONNECT_TIME_S
+    return_delay: float = DEFAULT_RETURN_DELAY_S
+    connect_time: float = DEFAULT_CONNECT_TIME_S
     gaps: list[str] = field(default_factory=list)
 
     def nearest_answer(self, endpoint: str, at: float) -> Answer | None:
-        """The answer of that endpoint that is nearest in time; an attempt's wins over a health check's."""
+        """Returns the endpoint's answer nearest to clock `at`; answers to attempts are preferred."""
         answers = self.answers.get(endpoint)
         if not answers:
             return None
-        k = bisect_left(answers, at, key=lambda answer: answer.at)
+        position = bisect_left(answers, at, key=lambda answer: answer.at)
 
         def distance(answer: Answer) -> float:
             return abs(answer.at - at) + (HEALTH_CHECK_HANDICAP_S if answer.is_health_check else 0.0)
 
-        return min(answers[max(0, k - 2) : k + 2], key=distance)
+        return min(answers[max(0, position - 2) : position + 2], key=distance)
 
     def nearest_report(self, endpoint: str, at: float) -> Answer | None:
-        """The nearest answer with a load report."""
+        """Returns the endpoint's answer with a load report that is nearest to clock `at`."""
         answers = self.answers.get(endpoint, [])
-        k = bisect_left(answers, at, key=lambda answer: answer.at)
-        before, after = answers[max(0, k - REPORT_NEIGHBOURS) : k], answers[k : k + REPORT_NEIGHBOURS]
+        position = bisect_left(answers, at, key=lambda answer: answer.at)
+        before, after = (
+            answers[max(0, position - REPORT_SEARCH_COUNT) : position],
+            answers[position : position + REPORT_SEARCH_COUNT],
+        )
         nearest = None
         for answer in (*before[::-1], *after):
             if answer.report is None:
@@ -106,66 +111,68 @@
 
 
 def observe(source: Iterable[Item]) -> Observations:
-    """All that a recording shows. What comes behind a gap is left out: it began unseen."""
+    """Collects the observations up to the first gap; later connections started in unrecorded steps."""
     observer = _Observer()
     for item in source:
         match item:
             case State():
                 observer.begin(item)
             case Gap(reason):
-                observer.found.gaps.append(reason)
+                observer.observations.gaps.append(reason)
                 break
             case SettingsChange():
-                observer.found.settings_changes.append((item.at, item.settings))
+                observer.observations.settings_changes.append((item.at, item.settings))
             case Step():
                 observer.step(item)
     return observer.finish()
 
 
 class _Observer:
-    """Goes through a recording's steps, and keeps what is under way between them."""
+    """Processes the steps of a recording and tracks the attempts and connections in progress."""
 
     def __init__(self) -> None:
-        self.found = Observations()
+        self.observations = Observations()
         self.clients_by_key: dict[str, Client] = {}
         self.clients: dict[int, Client] = {}  # by request
-        self.attempts: dict[int, tuple[str, float]] = {}  # requests' attempts in flight: endpoint and clock
-        self.established: dict[int, str] = {}  # requests' connections: their endpoints
+        self.attempts: dict[int, tuple[str, float]] = {}  # attempts in flight by request: endpoint, sent at
+        self.established: dict[int, str] = {}  # endpoints of connections, by request
         self.migrated: set[int] = set()
-        self.left_at: dict[str, float] = {}  # clients' keys, with when they were migrated or broke
+        self.left_at: dict[str, float] = {}  # clock of a migration or reset, by the client's key
         self.connections: dict[str, int] = defaultdict(int)  # by endpoint
-        self.health_checks: dict[str, float] = {}  # in flight, by endpoint: clock
+        self.health_checks: dict[
+            str, float
+        ] = {}  # clock at which a health check in flight was sent, by endpoint
         self.return_delays: list[float] = []
         self.connect_times: list[float] = []
 
     def begin(self, state: State) -> None:
-        self.found.start = self.found.start or state.start
-        self.found.began_at = self.found.began_at or state.at
+        self.observations.start = self.observations.start or state.start
+        self.observations.began_at = self.observations.began_at or state.at
 
     def step(self, step: Step) -> None:
-        self.found.began_at = self.found.began_at or step.at
-        self.found.ended_at = step.at
+        self.observations.began_at = self.observations.began_at or step.at
+        self.observations.ended_at = step.at
         self._event(step.at, step.event)
         for action in step.actions:
             self._action(step.at, action)
 
     def finish(self) -> Observations:
-        for answers in self.found.answers.values():
+        for answers in self.observations.answers.values():
             answers.sort(key=lambda answer: answer.at)
         if self.return_delays:
-            self.found.return_delay = statistics.median(self.return_delays)
+            self.observations.return_delay = statistics.median(self.return_delays)
         if self.connect_times:
-            self.found.connect_time = statistics.median(self.connect_times)
-        return self.found
+            self.observations.connect_time = statistics.median(self.connect_times)
+        return self.observations
 
     def _event(self, at: float, event: Event) -> None:
         match event:
             case EndpointList():
-                self.found.endpoint_lists.append((at, event))
+                self.observations.endpoint_lists.append((at, event))
             case ProxyDraining() | ProxyResumed():
-                self.found.proxy_events.append((at, event))
+                self.observations.proxy_events.append((at, event))
             case ConnectionInherited():
-                self.found.inherited.append((at, event))
+                self.observations.inherited.append((at, event))
                 self._establish(event.request.request_id, event.endpoint)
             case RequestArrived():
                 self._request_arrived(at, event)
@@ -188,7 +195,7 @@
             case Migrate():
                 self.migrated.add(action.request_id)
             case Reject() | Fail():
-                # Unless it comes again, this was its end.
+                # The client's last answer, unless it retries.
                 if (client := self.clients.get(action.request_id)) is not None:
                     client.ended_at = at
             case CheckHealth():
@@ -213,7 +220,7 @@
 
     def _new_client(self, at: float, request: RequestArrived) -> None:
         client = self.clients[request.request_id] = Client(request, at)
-        self.found.clients.append(client)
+        self.observations.clients.append(client)
         if request.key:
             self.clients_by_key[request.key] = client
 
@@ -228,7 +235,7 @@
     ) -> None:
         connections = self.connections[endpoint]
         answer = Answer(sent_at, result, elapsed, report, connections, is_health_check)
-        self.found.answers[endpoint].append(answer)
+        self.observations.answers[endpoint].append(answer)
 
     def _connection_established(self, at: float, event: ConnectionEstablished) -> None:
         _, sent_at = self.attempts.pop(event.request_id, (event.endpoint, at))
@@ -239,7 +246,7 @@
     def _health_check_ended(self, at: float, event: HealthCheckEnded) -> None:
         sent_at = self.health_checks.pop(event.endpoint, at)
         if event.result is AttemptResult.FULL:
-            return  # it was the proxy that refused to send it
+            return  # the proxy did not send the health check
         self._answered(event.endpoint, sent_at, event.result, event.elapsed, event.report, True)
 
     def _attempt_ended(self, at: float, event: AttemptEnded) -> None:
@@ -249,19 +256,19 @@
             return
         _, sent_at = self.attempts.pop(event.request_id, (event.endpoint, at))
         if event.result in (AttemptResult.NOT_SENT, AttemptResult.CANCELLED):
-            return  # these are the node's own
+            return  # the node ended the attempt, not the endpoint
         self._answered(event.endpoint, sent_at, event.result, event.elapsed, event.report)
 
     def _connection_ended(self, at: float, event: AttemptEnded, endpoint: str) -> None:
         self.connections[endpoint] -= 1
-        broken = event.result is AttemptResult.RESET
+        was_reset = event.result is AttemptResult.RESET
         migrated = event.request_id in self.migrated
-        if broken and not migrated:
-            self.found.breaks[endpoint].append(at)
+        if was_reset and not migrated:
+            self.observations.breaks[endpoint].append(at)
         client = self.clients.get(event.request_id)
         if client is None:
             return
-        if migrated or broken:
+        if migrated or was_reset:
             self.left_at[client.request.key] = at
         else:
             client.ended_at = at
--- a/gradegap/capture/recorder.py
+++ b/gradegap/capture/recorder.py
@@ -1,7 +1,8 @@
-"""Records events and actions as they happen, and never waits for the disk.
+"""Records events and actions of a running node without blocking the event loop on the disk.
 
-Steps are gathered on the event loop, and encoded, compressed and written by one thread. What that thread
-can't keep up with is dropped in whole batches and marked as a gap. A state follows, so that a replay goes on.
+Steps are collected in batches on the event loop; one thread encodes, compresses and writes them. If that
+thread falls behind, whole batches are dropped and marked as a gap. A state is written after a gap, so that a
+replay can continue there.
 """
 
 from __future__ import annotations
@@ -30,43 +31,43 @@
 
 log = structlog.get_logger()
 
-BATCH_STEPS = 512  # steps that are handed over at once
-MAX_PENDING_BATCHES = 16  # on their way to the disk; beyond, what comes is dropped and marked
-FLUSH_INTERVAL_S = 1.0  # that a step waits at most
-FORK_NOT_PERMITTED = (errno.ENOSYS, errno.EPERM)  # the system makes no processes, now or later
+BATCH_STEPS = 512  # steps that are submitted to the thread at once
+MAX_PENDING_BATCHES = 16  # batches waiting for the thread; further ones are dropped
+FLUSH_INTERVAL_S = 1.0  # the longest time for which a step waits in an incomplete batch
+FORK_NOT_PERMITTED = (errno.ENOSYS, errno.EPERM)  # permanent errors: no later fork succeeds either
 
 
 class Recorder:
-    """One recording, from `begin` to `close`; a new one begins a new file.
+    """One recording, from `begin` to `close`; each recorder starts a new file.
 
-    The thread has the writer; all else is the event loop's, but for `closed` and the time at which a state
-    is due, which both set.
+    Only the thread uses the writer. All other attributes belong to the event loop, except `closed` and
+    `state_due_at`, which both set.
     """
 
     def __init__(
         self,
         settings: CaptureSettings,
         balancer: Balancer,
-        decides_by: Settings,
+        balancer_settings: Settings,
         seed: int,
         metrics: Metrics,
         loop: asyncio.AbstractEventLoop,
         now: Callable[[], float],
         name: str,
     ) -> None:
-        self.settings, self.balancer, self.decides_by = settings, balancer, decides_by
+        self.settings, self.balancer, self.balancer_settings = settings, balancer, balancer_settings
         self.metrics, self.loop, self.now = metrics, loop, now
-        self.about = {
+        self.start_fields = {
             "node": name,
             "seed": seed,
             "version": VERSION,
             "policy": decision_module.digest_of(decision_module.in_force()),
         }
-        self.next_number = 0  # of the next step
+        self.next_number = 0  # the number of the next step
         self.batch: list[StepRow] = []
-        self.pending = 0  # batches and states that the thread has not written
-        self.dropped = 0  # steps since the last mark
-        self.state_due_at = 0.0  # on the steady clock, s
+        self.pending = 0  # batches, gaps and states that the thread has not written yet
+        self.dropped = 0  # steps dropped since the last gap was marked
+        self.state_due_at = 0.0  # monotonic clock, s
         self.may_fork = True
         self.closed = False
         self.timer: asyncio.TimerHandle | None = None
@@ -79,12 +80,12 @@
         return not self.pending and not self.writer.is_open
 
     def begin(self) -> None:
-        """Begin to record; `OSError` where the folder can't be written."""
+        """Starts the recording; raises `OSError` if the folder can't be created."""
         Path(self.settings.folder).mkdir(parents=True, exist_ok=True)
         self._tick()
 
     def step(self, now: float, event: Event, actions: list[Action]) -> None:
-        """Record one event, and the actions that answered it."""
+        """Records one event and the actions that the balancer returned for it."""
         if self.closed:
             return
         self.batch.append((self.next_number, now, event, actions))
@@ -93,14 +94,14 @@
             self._flush()
 
     def adopted(self, settings: Settings) -> None:
-        """Record new settings that the balancer was given."""
-        self.decides_by = settings
+        """Records new settings that the balancer adopted."""
+        self.balancer_settings = settings
         if not self.closed:
             self.batch.append((self.next_number, self.now(), None, settings))
             self.next_number += 1
 
     def close(self) -> None:
-        """End the recording; what was recorded is still written, by the thread."""
+        """Ends the recording; the thread still writes the pending batches."""
         if not self.closed:
             self._flush()
             self.closed = True
@@ -110,12 +111,12 @@
         self.thread.shutdown(wait=False)
 
     def _flush(self) -> None:
-        """Hand the batch over to the thread, or drop it where the thread is too far behind."""
+        """Submits the batch to the thread, or drops it if too many batches are pending."""
         batch, self.batch = self.batch, []
         if not batch:
             return
         if self.pending >= MAX_PENDING_BATCHES:
-            # Guards the node against a slow disk: it is the recording that loses, and says so.
+            # On a slow disk the recording loses steps and marks the gap; the node is not slowed down.
             self.dropped += len(batch)
             self.metrics.count("capture_dropped", len(batch))
             self.state_due_at = 0.0
@@ -124,13 +125,13 @@
         self._submit(self.writer.write_steps, batch)
 
     def _mark_gap(self, next_number: int) -> None:
-        """Mark the steps that were dropped before the one of that number."""
+        """Writes a gap if steps were dropped before step `next_number`."""
         if self.dropped:
             self._submit(self.writer.write_gap, next_number - self.dropped, self.dropped)
             self.dropped = 0
 
     def _tick(self) -> None:
-        """Between two events: hand over what there is, and a state where one is due."""
+        """Runs between two events: submits the batch, and a state if one is due."""
         if self.closed:
             return
         self.timer = self.loop.call_later(FLUSH_INTERVAL_S, self._tick)
@@ -140,8 +141,8 @@
             return
         self._mark_gap(self.next_number)
         self.state_due_at = now + self.settings.state_s
-        settings = records.plain_settings(self.decides_by)
-        start = self.about | {"settings": settings, "made": time.time()}
+        settings = records.plain_settings(self.balancer_settings)
+        start = self.start_fields | {"settings": settings, "made": time.time()}
         if self.may_fork and snapshot.size(self.balancer) > snapshot.MAX_OBJECTS_IN_PLACE:
             self._take_state_by_fork(start)
         elif not self._take_state(start):
@@ -151,28 +152,28 @@
         )
 
     def _take_state(self, start: dict[str, Any]) -> bool:
-        """Walk the balancer's objects here; False where they can't be stored, which ends the recording."""
+        """Dumps the state in this process; returns False, and ends the recording, if it can't be stored."""
         try:
-            stored = state.dump(self.balancer)
+            stored_state = state.dump(self.balancer)
         except BadStateError as error:
             log.error("recording failed", error=str(error))
             self.close()
             return False
-        self._submit(self.writer.write_state, start, stored, self.next_number, self.now())
+        self._submit(self.writer.write_state, start, stored_state, self.next_number, self.now())
         return True
 
     def _take_state_by_fork(self, start: dict[str, Any]) -> None:
-        """Have them walked by a forked process."""
+        """Has a forked process dump the state."""
         try:
             child = snapshot.begin(self.balancer)
         except OSError as error:
             if error.errno in FORK_NOT_PERMITTED:
-                # Guards against a fork at every tick where a filter refuses them all (the fleet's platform):
-                # from here on the state is walked in place, as for a small module.
+                # A system call filter, as on the fleet's platform, refuses every fork. To avoid a failing
+                # fork at every tick, states are dumped in this process from now on, as for a small balancer.
                 self.may_fork = False
                 self.metrics.count("capture_forks_refused")
                 log.warning("fork refused, states taken in place", error=str(error))
-            # Guards the node, which a walk in place would hold up: no state until there is a process.
+            # A dump in this process would block the event loop, so no state is written until a fork succeeds.
             self._lose_state(error)
         else:
             self._submit(self._write_forked, start, child, self.next_number, self.now())
@@ -180,13 +181,13 @@
     def _lose_state(self, error: Exception) -> None:
         self.metrics.count("capture_states_lost")
         log.warning("state lost", error=str(error))
-        self.state_due_at = 0.0  # at the next tick again
+        self.state_due_at = 0.0  # retry at the next tick
 
     def _submit(self, work: Callable[..., None], *arguments: Any) -> None:
         self.pending += 1
 
         def done(_: object) -> None:
-            # From the thread, or at once where it was shut down; the loop may have ended before it.
+            # Called from the thread, or at once if it was shut down; the event loop may be closed by then.
             with contextlib.suppress(RuntimeError):
                 self.loop.call_soon_threadsafe(self._done)
 
@@ -195,16 +196,16 @@
     def _done(self) -> None:
         self.pending -= 1
 
-    # On the thread
+    # The methods below run on the thread.
 
     def _run(self, work: Callable[..., None], arguments: tuple[Any, ...]) -> None:
-        over = self.closed and not self.writer.is_open
-        if over and work != self._write_forked:  # whose child must not be left behind
+        is_finished = self.closed and not self.writer.is_open
+        if is_finished and work != self._write_forked:  # a forked child must always be reaped
             return
         try:
             work(*arguments)
         except (OSError, ValueError) as error:
-            # Guards the node against a full or broken disk: the recording ends, and nothing else.
+            # A full or broken disk ends the recording only; the node continues.
             self.closed = True
             self.metrics.count("capture_failed")
             log.error("recording failed", error=str(error))
@@ -212,9 +213,9 @@
 
     def _write_forked(self, start: dict[str, Any], child: snapshot.Child, number: int, at: float) -> None:
         try:
-            stored = snapshot.finish(child)
+            stored_state = snapshot.finish(child)
         except (OSError, ValueError) as error:
             self._lose_state(error)
             return
         if not self.closed or self.writer.is_open:
-            self.writer.write_state(start, stored, number, at)
+            self.writer.write_state(start, stored_state, number, at)
--- a/gradegap/capture/recording.py
+++ b/gradegap/capture/recording.py
@@ -1,7 +1,7 @@
-"""What a recording says, in order: steps, changes of settings, states, and gaps. No I/O but reading a file.
+"""Reads a recording as a sequence of steps, settings changes, states and gaps. I/O: reads a file.
 
-An item is yielded as soon as its frame is read. Where a frame is missing or damaged there is a `Gap`, from
-which nothing is known up to the next `State`.
+An item is yielded as soon as its frame is read. A missing or damaged frame yields a `Gap`; from there to the
+next `State` the balancer's state is unknown.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Step:
-    """One event with the actions that answered it."""
+    """One event with the actions that the balancer returned for it."""
 
     number: int
     at: float  # clock, s
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SettingsChange:
-    """New settings that the balancer was given."""
+    """New settings that the balancer adopted."""
 
     number: int
     at: float  # clock, s
@@ -40,17 +40,17 @@
 
 @dataclass(slots=True, frozen=True)
 class State:
-    """The balancer's state before the step of that number, and the start that it belongs to."""
+    """The balancer's state before the step with this number, and the START frame that applies to it."""
 
     number: int
     at: float  # clock, s
-    stored: Any  # as `gradegap.capture.state` has it
+    stored: Any  # in the form of `gradegap.capture.state`
     start: dict[str, Any]
 
 
 @dataclass(slots=True, frozen=True)
 class Gap:
-    """From here to the next state nothing can be replayed."""
+    """Missing or damaged steps; a replay can continue only at the next state."""
 
     reason: str
 
@@ -59,7 +59,7 @@
 
 
 def read_file(path: str) -> bytes:
-    """A file's bytes; `BadRecordingError` where they can't be had."""
+    """Returns the content of a file; raises `BadRecordingError` if it can't be read."""
     try:
         return Path(path).read_bytes()
     except OSError as error:
@@ -67,7 +67,7 @@
 
 
 def read(data: bytes) -> Iterator[Item]:
-    """All that a file says, in order; `BadRecordingError` where it is no recording."""
+    """Yields the items of a file in order; raises `BadRecordingError` if it is not a recording."""
     reader = _Reader()
     for frame in frames.read(data):
         if isinstance(frame, Damage):
@@ -80,11 +80,11 @@
 
 
 class _Reader:
-    """Goes through a file's frames, and sees where one is missing."""
+    """Decodes the frames of a file and detects missing ones."""
 
     def __init__(self) -> None:
         self._start: dict[str, Any] | None = None
-        self._next_number: int | None = None  # of the step that follows; None until the next state
+        self._next_number: int | None = None  # number expected next; None after a gap
 
     def gap(self, reason: str) -> Gap:
         self._next_number = None
@@ -96,7 +96,7 @@
                 self._begin(frame.body)
             case FrameKind.STATE:
                 if self._start is None:
-                    raise BadRecordError("a state without a start")
+                    raise BadRecordError("STATE frame without a preceding START frame")
                 self._next_number = frame.first_number
                 yield State(frame.first_number, frame.first_at, frame.body, self._start)
             case FrameKind.GAP:
@@ -106,13 +106,13 @@
 
     def _begin(self, body: Any) -> None:
         if not isinstance(body, dict) or not isinstance(body.get("settings"), dict):
-            raise BadRecordError("a start without settings")
+            raise BadRecordError("START frame without a map `settings`")
         self._start = body
         records.settings(body["settings"])
 
     def _steps(self, frame: Frame) -> Iterator[Item]:
         if self._next_number is not None and frame.first_number != self._next_number:
-            yield Gap(f"steps {self._next_number} to {frame.first_number - 1} are not there")
+            yield Gap(f"steps {self._next_number} to {frame.first_number - 1} are missing")
         for step in _rows(frame.body):
             if isinstance(step, SettingsChange) and self._start is not None:
                 self._start = self._start | {"settings": records.plain_settings(step.settings)}
@@ -122,7 +122,7 @@
 
 def _rows(body: Any) -> Iterator[Step | SettingsChange]:
     if not isinstance(body, list):
-        raise BadRecordError("steps that are no list")
+        raise BadRecordError(f"STEPS frame must hold a list, got {type(body).__name__}")
     for row in body:
         match row:
             case ["s", int(number), float(at), list(event), list(actions)]:
@@ -130,4 +130,4 @@
             case ["a", int(number), float(at), dict(raw)]:
                 yield SettingsChange(number, at, records.settings(raw))
             case _:
-                raise BadRecordError("a step of no kind")
+                raise BadRecordError("STEPS row is neither a step nor a settings change")
--- a/gradegap/capture/records.py
+++ b/gradegap/capture/records.py
@@ -1,11 +1,11 @@
-"""Events, actions and settings as plain values that a file can hold, and back. No I/O.
+"""Converts events, actions and settings to plain values that a file can hold, and back. No I/O.
 
-An event or an action is stored as `[name, [field, ...]]`, its fields in the order of its class; settings are
-stored as a map by field name. The stored names are declared in the tables of this file and stay as they are
-for ever, whatever the classes and their attributes are called: files are read by later versions, and the
-digest of a replay is made of the stored names. Enums are stored by value.
+An event or an action is stored as `[name, [field, ...]]`, with its fields in the order of its class; settings
+are stored as a map by field name. The stored names are declared in the tables of this module. They never
+change, even if classes and attributes are renamed: later versions read the files, and the digest of a replay
+is computed from the stored names. Enums are stored by value.
 
-A reader of this version takes what an older one wrote as long as fields were only added at the end, with a
+This version reads the records of an older version as long as fields were only added at the end, with a
 default.
 """
 
@@ -74,23 +74,23 @@
 
 @dataclass(slots=True, frozen=True)
 class StoredFields:
-    """How a class of settings is stored: its stored field names, and the attributes that they stand for."""
+    """The stored form of a class of settings: its stored field names and the attributes they map to."""
 
     cls: type
     attributes: Mapping[str, str]  # stored name -> attribute; the left column never changes
 
     def to_plain(self, value: Any) -> dict[str, Any]:
-        """The stored form of one object."""
+        """Returns the stored form of an object."""
         return {stored: msgspec.to_builtins(getattr(value, name)) for stored, name in self.attributes.items()}
 
     def to_attributes(self, raw: Any) -> Any:
-        """The stored form, keyed by attribute; what is no map is left for the conversion to refuse."""
+        """Returns the stored form keyed by attribute; other values are returned as they are."""
         if not isinstance(raw, Mapping):
             return raw
         return {self.attributes[stored]: value for stored, value in raw.items() if stored in self.attributes}
 
     def from_plain(self, raw: Any) -> Any:
-        """The object; `msgspec.ValidationError` or `ValueError` for what can't be one."""
+        """Decodes an object; raises `msgspec.ValidationError` or `ValueError` if `raw` is invalid."""
         return msgspec.convert(self.to_attributes(raw), self.cls)
 
 
@@ -139,34 +139,34 @@
         "over_share_worth": "over_share_weight",
     },
 )
-# Stored fields of `SETTINGS` that hold a map of further settings by name.
+# Stored fields of `SETTINGS` that hold a map from names to nested settings.
 _NESTED = {"classes": CLASS_SETTINGS, "tenants": TENANT_SETTINGS}
 
 
 def stored_name(value: Any) -> str:
-    """The name that an event or action is stored by."""
+    """Returns the stored name of an event or action."""
     return _STORED_NAMES[type(value)]
 
 
 def plain(value: Any) -> tuple[str, Any]:
-    """An event or an action; its encoder writes a named tuple as its fields."""
+    """Returns the stored form of an event or action; the encoder writes a named tuple as a list of fields."""
     return _STORED_NAMES[type(value)], value
 
 
 def event(raw: Sequence[Any]) -> Any:
-    """`BadRecordError` for what is no event of this version."""
-    return _back(raw, EVENTS)
+    """Decodes an event; raises `BadRecordError` if this version has no such event."""
+    return _decode(raw, EVENTS)
 
 
 def action(raw: Sequence[Any]) -> Any:
-    """`BadRecordError` for what is no action of this version."""
-    return _back(raw, ACTIONS)
+    """Decodes an action; raises `BadRecordError` if this version has no such action."""
+    return _decode(raw, ACTIONS)
 
 
-def _back(raw: Sequence[Any], kinds: Mapping[str, type]) -> Any:
+def _decode(raw: Sequence[Any], kinds: Mapping[str, type]) -> Any:
     kind = kinds.get(raw[0]) if len(raw) == 2 and isinstance(raw[0], str) else None
     if kind is None:
-        raise BadRecordError(f"{str(raw[:1])[:40]} is no kind that this version knows")
+        raise BadRecordError(f"unknown kind of event or action: {str(raw[:1])[:40]}")
     try:
         return msgspec.convert(raw[1], kind)
     except (msgspec.ValidationError, RecursionError) as error:
@@ -174,7 +174,7 @@
 
 
 def names(value: Event | Action) -> set[Any]:
-    """The endpoints and requests that an event or action is about."""
+    """Returns the names of endpoints and ids of requests that an event or action refers to."""
     return _NAMES[type(value)](value)
 
 
@@ -204,7 +204,7 @@
     return set()
 
 
-# By class and not by matching one after the other: the recorder does this for each step.
+# A lookup by class is faster than a sequence of match cases; the recorder calls `names` for each step.
 _NAMES: dict[type, Callable[[Any], set[Any]]] = {
     EndpointList: _listed_endpoints,
     ConnectionInherited: _inherited,
@@ -229,24 +229,24 @@
 
 
 def plain_settings(settings: Settings) -> dict[str, Any]:
-    """Settings as plain values, by their stored names."""
-    found = SETTINGS.to_plain(settings)
+    """Returns settings as plain values, keyed by their stored names."""
+    plain_values = SETTINGS.to_plain(settings)
     for stored, form in _NESTED.items():
-        held = getattr(settings, SETTINGS.attributes[stored])
-        found[stored] = {name: form.to_plain(each) for name, each in held.items()}
-    return found
+        values = getattr(settings, SETTINGS.attributes[stored])
+        plain_values[stored] = {name: form.to_plain(value) for name, value in values.items()}
+    return plain_values
 
 
 def settings(raw: Mapping[str, Any]) -> Settings:
-    """`BadRecordError` for what can't be settings of this version."""
+    """Decodes settings; raises `BadRecordError` if this version can't read them."""
     if extra := sorted(raw.keys() - SETTINGS.attributes.keys()):
         raise BadRecordError(f"settings of a later version: {', '.join(extra)[:80]}")
-    held = dict(raw)
+    values = dict(raw)
     for stored, form in _NESTED.items():
-        if isinstance(each := held.get(stored), Mapping):
-            held[stored] = {name: form.to_attributes(value) for name, value in each.items()}
+        if isinstance(nested := values.get(stored), Mapping):
+            values[stored] = {name: form.to_attributes(value) for name, value in nested.items()}
     try:
-        made: Settings = SETTINGS.from_plain(held)
+        decoded: Settings = SETTINGS.from_plain(values)
     except (msgspec.ValidationError, ValueError) as error:
         raise BadRecordError(f"settings that can't be read: {str(error)[:120]}") from None
-    return made
+    return decoded
--- a/gradegap/capture/redaction.py
+++ b/gradegap/capture/redaction.py
@@ -1,7 +1,7 @@
-"""Ids that name players, as a keyed hash: while they are recorded, or in a file already written. No I/O.
+"""Replaces ids that identify players by a keyed hash, during recording or in an existing file. No I/O.
 
-Groups are placed by a hash of their names, so a recording of a node that places groups decides otherwise once
-it is redacted; one whose ids were hashed when it was recorded needs no redaction.
+Groups are placed by a hash of their names, so the replay of a redacted recording differs if the node places
+groups. A recording whose ids were hashed while it was made needs no redaction.
 """
 
 from __future__ import annotations
@@ -14,28 +14,28 @@
 from gradegap.capture import frames, records, state
 from gradegap.capture.frames import Damage, Frame, FrameKind
 
-KEY_BYTES = 64  # of a key that are used, the most that BLAKE2b takes
+MAX_KEY_BYTES = 64  # the longest key that BLAKE2b accepts; further bytes are ignored
 HASH_BYTES = 8
 
 
 class IdHasher:
-    """Hashes ids that name players.
+    """Hashes ids that identify players.
 
-    A balancer that is given hashed ids decides by them, so a replay needs no others. Nodes that are to place
-    groups alike need one key.
+    The balancer receives and uses the hashed ids, so a replay of the recording takes the same decisions.
+    Nodes that must place groups in the same way need the same key.
     """
 
     def __init__(self, key: bytes) -> None:
-        self._key = key[:KEY_BYTES]
+        self._key = key[:MAX_KEY_BYTES]
 
     def hashed(self, text: str) -> str:
-        """The hash of an id in hexadecimal; empty for an empty one."""
+        """Returns the hash of an id in hexadecimal; an empty id stays empty."""
         if not text:
             return ""
         return hashlib.blake2b(text.encode(), key=self._key, digest_size=HASH_BYTES).hexdigest()
 
     def event(self, event: Event) -> Event:
-        """The event with its ids hashed."""
+        """Returns the event with its ids hashed."""
         if isinstance(event, RequestArrived):
             return self._request(event)
         if isinstance(event, ConnectionInherited):
@@ -47,21 +47,28 @@
 
 
 def redact(data: bytes, hashed: Callable[[str], str]) -> bytes:
-    """The same file with `hashed(id)` in the place of each id; damaged bytes are left out."""
-    sound = [frame for frame in frames.read(data) if not isinstance(frame, Damage)]
-    known: dict[str, str] = {}
-    for frame in sound:
+    """Returns the file with each id replaced by `hashed(id)`; damaged ranges are omitted."""
+    valid_frames = [frame for frame in frames.read(data) if not isinstance(frame, Damage)]
+    hashes: dict[str, str] = {}
+    for frame in valid_frames:
         for text in _ids(frame):
-            if isinstance(text, str) and text and text not in known:
-                known[text] = hashed(text)
+            if isinstance(text, str) and text and text not in hashes:
+                hashes[text] = hashed(text)
     return frames.MAGIC + b"".join(
-        frames.pack(f.kind, _redacted(f, known), f.record_count, f.first_number, f.first_at, f.last_at)
-        for f in sound
+        frames.pack(
+            valid_frame.kind,
+            _redacted(valid_frame, hashes),
+            valid_frame.record_count,
+            valid_frame.first_number,
+            valid_frame.first_at,
+            valid_frame.last_at,
+        )
+        for valid_frame in valid_frames
     )
 
 
 def _ids(frame: Frame) -> Iterator[Any]:
-    """The ids that a frame holds: keys, groups and tenants."""
+    """Yields the ids in a frame: keys, groups and tenants."""
     if frame.kind is FrameKind.STEPS:
         for row in frame.body:
             if row[0] == "s" and row[3][0] in ("Request", "Inherited"):
@@ -72,26 +79,26 @@
         yield from state.personal_ids(frame.body)
 
 
-def _redacted(frame: Frame, known: Mapping[str, str]) -> Any:
-    """A frame's body without ids."""
+def _redacted(frame: Frame, hashes: Mapping[str, str]) -> Any:
+    """Returns the body of a frame with its ids replaced."""
     if frame.kind is FrameKind.STEPS:
-        # The kind of a step, its number and its event's name are no ids, even where an id reads the same.
+        # The kind and number of a row and the name of its event are kept even if an id has the same text.
         return [
-            row if row[0] == "a" else [*row[:3], [row[3][0], _replaced(row[3][1], known)], row[4]]
+            row if row[0] == "a" else [*row[:3], [row[3][0], _replaced(row[3][1], hashes)], row[4]]
             for row in frame.body
         ]
     if frame.kind is FrameKind.STATE:
-        objects = [[name, _replaced(values, known)] for name, values in frame.body["objects"]]
+        objects = [[name, _replaced(values, hashes)] for name, values in frame.body["objects"]]
         return frame.body | {"objects": objects}
     return frame.body
 
 
-def _replaced(value: Any, known: Mapping[str, str]) -> Any:
-    """A plain value with each id in it replaced."""
+def _replaced(value: Any, hashes: Mapping[str, str]) -> Any:
+    """Returns a plain value with each id in it replaced."""
     if isinstance(value, str):
-        return known.get(value, value)
+        return hashes.get(value, value)
     if isinstance(value, list):
-        return [_replaced(each, known) for each in value]
+        return [_replaced(element, hashes) for element in value]
     if isinstance(value, dict):
-        return {key: _replaced(each, known) for key, each in value.items()}
+        return {key: _replaced(element, hashes) for key, element in value.items()}
     return value
--- a/gradegap/capture/replay.py
+++ b/gradegap/capture/replay.py
@@ -1,7 +1,7 @@
-"""The same decisions again: a recording's events, under its clock, fed to a module. No I/O.
+"""Replays a recording: feeds its events, with their recorded clocks, to a decision module. No I/O.
 
-A replay begins at a state, compares its own with every later one, and proves nothing from a gap of the
-recording up to the next state.
+A replay starts at a recorded state and compares the module's state with every later recorded one. Steps from
+a gap of the recording to the next state are not replayed.
 """
 
 from __future__ import annotations
@@ -23,37 +23,37 @@
 from gradegap.capture.errors import BadStateError, DecisionVersion, LaterStateError, OtherAlgorithmError
 from gradegap.capture.recording import Gap, Item, SettingsChange, State, Step
 
-PRECEDING_SHOWN = 8  # steps in front of a difference that touched the same endpoints and requests
-STEPS_KEPT = 2000  # among which these are looked for
+MAX_PRECEDING_STEPS = 8  # steps reported before a difference, about the same endpoints and requests
+RECENT_STEPS_COUNT = 2000  # most recent steps that are searched for them
 DIGEST_BYTES = 16
 
 
 @dataclass(slots=True)
 class Difference:
-    """The first decision that is not the recorded one."""
+    """The first decision that differs from the recorded one."""
 
     step: Step
-    actions: list[Action]  # the module's, in place of the step's
+    actions: list[Action]  # the actions of the replayed module
     preceding: list[Step]  # the last steps about the same endpoints and requests
-    state: list[str]  # that is behind the decision, in words
+    state: list[str]  # description of the state after the decision
 
 
 @dataclass(slots=True)
 class Report:
-    """What came of a replay."""
+    """The result of a replay."""
 
     steps: int = 0
-    states: int = 0  # that the replay's own was compared with
+    states: int = 0  # recorded states that were compared with the module's state
     gaps: list[str] = field(default_factory=list)
-    digest: str = ""  # of all actions, in hexadecimal
+    digest: str = ""  # hash of all replayed actions, in hexadecimal
     difference: Difference | None = None
     state_differs: str = ""
 
 
 def begin(module: ModuleType, recorded: State) -> Balancer:
-    """A `Balancer` of the module in a recorded state.
+    """Returns a `Balancer` of the module in a recorded state.
 
-    Raises `BadStateError` where they don't fit; its subclasses say which versions are at odds.
+    Raises `BadStateError` if the state does not fit the module; subclasses name incompatible versions.
     """
     settings = records.settings(recorded.start["settings"])
     try:
@@ -67,29 +67,29 @@
 
 
 def encoded(values: Iterable[Event | Action]) -> bytes:
-    """Exact, so that floats and what is no number compare."""
+    """Encodes events or actions to bytes, which compare exactly, also for floats and NaN."""
     return msgspec.msgpack.encode([records.plain(value) for value in values])
 
 
 def replay(
     source: Iterable[Item], module: ModuleType, since: float = -1e18, until_differs: bool = True
 ) -> Report:
-    """Feed what is recorded to `module`, from the last state before clock `since` on.
+    """Replays a recording with `module`, from the last state at or before clock `since` (s).
 
-    Raises `LaterStateError` for a state that a later version of this program has written; any other that
-    can't be loaded is a gap of the report.
+    Raises `LaterStateError` for a state written by a later version of this program; any other state that
+    can't be loaded is reported as a gap.
     """
     run = _Replay(module, since, until_differs)
     for item in source:
         run.take(item)
-        if run.over:
+        if run.is_finished:
             break
     run.report.digest = run.digest.hexdigest()
     return run.report
 
 
 class _Replay:
-    """A module that is fed a recording, and the report of it."""
+    """A replay in progress: the replayed balancer and the report."""
 
     def __init__(self, module: ModuleType, since: float, until_differs: bool) -> None:
         self.module = module
@@ -97,9 +97,9 @@
         self.until_differs = until_differs
         self.report = Report()
         self.digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
-        self.balancer: Balancer | None = None  # None until a state was loaded, and behind a gap
-        self.recent: deque[Step] = deque(maxlen=STEPS_KEPT)
-        self.over = False
+        self.balancer: Balancer | None = None  # None before the first state and after a gap
+        self.recent: deque[Step] = deque(maxlen=RECENT_STEPS_COUNT)
+        self.is_finished = False
 
     def take(self, item: Item) -> None:
         match item:
@@ -124,7 +124,7 @@
         except LaterStateError:
             raise
         except BadStateError as error:
-            if str(error) not in self.report.gaps:  # each state of a file may say the same
+            if str(error) not in self.report.gaps:  # all states of a file may fail for the same reason
                 self.report.gaps.append(str(error))
 
     def _compare_state(self, balancer: Balancer, recorded: State) -> None:
@@ -137,26 +137,28 @@
         except BadStateError:
             same = False
         if not same and not self.report.state_differs:
-            self.report.state_differs = f"at step {recorded.number} the state is not the recorded one"
-            self.over = self.until_differs
+            self.report.state_differs = f"state at step {recorded.number} differs from the recorded one"
+            self.is_finished = self.until_differs
 
     def _step(self, balancer: Balancer, step: Step) -> None:
         try:
             actions = balancer.handle(step.at, step.event)
-        except Exception as error:  # a module that breaks is what is looked for
+        except Exception as error:  # an exception of the module is a difference
             self.report.difference = Difference(step, [], [], [f"the module raised {error!r}"])
-            self.over = True
+            self.is_finished = True
             return
         self.report.steps += 1
-        raw = encoded(actions)
-        self.digest.update(raw)
-        if raw != encoded(step.actions) and self.report.difference is None:
+        encoded_actions = encoded(actions)
+        self.digest.update(encoded_actions)
+        if encoded_actions != encoded(step.actions) and self.report.difference is None:
             self.report.difference = self._difference(balancer, step, actions)
-            self.over = self.until_differs
+            self.is_finished = self.until_differs
         self.recent.append(step)
 
     def _difference(self, balancer: Balancer, step: Step, actions: list[Action]) -> Difference:
-        about = {name for each in (step.event, *actions, *step.actions) for name in records.names(each)}
-        preceding = [each for each in self.recent if about & records.names(each.event)][-PRECEDING_SHOWN:]
+        about = {name for record in (step.event, *actions, *step.actions) for name in records.names(record)}
+        preceding = [record for record in self.recent if about & records.names(record.event)][
+            -MAX_PRECEDING_STEPS:
+        ]
         lines = state_behind(balancer, step.at, (*actions, *step.actions))
         return Difference(step, actions, preceding, lines)
--- a/gradegap/capture/schema.py
+++ b/gradegap/capture/schema.py
@@ -1,13 +1,14 @@
-"""What of a `Balancer` is stored in a recording, by which names, and where it is in the objects. No I/O.
+"""Declares which attributes of a `Balancer` a recording stores, and under which names. No I/O.
 
-A `Form` describes one kind of stored object: its stored name, its class, and its fields. A field has a stored
-name and the attribute path at which the object has it: `"owed"`, or `"retries.owed"` where it is an attribute
-of a component. A rename or a split of the decision classes changes classes and paths here; it never changes a
-stored name. When fields are added, dropped or change their meaning, `VERSION` goes up by one and the previous
-version's table goes beside `gradegap.capture.state_v1`.
+A `Form` describes one kind of stored object: its stored name, its class and its fields. A field has a stored
+name and an attribute path: `"owed"`, or `"retries.owed"` if it is an attribute of a component. If the
+decision classes are renamed or split, the classes and paths here change, but never a stored name. If fields
+are added, removed or change their meaning, `VERSION` is incremented and the previous version's table is kept
+in a module like `gradegap.capture.state_v1`.
 
-What is not stored is declared as derived: settings and what follows from them, wiring, and what is empty
-between two events. `tests/test_capture_state.py` fails for an attribute that is neither stored nor derived.
+Attributes that are not stored are declared as derived: settings and values computed from them, references
+between components, and collections that are empty between two events. `tests/test_capture_state.py` fails
+for an attribute that is neither stored nor derived.
 """
 
 from __future__ import annotations
@@ -21,35 +22,36 @@
 from gradegap.balancing import balancer, model
 from gradegap.balancing.events import EndpointPhase
 
-VERSION = 2  # of the stored form of a state; version 1 had no number
+VERSION = 2  # version of the stored form of a state; states of version 1 have no version number
 
 
 @dataclass(slots=True, frozen=True)
 class Form:
-    """How one kind of object is stored."""
+    """The stored form of one kind of object."""
 
     name: str  # the stored name
     cls: type
     fields: Mapping[str, str]  # stored name -> attribute path, in the order in which they are stored
     derived: frozenset[str] = frozenset()  # attribute paths that are not stored
-    blank: Callable[[Any], Any] = object.__new__  # makes an object of the class, or of a copy, to be filled
-    values: Callable[[Any], tuple[Any, ...]] = field(init=False)  # the fields of an object, in order
+    blank: Callable[[Any], Any] = object.__new__  # creates an empty object of a class
+    values: Callable[[Any], tuple[Any, ...]] = field(
+        init=False
+    )  # returns the field values of an object, in order
 
     def __post_init__(self) -> None:
         object.__setattr__(self, "values", attrgetter(*self.fields.values()))
 
     def get(self, obj: Any, stored: str) -> Any:
-        """A field of an object, by its stored name."""
+        """Returns the field of an object with this stored name."""
         return attrgetter(self.fields[stored])(obj)
 
     def owner(self, obj: Any, stored: str) -> Any:
-        """The component that has a field: the object itself, or the one that the path leads to."""
+        """Returns the object that has the field as an attribute: `obj` or one of its components."""
         inner = self.fields[stored].rpartition(".")[0]
         return attrgetter(inner)(obj) if inner else obj
 
 
-# What is not stored: settings and what follows from them, the actions of the event under way, and which other
-# parts of the `Balancer` each part knows.
+# Derived attributes: settings, values computed from them, and the actions of the event in progress.
 DERIVED = (
     "handlers",
     "context.actions",
@@ -61,7 +63,8 @@
     "context.uses_health_checks",
     "priority_weights.settings",
 )
-WIRING = {
+# Derived attributes as well: the references of each component to other components, by component.
+COMPONENT_REFERENCES = {
     "admission": ("context", "growth", "load_estimates", "rates", "statistics"),
     "attempts": ("context", "observer", "outliers", "rates", "table"),
     "draining": ("attempts", "context", "migration", "registry", "table"),
@@ -153,7 +156,9 @@
         "expected_returns": "migration.expected_returns",
         "learned_drain_time": "draining.learned_drain_time",
     },
-    derived=frozenset((*DERIVED, *(f"{part}.{name}" for part, names in WIRING.items() for name in names))),
+    derived=frozenset(
+        (*DERIVED, *(f"{part}.{name}" for part, names in COMPONENT_REFERENCES.items() for name in names))
+    ),
 )
 
 ENDPOINT = Form(
@@ -230,7 +235,7 @@
 )
 
 FORMS: dict[str, Form] = {form.name: form for form in (BALANCER, ENDPOINT, REQUEST)}
-CLASS_SETTINGS = "ClassSettings"  # the stored name of a value that is stored as settings are
+CLASS_SETTINGS = "ClassSettings"  # stored name of the settings of a request class
 ENUMS: dict[str, type[enum.Enum]] = {"Phase": EndpointPhase}
-# The stored fields that hold an id of a player, or what was made of one.
+# The stored fields that hold a player's id or a value derived from one.
 PERSONAL_FIELDS = {"hash_key"}
--- a/gradegap/capture/snapshot.py
+++ b/gradegap/capture/snapshot.py
@@ -1,8 +1,8 @@
-"""The state of a large balancer, taken without holding the node up: by a process that is forked for it.
+"""Dumps the state of a large balancer in a forked process, so that the event loop is not blocked.
 
-The child has the balancer as it was between two events, walks it, and writes it to a pipe, which the
-recorder's thread reads. The node pays for the copy of its page tables alone. For a small balancer the walk
-itself costs less than a fork.
+The child has a copy of the balancer as it was between two events. It dumps the state and writes it to a pipe,
+which the recorder's thread reads. The node itself only pays for the copy of its page tables. For a small
+balancer a dump in the node's process costs less than a fork.
 """
 
 from __future__ import annotations
@@ -21,28 +21,28 @@
 from gradegap.capture import frames, state
 from gradegap.capture.schema import BALANCER
 
-MAX_OBJECTS_IN_PLACE = 400  # up to which a state is walked in the node's own process
-CHILD_TIMEOUT_S = 20.0
-CHILD_NICENESS = 5  # it gives way to the node
-READ_BYTES = 1 << 20  # read from the pipe at once
+MAX_OBJECTS_IN_PLACE = 400  # up to this size a state is dumped in the node's own process
+CHILD_TIMEOUT_S = 20.0  # the child is killed if its state is not complete by then
+CHILD_NICENESS = 5  # the child yields the processor to the node
+READ_BYTES = 1 << 20  # bytes per read from the pipe
 
 
 class Child(NamedTuple):
-    """A process that walks a balancer."""
+    """A forked process that dumps a balancer's state."""
 
     pid: int
-    pipe: int  # descriptor of the end that is read
+    pipe: int  # file descriptor of the read end
 
 
 def size(balancer: Balancer) -> int:
-    """About how many objects a walk would meet, without one."""
+    """Estimates the number of objects in the state as the number of requests and endpoints."""
     return sum(len(BALANCER.get(balancer, name)) for name in ("requests", "endpoints"))
 
 
 def begin(balancer: Balancer) -> Child:
-    """Fork a child that walks the balancer as it is now.
+    """Forks a child that dumps the present state of the balancer.
 
-    Raises `OSError` where there is no process or descriptor to be had.
+    Raises `OSError` if no process or file descriptor is available.
     """
     reading, writing = os.pipe()
     try:
@@ -58,29 +58,29 @@
     try:
         _write_state(balancer, writing)
         status = 0
-    except BaseException:  # whatever it is: this process must never go on as a second node
+    except BaseException:  # the child must never continue as a second node
         status = 1
     finally:
         os._exit(status)
 
 
 def _write_state(balancer: Balancer, pipe: int) -> None:
-    """The child's work."""
-    gc.disable()  # nothing of the node's is ended here, and few pages are written
-    # Guards the node's connections: held open here as well, none would end for its other side.
+    """Runs in the child: dumps the state and writes it to the pipe."""
+    gc.disable()  # the child must finalize no object of the node, and should write to few shared pages
+    # Closes the inherited descriptors: otherwise the peer of a connection that the node closes sees no end.
     os.closerange(0, pipe)
     os.closerange(pipe + 1, os.sysconf("SC_OPEN_MAX"))
     with contextlib.suppress(OSError):
         os.nice(CHILD_NICENESS)
-    left = memoryview(msgspec.msgpack.encode(state.dump(balancer)))
-    while left:
-        left = left[os.write(pipe, left) :]
+    remaining = memoryview(msgspec.msgpack.encode(state.dump(balancer)))
+    while remaining:
+        remaining = remaining[os.write(pipe, remaining) :]
 
 
 def finish(child: Child, timeout: float = CHILD_TIMEOUT_S) -> Any:
-    """The state that the child wrote. Blocks until the child has ended, or was killed after `timeout` s.
+    """Returns the state written by the child; blocks until the child ends, or is killed after `timeout` s.
 
-    Raises `OSError` where the child did not write it whole in time.
+    Raises `OSError` if the child does not write the whole state in time.
     """
     try:
         data = _read_all(child.pipe, time.monotonic() + timeout)
@@ -92,22 +92,22 @@
         os.close(child.pipe)
         _, status = os.waitpid(child.pid, 0)
     if status:
-        raise OSError(f"the process that walks the module's state ended with {status}")
+        raise OSError(f"process that dumps the state ended with wait status {status}")
     return msgspec.msgpack.decode(data)
 
 
 def _read_all(pipe: int, until: float) -> bytes:
-    """All that is written to a pipe up to that time on the steady clock."""
-    parts: list[bytes] = []
+    """Reads a pipe to its end; raises `OSError` if that takes longer than `until` (monotonic clock, s)."""
+    chunks: list[bytes] = []
     total = 0
     while True:
         ready, _, _ = select.select([pipe], [], [], max(0.0, until - time.monotonic()))
         if not ready:
-            raise OSError("the walk of the module's state took too long")
-        part = os.read(pipe, READ_BYTES)
-        if not part:
-            return b"".join(parts)
-        total += len(part)
+            raise OSError("process that dumps the state took too long")
+        chunk = os.read(pipe, READ_BYTES)
+        if not chunk:
+            return b"".join(chunks)
+        total += len(chunk)
         if total > frames.MAX_BODY_BYTES:
-            raise OSError(f"a state of more than {frames.MAX_BODY_BYTES} bytes")
-        parts.append(part)
+            raise OSError(f"state has more than {frames.MAX_BODY_BYTES} bytes")
+        chunks.append(chunk)
--- a/gradegap/capture/state_v1.py
+++ b/gradegap/capture/state_v1.py
@@ -1,7 +1,9 @@
-"""States of version 1, which bore no number, in the form of version 2. No I/O; closed: it never changes.
+"""Converts states of version 1, which have no version number, to version 2. No I/O.
 
-Version 1 stored objects by the names that classes and attributes of the program had then, and the parts of a
-`Balancer` as objects of their own: `{"names": {class: [attribute, ...]}, "objects": [[class, values], ...]}`.
+Version 1 stored objects under the names that the program's classes and attributes had at the time, and the
+components of a `Balancer` as separate objects:
+`{"names": {class: [attribute, ...]}, "objects": [[class, values], ...]}`. The tables of this module describe
+existing files and never change.
 """
 
 from __future__ import annotations
@@ -58,7 +60,7 @@
     "owed": "expected_returns",
     "lead": "learned_drain_time",
 }
-# What version 1 stored although it follows from the settings, or from another field.
+# Attributes of version 1 that can be computed from the settings or from another field.
 DROPPED = {"by_probe", "field", "use_ring", "cross", "cold.capacity"}
 ENDPOINT = {
     "name": "name",
@@ -122,42 +124,42 @@
     "redraws": "redraws",
 }
 OBJECTS = {"_Server": ("Endpoint", ENDPOINT), "_Req": ("Request", REQUEST)}
-VALUES = {"ClassSettings"}  # stored as settings are, in both versions
-# The parts of a `Balancer`, each an object that one of its attributes referred to.
+VALUES = {"ClassSettings"}  # stored as settings in both versions
+# The components of a `Balancer`, each a separate object to which one of its attributes referred.
 PARTS = {"worth", "usual", "stood", "came", "lost", "figures", "capacity", "cold"}
 PERSONAL_FIELDS = {"ring_key"}
 
 
 def upgraded(raw: Mapping[str, Any]) -> dict[str, Any]:
-    """The same state in the form of version 2.
+    """Returns a state of version 1 in the form of version 2.
 
-    Raises `OtherAlgorithmError` where the module that it was taken of kept something else, and
-    `BadStateError` for what is no state.
+    Raises `OtherAlgorithmError` if the objects of the state have other fields, and `BadStateError` if it is
+    malformed.
     """
     return _Upgrade(raw).state()
 
 
 class _Upgrade:
-    """One state that is translated, object by object."""
+    """Converts one state, object by object."""
 
     def __init__(self, raw: Mapping[str, Any]) -> None:
         names, rows = raw.get("names"), raw.get("objects")
         if not isinstance(names, Mapping) or not isinstance(rows, list) or not rows:
-            raise BadStateError("no state of a module")
+            raise BadStateError("state must have a map `names` and a non-empty list `objects`")
         self.names: Mapping[str, Any] = names
         self.rows: list[Any] = rows
         for row in self.rows:
             if not isinstance(row, list) or len(row) != 2 or not isinstance(row[0], str):
-                raise BadStateError("an object without a name or fields")
+                raise BadStateError("each object of the state must be a list of a name and its values")
         if self.rows[0][0] != "Balancer":
-            raise BadStateError("a state that does not begin with its Balancer")
+            raise BadStateError(f"first object of the state must be a Balancer, got {self.rows[0][0][:40]}")
         kept = [k for k, (name, _) in enumerate(self.rows) if k == 0 or name in OBJECTS or name in VALUES]
         self.numbers = {old: new for new, old in enumerate(kept)}
 
     def state(self) -> dict[str, Any]:
-        held = dict(self._balancer())
+        values_by_path = dict(self._balancer())
         fields = {"Balancer": list(BALANCER.values())}
-        objects: list[Any] = [["Balancer", [self._value(held[path]) for path in BALANCER]]]
+        objects: list[Any] = [["Balancer", [self._value(values_by_path[path]) for path in BALANCER]]]
         for old in self.numbers:
             if old == 0:
                 continue
@@ -166,22 +168,22 @@
                 objects.append([name, values])
                 continue
             kind, table = OBJECTS[name]
-            found = self._fields(old)
-            _compare(name, found.keys(), table.keys())
+            values_by_attribute = self._fields(old)
+            _compare(name, values_by_attribute.keys(), table.keys())
             fields[kind] = list(table.values())
-            objects.append([kind, [self._value(found[attribute]) for attribute in table]])
+            objects.append([kind, [self._value(values_by_attribute[attribute]) for attribute in table]])
         return {"version": 2, "fields": fields, "objects": objects}
 
     def _fields(self, number: int) -> dict[str, Any]:
-        """The attributes of an object and their stored values."""
+        """Returns the attributes of an object with their stored values."""
         name, values = self.rows[number]
         names = self.names.get(name)
         if not isinstance(names, list) or not isinstance(values, list) or len(names) != len(values):
-            raise BadStateError(f"a {name[:40]} without its fields")
+            raise BadStateError(f"stored {name[:40]} has no values, or another number of them than fields")
         return dict(zip(names, values, strict=True))
 
     def _balancer(self) -> Iterator[tuple[str, Any]]:
-        """The fields of the `Balancer` and of its parts, by path."""
+        """Yields the fields of the `Balancer` and of its components, by path."""
         own = self._fields(0)
         expected = {path.partition(".")[0] for path in (*BALANCER, *DROPPED)}
         _compare("Balancer", own.keys(), expected)
@@ -197,24 +199,24 @@
                         paths.add(f"{attribute}.{inner}")
                         yield f"{attribute}.{inner}", held
                 case _:
-                    raise BadStateError(f"a Balancer without its {attribute}")
+                    raise BadStateError(f"stored Balancer has no valid {attribute}")
         _compare("Balancer", paths, {*BALANCER, *DROPPED})
 
     def _value(self, value: Any) -> Any:
-        """A stored value, with its references to the objects' new numbers."""
+        """Returns a stored value, with references renumbered."""
         match value:
             case ["o", int(number)]:
                 if number not in self.numbers:
-                    raise BadStateError("a reference to no object")
+                    raise BadStateError(f"reference to object {number}, which is not in the state")
                 return ["o", self.numbers[number]]
-            case ["l" | "t" | "d" as kind, list(each)]:
-                return [kind, [self._value(x) for x in each]]
+            case ["l" | "t" | "d" as kind, list(elements)]:
+                return [kind, [self._value(element) for element in elements]]
             case ["m", list(pairs)]:
-                return ["m", [[self._value(x) for x in pair] for pair in pairs]]
+                return ["m", [[self._value(element) for element in pair] for pair in pairs]]
             case _:
                 return value
 
 
 def _compare(name: str, found: Any, expected: Any) -> None:
-    if odd := set(found) ^ set(expected):
-        raise OtherAlgorithmError(name, map(str, odd))
+    if differing := set(found) ^ set(expected):
+        raise OtherAlgorithmError(name, map(str, differing))
--- a/gradegap/capture/switch.py
+++ b/gradegap/capture/switch.py
@@ -1,4 +1,4 @@
-"""Stands between the proxy and its balancer, and turns recording on and off while the node runs."""
+"""Wraps the proxy's balancer for recording, and turns recording on and off while the node runs."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 
 class RecordedBalancer:
-    """A balancer whose events and actions are recorded while it has a recorder.
+    """Wraps a balancer and records its events and actions while a recorder is set.
 
-    The proxy sees no difference.
+    It has the interface of `Balancer` that the proxy uses.
     """
 
     def __init__(
@@ -32,7 +32,7 @@
         self.balancer, self.recorder, self.hasher = balancer, recorder, hasher
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """The balancer's actions for this event, recorded."""
+        """Passes the event to the balancer, records it, and returns the actions."""
         if self.hasher is not None:
             event = self.hasher.event(event)
         actions = self.balancer.handle(now, event)
@@ -41,16 +41,16 @@
         return actions
 
     def adopt(self, settings: Settings) -> None:
-        """Give the balancer new settings, recorded."""
+        """Passes new settings to the balancer and records them."""
         self.balancer.adopt(settings)
         if self.recorder is not None:
             self.recorder.adopted(settings)
 
 
 class RecordedProxy(Protocol):
-    """What the switch needs of a proxy."""
+    """The attributes of a proxy that the switch uses."""
 
-    balancer: Any  # in whose place it puts one that is recorded
+    balancer: Any  # replaced by a `RecordedBalancer`
     loop: asyncio.AbstractEventLoop
     now: Callable[[], float]  # the clock, s
 
@@ -61,7 +61,7 @@
 
 
 class RecordingSwitch:
-    """Recording on and off; puts a `RecordedBalancer` in the place of the proxy's balancer."""
+    """Turns recording on and off; replaces the proxy's balancer by a `RecordedBalancer`."""
 
     def __init__(
         self,
@@ -78,11 +78,11 @@
 
     @property
     def on(self) -> bool:
-        """Whether a recording is under way."""
+        """Whether a recording is in progress."""
         return self.recorded.recorder is not None and not self.recorded.recorder.closed
 
     def set(self, on: bool) -> None:
-        """End the recording, or begin one; a folder that can't be written is logged, and nothing else."""
+        """Starts or ends the recording; an error of the folder is logged and leaves recording off."""
         recorder = self.recorded.recorder
         if on and not self.on:
             self._begin()
--- a/gradegap/capture/whatif.py
+++ b/gradegap/capture/whatif.py
@@ -1,7 +1,7 @@
-"""The same day under another module or other settings. No I/O.
+"""Estimates the service on a recorded day with another decision module or other settings. No I/O.
 
-Unlike a replay, in which each event is the recorded one, the world here answers what this module does
-(`gradegap.capture.simulation`).
+A replay feeds the recorded events; here, clients and endpoints are simulated and react to the decisions of
+the module (`gradegap.capture.simulation`).
 """
 
 from __future__ import annotations
@@ -21,16 +21,18 @@
 
 
 def changed(settings: Settings, assignments: Iterable[str]) -> Settings:
-    """Settings with each `name=value` in the place of the recorded one, by the settings' stored names.
+    """Returns settings with the assignments `name=value` applied; names are the settings' stored names.
 
-    Raises `BadWhatIfError` for a setting that there is not, or a value that it can't have.
+    Raises `BadWhatIfError` for an unknown setting or an invalid value.
     """
     raw = records.plain_settings(settings)
     for assignment in assignments:
         name, equals, value = assignment.partition("=")
         if not equals or name not in raw or isinstance(raw[name], dict | list | tuple):
             plain = sorted(k for k, v in raw.items() if not isinstance(v, dict | list | tuple))
-            raise BadWhatIfError(f"{name!r} is no setting; there are {', '.join(plain)}")
+            raise BadWhatIfError(
+                f"unknown setting {name!r}; expected name=value with one of {', '.join(plain)}"
+            )
         try:
             raw[name] = msgspec.convert(value, type(raw[name]), strict=False)
         except msgspec.ValidationError as error:
@@ -42,15 +44,15 @@
 
 
 def whatif(source: Iterable[Item], module: ModuleType, assignments: Iterable[str] = ()) -> WhatIfResult:
-    """A recorded day played with `module`, under its settings with `assignments` made in them.
+    """Simulates a recorded day with `module` and the recorded settings changed by `assignments`.
 
-    It begins with a new balancer, so a recording should begin where its node did. Raises `BadWhatIfError`
-    where there is nothing to play.
+    The simulation starts with a new balancer, so the recording should start when its node did. Raises
+    `BadWhatIfError` if the recording has no state or no endpoint list.
     """
     items = list(source)
     observations = observe(items)
     if not observations.start or not observations.endpoint_lists:
-        raise BadWhatIfError("it has no state or no list of servers to begin with")
+        raise BadWhatIfError("recording has no state or no endpoint list to start from")
     settings = records.settings(observations.start["settings"])
     recorded = _recorded_figures(items, settings, observations.ended_at)
     assigned = list(assignments)
@@ -59,7 +61,7 @@
 
 
 def _recorded_figures(items: Iterable[Item], settings: Settings, until: float) -> ServiceFigures:
-    """How clients were served as recorded, up to that clock."""
+    """Evaluates the recorded decisions up to clock `until`, s."""
     evaluation = Evaluation(settings)
     for item in items:
         match item:
--- a/gradegap/capture/writer.py
+++ b/gradegap/capture/writer.py
@@ -1,6 +1,6 @@
-"""Writes a recording: a ring of files, each with a start, a state and an index at its end.
+"""Writes recordings to a ring of files, each with a START frame, a state, and an index at its end.
 
-All of a `RecordingWriter` runs on one thread, the recorder's, and may wait for the disk.
+All methods of `RecordingWriter` run on the recorder's thread and may block on the disk.
 """
 
 from __future__ import annotations
@@ -21,26 +21,28 @@
 SUFFIX = ".ggc"
 MEBIBYTE = 1024 * 1024
 
-# Number, clock, event and actions; or number, clock, None and the settings that were adopted. A plain tuple,
-# since the event loop makes one for each event.
+# Number, clock, event and actions; or number, clock, None and the adopted settings. A plain tuple, because
+# the event loop creates one for each event.
 StepRow = tuple[int, float, Any, Any]
 
 
 class RecordingWriter:
     """The files of one recording.
 
-    Nothing is written before the first state, with which each file begins. A method raises `OSError` where
-    the disk fails, and `FrameTooLargeError` for a frame that no reader would take.
+    Each file starts with a state, so nothing is written before the first one. Methods raise `OSError` if the
+    disk fails, and `FrameTooLargeError` for a frame larger than readers accept.
     """
 
     def __init__(self, settings: CaptureSettings, metrics: Metrics) -> None:
         self._settings, self._metrics = settings, metrics
         self._folder = Path(settings.folder)
         self._file: IO[bytes] | None = None
-        self._size = 0  # bytes of the file
-        self._parts = 0  # files begun
-        self._index = Builder()  # of the file
-        self._settings_written: dict[str, Any] | None = None  # those of the file's last START
+        self._size = 0  # size of the open file in bytes
+        self._parts = 0  # number of files started
+        self._index = Builder()  # index of the open file
+        self._settings_written: dict[str, Any] | None = (
+            None  # settings in the last START frame of the open file
+        )
 
     @property
     def is_open(self) -> bool:
@@ -48,7 +50,7 @@
         return self._file is not None
 
     def write_steps(self, rows: Sequence[StepRow]) -> None:
-        """Steps in order, as one frame."""
+        """Writes consecutive steps as one frame."""
         body: list[Any] = []
         about: set[Any] = set()
         changes_settings = False
@@ -68,18 +70,18 @@
             )
 
     def write_gap(self, first: int, count: int) -> None:
-        """The mark of steps that were dropped."""
+        """Writes the mark of `count` dropped steps, of which `first` is the first."""
         offset = self._write_frame(FrameKind.GAP, {"dropped": count}, count, first)
         if offset is not None:
             self._index.add(offset, FrameKind.GAP, first, count)
 
     def write_state(self, start: dict[str, Any], stored: dict[str, Any], number: int, at: float) -> None:
-        """A state before the step of that number; in a new file where there is none, or it is full."""
+        """Writes the state before step `number`; starts a new file if none is open or it is full."""
         if self._file is None or self._size >= self._settings.part_mb * MEBIBYTE:
             self.end_file()
             self._begin_file(start["made"])
         if start["settings"] != self._settings_written:
-            # Guards against a reload in a batch that was dropped: a state bears the settings it is under.
+            # A reload may be in a dropped batch, so a state is preceded by the settings that apply to it.
             offset = self._write_frame(FrameKind.START, start, 0, number, at, at)
             if offset is not None:
                 self._index.add(offset, FrameKind.START, number, 0, at, at)
@@ -89,7 +91,7 @@
             self._index.add(offset, FrameKind.STATE, number, 0, at, at)
 
     def end_file(self) -> None:
-        """End the file in order, with its index behind its frames; a disk that fails is passed over."""
+        """Closes the file with its index after the frames; ignores errors of the disk."""
         if self._file is not None:
             with contextlib.suppress(OSError):
                 self._write(self._index.sealed(self._size))
@@ -122,19 +124,19 @@
         first_at: float = 0.0,
         last_at: float = 0.0,
     ) -> int | None:
-        """Write a frame at the end of the file, and return its offset; None where there is no file."""
+        """Appends a frame to the file and returns its offset; None if no file is open."""
         offset = self._size if self._file is not None else None
         self._write(frames.pack(kind, body, record_count, first_number, first_at, last_at))
         return offset
 
     def _remove_old(self, newest: Path) -> None:
-        """Keep the ring's limits, in size and age; the file that is written stays."""
-        limit, kept = self._settings.total_mb * MEBIBYTE, 0
+        """Deletes files beyond the limits of total size and age, except the one in use."""
+        limit, total_bytes = self._settings.total_mb * MEBIBYTE, 0
         for path in sorted(self._folder.glob(f"*{SUFFIX}"), reverse=True):
             with contextlib.suppress(OSError):
-                found = path.stat()
-                kept += found.st_size
-                expired = time.time() - found.st_mtime > self._settings.age_s
-                if path != newest and (expired or kept > limit):
+                status = path.stat()
+                total_bytes += status.st_size
+                expired = time.time() - status.st_mtime > self._settings.age_s
+                if path != newest and (expired or total_bytes > limit):
                     path.unlink()
                     self._metrics.count("capture_files_removed")
--- a/tests/test_capture_days.py
+++ b/tests/test_capture_days.py
@@ -121,7 +121,7 @@
     for words in (("replay", str(path)), ("explain", str(path), "1")):
         done = run_gradegap(*words)
         assert done.returncode == 2, done.stdout
-        assert done.stderr == "gradegap: a state of format 3; this program reads formats up to 2\n"
+        assert done.stderr == "gradegap: state has format 3; this program reads formats up to 2\n"
 
 
 def test_clients_leave_a_server_that_drains_before_it_is_gone() -> None:
--- a/tests/test_capture_decision_module.py
+++ b/tests/test_capture_decision_module.py
@@ -161,7 +161,7 @@
         ("candidate.py", "x = 1", "has no Balancer"),
         ("candidate.py", "raise RuntimeError('broken')", "can't be loaded: broken"),
         ("candidate.py", "def", "can't be loaded"),
-        ("candidate.txt", "", "is no Python file"),
+        ("candidate.txt", "", "is not a Python file"),
         ("folder/parts.py", "", "has no balancer.py"),
         ("empty/notes.txt", "", "has no __init__.py"),
         ("folder/balancer.py", "x = 1", "has no Balancer"),
--- a/tests/test_capture_files.py
+++ b/tests/test_capture_files.py
@@ -47,7 +47,7 @@
         sound = [f for f in found if not isinstance(f, Damage)]
         assert len(sound) == len(whole) - (2 if end < last else 1)
         assert replay_recording(data[:end]).difference is None
-        assert [d.reason for d in found if isinstance(d, Damage)] == ([] if end == last else ["cut off"])
+        assert [d.reason for d in found if isinstance(d, Damage)] == ([] if end == last else ["truncated"])
 
 
 @tuned(max_examples=150, deadline=None)
@@ -85,7 +85,7 @@
 
 
 def test_another_kind_of_file_and_a_later_version_are_one_plain_error() -> None:
-    with pytest.raises(BadRecordingError, match="no capture"):
+    with pytest.raises(BadRecordingError, match="the file is not a recording"):
         list(frames.read(b"{}"))
     with pytest.raises(BadRecordingError, match="version 9"):
         list(frames.read(b"gradegap capture 9\nxyz"))
--- a/tests/test_capture_index.py
+++ b/tests/test_capture_index.py
@@ -42,7 +42,7 @@
 
 
 def test_the_index_of_a_file_is_what_reading_it_finds(tmp_path: Path) -> None:
-    plain = FILE[: index._end(FILE)]
+    plain = FILE[: index._frames_end(FILE)]
     assert index.indexed(FILE) and not index.indexed(plain)
     assert index.load(FILE) == index.load(plain)
     assert list(recording.read(FILE)) == list(recording.read(plain))
@@ -50,7 +50,7 @@
     (path,) = tmp_path.iterdir()
     data = path.read_bytes()
     assert index.indexed(data) and index.load(data) == index.build(data)
-    assert len(data) - index._end(data) < 0.15 * len(data)
+    assert len(data) - index._frames_end(data) < 0.15 * len(data)
 
 
 def test_a_req_is_explained_alike_from_its_part_of_the_file() -> None:
@@ -101,7 +101,7 @@
 @tuned(max_examples=150, deadline=None)
 @given(st.data())
 def test_an_index_that_lies_or_is_damaged_is_not_gone_by(data: st.DataObject) -> None:
-    end = index._end(FILE)
+    end = index._frames_end(FILE)
     if data.draw(st.booleans()):
         raw = bytearray(FILE)
         k = data.draw(st.integers(end, len(FILE) - 1))
--- a/tests/test_capture_state.py
+++ b/tests/test_capture_state.py
@@ -229,7 +229,9 @@
 
 def test_a_state_of_a_later_version_is_refused_by_an_error_that_names_both() -> None:
     raw = state.dump(lived().balancer) | {"version": 9}
-    with pytest.raises(LaterStateError, match=r"format 9; this program reads formats up to 2") as caught:
+    with pytest.raises(
+        LaterStateError, match=r"state has format 9; this program reads formats up to 2"
+    ) as caught:
         state.load(gradegap.balancing.balancer, raw, settings())
     assert (caught.value.found, caught.value.known) == (9, schema.VERSION)
 
