--- a/gradegap/quic/channel.py
+++ b/gradegap/quic/channel.py
@@ -1,4 +1,4 @@
-"""One QUIC connection: its packets, its ids, and the sessions that its streams are."""
+"""One QUIC connection: its packets, its connection ids, and its streams, each of which is a session."""
 
 from __future__ import annotations
 
@@ -13,18 +13,19 @@
 from gradegap.downstream.session import SessionResumption
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
-from gradegap.quic.connection import HeldConnection
+from gradegap.quic.connection import ServerConnection
 from gradegap.quic.stream import CloseCode, StreamChannel
 from gradegap.quic.tokens import AddressTokens
 
-HANDSHAKE_TIMEOUT_S = FIRST_LINE_TIMEOUT_S  # with the first line behind it a handshake has no longer
-MAX_CONCURRENT_STREAMS = 32  # sessions of one connection at once
-MAX_STREAMS = 5000  # sessions of one connection in all; then it begins no more, and its client comes anew
-NEXT_STREAM_TIMEOUT_S = 5.0  # s in which a client that has had several sessions may begin another
+# The handshake must leave time for the first line, whose timeout counts from the connection's start.
+HANDSHAKE_TIMEOUT_S = FIRST_LINE_TIMEOUT_S
+MAX_CONCURRENT_STREAMS = 32  # concurrent sessions of one connection
+MAX_STREAMS = 5000  # sessions of one connection in all; after that the client must connect again
+NEXT_STREAM_TIMEOUT_S = 5.0  # how long a connection without open sessions stays open for another one
 
 
 class Listener(Protocol):
-    """What a channel needs of its front."""
+    """The interface of the listener that a channel uses."""
 
     proxy: Proxy
     metrics: Metrics
@@ -32,8 +33,8 @@
     resuming: SessionResumption | None
     tokens: AddressTokens
 
-    def ready(self) -> bool:
-        """Whether new clients are to come to this node."""
+    def is_ready(self) -> bool:
+        """Whether this node accepts new clients."""
         ...
 
     def send(self, data: bytes, addr: Any) -> None:
@@ -41,11 +42,11 @@
         ...
 
     def issue(self, connection_id: bytes, channel: QuicConnectionChannel) -> None:
-        """The connection has a new id."""
+        """Route a new id of a connection to its channel."""
         ...
 
     def retire(self, connection_id: bytes, channel: QuicConnectionChannel) -> None:
-        """The connection gives an id up."""
+        """Stop routing an id that the client has retired."""
         ...
 
     def on_channel_closed(self, channel: QuicConnectionChannel) -> None:
@@ -60,227 +61,227 @@
 class QuicConnectionChannel:
     """One client's connection."""
 
-    def __init__(self, front: Listener, connection: HeldConnection, address: Any) -> None:
-        self.front = front
-        self.loop = front.loop
+    def __init__(self, listener: Listener, connection: ServerConnection, address: Any) -> None:
+        self.listener = listener
+        self.loop = listener.loop
         self.connection = connection
         self.address = address
-        self.ids: set[bytes] = set()
-        self.initial_route: tuple[bytes, Any] = (b"", None)  # the client's first id and its address
-        self.streams: dict[int, StreamChannel] = {}  # whose sessions are not over
-        self.finished_streams: set[int] = set()  # streams whose sessions are
-        self.sessions_begun = 0  # that it has had
-        self.handshake_complete = False
-        self.timer: asyncio.TimerHandle | None = None
-        self.timer_at = 0.0
-        self.flushing = False
-        self.terminated = False
+        self.ids: set[bytes] = set()  # ids that the client may use for the connection
+        # The client's original destination id, and the address that it was sent from.
+        self.initial_route: tuple[bytes, Any] = (b"", None)
+        self.streams: dict[int, StreamChannel] = {}  # open sessions by stream id
+        self.finished_streams: set[int] = set()  # stream ids of sessions that have ended or were refused
+        self.session_count = 0  # sessions that have begun on this connection
+        self.is_handshake_complete = False
+        self.timer: asyncio.TimerHandle | None = None  # aioquic's timer
+        self.timer_due_at = 0.0
+        self.is_flush_scheduled = False
+        self.is_terminated = False
         self.began_at = self.loop.time()
-        self.next_step_timer = self.loop.call_later(
-            HANDSHAKE_TIMEOUT_S, self._handshake_late
-        )  # for what must come next
+        # Deadline of the client's next step: the handshake, the first line, or another stream.
+        self.next_step_timer = self.loop.call_later(HANDSHAKE_TIMEOUT_S, self._on_handshake_timeout)
 
-    # As a stream sees it
+    # Interface for streams
 
     @property
     def proxy(self) -> Proxy:
-        """The proxy that takes the sessions' requests."""
-        return self.front.proxy
+        """The proxy that handles the sessions' requests."""
+        return self.listener.proxy
 
     @property
     def metrics(self) -> Metrics:
         """The node's counters."""
-        return self.front.metrics
+        return self.listener.metrics
 
     @property
     def resuming(self) -> SessionResumption | None:
-        """The node's resumable sessions, where it has any."""
-        return self.front.resuming
+        """The node's resumable sessions; None if resumption is off."""
+        return self.listener.resuming
 
-    def ready(self) -> bool:
-        """Whether new clients are to come to this node."""
-        return self.front.ready()
+    def is_ready(self) -> bool:
+        """Whether this node accepts new clients."""
+        return self.listener.is_ready()
 
     def on_stream_ended(self, stream: StreamChannel, code: CloseCode) -> None:
-        """A session is over, and the client has all that was said in it.
+        """A session is over and its client has acknowledged all data, or the session was reset.
 
-        With its only one the connection ends too; a client that has had several may begin another for a
-        while.
+        A connection that had only this session is closed with its code. A client that had several sessions
+        may begin another within `NEXT_STREAM_TIMEOUT_S`.
         """
-        if self.streams.pop(stream.number, None) is not None:
-            self.finished_streams.add(stream.number)
-        if self.terminated:
+        if self.streams.pop(stream.stream_id, None) is not None:
+            self.finished_streams.add(stream.stream_id)
+        if self.is_terminated:
             return
-        if self.sessions_begun == 1:
+        if self.session_count == 1:
             self.abort(code)
             return
-        if not stream.client_ended:
-            self.connection.stop_receiving(stream.number, code)
+        if not stream.has_client_ended:
+            self.connection.stop_receiving(stream.stream_id, code)
         self.flush_soon()
         if not self.streams:
             self.next_step_timer.cancel()
-            self.next_step_timer = self.loop.call_later(NEXT_STREAM_TIMEOUT_S, self._no_more, code)
+            self.next_step_timer = self.loop.call_later(NEXT_STREAM_TIMEOUT_S, self._close_if_unused, code)
 
-    def _no_more(self, code: CloseCode) -> None:
+    def _close_if_unused(self, code: CloseCode) -> None:
         if not self.streams:
             self.abort(code)
 
     # Packets
 
     def receive(self, data: bytes, address: Any) -> bool:
-        """False for a first packet that can't be opened: then there is no connection."""
+        """Process a datagram; False for a first packet that can't be decrypted, so no connection exists."""
         self.connection.receive_datagram(data, address, now=self.loop.time())
-        # By what could be opened: anybody can write an id that he has seen into a packet of his own.
-        now_at = self.connection.address()
-        if now_at is None:
+        # The address counts only if a packet was decrypted: anybody can copy an observed id into a packet.
+        current_address = self.connection.address()
+        if current_address is None:
             return False
-        if now_at != self.address:
-            # The same session at a new address: aioquic validates the path before it is used in full.
-            self.address = now_at
+        if current_address != self.address:
+            # The same connection at a new address: aioquic validates the path before it uses it in full.
+            self.address = current_address
             self.metrics.count("quic_migrations")
-        self.run()
+        self.process_events()
         return True
 
-    def run(self) -> None:
-        """What the connection has to tell, then what it has to send."""
+    def process_events(self) -> None:
+        """Handle the connection's events, then send pending packets."""
         while (event := self.connection.next_event()) is not None:
-            self._event(event)
+            self._on_event(event)
         self.flush()
 
-    def _event(self, event: events.QuicEvent) -> None:
+    def _on_event(self, event: events.QuicEvent) -> None:
         match event:
             case events.StreamDataReceived():
-                self._stream_data(event)
+                self._on_stream_data(event)
             case events.ConnectionIdIssued():
-                self.front.issue(event.connection_id, self)
+                self.listener.issue(event.connection_id, self)
             case events.ConnectionIdRetired():
-                self.front.retire(event.connection_id, self)
+                self.listener.retire(event.connection_id, self)
             case events.HandshakeCompleted():
-                self._shook()
+                self._on_handshake_completed()
             case events.StreamReset() | events.StopSendingReceived():
                 stream = self.streams.get(event.stream_id)
                 if stream is not None:
                     stream.on_reset()
             case events.ConnectionTerminated():
-                self._terminated(event.error_code != 0)
+                self._on_terminated(event.error_code != 0)
             case _:
                 pass
 
-    def _shook(self) -> None:
-        self.handshake_complete = True
+    def _on_handshake_completed(self) -> None:
+        self.is_handshake_complete = True
         self.metrics.count("quic_handshakes")
-        # Proves this address next time, without a Retry.
-        self.connection.pending_token = self.front.tokens.make_new_token(self.address, time.time())
+        # Validates the client's address at its next connection without a Retry.
+        self.connection.pending_token = self.listener.tokens.make_new_token(self.address, time.time())
         self.next_step_timer.cancel()
-        left = max(0.0, FIRST_LINE_TIMEOUT_S - (self.loop.time() - self.began_at))
-        self.next_step_timer = self.loop.call_later(left, self._never_spoke)
+        remaining = max(0.0, FIRST_LINE_TIMEOUT_S - (self.loop.time() - self.began_at))
+        self.next_step_timer = self.loop.call_later(remaining, self._on_first_line_timeout)
 
-    def _stream_data(self, event: events.StreamDataReceived) -> None:
+    def _on_stream_data(self, event: events.StreamDataReceived) -> None:
         stream = self.streams.get(event.stream_id)
         if stream is None:
-            stream = self._opened(event)
+            stream = self._open_stream(event)
         if stream is not None:
-            stream.data(event.data, event.end_stream)
+            stream.on_data(event.data, event.end_stream)
 
-    def _opened(self, event: events.StreamDataReceived) -> StreamChannel | None:
-        """A stream that is none of the sessions under way: another session's, or nobody's."""
-        number = event.stream_id
-        if number % 4:
-            # Streams of one direction have no meaning here.
+    def _open_stream(self, event: events.StreamDataReceived) -> StreamChannel | None:
+        """Open a session for a stream without one; None if the stream is finished, refused or has none."""
+        stream_id = event.stream_id
+        if stream_id % 4:
+            # Unidirectional streams have no meaning in this protocol.
             self.metrics.count("quic_other_streams")
-            self.connection.stop_receiving(number, CloseCode.BAD_LINE)
+            self.connection.stop_receiving(stream_id, CloseCode.BAD_LINE)
             return None
-        if number in self.finished_streams:
-            return None  # the rest of one
+        if stream_id in self.finished_streams:
+            return None  # late data of a session that has ended
         if (
             len(self.streams) >= MAX_CONCURRENT_STREAMS
             or len(self.finished_streams) >= MAX_STREAMS
-            or not self.front.has_capacity()
+            or not self.listener.has_capacity()
         ):
-            # Guards against one client with a connection's worth of memory for each of its streams.
+            # Otherwise one client could use as much memory for each stream as others use for a connection.
             self.metrics.count("quic_streams_refused")
             if len(self.finished_streams) < 2 * MAX_STREAMS:
-                self.finished_streams.add(number)
-            self.connection.stop_receiving(number, CloseCode.REFUSED)
-            self.connection.reset_sending(number, CloseCode.REFUSED)
+                self.finished_streams.add(stream_id)
+            self.connection.stop_receiving(stream_id, CloseCode.REFUSED)
+            self.connection.reset_sending(stream_id, CloseCode.REFUSED)
             return None
         self.next_step_timer.cancel()
-        spent = self.loop.time() - self.began_at if not self.sessions_begun else 0.0
-        self.sessions_begun += 1
-        made = self.streams[number] = StreamChannel(self, number, spent)
-        return made
+        elapsed = self.loop.time() - self.began_at if not self.session_count else 0.0
+        self.session_count += 1
+        stream = self.streams[stream_id] = StreamChannel(self, stream_id, elapsed)
+        return stream
 
-    # The end
+    # End of the connection
 
-    def _terminated(self, reset: bool) -> None:
-        if self.terminated:
+    def _on_terminated(self, reset: bool) -> None:
+        if self.is_terminated:
             return
-        self.terminated = True
+        self.is_terminated = True
         self.next_step_timer.cancel()
         if self.timer is not None:
             self.timer.cancel()
-        self.front.on_channel_closed(self)
+        self.listener.on_channel_closed(self)
         streams, self.streams = self.streams, {}
         for stream in streams.values():
             stream.session.on_channel_closed(reset=reset)
 
     def discard(self) -> None:
-        """Nothing came of it: no word to its client, who may never have asked."""
-        self._terminated(True)
+        """Forget the connection without a packet to the client, whose address may be forged."""
+        self._on_terminated(True)
 
-    def _handshake_late(self) -> None:
+    def _on_handshake_timeout(self) -> None:
         self.metrics.count("quic_handshakes_late")
         if not self.connection.is_address_validated():
-            # Guards whoever has that address, and may have said nothing: a close is one more answer to it,
-            # and aioquic does not count it into the three times of what came (RFC 9000, 8.1).
+            # The owner of a forged address must not be sent more: a close is one more packet to it, which
+            # aioquic does not count against the limit of three times the data received (RFC 9000, 8.1).
             self.discard()
             return
         self.abort(CloseCode.FAILED)
-        # Guards against first packets that nothing can be made of: their connection has no way to end.
-        self.loop.call_later(LINGER_S, self._terminated, True)
+        # A connection whose first packets can't be used may never report its termination.
+        self.loop.call_later(LINGER_S, self._on_terminated, True)
 
-    def _never_spoke(self) -> None:
-        """Guards against clients that shake hands and say nothing; there is no stream to answer on."""
+    def _on_first_line_timeout(self) -> None:
+        """Close a connection on which the client has opened no stream; there is none to answer on."""
         self.metrics.count("late_first_lines")
         self.metrics.count("quic_closed_bad_line")
         self.abort(CloseCode.BAD_LINE)
 
     def abort(self, code: CloseCode) -> None:
         """Close the connection with an application error code."""
-        if not self.terminated:
+        if not self.is_terminated:
             self.connection.close(error_code=code, reason_phrase=code.name.lower())
             self.flush_soon()
 
-    # What is to be sent
+    # Sending
 
     def flush(self) -> None:
-        """Send what is due, and set the connection's timer."""
+        """Send pending packets and set the connection's timer."""
         now = self.loop.time()
         for data, address in self.connection.datagrams_to_send(now=now):
-            self.front.send(data, address)
-        at = self.connection.get_timer()
-        if at != self.timer_at or self.timer is None:
+            self.listener.send(data, address)
+        due_at = self.connection.get_timer()
+        if due_at != self.timer_due_at or self.timer is None:
             if self.timer is not None:
                 self.timer.cancel()
-            self.timer_at = at or 0.0
-            runs = at is not None and not self.terminated
-            self.timer = self.loop.call_at(self.timer_at, self._timer) if runs else None
+            self.timer_due_at = due_at or 0.0
+            is_needed = due_at is not None and not self.is_terminated
+            self.timer = self.loop.call_at(self.timer_due_at, self._on_timer) if is_needed else None
 
-    def _timer(self) -> None:
+    def _on_timer(self) -> None:
         self.timer = None
         self.connection.handle_timer(now=self.loop.time())
-        self.run()
+        self.process_events()
 
     def flush_soon(self) -> None:
-        """Send what is due, once for all that this turn of the loop adds."""
-        if not self.flushing:
-            self.flushing = True
-            self.loop.call_soon(self._flush_now)
+        """Send pending packets once, after all writes of this iteration of the event loop."""
+        if not self.is_flush_scheduled:
+            self.is_flush_scheduled = True
+            self.loop.call_soon(self._flush_scheduled)
 
-    def _flush_now(self) -> None:
-        self.flushing = False
+    def _flush_scheduled(self) -> None:
+        self.is_flush_scheduled = False
         self.flush()
 
     def is_answering(self) -> bool:
-        """Whether its client may still lack the end of what was said to it."""
-        return not self.terminated and any(s.session.opening for s in self.streams.values())
+        """Whether an answer may still be on its way to the client."""
+        return not self.is_terminated and any(stream.session.opening for stream in self.streams.values())
--- a/gradegap/quic/connection.py
+++ b/gradegap/quic/connection.py
@@ -1,7 +1,8 @@
-"""A server's connection: aioquic's, with ids of our making, tokens for later, and windows that can be held.
+"""aioquic's server connection with routable ids, NEW_TOKEN tokens and flow-control windows that can be held.
 
-All that touches private parts of aioquic stands here. It is pinned for that, and what is overridden is looked
-for at import, so that another version fails at start and not in the middle of a session.
+All accesses to private parts of aioquic are in this module. The version of aioquic is pinned for that
+reason, and the overridden methods are checked at import: another version fails at the start of the process
+and not in the middle of a session.
 """
 
 from __future__ import annotations
@@ -14,39 +15,46 @@
 from aioquic.quic.packet import QuicFrameType
 from aioquic.quic.packet_builder import QuicDeliveryState
 
-MAX_CONNECTION_IDS = 8  # of one connection at once
-NEW_TOKEN_OVERHEAD = 1 + 8  # octets of a NEW_TOKEN frame beside the token
+MAX_CONNECTION_IDS = 8  # active ids of one connection
+NEW_TOKEN_OVERHEAD_BYTES = 1 + 8  # type and length fields of a NEW_TOKEN frame
 
-_OVERRIDDEN = ("_write_connection_limits", "_write_stream_limits", "_replenish_connection_ids")
-if missing := [n for n in _OVERRIDDEN if not hasattr(QuicConnection, n)]:
-    raise ImportError(f"this aioquic has no {', '.join(missing)}; install the version of requirements.txt")
+_OVERRIDDEN_METHODS = ("_write_connection_limits", "_write_stream_limits", "_replenish_connection_ids")
+if missing := [name for name in _OVERRIDDEN_METHODS if not hasattr(QuicConnection, name)]:
+    raise ImportError(
+        f"the installed aioquic lacks {', '.join(missing)}; install the version in requirements.txt"
+    )
 
 
-class HeldConnection(QuicConnection):
-    """A stream's flow-control window is not raised while its backend can't take more.
+class ServerConnection(QuicConnection):
+    """A connection whose flow-control windows are held while backends can't accept data.
 
-    The connection's is not while that is so of all.  Guards against a client that sends faster than its
-    backend reads: aioquic raises windows by what has arrived, not by what was taken on, and has no public
-    call to hold them.
+    A stream's window is not raised while its backend is blocked, and the connection's window is not raised
+    while the backends of all streams are. Otherwise a client that sends faster than its backend reads would
+    fill the node's memory: aioquic raises windows by the data received, not by the data consumed, and has no
+    public call to hold them.
     """
 
     def __init__(
         self,
         configuration: QuicConfiguration,
-        original: bytes,
-        retried: bytes | None,
+        original_destination_id: bytes,
+        retry_source_id: bytes | None,
         make_id: Callable[[], bytes],
         reset_token: Callable[[bytes], bytes],
     ) -> None:
-        """`original` is the id that the client chose first, `retried` the one that a Retry gave it."""
+        """Create the connection with an id from `make_id`; `reset_token` returns an id's reset token.
+
+        `original_destination_id` is the id that the client chose first, `retry_source_id` the one that a
+        Retry gave it, if there was one.
+        """
         super().__init__(
             configuration=configuration,
-            original_destination_connection_id=original,
-            retry_source_connection_id=retried,
+            original_destination_connection_id=original_destination_id,
+            retry_source_connection_id=retry_source_id,
         )
         self.make_id, self.reset_token = make_id, reset_token
-        self.paused_streams: set[int] = set()  # streams whose sessions take no more
-        self.pending_token = b""  # a token for the client's next connection, until it has it
+        self.paused_streams: set[int] = set()  # streams whose windows are held
+        self.pending_token = b""  # NEW_TOKEN token to be sent; empty if there is none
         cid = make_id()
         self._host_cids[0] = QuicConnectionId(cid, 0, reset_token(cid), True)
         self.host_cid = self._local_initial_source_connection_id = cid
@@ -59,10 +67,11 @@
 
     def _write_connection_limits(self, builder: Any, space: Any) -> None:
         if self.pending_token and self._handshake_complete:
-            frame = builder.start_frame(  # raises where the packet has no room: then in the next
+            # Raises if the packet has no room; the token is then sent in the next packet.
+            frame = builder.start_frame(
                 QuicFrameType.NEW_TOKEN,
-                capacity=NEW_TOKEN_OVERHEAD + len(self.pending_token),
-                handler=self._token_delivered,
+                capacity=NEW_TOKEN_OVERHEAD_BYTES + len(self.pending_token),
+                handler=self._on_token_delivery,
                 handler_args=(self.pending_token,),
             )
             frame.push_uint_var(len(self.pending_token))
@@ -71,55 +80,55 @@
         if not self.paused_streams or len(self.paused_streams) < self.open_stream_count():
             super()._write_connection_limits(builder, space)
 
-    def _token_delivered(self, state: QuicDeliveryState, token: bytes) -> None:
+    def _on_token_delivery(self, state: QuicDeliveryState, token: bytes) -> None:
         if state != QuicDeliveryState.ACKED:
-            self.pending_token = token  # lost: once more
+            self.pending_token = token  # lost: send it again
 
     def _write_stream_limits(self, builder: Any, space: Any, stream: Any) -> None:
         if stream.stream_id not in self.paused_streams:
             super()._write_stream_limits(builder, space, stream)
 
     def is_address_validated(self) -> bool:
-        """Whether the client has shown that it hears what is sent to its address."""
+        """Whether the client has shown that it receives packets sent to its address."""
         return bool(self._network_paths) and self._network_paths[0].is_validated
 
     def address(self) -> Any:
-        """Where the client is, by the last packet of its that could be opened; None before the first."""
+        """Return the client's address, by its last packet that was decrypted; None before the first one."""
         return self._network_paths[0].addr if self._network_paths else None
 
-    # Of a stream that is over nothing can be said, which aioquic takes for its user's mistake. Here it is a
-    # matter of timing: the client has reset it, or stopped listening, a moment before.
+    # aioquic treats an operation on a finished stream as a programming error. Here it is a race: the client
+    # may have reset the stream or sent STOP_SENDING a moment before. The methods below ignore such streams.
 
-    def send_on_stream(self, number: int, data: bytes, end: bool = False) -> None:
-        """Send on a stream, unless its sending side has ended."""
-        stream = self._streams.get(number)
+    def send_on_stream(self, stream_id: int, data: bytes, end: bool = False) -> None:
+        """Send data on a stream unless its sending side has ended; `end` ends the sending side."""
+        stream = self._streams.get(stream_id)
         if (
             stream is not None
             and stream.sender._buffer_fin is None
             and stream.sender._reset_error_code is None
         ):
-            self.send_stream_data(number, data, end_stream=end)
+            self.send_stream_data(stream_id, data, end_stream=end)
 
-    def stop_receiving(self, number: int, code: int) -> None:
-        """Hear no more of it."""
-        if number in self._streams:
-            self.stop_stream(number, code)
+    def stop_receiving(self, stream_id: int, code: int) -> None:
+        """Send STOP_SENDING with an application error code."""
+        if stream_id in self._streams:
+            self.stop_stream(stream_id, code)
 
-    def reset_sending(self, number: int, code: int) -> None:
-        """Say no more on it."""
-        if number in self._streams:
-            self.reset_stream(number, code)
+    def reset_sending(self, stream_id: int, code: int) -> None:
+        """Send RESET_STREAM with an application error code."""
+        if stream_id in self._streams:
+            self.reset_stream(stream_id, code)
 
     def open_stream_count(self) -> int:
-        """How many of the client's streams there are."""
-        return sum(1 for number in self._streams if number % 4 == 0)
+        """Return the number of open bidirectional streams that the client opened."""
+        return sum(1 for stream_id in self._streams if stream_id % 4 == 0)
 
-    def unsent_bytes(self, number: int) -> int:
-        """Bytes of a stream that the client has not acknowledged."""
-        stream = self._streams.get(number)
+    def unacknowledged_bytes(self, stream_id: int) -> int:
+        """Return the bytes written to a stream that the client has not acknowledged."""
+        stream = self._streams.get(stream_id)
         return 0 if stream is None else len(stream.sender._buffer)
 
-    def is_delivered(self, number: int) -> bool:
-        """Whether the client has all of a stream, its end included."""
-        stream = self._streams.get(number)
+    def is_delivered(self, stream_id: int) -> bool:
+        """Whether the client has acknowledged all data of a stream and its end."""
+        stream = self._streams.get(stream_id)
         return stream is None or stream.sender.is_finished
--- a/gradegap/quic/listener.py
+++ b/gradegap/quic/listener.py
@@ -1,7 +1,8 @@
-"""The QUIC front: the UDP socket, and whose each datagram is.
+"""The QUIC listener: the UDP socket and the dispatch of its datagrams.
 
-A connection's ids say who holds it (`ids`, `routing`), so a client whose address changes is the same session:
-its backend and its req stay, and the core hears nothing of the move. Ids that name nobody reach nobody.
+A connection's ids name the process that holds it (`ids`, `routing`). A client whose address changes therefore
+keeps its session, its backend and its request, and the balancing module is not involved. Datagrams with ids
+that name no known holder are dropped.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 from gradegap.proxy.proxy import Proxy
 from gradegap.quic.certificate import ServerCertificate
 from gradegap.quic.channel import QuicConnectionChannel
-from gradegap.quic.connection import HeldConnection
+from gradegap.quic.connection import ServerConnection
 from gradegap.quic.keys import RING_KEY, DerivedKeys, Holder, QuicRing
 from gradegap.quic.relay import DatagramForwarder, ForwardedDatagrams, socket_pair
 from gradegap.quic.routing import Route, RouteKind, Router
@@ -38,61 +39,73 @@
 
 log = structlog.get_logger()
 
-USED_TOKENS_PASSED_ON = 3000  # used tokens that the next process is told of; older ones it does not believe
+# Used tokens that are passed to the next process. If there are more, it rejects all NEW_TOKEN tokens that
+# are older than the takeover.
+MAX_PASSED_USED_TOKENS = 3000
 
-MAX_HANDSHAKES = 256  # handshakes under way at once
-MAX_PREDECESSORS = 2  # processes before this one that are still forwarded to
-RETIRED_ID_GRACE_S = 3.0  # s in which packets to an id that was retired are only late
+MAX_CONCURRENT_HANDSHAKES = 256
+MAX_PREDECESSORS = 2  # earlier processes of this node that datagrams are still forwarded to
+# How long packets to a retired id count as late, and not as packets of a lost session.
+RETIRED_ID_GRACE_S = 3.0
 
 
 class PortTransfer(msgspec.Struct):
-    """What a process that gives the port on tells the next."""
+    """The state that a process passes to its successor with the port."""
 
-    holders: list[Holder]  # this process, then those before it that still hold sessions
+    holders: list[Holder]  # this process, then its predecessors that still hold sessions
     ring: QuicRing
-    used: list[tuple[bytes, float]]
-    since: float  # Unix time before which `used` is not all
+    used: list[tuple[bytes, float]]  # digests of used tokens, each with its expiry as Unix time in s
+    since: float  # Unix time in s; `used` may lack tokens that were made earlier
 
 
 class QuicListener(asyncio.DatagramProtocol):
-    """The UDP socket, what this process holds, and what it answers to those whom nobody holds."""
+    """The UDP socket and the connections of this process, and answers to datagrams without a connection."""
 
     def __init__(
         self,
         proxy: Proxy,
         metrics: Metrics,
-        ready: Callable[[], bool],
+        is_ready: Callable[[], bool],
         settings: QuicSettings,
-        name: str,
-        machine: Callable[[], StateMachine | None],
+        node_name: str,
+        store_machine: Callable[[], StateMachine | None],
     ) -> None:
-        """`name` is the node's; `machine` the store's, where there is one by now."""
+        """Create the listener without a socket.
+
+        `store_machine` returns the store's state machine, None while this node has none.
+
+        Raises:
+            CredentialsError: if the certificate or its key can't be read or don't belong together.
+            OSError: if the directory of qlog traces can't be created or the key log can't be opened.
+        """
         self.proxy = proxy
         self.loop = proxy.loop
         self.metrics = metrics
-        self.ready = ready
-        self.machine = machine
+        self.is_ready = is_ready
+        self.store_machine = store_machine
         self.max_sessions = settings.max_sessions
-        self.accept = True
+        self.accepts_sessions = True
         self.resuming: SessionResumption | None = None
         self.retry_from = settings.retry_from
         self.transport: asyncio.DatagramTransport | None = None
-        number = settings.node if settings.node is not None else zlib.crc32(name.encode()) & 0xFFFF
-        self.own_holder = Holder(number, secrets.randbelow(256))
-        self.ring_revision = -1  # revision of the ring in force, of the store's
-        self.keys = DerivedKeys(QuicRing().rotated(time.time_ns() // 1_000_000))  # until the store has some
-        self.forwarders: dict[Holder, DatagramForwarder] = {}  # by process of this node
+        node_number = settings.node if settings.node is not None else zlib.crc32(node_name.encode()) & 0xFFFF
+        self.own_holder = Holder(node_number, secrets.randbelow(256))
+        self.ring_revision = -1  # store revision of the last ring read; -1 before the first
+        # A ring of this process alone, used until the store has one.
+        self.keys = DerivedKeys(QuicRing().rotated(time.time_ns() // 1_000_000))
+        self.forwarders: dict[Holder, DatagramForwarder] = {}  # to other processes of this node
         self.router = Router(self.keys, self.own_holder, self.forwarders.__contains__)
-        self.sock: socket.socket | None = None  # the port, also where another process reads it
-        self.forwarded_datagrams: ForwardedDatagrams | None = None  # what that one forwards
-        self.forward_socket: socket.socket | None = None  # the end that it writes to
+        self.sock: socket.socket | None = None  # the UDP socket, kept also while the successor reads it
+        self.forwarded_datagrams: ForwardedDatagrams | None = None  # datagrams that the successor forwards
+        self.forward_socket: socket.socket | None = None  # the end that the successor writes to
         self.tokens = AddressTokens(self.keys)
         self.stateless = StatelessResponder(self.send, metrics)
-        self.routes: dict[bytes, QuicConnectionChannel] = {}  # by ids of ours
-        # By the client's first id and its address.
+        self.routes: dict[bytes, QuicConnectionChannel] = {}  # by connection ids that this process issued
+        # By the client's original destination id and its address.
         self.initial_routes: dict[tuple[bytes, Any], QuicConnectionChannel] = {}
         self.channels: set[QuicConnectionChannel] = set()
-        self.retired: dict[bytes, float] = {}  # ids of sessions that stand, lately retired, with until when
+        # Recently retired ids, each with the end of its grace period on the loop's clock.
+        self.retired: dict[bytes, float] = {}
         self.settings = settings
         self.traces = TraceFolder(settings.qlog, settings.qlog_mb, metrics) if settings.qlog else None
         self.certificate = ServerCertificate(settings, metrics, self.loop)
@@ -102,29 +115,33 @@
         metrics.gauge("quic_certificate_days", self.certificate.days_left)
 
     def set_max_sessions(self, value: int) -> None:
-        """`config/quic_max_sessions` has changed."""
+        """Apply a new value of `config/quic_max_sessions`."""
         self.max_sessions = value
 
     def session_count(self) -> int:
-        """Sessions of all connections."""
-        return sum(len(c.streams) for c in self.channels)
+        """Return the number of open sessions of all connections."""
+        return sum(len(channel.streams) for channel in self.channels)
 
     def has_capacity(self) -> bool:
         """Whether another session may begin."""
-        return self.accept and self.session_count() < self.max_sessions
+        return self.accepts_sessions and self.session_count() < self.max_sessions
 
     def set_accept(self, value: bool) -> None:
-        """`config/quic_accept` has changed."""
-        self.accept = value
+        """Apply a new value of `config/quic_accept`."""
+        self.accepts_sessions = value
 
     def reload(self) -> None:
-        """Read the certificate again, for new connections."""
+        """Read the certificate files again, for new connections."""
         self.certificate.reload()
 
     # The port
 
     async def listen(self, host: str, port: int) -> None:
-        """`OSError` where the port can't be had."""
+        """Bind the UDP socket and start reading it.
+
+        Raises:
+            OSError: if the address can't be bound.
+        """
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_DGRAM)
         try:
@@ -133,70 +150,77 @@
         except OSError:
             sock.close()
             raise
-        await self._read(sock)
+        await self._start_reading(sock)
 
-    async def _read(self, sock: socket.socket) -> None:
+    async def _start_reading(self, sock: socket.socket) -> None:
         self.sock = sock
         await self.loop.create_datagram_endpoint(lambda: self, sock=sock.dup())
 
     def release_port(self) -> tuple[PortTransfer, list[int]]:
-        """This process reads the port no more: what the next one is to know.
+        """Stop reading the port and return the successor's state and descriptors.
 
-        With the descriptors that go along. It keeps its sessions, answers by its copy of the socket, and
-        hears of them by the inlet.
+        This process keeps its sessions: it sends on its copy of the socket, and receives the datagrams that
+        the successor forwards.
         """
         assert self.sock is not None
         if self.transport is not None:
             self.transport.close()
             self.transport = None
         if self.forwarded_datagrams is None or self.forward_socket is None:
-            reads, self.forward_socket = socket_pair()
-            self.forwarded_datagrams = ForwardedDatagrams(self.loop, reads, self.metrics, self.forwarded)
-        used, whole = self.tokens.used.export(USED_TOKENS_PASSED_ON)
-        others = [h for h, relay in self.forwarders.items() if not relay.closed][:MAX_PREDECESSORS]
+            receiving_end, self.forward_socket = socket_pair()
+            self.forwarded_datagrams = ForwardedDatagrams(
+                self.loop, receiving_end, self.metrics, self.on_forwarded_datagram
+            )
+        used, is_complete = self.tokens.used.export(MAX_PASSED_USED_TOKENS)
+        predecessors = [holder for holder, forwarder in self.forwarders.items() if not forwarder.is_closed][
+            :MAX_PREDECESSORS
+        ]
         now = time.time()
-        handed = PortTransfer([self.own_holder, *others], self.keys.ring, used, 0.0 if whole else now)
+        transfer = PortTransfer(
+            [self.own_holder, *predecessors], self.keys.ring, used, 0.0 if is_complete else now
+        )
         log.info("port passed to successor", sessions=len(self.channels))
-        forwarding = [self.forwarders[h].sock.fileno() for h in others]
-        fds = [self.sock.fileno(), self.forward_socket.fileno(), *forwarding]
-        return handed, fds
-
-    async def take_over_port(self, handed: PortTransfer, fds: list[int]) -> None:
-        """The port of the process before this one, which keeps the sessions that it has. Takes `fds` over."""
-        socks = [socket.socket(fileno=fd) for fd in fds]
-        if self.sock is not None or len(socks) != 1 + len(handed.holders):
-            for each in socks:
-                each.close()
+        forwarder_descriptors = [self.forwarders[holder].sock.fileno() for holder in predecessors]
+        descriptors = [self.sock.fileno(), self.forward_socket.fileno(), *forwarder_descriptors]
+        return transfer, descriptors
+
+    async def take_over_port(self, transfer: PortTransfer, descriptors: list[int]) -> None:
+        """Read the predecessor's port; the predecessor keeps its sessions. Owns the descriptors."""
+        sockets = [socket.socket(fileno=descriptor) for descriptor in descriptors]
+        if self.sock is not None or len(sockets) != 1 + len(transfer.holders):
+            for received_socket in sockets:
+                received_socket.close()
             return
         self.forwarders |= {
-            h: DatagramForwarder(s, self.metrics) for h, s in zip(handed.holders, socks[1:], strict=True)
+            holder: DatagramForwarder(forwarder_socket, self.metrics)
+            for holder, forwarder_socket in zip(transfer.holders, sockets[1:], strict=True)
         }
         while self.own_holder in self.forwarders:
             process = (self.own_holder.process + 1) % 256
             self.own_holder = self.router.own_holder = Holder(self.own_holder.node, process)
-        self.tokens.used.import_entries(handed.used)
-        self.tokens.since = handed.since
+        self.tokens.used.import_entries(transfer.used)
+        self.tokens.used_known_since = transfer.since
         if self.ring_revision < 0:
-            self._adopt(DerivedKeys(handed.ring))
-        await self._read(socks[0])
-        log.info("port taken over", before=len(self.forwarders))
+            self._use_keys(DerivedKeys(transfer.ring))
+        await self._start_reading(sockets[0])
+        log.info("port taken over", predecessors=len(self.forwarders))
 
     async def serve_again(self) -> None:
-        """The process that read the port has gone."""
+        """Read the port again, since the successor has died."""
         if self.sock is not None and self.transport is None:
-            await self._read(self.sock)
+            await self._start_reading(self.sock)
 
     def drop_predecessors(self) -> None:
-        """The process before has ended: what it held is lost, and said to be."""
-        for relay in self.forwarders.values():
-            relay.close()
+        """Stop forwarding, since the predecessors have ended; clients of their sessions are sent resets."""
+        for forwarder in self.forwarders.values():
+            forwarder.close()
         self.forwarders.clear()
 
     # Keys
 
-    def _look_at_ring(self) -> None:
-        """The store's ring, as soon as it has one, and whenever it has turned."""
-        machine = self.machine()
+    def _refresh_ring(self) -> None:
+        """Use the store's key ring if it is new or was changed."""
+        machine = self.store_machine()
         item = machine.get(RING_KEY) if machine is not None else None
         if item is None or item.modified_revision == self.ring_revision:
             return
@@ -205,65 +229,65 @@
             keys = DerivedKeys(msgspec.convert(item.value, QuicRing))
         except ValueError as error:
             self.metrics.count("quic_ring_unfit")
-            log.error("key ring not used, the previous one stays", error=str(error))
+            log.error("key ring rejected, the previous one stays in force", error=str(error))
             return
-        self._adopt(keys)
+        self._use_keys(keys)
         self.metrics.count("quic_rings")
-        log.info("key ring adopted", bits=[k.bits for k in keys.ring.keys], makes=keys.newest)
+        log.info("key ring adopted", bits=[key.bits for key in keys.ring.keys], newest=keys.newest)
 
-    def _adopt(self, keys: DerivedKeys) -> None:
+    def _use_keys(self, keys: DerivedKeys) -> None:
         self.keys = keys
         self.router.use_keys(keys)
-        self.tokens.adopt(keys)
+        self.tokens.use_keys(keys)
 
-    # What is held
+    # Connections and their ids
 
     def make_id(self) -> bytes:
-        """A connection id that names this process."""
+        """Return a new connection id that names this process."""
         return self.keys.ids.make(self.own_holder.octets())
 
     def issue(self, connection_id: bytes, channel: QuicConnectionChannel) -> None:
-        """A connection has a new id."""
+        """Route a new id of a connection to its channel."""
         channel.ids.add(connection_id)
         self.routes[connection_id] = channel
 
     def retire(self, connection_id: bytes, channel: QuicConnectionChannel) -> None:
-        """A connection has given an id up."""
+        """Stop routing an id that the client has retired."""
         channel.ids.discard(connection_id)
         if self.routes.get(connection_id) is channel:
             del self.routes[connection_id]
-            # What is still under way to it is late, and no sign of a session that is lost.
+            # Packets to the id may still be in flight. They are late, and no sign of a lost session.
             self.retired[connection_id] = self.loop.time() + RETIRED_ID_GRACE_S
             while self.retired and next(iter(self.retired.values())) <= self.loop.time():
                 del self.retired[next(iter(self.retired))]
 
     def on_channel_closed(self, channel: QuicConnectionChannel) -> None:
         """Forget a connection."""
-        for each in channel.ids:
-            self.routes.pop(each, None)
+        for connection_id in channel.ids:
+            self.routes.pop(connection_id, None)
         self.initial_routes.pop(channel.initial_route, None)
         self.channels.discard(channel)
 
     # Datagrams
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is read from now on."""
+        """Keep the transport of the socket, which is read from now on."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
-    def forwarded(self, data: bytes, addr: Any) -> None:
-        """From the process that reads the port now."""
+    def on_forwarded_datagram(self, data: bytes, addr: Any) -> None:
+        """Handle a datagram that the process that reads the port has forwarded."""
         self.datagram_received(data, addr, forwarded=True)
 
     def datagram_received(self, data: bytes, addr: Any, forwarded: bool = False) -> None:
-        """One datagram: to its connection, to another process, or answered without state."""
-        self._look_at_ring()
+        """Pass a datagram to its connection or to another process, or answer it without state."""
+        self._refresh_ring()
 
         def is_held(connection_id: bytes) -> bool:
             return connection_id in self.routes or (connection_id, addr) in self.initial_routes
 
         route = self.router.route(data, is_held, forwarded)
         if forwarded and route.kind is RouteKind.NEW:
-            # Guards against a session that begins where no new one is to: the client's next try is another's.
+            # This process must begin no new sessions; the client's next Initial reaches another process.
             self.metrics.count("quic_dropped_leaving")
             return
         match route.kind:
@@ -285,7 +309,7 @@
                 self.metrics.count(f"quic_dropped_{route.drop_reason or route.kind.value}")
 
     def send(self, data: bytes, addr: Any) -> None:
-        """A datagram out, also where another process reads the port. One without room for it is lost."""
+        """Send a datagram, also while another process reads the port; lost if the buffer has no room."""
         if self.transport is not None:
             self.transport.sendto(data, addr)
         elif self.sock is not None:
@@ -295,46 +319,53 @@
                 self.metrics.count("quic_send_full")
 
     def _accept(self, route: Route, data: bytes, addr: Any) -> None:
-        under_way = sum(1 for c in self.channels if not c.handshake_complete)
-        if not self.has_capacity() or len(self.channels) >= self.max_sessions or under_way >= MAX_HANDSHAKES:
-            # Guards against floods of first packets: over the limit they are dropped, and may come again.
+        handshake_count = sum(1 for other in self.channels if not other.is_handshake_complete)
+        if (
+            not self.has_capacity()
+            or len(self.channels) >= self.max_sessions
+            or handshake_count >= MAX_CONCURRENT_HANDSHAKES
+        ):
+            # Limits the effect of a flood of Initial packets: those above the limits are dropped, and honest
+            # clients retransmit theirs.
             self.metrics.count("quic_crowded")
             return
-        original, retried = route.destination, None
-        if route.token or under_way >= self.retry_from:
-            # Guards against floods from forged addresses: beyond some handshakes at once a client must
-            # show by a token that it hears what is sent to its address, before anything is kept for it.
+        original_destination_id, retry_source_id = route.destination, None
+        if route.token or handshake_count >= self.retry_from:
+            # Limits the effect of a flood from forged addresses: above `retry_from` concurrent handshakes a
+            # client must show by a token that it receives packets at its address, before state is kept.
             try:
-                first = self.tokens.validate(route.token, addr, route.destination, time.time())
+                validated_id = self.tokens.validate(route.token, addr, route.destination, time.time())
             except InvalidTokenError as error:
                 if route.token:
                     self.metrics.count(f"quic_token_{str(error).split(':')[0]}")
-                if under_way >= self.retry_from:
+                if handshake_count >= self.retry_from:
                     self.stateless.retry(route, self.make_id(), self.tokens, addr)
                     return
-                first = None  # served as one that has brought none
-            if first is not None:
-                original, retried = first, route.destination
+                validated_id = None  # the client is served as if it had sent no token
+            if validated_id is not None:
+                original_destination_id, retry_source_id = validated_id, route.destination
         configuration = self.certificate.configuration
         if self.traces is not None and self.traces.has_room:
             configuration = dataclasses.replace(configuration, quic_logger=self.traces)
-        connection = HeldConnection(configuration, original, retried, self.make_id, self.keys.reset_token)
+        connection = ServerConnection(
+            configuration, original_destination_id, retry_source_id, self.make_id, self.keys.reset_token
+        )
         channel = QuicConnectionChannel(self, connection, addr)
         channel.initial_route = (route.destination, addr)
         self.channels.add(channel)
         self.initial_routes[channel.initial_route] = channel
         self.issue(connection.host_cid, channel)
         if not channel.receive(data, addr):
-            # Guards memory against noise that begins like a first packet: nothing is kept for it.
+            # No memory is kept for a datagram that only looks like an Initial.
             self.metrics.count("quic_dropped_unopened")
             channel.discard()
 
     def is_answering(self) -> bool:
-        """Whether a client may still lack the end of what was said to it."""
-        return any(c.is_answering() for c in self.channels)
+        """Whether an answer may still be on its way to a client."""
+        return any(channel.is_answering() for channel in self.channels)
 
     def close(self) -> None:
-        """End all connections with LEAVING, and the socket."""
+        """Close all connections with the code LEAVING, then the sockets."""
         for channel in list(self.channels):
             channel.abort(CloseCode.LEAVING)
             channel.flush()
--- a/gradegap/quic/relay.py
+++ b/gradegap/quic/relay.py
@@ -1,7 +1,8 @@
-"""Datagrams from one process of a node to another, over a Unix socket: bounded, counted, never waited for.
+"""Forwards datagrams between processes of a node over a Unix socket, without waiting for the other process.
 
-The process that replaces another reads the UDP socket; what is of a connection that the one before holds goes
-there by its id. What the socket between them has no room for is lost, as on any network: QUIC sends it again.
+After a hot restart the new process reads the UDP socket. A datagram of a connection that its predecessor
+holds is forwarded to the predecessor by its connection id. A datagram for which the socket buffer between
+the processes has no room is counted and lost, as on any network: QUIC retransmits.
 """
 
 from __future__ import annotations
@@ -16,13 +17,13 @@
 
 from gradegap.metrics import Metrics
 
-SEND_BUFFER_BYTES = 1 << 20  # octets that may wait between two processes
-MAX_DATAGRAM_BYTES = 70_000  # octets of one datagram with its address
-DATAGRAMS_PER_TURN = 64  # datagrams that are read in one turn of the loop
+SEND_BUFFER_BYTES = 1 << 20  # limit of the data queued between two processes
+MAX_MESSAGE_BYTES = 70_000  # limit of one encoded datagram with its address
+DATAGRAMS_PER_READ = 64  # limit of datagrams read in one iteration of the event loop
 
 
 class ForwardedDatagram(msgspec.Struct, array_like=True, frozen=True):
-    """One datagram on its way to another process."""
+    """A datagram forwarded to another process, with the client's address."""
 
     host: str
     port: int
@@ -33,74 +34,74 @@
 
 
 def socket_pair() -> tuple[socket.socket, socket.socket]:
-    """Both ends; any number of processes may write to the second."""
-    reads, writes = socket.socketpair(socket.AF_UNIX, socket.SOCK_DGRAM)
-    for each in (reads, writes):
-        each.setblocking(False)
+    """Return the receiving end and the sending end; any number of processes may write to the sending end."""
+    receiving_end, sending_end = socket.socketpair(socket.AF_UNIX, socket.SOCK_DGRAM)
+    for sock in (receiving_end, sending_end):
+        sock.setblocking(False)
     with contextlib.suppress(OSError):
-        writes.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
-    return reads, writes
+        sending_end.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
+    return receiving_end, sending_end
 
 
 class DatagramForwarder:
-    """The way to a process that holds connections."""
+    """Sends datagrams to another process that holds connections."""
 
     def __init__(self, sock: socket.socket, metrics: Metrics) -> None:
         self.sock, self.metrics = sock, metrics
-        self.closed = False
+        self.is_closed = False
         sock.setblocking(False)
 
     def send(self, data: bytes, addr: Any) -> bool:
-        """False once nobody is there any more."""
+        """Send a datagram that came from `addr`; False once the other process has closed its end."""
         try:
             self.sock.send(msgspec.msgpack.encode(ForwardedDatagram(addr[0], addr[1], data)))
         except (BlockingIOError, InterruptedError):
-            # Guards this process against one that is slow or stopped: its clients send again.
+            # A slow or stopped process must not block this one; clients retransmit the dropped packets.
             self.metrics.count("quic_forward_full")
         except OSError:
-            self.closed = True
+            self.is_closed = True
             self.metrics.count("quic_forward_gone")
         else:
             self.metrics.count("quic_forwarded")
-        return not self.closed
+        return not self.is_closed
 
     def close(self) -> None:
-        """Forward nothing more."""
-        self.closed = True
+        """Stop forwarding and close the socket."""
+        self.is_closed = True
         self.sock.close()
 
 
 class ForwardedDatagrams:
-    """Where what others forward comes in."""
+    """Receives the datagrams that other processes forward to this one."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         sock: socket.socket,
         metrics: Metrics,
-        came: Callable[[bytes, Any], None],
+        handler: Callable[[bytes, Any], None],
     ) -> None:
-        self.loop, self.sock, self.metrics, self.on_datagram = loop, sock, metrics, came
-        loop.add_reader(sock, self._readable)
+        self.loop, self.sock, self.metrics, self.on_datagram = loop, sock, metrics, handler
+        loop.add_reader(sock, self._on_readable)
 
-    def _readable(self) -> None:
-        for _ in range(DATAGRAMS_PER_TURN):
+    def _on_readable(self) -> None:
+        for _ in range(DATAGRAMS_PER_READ):
             try:
-                raw = self.sock.recv(MAX_DATAGRAM_BYTES)
+                message = self.sock.recv(MAX_MESSAGE_BYTES)
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
                 self.close()
                 return
             try:
-                passed = _decoder.decode(raw)
-            except ValueError:  # of another version's process
+                datagram = _decoder.decode(message)
+            except ValueError:  # sent by a process of another software version
                 self.metrics.count("quic_forward_malformed")
                 continue
             self.metrics.count("quic_forwarded_here")
-            self.on_datagram(passed.data, (passed.host, passed.port))
+            self.on_datagram(datagram.data, (datagram.host, datagram.port))
 
     def close(self) -> None:
-        """Take in nothing more."""
+        """Stop receiving and close the socket."""
         self.loop.remove_reader(self.sock)
         self.sock.close()
--- a/gradegap/quic/settings.py
+++ b/gradegap/quic/settings.py
@@ -1,4 +1,4 @@
-"""What the operator sets for QUIC."""
+"""The operator's settings for QUIC."""
 
 from __future__ import annotations
 
@@ -16,8 +16,9 @@
     alpn: tuple[str, ...] = ("gradegap/1",)
     idle_s: float = 30.0
     max_sessions: int = 4000
-    retry_from: int = 64  # handshakes under way from which clients must prove their address
-    node: Annotated[int, msgspec.Meta(ge=0, le=65535)] | None = None  # in ids; none: made of the node's name
-    keylog: str = ""  # a file for all sessions' secrets, as packet analysers read them: for tests alone
-    qlog: str = ""  # a folder for traces of some connections
-    qlog_mb: Annotated[int, msgspec.Meta(ge=1, le=100_000)] = 64  # MiB that they may take
+    retry_from: int = 64  # concurrent handshakes from which new clients must validate their address by Retry
+    # The node's number in connection ids; None derives it from the node's name.
+    node: Annotated[int, msgspec.Meta(ge=0, le=65535)] | None = None
+    keylog: str = ""  # file for the TLS secrets of all sessions, which packet analysers read; for tests only
+    qlog: str = ""  # directory for qlog traces of some connections
+    qlog_mb: Annotated[int, msgspec.Meta(ge=1, le=100_000)] = 64  # MiB that all traces together may take
--- a/gradegap/quic/stateless.py
+++ b/gradegap/quic/stateless.py
@@ -1,4 +1,7 @@
-"""Answers to datagrams of no connection: Version Negotiation, Retry, stateless reset. None keeps state."""
+"""Answers to datagrams without a connection: Version Negotiation, Retry, stateless reset.
+
+The server keeps no state for any of them.
+"""
 
 from __future__ import annotations
 
@@ -14,19 +17,20 @@
 from gradegap.quic.routing import MIN_RESET_LENGTH, Route, TokenBucket
 from gradegap.quic.tokens import AddressTokens
 
-STATELESS_RESET_MAX_LENGTH = 42  # octets of a stateless reset, as of a small packet
-STATELESS_RESETS_PER_S, STATELESS_RESET_BURST = 200.0, 100  # stateless resets a second, and at once
+MAX_RESET_LENGTH = 42  # octets of a stateless reset: the size of a small packet
+# Limits on stateless resets: the average rate per second, and the number sent at once.
+RESETS_PER_S, RESET_BURST_COUNT = 200.0, 100
 
 
 class StatelessResponder:
-    """Sends what a client of no connection here is to know; resets are bounded."""
+    """Sends stateless answers; the rate of stateless resets is limited."""
 
     def __init__(self, send: Callable[[bytes, Any], None], metrics: Metrics) -> None:
         self._send, self._metrics = send, metrics
-        self._reset_bucket = TokenBucket(STATELESS_RESETS_PER_S, STATELESS_RESET_BURST)
+        self._reset_bucket = TokenBucket(RESETS_PER_S, RESET_BURST_COUNT)
 
     def negotiate(self, route: Route, versions: list[int], addr: Any) -> None:
-        """Tell which versions are spoken (RFC 9000, 6.1)."""
+        """Send a Version Negotiation packet with the supported versions (RFC 9000, 6.1)."""
         self._metrics.count("quic_negotiations")
         answer = encode_quic_version_negotiation(
             source_cid=route.destination, destination_cid=route.source, supported_versions=versions
@@ -34,22 +38,25 @@
         self._send(answer, addr)
 
     def reset(self, route: Route, length: int, keys: DerivedKeys, addr: Any, now: float) -> None:
-        """Tell a client that what its packet of `length` octets is about is lost here (RFC 9000, 10.3).
+        """Send a stateless reset in answer to a packet of `length` octets (RFC 9000, 10.3).
 
-        So it does not wait for its idle time: this process held the session before it was started anew, or
-        has forgotten it. `now`: steady clock, s.
+        The client then need not wait for its idle timeout. The connection's state is lost because this
+        process was restarted since, or has discarded it. `now` is in s, of a monotonic clock.
         """
         if not self._reset_bucket.take(now):
             self._metrics.count("quic_resets_held_back")
             return
         self._metrics.count("quic_resets")
-        size = max(MIN_RESET_LENGTH, min(length - 1, STATELESS_RESET_MAX_LENGTH))
+        size = max(MIN_RESET_LENGTH, min(length - 1, MAX_RESET_LENGTH))
         token = keys.reset_token(route.destination)
-        noise = secrets.token_bytes(size - len(token))
-        self._send(bytes([0x40 | noise[0] & 0x3F]) + noise[1:] + token, addr)
+        unpredictable_bits = secrets.token_bytes(size - len(token))
+        self._send(bytes([0x40 | unpredictable_bits[0] & 0x3F]) + unpredictable_bits[1:] + token, addr)
 
     def retry(self, route: Route, source: bytes, tokens: AddressTokens, addr: Any) -> None:
-        """Ask a client to prove its address by a token (RFC 9000, 8.1.2); `source` is its next id."""
+        """Ask a client to validate its address by a token (RFC 9000, 8.1.2).
+
+        `source` is the connection id that the client must use next.
+        """
         answer = encode_quic_retry(
             version=route.version,
             source_cid=source,
--- a/gradegap/quic/stream.py
+++ b/gradegap/quic/stream.py
@@ -1,8 +1,9 @@
 """One stream of a QUIC connection as the channel of one client session.
 
-A connection may carry many sessions: each of the client's bidirectional streams is one, with a req and a
-final answer of its own. How it ended is told by a code: where the connection has had one session, by the
-connection's close; else by STOP_SENDING, and by RESET_STREAM where it broke.
+A connection may carry many sessions: each bidirectional stream that the client opens is one, with its own
+request and its own final answer. An application error code tells how a session ended. If the connection had
+only one session, the code is in the connection's close, else in STOP_SENDING, and in RESET_STREAM if the
+session was reset.
 """
 
 from __future__ import annotations
@@ -15,15 +16,15 @@
 from gradegap.downstream.session import ClientSession, SessionResumption
 from gradegap.metrics import Metrics
 from gradegap.proxy.proxy import Proxy
-from gradegap.quic.connection import HeldConnection
+from gradegap.quic.connection import ServerConnection
 from gradegap.transport.sockets import WRITE_BUFFER_HIGH_BYTES
 
-MAX_UNSENT_BYTES = 8 * 1024 * 1024  # bytes waiting for a client beyond which its session is given up
-DRAIN_POLL_S = 0.02  # s between two looks whether a paused backend may go on
+MAX_UNACKNOWLEDGED_BYTES = 8 * 1024 * 1024  # a session with more data waiting for its client is reset
+DRAIN_POLL_INTERVAL_S = 0.02  # interval between checks whether the client has acknowledged enough data
 
 
 class CloseCode(IntEnum):
-    """Application error codes of a connection's end: what the last line said."""
+    """Application error codes for the end of a session or a connection; they match the last line sent."""
 
     SERVED = 0x0
     REFUSED = 0x1
@@ -35,7 +36,7 @@
     LEAVING = 0x7
 
 
-CODES = {
+CLOSE_CODES = {
     CloseReason.SERVED: CloseCode.SERVED,
     CloseReason.REJECTED: CloseCode.REFUSED,
     CloseReason.FAILED: CloseCode.FAILED,
@@ -45,16 +46,16 @@
 }
 
 
-class Connection(Protocol):
-    """The connection, as a stream needs it."""
+class ConnectionChannel(Protocol):
+    """The interface of the connection that a stream uses."""
 
     loop: asyncio.AbstractEventLoop
-    connection: HeldConnection
-    terminated: bool
+    connection: ServerConnection
+    is_terminated: bool
 
     @property
     def proxy(self) -> Proxy:
-        """The proxy that takes the session's request."""
+        """The proxy that handles the session's request."""
         ...
 
     @property
@@ -64,41 +65,50 @@
 
     @property
     def resuming(self) -> SessionResumption | None:
-        """The node's resumable sessions, where it has any."""
+        """The node's resumable sessions; None if resumption is off."""
         ...
 
-    def ready(self) -> bool:
-        """Whether new clients are to come to this node."""
+    def is_ready(self) -> bool:
+        """Whether this node accepts new clients."""
         ...
 
     def flush_soon(self) -> None:
-        """Send what is due, this turn."""
+        """Send pending packets in this iteration of the event loop."""
         ...
 
     def on_stream_ended(self, stream: StreamChannel, code: CloseCode) -> None:
-        """The session is over, and its client has all that was sent."""
+        """The session is over and its client has acknowledged all data, or the session was reset."""
         ...
 
 
 class StreamChannel:
-    """A client's stream, from its first octet on."""
-
-    def __init__(self, link: Connection, number: int, spent: float) -> None:
-        """`spent`: s that the connection took to come up, where this is its first stream."""
-        self.connection_channel, self.number = link, number
-        self.loop = link.loop
-        self.closing = False  # our side of the stream has ended
-        self.paused = False  # the backend is not read while the client is slow
-        self.client_ended = False
-        self.session = ClientSession(link.proxy, link.metrics, self, link.ready, spent)
-        self.session.resumption = link.resuming
-
-    # From the connection
-
-    def data(self, data: bytes, end: bool) -> None:
-        """Octets from the client; `end`: its side has ended."""
-        self.client_ended = self.client_ended or end
-        if self.closing:
+    """A bidirectional stream that the client opened, as the channel of its session."""
+
+    def __init__(self, parent: ConnectionChannel, stream_id: int, elapsed: float) -> None:
+        """Create the session.
+
+        `elapsed` is the time in s since the connection began if this is its first stream, else 0.
+        """
+        self.connection_channel, self.stream_id = parent, stream_id
+        self.loop = parent.loop
+        self.is_closing = False  # the sending side of the stream has ended
+        self.is_paused = False  # the backend is not read because the client acknowledges too slowly
+        self.has_client_ended = False
+        self.session = ClientSession(
+            parent.proxy,
+            parent.metrics,
+            self,
+            parent.is_ready,
+            elapsed,
+        )
+        self.session.resumption = parent.resuming
+
+    # Calls from the connection
+
+    def on_data(self, data: bytes, end: bool) -> None:
+        """Pass on data from the client; `end` means that the client has ended its side."""
+        self.has_client_ended = self.has_client_ended or end
+        if self.is_closing:
             return
         if data:
             self.session.on_data(data)
@@ -106,87 +116,92 @@
             self.session.on_eof()
 
     def on_reset(self) -> None:
-        """The client has reset its side, or hears no more."""
+        """The client has sent RESET_STREAM or STOP_SENDING."""
         self.session.on_channel_closed(reset=True)
 
-    # The channel of the session
+    # Calls from the session
 
     def is_disconnected(self) -> bool:
-        """Whether the client has gone away."""
-        return self.connection_channel.terminated or self.client_ended
+        """Whether the client has ended its side or the connection."""
+        return self.connection_channel.is_terminated or self.has_client_ended
 
     def on_ping(self) -> None:
-        """Nothing to do: streams are not evicted."""
+        """Do nothing: streams are not evicted."""
 
     def on_request(self) -> None:
-        """Nothing to do: streams are not evicted."""
+        """Do nothing: streams are not evicted."""
 
     def write(self, data: bytes) -> None:
-        """Send to the client; a client that is too slow loses its session."""
-        link = self.connection_channel
-        if link.terminated or self.closing:
+        """Send data to the client; a client that acknowledges too slowly loses its session."""
+        parent = self.connection_channel
+        if parent.is_terminated or self.is_closing:
             return
-        link.connection.send_on_stream(self.number, data)
-        link.flush_soon()
-        waiting = link.connection.unsent_bytes(self.number)
-        if waiting > MAX_UNSENT_BYTES:
-            link.metrics.count("quic_overrun")
-            self._broke(CloseCode.OVERRUN)
+        parent.connection.send_on_stream(self.stream_id, data)
+        parent.flush_soon()
+        waiting_bytes = parent.connection.unacknowledged_bytes(self.stream_id)
+        if waiting_bytes > MAX_UNACKNOWLEDGED_BYTES:
+            parent.metrics.count("quic_overrun")
+            self._reset(CloseCode.OVERRUN)
             self.session.on_channel_closed(reset=True)
-        elif waiting > WRITE_BUFFER_HIGH_BYTES and not self.paused:
-            self.paused = True
+        elif waiting_bytes > WRITE_BUFFER_HIGH_BYTES and not self.is_paused:
+            self.is_paused = True
             self.session.on_backpressure(full=True)
-            self.loop.call_later(DRAIN_POLL_S, self._look_drained)
+            self.loop.call_later(DRAIN_POLL_INTERVAL_S, self._resume_if_drained)
 
-    def _look_drained(self) -> None:
-        if self.connection_channel.terminated or self.closing:
+    def _resume_if_drained(self) -> None:
+        if self.connection_channel.is_terminated or self.is_closing:
             return
-        if self.connection_channel.connection.unsent_bytes(self.number) > WRITE_BUFFER_HIGH_BYTES // 4:
-            self.loop.call_later(DRAIN_POLL_S, self._look_drained)
+        if (
+            self.connection_channel.connection.unacknowledged_bytes(self.stream_id)
+            > WRITE_BUFFER_HIGH_BYTES // 4
+        ):
+            self.loop.call_later(DRAIN_POLL_INTERVAL_S, self._resume_if_drained)
         else:
-            self.paused = False
+            self.is_paused = False
             self.session.on_backpressure(full=False)
 
     def pause(self) -> None:
-        """Raise the client's window no further."""
-        self.connection_channel.connection.paused_streams.add(self.number)
+        """Stop raising the flow-control window of the client's data."""
+        self.connection_channel.connection.paused_streams.add(self.stream_id)
 
     def resume(self) -> None:
-        """Raise the client's window again."""
-        if self.number in self.connection_channel.connection.paused_streams:
-            self.connection_channel.connection.paused_streams.discard(self.number)
-            if not self.connection_channel.terminated:
-                self.connection_channel.connection.send_ping(0)  # something to carry the raised windows
+        """Raise the flow-control window of the client's data again."""
+        if self.stream_id in self.connection_channel.connection.paused_streams:
+            self.connection_channel.connection.paused_streams.discard(self.stream_id)
+            if not self.connection_channel.is_terminated:
+                # A PING makes a packet due, which carries the raised windows.
+                self.connection_channel.connection.send_ping(0)
                 self.connection_channel.flush_soon()
 
     def close(self, reason: CloseReason) -> None:
-        """End our side; the connection is told once the client has all that was said."""
-        if self.connection_channel.terminated or self.closing:
+        """End the sending side; the stream ends once the client has acknowledged all data."""
+        if self.connection_channel.is_terminated or self.is_closing:
             return
-        code = CODES[reason]
+        code = CLOSE_CODES[reason]
         self.connection_channel.metrics.count(f"quic_closed_{code.name.lower()}")
         if reason is CloseReason.RESET:
-            self._broke(code)
+            self._reset(code)
             return
-        self.closing = True
-        self.connection_channel.connection.send_on_stream(self.number, b"", end=True)
+        self.is_closing = True
+        self.connection_channel.connection.send_on_stream(self.stream_id, b"", end=True)
         self.connection_channel.flush_soon()
-        self._close_delivered(code, self.loop.time() + LINGER_S)
+        self._end_when_delivered(code, self.loop.time() + LINGER_S)
 
-    def _broke(self, code: CloseCode) -> None:
-        if not self.closing:
-            self.closing = True
-            self.connection_channel.connection.reset_sending(self.number, code)
-            self._over(code)
+    def _reset(self, code: CloseCode) -> None:
+        if not self.is_closing:
+            self.is_closing = True
+            self.connection_channel.connection.reset_sending(self.stream_id, code)
+            self._end(code)
 
-    def _close_delivered(self, code: CloseCode, latest: float) -> None:
-        if self.connection_channel.terminated:
+    def _end_when_delivered(self, code: CloseCode, deadline: float) -> None:
+        """End the stream once all data is acknowledged, at the latest at `deadline` of the loop's clock."""
+        if self.connection_channel.is_terminated:
             return
-        if self.connection_channel.connection.is_delivered(self.number) or self.loop.time() >= latest:
-            self._over(code)
+        if self.connection_channel.connection.is_delivered(self.stream_id) or self.loop.time() >= deadline:
+            self._end(code)
         else:
-            self.loop.call_later(DRAIN_POLL_S, self._close_delivered, code, latest)
+            self.loop.call_later(DRAIN_POLL_INTERVAL_S, self._end_when_delivered, code, deadline)
 
-    def _over(self, code: CloseCode) -> None:
-        self.connection_channel.connection.paused_streams.discard(self.number)
+    def _end(self, code: CloseCode) -> None:
+        self.connection_channel.connection.paused_streams.discard(self.stream_id)
         self.connection_channel.on_stream_ended(self, code)
--- a/tests/compatibility/readers.py
+++ b/tests/compatibility/readers.py
@@ -156,7 +156,7 @@
     def holder_of(self, connection_id: bytes) -> Any:
         """Returns the holder of a connection id's session, plain."""
         read = self.keys.ids.read(connection_id)
-        return None if read is None else plain(keys.Holder.of(read.server))
+        return None if read is None else plain(keys.Holder.of(read.server_id))
 
     def make_id(self, bits: int, holder: dict[str, int], nonce: bytes) -> bytes:
         """Encodes a connection id with one key of the ring."""
@@ -179,7 +179,7 @@
 def read_connection_id(shape: dict[str, Any], made: bytes) -> tuple[bytes, bytes] | None:
     """Returns the server id and the nonce of a connection id, or None if it can't be decoded."""
     read = _coder(shape).read(made)
-    return None if read is None else (read.server, read.nonce)
+    return None if read is None else (read.server_id, read.nonce)
 
 
 def _coder(shape: dict[str, Any]) -> ids.IdCodec:
--- a/tests/test_quic_conformance.py
+++ b/tests/test_quic_conformance.py
@@ -37,7 +37,7 @@
     ("planted", "word"),
     [
         (
-            "import gradegap.quic.routing as r; r.MIN_INITIAL_LENGTH = 0",
+            "import gradegap.quic.routing as r; r.MIN_INITIAL_DATAGRAM_LENGTH = 0",
             "a small datagram of another version",
         ),
         ("import gradegap.quic.routing as r; r.MIN_RESET_TRIGGER_LENGTH = 0", "a reset is shorter"),
--- a/tests/test_quic_fuzz.py
+++ b/tests/test_quic_fuzz.py
@@ -161,7 +161,7 @@
             pair.front.datagram_received(bytes(data[:k]), FUZZER)
         for channel in list(pair.front.channels):
             if channel.address == FUZZER:
-                channel._handshake_late()
+                channel._on_handshake_timeout()
         assert len(pair.front.channels) == 1  # the bystander's
         assert "quic_migrations" not in pair.metrics.counts
 
--- a/tests/test_quic_ids.py
+++ b/tests/test_quic_ids.py
@@ -24,7 +24,7 @@
     coder = IdCodec(IdConfiguration(raw[0] >> 5, len(server) // 2, len(nonce) // 2, KEY))
     assert coder.make(bytes.fromhex(server), bytes.fromhex(nonce)) == raw
     read = coder.read(raw)
-    assert read is not None and (read.server.hex(), read.nonce.hex()) == (server, nonce)
+    assert read is not None and (read.server_id.hex(), read.nonce.hex()) == (server, nonce)
 
 
 @given(st.data())
@@ -38,7 +38,7 @@
     cid = coder.make(server)
     read = coder.read(cid)
     assert len(cid) == 1 + server_length + nonce_length and cid[0] >> 5 == bits
-    assert read is not None and read.server == server
+    assert read is not None and read.server_id == server
     assert IdCodecs([coder.configuration]).length_of(cid[0]) == len(cid)
     assert coder.read(cid[:-1]) is None and coder.read(b"") is None
     assert coder.read(bytes([cid[0] ^ 0x20]) + cid[1:]) is None
@@ -52,7 +52,7 @@
     hits = 0
     for _ in range(200):
         read = other.read(coder.make(b"n1"))
-        hits += read is not None and read.server == b"n1"
+        hits += read is not None and read.server_id == b"n1"
     assert hits <= 1
 
 
@@ -61,7 +61,7 @@
     before = IdCodecs([old]).make(b"n1")
     both = IdCodecs([old, new])
     read = both.read(before)
-    assert read is not None and (read.bits, read.server) == (1, b"n1")
+    assert read is not None and (read.bits, read.server_id) == (1, b"n1")
     made = both.make(b"n01")
     assert made[0] >> 5 == 2 and len(made) == new.length
     assert IdCodecs([new]).read(before) is None
--- a/tests/test_quic_parts.py
+++ b/tests/test_quic_parts.py
@@ -65,11 +65,11 @@
     cid = DerivedKeys(ring).ids.make(ME.octets())
     after = ring.rotated(1).rotated(2)
     read = DerivedKeys(after).ids.read(cid)
-    assert read is not None and Holder.of(read.server) == ME
+    assert read is not None and Holder.of(read.server_id) == ME
     gone = after.retired(ring.keys[-1].bits)
     assert DerivedKeys(gone).ids.read(cid) is None
     for bits in (gone.keys[-1].bits, 99):
-        with pytest.raises(ValueError, match=r"the key with the bits|no key with the bits"):
+        with pytest.raises(ValueError, match=r"is the newest one|has no key with the bits"):
             gone.retired(bits)
     for bad in (
         QuicRing(),
@@ -77,7 +77,7 @@
         QuicRing((RingKey(1, "AAAA"),)),
         QuicRing(RING.keys * 2),
     ):
-        with pytest.raises(ValueError, match=r"a ring has 1 to|is no key"):
+        with pytest.raises(ValueError, match=r"a key ring must have 1 to|invalid key with the bits"):
             DerivedKeys(bad)
 
 
@@ -125,9 +125,9 @@
     with pytest.raises(InvalidTokenError, match="address"):
         tokens.validate(made[1], THERE, b"any", 101.0)
     ring = RING.rotated(2)
-    tokens.adopt(DerivedKeys(ring))
+    tokens.use_keys(DerivedKeys(ring))
     assert tokens.validate(made[2], HERE, b"any", 102.0) is None
-    tokens.adopt(DerivedKeys(ring.retired(RING.keys[0].bits)))
+    tokens.use_keys(DerivedKeys(ring.retired(RING.keys[0].bits)))
     with pytest.raises(InvalidTokenError, match="unknown_key"):
         tokens.validate(made[3], HERE, b"any", 102.0)
     heir = AddressTokens(KEYS)
@@ -135,7 +135,7 @@
     with pytest.raises(InvalidTokenError, match="used"):
         heir.validate(made[2], HERE, b"any", 103.0)
     assert tokens.used.export(10)[1] and not tokens.used.export(1)[1]
-    heir.since = 101.0  # it was told of some only
+    heir.used_known_since = 101.0  # it was told of some only
     with pytest.raises(InvalidTokenError, match="unsure"):
         heir.validate(made[1], HERE, b"any", 103.0)
 
@@ -160,7 +160,7 @@
 
 
 def test_used_tokens_are_remembered_within_bounds_and_never_believed_beyond() -> None:
-    used = UsedTokens(most=3)
+    used = UsedTokens(max_count=3)
     assert all(used.use(bytes([k]), 0.0, 10.0) for k in range(3))
     assert not used.use(b"\0", 1.0, 10.0) and not used.use(b"fresh", 1.0, 10.0)
     assert used.use(b"fresh", 10.0, 20.0) and len(used.expires_at) == 1
@@ -228,8 +228,8 @@
     assert mine.destination == theirs.destination_cid
     if theirs.version is not None:
         assert mine.source == theirs.source_cid and mine.version == theirs.version
-        assert mine.initial == (theirs.packet_type is QuicPacketType.INITIAL)
-        if mine.initial:
+        assert mine.is_initial == (theirs.packet_type is QuicPacketType.INITIAL)
+        if mine.is_initial:
             assert mine.token == theirs.token
 
 
@@ -264,7 +264,7 @@
         while not metrics.counts["quic_forward_malformed"]:
             await asyncio.sleep(0)
         inlet.close()
-        assert not relay.send(b"x", HERE) and relay.closed
+        assert not relay.send(b"x", HERE) and relay.is_closed
         relay.close()
 
     asyncio.run(asyncio.wait_for(main(), 20.0))
