--- a/gradegap/resume/key_ring_source.py
+++ b/gradegap/resume/key_ring_source.py
@@ -45,7 +45,7 @@
     def cluster(self) -> str:
         """The cluster's name; empty until the node knows it."""
 
-    def fresh(self) -> bool:
+    def is_fresh(self) -> bool:
         """Return whether this node's copy of the committed keys is current, so that decisions may use it."""
 
 
@@ -82,7 +82,7 @@
         if self.store is None:
             return True
         store = self.store()
-        return store is not None and store.fresh()
+        return store is not None and store.is_fresh()
 
     def export_local(self) -> bytes:
         """Return the node's local ring, encoded for its next process; empty if the store has the ring."""
--- a/tests/test_resume_nodes.py
+++ b/tests/test_resume_nodes.py
@@ -17,7 +17,7 @@
 from tests.support.node_environment import Client, NodeEnvironment, running_node, wait_for
 from tests.support.resume_servers import ResumableEndpointServer, SaveStore
 from tests.support.store_nodes import StoreNodes, nodes
-from tests.test_hot_restart import second
+from tests.test_hot_restart import running_successor
 from tests.test_resume import RESUME_TABLE, open_resumable, return_with_token, run, token_of
 
 __all__ = ["nodes"]
@@ -184,7 +184,7 @@
         ]
         for index, session in enumerate(sessions):
             assert await session.request(b"one-%d" % index) == b"done one-%d" % index
-        with second(node, operator=RESUME_TABLE) as (successor, _):
+        with running_successor(node, operator=RESUME_TABLE) as (successor, _):
             await asyncio.to_thread(wait_for, lambda: "successor accepts clients" in node.log.read_text())
             pending_requests = [
                 asyncio.create_task(session.request(b"two-%d" % index))
