--- a/bench/observer.py
+++ b/bench/observer.py
@@ -1,9 +1,9 @@
-"""Processor time of the observer core without sockets, by the number of subscribers.
+"""Benchmark of the observer's processor time without sockets, by the number of subscribers.
 
     python -m bench.observer [--seconds S] [--json FILE]
 
-One publisher with N subscribers that are up to date, and one idle subscriber. Messages are encoded and
-decoded as on the wire, without frames, their sums and sockets. Times are processor time of this process.
+Measures one publisher with N up-to-date subscribers, and one idle subscriber. Messages are encoded and
+decoded as on the wire, but without frames, checksums and sockets. Times are processor time of this process.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 from gradegap.store.records import Command, KeyUpdate, LogRecord, encode
 
 SIZES = (100, 500, 1000, 2000, 4000)
-SERVERS = 600  # keys under out/
+SERVER_COUNT = 600  # the state holds one key under out/ for each server
 LEASE_S = 3.0
 LIMITS = Limits(max_subscribers=5000, subscribe_rate=1e9, subscribe_burst=1_000_000).for_lease(LEASE_S)
 
@@ -47,11 +47,11 @@
 
 
 class Bench:
-    """A publisher with subscribers that are up to date and hold a lease."""
+    """A publisher whose subscribers are up to date and hold a lease."""
 
     def __init__(self, subscribers: int) -> None:
         self.machine = StateMachine()
-        for number in range(SERVERS):
+        for number in range(SERVER_COUNT):
             self.put(f"out/server{number}", {"at_ms": number, "by": "bench"})
         self.now = 1000.0
         source = MachineSource(self.machine)
@@ -65,18 +65,18 @@
         self.renew_all(subscribers)
 
     def put(self, key: str, value: object) -> None:
-        """Commit a change."""
+        """Commits a change of one key."""
         index = self.machine.index + 1
         command = Command(f"c{index}", 1, 10**12, "bench", (), (KeyUpdate(key, value),))
         self.machine.apply(index, encode(LogRecord(0, 0, command)))
 
     def publish(self) -> None:
-        """Send what is committed to all."""
+        """Sends the committed changes to all subscribers."""
         self.publisher.source_advanced(self.now)
         self.drain()
 
     def drain(self) -> int:
-        """Take the publisher's outputs, each object encoded once; how many sends there are."""
+        """Takes all outputs, encodes each message object once, and returns the number of sends."""
         sends, encoded = 0, set()
         while outputs := self.publisher.take():
             for output in outputs:
@@ -88,7 +88,10 @@
         return sends
 
     def renew_all(self, subscribers: int) -> None:
-        """One Renew of each, as a driver handles it: after each it looks at what to report to the leader."""
+        """Delivers one Renew from each subscriber.
+
+        As a driver does, it asks after each Renew for the index that is reported to the leader.
+        """
         for number in range(subscribers):
             self.serial += 1
             self.now += 1e-6
@@ -99,40 +102,45 @@
 
 
 def cpu_time_s(action: Callable[[], object]) -> float:
-    """Processor seconds of an action."""
+    """Returns the processor seconds that an action takes."""
     began = time.process_time()
     action()
     return time.process_time() - began
 
 
 def measure(subscribers: int, seconds: float) -> dict[str, float]:
-    """Microseconds of each operation with so many subscribers; means over at least `seconds`."""
+    """Returns the mean microseconds of each operation with a number of subscribers.
+
+    Operations are repeated for at least `seconds` of processor time.
+    """
     bench = Bench(subscribers)
-    total = {"change": 0.0, "renew": 0.0, "level_renew": 0.0, "behind": 0.0, "tick": 0.0}
+    total_s = {"change": 0.0, "renew": 0.0, "level_renew": 0.0, "behind": 0.0, "tick": 0.0}
     rounds = 0
-    while rounds < 3 or sum(total.values()) < seconds:
+    while rounds < 3 or sum(total_s.values()) < seconds:
         rounds += 1
         bench.put("config/weight", rounds)
         bench.publisher.renew_lease(bench.now, bench.now + LEASE_S)
-        total["change"] += cpu_time_s(bench.publish)
-        total["behind"] += cpu_time_s(lambda: bench.publisher.nodes_behind(bench.now, bench.machine.revision))
-        total["renew"] += cpu_time_s(lambda: bench.renew_all(subscribers))
-        total["level_renew"] += cpu_time_s(lambda: bench.renew_all(subscribers))
+        total_s["change"] += cpu_time_s(bench.publish)
+        total_s["behind"] += cpu_time_s(
+            lambda: bench.publisher.nodes_behind(bench.now, bench.machine.revision)
+        )
+        total_s["renew"] += cpu_time_s(lambda: bench.renew_all(subscribers))
+        total_s["level_renew"] += cpu_time_s(lambda: bench.renew_all(subscribers))
         bench.now += 0.5
-        total["tick"] += cpu_time_s(lambda: bench.publisher.tick(bench.now))
-    micro = 1e6 / rounds
+        total_s["tick"] += cpu_time_s(lambda: bench.publisher.tick(bench.now))
+    us_per_round = 1e6 / rounds
     return {
         "subscribers": subscribers,
-        "change_us": round(total["change"] * micro, 1),
-        "renew_after_change_us": round(total["renew"] * micro / subscribers, 2),
-        "renew_us": round(total["level_renew"] * micro / subscribers, 2),
-        "behind_us": round(total["behind"] * micro, 1),
-        "sweep_us": round(total["tick"] * micro, 1),
+        "change_us": round(total_s["change"] * us_per_round, 1),
+        "renew_after_change_us": round(total_s["renew"] * us_per_round / subscribers, 2),
+        "renew_us": round(total_s["level_renew"] * us_per_round / subscribers, 2),
+        "behind_us": round(total_s["behind"] * us_per_round, 1),
+        "sweep_us": round(total_s["tick"] * us_per_round, 1),
     }
 
 
 def idle_subscriber(seconds: int = 600) -> float:
-    """Microseconds a second of an idle node with a lease of the bench's length."""
+    """Returns the microseconds per second that an idle node takes, with leases of `LEASE_S`."""
     node = Subscriber("node", "i", "r", [MachineAddress("m0", "")], LIMITS, 0.0, random.Random(1))
     node.tick(0.0)
     node.connected(0.0)
@@ -156,7 +164,7 @@
     seconds: Annotated[float, typer.Option(help="Processor seconds for each size")] = 1.0,
     json_file: Annotated[Path | None, typer.Option("--json", help="Where to write the results")] = None,
 ) -> None:
-    """Measure, and print a table."""
+    """Runs all measurements and prints a table."""
     rows = [measure(size, seconds) for size in SIZES]
     idle = round(idle_subscriber(), 1)
     print(" ".join(f"{name:>22}" for name in rows[0]))
--- a/bench/process_usage.py
+++ b/bench/process_usage.py
@@ -7,19 +7,19 @@
 
 
 def resident_kib(pid: int) -> int:
-    """Resident memory (`VmRSS`), in KiB."""
+    """Returns the resident memory (`VmRSS`) of a process, in KiB."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     return int(next(line for line in lines if line.startswith("VmRSS")).split()[1])
 
 
 def cpu_seconds(pid: int) -> float:
-    """Processor time so far, of user and system, in seconds."""
+    """Returns the user and system processor time of a process since its start, in seconds."""
     after_name = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     user_ticks, system_ticks = int(after_name[11]), int(after_name[12])
     return (user_ticks + system_ticks) / os.sysconf("SC_CLK_TCK")
 
 
 def private_kib(pid: int) -> int:
-    """Memory that the process shares with no other, in KiB."""
+    """Returns the memory that a process shares with no other process, in KiB."""
     lines = Path(f"/proc/{pid}/smaps_rollup").read_text().splitlines()
     return sum(int(line.split()[1]) for line in lines if line.startswith("Private_"))
--- a/bench/store.py
+++ b/bench/store.py
@@ -1,10 +1,11 @@
-"""What the store costs, on this machine, beside the floor of this machine in the same run.
+"""Benchmark of the store, compared with the machine's own disk and loopback latency in the same run.
 
     python -m bench.store [--quick]
 
-Three members as processes on loopback. Commits a second and their latency for 1, 16 and 256 writers; the
-floor is an append and fsync, and a round trip on loopback. Then: time without a leader after kill -9; start
-with 100,000 keys, and memory; what leases cost a node that serves. No part of CI.
+Runs three members as processes on loopback and measures commits per second and their latency for 1, 16 and
+256 writers. The lower bound to compare with (`floor`) is an append with fsync and a round trip on loopback.
+Also measures the time without a leader after kill -9, the start time and the memory of a member with 100,000
+keys, and the processor time that leases add to a serving node. CI does not run this benchmark.
 """
 
 from __future__ import annotations
@@ -37,11 +38,11 @@
 QUICK = "--quick" in sys.argv
 MEASURE_S = 3.0 if QUICK else 8.0
 LEADER_KILLS = 8 if QUICK else 30
-KEYS = 20_000 if QUICK else 100_000
+KEY_COUNT = 20_000 if QUICK else 100_000
 
 
 class PrintedResults(dict[str, Any]):
-    """What was measured, printed as it comes, so that a run that is ended early has printed something."""
+    """Results that are printed as soon as they are set, so that an interrupted run has printed some."""
 
     def __setitem__(self, key: str, value: Any) -> None:
         super().__setitem__(key, value)
@@ -49,15 +50,15 @@
 
 
 def machine_floor(folder: Path) -> dict[str, Any]:
-    """An append of 200 bytes with fsync, and a round trip between two threads' sockets."""
-    syncs, trips = new_histogram(), new_histogram()
+    """Measures an append of 200 bytes with fsync, and a round trip between the sockets of two threads."""
+    fsyncs, round_trips = new_histogram(), new_histogram()
     fd = os.open(folder / "floor", os.O_WRONLY | os.O_CREAT | os.O_APPEND)
     end = time.perf_counter() + MEASURE_S / 2
     while time.perf_counter() < end:
         began = time.perf_counter_ns()
         os.write(fd, b"x" * 200)
         os.fsync(fd)
-        syncs.record_value((time.perf_counter_ns() - began) // 1000)
+        fsyncs.record_value((time.perf_counter_ns() - began) // 1000)
     os.close(fd)
     listener = socket.create_server(("127.0.0.1", 0))
 
@@ -73,17 +74,17 @@
         began = time.perf_counter_ns()
         sock.sendall(b"x" * 200)
         sock.recv(4096)
-        trips.record_value((time.perf_counter_ns() - began) // 1000)
+        round_trips.record_value((time.perf_counter_ns() - began) // 1000)
     sock.close()
     return {
-        "fsync_a_second": round(syncs.get_total_count() / (MEASURE_S / 2)),
-        "fsync": percentiles(syncs),
-        "round_trip": percentiles(trips),
+        "fsync_a_second": round(fsyncs.get_total_count() / (MEASURE_S / 2)),
+        "fsync": percentiles(fsyncs),
+        "round_trip": percentiles(round_trips),
     }
 
 
 class Writer(asyncio.Protocol):
-    """Writes one key after another over a link, each once the one before is committed."""
+    """Writes keys over a link one at a time: each write is sent after the previous one was committed."""
 
     def __init__(self, number: int, histogram: HdrHistogram, until: float) -> None:
         self.channel = LinkChannel.open(SECRET, "client", is_dialer=True)
@@ -94,13 +95,13 @@
         self.done = asyncio.get_running_loop().create_future()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin the link's handshake."""
+        """Starts the handshake of the link."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         transport.write(self.channel.begin())
 
     def data_received(self, data: bytes) -> None:
-        """Count an answer, and write the next key."""
+        """Records the latency of each response, and writes the next key."""
         was_authenticated = self.channel.authenticated
         responses, reply = self.channel.receive(data)
         self.transport.write(reply)
@@ -115,19 +116,19 @@
             self.next()
 
     def next(self) -> None:
-        """Write the next key, until the time is over."""
+        """Writes the next key, or completes `done` once the measuring time has passed."""
         if time.perf_counter() > self.until:
             if not self.done.done():
                 self.done.set_result(None)
             return
         self.serial += 1
         self.began = time.perf_counter_ns()
-        op = KeyUpdate(f"bench/{self.number}/{self.serial % 50}", "x" * 100)
-        self.transport.write(self.channel.send(wire.Request(self.serial, wire.Transaction((op,)), 10.0)))
+        update = KeyUpdate(f"bench/{self.number}/{self.serial % 50}", "x" * 100)
+        self.transport.write(self.channel.send(wire.Request(self.serial, wire.Transaction((update,)), 10.0)))
 
 
 async def commits(address: str, writers: int) -> dict[str, Any]:
-    """Commits a second and their latency, for so many writers."""
+    """Measures commits per second and their latency with `writers` concurrent writers."""
     histogram = new_histogram()
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
@@ -146,19 +147,19 @@
 
 
 def time_without_leader(cluster: Cluster) -> dict[str, Any]:
-    """From kill -9 of the leader until another commits a write."""
+    """Measures the time from kill -9 of the leader until another member commits a write."""
     elapsed = []
     for _ in range(LEADER_KILLS):
         leader = wait_for(cluster.leader, 15.0)
         wait_for(cluster.has_equal_states, 15.0)
-        rest = cluster.others(leader)
-        remotes = [cluster.member_client(n, 10.0) for n in rest]
+        remaining_members = cluster.others(leader)
+        clients = [cluster.member_client(name, 10.0) for name in remaining_members]
         cluster.kill(leader)
         began = time.monotonic()
-        remotes[0].set("bench/again", 1)
+        clients[0].set("bench/again", 1)
         elapsed.append(time.monotonic() - began)
-        for r in remotes:
-            r.close()
+        for client in clients:
+            client.close()
         cluster.start(leader)
     elapsed.sort()
     return {
@@ -170,97 +171,102 @@
 
 
 def many_keys(folder: Path) -> dict[str, Any]:
-    """Start of a lone member with many small keys, and its memory with them and without."""
+    """Measures the start of a single member with many small keys, and its memory with and without them."""
     cluster = Cluster(folder, 1, relayed=False)
     try:
         cluster.start_all()
-        empty = resident_kib(cluster.processes["n1"].pid)
-        with cluster.member_client("n1", 30.0) as r:
-            for k in range(0, KEYS, 100):
-                r.request(wire.Transaction(tuple(KeyUpdate(f"key/{i:08}", i) for i in range(k, k + 100))))
-        full = resident_kib(cluster.processes["n1"].pid)
+        empty_kib = resident_kib(cluster.processes["n1"].pid)
+        with cluster.member_client("n1", 30.0) as client:
+            for k in range(0, KEY_COUNT, 100):
+                client.request(
+                    wire.Transaction(tuple(KeyUpdate(f"key/{i:08}", i) for i in range(k, k + 100)))
+                )
+        filled_kib = resident_kib(cluster.processes["n1"].pid)
         cluster.processes["n1"].terminate()
         cluster.processes["n1"].wait(10)
         began = time.monotonic()
         cluster.start("n1")
         wait_for(lambda: has_keys(cluster, "n1"), 30.0)
         elapsed = time.monotonic() - began
-        again = resident_kib(cluster.processes["n1"].pid)
+        restarted_kib = resident_kib(cluster.processes["n1"].pid)
     finally:
         cluster.stop()
     return {
-        "keys": KEYS,
+        "keys": KEY_COUNT,
         "start_s": round(elapsed, 2),
-        "memory_mb": round(full / 1024),
-        "memory_after_start_mb": round(again / 1024),
-        "memory_empty_mb": round(empty / 1024),
+        "memory_mb": round(filled_kib / 1024),
+        "memory_after_start_mb": round(restarted_kib / 1024),
+        "memory_empty_mb": round(empty_kib / 1024),
     }
 
 
 def has_keys(cluster: Cluster, name: str) -> bool:
-    """Whether a member serves the keys that were written."""
-    with contextlib.suppress(RequestFailedError), cluster.member_client(name, 1.0) as r:
-        return bool(r.value("key/00000007") == 7)
+    """Returns whether a member serves the keys that were written."""
+    with contextlib.suppress(RequestFailedError), cluster.member_client(name, 1.0) as client:
+        return bool(client.value("key/00000007") == 7)
     return False
 
 
 def serve_cost(folder: Path, with_store: bool) -> float:
-    """CPU seconds of a node a second while clients come and go; the member runs in its process."""
+    """Returns the CPU seconds per second of a node while clients connect and disconnect.
+
+    With `with_store`, a store member runs in the node's process.
+    """
     endpoint_servers = [EndpointServer("a"), EndpointServer("b")]
     folder.mkdir()
     operator = None
     if with_store:
         operator = f'[store]\nname = "n0"\nlisten = "127.0.0.1:{free_port()}"\ndata = "{folder / "data"}"\n'
-    world = NodeEnvironment(folder, endpoint_servers, operator)
+    environment = NodeEnvironment(folder, endpoint_servers, operator)
     try:
-        wait_for(world.is_ready, 15.0)
+        wait_for(environment.is_ready, 15.0)
         time.sleep(1.0)
-        before, began = cpu_seconds(world.process.pid), time.monotonic()
+        before, began = cpu_seconds(environment.process.pid), time.monotonic()
         rng = random.Random(1)
         served = 0
         while time.monotonic() - began < MEASURE_S * 2:
-            client = world.client()
+            client = environment.client()
             served += client.open_request(f"c=live,d=1500,g={rng.randrange(99)}").startswith("UP")
             client.sock.close()
             time.sleep(0.005)
-        return (cpu_seconds(world.process.pid) - before) / (time.monotonic() - began)
+        return (cpu_seconds(environment.process.pid) - before) / (time.monotonic() - began)
     finally:
-        world.process.kill()
-        world.process.wait()
-        world.discovery.server.shutdown()
+        environment.process.kill()
+        environment.process.wait()
+        environment.discovery.server.shutdown()
 
 
 def main() -> None:
-    """Measure all, and print each figure as it comes."""
-    found = PrintedResults()
+    """Runs all measurements and prints each result as soon as it is known."""
+    results = PrintedResults()
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        found["floor"] = machine_floor(folder)
+        results["floor"] = machine_floor(folder)
         (folder / "three").mkdir()
         cluster = Cluster(folder / "three", relayed=False)
         try:
             cluster.start_all()
             leader = cluster.leader()
             for writers in (1, 16, 256):
-                found[f"commits, {writers} writers"] = asyncio.run(
+                results[f"commits, {writers} writers"] = asyncio.run(
                     commits(cluster.listen_addresses[leader], writers)
                 )
-            found["without a leader"] = time_without_leader(cluster)
+            results["without a leader"] = time_without_leader(cluster)
         finally:
             cluster.stop()
         (folder / "keys").mkdir()
-        found["many keys"] = many_keys(folder / "keys")
-        plain = serve_cost(folder / "plain", False)
-        leased = serve_cost(folder / "leased", True)
-        again = serve_cost(folder / "plain2", False)
-        found["a node that serves, CPU"] = {
-            "plain": round((plain + again) / 2, 4),
-            "with its member and leases": round(leased, 4),
-            "more_percent_of_a_core": round((leased - (plain + again) / 2) * 100, 2),
+        results["many keys"] = many_keys(folder / "keys")
+        first_plain = serve_cost(folder / "plain", False)
+        with_leases = serve_cost(folder / "leased", True)
+        second_plain = serve_cost(folder / "plain2", False)
+        results["a node that serves, CPU"] = {
+            "plain": round((first_plain + second_plain) / 2, 4),
+            "with its member and leases": round(with_leases, 4),
+            "more_percent_of_a_core": round((with_leases - (first_plain + second_plain) / 2) * 100, 2),
         }
-    fsync = found["floor"]["fsync_a_second"]
-    found["commits to fsyncs of the floor"] = {
-        str(n): round(found[f"commits, {n} writers"]["a_second"] / fsync, 2) for n in (1, 16, 256)
+    fsync = results["floor"]["fsync_a_second"]
+    results["commits to fsyncs of the floor"] = {
+        str(n): round(results[f"commits, {n} writers"]["a_second"] / fsync, 2) for n in (1, 16, 256)
     }
 
 
