--- a/bench/scale/fit.py
+++ b/bench/scale/fit.py
@@ -9,7 +9,7 @@
 
 
 class Point(msgspec.Struct, frozen=True):
-    """What several repeats at one size gave."""
+    """Median and spread of the repeats at one size."""
 
     size: float
     median: float
@@ -19,29 +19,29 @@
 
 
 class Linear(msgspec.Struct, frozen=True, tag="linear"):
-    """value = offset + slope x size."""
+    """The straight line value = offset + slope x size."""
 
     offset: float
     slope: float
-    slope_error: float  # standard error; 0 where the points leave no degree of freedom
+    slope_error: float  # standard error of the slope; 0 if all points lie on the line
     r2: float
-    largest_residual: float  # of the medians, in the value's own unit
+    largest_residual: float  # largest distance of a median from the line, in the unit of the value
 
     def at(self, size: float) -> float:
-        """The value that the line gives for a size."""
+        """Returns the value of the line at a size."""
         return self.offset + self.slope * size
 
 
 class Power(msgspec.Struct, frozen=True, tag="power"):
-    """value = factor x size ** exponent."""
+    """The power law value = factor x size ** exponent."""
 
     factor: float
     exponent: float
-    r2: float  # of the logarithms
-    largest_residual: float  # as a share of the fitted value
+    r2: float  # R2 of the line through the logarithms
+    largest_residual: float  # largest distance of a median from the fit, as a ratio of the fitted value
 
     def at(self, size: float) -> float:
-        """The value that the power law gives for a size."""
+        """Returns the value of the power law at a size."""
         return float(self.factor * size**self.exponent)
 
 
@@ -49,7 +49,7 @@
 
 
 def point(size: float, values: Sequence[float]) -> Point:
-    """The median and the spread of several repeats."""
+    """Returns the median, the lowest and the highest value of several repeats at one size."""
     ordered = sorted(values)
     middle = len(ordered) // 2
     median = ordered[middle] if len(ordered) % 2 else (ordered[middle - 1] + ordered[middle]) / 2
@@ -57,29 +57,36 @@
 
 
 def _line(xs: Sequence[float], ys: Sequence[float]) -> tuple[float, float, float, float, list[float]]:
-    """Offset, slope, the slope's standard error, R2 and residuals."""
+    """Fits a line by least squares.
+
+    Returns:
+        Offset, slope, standard error of the slope, R2 and residuals.
+
+    Raises:
+        ValueError: there are fewer than three points, or all points have the same size.
+    """
     count = len(xs)
     if count < 3 or len(set(xs)) < 2:
-        raise ValueError("a fit needs three points, at two sizes or more")
+        raise ValueError(f"a fit needs at least three points at two or more sizes, got {count} points")
     mean_x, mean_y = sum(xs) / count, sum(ys) / count
-    spread = sum((x - mean_x) ** 2 for x in xs)
-    slope = sum((x - mean_x) * (y - mean_y) for x, y in zip(xs, ys, strict=True)) / spread
+    squared_deviation = sum((x - mean_x) ** 2 for x in xs)
+    slope = sum((x - mean_x) * (y - mean_y) for x, y in zip(xs, ys, strict=True)) / squared_deviation
     offset = mean_y - slope * mean_x
     residuals = [y - offset - slope * x for x, y in zip(xs, ys, strict=True)]
     unexplained = sum(r * r for r in residuals)
     total = sum((y - mean_y) ** 2 for y in ys)
     r2 = 1.0 - unexplained / total if total > 0 else 1.0
-    return offset, slope, math.sqrt(unexplained / (count - 2) / spread), r2, residuals
+    return offset, slope, math.sqrt(unexplained / (count - 2) / squared_deviation), r2, residuals
 
 
 def linear(points: Sequence[Point]) -> Linear:
-    """The straight line through the medians, each with the same weight."""
+    """Fits a straight line to the medians, each with the same weight."""
     offset, slope, error, r2, residuals = _line([p.size for p in points], [p.median for p in points])
     return Linear(offset, slope, error, r2, max(abs(r) for r in residuals))
 
 
 def power(points: Sequence[Point]) -> Power:
-    """The power law through the medians: a straight line through their logarithms."""
+    """Fits a power law to the medians, as a straight line through the logarithms."""
     xs, ys = [math.log(p.size) for p in points], [math.log(p.median) for p in points]
     offset, exponent, _, r2, residuals = _line(xs, ys)
     return Power(math.exp(offset), exponent, r2, max(abs(math.expm1(r)) for r in residuals))
--- a/bench/scale/measure.py
+++ b/bench/scale/measure.py
@@ -1,4 +1,4 @@
-"""What a run measures: bytes by kind of message, processor time, memory, and times in a histogram."""
+"""Measurements of a run: bytes by kind of message, processor time, memory, and distributions of times."""
 
 from __future__ import annotations
 
@@ -32,33 +32,33 @@
 
 
 class Traffic:
-    """Bytes of one node by kind of message, in the measured window."""
+    """Bytes that one node sent and received in the measured window, by kind of message."""
 
     def __init__(self) -> None:
         self.sent: Counter[str] = Counter()
         self.received: Counter[str] = Counter()
 
     def clear(self) -> None:
-        """Start from zero, as a window begins."""
+        """Resets all counts at the start of a window."""
         self.sent.clear()
         self.received.clear()
 
     def total(self) -> int:
-        """Both directions together."""
+        """Returns the bytes of both directions together."""
         return self.sent.total() + self.received.total()
 
 
 class CountedChannel(LinkChannel):
-    """One end of a link that counts what goes over it, by the type of the message."""
+    """One end of a link that counts sent and received bytes by the type of the message."""
 
     traffic: Traffic
 
     def begin(self) -> bytes:
-        """The first bytes, counted."""
+        """Returns the first bytes of the handshake, and counts them."""
         return self._counted(HANDSHAKE, super().begin())
 
     def send(self, message: Any) -> bytes:
-        """One message as a frame, counted."""
+        """Returns a message as a frame, and counts its bytes."""
         return self._counted(kind_of(message), super().send(message))
 
     def _counted(self, kind: str, data: bytes) -> bytes:
@@ -66,7 +66,7 @@
         return data
 
     def receive(self, data: bytes) -> tuple[list[wire.LinkMessage], bytes]:
-        """Messages that are complete by now, counted."""
+        """Returns the messages that are complete, and counts their bytes."""
         self.sizes: list[int] = []
         messages, reply = super().receive(data)
         if reply:
@@ -78,28 +78,28 @@
         return messages, reply
 
     def _take_frame(self) -> bytes | None:
-        head = LENGTH_BYTES + (CHECKSUM_BYTES if self.authenticated else 0)
+        header_bytes = LENGTH_BYTES + (CHECKSUM_BYTES if self.authenticated else 0)
         body = super()._take_frame()
         if body is not None:
-            self.sizes.append(head + len(body))
+            self.sizes.append(header_bytes + len(body))
         return body
 
 
 def kind_of(message: Any) -> str:
-    """The name that a message is counted by."""
+    """Returns the kind under which a message is counted."""
     if isinstance(message, wire.RaftMessage):
         return f"raft.{type(message.message).__name__}"
     return type(message).__name__
 
 
 class CountedTransport:
-    """A transport whose writes are counted; all else is the transport's own."""
+    """A transport that counts written bytes and delegates all other calls to the wrapped transport."""
 
     def __init__(self, transport: asyncio.Transport, traffic: Traffic, kind: str) -> None:
         self._transport, self._traffic, self._kind = transport, traffic, kind
 
     def write(self, data: bytes) -> None:
-        """Write, and count what is written."""
+        """Writes the data and counts its bytes."""
         self._traffic.sent[self._kind] += len(data)
         self._transport.write(data)
 
@@ -108,32 +108,32 @@
 
 
 class CountedProtocol(asyncio.Protocol):
-    """Passes everything on to another protocol, and counts what is received."""
+    """A protocol that counts received bytes and delegates all callbacks to the wrapped protocol."""
 
     def __init__(self, inner: asyncio.Protocol, traffic: Traffic, kind: str) -> None:
         self.inner, self.traffic, self.kind = inner, traffic, kind
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
+        """Passes the transport on to the wrapped protocol, with its writes counted."""
         counted = CountedTransport(cast(asyncio.Transport, transport), self.traffic, self.kind)
         self.inner.connection_made(cast(asyncio.BaseTransport, counted))
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of the other side."""
+        """Counts the received bytes and passes them on."""
         self.traffic.received[self.kind] += len(data)
         self.inner.data_received(data)
 
     def eof_received(self) -> bool | None:
-        """The other side sends no more."""
+        """Passes the end of the peer's data on."""
         return self.inner.eof_received()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended."""
+        """Passes the end of the connection on."""
         self.inner.connection_lost(exc)
 
 
 class CountedDialer(Dialer):
-    """A node's dialer: watch calls and health checks are counted apart."""
+    """A node's dialer that counts the bytes of discovery and of health checks separately."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, descriptors: DescriptorBudget, traffic: Traffic
@@ -144,7 +144,7 @@
     def dial(
         self, address: str, wait: float, protocol: asyncio.Protocol, failed: Callable[[], None]
     ) -> Callable[[], None]:
-        """Connect; what goes over the connection is counted by its kind."""
+        """Connects, and counts the bytes of the connection under its kind."""
         kind = "probe" if isinstance(protocol, HealthCheckConnection) else "discovery"
         return super().dial(address, wait, CountedProtocol(protocol, self.traffic, kind), failed)
 
@@ -153,7 +153,7 @@
 
 
 class Times(msgspec.Struct):
-    """A distribution in seconds."""
+    """Percentiles, maximum and number of values of a distribution in seconds."""
 
     p50: float
     p99: float
@@ -162,7 +162,10 @@
 
 
 def times(values: Iterable[float]) -> Times:
-    """Percentiles by HdrHistogram to three digits; the largest is exact."""
+    """Returns the distribution of times in seconds.
+
+    The percentiles come from an HdrHistogram with three significant digits; the maximum is exact.
+    """
     histogram = HdrHistogram(1, LONGEST_RECORDED_US, SIGNIFICANT_DIGITS)
     largest = 0.0
     for value in values:
@@ -178,29 +181,29 @@
 
 
 class Usage(msgspec.Struct):
-    """What a process has used, as of a moment."""
+    """Resources that a process has used up to a point in time."""
 
-    at: float
+    at: float  # seconds, on the clock of the caller
     processor_s: float
     resident_bytes: int
 
 
 def usage(pid: int, now: float) -> Usage:
-    """Of a living process, from /proc."""
+    """Reads the resources that a running process has used from /proc."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     processor = (int(fields[11]) + int(fields[12])) / TICKS_PER_S
     return Usage(now, processor, int(fields[21]) * PAGE_BYTES)
 
 
 def machine_busy_s() -> float:
-    """Processor seconds that all processes of this machine have used since it started."""
+    """Returns the processor seconds that all processes of this machine have used since it started."""
     fields = [int(field) for field in Path("/proc/stat").read_text().splitlines()[0].split()[1:9]]
     user, nice, system, _idle, _waiting, interrupts, soft_interrupts, _stolen = fields
     return (user + nice + system + interrupts + soft_interrupts) / TICKS_PER_S
 
 
 class SocketBytes(msgspec.Struct):
-    """What went over one open connection since it was opened."""
+    """Bytes of one open connection since it was opened."""
 
     pid: int
     local_port: int
@@ -210,28 +213,30 @@
 
 
 def open_sockets() -> list[SocketBytes]:
-    """All connections of processes that may be looked at, with the bytes of TCP's payload."""
+    """Returns all connections of processes that this user may inspect, with the bytes of TCP payload."""
     command = ["ss", "-tniHp", "state", "established"]
     result = subprocess.run(command, capture_output=True, text=True, check=True)
     return list(parse_sockets(result.stdout))
 
 
 def parse_sockets(text: str) -> Iterable[SocketBytes]:
-    """Each connection is a line of addresses and an indented line of figures."""
-    head: tuple[int, int, int] | None = None
+    """Parses the output of `ss`: each connection is a line of addresses and an indented one of statistics."""
+    socket_id: tuple[int, int, int] | None = None  # pid, local port and peer port
     for line in text.splitlines():
         if not line[:1].isspace():
             addresses = re.findall(r"\S+:(\d+)(?=\s)", line + " ")
             pid = re.search(r"pid=(\d+)", line)
-            head = (int(pid[1]), int(addresses[0]), int(addresses[1])) if pid and len(addresses) > 1 else None
-        elif head is not None:
+            socket_id = (
+                (int(pid[1]), int(addresses[0]), int(addresses[1])) if pid and len(addresses) > 1 else None
+            )
+        elif socket_id is not None:
             sent, received = re.search(r"bytes_sent:(\d+)", line), re.search(r"bytes_received:(\d+)", line)
-            yield SocketBytes(*head, int(sent[1]) if sent else 0, int(received[1]) if received else 0)
-            head = None
+            yield SocketBytes(*socket_id, int(sent[1]) if sent else 0, int(received[1]) if received else 0)
+            socket_id = None
 
 
 def spread(values: Iterable[float], digits: int = 6) -> dict[str, float]:
-    """Mean and largest."""
+    """Returns the mean and the maximum, or zeros if there are no values."""
     known = list(values)
     if not known:
         return {"mean": 0.0, "max": 0.0}
--- a/bench/scale/rates.py
+++ b/bench/scale/rates.py
@@ -1,4 +1,4 @@
-"""Rates and sizes that several figures rest on, worked out of the software's own settings."""
+"""Rates and message sizes that several figures use, derived from the settings of the software."""
 
 from __future__ import annotations
 
@@ -13,7 +13,8 @@
 S_PER_US = 1e-6
 
 
-NODE_LOSSES = (  # what may go, or come back, at once, and how many nodes it has
+# Groups of nodes that may be lost, or return, at the same time, and the number of nodes in each.
+NODE_LOSSES = (
     ("one of the 220 that are restarted", 1.0),
     (f"a rack of {target.RACK_NODES}", float(target.RACK_NODES)),
     ("a zone", target.NODES_PER_ZONE),
@@ -23,16 +24,23 @@
 
 
 def lease_renewals_per_s() -> float:
-    """Of one node: the period is drawn from a part of its length up to all of it."""
+    """Returns the mean rate of lease renewals of one node.
+
+    Each interval is drawn evenly between (1 - `jitter`) times the renewal interval and the whole interval.
+    """
     limits = Limits()
     return 1.0 / (limits.renew_interval_s * (1.0 - limits.jitter / 2))
 
 
 def health_checks_per_s(servers: float, arrivals: float, period: float) -> float:
-    """What looks want, each server that holds a node's connections in turn, and what requests pay for."""
+    """Returns the rate of a node's health checks.
+
+    The node checks each server that holds its connections once per `period` seconds, but no more often than
+    `HEALTH_CHECKS_PER_REQUEST` times the rate of arriving requests.
+    """
     return min(servers / period, HEALTH_CHECKS_PER_REQUEST * arrivals)
 
 
 def reconnecting_clients(lost_nodes: float) -> float:
-    """Clients that reconnect to each remaining node when so many nodes are lost."""
+    """Returns the number of clients that reconnect to each remaining node after `lost_nodes` are lost."""
     return lost_nodes * target.CONNECTIONS_PER_NODE / (target.NODES - lost_nodes)
--- a/bench/scale/reached_limits.py
+++ b/bench/scale/reached_limits.py
@@ -105,13 +105,13 @@
 def _cold_servers() -> ReachedLimit:
     bound = slow_start_bound()
     what, module = "cold servers kept from being pushed over", "balancing/slow_start.py"
-    if bound.red:
+    if bound.is_known_to_fail:
         failed = f"{TEST} fails at {FAILING_PROCESSES} processes, by {FAILING_FACTOR} times"
         return ReachedLimit(
             FAILING_PROCESSES / target.NODES, what, f"up to {FAILING_PROCESSES} processes", failed, module
         )
-    held = f"{TEST} holds at {bound.played:,} processes"
-    return ReachedLimit(bound.played / target.NODES, what, "not met where it was played", held, module)
+    held = f"{TEST} holds at {bound.process_count:,} processes"
+    return ReachedLimit(bound.process_count / target.NODES, what, "not met where it was played", held, module)
 
 
 def _node_limits(book: SlopeBook) -> list[ReachedLimit]:
--- a/bench/scale/slopes.py
+++ b/bench/scale/slopes.py
@@ -1,9 +1,9 @@
-"""Microbenchmarks with slopes: what the capacity page multiplies.
+"""Microbenchmarks that measure costs over a size; the capacity page extrapolates from their fits.
 
     python -m bench.scale.slopes run --part list --json bench/scale/results/slopes-list.json
 
-Each part takes less than two minutes. Figures are medians of repeats at three sizes or more, with their
-spread and a least-squares fit.
+Each part takes less than two minutes. Results are medians of repeated measurements at three or more sizes,
+with the spread of the repeats and a least-squares fit.
 """
 
 from __future__ import annotations
@@ -29,32 +29,34 @@
 }
 
 
-def _log_fit(each: Measurement) -> None:
-    points = ", ".join(f"{p.size:g}: {p.median:.4g}" for p in each.points)
-    log.info(each.name, unit=each.unit, points=points, fit=each.fit)
+def _log_fit(measurement: Measurement) -> None:
+    points = ", ".join(f"{p.size:g}: {p.median:.4g}" for p in measurement.points)
+    log.info(measurement.name, unit=measurement.unit, points=points, fit=measurement.fit)
 
 
 @app.command()
 def run(
-    json: Annotated[Path, typer.Option(help="Where the results go.")],
+    json: Annotated[Path, typer.Option(help="File to which the results are written.")],
     part: Annotated[str, typer.Option(help=f"One of {', '.join(PARTS)}.")],
-    seed: Annotated[int, typer.Option(help="Of all that is drawn.")] = 1,
-    note: Annotated[str, typer.Option(help="What else is to be known of the run.")] = "",
+    seed: Annotated[int, typer.Option(help="Seed of all random values.")] = 1,
+    note: Annotated[str, typer.Option(help="Remark on the run, stored with the results.")] = "",
 ) -> None:
     """Measures one part and writes its points and fits."""
     if part not in PARTS:
-        raise typer.BadParameter(f"{part!r} is none of {', '.join(PARTS)}", param_hint="--part")
+        raise typer.BadParameter(
+            f"{part!r} is not a part; expected one of {', '.join(PARTS)}", param_hint="--part"
+        )
     if not json.parent.is_dir():
-        raise typer.BadParameter(f"there is no folder {json.parent}", param_hint="--json")
+        raise typer.BadParameter(f"directory not found: {json.parent}", param_hint="--json")
     measurements = PARTS[part](seed)
     results_file.write(json, part, seed, measurements, note)
-    for each in measurements:
-        _log_fit(each)
+    for measurement in measurements:
+        _log_fit(measurement)
 
 
 @app.command()
 def parts() -> None:
-    """Names the parts."""
+    """Prints the names of the parts."""
     typer.echo("\n".join(PARTS))
 
 
--- a/bench/scale/slow_start_bound.py
+++ b/bench/scale/slow_start_bound.py
@@ -1,4 +1,4 @@
-"""What the tests of cold servers say: how many processes they play, and whether one is known to fail."""
+"""Result of the slow start tests: the simulated number of processes, and whether a test is known to fail."""
 
 from __future__ import annotations
 
@@ -8,22 +8,26 @@
 
 ROOT = Path(__file__).parents[2]
 TEST = "tests/test_cold_ramp.py"
-SIZES = (20, 30, 200, 1_600)  # processes that the test has been played with over time
-FAILING_PROCESSES, FAILING_FACTOR = 200, 1.18  # what KNOWN-RED.txt told of its line
+# Numbers of processes that the test simulates or has simulated; only these are looked for in its text.
+PROCESS_COUNTS = (20, 30, 200, 1_600)
+# Process count at which the test failed, and factor by which it missed its bound, as KNOWN-RED.txt gave them.
+FAILING_PROCESSES, FAILING_FACTOR = 200, 1.18
 
 
 @dataclass(frozen=True)
 class SlowStartBound:
-    """`red`: a test of the bound is known to fail. `played`: the most processes that the test names."""
+    """Result of the test of the bound."""
 
-    red: bool
-    played: int
+    is_known_to_fail: bool
+    process_count: int  # the largest number of processes that the test simulates
 
 
 def slow_start_bound(root: Path = ROOT) -> SlowStartBound:
-    """As the test file and KNOWN-RED.txt are now."""
-    known = root / "KNOWN-RED.txt"
-    red = known.exists() and TEST in known.read_text()
+    """Reads the result from the test file and from KNOWN-RED.txt."""
+    known_failures = root / "KNOWN-RED.txt"
+    is_known_to_fail = known_failures.exists() and TEST in known_failures.read_text()
     text = (root / TEST).read_text().replace("_", "").replace(",", "")
-    played = max((size for size in SIZES if re.search(rf"(?<![\d.]){size}(?![\d.])", text)), default=0)
-    return SlowStartBound(red, played)
+    process_count = max(
+        (count for count in PROCESS_COUNTS if re.search(rf"(?<![\d.]){count}(?![\d.])", text)), default=0
+    )
+    return SlowStartBound(is_known_to_fail, process_count)
--- a/bench/scale/storeclient.py
+++ b/bench/scale/storeclient.py
@@ -1,4 +1,4 @@
-"""A writer of the store on asyncio: many writes at once, retried at the next machine where one fails."""
+"""Client of the store on asyncio, with concurrent writes that are retried at the next machine on failure."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from gradegap.transport.addresses import split_address
 
 CONNECT_TIMEOUT_S = 1.0
-ATTEMPT_TIMEOUT_S = 5.0  # of one attempt at one machine
-RESPONSE_MARGIN_S = 0.5  # beyond the time that the machine was given
-RETRY_PAUSE_S = 0.1
+ATTEMPT_TIMEOUT_S = 5.0  # limit of one attempt at one machine
+RESPONSE_MARGIN_S = 0.5  # added to the time limit of a request to get the timeout of its response
+RETRY_PAUSE_S = 0.1  # pause before the next attempt
 
 
 class WriteRecord(msgspec.Struct):
-    """One change: when it was proposed, when it was acknowledged, and its outcome."""
+    """One change with its outcome; times are seconds of the steady clock."""
 
     key: str
-    proposed: float  # of the last attempt
+    proposed: float  # start of the last attempt
     first_proposed: float
     acknowledged: float = 0.0
     revision: int = 0
@@ -35,7 +35,7 @@
 
 
 class Link(asyncio.Protocol):
-    """A client's link to one machine."""
+    """A client's link to one control machine."""
 
     def __init__(self, secret: bytes) -> None:
         self.channel = LinkChannel.open(secret, "client", is_dialer=True)
@@ -46,12 +46,12 @@
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
+        """Starts the handshake of the link."""
         self.transport = cast(asyncio.Transport, transport)
         self.transport.write(self.channel.begin())
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of the other side."""
+        """Completes the handshake, and delivers each response to its waiting request."""
         assert self.transport is not None
         messages, reply = self.channel.receive(data)
         if reply:
@@ -64,19 +64,28 @@
                 future.set_result(message)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended."""
+        """Fails the handshake and all waiting requests."""
         self.transport = None
         pending: list[asyncio.Future[Any]] = [self.authenticated, *self.waiting.values()]
         for future in pending:
             if not future.done():
-                future.set_exception(ConnectionError("the machine ended the link"))
-                future.exception()  # nobody may be waiting any more
+                future.set_exception(ConnectionError("link closed by the machine"))
+                future.exception()  # marks the exception as retrieved, as no task may be waiting for it
         self.waiting.clear()
 
     async def request(self, body: wire.RequestBody, within: float) -> wire.Response:
-        """The response to one request; `ConnectionError` or `TimeoutError` where none comes."""
+        """Sends a request and returns its response.
+
+        Args:
+            body: the request.
+            within: seconds that the machine may take.
+
+        Raises:
+            ConnectionError: the link is closed.
+            TimeoutError: no response arrives within the time and a margin.
+        """
         if self.transport is None:
-            raise ConnectionError("the machine ended the link")
+            raise ConnectionError("link closed by the machine")
         self.serial += 1
         future = self.waiting[self.serial] = self.loop.create_future()
         self.transport.write(self.channel.send(wire.Request(self.serial, body, within)))
@@ -84,7 +93,7 @@
 
 
 class StoreClient:
-    """Sends a write to one machine after another until one accepts it."""
+    """Sends writes to one machine at a time, and to the next one after a failure."""
 
     def __init__(self, addresses: list[str], secret: bytes) -> None:
         self.addresses, self.secret = addresses, secret
@@ -101,14 +110,18 @@
             return self.link
 
     def _next_machine(self, failed_index: int) -> None:
-        """Guards against a machine passed over because several writes failed at the one before."""
+        """Changes to the next machine once, even if several concurrent writes failed at the same machine."""
         if self.machine_index == failed_index:
             self.close()
             self.machine_index += 1
 
-    async def write(self, op: KeyUpdate, within: float, author: str = "scale") -> WriteRecord:
-        """Write until a machine accepts it or the time is over; `outcome` is that of the last attempt."""
-        record = WriteRecord(op.key, steady(), steady())
+    async def write(self, update: KeyUpdate, within: float, author: str = "scale") -> WriteRecord:
+        """Retries a write until a machine accepts it or `within` seconds have passed.
+
+        Returns:
+            The record of the write; its `outcome` is that of the last attempt.
+        """
+        record = WriteRecord(update.key, steady(), steady())
         end = record.first_proposed + within
         while (remaining := end - steady()) > 0:
             record.proposed, record.attempts = steady(), record.attempts + 1
@@ -116,7 +129,7 @@
             try:
                 link = await self._connected()
                 answer = await link.request(
-                    wire.Transaction((op,), author=author), min(ATTEMPT_TIMEOUT_S, remaining)
+                    wire.Transaction((update,), author=author), min(ATTEMPT_TIMEOUT_S, remaining)
                 )
             except (OSError, TimeoutError, LinkError):
                 record.outcome = "lost"
@@ -130,14 +143,19 @@
         return record
 
     def close(self) -> None:
-        """End the link."""
+        """Closes the link."""
         if self.link is not None and self.link.transport is not None:
             self.link.transport.close()
         self.link = None
 
 
 async def connect(address: str, secret: bytes) -> Link:
-    """An authenticated link to one machine; `OSError` or `TimeoutError` where there is none."""
+    """Opens an authenticated link to one machine.
+
+    Raises:
+        OSError: the connection fails.
+        TimeoutError: the connection or the handshake takes too long.
+    """
     host, port = split_address(address)
     loop = asyncio.get_running_loop()
     _, link = await asyncio.wait_for(
@@ -153,7 +171,7 @@
 
 
 async def status(address: str, secret: bytes, within: float = 1.0) -> dict[str, Any]:
-    """The status of one machine; empty where it can't be reached."""
+    """Returns the status of one machine, or an empty dictionary if the machine can't be reached."""
     with contextlib.suppress(OSError, TimeoutError, LinkError):
         link = await connect(address, secret)
         try:
--- a/bench/scale/verdicts.py
+++ b/bench/scale/verdicts.py
@@ -205,10 +205,10 @@
 def _cold_servers() -> Verdict:
     bound = slow_start_bound()
     line = "a cold server is not pushed over, at 1,600 processes"
-    if bound.red:
+    if bound.is_known_to_fail:
         failed = f"{NOT_HELD}, by {FAILING_FACTOR} times at {FAILING_PROCESSES} processes"
         return Verdict(line, failed, f"`{TEST}` is in `KNOWN-RED.txt`; modules alone, with told time")
-    size = FULL_SIZE if bound.played >= target.NODES else f"run with {bound.played:,} processes"
+    size = FULL_SIZE if bound.process_count >= target.NODES else f"run with {bound.process_count:,} processes"
     return Verdict(line, size, f"`{TEST}`: modules alone, with told time and without sockets")
 
 
