--- a/bench/scale/slopes_observer.py
+++ b/bench/scale/slopes_observer.py
@@ -1,7 +1,7 @@
-"""Slopes of subscriptions: what a publisher and a subscriber spend on renewals, deltas and snapshots.
+"""Costs of subscriptions: renewals, deltas and snapshots, for a publisher and for a subscriber.
 
-The classes without I/O, with messages encoded, summed and decoded as on sockets; what the sockets cost is in
-the runs of hollow nodes.
+Measures the classes without I/O, with messages encoded, checksummed and decoded as on sockets. The costs of
+the sockets are measured in the runs with hollow nodes.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 from bench.scale.fit import Point, point
 from bench.scale.results_file import Measurement, measured
-from bench.scale.slopes_store import filled, logged, value
+from bench.scale.slopes_store import filled_machine, logged, value
 from gradegap.observer import messages, publisher, subscriber
 from gradegap.observer.limits import Limits
 from gradegap.observer.publisher import Publisher
@@ -27,13 +27,13 @@
 from gradegap.store.channel import CHECKSUM_BYTES, LENGTH_BYTES, frame_checksum
 from gradegap.store.records import KeyUpdate
 
-SUBSCRIBERS = (267, 800, 1_600)  # a sixth of all nodes, half of them, all
+SUBSCRIBERS = (267, 800, 1_600)  # a sixth of all nodes, half of them, and all of them
 KEYS = (200, 2_000, 12_000)
 CHANGES = (1, 10, 50)
-ROUNDS = 10  # renewals of each subscriber in one repeat
+ROUNDS = 10  # number of renewals of each subscriber in one repeat
 REPEATS = 5
-SUM_KEY = b"k" * 32
-FRAME = LENGTH_BYTES + CHECKSUM_BYTES
+CHECKSUM_KEY = b"k" * 32
+FRAME_HEADER_BYTES = LENGTH_BYTES + CHECKSUM_BYTES
 LEASE_S = 1.0
 
 _encode = msgspec.msgpack.Encoder().encode
@@ -42,30 +42,32 @@
 
 
 class Link:
-    """The frames of one direction, with their sums, as `store/channel.py` makes them."""
+    """Frames of one direction, with their checksums, in the format of `store/channel.py`."""
 
     def __init__(self) -> None:
         self.number = 0
 
     def frame(self, body: bytes) -> bytes:
-        """A body with its length and its sum."""
+        """Returns a frame: a body with its length and its checksum."""
         self.number += 1
-        return len(body).to_bytes(LENGTH_BYTES, "big") + frame_checksum(SUM_KEY, self.number, body) + body
+        return (
+            len(body).to_bytes(LENGTH_BYTES, "big") + frame_checksum(CHECKSUM_KEY, self.number, body) + body
+        )
 
     def body(self, frame: bytes) -> bytes:
-        """The body of a frame, its sum checked."""
-        body = frame[FRAME:]
-        if frame_checksum(SUM_KEY, self.number, body) != frame[LENGTH_BYTES:FRAME]:
-            raise ValueError("the sum of a frame is wrong")
+        """Returns the body of a frame after a check of its checksum."""
+        body = frame[FRAME_HEADER_BYTES:]
+        if frame_checksum(CHECKSUM_KEY, self.number, body) != frame[LENGTH_BYTES:FRAME_HEADER_BYTES]:
+            raise ValueError("frame checksum mismatch")
         return body
 
 
 class Site:
-    """One publisher over a real state, and its subscribers."""
+    """One publisher with a real state machine, and its subscribers."""
 
     def __init__(self, subscribers: int, keys: int, seed: int) -> None:
         self.rng = Random(seed)
-        self.machine = filled(keys, seed)
+        self.machine = filled_machine(keys, seed)
         self.now = 100.0
         limits = Limits(subscribe_rate=1e9, subscribe_burst=1_000_000)
         source = MachineSource(self.machine)
@@ -102,13 +104,15 @@
         self.sizes.setdefault(type(message).__name__, []).append(len(frame))
 
     def flush(self) -> None:
-        """Deliver until nobody has anything to say."""
+        """Delivers messages until neither the publisher nor a subscriber has output."""
         while self._flush_publisher() | self._flush_subscribers():
             pass
 
     def _flush_publisher(self) -> bool:
         sent = False
-        encoded: dict[int, tuple[object, bytes]] = {}  # beside its message, so that its id stays its own
+        encoded: dict[
+            int, tuple[object, bytes]
+        ] = {}  # holds the message as well, so that its id is not reused
         while True:
             began = time.process_time()
             outputs = self.publisher.take()
@@ -139,17 +143,21 @@
         return sent
 
     def subscribe(self) -> None:
-        """All subscribe, and are brought level by a snapshot."""
+        """Subscribes all nodes; each is brought up to date by a snapshot.
+
+        Raises:
+            RuntimeError: a subscriber is behind afterwards.
+        """
         for node in self.nodes:
             node.tick(self.now)
         self.flush()
         self.acknowledge()
         behind = [n for n in self.nodes if n.revision != self.machine.revision]
         if behind:
-            raise RuntimeError(f"{len(behind)} subscribers are behind")
+            raise RuntimeError(f"{len(behind)} subscribers are behind the revision of the publisher")
 
     def acknowledge(self) -> None:
-        """All renew once."""
+        """Renews the lease of each subscriber once."""
         self.now += self.publisher.limits.renew_interval_s
         self.publisher.renew_lease(self.now, self.now + LEASE_S)
         for node in self.nodes:
@@ -159,7 +167,7 @@
         self.flush()
 
     def change(self, count: int) -> None:
-        """So many keys change in one transaction; all subscribers are notified."""
+        """Changes `count` keys in one transaction and notifies all subscribers."""
         index = self.machine.index + 1
         first = self.rng.randrange(100)
         ops = tuple(KeyUpdate(f"config/key-{100 + first + k:08d}", value(self.rng)) for k in range(count))
@@ -171,20 +179,20 @@
         self.flush()
 
     def spent(self, work: Callable[[], None]) -> tuple[float, float]:
-        """Processor seconds of the publisher and of all subscribers."""
+        """Returns the processor seconds that `work` takes of the publisher and of all subscribers."""
         before = self.publisher_s, self.subscriber_s
         work()
         return self.publisher_s - before[0], self.subscriber_s - before[1]
 
 
 def renewals(seed: int) -> list[Measurement]:
-    """Renewals and heartbeats, in processor time and bytes; memory of a subscription."""
+    """Measures renewals and heartbeats, in processor time and bytes, and the memory of subscriptions."""
     publishing, subscribing, sizes, memory = [], [], [], []
     for count in SUBSCRIBERS:
         memory.append(point(count, [subscriptions_memory(count, seed)]))
         site = Site(count, KEYS[0], seed)
         site.subscribe()
-        ours, theirs = [], []
+        publisher_times, subscriber_times = [], []
         site.sizes.clear()
         for _ in range(REPEATS):
             for_publisher = for_subscribers = 0.0
@@ -192,10 +200,10 @@
                 spent = site.spent(site.acknowledge)
                 for_publisher += spent[0]
                 for_subscribers += spent[1]
-            ours.append(for_publisher / (ROUNDS * count) * 1e6)
-            theirs.append(for_subscribers / (ROUNDS * count) * 1e6)
-        publishing.append(point(count, ours))
-        subscribing.append(point(count, theirs))
+            publisher_times.append(for_publisher / (ROUNDS * count) * 1e6)
+            subscriber_times.append(for_subscribers / (ROUNDS * count) * 1e6)
+        publishing.append(point(count, publisher_times))
+        subscribing.append(point(count, subscriber_times))
         sizes.append(point(count, [round_bytes(site)]))
     renew = "a renewal and its heartbeat, encoded, summed and decoded"
     return [
@@ -217,7 +225,7 @@
 
 
 def subscriptions_memory(count: int, seed: int) -> float:
-    """Bytes traced of a publisher's so many subscriptions, each brought level, without any subscriber."""
+    """Returns the traced bytes of a publisher's `count` up-to-date subscriptions, without the subscribers."""
     site = Site(0, KEYS[0], seed)
     gc.collect()
     tracemalloc.start()
@@ -238,26 +246,26 @@
 
 
 def round_bytes(site: Site) -> float:
-    """Bytes of one renewal of each subscriber, both ways."""
+    """Returns the bytes of one renewal of each subscriber, in both directions."""
     return sum(sum(lengths) for lengths in site.sizes.values()) / (REPEATS * ROUNDS)
 
 
 def deltas(seed: int) -> list[Measurement]:
-    """A change sent to each of 267 subscribers, over how many keys change at once."""
+    """Measures a change sent to each of 267 subscribers, over the number of keys in the change."""
     publishing, subscribing, sizes = [], [], []
     for count in CHANGES:
         site = Site(SUBSCRIBERS[0], KEYS[0], seed)
         site.subscribe()
-        ours, theirs, lengths = [], [], []
+        publisher_times, subscriber_times, lengths = [], [], []
         for _ in range(REPEATS):
             site.sizes.clear()
             spent = site.spent(lambda site=site, count=count: site.change(count))  # type: ignore[misc]
-            ours.append(spent[0] / len(site.nodes) * 1e6)
-            theirs.append(spent[1] / len(site.nodes) * 1e6)
+            publisher_times.append(spent[0] / len(site.nodes) * 1e6)
+            subscriber_times.append(spent[1] / len(site.nodes) * 1e6)
             lengths.append(float(site.sizes["Delta"][0]))
             site.acknowledge()
-        publishing.append(point(count, ours))
-        subscribing.append(point(count, theirs))
+        publishing.append(point(count, publisher_times))
+        subscribing.append(point(count, subscriber_times))
         sizes.append(point(count, lengths))
     how = "a delta of so many keys with values of some 50 bytes, to one of 267 subscribers"
     return [
@@ -268,17 +276,17 @@
 
 
 def snapshots(seed: int) -> list[Measurement]:
-    """A snapshot to each of ten subscribers, over keys."""
+    """Measures a snapshot sent to each of ten subscribers, over the number of keys."""
     publishing: list[Point] = []
     sizes: list[Point] = []
     for keys in KEYS:
-        ours, lengths = [], []
+        publisher_times, lengths = [], []
         for repeat in range(REPEATS):
             site = Site(10, keys, seed + repeat)
             spent = site.spent(site.subscribe)
-            ours.append(spent[0] / len(site.nodes) * 1e3)
+            publisher_times.append(spent[0] / len(site.nodes) * 1e3)
             lengths.append(sum(site.sizes["SnapshotPart"]) / len(site.nodes))
-        publishing.append(point(keys, ours))
+        publishing.append(point(keys, publisher_times))
         sizes.append(point(keys, lengths))
     how = "a snapshot of so many keys to one of ten subscribers at once"
     return [
@@ -288,7 +296,7 @@
 
 
 def observer_part(seed: int) -> list[Measurement]:
-    """Publisher and subscriber without sockets."""
+    """Measures publisher and subscriber without sockets."""
     return [*renewals(seed), *deltas(seed), *snapshots(seed)]
 
 
--- a/bench/scale/slopes_probes.py
+++ b/bench/scale/slopes_probes.py
@@ -1,6 +1,6 @@
-"""The slope of probes: what a node spends to ask save servers for their load, sockets and module included.
+"""Cost of health checks: a node's processor time to query endpoints, with sockets and balancer included.
 
-The endpoints listen in a thread with a loop of its own; only the checking thread's processor time counts.
+The endpoints run in a thread with their own loop; only the processor time of the checking thread counts.
 """
 
 from __future__ import annotations
@@ -24,16 +24,16 @@
 from tests.support.balancer_driver import settings
 
 SERVERS = (60, 200, 600)
-ROUNDS = 20  # probes of each server in one repeat
+ROUNDS = 20  # number of health checks of each server in one repeat
 REPEATS = 5
-AT_ONCE = 20
+MAX_CONCURRENT_CHECKS = 20
 POLL_INTERVAL_S = 0.002
 ANSWER_TIMEOUT_S = 5.0
 DESCRIPTORS = 10_000
 
 
 class EndpointListener:
-    """One listener that answers the health checks of all endpoints, in a thread of its own."""
+    """One listener, in its own thread, that answers the health checks of all endpoints."""
 
     def __init__(self) -> None:
         self.server = SaveServer()
@@ -48,41 +48,45 @@
         self.loop.run_forever()
 
     def close(self) -> None:
-        """Serve no more."""
+        """Stops the thread and closes the listener."""
         self.loop.call_soon_threadsafe(self.loop.stop)
         self.thread.join(ANSWER_TIMEOUT_S)
         self.server.listener.close()
 
 
 async def check_all(proxy: Proxy, names: list[str]) -> None:
-    """One health check of each, all answered."""
+    """Sends one health check to each endpoint, and waits until all are answered.
+
+    Raises:
+        RuntimeError: a health check is not answered within `ANSWER_TIMEOUT_S`.
+    """
     before = {name: proxy.endpoints[name].report for name in names}
     for name in names:
         proxy.check_health(name)
     until = time.monotonic() + ANSWER_TIMEOUT_S
     while any(proxy.endpoints[name].report is before[name] for name in names):
         if time.monotonic() > until:
-            raise RuntimeError(f"a probe was not answered: {proxy.metrics.snapshot()}")
+            raise RuntimeError(f"health check not answered: {proxy.metrics.snapshot()}")
         await asyncio.sleep(POLL_INTERVAL_S)
 
 
 async def health_check_us(proxy: Proxy, names: list[str]) -> float:
-    """Microseconds of this thread's processor time for one health check."""
+    """Returns the microseconds of this thread's processor time for one health check."""
     began = time.thread_time()
     for _ in range(ROUNDS):
-        for first in range(0, len(names), AT_ONCE):
-            await check_all(proxy, names[first : first + AT_ONCE])
+        for first in range(0, len(names), MAX_CONCURRENT_CHECKS):
+            await check_all(proxy, names[first : first + MAX_CONCURRENT_CHECKS])
     return (time.thread_time() - began) / (ROUNDS * len(names)) * 1e6
 
 
 async def health_check_costs(address: str, servers: int, seed: int) -> list[float]:
-    """Microseconds of a health check with so many endpoints, for each repeat."""
+    """Returns the microseconds of a health check with `servers` endpoints, for each repeat."""
     metrics, loop = Metrics(), asyncio.get_running_loop()
     upstream = TcpUpstream(loop, 1.0, DescriptorBudget(DESCRIPTORS, metrics))
     proxy = Proxy(settings(), seed, upstream, metrics, loop)
     names = [server_name(k) for k in range(servers)]
     proxy.update_endpoints(EndpointListKind.FULL, [(EndpointEntry(name), address) for name in names])
-    await health_check_us(proxy, names)  # connects
+    await health_check_us(proxy, names)  # opens the connections
     costs = [await health_check_us(proxy, names) for _ in range(REPEATS)]
     for name in names:
         upstream.close_health_check(proxy.endpoints[name])
@@ -91,7 +95,7 @@
 
 
 def probes_part(seed: int) -> list[Measurement]:
-    """A probe over standing connections, over how many servers are probed in turn."""
+    """Measures a health check over open connections, over the number of servers that are checked in turn."""
     listener = EndpointListener()
     try:
         points = [point(n, uvloop.run(health_check_costs(listener.address, n, seed))) for n in SERVERS]
