--- a/bench/scale/analysis.py
+++ b/bench/scale/analysis.py
@@ -1,4 +1,4 @@
-"""From what each process noted to the figures of a run: no I/O."""
+"""Calculates the results of a run from the records of its processes, without I/O."""
 
 from __future__ import annotations
 
@@ -14,22 +14,26 @@
 
 @dataclass
 class InForce:
-    """How long changes took to be in force: at nodes that decided by the store then, and at all others."""
+    """Times until changes are in force, for nodes that held a lease at the commit and for all others."""
 
-    deciding: list[float] = field(default_factory=list)  # s, of nodes that held a lease at the commit
-    others: list[float] = field(default_factory=list)  # s, of living nodes that held none
-    everywhere: list[float] = field(default_factory=list)  # s of each change until the last node has it
-    missing: int = 0  # pairs of a change and a living node that never had it
-    left: int = 0  # pairs whose node ended first
+    deciding: list[float] = field(
+        default_factory=list
+    )  # seconds, for nodes that held a lease when the change was proposed
+    others: list[float] = field(default_factory=list)  # seconds, for running nodes that held no lease
+    everywhere: list[float] = field(
+        default_factory=list
+    )  # seconds for each change until the last node with a lease has it
+    missing: int = 0  # pairs of a change and a running node that never applied it
+    left: int = 0  # pairs whose node ended before it applied the change
 
 
 def covering(spans: Iterable[Span], at: float) -> Span | None:
-    """The span that `at` lies in."""
+    """Returns the span that contains `at`, or None."""
     return next((s for s in spans if s.begin <= at and (not s.end or at < s.end)), None)
 
 
 def in_force(nodes: list[NodeRecord], writes: list[WriteRecord]) -> InForce:
-    """Each change at each node, from the moment it was proposed."""
+    """Returns the times until each change is in force at each node, from the proposal of the change."""
     result = InForce()
     changes = [w for w in writes if w.outcome == "ok"]
     latest = [0.0] * len(changes)
@@ -39,8 +43,8 @@
             run = covering(node.runs, change.proposed)
             if run is None:
                 continue
-            place = bisect_left(revisions, change.revision)
-            at = node.applied[place].at if place < len(revisions) else 0.0
+            index = bisect_left(revisions, change.revision)
+            at = node.applied[index].at if index < len(revisions) else 0.0
             if not at or (run.end and at > run.end):
                 result.left += bool(run.end)
                 result.missing += not run.end
@@ -55,18 +59,18 @@
 
 
 class LevelAgain(Times):
-    """How long after a fault the nodes that it touched were served again, and held a lease."""
+    """Times after a fault until the affected nodes are served and hold a lease again, in seconds."""
 
-    moved: int = 0  # nodes that were at a machine that died
+    moved: int = 0  # nodes that were served by a machine that was lost
     lost: int = 0  # nodes that lost their lease
-    never: int = 0  # nodes that were not level again
+    never: int = 0  # nodes that did not recover
 
 
 def level_again(nodes: list[NodeRecord], at: float, ended: float, dead: set[str]) -> LevelAgain:
-    """From a fault's end until each living node that it touched was level for good.
+    """Returns the times from the end of a fault until each affected running node has recovered for good.
 
-    Touched are those that were at a machine that died, and those that lost their lease. A fault without an
-    end of its own, as a machine's death, has `ended` equal to `at`.
+    Affected nodes are those served by a machine that was lost, and those that lost their lease. For a fault
+    that does not end, such as the loss of a machine, `ended` equals `at`.
     """
     spent: list[float] = []
     moved = lost = never = 0
@@ -89,19 +93,19 @@
 
 
 def machine_at(node: NodeRecord, at: float) -> str:
-    """The machine that served a node at a moment; empty: none."""
+    """Returns the machine that served a node at a point in time, or an empty string if none did."""
     earlier = [stay.machine for stay in node.served_by if stay.begin <= at]
     return earlier[-1] if earlier else ""
 
 
 def leases_lost(nodes: list[NodeRecord], since: float) -> int:
-    """How often a living node lost its lease since a moment."""
+    """Returns how often running nodes have lost their lease since a point in time."""
     ends = {(n.name, run.end) for n in nodes for run in n.runs if run.end}
     return sum(1 for n in nodes for s in n.leases if s.end > since and (n.name, s.end) not in ends)
 
 
 def by_kind(records: list[ProcessRecord], nodes: int) -> dict[str, dict[str, float]]:
-    """Mean bytes a second of one node by kind of message."""
+    """Returns the mean bytes per second of one node, by kind of message."""
     result: dict[str, dict[str, float]] = {}
     for direction in ("sent", "received"):
         totals: Counter[str] = Counter()
@@ -114,7 +118,7 @@
 
 
 def bytes_per_node(records: list[ProcessRecord], without: tuple[str, ...] = ()) -> dict[str, float]:
-    """Bytes a second of each node, both ways together, but for some kinds."""
+    """Returns the spread of the bytes per second of a node in both directions, except for some kinds."""
     rates = []
     for record in records:
         for node in record.nodes:
@@ -129,7 +133,10 @@
 
 
 def core_share(records: list[ProcessRecord]) -> dict[str, float]:
-    """Processor time of a node as a share of a core; the largest is that of a process's mean node."""
+    """Returns the processor time of a node as a ratio of a core.
+
+    The maximum is taken over the mean node of each process.
+    """
     nodes = sum(len(r.nodes) for r in records)
     mean = sum(r.processor_s / r.window_s for r in records) / nodes
     largest = max(r.processor_s / r.window_s / len(r.nodes) for r in records)
@@ -137,7 +144,7 @@
 
 
 def node_memory(records: list[ProcessRecord]) -> dict[str, float]:
-    """Bytes that a node adds to its process, and of the whole process of a node alone."""
+    """Returns the bytes that a node adds to its process, and those of a process with a single node."""
     many = [r for r in records if len(r.nodes) > 1] or records
     result = spread([(r.resident_bytes - r.resident_empty_bytes) / len(r.nodes) for r in many], 0)
     alone = [r.resident_bytes for r in records if len(r.nodes) == 1]
--- a/bench/scale/faults.py
+++ b/bench/scale/faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong in a run, once: machines that die, nodes that restart, a rack, a region, a slow reader."""
+"""Faults of a run: killed machines, restarted nodes, a lost rack, a region that is cut off, a slow reader."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from bench.scale.storeclient import StoreClient
 from gradegap.store.records import KeyUpdate
 
-REPLACED_AFTER_S = 3.0  # from a machine's death to the start of the one in its place
-RESTARTED_ONE_IN = 10  # one node in so many
+REPLACEMENT_DELAY_S = 3.0  # time from the kill of a machine to the start of its replacement
+RESTART_INTERVAL_COUNT = 10  # every tenth node of a process restarts
 CUT_SIDE_WRITE_TIMEOUT_S = 3.0
 SLOW_READER_CYCLE_S = 1.0
-SLOW_READER_SHARE = 0.1  # of each cycle in which a slow reader runs
+SLOW_READER_RUNNING_RATIO = 0.1  # part of each cycle in which a slow reader runs
 
 
 class FaultTarget(Protocol):
-    """The run that a fault is injected into."""
+    """The run into which a fault is injected."""
 
     settings: RunSettings
     machines: Machines
@@ -36,28 +36,28 @@
     notes: list[str]
 
     def fault_began(self, at: float, what: str) -> None:
-        """The fault takes effect at `at` (steady clock, s)."""
+        """Records that the fault takes effect at `at` (steady clock, s)."""
         ...
 
     def fault_ended(self, at: float) -> None:
-        """The fault is over at `at` (steady clock, s)."""
+        """Records that the fault ends at `at` (steady clock, s)."""
         ...
 
     def alone(self) -> Child:
-        """A process that has one node alone."""
+        """Returns a process with a single node."""
         ...
 
     def rack(self) -> tuple[Child, int]:
-        """A process that stands for a rack, and its number of nodes."""
+        """Returns a process that represents a rack, and its number of nodes."""
         ...
 
     async def call(self, child: Child, command: HollowCommand) -> None:
-        """Send a command to a process, and wait until it is carried out."""
+        """Sends a command to a process, and waits until the command is done."""
         ...
 
 
 async def inject(run: FaultTarget) -> None:
-    """The run's fault, at its time; it notes when that was."""
+    """Injects the fault of the run at its time, and records the time."""
     settings = run.settings
     await asyncio.sleep(settings.seconds * settings.fault_at)
     match settings.fault:
@@ -80,7 +80,7 @@
 
 
 async def kill_machines(run: FaultTarget, count: int) -> None:
-    """The leader first, then others."""
+    """Kills `count` machines, the leader first."""
     leader = await run.machines.leader(5.0)
     others = [m for m in run.machines.living() if m is not leader]
     for spec in [leader, *others][:count]:
@@ -88,15 +88,15 @@
 
 
 async def replace_machine(run: FaultTarget) -> None:
-    """The leader dies, and a new machine with an empty folder takes its place."""
+    """Kills the leader, and starts a new machine with an empty folder in its place."""
     leader = await run.machines.leader(5.0)
     run.fault_began(run.machines.kill(leader), leader.name)
-    await asyncio.sleep(REPLACED_AFTER_S)
+    await asyncio.sleep(REPLACEMENT_DELAY_S)
     await run.machines.replace(leader)
 
 
 def lose_rack(run: FaultTarget) -> None:
-    """All nodes of one process fall silent at once, their connections open: nobody is notified."""
+    """Stops all nodes of one process at once; their connections stay open, so that no peer is notified."""
     child, nodes = run.rack()
     child.expected_to_end = True
     child.process.send_signal(signal.SIGSTOP)
@@ -105,32 +105,32 @@
 
 
 async def restart_tenth(run: FaultTarget) -> None:
-    """One node in ten restarts, all in one moment."""
+    """Restarts one node in ten, all at the same time."""
     run.fault_began(steady(), "a tenth of the nodes")
     for child, nodes in run.hollow:
-        chosen = [number for number in range(len(nodes)) if number % RESTARTED_ONE_IN == 0]
+        chosen = [number for number in range(len(nodes)) if number % RESTART_INTERVAL_COUNT == 0]
         await run.call(child, Restart(chosen))
 
 
 async def read_slowly(run: FaultTarget) -> None:
-    """The process of one node runs for a tenth of the time, while a burst of changes goes out."""
+    """Lets the process of one node run for a tenth of the time during a burst of changes."""
     child = run.alone()
     run.fault_began(steady(), "one node")
     burst = asyncio.ensure_future(run.load.burst(run.settings.burst))
     end = steady() + run.settings.fault_s
-    with running_again(child):
+    with continued_afterwards(child):
         while steady() < end:
             child.process.send_signal(signal.SIGSTOP)
-            await asyncio.sleep(SLOW_READER_CYCLE_S * (1.0 - SLOW_READER_SHARE))
+            await asyncio.sleep(SLOW_READER_CYCLE_S * (1.0 - SLOW_READER_RUNNING_RATIO))
             child.process.send_signal(signal.SIGCONT)
-            await asyncio.sleep(SLOW_READER_CYCLE_S * SLOW_READER_SHARE)
+            await asyncio.sleep(SLOW_READER_CYCLE_S * SLOW_READER_RUNNING_RATIO)
     run.fault_ended(steady())
     await burst
 
 
 @contextlib.contextmanager
-def running_again(child: Child) -> Iterator[None]:
-    """Whatever happens in the block, the child runs afterwards."""
+def continued_afterwards(child: Child) -> Iterator[None]:
+    """Continues the child when the block ends, also after an error."""
     try:
         yield
     finally:
@@ -139,7 +139,7 @@
 
 
 async def cut_region(run: FaultTarget) -> None:
-    """The last region hears nobody outside it, and nobody hears it, for a scaled hour; then it heals."""
+    """Cuts the last region off in both directions for `fault_s` seconds (a scaled hour), then heals it."""
     assert run.gate is not None
     region = run.machines.cut_region()
     run.gate.send(CutRegion(region))
@@ -151,7 +151,7 @@
 
 
 async def write_at_cut_side(run: FaultTarget, region: str) -> None:
-    """A write at a machine that is cut off is refused, and the refusal says what to do."""
+    """Records the outcome of a write at a machine that is cut off, which is rejected with advice."""
     cut = next(m for m in run.machines.specs if m.region == region)
     client = StoreClient([cut.listen_address], SECRET.encode())
     record = await client.write(KeyUpdate("config/motd", "from the cut side"), CUT_SIDE_WRITE_TIMEOUT_S)
--- a/bench/scale/gate.py
+++ b/bench/scale/gate.py
@@ -1,8 +1,9 @@
-"""What lies between regions: a forwarder that can cut one region off, and heal it.
+"""A forwarder between regions that can cut one region off and heal it.
 
-Links between control machines, and those of nodes to machines of other regions, go through it. While a region
-is cut off, bytes across its border are held back and the connections stay open, as on a network that drops;
-when it heals, those connections are reset, so that both sides connect anew. Run as a child:
+Links between control machines, and links of nodes to machines of other regions, go through the gate. While a
+region is cut off, bytes across its border are held back and the connections stay open, as on a network that
+drops packets. When the region heals, those connections are reset, so that both sides reconnect. Runs as a
+child process:
 
     python -m bench.scale.gate SPEC.json
 """
@@ -19,28 +20,28 @@
 
 from bench.scale.messages import CutRegion, GateCommand, GatePorts, HealRegion
 
-LENGTH_BYTES = 4  # of a frame's length in front of the first message
-MAX_HELLO_LENGTH = 4096
+LENGTH_BYTES = 4  # size of the length field in front of the first message
+MAX_HELLO_BYTES = 4096
 BACKLOG = 2048
 
 
 class Listener(msgspec.Struct):
-    """A port of the gate: where it leads, and who comes by it."""
+    """A port of the gate, with its destination and the region of its clients."""
 
     to_port: int
     to_region: str
-    from_region: str = ""  # empty: a control machine, known by the name in its first message
+    from_region: str = ""  # empty: a control machine, whose first message tells its name
 
 
 class GateSpec(msgspec.Struct):
     """The specification file of this process."""
 
     listeners: list[Listener]
-    regions: dict[str, str]  # of control machines by name
+    regions: dict[str, str]  # regions of the control machines, by machine name
 
 
 class Border:
-    """Which region is cut off, and all that goes across."""
+    """The region that is cut off, and all connections through the gate."""
 
     def __init__(self, spec: GateSpec) -> None:
         self.spec = spec
@@ -48,17 +49,17 @@
         self.pipes: set[Pipe] = set()
 
     def closed(self, one: str, other: str) -> bool:
-        """Whether nothing passes between two regions now."""
+        """Returns whether the traffic between two regions is cut."""
         return bool(self.cut_region) and one != other and self.cut_region in (one, other)
 
     def cut_off(self, region: str) -> None:
-        """Nothing passes its border any more."""
+        """Cuts all traffic across the border of a region."""
         self.cut_region = region
         for pipe in self.pipes:
             pipe.update_reading()
 
     def heal(self) -> None:
-        """What was held back is reset."""
+        """Ends the cut, and resets the connections that it held back."""
         held = [p for p in self.pipes if p.held()]
         self.cut_region = ""
         for pipe in held:
@@ -66,50 +67,50 @@
 
 
 class Side(asyncio.Protocol):
-    """One end of a pipe."""
+    """The protocol at one end of a pipe."""
 
     def __init__(self, pipe: Pipe, dialer: bool) -> None:
         self.pipe, self.dialer = pipe, dialer
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
+        """Keeps the transport; the dialer's side also connects to the destination."""
         self.transport = cast(asyncio.Transport, transport)
         if self.dialer:
             self.pipe.begin()
 
     def data_received(self, data: bytes) -> None:
-        """Bytes for the other end."""
+        """Forwards the bytes to the other end."""
         self.pipe.forward(self, data)
 
     def pause_writing(self) -> None:
-        """Guards memory against a side that reads slowly."""
+        """Stops reading from the other end, which limits the memory for a slow reader."""
         self.pipe.pause_other(self)
 
     def resume_writing(self) -> None:
-        """It reads again."""
+        """Continues reading from the other end."""
         self.pipe.update_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended; so does the other."""
+        """Ends the other connection as well."""
         self.transport = None
         self.pipe.end()
 
 
 class Pipe:
-    """Two connections that are one to those at its ends."""
+    """Two connections that the gate joins to one."""
 
     def __init__(self, border: Border, listener: Listener) -> None:
         self.border, self.listener = border, listener
         self.region = listener.from_region
-        self.head = b""
-        self.early = b""  # bytes that came before the other side was connected
+        self.hello_bytes = b""  # bytes of the first message
+        self.early = b""  # bytes received before the other side was connected
         self.front, self.back = Side(self, True), Side(self, False)
         self.task: asyncio.Task[None] | None = None
         border.pipes.add(self)
 
     def begin(self) -> None:
-        """Connect to where the listener leads."""
+        """Starts to connect to the destination of the listener."""
         self.task = asyncio.get_running_loop().create_task(self._connect())
 
     async def _connect(self) -> None:
@@ -124,11 +125,11 @@
             self._write(self.back, early)
 
     def held(self) -> bool:
-        """Whether it crosses a closed border."""
+        """Returns whether the pipe crosses the border of a region that is cut off."""
         return bool(self.region) and self.border.closed(self.region, self.listener.to_region)
 
     def update_reading(self) -> None:
-        """Read from both sides, or from none where the border is closed."""
+        """Reads from both sides, or from neither while the pipe is held back."""
         if self.back.transport is None:
             return
         for side in (self.front, self.back):
@@ -136,7 +137,7 @@
                 (side.transport.pause_reading if self.held() else side.transport.resume_reading)()
 
     def forward(self, side: Side, data: bytes) -> None:
-        """Bytes from one side to the other."""
+        """Forwards bytes from one side to the other."""
         if side is self.front and not self.region:
             self._learn_region(data)
             self.update_reading()
@@ -151,30 +152,30 @@
             side.transport.write(data)
 
     def _learn_region(self, data: bytes) -> None:
-        """A control machine says its name in its first message; a client says none."""
-        self.head += data
-        size = int.from_bytes(self.head[:LENGTH_BYTES], "big")
-        if len(self.head) >= LENGTH_BYTES + size:
-            hello = msgspec.msgpack.decode(self.head[LENGTH_BYTES : LENGTH_BYTES + size])
+        """Reads the name of a control machine from the first message; the message of a client has no name."""
+        self.hello_bytes += data
+        size = int.from_bytes(self.hello_bytes[:LENGTH_BYTES], "big")
+        if len(self.hello_bytes) >= LENGTH_BYTES + size:
+            hello = msgspec.msgpack.decode(self.hello_bytes[LENGTH_BYTES : LENGTH_BYTES + size])
             self.region = self.border.spec.regions.get(hello.get("name", ""), "outside")
-        elif len(self.head) > MAX_HELLO_LENGTH:
+        elif len(self.hello_bytes) > MAX_HELLO_BYTES:
             self.reset()
 
     def pause_other(self, side: Side) -> None:
-        """One side reads slowly: nothing more is taken from the other."""
+        """Pauses reading from the other side while `side` reads slowly."""
         other = self.back if side is self.front else self.front
         if other.transport is not None:
             other.transport.pause_reading()
 
     def reset(self) -> None:
-        """End both sides at once."""
+        """Resets both connections."""
         for side in (self.front, self.back):
             if side.transport is not None:
                 side.transport.abort()
         self.border.pipes.discard(self)
 
     def end(self) -> None:
-        """One side has ended; what is on its way to the other still goes, unless the border is closed."""
+        """Closes both connections after pending bytes are sent; does nothing while the pipe is held back."""
         if self.held():
             return
         for side in (self.front, self.back):
@@ -184,7 +185,7 @@
 
 
 async def serve(spec: GateSpec) -> None:
-    """Listen, report the ports, and serve commands until standard input ends."""
+    """Opens the listeners, reports their ports, and runs commands until standard input ends."""
     loop = asyncio.get_running_loop()
     border = Border(spec)
     ports = []
--- a/bench/scale/sessions.py
+++ b/bench/scale/sessions.py
@@ -1,4 +1,4 @@
-"""A hollow node's side of the store: as a member with gossip (the version before), or as a subscriber."""
+"""A hollow node's side of the store: a member with gossip (the earlier mechanism), or a subscriber."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 
 class MachineSpec(msgspec.Struct):
-    """A control machine, as nodes of one region reach it."""
+    """A control machine, with the addresses at which nodes of one region reach it."""
 
     name: str
     region: str
     listen_address: str
     publish_address: str
-    member_address: str  # where the other machines reach it: through the gate between regions, or directly
+    member_address: str  # address for the other machines: the gate between regions, or the machine itself
 
 
 class NodeSpec(msgspec.Struct):
@@ -35,15 +35,15 @@
 
     name: str
     region: str
-    member_address: str = ""  # of the mechanism "members": where it listens
+    member_address: str = ""  # listen address for the mechanism "members"
 
     def as_member(self) -> MachineSpec:
-        """This node as the other members of the store see it, where it is one."""
+        """Returns the node as a member of the store, for the mechanism "members"."""
         return MachineSpec(self.name, self.region, self.member_address, "", self.member_address)
 
 
 class SessionParts(msgspec.Struct):
-    """What a session works on: the node's own parts, and where what is measured goes."""
+    """Parts of a node that its session uses, and the receivers of the measurements."""
 
     proxy: Proxy
     configuration: DynamicConfiguration
@@ -51,27 +51,27 @@
     loop: asyncio.AbstractEventLoop
     traffic: Traffic
     has_endpoint_list: Callable[[], bool]
-    applied: Callable[[int], None]  # a revision is in force at this node now
+    applied: Callable[[int], None]  # called with each revision that is in force at this node
 
 
 class Session(Protocol):
     """A node's side of the store."""
 
     async def start(self) -> None:
-        """Begin; returns once it is under way."""
+        """Starts the session; returns without waiting for a lease."""
 
     def holds_lease(self) -> bool:
-        """Whether the node may decide by committed state."""
+        """Returns whether the node holds a lease and may decide by committed state."""
 
     def machine(self) -> str:
-        """The control machine that serves it; empty: none, or the node is a member itself."""
+        """Returns the control machine that serves the node; empty if none does or the node is a member."""
 
     def stop(self, planned: bool) -> None:
-        """End it; `planned` says goodbye first."""
+        """Ends the session; a `planned` end is announced first."""
 
 
 class MemberSession:
-    """The version before: each node is a member, and sends all others its load reports each second."""
+    """The earlier mechanism: each node is a member, and sends its load reports to all others each second."""
 
     def __init__(
         self, node: NodeSpec, machines: list[MachineSpec], secret: bytes, folder: Path, parts: SessionParts
@@ -109,7 +109,7 @@
         self.parts.applied(max(event.revision for event in events))
 
     def _state(self) -> dict[str, object]:
-        """As `Node` shows it to its siblings."""
+        """Returns the state that `Node` shows to the other nodes."""
         proxy = self.parts.proxy
         return {
             "state": "ready" if self.parts.has_endpoint_list() else "starting",
@@ -119,24 +119,24 @@
         }
 
     async def start(self) -> None:
-        """Listen and take part."""
+        """Starts the member."""
         await self.attached.start()
 
     def holds_lease(self) -> bool:
-        """Whether it holds a lease."""
+        """Returns whether the member holds a lease."""
         return self.attached.is_fresh()
 
     def machine(self) -> str:
-        """A member is served by none."""
+        """Returns an empty string, because no machine serves a member."""
         return ""
 
     def stop(self, planned: bool) -> None:
-        """A member that stops hands over what it leads, where that is planned."""
+        """Stops the member; a planned stop transfers leadership first."""
         if planned:
             self.attached.leave()
         self.attached.close()
 
 
 def steady() -> float:
-    """The clock of all figures: the same for all processes of a machine."""
+    """Returns the steady clock in seconds, which is the same for all processes of a machine."""
     return time.monotonic()
