--- a/bench/scale/machines.py
+++ b/bench/scale/machines.py
@@ -1,4 +1,4 @@
-"""The control machines of a run: real daemons, with the operator's file of each."""
+"""The control machines of a run: real daemons, each with its operator's file."""
 
 from __future__ import annotations
 
@@ -20,19 +20,21 @@
 SECRET = "0123456789abcdef of a scale run"
 VOTERS = 5
 LEASE_S = 1.0  # the store's own default
-FORM_S = 60.0  # within which the machines must have a leader
-LOOK_S = 0.1
+LEADER_TIMEOUT_S = 60.0  # the machines must have a leader within this time
+LEADER_POLL_INTERVAL_S = 0.1
 
 
 class MachineFigures(msgspec.Struct):
-    """What one control machine used in the window."""
+    """Resources that one control machine used in the measured window."""
 
     name: str
     core_share: float
     resident_bytes: int
     nodes: int  # connections of nodes at the end of the window
-    node_bytes_s: dict[str, float]  # on connections with nodes that stood all through the window
-    member_bytes_s: dict[str, float]  # on links with the other machines
+    node_bytes_s: dict[
+        str, float
+    ]  # bytes per second on connections with nodes that are open at the end of the window
+    member_bytes_s: dict[str, float]  # bytes per second on links with the other machines
 
 
 class Machines:
@@ -46,8 +48,8 @@
             self._spec(number, f"127.0.0.1:{port()}", f"127.0.0.1:{port()}")
             for number in range(run.control_machines)
         ]
-        self.members_beside: list[MachineSpec] = []  # nodes that are members, in the version before
-        self.across: dict[tuple[str, str], str] = {}  # by region and machine, where there is a gate
+        self.members_beside: list[MachineSpec] = []  # nodes that are members, with the earlier mechanism
+        self.across: dict[tuple[str, str], str] = {}  # addresses through the gate, by region and machine
         self.processes: dict[str, Child] = {}
         self.before: dict[str, Usage] = {}
         self.sockets_before: list[SocketBytes] = []
@@ -57,16 +59,16 @@
         return MachineSpec(f"m{number + 1}", f"r{number % self.run.regions}", listen, publish, listen)
 
     def addresses(self) -> list[str]:
-        """Where a client reaches the machines; those of a region that is to be cut off are left out."""
+        """Returns the client addresses of the machines, except for those of a region that will be cut off."""
         cut = self.cut_region() if self.run.fault == "region" else None
         return [m.listen_address for m in self.specs if m.region != cut]
 
     def cut_region(self) -> str:
-        """The region that the fault "region" cuts off."""
+        """Returns the region that the fault "region" cuts off."""
         return self.specs[self.run.regions - 1].region
 
     async def put_gate_between(self) -> Child:
-        """Start the gate, and have all that crosses regions go through it."""
+        """Starts the gate, and routes all traffic between regions through it."""
         machines = [Listener(port_of(m.listen_address), m.region) for m in self.specs]
         regions = sorted({m.region for m in self.specs})
         nodes = [Listener(port_of(m.publish_address), m.region, r) for r in regions for m in self.specs]
@@ -74,23 +76,23 @@
         path = self.folder / "gate.json"
         path.write_bytes(msgspec.json.encode(spec))
         gate = await self.children.start("gate", ["bench.scale.gate", str(path)])
-        ports = iter((await gate.receive(GatePorts, FORM_S)).ports)
+        ports = iter((await gate.receive(GatePorts, LEADER_TIMEOUT_S)).ports)
         for machine in self.specs:
             machine.member_address = f"127.0.0.1:{next(ports)}"
         self.across = {(r, m.name): f"127.0.0.1:{next(ports)}" for r in regions for m in self.specs}
         return gate
 
     def seen_from(self, region: str) -> list[MachineSpec]:
-        """The machines as nodes of a region reach them."""
-        seen = []
+        """Returns the machines with the addresses at which nodes of a region reach them."""
+        machines = []
         for machine in self.specs:
-            far = machine.region != region and self.across
-            address = self.across[region, machine.name] if far else machine.publish_address
-            seen.append(msgspec.structs.replace(machine, publish_address=address))
-        return seen
+            is_remote = machine.region != region and self.across
+            address = self.across[region, machine.name] if is_remote else machine.publish_address
+            machines.append(msgspec.structs.replace(machine, publish_address=address))
+        return machines
 
     def operator_file(self, spec: MachineSpec) -> Path:
-        """Write the operator's file of a machine."""
+        """Writes the operator's file of a machine, and returns its path."""
         peers = ", ".join(
             f'{{ name = "{m.name}", address = "{m.member_address}"{self._region(m)} }}'
             for m in (*self.specs, *self.members_beside)
@@ -118,53 +120,57 @@
         return f', region = "{spec.region}"' if self.run.mechanism == "observer" else ""
 
     async def start(self) -> None:
-        """All of them, until one leads; where nodes are members, the cluster begins with these."""
+        """Starts all machines, and waits for a leader; if nodes are members, they form the cluster later."""
         for spec in self.specs:
             await self.start_one(spec)
         if not self.members_beside:
-            await self.leader(FORM_S)
+            await self.leader(LEADER_TIMEOUT_S)
 
     async def start_one(self, spec: MachineSpec) -> None:
-        """The daemon as operators start it."""
+        """Starts the daemon of a machine with the command that operators use."""
         arguments = ["gradegap", "store", "serve", "--operator", str(self.operator_file(spec))]
         self.processes[spec.name] = await self.children.start(spec.name, arguments)
 
     def living(self) -> list[MachineSpec]:
-        """The machines that run."""
+        """Returns the running machines."""
         return [m for m in self.specs if self.processes[m.name].alive()]
 
     async def leader(self, within: float) -> MachineSpec:
-        """Who leads and holds the lease of a leader; `ChildFailedError` where nobody does in time."""
+        """Waits for a leader with a lease, and returns it.
+
+        Raises:
+            ChildFailedError: no machine leads within `within` seconds.
+        """
         end = steady() + within
         while steady() < end:
             for spec in self.living():
                 answer = await storeclient.status(spec.listen_address, SECRET.encode())
                 if answer.get("role") == "leader" and answer.get("lease_ms", 0) > 0:
                     return spec
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(LEADER_POLL_INTERVAL_S)
         log_tail = next((c.log_tail() for c in self.processes.values() if not c.alive()), "")
         raise ChildFailedError(f"no control machine leads after {within:.0f} s{log_tail}")
 
     def kill(self, spec: MachineSpec) -> float:
-        """SIGKILL; when it was."""
+        """Kills a machine by SIGKILL, and returns the time of the kill."""
         self.processes[spec.name].kill()
         return steady()
 
     async def replace(self, spec: MachineSpec) -> None:
-        """A new machine of the same name in the place of one that has ended, with an empty folder."""
+        """Starts a new machine with the name of an ended one and an empty folder."""
         shutil.rmtree(self.folder / spec.name, ignore_errors=True)
         await self.start_one(spec)
 
-    # What they use
+    # Resources
 
     def window(self) -> None:
-        """The measured window begins."""
+        """Starts the measured window."""
         now = steady()
         self.before = {m.name: usage(self.processes[m.name].pid, now) for m in self.living()}
         self.sockets_before = open_sockets()
 
     def measure(self) -> list[MachineFigures]:
-        """What each living machine used since the window began."""
+        """Returns the resources that each running machine used since the start of the window."""
         self.sockets_after = open_sockets()
         return [self._figures(m) for m in self.living() if m.name in self.before]
 
@@ -204,24 +210,24 @@
 
 
 def port_of(address: str) -> int:
-    """The port of an address."""
+    """Returns the port of an address."""
     return int(address.rpartition(":")[2])
 
 
 class Counted:
-    """Bytes a second of some connections."""
+    """Sum of the bytes of several connections, from which rates are calculated."""
 
     def __init__(self, seconds: float) -> None:
         self.seconds, self.sent, self.received, self.connections = seconds, 0, 0, 0
 
     def add(self, now: SocketBytes, before: SocketBytes | None) -> None:
-        """A connection that is open; `before` where it was when the window began."""
+        """Adds an open connection; `before` has its bytes at the start of the window, if it was open then."""
         self.connections += 1
         self.sent += now.sent - (before.sent if before is not None else 0)
         self.received += now.received - (before.received if before is not None else 0)
 
     def rates(self) -> dict[str, float]:
-        """Both directions."""
+        """Returns the bytes per second of both directions."""
         return {
             "sent": round(self.sent / self.seconds, 1),
             "received": round(self.received / self.seconds, 1),
--- a/bench/scale/processes.py
+++ b/bench/scale/processes.py
@@ -1,4 +1,4 @@
-"""Child processes of a run: started, watched and ended. Whatever ends the run, none is left behind."""
+"""Starts, watches and ends the child processes of a run; no child outlives the run, however it ends."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 import msgspec
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-TERMINATION_TIMEOUT_S = 3.0  # from SIGTERM to SIGKILL
-MAX_MESSAGE_LENGTH = 1 << 20  # bytes of a line
+TERMINATION_TIMEOUT_S = 3.0  # time between SIGTERM and SIGKILL
+MAX_MESSAGE_BYTES = 1 << 20  # largest line of a child
 PR_SET_PDEATHSIG = 1
 Answer = TypeVar("Answer", bound=msgspec.Struct)
 _libc = ctypes.CDLL(None, use_errno=True)
 
 
 class ChildFailedError(RuntimeError):
-    """A child ended, or said nothing, where it had to go on."""
+    """A child ended, or did not answer, while the run still needed it."""
 
 
 def die_with_parent() -> None:
-    """Runs in a new child: the system kills it when this process ends, even by SIGKILL."""
+    """Makes the kernel kill the calling child when its parent ends, even by SIGKILL."""
     _libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 def write_json(path: Path, value: Any) -> None:
-    """All of the file or nothing of it: written beside it, and renamed."""
+    """Writes a JSON file atomically, through a temporary file that is renamed."""
     path.parent.mkdir(parents=True, exist_ok=True)
     handle, name = tempfile.mkstemp(dir=path.parent, prefix=f".{path.name}.", suffix=".part")
     try:
@@ -52,7 +52,7 @@
 
 @dataclass(eq=False)
 class Child:
-    """A process that takes JSON lines on its standard input, and may write some to its output."""
+    """A process that reads JSON lines from its standard input, and may write some to its output."""
 
     name: str
     process: asyncio.subprocess.Process
@@ -61,52 +61,58 @@
 
     @property
     def pid(self) -> int:
-        """Its process id."""
+        """Process id of the child."""
         return self.process.pid
 
     def alive(self) -> bool:
-        """Whether it runs."""
+        """Returns whether the child runs."""
         return self.process.returncode is None
 
     def send(self, message: msgspec.Struct) -> None:
-        """Send it a message; nothing where it has ended."""
+        """Sends a message; does nothing if the child has ended."""
         if self.process.stdin is not None and self.alive():
             self.process.stdin.write(msgspec.json.encode(message) + b"\n")
 
     async def receive(self, answer: type[Answer], within: float) -> Answer:
-        """Its next message; `ChildFailedError` where none comes within so many seconds, or it has ended."""
+        """Returns the next message of the child.
+
+        Raises:
+            ChildFailedError: the child has ended, or sends no message within `within` seconds.
+        """
         assert self.process.stdout is not None
         try:
             line = await asyncio.wait_for(self.process.stdout.readline(), within)
         except TimeoutError:
-            raise ChildFailedError(f"{self.name} said nothing for {within:.0f} s{self.log_tail()}") from None
+            raise ChildFailedError(
+                f"{self.name} sent no message within {within:.0f} s{self.log_tail()}"
+            ) from None
         if not line:
             raise ChildFailedError(f"{self.name} ended{self.log_tail()}")
         return msgspec.json.decode(line, type=answer)
 
     def log_tail(self) -> str:
-        """The last line of its log, as the end of an error's text; empty where it has none."""
+        """Returns the last line of the log to append to an error message, or an empty string."""
         with contextlib.suppress(OSError):
             if text := self.log.read_text(errors="replace").strip():
                 return ": " + text.splitlines()[-1][-300:]
         return ""
 
     def kill(self) -> None:
-        """Kill it at once, as a machine that loses power."""
+        """Kills the child at once, as a loss of power would."""
         self.expected_to_end = True
         with contextlib.suppress(ProcessLookupError):
             self.process.kill()
 
 
 class Children:
-    """All children of a run."""
+    """All child processes of a run."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.children: list[Child] = []
 
     async def start(self, name: str, arguments: Sequence[str], env: Mapping[str, str] | None = None) -> Child:
-        """Run `python -m ARGUMENTS`, its log in the run's folder."""
+        """Starts `python -m ARGUMENTS` with its log in the folder of the run."""
         log = self.folder / f"{name}.log"
         with log.open("ab") as file:
             process = await asyncio.create_subprocess_exec(
@@ -119,18 +125,18 @@
                 cwd=ROOT,
                 env={**os.environ, "PYTHONPATH": str(ROOT), "PYTHONUNBUFFERED": "1", **(env or {})},
                 preexec_fn=die_with_parent,
-                limit=MAX_MESSAGE_LENGTH,
+                limit=MAX_MESSAGE_BYTES,
             )
         child = Child(name, process, log)
         self.children.append(child)
         return child
 
     def unexpected_ends(self) -> list[str]:
-        """The names of those that ended by themselves."""
+        """Returns the names of the children that ended unexpectedly."""
         return [c.name for c in self.children if not c.alive() and not c.expected_to_end]
 
     async def end_all(self) -> None:
-        """SIGTERM, then SIGKILL; returns once all have been waited for."""
+        """Ends all children by SIGTERM, then by SIGKILL, and waits for them."""
         living = [c for c in self.children if c.alive()]
         for child in living:
             child.expected_to_end = True
@@ -144,7 +150,7 @@
 
 
 async def _wait_all(children: Sequence[Child], within: float) -> tuple[list[Child], list[Child]]:
-    """Those that ended within the time, and the others."""
+    """Waits up to `within` seconds; returns the children that ended, and the others."""
     if children:
         await asyncio.wait([asyncio.ensure_future(c.process.wait()) for c in children], timeout=within)
     return [c for c in children if not c.alive()], [c for c in children if c.alive()]
@@ -152,7 +158,7 @@
 
 @contextlib.asynccontextmanager
 async def children(folder: Path) -> AsyncIterator[Children]:
-    """Children that all are ended when the block is left, by whatever way."""
+    """Provides children that are all ended when the block ends, also after an error."""
     started = Children(folder)
     try:
         yield started
--- a/bench/scale/scripted.py
+++ b/bench/scale/scripted.py
@@ -1,11 +1,12 @@
-"""Scripted discovery and save servers, one process for all nodes of a run.
+"""Simulated discovery and save servers, in one process for all nodes of a run.
 
-Discovery speaks the HTTP of the platform: the full list, then a watch that is held until something changes or
-its wait is over. Save servers answer `STATS` as the real ones do, and nothing else. Run as a child:
+Discovery speaks the HTTP of the platform: the full list, then a watch that is held until the list changes or
+the wait has passed. Save servers answer `STATS` as real ones do, and nothing else. Runs as a child process:
 
     python -m bench.scale.scripted SPEC.json
 
-It prints one JSON line with discovery's port once all listen, and ends with its standard input.
+The process prints one JSON line with discovery's port once all servers listen, and ends at the end of its
+standard input.
 """
 
 from __future__ import annotations
@@ -25,8 +26,8 @@
 
 WATCH = re.compile(rb"index=(\d+)&wait=(\d+)")
 END_OF_REQUEST = b"\r\n\r\n"
-LARGEST_REQUEST = 4096
-KEPT_CHANGES = 1000  # of the list, that a watch can be answered from
+MAX_REQUEST_BYTES = 4096
+KEPT_CHANGES = 1000  # number of the latest changes of the list from which watches are answered
 BACKLOG = 2048
 
 
@@ -39,7 +40,7 @@
 
 
 class ServerList:
-    """The list that discovery tells, and its latest changes."""
+    """The list that discovery serves, and its latest changes."""
 
     def __init__(self, entries: list[dict[str, Any]]) -> None:
         self.entries = {str(e["id"]): e for e in entries}
@@ -49,18 +50,18 @@
         self._full: bytes | None = None
 
     def full(self) -> bytes:
-        """The answer to a call without an index; encoded once a version."""
+        """Returns the response to a request without an index; it is encoded once per version."""
         if self._full is None:
             self._full = http_answer(self.version, True, list(self.entries.values()))
         return self._full
 
     def since(self, index: int) -> bytes:
-        """What has changed after a version."""
-        news = {str(e["id"]): e for version, e in self.changes if version > index}
-        return http_answer(self.version, False, list(news.values()))
+        """Returns the response with all changes after a version."""
+        changed = {str(e["id"]): e for version, e in self.changes if version > index}
+        return http_answer(self.version, False, list(changed.values()))
 
     def change(self, server: str, **fields: Any) -> None:
-        """Tell all watches of one server's new fields."""
+        """Changes fields of one server, and answers all watches."""
         self.version += 1
         self.entries[server] = entry = {**self.entries[server], **fields}
         self.changes = [*self.changes[-KEPT_CHANGES:], (self.version, entry)]
@@ -71,7 +72,7 @@
 
 
 def http_answer(version: int, full: bool, servers: list[dict[str, Any]]) -> bytes:
-    """An answer of discovery, head and body."""
+    """Returns an HTTP response of discovery with its header and body."""
     body = json.dumps({"version": version, "full": full, "servers": servers}).encode()
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
@@ -88,19 +89,19 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection stands."""
+        """Keeps the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of the other side."""
+        """Answers complete requests, or holds them as a watch."""
         self.buffer += data
         while (end := self.buffer.find(END_OF_REQUEST)) >= 0:
             request, self.buffer = self.buffer[:end], self.buffer[end + len(END_OF_REQUEST) :]
-            self._asked(request)
-        if len(self.buffer) > LARGEST_REQUEST and self.transport is not None:
+            self._handle_request(request)
+        if len(self.buffer) > MAX_REQUEST_BYTES and self.transport is not None:
             self.transport.abort()
 
-    def _asked(self, request: bytes) -> None:
+    def _handle_request(self, request: bytes) -> None:
         assert self.transport is not None
         found = WATCH.search(request)
         if found is None:
@@ -111,14 +112,14 @@
             self.answer_now()
             return
         self.servers.waiting.add(self)
-        self.timer = self.loop.call_later(int(found[2]) / 1000, self._waited)
+        self.timer = self.loop.call_later(int(found[2]) / 1000, self._watch_timed_out)
 
-    def _waited(self) -> None:
+    def _watch_timed_out(self) -> None:
         self.servers.waiting.discard(self)
         self.answer_now()
 
     def answer_now(self) -> None:
-        """Answer the watch that is held."""
+        """Answers the held watch."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -126,7 +127,7 @@
             self.transport.write(self.servers.since(self.index))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended."""
+        """Drops the connection."""
         self.transport = None
         self.servers.waiting.discard(self)
         if self.timer is not None:
@@ -134,18 +135,18 @@
 
 
 class SaveServer(asyncio.Protocol):
-    """One probe connection to a save server."""
+    """One health check connection to a save server."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection stands."""
+        """Keeps the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of the other side."""
+        """Answers each health check with a random load."""
         if self.transport is None:
             return
         for _ in range(data.count(b"STATS")):
@@ -153,12 +154,12 @@
             self.transport.write(f"PONG x0={load:.4f},inflight={inflight}\r\n".encode())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended."""
+        """Drops the connection."""
         self.transport = None
 
 
 async def serve(spec: ScriptedSpec) -> None:
-    """Listen, say where, and change the list until standard input ends."""
+    """Opens the listeners, reports discovery's port, and changes the list until standard input ends."""
     loop = asyncio.get_running_loop()
     rng = random.Random(spec.seed)
     entries = []
@@ -181,7 +182,7 @@
 
 
 async def _change_list(servers: ServerList, per_s: float, rng: random.Random) -> None:
-    """Servers drain and come again, at Poisson times."""
+    """Drains servers and returns them to service, at Poisson times."""
     names = sorted(servers.entries)
     while per_s > 0:
         await asyncio.sleep(rng.expovariate(per_s))
--- a/bench/scale/subscription.py
+++ b/bench/scale/subscription.py
@@ -1,4 +1,4 @@
-"""A hollow node's subscription at a control machine: the real client, with its traffic counted."""
+"""A hollow node's subscription to a control machine: the real client, with its traffic counted."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 
 
 class ForwardedTraffic(traffic_counts.Traffic):
-    """What a subscription counts, counted as all other traffic of the node."""
+    """Counters of a subscription that also add to the traffic of the node."""
 
     def __init__(self, traffic: Traffic) -> None:
         super().__init__()
         self.traffic = traffic
 
     def count_sent(self, kind: str, size: int) -> None:
-        """One message of this kind was sent."""
+        """Counts a sent message."""
         super().count_sent(kind, size)
         self.traffic.sent[kind] += size
 
     def count_received(self, kind: str, size: int) -> None:
-        """One message of this kind came."""
+        """Counts a received message."""
         super().count_received(kind, size)
         self.traffic.received[kind] += size
 
 
 class ObserverSession:
-    """A subscription at one control machine, as a node without a member has it."""
+    """A subscription to one control machine, as used by a node without a member."""
 
     def __init__(
         self, node: NodeSpec, machines: list[MachineSpec], secret_file: str, parts: SessionParts
@@ -51,20 +51,20 @@
         self.parts.applied(revision)
 
     async def start(self) -> None:
-        """Subscribe."""
+        """Starts the subscription."""
         await self.store.start()
 
     def holds_lease(self) -> bool:
-        """Whether it holds a lease."""
+        """Returns whether the subscription holds a lease."""
         return self.store.is_fresh()
 
     def machine(self) -> str:
-        """The machine that accepted its subscription."""
+        """Returns the machine that accepted the subscription, or an empty string."""
         client = self.store.client
         return client.machine if client.subscriber.phase is Phase.SUBSCRIBED else ""
 
     def stop(self, planned: bool) -> None:
-        """Give the lease up where that is planned, else end without notice."""
+        """Ends the subscription; a planned end gives the lease up, any other end sends no notice."""
         if planned:
             self.store.close()
         else:
--- a/bench/scale/watched_node.py
+++ b/bench/scale/watched_node.py
@@ -1,4 +1,4 @@
-"""A node as `gradegap serve` runs it, with a meter of its loop and a port that reads it.
+"""A node as `gradegap serve` runs it, with a meter of its event loop and a port to read the meter.
 
     NODE_CONFIG=... WATCH_PORT=... python -m bench.scale.watched_node
 
@@ -24,7 +24,7 @@
 
 
 class LoopMeter:
-    """The longest delay of the loop's timers."""
+    """Measures the longest delay of the timers of an event loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -40,23 +40,23 @@
         self._schedule()
 
     def take_longest_ms(self) -> float:
-        """The longest delay in milliseconds since the last call."""
+        """Returns the longest delay in milliseconds since the last call."""
         longest, self.longest = self.longest, 0.0
         return longest * 1e3
 
 
 class MeterConnection(asyncio.Protocol):
-    """A connection to the meter's port."""
+    """A connection to the port of the meter."""
 
     def __init__(self, meter: LoopMeter) -> None:
         self.meter = meter
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
+        """Keeps the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Commands, one a line."""
+        """Answers commands, one per line."""
         for command in data.decode().split():
             self.transport.write(f"{self._answer(MeterCommand(command)):.3f}\n".encode())
 
@@ -73,7 +73,7 @@
 
 
 async def main() -> None:
-    """Serve until SIGTERM."""
+    """Runs the node until SIGTERM."""
     loop = asyncio.get_running_loop()
     configuration, _ = load_all(None, None)
     node = Node(configuration, loop)
