--- a/bench/scale/settings.py
+++ b/bench/scale/settings.py
@@ -1,4 +1,4 @@
-"""What a scale run is made of: a TOML file with the command line's options over it, checked first."""
+"""Settings of a scale run: a TOML file, overridden by command line options, validated before the run."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 import msgspec
 
-MOST_PROCESSES = 40  # hollow processes at once, by the issue's limit
+MAX_PROCESSES = 40  # largest number of hollow processes, as the requirements limit it
 DAY_S = 86_400.0
-FULL_SIZE = 1600  # nodes of the target, whose restarts `restarts_a_day` counts
+FULL_SIZE_NODES = 1600  # nodes of the target size, to which `restarts_a_day` refers
 
 Mechanism = Literal["members", "observer"]
 Fault = Literal[
@@ -31,48 +31,62 @@
 
 
 class RunFileError(ValueError):
-    """A run that can't be started as it is described; its text is one line that names the key."""
+    """Invalid settings of a run; the message is one line that names the key."""
 
 
 class RunSettings(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """One run. All times are real seconds; `clock` says by how much leases and loads are slowed."""
+    """Settings of one run. All times are real seconds; `clock` is the factor that slows leases and loads."""
 
     nodes: Annotated[int, msgspec.Meta(ge=1, le=4000)] = 100
     servers: Annotated[int, msgspec.Meta(ge=1, le=10_000)] = 600
-    seconds: Positive = 30.0  # of the measured window
+    seconds: Positive = 30.0  # length of the measured window
     seed: int = 1
     mechanism: Mechanism = "observer"
     control_machines: Annotated[int, msgspec.Meta(ge=1, le=9)] = 6
-    processes: Annotated[int, msgspec.Meta(ge=1, le=MOST_PROCESSES)] = MOST_PROCESSES
+    processes: Annotated[int, msgspec.Meta(ge=1, le=MAX_PROCESSES)] = MAX_PROCESSES
     regions: Annotated[int, msgspec.Meta(ge=1, le=9)] = 3
     fault: Fault = "none"
-    fault_at: Annotated[float, msgspec.Meta(ge=0.0, le=1.0)] = 0.3  # part of the window after which it begins
-    fault_s: Positive = 10.0  # for which a region is cut off, or a reader is slow
-    clock: Annotated[float, msgspec.Meta(ge=1.0)] = 1.0  # slower by so much, where cores are too few
+    fault_at: Annotated[float, msgspec.Meta(ge=0.0, le=1.0)] = 0.3  # part of the window before the fault
+    fault_s: Positive = 10.0  # time for which a region is cut off, or a reader is slow
+    clock: Annotated[float, msgspec.Meta(ge=1.0)] = (
+        1.0  # factor by which leases and loads are slowed, for machines with too few cores
+    )
     changes_a_day: NotNegative = 1200.0
-    acceleration: Positive = 50.0  # times by which the day's events come faster, for samples in a short run
-    burst: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 50  # changes at once, of the fault "burst"
-    restarts_a_day: NotNegative = 220.0  # of 1,600 nodes
-    rack: Annotated[int, msgspec.Meta(ge=1)] = 40  # nodes that go at once, of the fault "rack"
-    probes_per_s: NotNegative = 0.1  # of one node to scripted save servers
-    list_changes_per_s: NotNegative = 0.1  # servers that discovery tells anew
-    warm_s: NotNegative = 5.0  # between the last node's start and the window
-    settle_s: NotNegative = 10.0  # after the window, within which the last changes may arrive
-    start_s: Positive = 240.0  # within which all nodes must stand
-    lease_s: NotNegative = 0.0  # the cluster's length of a lease; 0: the store's own default
+    acceleration: Positive = (
+        50.0  # factor by which the events of a day come faster, for enough samples in a short run
+    )
+    burst: Annotated[int, msgspec.Meta(ge=1, le=1000)] = (
+        50  # number of concurrent changes of the fault "burst"
+    )
+    restarts_a_day: NotNegative = 220.0  # restarts of 1,600 nodes together
+    rack: Annotated[int, msgspec.Meta(ge=1)] = 40  # number of nodes that the fault "rack" stops at once
+    probes_per_s: NotNegative = 0.1  # health checks of one node
+    list_changes_per_s: NotNegative = 0.1  # rate at which servers of the endpoint list change
+    warm_s: NotNegative = 5.0  # time between the start of the last node and the window
+    settle_s: NotNegative = 10.0  # time after the window in which the last changes may arrive
+    start_s: Positive = 240.0  # all nodes must be ready within this time
+    lease_s: NotNegative = 0.0  # lease length of the cluster; 0: the default of the store
 
     def changes_per_s(self) -> float:
-        """The Poisson rate of changes in the run."""
+        """Returns the Poisson rate of changes in the run."""
         return self.changes_a_day / DAY_S * self.acceleration / self.clock
 
     def restarts_per_s(self) -> float:
-        """The Poisson rate of nodes' restarts in the run: a smaller run has its share of them."""
-        share = self.nodes / FULL_SIZE
-        return self.restarts_a_day / DAY_S * share * self.acceleration / self.clock
+        """Returns the Poisson rate of node restarts in the run, in proportion to its number of nodes."""
+        size_ratio = self.nodes / FULL_SIZE_NODES
+        return self.restarts_a_day / DAY_S * size_ratio * self.acceleration / self.clock
 
 
 def read_run(path: Path | None, options: dict[str, Any]) -> RunSettings:
-    """The run of a file, with `options` (None: not given) over it; `RunFileError` in one line."""
+    """Reads the settings of a run.
+
+    Args:
+        path: TOML file; None for the defaults.
+        options: values that override the file; None means not given.
+
+    Raises:
+        RunFileError: the file can't be read, or a setting is invalid.
+    """
     source = str(path) if path is not None else "command line"
     values: dict[str, Any] = {}
     if path is not None:
@@ -92,7 +106,11 @@
 
 
 def check_together(source: str, run: RunSettings) -> None:
-    """What no single key shows to be wrong."""
+    """Checks settings that depend on each other.
+
+    Raises:
+        RunFileError: settings contradict each other.
+    """
     if run.mechanism == "members" and run.nodes > 200:
         raise RunFileError(f"{source}: nodes: {run.nodes} members are more than 200, which leases allow")
     if run.control_machines < 3 and run.fault in ("machine-killed", "two-killed", "replaced"):
@@ -106,7 +124,7 @@
 
 
 def name_the_key(text: str) -> str:
-    """A validation error with the key in front: `nodes: Expected ...`."""
+    """Returns a validation error with its key in front: `nodes: Expected ...`."""
     text = one_line(text)
     if unknown := re.search(r"unknown field `([^`]*)`", text):
         return f"{unknown[1]}: there is no such key"
@@ -115,5 +133,5 @@
 
 
 def one_line(text: str) -> str:
-    """The text without line breaks, not too long."""
+    """Returns the text without line breaks, limited to 300 characters."""
     return " ".join(text.split())[:300]
--- a/tests/test_scale_settings.py
+++ b/tests/test_scale_settings.py
@@ -1,4 +1,4 @@
-"""Scale runs: bad input is refused in one line, an interrupted run leaves nothing, figures add up."""
+"""Tests of scale runs: validation of settings, cleanup after an interruption, and calculation of results."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from bench.scale.storeclient import WriteRecord
 from tests.support.node_environment import ROOT, wait_for
 
-STARTED_S = 60.0  # within which a small run has all its processes, on a busy machine
+START_TIMEOUT_S = 60.0  # a small run starts all its processes within this time, also on a busy machine
 
 
 def command(*words: str) -> list[str]:
@@ -50,18 +50,20 @@
         ('regions = 1\nfault = "region"', "regions"),
     ],
 )
-def test_a_wrong_run_is_refused_in_one_line_that_names_the_key(tmp_path: Path, text: str, key: str) -> None:
+def test_invalid_run_is_rejected_with_one_line_that_names_the_key(
+    tmp_path: Path, text: str, key: str
+) -> None:
     file = tmp_path / "run.toml"
     file.write_text(text)
     with pytest.raises(RunFileError) as caught:
         read_run(file, {})
-    said = str(caught.value)
-    assert said.startswith(f"{file}: {key}: ")
-    assert "\n" not in said
+    message = str(caught.value)
+    assert message.startswith(f"{file}: {key}: ")
+    assert "\n" not in message
 
 
 @pytest.mark.parametrize("text", [b"nodes = ", b"\xff\xfe", b"[" * 100_000])
-def test_a_file_that_is_no_toml_is_refused(tmp_path: Path, text: bytes) -> None:
+def test_invalid_toml_is_rejected(tmp_path: Path, text: bytes) -> None:
     file = tmp_path / "run.toml"
     file.write_bytes(text)
     with pytest.raises(RunFileError, match="is no TOML") as caught:
@@ -69,19 +71,19 @@
     assert len(str(caught.value)) < 600
 
 
-def test_a_file_that_is_not_there_is_refused(tmp_path: Path) -> None:
+def test_missing_file_is_rejected(tmp_path: Path) -> None:
     with pytest.raises(RunFileError, match="can't be read"):
         read_run(tmp_path / "none.toml", {})
 
 
-def test_options_go_over_the_file(tmp_path: Path) -> None:
+def test_options_override_the_file(tmp_path: Path) -> None:
     file = tmp_path / "run.toml"
     file.write_text("nodes = 50\nservers = 20")
     run = read_run(file, {"nodes": 7, "servers": None})
     assert (run.nodes, run.servers) == (7, 20)
 
 
-def test_the_command_says_one_line_and_starts_nothing(tmp_path: Path) -> None:
+def test_command_prints_one_line_and_writes_nothing_for_invalid_run(tmp_path: Path) -> None:
     file = tmp_path / "run.toml"
     file.write_text("nodes = 10\nspeed = 3")
     out = tmp_path / "out.json"
@@ -93,14 +95,14 @@
     assert not out.exists()
 
 
-def test_a_result_that_could_not_be_written_is_refused_before_the_run(tmp_path: Path) -> None:
+def test_unwritable_result_file_is_rejected_before_the_run(tmp_path: Path) -> None:
     done = subprocess.run(
         command("--json", str(tmp_path)), capture_output=True, text=True, cwd=ROOT, timeout=30
     )
     assert (done.returncode, done.stderr) == (2, f"--json: {tmp_path} can't be written\n")
 
 
-def test_the_example_of_a_run_is_one() -> None:
+def test_example_run_file_is_valid() -> None:
     run = read_run(ROOT / "bench" / "scale" / "ordinary_day.toml", {})
     assert run == RunSettings(nodes=1600, seconds=30.0, seed=36)
 
@@ -109,7 +111,7 @@
 
 
 def children_of(pid: int) -> list[int]:
-    """Processes that this one has started and that run."""
+    """Returns the running child processes of a process."""
     found = []
     for folder in Path("/proc").iterdir():
         if folder.name.isdecimal():
@@ -123,10 +125,10 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
-def test_an_interrupted_run_leaves_no_process_and_no_half_file(
+def test_interrupted_run_leaves_no_process_and_no_partial_file(
     tmp_path: Path, number: signal.Signals
 ) -> None:
-    """In the middle of its window, with all its processes there; after SIGKILL only its folder may stay."""
+    """Interrupts a run within its window, with all processes running; SIGKILL may leave only its folder."""
     run = tmp_path / "run.toml"
     run.write_text(
         'mechanism = "members"\nnodes = 3\nservers = 5\ncontrol_machines = 3\nprocesses = 2\n'
@@ -146,7 +148,9 @@
             stderr=file,
         )
     try:
-        wait_for(lambda: process.poll() is not None or b"the window begins" in log.read_bytes(), STARTED_S)
+        wait_for(
+            lambda: process.poll() is not None or b"the window begins" in log.read_bytes(), START_TIMEOUT_S
+        )
         assert process.poll() is None, log.read_text()
         children = children_of(process.pid)
         assert len(children) == 6, "three machines, scripted servers, two hollow processes"
@@ -169,14 +173,14 @@
 
 
 def running(pid: int) -> bool:
-    """Whether a process runs: one that has ended and was not waited for does not."""
+    """Returns whether a process runs; an ended one that was not waited for does not."""
     try:
         return Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()[0] != "Z"
     except OSError:
         return False
 
 
-def test_a_result_is_written_whole_or_not_at_all(tmp_path: Path) -> None:
+def test_failed_write_keeps_previous_result(tmp_path: Path) -> None:
     out = tmp_path / "out.json"
     write_json(out, {"nodes": 1})
     with pytest.raises(TypeError):
@@ -188,8 +192,8 @@
 # Hollow nodes
 
 
-def test_a_hollow_node_reads_the_list_and_comes_again_after_a_restart(tmp_path: Path) -> None:
-    """Its old life leaves no connection to discovery behind."""
+def test_restarted_hollow_node_reads_endpoint_list_again(tmp_path: Path) -> None:
+    """Guards against a discovery connection that a node leaves open when it restarts."""
     secret = tmp_path / "secret"
     secret.write_text("0123456789abcdef of a test")
 
@@ -215,10 +219,10 @@
         )
         process = HollowProcess(spec, loop)
         process.start()
-        first = await until_listed(process)
+        first = await until_endpoint_list(process)
         process.restart([0])
         assert first.ended
-        second = await until_listed(process)
+        second = await until_endpoint_list(process)
         assert second is not first
         assert [bool(run.end) for run in process.records[0].runs] == [True, False]
         assert list(second.proxy.endpoints) == ["s-1"]
@@ -229,23 +233,23 @@
     asyncio.run(restarted())
 
 
-async def until_listed(process: HollowProcess) -> HollowNode:
-    """The node of a process, once discovery has told it a list."""
+async def until_endpoint_list(process: HollowProcess) -> HollowNode:
+    """Returns the node of a process as soon as it has an endpoint list."""
     for _ in range(1000):
         if process.nodes and process.nodes[0].has_endpoint_list():
             return process.nodes[0]
         await asyncio.sleep(0.01)
-    raise AssertionError("the list never came")
+    raise AssertionError("the node received no endpoint list")
 
 
-# What the figures mean
+# Calculation of results
 
 
 def change(at: float, revision: int, outcome: str = "ok") -> WriteRecord:
     return WriteRecord("config/motd", at, at, at, revision, outcome)
 
 
-def test_a_change_counts_for_each_node_that_lives() -> None:
+def test_in_force_counts_each_change_for_each_running_node() -> None:
     ready = NodeRecord("a", "r", [Span(0.0)], [Span(1.0)], [Applied(3, 1.0), Applied(7, 10.5)])
     stale = NodeRecord("b", "r", [Span(0.0)], [Span(1.0, 9.0), Span(12.0)], [Applied(9, 12.0)])
     never = NodeRecord("c", "r", [Span(0.0)], [Span(1.0)], [Applied(6, 2.0)])
@@ -258,7 +262,7 @@
     assert found.everywhere == [0.5]
 
 
-def test_level_again_counts_from_the_end_of_the_fault() -> None:
+def test_level_again_measures_from_the_end_of_the_fault() -> None:
     untouched = NodeRecord("a", "r", [Span(0.0)], [Span(1.0)])
     back = NodeRecord("b", "r", [Span(0.0)], [Span(1.0, 11.0), Span(12.0, 12.5), Span(13.0)])
     never = NodeRecord("c", "r", [Span(0.0)], [Span(1.0, 11.0)])
@@ -271,7 +275,7 @@
     assert leases_lost(nodes, 11.0) == 1
 
 
-def test_level_again_counts_nodes_that_move_within_their_lease() -> None:
+def test_level_again_counts_nodes_that_change_machine_within_their_lease() -> None:
     def node(*stays: ServedBy) -> NodeRecord:
         return NodeRecord("a", "r", [Span(0.0)], [Span(1.0)], served_by=list(stays))
 
@@ -284,7 +288,7 @@
     assert level_again([moved, stuck], 10.0, 10.0, {"m1"}).never == 1
 
 
-def test_times_have_the_exact_largest() -> None:
+def test_times_have_exact_maximum() -> None:
     found = times([0.001] * 98 + [0.5, 2.25])
     assert found.count == 100
     assert found.max == 2.25
@@ -293,7 +297,7 @@
     assert times([]).count == 0
 
 
-def test_nodes_are_spread_over_processes() -> None:
+def test_process_sizes_distribute_nodes_evenly() -> None:
     assert process_sizes(RunSettings(nodes=1600, processes=40)) == [1] + [41] * 39
     assert process_sizes(RunSettings(nodes=100, processes=5)) == [1, 25, 25, 25, 24]
     assert process_sizes(RunSettings(nodes=100, processes=5, fault="rack")) == [1, 40, 20, 20, 19]
@@ -301,7 +305,7 @@
     assert process_sizes(RunSettings(nodes=9, processes=1)) == [9]
 
 
-def test_bytes_of_connections_are_read() -> None:
+def test_parse_sockets_reads_bytes_of_connections() -> None:
     text = (
         '0 0 127.0.0.1:7000 127.0.0.1:40000 users:(("python",pid=12,fd=9))\n'
         "\t cubic wscale:7,7 rto:204 bytes_sent:1500 bytes_acked:1500 bytes_received:70 segs_out:9\n"
