--- a/gradegap/verification/__init__.py
+++ b/gradegap/verification/__init__.py
@@ -1,11 +1,12 @@
-"""Checkers: models of consensus and subscriptions in virtual time, mutations for them to find, and histories.
+"""Models of consensus and subscriptions in virtual time, mutations that test the models, history checkers.
 
-The package owns no state of a node: it drives the very classes that processes run.
+The package holds no state of a node. The models drive the same classes that production processes run.
 
-- Consensus: `simulator` runs a cluster under faults, `model_explorer` every order of events of a small one;
-  `raft_invariants` has what must hold, `raft_mutations` known mistakes that these find.
-- Subscriptions: `observer_model` runs publishers and subscribers under faults; `observer_invariants` and
-  `observer_mutations` likewise.
-- Histories: `linearizability` checks reads and writes of one key, `sessions` what was logged of resumable
+- Consensus: `simulator` runs a cluster under faults; `model_explorer` runs a small cluster through every
+  order of events. `raft_invariants` defines the invariants, and `raft_mutations` the known mistakes that the
+  two models must detect.
+- Subscriptions: `observer_model` runs publishers and subscribers under faults. `observer_invariants` and
+  `observer_mutations` define its invariants and mutations.
+- Histories: `linearizability` checks the reads and writes of one key; `sessions` checks the logs of resumable
   sessions (`python -m gradegap.verification.sessions LOG ...`).
 """
--- a/gradegap/verification/errors.py
+++ b/gradegap/verification/errors.py
@@ -1,4 +1,4 @@
-"""What the checkers raise and report."""
+"""Errors that the checkers raise, and the violations that they report."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 
 class InvariantError(AssertionError):
-    """An invariant that does not hold; the text begins with its name."""
+    """An invariant does not hold. The message begins with the name of the invariant and a colon."""
 
 
 class SearchLimitError(RuntimeError):
-    """A history is too large to be searched for an order that explains it."""
+    """The search for a linearization of a history exceeded its limit of steps."""
 
 
 class Violation(NamedTuple):
-    """The seed of a run that broke an invariant, and the error's text."""
+    """The seed of a run that violated an invariant, and the message of the error."""
 
     seed: int
     text: str
--- a/gradegap/verification/model_explorer.py
+++ b/gradegap/verification/model_explorer.py
@@ -1,8 +1,9 @@
-"""Small cases of the consensus core without time: every order of events within bounds, and random walks.
+"""Model checker of the consensus core on small clusters: all orders of events, or random walks.
 
-Time is left out by letting every promise run out before an election begins, so only what must hold at any
-speed is seen here: elections, logs and commits, not leases. A message that is never delivered is a lost
-one. Persisting is at once; a crash loses what the core holds beside its disk.
+The model abstracts from time: before each election all promises not to vote expire. It therefore checks the
+invariants that hold independently of timing (elections, logs and commits) and not leases. A lost message is
+one that is never delivered. Writes to disk are immediate; a crash loses all state of the core that is not on
+its disk.
 """
 
 from __future__ import annotations
@@ -29,19 +30,19 @@
 from gradegap.verification.raft_invariants import RaftInvariants, chain_digest
 from gradegap.verification.raft_member import EMPTY_STATE, SimulatedDisk
 
-# What may happen next
+# Actions
 
 
 @dataclass(slots=True, frozen=True)
 class Deliver:
-    """A message on its way arrives."""
+    """A message in flight arrives."""
 
-    position: int  # among those on their way, the oldest first
+    position: int  # among the messages in flight, the oldest first
 
 
 @dataclass(slots=True, frozen=True)
 class Propose:
-    """A leader appends a command."""
+    """A leader proposes a command."""
 
     member: str
 
@@ -55,14 +56,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Timeout:
-    """A member's election timeout runs out, and all promises not to vote have."""
+    """A member's election timeout expires, after all promises not to vote have expired."""
 
     member: str
 
 
 @dataclass(slots=True, frozen=True)
 class Crash:
-    """A member crashes, and restarts once all promises not to vote have run out."""
+    """A member crashes, and restarts after all promises not to vote have expired."""
 
     member: str
 
@@ -72,23 +73,23 @@
 
 @dataclass(slots=True)
 class Bounds:
-    """How much may happen in a case."""
+    """Limits of a model: numbers of members and of events."""
 
     members: int = 3
-    term: int = 3
+    term: int = 3  # members in this term call no election
     commands: int = 2
     crashes: int = 1
-    heartbeats: int = 1  # of each member
+    heartbeats: int = 1  # rounds of each member
     timeouts: int = 99
-    messages: int = 8  # on their way at once: the oldest are lost
-    unrest: float = 1.0  # of random walks: how much likelier elections and crashes are
+    messages: int = 8  # in flight at once; beyond that the oldest are lost
+    disruption_factor: float = 1.0  # factor on the weights of election timeouts and crashes in random walks
 
 
 class FixedRandom(random.Random):
-    """No chance: a core's timeouts are set off by the explorer."""
+    """A random source without randomness: the explorer decides when the timeouts of a core expire."""
 
     def uniform(self, a: float, b: float) -> float:
-        """The lower bound, always."""
+        """Always returns the lower bound."""
         return a
 
     def __reduce__(self) -> tuple[type, tuple[()]]:
@@ -96,7 +97,7 @@
 
 
 class ClusterState:
-    """One state of a small cluster, which can be copied and continued from."""
+    """A state of a small cluster. A copy of a state can be continued independently."""
 
     def __init__(self, raft_class: type[Raft], bounds: Bounds) -> None:
         self.raft_class, self.bounds = raft_class, bounds
@@ -106,7 +107,7 @@
         base = initial_snapshot(tuple(Member(name, name, name) for name in names))
         self.disks = {name: SimulatedDisk(base) for name in names}
         self.states = dict.fromkeys(names, EMPTY_STATE)
-        self.messages: list[tuple[str, str, Message]] = []  # on their way: sender, recipient, message
+        self.messages: list[tuple[str, str, Message]] = []  # in flight: sender, recipient, message
         self.commands = self.crashes = self.timeouts = 0
         self.heartbeats = dict.fromkeys(names, 0)
         self.invariants = RaftInvariants()
@@ -123,13 +124,14 @@
         return raft
 
     def copy(self) -> ClusterState:
-        """The same state, apart from this one."""
-        made: ClusterState = pickle.loads(pickle.dumps(self, pickle.HIGHEST_PROTOCOL))
-        made.invariants.checked_logs.clear()  # it goes by the identity of objects
-        return made
+        """Returns an independent copy of the state."""
+        copied: ClusterState = pickle.loads(pickle.dumps(self, pickle.HIGHEST_PROTOCOL))
+        # The keys are identities of objects, which the copy does not share.
+        copied.invariants.checked_log_extents.clear()
+        return copied
 
     def actions(self) -> list[Action]:
-        """All that may happen next within the bounds."""
+        """Returns all actions that are possible next within the bounds."""
         bounds = self.bounds
         possible: list[Action] = [Deliver(position) for position in range(len(self.messages))]
         for name, raft in self.members.items():
@@ -145,10 +147,10 @@
         return possible
 
     def act(self, action: Action) -> None:
-        """Let one of the actions happen.
+        """Perform an action.
 
         Raises:
-            InvariantError: An invariant does not hold after it.
+            InvariantError: An invariant does not hold after the action.
         """
         match action:
             case Deliver(position):
@@ -164,9 +166,9 @@
                 self._time_out(self.members[name])
             case Crash(name):
                 self.crashes += 1
-                self._let_promises_run_out()
+                self._expire_promises()
                 self.members[name] = self._start(name)
-        self._settle(name)
+        self._process_ready(name)
 
     def _propose(self, raft: Raft) -> bool:
         self.commands += 1
@@ -179,14 +181,14 @@
 
     def _time_out(self, raft: Raft) -> None:
         self.timeouts += 1
-        self._let_promises_run_out()
+        self._expire_promises()
         raft.election.timeout_at = self.now
         raft.tick(self.now)
 
-    def _let_promises_run_out(self) -> None:
+    def _expire_promises(self) -> None:
         self.now += 2 * self.settings.election_timeout_s
 
-    def _settle(self, name: str) -> None:
+    def _process_ready(self, name: str) -> None:
         raft, disk = self.members[name], self.disks[name]
         ready = raft.take_ready()
         while ready.must_sync or ready.immediate_messages or ready.messages or ready.committed_entries:
@@ -195,7 +197,7 @@
                 self.messages.append((name, recipient, message))
             for entry in ready.committed_entries:
                 self.states[name] = chain_digest(self.states[name], entry)
-                self.invariants.applied(entry, self.states[name])
+                self.invariants.check_applied(entry, self.states[name])
             if ready.entries:
                 raft.persisted(self.now, ready.entries[-1].index, ready.entries[-1].term)
             ready = raft.take_ready()
@@ -203,7 +205,7 @@
         self.invariants.check(raft)
 
     def key(self) -> bytes:
-        """What tells two states apart; times and the numbers of rounds don't."""
+        """Returns a key that is equal for equivalent states: it has no times and no heartbeat rounds."""
         members = [self._member_key(name, raft) for name, raft in self.members.items()]
         messages = sorted(
             (sender, recipient, msgspec.msgpack.encode(without_round(message)))
@@ -236,7 +238,7 @@
 
 
 def without_round(message: Message) -> Message:
-    """The message without the number of its round, which tells no two states apart."""
+    """Returns the message with heartbeat round 0: states that differ in the round only are equivalent."""
     if isinstance(message, AppendEntries | AppendEntriesResponse):
         return msgspec.structs.replace(message, heartbeat_round=0)
     return message
@@ -244,20 +246,20 @@
 
 @dataclass(slots=True)
 class Exploration:
-    """How far an exploration came."""
+    """The extent of an exploration."""
 
     states: int
     steps: int
-    complete: bool  # every order within the bounds was seen
+    is_complete: bool  # whether every order of events within the bounds was explored
 
 
 def explore(
     raft_class: type[Raft] = Raft, bounds: Bounds | None = None, max_states: int = 20_000
 ) -> Exploration:
-    """Every state within the bounds, breadth first, up to `max_states` of them.
+    """Explore all states within the bounds, breadth first, up to `max_states` distinct ones.
 
     Raises:
-        InvariantError: An invariant does not hold in one of them.
+        InvariantError: An invariant does not hold in one of the states.
     """
     first = ClusterState(raft_class, bounds or Bounds())
     seen = {hash(first.key())}
@@ -266,20 +268,20 @@
     while queue:
         state = queue.popleft()
         for action in state.actions():
-            after = state.copy()
-            after.act(action)
+            next_state = state.copy()
+            next_state.act(action)
             steps += 1
-            key = hash(after.key())
+            key = hash(next_state.key())
             if key not in seen:
                 if len(seen) >= max_states:
-                    return Exploration(len(seen), steps, complete=False)
+                    return Exploration(len(seen), steps, is_complete=False)
                 seen.add(key)
-                queue.append(after)
-    return Exploration(len(seen), steps, complete=True)
+                queue.append(next_state)
+    return Exploration(len(seen), steps, is_complete=True)
 
 
-# A new leader's own entry is load enough.
-ELECTIONS = Bounds(term=7, commands=0, crashes=6, heartbeats=4, messages=8, unrest=3.0)
+# No commands are needed: each new leader appends an entry of its own term.
+ELECTIONS = Bounds(term=7, commands=0, crashes=6, heartbeats=4, messages=8, disruption_factor=3.0)
 WALK = Bounds(term=9, commands=6, crashes=6, heartbeats=4, messages=10)
 WEIGHTS: dict[type[Action], float] = {Deliver: 1.0, Propose: 0.5, Heartbeat: 0.5, Timeout: 0.25, Crash: 0.1}
 
@@ -287,15 +289,18 @@
 def walk(
     seed: int, raft_class: type[Raft] = Raft, steps: int = 120, bounds: Bounds | None = None
 ) -> ClusterState:
-    """One random way through.
+    """Perform up to `steps` random actions and return the last state.
 
     Raises:
-        InvariantError: An invariant does not hold on it.
+        InvariantError: An invariant does not hold after one of the actions.
     """
     rng = random.Random(seed)
     state = ClusterState(raft_class, bounds or WALK)
-    unrest = state.bounds.unrest
-    weights = WEIGHTS | {Timeout: WEIGHTS[Timeout] * unrest, Crash: WEIGHTS[Crash] * unrest}
+    disruption_factor = state.bounds.disruption_factor
+    weights = WEIGHTS | {
+        Timeout: WEIGHTS[Timeout] * disruption_factor,
+        Crash: WEIGHTS[Crash] * disruption_factor,
+    }
     for _ in range(steps):
         actions = state.actions()
         if not actions:
@@ -305,7 +310,7 @@
 
 
 def find_by_walks(raft_class: type[Raft], seeds: range, bounds: Bounds | None = None) -> Violation | None:
-    """The first walk that shows a mutation, and the invariant that it breaks."""
+    """Returns the violation of the first random walk that violates an invariant, or None."""
     for seed in seeds:
         try:
             walk(seed, raft_class, bounds=bounds)
--- a/gradegap/verification/raft_fault_injector.py
+++ b/gradegap/verification/raft_fault_injector.py
@@ -1,4 +1,4 @@
-"""The faults of a run of the simulator, drawn every tenth of a second."""
+"""Fault injection for the simulator: faults are drawn every 0.1 s of virtual time."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 from gradegap.verification.raft_cluster import SimulatedCluster
 from gradegap.verification.raft_member import SimulatedMember
 
-INTERVAL_S = 0.1
+DRAW_INTERVAL_S = 0.1
 MAX_MEMBERS = 5
 
 
 class FaultInjector:
-    """Crashes, pauses, partitions and changes the members of a cluster, each by its own probability."""
+    """Crashes, pauses, partitions and reconfigures a cluster, with a probability for each kind of fault."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
         self.cluster = cluster
 
     def inject(self) -> None:
-        """Draw each kind of fault once, and again after the interval."""
+        """Draw each kind of fault once, and schedule the next draw."""
         cluster, faults = self.cluster, self.cluster.faults
         for probability, action in (
             (faults.crash, self._crash),
@@ -27,12 +27,12 @@
             (faults.transfer, self._transfer),
             (faults.compact, self._compact),
         ):
-            if cluster.rng.random() < probability * INTERVAL_S:
+            if cluster.rng.random() < probability * DRAW_INTERVAL_S:
                 action()
-        cluster.after(INTERVAL_S, self.inject)
+        cluster.after(DRAW_INTERVAL_S, self.inject)
 
-    def _any_member(self) -> SimulatedMember:
-        """The leader, half of the time; else any member."""
+    def _choose_member(self) -> SimulatedMember:
+        """Returns the leader with probability 0.5, otherwise a random member."""
         cluster = self.cluster
         leader = cluster.leader()
         if leader is not None and cluster.rng.random() < 0.5:
@@ -40,7 +40,7 @@
         return cluster.rng.choice(list(cluster.members.values()))
 
     def _crash(self) -> None:
-        cluster, member = self.cluster, self._any_member()
+        cluster, member = self.cluster, self._choose_member()
         if member.raft is not None:
             cluster.counts["crashes"] += 1
             member.crash()
@@ -51,17 +51,17 @@
             member.start()
 
     def _pause(self) -> None:
-        cluster, member = self.cluster, self._any_member()
-        if member.running:
+        cluster, member = self.cluster, self._choose_member()
+        if member.is_running:
             cluster.counts["pauses"] += 1
-            member.paused = True
+            member.is_paused = True
             cluster.after(cluster.rng.choice([0.1, 0.5, 1.5]), member.resume)
 
     def _partition(self) -> None:
         cluster, rng = self.cluster, self.cluster.rng
         cluster.counts["partitions"] += 1
         names = list(cluster.members)
-        name = self._any_member().name
+        name = self._choose_member().name
         others = [other for other in names if other != name]
         kind = rng.choice(["in", "out", "both", "link", "half"])
         if kind == "link":
@@ -72,8 +72,13 @@
         if kind != "in":
             links |= {(name, other) for other in others}
         if kind == "half":
-            side = set(rng.sample(names, max(1, len(names) // 2)))
-            links = {(a, b) for a in names for b in names if (a in side) != (b in side)}
+            half = set(rng.sample(names, max(1, len(names) // 2)))
+            links = {
+                (sender, recipient)
+                for sender in names
+                for recipient in names
+                if (sender in half) != (recipient in half)
+            }
         cluster.broken_links |= links
         cluster.after(rng.choice([0.2, 1.0, 3.0]), self._heal, links)
 
@@ -89,10 +94,10 @@
             self.cluster.counts["membership changes"] += 1
         except RequestRejectedError as error:
             self.cluster.count_rejection(error)
-        leader.settle()
+        leader.process_ready()
 
     def _propose_change(self, leader: SimulatedMember) -> None:
-        """Promote a learner, add one, or remove a member."""
+        """Promote a learner, add a learner, or remove a member."""
         cluster, rng, raft = self.cluster, self.cluster.rng, leader.raft
         assert raft is not None
         members = raft.configuration.members
@@ -119,10 +124,10 @@
             cluster.counts["transfers"] += 1
         except RequestRejectedError:
             pass
-        leader.settle()
+        leader.process_ready()
 
     def _compact(self) -> None:
-        member = self._any_member()
-        if member.running:
+        member = self._choose_member()
+        if member.is_running:
             self.cluster.counts["compactions"] += 1
             member.compact()
--- a/gradegap/verification/raft_invariants.py
+++ b/gradegap/verification/raft_invariants.py
@@ -1,7 +1,8 @@
-"""What must hold of a cluster at every moment; a violation is raised with what was seen.
+"""Invariants of a Raft cluster. A violation is raised as an error that states the observed values.
 
-Raft paper, figure 3: election safety, log matching, leader completeness, state machine safety; and two of
-this project's own: a lease excludes every other leader, and a confirmed read misses nothing acknowledged.
+The invariants are those of the Raft paper, figure 3 (election safety, log matching, leader completeness and
+state machine safety) and two of this project: while a lease is held no other member leads a later term, and a
+confirmed read sees all that was committed before its request.
 """
 
 from __future__ import annotations
@@ -13,121 +14,130 @@
 from gradegap.verification.errors import InvariantError
 
 
-def chain_digest(before: bytes, entry: Entry) -> bytes:
-    """A digest of a state: that of all entries up to this one, in order."""
+def chain_digest(previous_digest: bytes, entry: Entry) -> bytes:
+    """Returns the digest of a state: a hash chain over all entries up to `entry`, in order."""
     content = f"{entry.index} {entry.term} {entry.kind}".encode() + entry.data
-    return hashlib.blake2b(before + content, digest_size=12).digest()
+    return hashlib.blake2b(previous_digest + content, digest_size=12).digest()
 
 
 class RaftInvariants:
-    """Sees every member after every step, and remembers what was ever true."""
+    """Checks each member after each of its steps against everything observed earlier in the run."""
 
     def __init__(self) -> None:
         self.leaders: dict[int, str] = {}  # by term
         self.committed: dict[int, Entry] = {}  # by index
-        self.committed_in: dict[int, int] = {}  # by index: the term in which it was first known to be
-        self.states: dict[int, bytes] = {}  # digest of the state after an index
-        self.entries: dict[tuple[int, int], tuple[bytes, int]] = {}  # of (index, term): data, term before
-        self.checked_logs: dict[int, tuple[int, int, int]] = {}  # by core's id: what of its log was checked
-
-    def applied(self, entry: Entry, state: bytes) -> None:
-        """State machine safety: no two members apply different entries at one index."""
+        self.committed_terms: dict[int, int] = {}  # by index: term in which its commit was first observed
+        self.states: dict[int, bytes] = {}  # by index: the digest of the state after it
+        # (index, term) of an entry to its data and the term of the entry before it
+        self.entries: dict[tuple[int, int], tuple[bytes, int]] = {}
+        # id() of a core to the base index, last index and last term of its log when it was last checked
+        self.checked_log_extents: dict[int, tuple[int, int, int]] = {}
+
+    def check_applied(self, entry: Entry, state: bytes) -> None:
+        """Check state machine safety: no two members apply different entries at the same index."""
         known = self.committed.setdefault(entry.index, entry)
         if known != entry:
-            raise InvariantError(f"state-machine-safety: {entry.index} is {known} here and {entry} there")
+            raise InvariantError(
+                f"state-machine-safety: entry {entry.index} was applied as {known} and as {entry}"
+            )
         if self.states.setdefault(entry.index, state) != state:
             raise InvariantError(f"state-machine-safety: the states after {entry.index} differ")
 
     def check(self, member: Raft) -> None:
-        """Hold one member, after a step of it, to all that was seen before."""
-        self._log_matching(member)
-        self._commit(member)
+        """Check one member after one of its steps."""
+        self._check_log_matching(member)
+        self._check_commit(member)
         if member.is_leader:
-            self._election_safety(member)
+            self._check_election_safety(member)
 
-    def _election_safety(self, member: Raft) -> None:
+    def _check_election_safety(self, member: Raft) -> None:
         known = self.leaders.get(member.term)
         if known is None:
             self.leaders[member.term] = member.member_id
-            self._leader_completeness(member)
+            self._check_leader_completeness(member)
         elif known != member.member_id:
             raise InvariantError(
                 f"election-safety: {known} and {member.member_id} lead in term {member.term}"
             )
 
-    def _leader_completeness(self, member: Raft) -> None:
+    def _check_leader_completeness(self, member: Raft) -> None:
         log = member.log
         for index, entry in self.committed.items():
-            # A candidate may win an early term late; what was committed after that term does not bind it.
-            bound = self.committed_in.get(index, member.term) < member.term
-            if bound and index > log.base.index and log.term_at(index) != entry.term:
+            # A candidate may win an early term late, and may then lack entries committed in later terms.
+            is_required = self.committed_terms.get(index, member.term) < member.term
+            if is_required and index > log.base.index and log.term_at(index) != entry.term:
                 raise InvariantError(
                     f"leader-completeness: {member.member_id} leads term {member.term} without {entry}"
                 )
 
-    def _log_matching(self, member: Raft) -> None:
+    def _check_log_matching(self, member: Raft) -> None:
         log = member.log
         extent = (log.base.index, log.last_index, log.last_term)
-        if self.checked_logs.get(id(member)) == extent:
+        if self.checked_log_extents.get(id(member)) == extent:
             return
-        self.checked_logs[id(member)] = extent
-        before = log.base.term
+        self.checked_log_extents[id(member)] = extent
+        previous_term = log.base.term
         for entry in log.entries:
-            known = self.entries.setdefault((entry.index, entry.term), (entry.data, before))
-            if known != (entry.data, before):
+            known = self.entries.setdefault((entry.index, entry.term), (entry.data, previous_term))
+            if known != (entry.data, previous_term):
                 raise InvariantError(
-                    f"log-matching: {member.member_id} has another entry {entry.index} of {entry.term}"
+                    f"log-matching: {member.member_id} "
+                    f"has a different entry {entry.index} of term {entry.term}"
                 )
-            before = entry.term
+            previous_term = entry.term
 
-    def _commit(self, member: Raft) -> None:
+    def _check_commit(self, member: Raft) -> None:
         log = member.log
         if member.commit_index > log.last_index:
             raise InvariantError(
-                f"log-matching: {member.member_id} commits {member.commit_index} beyond its log"
+                f"log-matching: {member.member_id} has commit index {member.commit_index}, "
+                f"its log ends at {log.last_index}"
             )
         index = member.commit_index
-        while index > log.base.index and index not in self.committed_in:
+        while index > log.base.index and index not in self.committed_terms:
             entry = log.entries[index - log.base.index - 1]
-            self.committed_in[index] = member.term
+            self.committed_terms[index] = member.term
             if self.committed.setdefault(index, entry) != entry:
                 break
             index -= 1
         if index > log.base.index and log.term_at(index) != self.committed[index].term:
-            raise InvariantError(f"state-machine-safety: {member.member_id} commits another entry at {index}")
+            raise InvariantError(
+                f"state-machine-safety: {member.member_id} commits a different entry at {index}"
+            )
 
     @property
     def last_committed(self) -> int:
-        """The last index that any member knows to be committed."""
+        """The highest index that any member knows to be committed."""
         return max(self.committed, default=0)
 
-    def read(self, member: str, commit_index: int, least: int) -> None:
-        """A confirmed read sees all that was committed before it was requested."""
-        if commit_index < least:
+    def check_read(self, member: str, commit_index: int, min_commit_index: int) -> None:
+        """Check that a confirmed read sees everything that was committed before its request."""
+        if commit_index < min_commit_index:
             raise InvariantError(
-                f"stale-read: {member} read at {commit_index}, but {least} was committed before the request"
+                f"stale-read: {member} read at {commit_index}, "
+                f"but {min_commit_index} was committed before the request"
             )
 
-    def leases(self, holders: Iterable[tuple[Raft, float]]) -> None:
-        """No member leads a later term while another holds a lease.
+    def check_leases(self, holders: Iterable[tuple[Raft, float]]) -> None:
+        """Check that no member leads a later term while another member holds a lease.
 
-        `holders` are the members that run, with what their own clocks say.
+        `holders` are the running members, each with the time in seconds of its own clock.
         """
-        running = list(holders)
-        leading = [member for member, _ in running if member.is_leader]
-        for member, now in running:
+        running_members = list(holders)
+        leaders = [member for member, _ in running_members if member.is_leader]
+        for member, now in running_members:
             if now < member.lease_until(now):
-                self._no_later_leader(member, leading)
+                self._check_no_later_leader(member, leaders)
 
-    def _no_later_leader(self, holder: Raft, leading: list[Raft]) -> None:
-        for other in leading:
+    def _check_no_later_leader(self, holder: Raft, leaders: list[Raft]) -> None:
+        for other in leaders:
             if other.term > holder.term:
                 raise InvariantError(
                     f"lease: {other.member_id} leads term {other.term}, "
-                    f"{holder.member_id} holds a lease of {holder.term}"
+                    f"{holder.member_id} holds a lease of term {holder.term}"
                 )
 
     def commands(self) -> list[bytes]:
-        """The commands that are committed, in their order."""
+        """Returns the committed commands in log order."""
         ordered = (self.committed[index] for index in sorted(self.committed))
         return [entry.data for entry in ordered if entry.kind is EntryKind.COMMAND]
--- a/gradegap/verification/raft_member.py
+++ b/gradegap/verification/raft_member.py
@@ -1,4 +1,4 @@
-"""A simulated member: a core of consensus, a disk that takes its time, and a clock of its own."""
+"""A simulated member of a Raft cluster: a consensus core, a disk with write latency, and its own clock."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 @dataclass(slots=True)
 class SimulatedDisk:
-    """What survives a crash."""
+    """The durable state of a member, which survives a crash."""
 
     base: SnapshotMetadata
-    state: bytes = EMPTY_STATE  # after `base`
+    state: bytes = EMPTY_STATE  # digest of the state at `base`
     hard_state: HardState = field(default_factory=HardState)
     entries: list[Entry] = field(default_factory=list)
 
     def write(self, ready: Ready) -> None:
-        """Make durable what the core has gathered."""
+        """Make durable the snapshot, hard state and entries that the core handed out."""
         if ready.snapshot is not None:
             self.base, self.state = ready.snapshot
             self.entries = []
@@ -37,7 +37,7 @@
 
 
 class MemberWorld(Schedule, ABC):
-    """What a member needs of the simulation."""
+    """The interface of the simulation that a member uses."""
 
     rng: random.Random
     faults: Faults
@@ -47,43 +47,43 @@
 
     @abstractmethod
     def send(self, sender: str, recipient: str, message: Message) -> None:
-        """Carry a message."""
+        """Transmit a message."""
 
     @abstractmethod
     def read_confirmed(self, member: str, request_id: int, commit_index: int) -> None:
-        """A member confirmed a read."""
+        """Handle a read that a member confirmed."""
 
 
 class SimulatedMember:
-    """Drives a core as the daemon does."""
+    """Drives a core in the way the daemon does."""
 
     def __init__(
         self, world: MemberWorld, name: str, disk: SimulatedDisk, clock_offset: float, clock_rate: float
     ) -> None:
         self.world, self.name, self.disk = world, name, disk
         self.clock_offset, self.clock_rate = clock_offset, clock_rate
-        self.raft: Raft | None = None  # None while it is crashed
-        self.paused = False
-        self.inbox: deque[tuple[str, Message]] = deque()  # senders and messages that arrived during a pause
-        self.writing: deque[Ready] = deque()
+        self.raft: Raft | None = None  # None after a crash, until the restart
+        self.is_paused = False
+        self.inbox: deque[tuple[str, Message]] = deque()  # sender and message; filled during a pause
+        self.pending_writes: deque[Ready] = deque()
         self.incarnation = 0
         self.state = disk.state
-        self.states: dict[int, bytes] = {}  # digests, by the index of the last entry
+        self.states: dict[int, bytes] = {}  # index of the last entry to the digest of the state
 
     @property
     def now(self) -> float:
-        """The time by its own clock."""
+        """The time of the member's own clock, in seconds."""
         return self.clock_offset + self.clock_rate * self.world.now
 
     @property
-    def running(self) -> bool:
-        """Whether it has neither crashed nor been paused."""
-        return self.raft is not None and not self.paused
+    def is_running(self) -> bool:
+        """Whether the member is neither crashed nor paused."""
+        return self.raft is not None and not self.is_paused
 
     def start(self) -> None:
-        """Begin a new incarnation from what is on the disk."""
+        """Start a new incarnation from the state on the disk."""
         self.incarnation += 1
-        self.writing.clear()
+        self.pending_writes.clear()
         self.inbox.clear()
         disk = self.disk
         self.state = disk.state
@@ -101,41 +101,44 @@
         self.world.after(0.0, self.tick, self.incarnation)
 
     def crash(self) -> None:
-        """Lose all but the disk."""
-        self.raft, self.paused = None, False
+        """Crash: all state that is not on the disk is lost."""
+        self.raft, self.is_paused = None, False
         self.incarnation += 1
 
     def resume(self) -> None:
         """End a pause."""
-        self.paused = False
+        self.is_paused = False
 
     def tick(self, incarnation: int) -> None:
-        """Look at the clock, and at what arrived during a pause; again after a moment."""
+        """Process messages that arrived during a pause, tick the core, and schedule the next tick."""
         if incarnation != self.incarnation or self.raft is None:
             return
-        if not self.paused:
+        if not self.is_paused:
             while self.inbox:
                 sender, message = self.inbox.popleft()
                 self.raft.step(self.now, sender, message)
-                self.settle()
+                self.process_ready()
             self.raft.tick(self.now)
-            self.settle()
+            self.process_ready()
         self.world.after(TICK_S * self.world.rng.uniform(0.5, 1.0), self.tick, incarnation)
 
     def receive(self, sender: str, message: Message) -> None:
-        """A message arrives."""
+        """Handle a message, or queue it while the member is paused."""
         if self.raft is None:
             return
-        if self.paused:
+        if self.is_paused:
             self.inbox.append((sender, message))
             return
         self.raft.step(self.now, sender, message)
-        self.settle()
+        self.process_ready()
 
-    # What the core has gathered
+    # Output of the core
 
-    def settle(self) -> None:
-        """As a daemon does after each call: send what may go at once, apply, and begin to write."""
+    def process_ready(self) -> None:
+        """Process the core's output as the daemon does after each call: send, apply, start writing.
+
+        Messages that depend on durable state are sent after the write.
+        """
         raft = self.raft
         assert raft is not None
         ready = raft.take_ready()
@@ -147,8 +150,8 @@
         if ready.snapshot_wanted and raft.applied_index in self.states:
             self._offer_snapshot(raft)
         if ready.must_sync or ready.messages:
-            self.writing.append(ready)
-            if len(self.writing) == 1:
+            self.pending_writes.append(ready)
+            if len(self.pending_writes) == 1:
                 self._write()
         self.world.invariants.check(raft)
 
@@ -159,7 +162,7 @@
         for entry in ready.committed_entries:
             self.state = chain_digest(self.state, entry)
             self.states[entry.index] = self.state
-            self.world.invariants.applied(entry, self.state)
+            self.world.invariants.check_applied(entry, self.state)
 
     def _offer_snapshot(self, raft: Raft) -> None:
         term = raft.log.term_at(raft.applied_index)
@@ -167,11 +170,11 @@
         configuration = raft.log.configuration_at(raft.applied_index)
         metadata = SnapshotMetadata(raft.applied_index, term, configuration)
         raft.offer_snapshot(self.now, metadata, self.state)
-        self.settle()
+        self.process_ready()
 
     def _write(self) -> None:
         rng = self.world.rng
-        sync_s = rng.expovariate(200.0) if self.writing[0].must_sync else 0.0
+        sync_s = rng.expovariate(200.0) if self.pending_writes[0].must_sync else 0.0
         if rng.random() < self.world.faults.slow_sync:
             sync_s *= 10.0
         self.world.after(sync_s, self._written, self.incarnation)
@@ -179,25 +182,25 @@
     def _written(self, incarnation: int) -> None:
         if incarnation != self.incarnation or self.raft is None:
             return
-        if self.paused:
+        if self.is_paused:
             self.world.after(TICK_S, self._written, incarnation)
             return
-        ready = self.writing.popleft()
+        ready = self.pending_writes.popleft()
         self.disk.write(ready)
         for recipient, message in ready.messages:
             self.world.send(self.name, recipient, message)
         if ready.entries:
             self.raft.persisted(self.now, ready.entries[-1].index, ready.entries[-1].term)
-        if self.writing:
+        if self.pending_writes:
             self._write()
-        self.settle()
+        self.process_ready()
 
     def compact(self) -> None:
-        """Write the applied state, and drop the log that led there."""
+        """Write a snapshot of the applied state, and drop the log entries up to it."""
         raft = self.raft
         index = raft.applied_index if raft is not None else 0
-        # As a daemon: what it has applied is written before the log that led there is dropped.
-        if raft is None or self.writing or index <= self.disk.base.index or raft.stable_index < index:
+        # As in the daemon, the applied entries must be durable before the log entries are dropped.
+        if raft is None or self.pending_writes or index <= self.disk.base.index or raft.stable_index < index:
             return
         raft.compact(index)
         base = raft.log.base
--- a/gradegap/verification/raft_mutations.py
+++ b/gradegap/verification/raft_mutations.py
@@ -1,6 +1,6 @@
-"""Known mistakes in consensus cores, one class each, to see that the checkers find them.
+"""Mutations of the consensus core: each class has one known mistake, which the checkers must detect.
 
-Each was made by somebody: in first versions of Raft implementations, or on the way here.
+The mistakes are real ones, from early versions of Raft implementations or of this one.
 """
 
 from __future__ import annotations
@@ -42,18 +42,18 @@
 
 
 class VoteNotSynced(Raft):
-    """The vote is given before it is on disk, so that a crash forgets it."""
+    """The vote is sent before it is on disk, so that a crash loses it."""
 
     def persist_hard_state(self) -> None:
-        """Forgets the vote."""
+        """Persist the term without the vote."""
         self.pending.hard_state = HardState(self.term, "")
 
 
 class SendsBeforeSync(Raft):
-    """A message is sent before the state that it rests on is on disk."""
+    """A message is sent before the state that it depends on is on disk."""
 
     def take_ready(self) -> Ready:
-        """Sends all messages early."""
+        """Make all messages immediate."""
         ready = super().take_ready()
         ready.immediate_messages += ready.messages
         ready.messages = []
@@ -61,7 +61,7 @@
 
 
 class VotesTwice(Raft):
-    """A second candidate of the same term gets a vote too."""
+    """A member votes for a second candidate in the same term."""
 
     class _Election(Election):
         def on_request_vote(self, now: float, sender: str, request: RequestVote) -> None:
@@ -73,20 +73,20 @@
 
 
 class VotesForStaleLogs(Raft):
-    """The candidate's log is not looked at."""
+    """A member votes without checking that the candidate's log is up to date."""
 
     class _Election(Election):
         def on_request_vote(self, now: float, sender: str, request: RequestVote) -> None:
-            newest = RequestVote(
+            up_to_date = RequestVote(
                 request.term, 1 << 60, 1 << 60, request.pre_vote, request.leadership_transfer
             )
-            super().on_request_vote(now, sender, newest)
+            super().on_request_vote(now, sender, up_to_date)
 
     election_type = _Election
 
 
 class CommitsEarlierTerms(Raft):
-    """Responses for an entry of an earlier term are counted (Raft paper, figure 8)."""
+    """The leader commits an entry of an earlier term by counting responses (Raft paper, figure 8)."""
 
     class _Replication(Replication):
         def can_commit(self, index: int) -> bool:
@@ -96,7 +96,7 @@
 
 
 class CountsUnsyncedEntry(Raft):
-    """The leader counts its own entry before it is on its disk."""
+    """The leader counts its own entry towards the quorum before the entry is on its disk."""
 
     class _Replication(Replication):
         def append(self, kind: EntryKind, data: bytes) -> int:
@@ -108,13 +108,15 @@
 
 
 class KeepsConflictingEntries(Raft):
-    """A follower takes new entries, but leaves those in place that they contradict."""
+    """A follower accepts new entries, but keeps existing entries that conflict with them."""
 
     class _Follower(Follower):
         def on_append_entries(self, now: float, sender: str, request: AppendEntries) -> None:
             raft, log = self.raft, self.raft.log
-            kept = tuple(e for e in request.entries if (log.term_at(e.index) or e.term) == e.term)
-            if len(kept) == len(request.entries):
+            matching = tuple(
+                entry for entry in request.entries if (log.term_at(entry.index) or entry.term) == entry.term
+            )
+            if len(matching) == len(request.entries):
                 super().on_append_entries(now, sender, request)
                 return
             match = request.prev_log_index + len(request.entries)
@@ -130,7 +132,7 @@
 
 
 class SkipsConsistencyCheck(Raft):
-    """A follower doesn't look whether the entry before fits."""
+    """A follower does not check that the previous entry of the request matches its log."""
 
     class _Follower(Follower):
         def on_append_entries(self, now: float, sender: str, request: AppendEntries) -> None:
@@ -144,7 +146,7 @@
 
 
 class CommitsUnmatchedEntries(Raft):
-    """The leader's commit index is taken as it is, whatever entries are at those indexes here."""
+    """A follower adopts the leader's commit index although its own entries may differ from the leader's."""
 
     class _Follower(Follower):
         def on_append_entries(self, now: float, sender: str, request: AppendEntries) -> None:
@@ -156,7 +158,7 @@
 
 
 class LeaseIgnoresDrift(Raft):
-    """The lease is as long as the promise, whatever the clocks do."""
+    """The lease lasts as long as the promise not to vote, without a margin for clock drift."""
 
     class _Heartbeats(Heartbeats):
         def lease_until(self, now: float) -> float:
@@ -168,12 +170,14 @@
 
 
 class LeaseFromResponse(Raft):
-    """The lease is counted from when a response came, not from when the request was sent."""
+    """The lease starts when a response arrives instead of when the request was sent."""
 
     class _Heartbeats(Heartbeats):
         def followed_since(self, now: float) -> float:
             peers = self.raft.peers
-            voters = [peers[v].last_response_at for v in self.raft.configuration.voters if v in peers]
+            voters = [
+                peers[voter].last_response_at for voter in self.raft.configuration.voters if voter in peers
+            ]
             responses = sorted([*voters, now])
             return responses[(len(responses) - 1) // 2]
 
@@ -181,7 +185,7 @@
 
 
 class ForgetsPromiseAtRestart(Raft):
-    """A member that starts anew votes at once, whatever its earlier incarnation had promised."""
+    """A restarted member votes at once, although its earlier incarnation promised not to."""
 
     class _Election(Election):
         def is_leader_alive(self, now: float) -> bool:
@@ -191,7 +195,7 @@
 
 
 class LeaseKeptDuringTransfer(Raft):
-    """The leader has another call its election, and still holds its lease."""
+    """The leader keeps its lease after it told another member to call an election."""
 
     class _Transfer(LeadershipTransfer):
         def proceed(self) -> None:
@@ -203,7 +207,7 @@
 
 
 class SkipsReadConfirmation(Raft):
-    """A leader answers reads because it was one a moment ago."""
+    """A leader answers reads without confirming that it is still the leader."""
 
     class _Reads(ReadIndexQueue):
         def request(self, now: float, request_id: int) -> None:
@@ -215,17 +219,17 @@
 
 
 class ReadsBeforeOwnCommit(Raft):
-    """A new leader answers reads from a commit index that an earlier leader was ahead of."""
+    """A new leader answers reads before it commits in its term, while its commit index may be too low."""
 
     def commits_own_term(self) -> bool:
-        """Always, whatever was committed."""
+        """Return True whatever was committed."""
         return True
 
 
 class OverlappingChanges(Raft):
-    """Members change before the change before is committed, or before the leader committed anything.
+    """A membership change begins before the previous one, or the leader's first entry, is committed.
 
-    Quorums then don't overlap: the flaw found in single-server changes in 2015.
+    Quorums may then not overlap: this is the flaw of single-server changes that was found in 2015.
     """
 
     class _Membership(Membership):
@@ -243,12 +247,12 @@
 
 
 class HalfIsQuorum(Raft):
-    """With an even number of voters, half of them elect a leader."""
+    """Half of an even number of voters elect a leader."""
 
     class _Election(Election):
         def count_votes(self, now: float) -> None:
             voters = self.raft.configuration.voters
-            if sum(self.votes.get(v, False) for v in voters) * 2 == len(voters):
+            if sum(self.votes.get(voter, False) for voter in voters) * 2 == len(voters):
                 self.votes |= dict.fromkeys(voters, True)
             super().count_votes(now)
 
@@ -256,7 +260,7 @@
 
 
 class CountsStaleVotes(Raft):
-    """A vote from an earlier term is counted for this one."""
+    """A vote of an earlier term is counted in the current term."""
 
     class _Election(Election):
         def on_request_vote_response(self, now: float, sender: str, response: RequestVoteResponse) -> None:
@@ -269,18 +273,18 @@
 
 
 class AppliesUncommitted(Raft):
-    """Entries are applied as soon as they are written."""
+    """Entries are applied as soon as they are written to disk, before they are committed."""
 
     def take_committed_entries(self) -> list[Entry]:
-        """Takes all that is on this disk to be committed."""
-        self.commit_index, kept = max(self.commit_index, self.stable_index), self.commit_index
+        """Treat all durable entries of this member as committed."""
+        self.commit_index, actual_commit_index = max(self.commit_index, self.stable_index), self.commit_index
         entries = super().take_committed_entries()
-        self.commit_index = max(kept, self.applied_index)
+        self.commit_index = max(actual_commit_index, self.applied_index)
         return entries
 
 
 class SnapshotDropsLog(Raft):
-    """A restarted member takes its log to begin anew behind its snapshot."""
+    """A restarted member drops the log entries after its snapshot."""
 
     def __init__(
         self,
@@ -289,33 +293,33 @@
         seed: int,
         base: SnapshotMetadata,
         entries: list[Entry] | None = None,
-        *more: object,
+        *other_arguments: object,
     ) -> None:
-        super().__init__(member_id, now, seed, base, entries, *more)  # type: ignore[arg-type]
+        super().__init__(member_id, now, seed, base, entries, *other_arguments)  # type: ignore[arg-type]
         if base.index:
             self.log = Log(base, [])
             self.stable_index = self.log.last_index
 
 
 class TreatsRejectionAsMatch(Raft):
-    """A rejection counts as success: the leader believes what it has sent to be there."""
+    """The leader treats a rejection as success: it assumes that the follower has all entries sent."""
 
     class _Replication(Replication):
         def on_append_entries_response(
             self, now: float, sender: str, progress: Progress, response: AppendEntriesResponse
         ) -> None:
             match = max(response.match_index, progress.next_index - 1)
-            taken = AppendEntriesResponse(
+            accepted = AppendEntriesResponse(
                 response.term, True, match, response.prev_log_index, response.heartbeat_round
             )
-            super().on_append_entries_response(now, sender, progress, taken)
+            super().on_append_entries_response(now, sender, progress, accepted)
 
     replication_type = _Replication
 
 
 ALL_FAULTS = Faults()
 MEMBERSHIP_CHANGES = Faults(membership_change=9.0, crash=0.5, partition=2.5, pause=0.0)
-LARGE_DRIFT = dataclasses.replace(SMALL_LIMITS, max_clock_drift=0.4)
+LARGE_CLOCK_DRIFT = dataclasses.replace(SMALL_LIMITS, max_clock_drift=0.4)
 SLOW_DISKS = Faults(
     crash=3.0,
     partition=2.0,
@@ -334,15 +338,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Trial:
-    """The run that shows a mutation within few seeds."""
+    """Parameters of a run that detects a mutation within few seeds."""
 
     faults: Faults = ALL_FAULTS
     members: int = 3
     settings: RaftSettings = SMALL_LIMITS
 
 
-# Some show in no run of this kind that is short enough: random walks of the model explorer come to them, or a
-# test leads there step by step.
+# Mutations that runs of acceptable length do not detect have no trial here. Random walks of the model
+# explorer detect them, or a test constructs the failing sequence of events.
 MUTATIONS: dict[type[Raft], Trial] = {
     SendsBeforeSync: Trial(SLOW_DISKS),
     VotesTwice: Trial(),
@@ -351,7 +355,7 @@
     KeepsConflictingEntries: Trial(),
     SkipsConsistencyCheck: Trial(),
     CommitsUnmatchedEntries: Trial(),
-    LeaseIgnoresDrift: Trial(PARTITIONS, settings=LARGE_DRIFT),
+    LeaseIgnoresDrift: Trial(PARTITIONS, settings=LARGE_CLOCK_DRIFT),
     LeaseFromResponse: Trial(DELAYS),
     LeaseKeptDuringTransfer: Trial(TRANSFERS),
     SkipsReadConfirmation: Trial(),
@@ -365,12 +369,12 @@
 FOUND_BY_WALKS: tuple[type[Raft], ...] = (VoteNotSynced, CountsStaleVotes, VotesTwice)
 
 
-def find(mutation: type[Raft], seeds: range, seconds: float = 20.0) -> Violation | None:
-    """The first seed whose run shows the mutation, and the invariant that it breaks."""
+def find_violation(mutation: type[Raft], seeds: range, duration_s: float = 20.0) -> Violation | None:
+    """Returns the violation of the first seed whose run detects the mutation, or None."""
     trial = MUTATIONS[mutation]
     for seed in seeds:
         try:
-            Simulation(seed, trial.members, mutation, trial.faults, trial.settings).run(seconds)
+            Simulation(seed, trial.members, mutation, trial.faults, trial.settings).run(duration_s)
         except AssertionError as violation:
             return Violation(seed, str(violation))
     return None
--- a/gradegap/verification/simulator.py
+++ b/gradegap/verification/simulator.py
@@ -1,8 +1,8 @@
-"""A cluster of consensus cores in virtual time, under a network, disks, clocks and processes that fail.
+"""Simulator of a Raft cluster in virtual time, with faults of the network, disks, clocks and processes.
 
-One seed gives one run. Members are the very cores that daemons run, driven as daemons drive them: what is
-to be durable is written by a disk that takes its time and forgets, at a crash, what it had not synced.
-Models: FoundationDB's and TigerBeetle's simulators.
+A run is determined by its seed. The members are the cores that daemons run, driven in the way daemons drive
+them: durable state is written to a simulated disk with latency, which loses unsynced writes in a crash. The
+design follows the simulators of FoundationDB and TigerBeetle.
 """
 
 from __future__ import annotations
@@ -17,12 +17,13 @@
 from gradegap.verification.raft_member import SimulatedMember
 
 LEASE_CHECK_INTERVAL_S = 0.01
-CALM_S = 9.0  # within which a cluster without faults has a leader, and its members have caught up
-MAX_LAG = 40  # entries that a member may be behind then: proposals go on
+# Time within which a cluster without faults must have a leader, and its members must have caught up.
+CONVERGENCE_TIMEOUT_S = 9.0
+MAX_LAG_ENTRIES = 40  # entries that a member may then still lack, because proposals continue
 
 
 class Simulation(SimulatedCluster):
-    """One run: a cluster under load and faults, with its leases checked all the time."""
+    """One run of a cluster under load and faults. Leases are checked at short intervals."""
 
     def __init__(
         self,
@@ -33,7 +34,7 @@
         raft_settings: RaftSettings | None = None,
     ) -> None:
         super().__init__(seed, members, raft_class, faults or Faults(), raft_settings or SMALL_LIMITS)
-        self.proposed: dict[bytes, tuple[int, int]] = {}  # by command: the index and term of its entry
+        self.proposed: dict[bytes, tuple[int, int]] = {}  # command to index and term of its entry
         self.after(0.0, self._propose)
         self.after(0.0, FaultInjector(self).inject)
         self.after(0.0, self._check_leases)
@@ -42,14 +43,14 @@
         leader = self.leader()
         if leader is not None and leader.raft is not None:
             try:
-                self._request(leader, leader.raft)
+                self._issue_requests(leader, leader.raft)
             except RequestRejectedError as error:
                 self.count_rejection(error)
-            leader.settle()
+            leader.process_ready()
         self.after(self.rng.expovariate(self.faults.proposals_per_s), self._propose)
 
-    def _request(self, leader: SimulatedMember, raft: Raft) -> None:
-        """A few commands at once, and now and then a read."""
+    def _issue_requests(self, leader: SimulatedMember, raft: Raft) -> None:
+        """Propose one or three commands, and request a read with probability 0.5."""
         for _ in range(self.rng.choice([1, 1, 3])):
             command = b"c%d" % len(self.proposed)
             index = raft.propose(leader.now, command)
@@ -61,20 +62,20 @@
             raft.read_index(leader.now, request_id)
 
     def _check_leases(self) -> None:
-        self.invariants.leases(
+        self.invariants.check_leases(
             (member.raft, member.now)
             for member in self.members.values()
-            if member.raft is not None and member.running
+            if member.raft is not None and member.is_running
         )
         self.after(LEASE_CHECK_INTERVAL_S, self._check_leases)
 
-    # The end
+    # End of a run
 
-    def calm(self) -> None:
-        """End all faults; every member must come to the same state, with all that was acknowledged.
+    def check_convergence(self) -> None:
+        """End all faults, and check that the cluster elects a leader and that all members catch up.
 
         Raises:
-            InvariantError: There is no leader, a member does not catch up, or no read was ever confirmed.
+            InvariantError: There is no leader, a member does not catch up, or the run confirmed no read.
         """
         self.faults = NO_FAULTS
         self.broken_links.clear()
@@ -82,25 +83,30 @@
             member.resume()
             if member.raft is None:
                 member.start()
-        self.run(CALM_S - 1.0)
+        self.run(CONVERGENCE_TIMEOUT_S - 1.0)
         leader = self.leader()
         if leader is None or leader.raft is None:
-            raise InvariantError("liveness: no leader once all faults have ended")
+            raise InvariantError("liveness: no leader after all faults ended")
         self.run(1.0)
         members = [self.members[member.id] for member in leader.raft.configuration.members]
-        least = min(member.raft.applied_index for member in members if member.raft is not None)
-        if least < self.invariants.last_committed - MAX_LAG:
-            raise InvariantError("liveness: a member does not catch up")
+        min_applied_index = min(member.raft.applied_index for member in members if member.raft is not None)
+        if min_applied_index < self.invariants.last_committed - MAX_LAG_ENTRIES:
+            raise InvariantError(
+                "liveness: a member does not catch up: "
+                f"applied {min_applied_index} of {self.invariants.last_committed} entries"
+            )
         if not self.counts["reads"]:
             raise InvariantError("liveness: no read was confirmed")
 
     def acknowledged(self) -> list[bytes]:
-        """The commands whose entries were committed."""
+        """Returns the proposed commands whose entries were committed."""
         committed = self.invariants.committed.values()
-        done = {(entry.index, entry.term) for entry in committed if entry.kind is EntryKind.COMMAND}
-        return [command for command, entry in self.proposed.items() if entry in done]
+        committed_positions = {
+            (entry.index, entry.term) for entry in committed if entry.kind is EntryKind.COMMAND
+        }
+        return [command for command, entry in self.proposed.items() if entry in committed_positions]
 
     def digest(self) -> str:
-        """What tells two runs apart."""
-        body = msgspec.msgpack.encode(sorted(self.counts.items())) + b"".join(self.invariants.commands())
-        return f"{sum(body)}-{len(body)}-{len(self.invariants.leaders)}"
+        """Returns a digest of the run, which is equal for runs that are the same."""
+        content = msgspec.msgpack.encode(sorted(self.counts.items())) + b"".join(self.invariants.commands())
+        return f"{sum(content)}-{len(content)}-{len(self.invariants.leaders)}"
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -1,4 +1,4 @@
-"""The consensus core under the simulator: what must hold, and each mutation found."""
+"""Raft simulator: the consensus core keeps the invariants under faults, and each mutation is detected."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from gradegap.raft import Raft
 from gradegap.verification.errors import InvariantError
 from gradegap.verification.raft_faults import NO_FAULTS, Faults
-from gradegap.verification.raft_mutations import MUTATIONS, ForgetsPromiseAtRestart, find
+from gradegap.verification.raft_mutations import MUTATIONS, ForgetsPromiseAtRestart, find_violation
 from gradegap.verification.simulator import Simulation
 
-RUNS = 40  # seeds of the simulator in one run of the tests
-SECONDS = 15.0
-SEED = random.SystemRandom().randrange(1 << 30)  # printed with a failure: replay by setting it here
-MIXES = [
+RUN_COUNT = 40
+RUN_S = 15.0  # virtual time
+SEED = random.SystemRandom().randrange(1 << 30)  # a failure prints it; set it here to repeat the run
+FAULT_MIXES = [
     Faults(),
     Faults(membership_change=3.0),
     Faults(crash=2.5, restart_delays_s=(0.0, 0.3)),
@@ -25,63 +25,80 @@
 
 
 @pytest.mark.parametrize("batch", range(4))
-def test_no_run_breaks_an_invariant_and_all_come_to_one_state(batch: int) -> None:
-    for k in range(batch * RUNS // 4, (batch + 1) * RUNS // 4):
-        seed = k if k % 2 else SEED + k  # half of them known, half new
-        sim = Simulation(seed, (3, 3, 5)[k % 3], faults=MIXES[k % len(MIXES)])
+def test_simulation_under_faults_keeps_invariants_and_converges(batch: int) -> None:
+    for index in range(batch * RUN_COUNT // 4, (batch + 1) * RUN_COUNT // 4):
+        seed = index if index % 2 else SEED + index  # half of the seeds are fixed, half are new
+        simulation = Simulation(seed, (3, 3, 5)[index % 3], faults=FAULT_MIXES[index % len(FAULT_MIXES)])
         try:
-            sim.run(SECONDS)
-            sim.calm()
+            simulation.run(RUN_S)
+            simulation.check_convergence()
         except AssertionError as violation:
-            raise AssertionError(f"seed {seed}, run {k}: {violation}") from violation
-        commands = set(sim.invariants.commands())
-        assert commands and all(data in commands for data in sim.acknowledged())
+            raise AssertionError(f"seed {seed}, run {index}: {violation}") from violation
+        commands = set(simulation.invariants.commands())
+        assert commands and all(data in commands for data in simulation.acknowledged())
 
 
-def test_the_same_seed_gives_the_same_run() -> None:
-    def run() -> str:
-        sim = Simulation(7)
-        sim.run(10.0)
-        return sim.digest()
+def test_simulation_with_same_seed_repeats_the_run() -> None:
+    def run_digest() -> str:
+        simulation = Simulation(7)
+        simulation.run(10.0)
+        return simulation.digest()
 
-    assert run() == run()
+    assert run_digest() == run_digest()
 
 
 @pytest.mark.parametrize("seed", [5001, 5129, 5481])
-def test_a_leader_that_removes_itself_leaves_no_cluster_without_one(seed: int) -> None:
-    """The one that was removed alone had the log to be elected with, and did not call an election."""
-    sim = Simulation(seed, (3, 3, 5)[seed % 3], faults=MIXES[seed % len(MIXES)])
-    sim.run(SECONDS)
-    sim.calm()
+def test_leader_removing_itself_is_succeeded_by_another_leader(seed: int) -> None:
+    """The removed leader may be the only member whose log is complete enough to win an election.
 
+    The cluster stays without a leader if the removed member then does not call an election.
+    """
+    simulation = Simulation(seed, (3, 3, 5)[seed % 3], faults=FAULT_MIXES[seed % len(FAULT_MIXES)])
+    simulation.run(RUN_S)
+    simulation.check_convergence()
 
-@pytest.mark.parametrize("mutation", list(MUTATIONS), ids=lambda b: b.__name__)
-def test_the_simulator_finds_each_mutation(mutation: type[Raft]) -> None:
-    found = find(mutation, range(120))
-    assert found is not None, "no seed shows it"
+
+@pytest.mark.parametrize("mutation", list(MUTATIONS), ids=lambda raft_class: raft_class.__name__)
+def test_simulation_of_mutation_violates_an_invariant(mutation: type[Raft]) -> None:
+    found = find_violation(mutation, range(120))
+    assert found is not None, "no seed detects the mutation"
     print(mutation.__name__, found)
 
 
-def restarted_within_a_promise(core: type[Raft], seed: int) -> None:
-    """The leader is followed by one member; this restarts, reached by a third and no longer by the leader."""
-    sim = Simulation(seed, 3, core, dataclasses.replace(NO_FAULTS, proposals_per_s=1e-9))
-    sim.run(3.0)
-    leader = sim.leader()
+def restart_follower_within_promise(core: type[Raft], seed: int) -> None:
+    """Restart the leader's only follower while it can reach the third member but no longer the leader.
+
+    The follower and the third member elect one of them. They must not while the leader holds its lease,
+    to which the follower contributed before its restart.
+    """
+    simulation = Simulation(seed, 3, core, dataclasses.replace(NO_FAULTS, proposals_per_s=1e-9))
+    simulation.run(3.0)
+    leader = simulation.leader()
     assert leader is not None
-    follower, third = (n for n in sim.members.values() if n is not leader)
-    sim.broken_links = {(a, b) for a in sim.members for b in sim.members if third.name in (a, b)}
-    sim.run(1.0)
+    follower, third = (member for member in simulation.members.values() if member is not leader)
+    simulation.broken_links = {
+        (sender, recipient)
+        for sender in simulation.members
+        for recipient in simulation.members
+        if third.name in (sender, recipient)
+    }
+    simulation.run(1.0)
     assert leader.raft is not None and leader.raft.is_leader
     follower.crash()
     follower.start()
-    sim.broken_links = {(a, b) for a in sim.members for b in sim.members if leader.name in (a, b)}
-    sim.run(2.0)
-    assert any(n.raft is not None and n.raft.is_leader for n in (follower, third))
+    simulation.broken_links = {
+        (sender, recipient)
+        for sender in simulation.members
+        for recipient in simulation.members
+        if leader.name in (sender, recipient)
+    }
+    simulation.run(2.0)
+    assert any(member.raft is not None and member.raft.is_leader for member in (follower, third))
 
 
-def test_a_member_that_restarts_keeps_what_its_earlier_incarnation_promised() -> None:
+def test_restarted_member_keeps_promise_not_to_vote() -> None:
     for seed in range(40):
-        restarted_within_a_promise(Raft, seed)
+        restart_follower_within_promise(Raft, seed)
     with pytest.raises(InvariantError, match=r"^lease"):
         for seed in range(40):
-            restarted_within_a_promise(ForgetsPromiseAtRestart, seed)
+            restart_follower_within_promise(ForgetsPromiseAtRestart, seed)
