--- a/gradegap/verification/observer_cluster.py
+++ b/gradegap/verification/observer_cluster.py
@@ -1,4 +1,4 @@
-"""The world of the observer model: a log, control machines, nodes, and what connects them."""
+"""The world of the observer model: a log, control machines, nodes and their connections."""
 
 from __future__ import annotations
 
@@ -22,7 +22,10 @@
 
 
 class Cluster(NodeWorld, ControlWorld):
-    """All processes of a run. A mutation is another class of publisher or subscriber, or of holder names."""
+    """All processes of a run.
+
+    A mutation substitutes the class of publishers or subscribers, or has machines reuse their holder names.
+    """
 
     def __init__(
         self,
@@ -32,14 +35,14 @@
         faults: Faults,
         publisher_class: type[Publisher],
         subscriber_class: type[Subscriber],
-        same_holder_name: bool,
+        reuses_holder_name: bool,
     ) -> None:
         super().__init__(seed, faults)
         self.publisher_class, self.subscriber_class = publisher_class, subscriber_class
-        self.same_holder_name = same_holder_name
+        self.reuses_holder_name = reuses_holder_name
         self.log: list[bytes] = []
         self.reference = StateMachine()
-        self.invariants.committed(0, {})
+        self.invariants.record_committed(0, {})
         self.connections: dict[int, Connection] = {}
         self.connection_count = 0
         self.unreachable: set[tuple[Node, ControlMachine]] = set()
@@ -53,13 +56,13 @@
     # Connections
 
     def machine_addresses(self) -> list[MachineAddress]:
-        """The machines that serve subscriptions."""
+        """Returns the addresses of the machines that serve subscriptions."""
         return [MachineAddress(machine.name, "", machine.region) for machine in self.machines]
 
     def connect(self, node: Node, machine_name: str) -> Connection | None:
-        """An established connection to a machine; None where it can't be reached."""
+        """Returns an established connection to a machine, or None if the machine is unreachable."""
         machine = next(machine for machine in self.machines if machine.name == machine_name)
-        if not machine.running or (node, machine) in self.unreachable:
+        if not machine.is_running or (node, machine) in self.unreachable:
             return None
         self.connection_count += 1
         connection = Connection(self, self.connection_count, node, machine)
@@ -67,58 +70,62 @@
         return connection
 
     def connection(self, number: int) -> Connection | None:
-        """The connection of this number, while it is open."""
+        """Returns the connection with this number, or None after its end."""
         return self.connections.get(number)
 
     def forget_connection(self, number: int) -> None:
-        """A connection has ended."""
+        """Remove a connection that ended."""
         self.connections.pop(number, None)
 
     def connections_of(self, process: Process) -> list[Connection]:
-        """All connections that this process is a side of."""
-        return [c for c in self.connections.values() if process in (c.node, c.machine)]
+        """Returns all connections of a process."""
+        return [
+            connection
+            for connection in self.connections.values()
+            if process in (connection.node, connection.machine)
+        ]
 
     def close_connections_of(self, process: Process) -> None:
-        """End all connections that this process is a side of."""
+        """Close all connections of a process."""
         for connection in self.connections_of(process):
             connection.close()
 
     # The leader and the log
 
     def new_leader(self) -> None:
-        """A leader of the next term, who knows of no leases."""
+        """Start a leader of the next term, which does not know the leases granted before."""
         self.term += 1
         self.leader = Leader(self, self.term)
 
     def holder_name(self, machine: ControlMachine) -> str:
-        """A name under which no earlier incarnation of the machine held a lease."""
-        return machine.name if self.same_holder_name else f"{machine.name}.{machine.incarnation}"
+        """Returns a holder name that no earlier incarnation of the machine used, except under a mutation."""
+        return machine.name if self.reuses_holder_name else f"{machine.name}.{machine.incarnation}"
 
     def most_advanced_state(self) -> StateMachine:
-        """The replicated state of the machine that has applied most."""
+        """Returns the replicated state of the machine with the highest applied index."""
         return max(self.machines, key=lambda machine: machine.machine.index).machine
 
     def to_leader(self, machine: ControlMachine, action: Callable[[Leader], None]) -> None:
-        """A message from a machine to whoever leads: lost, late or duplicated."""
-        self._carry(machine, self._at_leader, action)
+        """Transmit a message from a machine to the current leader: it may be lost, delayed or duplicated."""
+        self._transmit(machine, self._arrive_at_leader, action)
 
-    def _at_leader(self, action: Callable[[Leader], None]) -> None:
+    def _arrive_at_leader(self, action: Callable[[Leader], None]) -> None:
         leader = self.leader
         if leader is not None:
             leader.perform(leader.incarnation, action, leader)
 
     def from_leader(self, machine: ControlMachine, action: Callable[[], None]) -> None:
-        """A message from the leader to a machine: lost, late or duplicated."""
-        self._carry(machine, action)
+        """Transmit a message from the leader to a machine: it may be lost, delayed or duplicated."""
+        self._transmit(machine, action)
 
-    def _carry(self, machine: ControlMachine, action: Callable[..., None], *arguments: object) -> None:
-        if machine.partitioned or self.rng.random() < self.faults.drop:
+    def _transmit(self, machine: ControlMachine, action: Callable[..., None], *arguments: object) -> None:
+        if machine.is_partitioned or self.rng.random() < self.faults.drop:
             return
         for _ in range(2 if self.rng.random() < self.faults.duplicate else 1):
             self.after(self.rng.uniform(0.001, 0.05), action, *arguments)
 
     def commit(self) -> int:
-        """Put a random change into the log; its index."""
+        """Append a random change to the log and return its index."""
         keys = self.rng.sample(KEYS, 2)
         number = len(self.log) + 1
         operations = tuple(
@@ -130,15 +137,15 @@
         entry = encode(LogRecord(0, 0, Command(f"c{number}", 1, 10**12, "model", (), operations)))
         self.log.append(entry)
         self.reference.apply(number, entry)
-        self.invariants.committed(self.reference.revision, subscribed_values(self.reference))
+        self.invariants.record_committed(self.reference.revision, subscribed_values(self.reference))
         return number
 
     # Whether a revision is in force
 
     def in_force(self, revision: int) -> InForceVerdict:
-        """Poll all machines that can be reached, at one moment."""
+        """Returns the verdict of all reachable machines at the current time."""
         tally = InForceTally(revision, [machine.name for machine in self.machines])
         for machine in self.machines:
-            if machine.running and not machine.paused and not machine.partitioned:
+            if machine.is_running and not machine.is_paused and not machine.is_partitioned:
                 tally.add_report(machine.publisher.report(machine.now, revision))
         return tally.verdict()
--- a/gradegap/verification/observer_connection.py
+++ b/gradegap/verification/observer_connection.py
@@ -1,4 +1,4 @@
-"""A connection between a node and a machine of the observer model, with a transport that may be slow."""
+"""A simulated connection between a node and a machine of the observer model. Its node may read slowly."""
 
 from __future__ import annotations
 
@@ -8,108 +8,108 @@
 from gradegap.observer.messages import FromPublisher, FromSubscriber
 from gradegap.verification.observer_process import Process, World
 
-HIGH_WATER_MESSAGES = 3  # on their way to a node, from which on its publisher pauses writing
-LOW_WATER_MESSAGES = 1  # at which it resumes
-MAX_QUEUED_MESSAGES = 12  # on their way to a node, ever
+HIGH_WATER_MESSAGES = 3  # in flight to a node: the publisher pauses writing
+LOW_WATER_MESSAGES = 1  # in flight to a node: the publisher resumes writing
+MAX_QUEUED_MESSAGES = 12  # in flight to a node; more violate an invariant
 
 
 class NodeSide(Process):
-    """A node, as its connection uses it."""
+    """The interface of a node that its connection uses."""
 
     connection: Connection | None
     subscribed_at: float
 
     @abstractmethod
     def receive(self, message: FromPublisher) -> None:
-        """A message arrived."""
+        """Handle a message."""
 
     @abstractmethod
     def receive_duplicate(self, connection: Connection, message: FromPublisher) -> None:
-        """A message arrived for the second time."""
+        """Handle a duplicate of a message."""
 
     @abstractmethod
     def connection_lost(self, connection: Connection) -> None:
-        """The connection ended."""
+        """Handle the end of a connection."""
 
 
 class MachineSide(Process):
-    """A control machine, as its connections use it."""
+    """The interface of a control machine that its connections use."""
 
     @abstractmethod
     def receive(self, connection: Connection, message: FromSubscriber) -> None:
-        """A message arrived."""
+        """Handle a message."""
 
     @abstractmethod
     def pause_writing(self, connection: Connection) -> None:
-        """Too much is on its way to the node."""
+        """Stop sending: too many messages are in flight to the node."""
 
     @abstractmethod
     def resume_writing(self, connection: Connection) -> None:
-        """The node has read."""
+        """Continue sending: the node has read messages."""
 
     @abstractmethod
     def connection_lost(self, connection: Connection) -> None:
-        """The connection ended."""
+        """Handle the end of a connection."""
 
 
 class Connection:
-    """In order, until it ends; each side learns of the end at its own time."""
+    """A connection that keeps the order of messages. The two sides learn of its end at different times."""
 
     def __init__(self, world: World, number: int, node: NodeSide, machine: MachineSide) -> None:
         self.world, self.number, self.node, self.machine = world, number, node, machine
         self.incarnations: dict[Process, int] = {node: node.incarnation, machine: machine.incarnation}
-        self.open = True
-        self.slow = world.rng.random() < world.faults.slow
-        self.queued = 0  # messages to the node
-        self.congested = False
-        self.arrivals: dict[Process, float] = {}  # of the last message to each side
+        self.is_open = True
+        self.is_slow = world.rng.random() < world.faults.slow
+        self.in_flight_count = 0  # messages to the node
+        self.is_congested = False
+        self.last_arrivals: dict[Process, float] = {}  # arrival time of the last message to each side
 
     def to_node(self, message: FromPublisher) -> None:
-        """Send; the publisher pauses when too much is on its way."""
-        self.queued += 1
-        self.world.invariants.bounded("messages to one node", self.queued, MAX_QUEUED_MESSAGES)
-        if self.queued >= HIGH_WATER_MESSAGES and not self.congested:
-            self.congested = True
+        """Send a message to the node. At the high-water mark the publisher pauses writing."""
+        self.in_flight_count += 1
+        self.world.invariants.check_bound("messages to one node", self.in_flight_count, MAX_QUEUED_MESSAGES)
+        if self.in_flight_count >= HIGH_WATER_MESSAGES and not self.is_congested:
+            self.is_congested = True
             self.machine.pause_writing(self)
-        self._carry(self.node, self._at_node, message)
+        self._transmit(self.node, self._arrive_at_node, message)
 
     def to_machine(self, message: FromSubscriber) -> None:
-        """Send."""
-        self._carry(self.machine, self.machine.receive, self, message)
+        """Send a message to the machine."""
+        self._transmit(self.machine, self.machine.receive, self, message)
 
-    def _carry(self, receiver: Process, action: Callable[..., None], *arguments: object) -> None:
+    def _transmit(self, receiver: Process, action: Callable[..., None], *arguments: object) -> None:
         rng, world = self.world.rng, self.world
         delay_s = rng.uniform(0.001, 0.03)
-        if receiver is self.node and self.slow and world.faults.slow:
+        if receiver is self.node and self.is_slow and world.faults.slow:
             delay_s += rng.uniform(0.05, 0.4)
-        # The very same moment, not one that rounding puts a little before the message ahead of it.
-        arrival = max(self.arrivals.get(receiver, 0.0), world.now + delay_s)
-        self.arrivals[receiver] = arrival
+        # An absolute time keeps the order: a delay could be rounded to a time just before the last arrival.
+        arrival = max(self.last_arrivals.get(receiver, 0.0), world.now + delay_s)
+        self.last_arrivals[receiver] = arrival
         world.at(arrival, self._arrive, receiver, action, arguments)
 
     def _arrive(self, receiver: Process, action: Callable[..., None], arguments: tuple[object, ...]) -> None:
-        if self.open:
+        if self.is_open:
             receiver.perform(self.incarnations[receiver], action, *arguments)
 
-    def _at_node(self, message: FromPublisher) -> None:
-        self.queued -= 1
+    def _arrive_at_node(self, message: FromPublisher) -> None:
+        self.in_flight_count -= 1
         if self.node.connection is self:
             self.node.receive(message)
             if self.world.rng.random() < self.world.faults.duplicate:
-                self.world.after(self.world.rng.choice([0.0, 0.1]), self._duplicate, message)
-        if self.congested and self.queued <= LOW_WATER_MESSAGES:
-            self.congested = False
+                self.world.after(self.world.rng.choice([0.0, 0.1]), self._deliver_duplicate, message)
+        if self.is_congested and self.in_flight_count <= LOW_WATER_MESSAGES:
+            self.is_congested = False
             self.machine.perform(self.incarnations[self.machine], self.machine.resume_writing, self)
 
-    def _duplicate(self, message: FromPublisher) -> None:
-        if self.open and self.node.connection is self:
+    def _deliver_duplicate(self, message: FromPublisher) -> None:
+        if self.is_open and self.node.connection is self:
             self.node.perform(self.incarnations[self.node], self.node.receive_duplicate, self, message)
 
     def close(self) -> None:
-        """End it: what is on its way is lost, and each side learns of it at its own time."""
-        if not self.open:
+        """Close the connection. Messages in flight are lost; each side is notified after a random delay."""
+        if not self.is_open:
             return
-        self.open = False
+        self.is_open = False
         self.world.forget_connection(self.number)
         for side in (self.node, self.machine):
             self.world.after(self.world.rng.choice([0.0, 0.05, 0.5]), self._notify, side)
--- a/gradegap/verification/observer_faults.py
+++ b/gradegap/verification/observer_faults.py
@@ -1,4 +1,4 @@
-"""What may go wrong in a run of the observer model, and the small limits that it runs under."""
+"""Fault probabilities of a run of the observer model, and the small limits that it uses."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from gradegap.observer.limits import Limits
 
-TICK_S = 0.02  # of virtual time between two looks of a process at its clock
-MACHINE_LEASE_S = 1.0  # of a machine from the leader
-MAX_CLOCK_DRIFT = 0.1  # how much faster one clock may run than another, as a fraction
-NEVER = -1e18  # a time before every other
+TICK_S = 0.02  # longest interval between two ticks of a process, in virtual time
+MACHINE_LEASE_S = 1.0  # lease that the leader grants to a machine
+MAX_CLOCK_DRIFT = 0.1  # largest difference between the rates of two clocks, as a fraction
+NEVER = -1e18  # time of an event that has not happened: earlier than all times of a run
 
-# Small, so that everything is cut in pieces, rejected and waited for.
+# Small, so that runs include split transfers, rejections and waits.
 LIMITS = Limits(
     renew_interval_s=0.3 * MACHINE_LEASE_S,
     max_clock_drift=MAX_CLOCK_DRIFT,
@@ -39,23 +39,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Faults:
-    """Probabilities a second for the whole cluster, or for each message or connection."""
+    """Probabilities of faults: per second for the whole cluster, or for each message or connection."""
 
     crash_node: float = 0.6
     crash_machine: float = 0.3
     pause: float = 0.8
-    reset: float = 1.0  # one connection ends
-    partition: float = 0.4  # of a machine, from the leader and the log or from nodes
+    reset: float = 1.0  # of one connection
+    partition: float = 0.4  # of a machine: either from the leader and the log, or from nodes
     leader_change: float = 0.15
     compact: float = 0.5
-    install: float = 0.2  # of a snapshot, at a machine that is behind
-    twin: float = 0.1  # a second process under a node's name
-    leave: float = 0.2  # a planned stop of a node
-    duplicate: float = 0.02  # of a message, at once or later
+    install: float = 0.2  # of a snapshot on a machine that lags behind
+    duplicate_node: float = 0.1  # start of a second process with the name of a node
+    leave: float = 0.2  # planned stop of a node
+    duplicate: float = 0.02  # of a message, immediately or later
     drop: float = 0.02  # of a message between machine and leader
-    slow: float = 0.2  # of a connection, whose node reads slowly
+    slow: float = 0.2  # of a connection: its node reads slowly
     writes_per_s: float = 12.0
-    drift: bool = True  # whether clocks run at different rates
+    has_clock_drift: bool = True  # whether clocks run at different rates
 
 
 NO_FAULTS = Faults(
@@ -67,7 +67,7 @@
     leader_change=0.0,
     compact=0.0,
     install=0.0,
-    twin=0.0,
+    duplicate_node=0.0,
     leave=0.0,
     duplicate=0.0,
     drop=0.0,
--- a/gradegap/verification/observer_invariants.py
+++ b/gradegap/verification/observer_invariants.py
@@ -1,4 +1,4 @@
-"""What must hold of observer subscriptions at every moment; a violation is raised with what was seen."""
+"""Invariants of observer subscriptions. A violation is raised as an error that states the observed values."""
 
 from __future__ import annotations
 
@@ -14,125 +14,130 @@
 
 
 class ObservedNode(Protocol):
-    """A node, as the invariants see it."""
+    """The interface of a node that the invariants use."""
 
     name: str
-    running: bool
+    is_running: bool
     values: dict[str, object]
     subscriber: Subscriber
 
     @property
     def now(self) -> float:
-        """What its steady clock says."""
+        """The time of the node's steady clock, in seconds."""
 
 
 def subscribed_values(machine: StateMachine) -> dict[str, object]:
-    """What nodes are to have of this state."""
+    """Returns the part of a state that nodes must have: the values of the subscribed keys."""
     return {key: item.value for key, item in machine.items.items() if is_subscribed(key)}
 
 
 class ObserverInvariants:
-    """Sees the log, every node after every step, and every acknowledged write."""
+    """Checks the nodes after each of their steps against the log and all acknowledged writes."""
 
     def __init__(self) -> None:
-        self.states: dict[int, dict[str, object]] = {}  # by revision
-        self.changes: list[int] = []  # revisions that changed a subscribed key
-        self.revisions: dict[ObservedNode, int] = {}  # of each running process, as last seen
+        self.states: dict[int, dict[str, object]] = {}  # revision to the subscribed values
+        self.subscribed_change_revisions: list[int] = []  # revisions that changed a subscribed key
+        self.revisions: dict[ObservedNode, int] = {}  # last observed revision of each process
         self.acknowledged_revision = 0
         self.acknowledgements = 0
-        self.fresh_looks = 0
+        self.lease_checks = 0
 
-    # What the model tells
+    # Events of the model
 
-    def committed(self, revision: int, values: dict[str, object]) -> None:
-        """The log came to this revision."""
+    def record_committed(self, revision: int, values: dict[str, object]) -> None:
+        """Record the subscribed values of the log at a revision."""
         if revision not in self.states:
             if self.states and self.states[revision - 1] != values:
-                self.changes.append(revision)
+                self.subscribed_change_revisions.append(revision)
             self.states[revision] = values
 
-    def acknowledged(self, revision: int) -> None:
-        """A write that binds was acknowledged: from now on nobody may decide without it."""
+    def record_acknowledged(self, revision: int) -> None:
+        """Record an acknowledged write. From now on no node without the write may hold a lease."""
         self.acknowledgements += 1
         self.acknowledged_revision = max(self.acknowledged_revision, revision)
         for node in self.revisions:
-            self._decides_by_all_acknowledged(node)
+            self._check_lease(node)
 
-    def started(self, node: ObservedNode) -> None:
-        """A new incarnation of a process."""
+    def record_started(self, node: ObservedNode) -> None:
+        """Record the start of a new incarnation of a process."""
         self.revisions[node] = 0
 
-    def ended(self, node: ObservedNode) -> None:
-        """A process that doesn't come back."""
+    def remove_node(self, node: ObservedNode) -> None:
+        """Forget a process that does not restart."""
         self.revisions.pop(node, None)
 
-    def applied(self, node: ObservedNode, apply: Apply) -> None:
-        """A node took changes over."""
+    def check_applied(self, node: ObservedNode, apply: Apply) -> None:
+        """Check a node that applied changes."""
         if apply.revision < self.revisions[node]:
             raise InvariantError(
                 f"backwards: {node.name} went from {self.revisions[node]} to {apply.revision}"
             )
         self.revisions[node] = apply.revision
-        self._state_is_of(node, apply.revision)
+        self._check_state(node, apply.revision)
 
-    def sent(self, node: ObservedNode, message: FromSubscriber) -> None:
-        """A node is about to send this."""
-        if isinstance(message, Renew) and not self._same(node, message.revision):
+    def check_sent(self, node: ObservedNode, message: FromSubscriber) -> None:
+        """Check a message that a node is about to send."""
+        if isinstance(message, Renew) and not self._has_state_of(node, message.revision):
             raise InvariantError(
-                f"acknowledged-unapplied: {node.name} acknowledges {message.revision} without having it"
+                f"acknowledged-unapplied: {node.name} acknowledges {message.revision} before applying it"
             )
 
-    def stepped(self, node: ObservedNode) -> None:
-        """A node has done a step."""
+    def check_stepped(self, node: ObservedNode) -> None:
+        """Check a node after a step."""
         revision = node.subscriber.revision
         if revision < self.revisions[node]:
             raise InvariantError(f"backwards: {node.name} went from {self.revisions[node]} to {revision}")
         if revision > self.revisions[node]:
             self.revisions[node] = revision
-            self._state_is_of(node, revision)
-        self._decides_by_all_acknowledged(node)
+            self._check_state(node, revision)
+        self._check_lease(node)
 
-    def in_force(self, revision: int, nodes: Iterable[ObservedNode]) -> None:
-        """The machines say that a revision is in force; these nodes are among theirs."""
-        needed = self._last_change(revision)
+    def check_in_force(self, revision: int, nodes: Iterable[ObservedNode]) -> None:
+        """Check the subscribed nodes of the machines when these report that a revision is in force."""
+        required_revision = self._last_subscribed_change(revision)
         for node in nodes:
-            if node.running and node.subscriber.revision < needed:
+            if node.is_running and node.subscriber.revision < required_revision:
                 raise InvariantError(
-                    f"in-force: {revision} is said to be, {node.name} is at {node.subscriber.revision}"
+                    f"in-force: {revision} is reported, but {node.name} is at {node.subscriber.revision}"
                 )
 
-    def bounded(self, what: str, size: int, most: int) -> None:
-        """Nothing grows without end."""
-        if size > most:
-            raise InvariantError(f"bounded: {size} {what}, more than {most}")
+    def check_bound(self, name: str, size: int, limit: int) -> None:
+        """Check that a queue or table is within its limit."""
+        if size > limit:
+            raise InvariantError(f"bounded: {size} {name}, more than {limit}")
 
-    def level(self, nodes: Iterable[ObservedNode], revision: int) -> None:
-        """After the faults all nodes have all, and may decide."""
+    def check_converged(self, nodes: Iterable[ObservedNode], revision: int) -> None:
+        """Check that all nodes have the state at `revision` and hold a lease, after all faults ended."""
         for node in nodes:
-            if not self._same(node, revision) or node.subscriber.revision < self._last_change(revision):
-                raise InvariantError(f"level: {node.name} is at {node.subscriber.revision} of {revision}")
+            if not self._has_state_of(
+                node, revision
+            ) or node.subscriber.revision < self._last_subscribed_change(revision):
+                raise InvariantError(
+                    f"level: {node.name} is at {node.subscriber.revision}, expected {revision}"
+                )
             if not node.subscriber.is_fresh(node.now):
                 raise InvariantError(f"level: {node.name} holds no lease")
 
-    # The rules
+    # Invariants
 
-    def _last_change(self, revision: int) -> int:
-        position = bisect_right(self.changes, revision)
-        return self.changes[position - 1] if position else 0
+    def _last_subscribed_change(self, revision: int) -> int:
+        position = bisect_right(self.subscribed_change_revisions, revision)
+        return self.subscribed_change_revisions[position - 1] if position else 0
 
-    def _same(self, node: ObservedNode, revision: int) -> bool:
+    def _has_state_of(self, node: ObservedNode, revision: int) -> bool:
         return node.values == self.states.get(revision)
 
-    def _state_is_of(self, node: ObservedNode, revision: int) -> None:
-        if not self._same(node, revision):
-            raise InvariantError(f"gap: {node.name} is at {revision} with another state than the log's")
+    def _check_state(self, node: ObservedNode, revision: int) -> None:
+        if not self._has_state_of(node, revision):
+            raise InvariantError(f"gap: {node.name} is at {revision}, but its state differs from the log's")
 
-    def _decides_by_all_acknowledged(self, node: ObservedNode) -> None:
-        if not node.running or not node.subscriber.is_fresh(node.now):
+    def _check_lease(self, node: ObservedNode) -> None:
+        if not node.is_running or not node.subscriber.is_fresh(node.now):
             return
-        self.fresh_looks += 1
-        needed = self._last_change(self.acknowledged_revision)
-        if node.subscriber.revision < needed:
+        self.lease_checks += 1
+        required_revision = self._last_subscribed_change(self.acknowledged_revision)
+        if node.subscriber.revision < required_revision:
             raise InvariantError(
-                f"lease: {node.name} decides by {node.subscriber.revision}, {needed} is acknowledged"
+                f"lease: {node.name} holds a lease at {node.subscriber.revision}, "
+                f"but {required_revision} is acknowledged"
             )
--- a/gradegap/verification/observer_mutations.py
+++ b/gradegap/verification/observer_mutations.py
@@ -1,4 +1,4 @@
-"""Known mistakes in observer subscriptions, one class each, to see that the model finds them."""
+"""Mutations of observer subscriptions: each class has one known mistake, which the model must detect."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class AppliesBackwards(Subscriber):
-    """A delta that comes again takes the node back to its revision."""
+    """A duplicate delta takes the node back to the revision of the delta."""
 
     def _receive_delta(self, now: float, delta: Delta) -> None:
         if delta.revision <= self.revision and not self.snapshot_parts:
@@ -30,18 +30,18 @@
 
 
 class TakesOlderSnapshots(Subscriber):
-    """A snapshot older than the delta before it is applied."""
+    """A snapshot is applied although the node has a later revision."""
 
     def _receive_snapshot_part(self, now: float, part: SnapshotPart) -> None:
-        kept = self.revision
-        self.revision = min(kept, part.revision)
+        own_revision = self.revision
+        self.revision = min(own_revision, part.revision)
         super()._receive_snapshot_part(now, part)
         if self.snapshot_parts:
-            self.revision = kept
+            self.revision = own_revision
 
 
 class AcknowledgesBeforeApplying(Subscriber):
-    """The Renew goes out before what it acknowledges is applied."""
+    """A Renew is sent before the changes that it acknowledges are applied."""
 
     def _emit_apply(self, now: float, revision: int, changes: tuple[Change, ...], is_snapshot: bool) -> None:
         self.renewal_serial += 1
@@ -51,7 +51,7 @@
 
 
 class LeaseFromResponse(Subscriber):
-    """The lease is counted from when the response came, not from when the request was sent."""
+    """The lease starts when the response arrives instead of when the request was sent."""
 
     def _receive_heartbeat(self, now: float, heartbeat: Heartbeat) -> None:
         if heartbeat.serial in self.unanswered_renewals:
@@ -60,15 +60,15 @@
 
 
 class LeaseWithoutDrift(Subscriber):
-    """The lease is as long as granted, whatever the clocks do."""
+    """The lease lasts as long as granted, without a margin for clock drift."""
 
     def _receive_heartbeat(self, now: float, heartbeat: Heartbeat) -> None:
-        longer = heartbeat.lease_s / (1.0 - self.limits.max_clock_drift)
-        super()._receive_heartbeat(now, Heartbeat(heartbeat.serial, heartbeat.revision, longer))
+        longer_lease_s = heartbeat.lease_s / (1.0 - self.limits.max_clock_drift)
+        super()._receive_heartbeat(now, Heartbeat(heartbeat.serial, heartbeat.revision, longer_lease_s))
 
 
 class AppliesPartialSnapshot(Subscriber):
-    """Each part of a snapshot takes effect when it comes."""
+    """Each part of a snapshot is applied when it arrives."""
 
     def _receive_snapshot_part(self, now: float, part: SnapshotPart) -> None:
         if not part.last:
@@ -77,10 +77,10 @@
 
 
 class KeepsTheLeaseAtLeave(Subscriber):
-    """The node tells the machine that it no longer decides, and goes on deciding."""
+    """The node announces to the machine that it no lease_s uses its lease, but continues to use it."""
 
     def leave(self, now: float) -> None:
-        """Leave with the lease still counted."""
+        """Leave, but keep the lease."""
         until = self.lease_until
         super().leave(now)
         self.lease_until = until
@@ -90,10 +90,10 @@
 
 
 class ForgetsLostGrants(Publisher):
-    """A node whose connection is lost is taken to decide no more."""
+    """The lease of a node is released when its connection is lost."""
 
     def disconnected(self, now: float, connection_id: int) -> None:
-        """Forget the lease along with the connection."""
+        """Release the lease and handle the end of the connection."""
         subscription = self.subscriptions.get(connection_id)
         if subscription is not None:
             self.lease_grants.release(subscription.lease_grant)
@@ -101,46 +101,46 @@
 
 
 class ForgetsDisplacedGrants(Publisher):
-    """The lease of a node's earlier incarnation ends with the subscription of the next."""
+    """The lease of a node's earlier incarnation is released when the next incarnation subscribes."""
 
     def _displace_earlier_connection(self, now: float, message: Subscribe) -> None:
-        old = self.by_node.get(message.node)
-        if old is not None:
-            self.lease_grants.release(old.lease_grant)
+        earlier = self.by_node.get(message.node)
+        if earlier is not None:
+            self.lease_grants.release(earlier.lease_grant)
         super()._displace_earlier_connection(now, message)
 
 
 class ForgetsTheGrantOfAnEarlierConnection(Publisher):
-    """A node that comes back begins with no lease, and that of its last connection is dropped."""
+    """When a node reconnects, the lease of its last connection is released."""
 
     def _resume_lease_grant(self, message: Subscribe) -> SubscriberLeaseGrant:
-        granted = self.disconnected_nodes.resume(message.node, message.instance)
-        if granted is not None:
-            self.lease_grants.release(granted)
+        grant = self.disconnected_nodes.resume(message.node, message.instance)
+        if grant is not None:
+            self.lease_grants.release(grant)
         return SubscriberLeaseGrant(message.revision)
 
 
 class MergesMarksUnsafely(Publisher):
-    """When the book of grants is full, changes that are merged take the index of the newest."""
+    """If the list of pending changes is full, merged changes take the index of the newest one."""
 
     def _follow_source(self, now: float) -> None:
-        marks, index = self.lease_grants.pending_changes, self.lease_grants.index
-        newest = marks[-1].revision if len(marks) == self.limits.max_pending_changes else 0
+        pending, index = self.lease_grants.pending_changes, self.lease_grants.index
+        newest_revision = pending[-1].revision if len(pending) == self.limits.max_pending_changes else 0
         super()._follow_source(now)
-        if newest and marks and marks[-1].revision > newest:
-            marks[-1].index_before = index
+        if newest_revision and pending and pending[-1].revision > newest_revision:
+            pending[-1].index_before = index
 
 
 class ReportsItsOwnIndex(Publisher):
-    """The machine tells the leader what it has applied itself."""
+    """The machine reports to the leader its own applied index instead of that of its nodes."""
 
     def safe_index(self, now: float) -> int:
-        """What this machine has."""
+        """Returns the index that this machine has applied."""
         return self.source.index
 
 
 class GrantsToNodesBehind(Publisher):
-    """A node is granted a lease whatever it lacks."""
+    """A node is granted a lease although it lacks acknowledged changes."""
 
     def _grant_lease(self, now: float, grant: SubscriberLeaseGrant) -> float:
         self.lease_grants.required_revision = 0
@@ -148,7 +148,7 @@
 
 
 class GrantsLongerThanItHas(Publisher):
-    """A lease of full length, however soon the machine's own ends."""
+    """A node is granted a lease of nearly full length, however soon the machine's own lease ends."""
 
     def _grant_lease(self, now: float, grant: SubscriberLeaseGrant) -> float:
         lease_s = super()._grant_lease(now, grant)
@@ -156,7 +156,7 @@
 
 
 class ConfirmsWhatWasNotSent(Publisher):
-    """The answer to a Renew carries the machine's revision, also to a reader that was not sent all."""
+    """The answer to a Renew has the machine's revision, even if the node was not sent all changes."""
 
     def _answer_renewal(self, now: float, subscription: Subscription, renew: Renew) -> None:
         subscription.sent_revision = self.revision
@@ -164,10 +164,10 @@
 
 
 class AcceptsNodesAhead(Publisher):
-    """A machine behind the node's revision accepts it, and serves what it has."""
+    """A machine accepts a node whose revision is later than the machine's own."""
 
     def subscribe(self, now: float, connection_id: int, message: Subscribe) -> None:
-        """Take the node for one at this machine's own revision."""
+        """Subscribe the node with at most this machine's revision."""
         revision = min(message.revision, self.revision)
         capped = Subscribe(
             message.version, message.node, message.instance, message.region, message.cluster, revision
@@ -176,88 +176,92 @@
 
 
 class ForgetsLostNodes(Publisher):
-    """A node whose connection is lost is left out of what is said to be in force."""
+    """Reports of whether a revision is in force ignore the nodes whose connection was lost."""
 
     def report(self, now: float, revision: int) -> MachineReport:
-        """Say nothing of nodes that were lost."""
+        """Returns the report without the lost nodes."""
         return msgspec.structs.replace(super().report(now, revision), lost=())
 
 
 class ForgetsItsRestart(Publisher):
-    """A machine that has just started speaks as if it knew all its nodes."""
+    """A machine that has just restarted reports as if it knew all its nodes."""
 
     def report(self, now: float, revision: int) -> MachineReport:
-        """Say nothing of the restart."""
+        """Returns the report without the restart."""
         return msgspec.structs.replace(super().report(now, revision), restarted=False)
 
 
 class QueuesWithoutBound(Publisher):
-    """Whether the transport has room is not looked at."""
+    """The publisher ignores backpressure of the transport."""
 
     def pause_writing(self, now: float, connection_id: int) -> None:
-        """Go on sending."""
+        """Continue sending."""
 
 
 @dataclass(frozen=True, slots=True)
 class Mutation:
-    """A mistake, the rule that it must be seen to break, and the faults that show it within few seeds."""
+    """A mistake, the invariant that it must violate, and the faults that detect it within few seeds."""
 
-    rule: str
+    invariant: str
     publisher: type[Publisher] = Publisher
     subscriber: type[Subscriber] = Subscriber
-    same_holder_name: bool = False
+    reuses_holder_name: bool = False
     faults: Faults = field(default_factory=Faults)
 
 
-REPEATS = Faults(duplicate=0.1)
-LOSSES = Faults(reset=4.0, partition=1.0)
-CHANGES = Faults(partition=2.0, leader_change=0.5)
-RESTARTS = Faults(crash_machine=2.0, reset=0.0)
+DUPLICATED_MESSAGES = Faults(duplicate=0.1)
+CONNECTION_LOSSES = Faults(reset=4.0, partition=1.0)
+LEADER_CHANGES = Faults(partition=2.0, leader_change=0.5)
+MACHINE_RESTARTS = Faults(crash_machine=2.0, reset=0.0)
 
 MUTATIONS: dict[str, Mutation] = {
-    "applies backwards": Mutation("backwards", subscriber=AppliesBackwards, faults=REPEATS),
-    "takes older snapshots": Mutation("backwards", subscriber=TakesOlderSnapshots, faults=REPEATS),
+    "applies backwards": Mutation("backwards", subscriber=AppliesBackwards, faults=DUPLICATED_MESSAGES),
+    "takes older snapshots": Mutation(
+        "backwards", subscriber=TakesOlderSnapshots, faults=DUPLICATED_MESSAGES
+    ),
     "acknowledges before applying": Mutation("acknowledged-unapplied", subscriber=AcknowledgesBeforeApplying),
-    "lease from the answer": Mutation("lease", subscriber=LeaseFromResponse, faults=LOSSES),
-    "lease without drift": Mutation("lease", subscriber=LeaseWithoutDrift, faults=LOSSES),
+    "lease from the answer": Mutation("lease", subscriber=LeaseFromResponse, faults=CONNECTION_LOSSES),
+    "lease without drift": Mutation("lease", subscriber=LeaseWithoutDrift, faults=CONNECTION_LOSSES),
     "applies half a snapshot": Mutation("gap", subscriber=AppliesPartialSnapshot),
-    "forgets lost grants": Mutation("lease", publisher=ForgetsLostGrants, faults=LOSSES),
-    "forgets displaced grants": Mutation("lease", publisher=ForgetsDisplacedGrants, faults=Faults(twin=2.0)),
+    "forgets lost grants": Mutation("lease", publisher=ForgetsLostGrants, faults=CONNECTION_LOSSES),
+    "forgets displaced grants": Mutation(
+        "lease", publisher=ForgetsDisplacedGrants, faults=Faults(duplicate_node=2.0)
+    ),
     "keeps the lease at leave": Mutation("lease", subscriber=KeepsTheLeaseAtLeave, faults=Faults(leave=3.0)),
     "forgets an earlier connection's grant": Mutation(
-        "lease", publisher=ForgetsTheGrantOfAnEarlierConnection, faults=LOSSES
+        "lease", publisher=ForgetsTheGrantOfAnEarlierConnection, faults=CONNECTION_LOSSES
     ),
     "merges marks unsafely": Mutation(
         "lease", publisher=MergesMarksUnsafely, faults=Faults(writes_per_s=40.0, slow=0.5, reset=3.0)
     ),
     "reports its own index": Mutation("lease", publisher=ReportsItsOwnIndex),
-    "grants to nodes behind": Mutation("lease", publisher=GrantsToNodesBehind, faults=CHANGES),
-    "grants longer than it has": Mutation("lease", publisher=GrantsLongerThanItHas, faults=CHANGES),
+    "grants to nodes behind": Mutation("lease", publisher=GrantsToNodesBehind, faults=LEADER_CHANGES),
+    "grants longer than it has": Mutation("lease", publisher=GrantsLongerThanItHas, faults=LEADER_CHANGES),
     "confirms what was not sent": Mutation("gap", publisher=ConfirmsWhatWasNotSent, faults=Faults(slow=0.5)),
-    "forgets lost nodes": Mutation("in-force", publisher=ForgetsLostNodes, faults=LOSSES),
-    "forgets its restart": Mutation("in-force", publisher=ForgetsItsRestart, faults=RESTARTS),
+    "forgets lost nodes": Mutation("in-force", publisher=ForgetsLostNodes, faults=CONNECTION_LOSSES),
+    "forgets its restart": Mutation("in-force", publisher=ForgetsItsRestart, faults=MACHINE_RESTARTS),
     "queues without bound": Mutation("bounded", publisher=QueuesWithoutBound, faults=Faults(slow=0.5)),
-    "restarts under its holder name": Mutation("lease", same_holder_name=True, faults=RESTARTS),
+    "restarts under its holder name": Mutation("lease", reuses_holder_name=True, faults=MACHINE_RESTARTS),
 }
 
 
-# A mistake of one side that the other bears: no rule is broken.
+# Mistakes of one side that the other side tolerates: no invariant is violated.
 TOLERATED: dict[str, Mutation] = {"accepts nodes ahead": Mutation("", publisher=AcceptsNodesAhead)}
 
 
-def find(mutation: Mutation, seeds: range, seconds: float = 15.0) -> Violation | None:
-    """The first seed whose run shows the mutation, and the invariant that it breaks."""
+def find_violation(mutation: Mutation, seeds: range, duration_s: float = 15.0) -> Violation | None:
+    """Returns the violation of the first seed whose run detects the mutation, or None."""
     for seed in seeds:
         model = Model(
             seed,
             faults=mutation.faults,
             publisher_class=mutation.publisher,
             subscriber_class=mutation.subscriber,
-            same_holder_name=mutation.same_holder_name,
+            reuses_holder_name=mutation.reuses_holder_name,
         )
         try:
-            model.run(seconds)
-            model.calm()
+            model.run(duration_s)
+            model.check_convergence()
         except InvariantError as violation:
             return Violation(seed, str(violation))
     return None
--- a/gradegap/verification/observer_node.py
+++ b/gradegap/verification/observer_node.py
@@ -1,4 +1,4 @@
-"""A node of the observer model: a process that decides by committed state."""
+"""A node of the observer model: a process that makes decisions based on committed state."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 
 class NodeWorld(World):
-    """What a node needs of its world."""
+    """The interface of the world that a node uses."""
 
     subscriber_class: type[Subscriber]
 
     @abstractmethod
     def machine_addresses(self) -> list[MachineAddress]:
-        """The machines that serve subscriptions."""
+        """Returns the addresses of the machines that serve subscriptions."""
 
     @abstractmethod
     def connect(self, node: Node, machine_name: str) -> Connection | None:
-        """An established connection to a machine; None where it can't be reached."""
+        """Returns an established connection to a machine, or None if the machine is unreachable."""
 
 
 class Node(NodeSide):
-    """Drives a subscriber as the process does."""
+    """Drives a subscriber in the way the node process does."""
 
     world: NodeWorld
 
@@ -36,12 +36,12 @@
         super().__init__(world, name)
         self.region = region
         self.connection: Connection | None = None
-        self.subscribed_at = NEVER  # when a machine last counted this incarnation as its subscriber
+        self.subscribed_at = NEVER  # last time at which a machine had a subscription of this incarnation
         self.values: dict[str, object] = {}
         self.subscriber: Subscriber
 
     def start(self) -> None:
-        """A new incarnation knows nothing."""
+        """Start a new incarnation without any state."""
         super().start()
         self.values = {}
         self.connection = None
@@ -51,61 +51,61 @@
         self.subscriber = self.world.subscriber_class(
             self.name, instance, self.region, addresses, LIMITS, self.now, self.world.fork_random()
         )
-        self.world.invariants.started(self)
+        self.world.invariants.record_started(self)
 
     def step(self) -> None:
-        """As the driver: tick, then carry out."""
+        """Tick the subscriber and process its outputs, as the driver does."""
         self.subscriber.tick(self.now)
-        self.settle()
+        self.process_outputs()
 
     def receive(self, message: FromPublisher) -> None:
-        """A message arrived."""
+        """Handle a message."""
         self.subscriber.receive(self.now, message)
-        self.settle()
+        self.process_outputs()
 
     def receive_duplicate(self, connection: Connection, message: FromPublisher) -> None:
-        """A message arrived for the second time."""
+        """Handle a duplicate of a message."""
         if self.connection is connection:
             self.world.counts["twice"] += 1
             self.receive(message)
 
     def connection_lost(self, connection: Connection) -> None:
-        """The connection ended."""
+        """Handle the end of a connection."""
         if self.connection is connection:
             self.connection = None
             self.subscriber.disconnected(self.now, "reset")
-            self.settle()
+            self.process_outputs()
 
     def leave(self) -> None:
         """Announce a planned stop."""
         self.subscriber.leave(self.now)
-        self.settle()
+        self.process_outputs()
         self.subscribed_at = NEVER
 
-    def settle(self) -> None:
-        """Carry out what the subscriber wants, in its order."""
+    def process_outputs(self) -> None:
+        """Process the subscriber's outputs in order."""
         for output in self.subscriber.take():
             match output:
                 case subscribing.Connect():
                     self.world.after(
-                        self.world.rng.uniform(0.001, 0.1), self._dial, self.incarnation, output.machine
+                        self.world.rng.uniform(0.001, 0.1), self._connect, self.incarnation, output.machine
                     )
                 case subscribing.Disconnect():
-                    self._hang_up()
+                    self._disconnect()
                 case subscribing.Send():
-                    self.world.invariants.sent(self, output.message)
+                    self.world.invariants.check_sent(self, output.message)
                     if self.connection is not None:
                         self.connection.to_machine(output.message)
                 case subscribing.Apply():
                     self._apply(output)
                 case subscribing.LeaseChanged():
                     self.world.counts["lease_changes"] += 1
-        self.world.invariants.stepped(self)
+        self.world.invariants.check_stepped(self)
 
-    def _dial(self, incarnation: int, address: MachineAddress) -> None:
-        self.perform(incarnation, self._dialed, address)
+    def _connect(self, incarnation: int, address: MachineAddress) -> None:
+        self.perform(incarnation, self._complete_connect, address)
 
-    def _dialed(self, address: MachineAddress) -> None:
+    def _complete_connect(self, address: MachineAddress) -> None:
         if self.connection is not None or self.subscriber.phase is not subscribing.Phase.CONNECTING:
             return
         self.connection = self.world.connect(self, address.name)
@@ -113,11 +113,11 @@
             self.subscriber.disconnected(self.now, "refused")
         else:
             self.subscriber.connected(self.now)
-        self.settle()
+        self.process_outputs()
 
-    def _hang_up(self) -> None:
+    def _disconnect(self) -> None:
         if self.connection is not None:
-            # What was sent before, a Leave among it, still arrives.
+            # The delay lets messages that were sent before arrive, such as a Leave.
             self.world.after(0.05, self.connection.close)
             self.connection = None
 
@@ -130,4 +130,4 @@
                 self.values.pop(change.key, None)
             else:
                 self.values[change.key] = change.value
-        self.world.invariants.applied(self, apply)
+        self.world.invariants.check_applied(self, apply)
