--- a/gradegap/verification/linearizability.py
+++ b/gradegap/verification/linearizability.py
@@ -1,8 +1,8 @@
-"""Whether a history of reads and writes of one key could have come from one copy of it.
+"""Checker of the linearizability of a history of reads and writes of one key.
 
-Wing and Gong's search with Lowe's memory of states already tried: operations overlap in time, and some order
-of them, that keeps those apart which were, must explain every answer. A write whose outcome nobody knows may
-have happened at any time after it began, or never.
+A history is linearizable if its operations have a total order that explains every result and keeps the order
+of operations that do not overlap in time. The search is that of Wing and Gong, with Lowe's cache of visited
+configurations. A write with an unknown outcome may have taken effect at any time after it started, or never.
 
 Sources: Wing and Gong, "Testing and Verifying Concurrent Objects" (1993); Lowe, "Testing for
 Linearizability" (2017).
@@ -16,11 +16,11 @@
 
 from gradegap.verification.errors import SearchLimitError
 
-NEVER_ENDED = float("inf")  # of an operation whose outcome is unknown
+NEVER_ENDED = float("inf")  # end time of an operation whose outcome is unknown
 
 
 class OperationKind(enum.Enum):
-    """What an operation does to the key."""
+    """The effect of an operation on the key."""
 
     READ = "read"
     WRITE = "write"
@@ -29,107 +29,122 @@
 
 @dataclass(slots=True, frozen=True)
 class Operation:
-    """A write of `value`, a read that gave it, or a compare-and-set from `expected` to it."""
+    """A write of `value`, a read that returned `value`, or a compare-and-set from `expected` to `value`.
+
+    `started` and `ended` are in seconds of any clock that is common to the history.
+    """
 
     kind: OperationKind
     value: object
     started: float
     ended: float = NEVER_ENDED
     expected: object = None
-    applied: bool | None = True  # of a compare-and-set: whether it was; None: unknown
+    applied: bool | None = True  # whether a compare-and-set took effect; None if unknown
 
     @classmethod
     def read(cls, value: object, started: float, ended: float) -> Operation:
-        """A read that gave `value`."""
+        """A read that returned `value`."""
         return cls(OperationKind.READ, value, started, ended)
 
     @classmethod
     def write(cls, value: object, started: float, ended: float = NEVER_ENDED) -> Operation:
-        """A write, whose outcome may be unknown."""
+        """A write of `value`. Without `ended` its outcome is unknown."""
         return cls(OperationKind.WRITE, value, started, ended)
 
     @classmethod
     def compare_and_set(
         cls, value: object, started: float, ended: float, expected: object, applied: bool | None
     ) -> Operation:
-        """A write of `value` where the key had `expected`."""
+        """A write of `value` on the condition that the key holds `expected`."""
         return cls(OperationKind.COMPARE_AND_SET, value, started, ended, expected, applied)
 
 
 def apply(state: object, operation: Operation) -> tuple[bool, object]:
-    """Whether the operation's answer fits this state, and the state after."""
+    """Returns whether the operation's result is possible in this state, and the state after the operation."""
     if operation.kind is OperationKind.READ:
         return state == operation.value, state
     if operation.kind is OperationKind.WRITE:
         return True, operation.value
-    holds = state == operation.expected
+    matches_expected = state == operation.expected
     if operation.applied is None:
-        return True, operation.value if holds else state
-    return holds == operation.applied, operation.value if holds else state
+        return True, operation.value if matches_expected else state
+    return matches_expected == operation.applied, operation.value if matches_expected else state
 
 
 def find_linearization(
     history: Iterable[Operation], initial: object = None, max_steps: int = 2_000_000
 ) -> list[Operation] | None:
-    """An order that explains the history, or None where there is none.
+    """Returns an order of operations that explains the history, or None if there is none.
 
     Raises:
-        SearchLimitError: No answer was found within `max_steps`.
+        SearchLimitError: The search did not end within `max_steps` steps.
     """
     operations = sorted(history, key=lambda operation: operation.started)
-    required = sum(1 for operation in operations if operation.ended != NEVER_ENDED)
+    required_count = sum(1 for operation in operations if operation.ended != NEVER_ENDED)
     taken: set[int] = set()
     order: list[int] = []
-    tried: set[tuple[frozenset[int], object]] = set()
-    # What to try next at each depth, with the state there.
+    visited: set[tuple[frozenset[int], object]] = set()
+    # For each depth of the search: the positions still to try, and the state before them.
     stack: list[tuple[list[int], object]] = [(candidates(operations, taken, 0), initial)]
-    lows = [0]  # at each depth: all operations before this one are taken
-    explained = steps = 0
+    first_untaken_positions = [0]  # for each depth: the first position that is not in the order yet
+    completed_count = steps = 0
     while stack:
-        if explained == required:
-            return [operations[k] for k in order]
+        if completed_count == required_count:
+            return [operations[position] for position in order]
         steps += 1
         if steps > max_steps:
-            raise SearchLimitError("the history is too large to be searched")
+            raise SearchLimitError(
+                f"history of {len(operations)} operations: no result within {max_steps} search steps"
+            )
         untried, state = stack[-1]
         if not untried:
             stack.pop()
-            lows.pop()
+            first_untaken_positions.pop()
             if order:
-                k = order.pop()
-                taken.discard(k)
-                explained -= operations[k].ended != NEVER_ENDED
+                position = order.pop()
+                taken.discard(position)
+                completed_count -= operations[position].ended != NEVER_ENDED
             continue
-        k = untried.pop()
-        fits, after = apply(state, operations[k])
-        if not fits:
+        position = untried.pop()
+        is_possible, next_state = apply(state, operations[position])
+        if not is_possible:
             continue
-        taken.add(k)
-        low = lows[-1]
-        while low < len(operations) and low in taken:
-            low += 1
-        configuration = (frozenset(x for x in taken if x >= low) | {-1 - low}, after)
-        if configuration in tried:
-            taken.discard(k)
+        taken.add(position)
+        first_untaken = first_untaken_positions[-1]
+        while first_untaken < len(operations) and first_untaken in taken:
+            first_untaken += 1
+        configuration = (
+            frozenset(other for other in taken if other >= first_untaken) | {-1 - first_untaken},
+            next_state,
+        )
+        if configuration in visited:
+            taken.discard(position)
             continue
-        tried.add(configuration)
-        order.append(k)
-        explained += operations[k].ended != NEVER_ENDED
-        lows.append(low)
-        stack.append((candidates(operations, taken, low), after))
-    return None if required else []
+        visited.add(configuration)
+        order.append(position)
+        completed_count += operations[position].ended != NEVER_ENDED
+        first_untaken_positions.append(first_untaken)
+        stack.append((candidates(operations, taken, first_untaken), next_state))
+    return None if required_count else []
 
 
-def candidates(operations: list[Operation], taken: set[int], low: int) -> list[int]:
-    """Which operations may come next: those that began before any other that is not taken yet had ended."""
+def candidates(operations: list[Operation], taken: set[int], first_untaken: int) -> list[int]:
+    """Returns the positions of the operations that may be next in the order, the preferred one last.
+
+    An operation may be next if it started before any other operation that is not in `taken` ended. All
+    operations before `first_untaken` are in `taken`.
+    """
     possible: list[int] = []
     earliest_end = NEVER_ENDED
-    for k in range(low, len(operations)):
-        if operations[k].started > earliest_end:
+    for position in range(first_untaken, len(operations)):
+        if operations[position].started > earliest_end:
             break
-        if k not in taken:
-            possible.append(k)
-            earliest_end = min(earliest_end, operations[k].ended)
-    possible = [k for k in possible if operations[k].started <= earliest_end]
-    # Tried last: what may never have happened.
-    return sorted(possible, key=lambda k: (operations[k].ended != NEVER_ENDED, -operations[k].started))
+        if position not in taken:
+            possible.append(position)
+            earliest_end = min(earliest_end, operations[position].ended)
+    possible = [position for position in possible if operations[position].started <= earliest_end]
+    # The last position is tried first: operations that may never have taken effect are tried last.
+    return sorted(
+        possible,
+        key=lambda position: (operations[position].ended != NEVER_ENDED, -operations[position].started),
+    )
--- a/gradegap/verification/sessions.py
+++ b/gradegap/verification/sessions.py
@@ -1,22 +1,23 @@
-"""Whether what clients, nodes and servers logged of resumable sessions keeps the rules.
+"""Checker of the logs that clients, nodes and servers write about resumable sessions.
 
     python -m gradegap.verification.sessions LOG [LOG ...]
 
-A log is one JSON object a line, each a `Record`; the order of a file is the order in which its writer saw
-things. Servers log through the save store that they share, so theirs is one file in one order. Nodes' own
-logs are read as they are (`from_node`). Each request's text must be its own: by it a client's request is
-found again at the servers, which know sessions and not clients. docs/design/resume.md has the formats.
-
-The rules, each with the word that a violation begins with:
-
-- `final`: each request that was asked has exactly one final answer, or its client was given a reason why not;
-- `order`: a client's answers come in the order of its requests, and none is passed over;
-- `twice`: no request ran twice, at whichever servers;
-- `lost`: what was answered has run, and its answer is the one that running it gave;
-- `sequence`: a session's requests ran in the order that they were asked in, without a gap;
-- `fence`: nothing ran under a generation of a session that a later one had taken over from;
-- `life`: each generation but the first was given by one node, once, and claimed at the servers at most once,
-  later ones later.
+A log has one JSON object per line, each a `Record`. The records of a file are in the order in which their
+writer observed the events. Servers log through the save store that they share, so their records are in one
+file and one order. The nodes' own logs are read in their own format (`from_node`). The text of each request
+must be unique: it identifies the request of a client at the servers, which know sessions but not clients.
+docs/design/resume.md describes the formats.
+
+The rules, each with the word that begins the message of a violation:
+
+- `final`: each request has exactly one final answer, or its client received a reason for its failure;
+- `order`: a client receives its answers in the order of its requests, without a gap;
+- `twice`: no request ran twice, on one server or on several;
+- `lost`: each answered request ran, and the answer is the result of that run;
+- `sequence`: the requests of a session ran in the order in which the client sent them, without a gap;
+- `fence`: no request ran under a generation of a session that a later generation had replaced;
+- `life`: each generation except the first was granted once, by one node, and claimed at the servers at most
+  once; generations were claimed in ascending order.
 """
 
 from __future__ import annotations
@@ -33,11 +34,11 @@
 
 
 class Record(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One thing that a client, node or server saw.
+    """An event that a client, node or server observed. `who` is the name of the observer.
 
-    `asked`, `answered` and `failed` are a client's, with its `who`, the `number` of its request and the
-    `text` asked, answered or failed with; `given` is a node's: it claimed generation `epoch` of `session`;
-    `claimed` and `ran` are a server's, the latter with the request's `text` and its `answer`.
+    Clients record `asked`, `answered` and `failed`, with the `number` of the request and the `text` of the
+    request, the answer or the failure. Nodes record `given`: the node granted generation `epoch` of
+    `session`. Servers record `claimed` and `ran`, the latter with the request's `text` and its `answer`.
     """
 
     what: RecordKind
@@ -50,118 +51,128 @@
 
 
 class _Execution(msgspec.Struct):
-    """A request that a server ran."""
+    """The first run of a request, and the number of its runs."""
 
     record: Record
     times: int = 1
 
 
 def violations(records: Iterable[Record]) -> Iterator[str]:
-    """Each violation of a rule, with what caused it; nothing for logs that keep them."""
+    """Yields a message for each violation of a rule.
+
+    Raises:
+        ValueError: Two requests have the same text.
+    """
     clients: dict[str, list[Record]] = defaultdict(list)
-    given: list[Record] = []
-    stored: dict[str, list[Record]] = defaultdict(list)
+    granted: list[Record] = []
+    server_records: dict[str, list[Record]] = defaultdict(list)
     for record in records:
         match record.what:
             case "asked" | "answered" | "failed":
                 clients[record.who].append(record)
             case "given":
-                given.append(record)
+                granted.append(record)
             case "claimed" | "ran":
-                stored[record.session].append(record)
-    ran: dict[str, _Execution] = {}
-    for session, seen in stored.items():
-        yield from _check_session(session, seen, ran)
-    yield from _check_generations(given, stored)
-    askers: dict[str, str] = {}  # by text
-    for who, seen in clients.items():
-        yield from _check_client(who, seen, ran, askers)
-
-
-def _check_session(session: str, seen: list[Record], ran: dict[str, _Execution]) -> Iterator[str]:
-    """One session's part of the save store's log."""
-    epoch = last = 0
-    for record in seen:
+                server_records[record.session].append(record)
+    executions: dict[str, _Execution] = {}
+    for session, own_records in server_records.items():
+        yield from _check_session(session, own_records, executions)
+    yield from _check_generations(granted, server_records)
+    client_by_text: dict[str, str] = {}  # text of a request to the name of its client
+    for who, own_records in clients.items():
+        yield from _check_client(who, own_records, executions, client_by_text)
+
+
+def _check_session(session: str, records: list[Record], executions: dict[str, _Execution]) -> Iterator[str]:
+    """Check the servers' records of one session, and add its runs to `executions`."""
+    epoch = last_number = 0
+    for record in records:
         if record.what == "claimed":
             if record.epoch <= epoch:
-                yield f"life: {record.who} claimed life {record.epoch} of {session} when {epoch} was in force"
+                yield (
+                    f"life: {record.who} claimed generation {record.epoch} of {session}, {epoch} is in force"
+                )
             epoch = max(epoch, record.epoch)
             continue
         if record.epoch != epoch:
             yield (
-                f"fence: {record.who} ran {record.text!r} under life {record.epoch} of {session}, "
+                f"fence: {record.who} ran {record.text!r} under generation {record.epoch} of {session}, "
                 f"{epoch} is in force"
             )
-        known = ran.get(record.text)
-        if known is not None:
-            known.times += 1
-            yield f"twice: {record.text!r} ran at {known.record.who} and at {record.who}"
+        earlier = executions.get(record.text)
+        if earlier is not None:
+            earlier.times += 1
+            yield f"twice: {record.text!r} ran at {earlier.record.who} and at {record.who}"
             continue
-        ran[record.text] = _Execution(record)
-        if record.number != last + 1:
-            yield f"sequence: request {record.number} of {session} ran after {last}, at {record.who}"
-        last = record.number
+        executions[record.text] = _Execution(record)
+        if record.number != last_number + 1:
+            yield f"sequence: request {record.number} of {session} ran after {last_number}, at {record.who}"
+        last_number = record.number
 
 
-def _check_generations(given: list[Record], stored: dict[str, list[Record]]) -> Iterator[str]:
-    """Generations that nodes gave, beside those that servers claimed."""
-    givers: dict[tuple[str, int], str] = {}
-    for record in given:
+def _check_generations(granted: list[Record], server_records: dict[str, list[Record]]) -> Iterator[str]:
+    """Check the generations that nodes granted against those that were claimed at servers."""
+    grantors: dict[tuple[str, int], str] = {}
+    for record in granted:
         generation = record.session, record.epoch
-        if generation in givers:
+        if generation in grantors:
             yield (
-                f"life: {record.epoch} of {record.session} was given by {givers[generation]} "
+                f"life: generation {record.epoch} of {record.session} was granted by {grantors[generation]} "
                 f"and by {record.who}"
             )
-        givers[generation] = record.who
-    for session, seen in stored.items():
-        for record in seen:
-            if record.what == "claimed" and record.epoch > 1 and (session, record.epoch) not in givers:
-                yield f"life: {record.who} claimed life {record.epoch} of {session}, which no node gave"
+        grantors[generation] = record.who
+    for session, records in server_records.items():
+        for record in records:
+            if record.what == "claimed" and record.epoch > 1 and (session, record.epoch) not in grantors:
+                yield (
+                    f"life: {record.who} claimed generation {record.epoch} of {session}, "
+                    "which no node granted"
+                )
 
 
 def _check_client(
-    who: str, seen: list[Record], ran: dict[str, _Execution], askers: dict[str, str]
+    who: str, records: list[Record], executions: dict[str, _Execution], client_by_text: dict[str, str]
 ) -> Iterator[str]:
-    """One client's log beside what ran."""
-    asked: dict[int, str] = {}
-    ended: dict[int, str] = {}
-    answered = 0
-    for record in seen:
+    """Check the log of one client against the runs of its requests."""
+    requests: dict[int, str] = {}
+    outcomes: dict[int, str] = {}
+    last_answered = 0
+    for record in records:
         name = f"request {record.number} of {who}"
         if record.what == "asked":
-            if record.text in askers:
+            if record.text in client_by_text:
                 raise ValueError(
-                    f"{name} and one of {askers[record.text]} have one text, and can't be told apart"
+                    f"{name} and one of {client_by_text[record.text]} "
+                    f"have the same text {record.text!r}, expected unique texts"
                 )
-            askers[record.text] = who
-            asked[record.number] = record.text
+            client_by_text[record.text] = who
+            requests[record.number] = record.text
             continue
-        if record.number not in asked:
-            yield f"final: {name} was never asked, and was {record.what}"
+        if record.number not in requests:
+            yield f"final: {name} was {record.what} but never asked"
             continue
-        if record.number in ended:
-            yield f"final: {name} was {ended[record.number]}, and then {record.what}"
+        if record.number in outcomes:
+            yield f"final: {name} was {outcomes[record.number]}, and then {record.what}"
             continue
-        ended[record.number] = record.what
+        outcomes[record.number] = record.what
         if record.what == "failed":
             continue
-        if record.number != answered + 1:
-            yield f"order: {name} was answered after {answered}"
-        answered = max(answered, record.number)
-        execution = ran.get(asked[record.number])
+        if record.number != last_answered + 1:
+            yield f"order: {name} was answered after {last_answered}"
+        last_answered = max(last_answered, record.number)
+        execution = executions.get(requests[record.number])
         if execution is None:
-            yield f"lost: {name} was answered, and ran nowhere"
+            yield f"lost: {name} was answered but did not run"
         elif execution.record.answer != record.text:
-            yield f"lost: {name} was answered {record.text!r}, where it gave {execution.record.answer!r}"
+            yield f"lost: {name} was answered {record.text!r}, its run returned {execution.record.answer!r}"
         elif execution.record.number != record.number:
             yield f"sequence: {name} ran as number {execution.record.number}"
-    for number in asked.keys() - ended.keys():
+    for number in requests.keys() - outcomes.keys():
         yield f"final: request {number} of {who} has no answer"
 
 
 def from_node(name: str, log: str) -> Iterator[Record]:
-    """The generations that a node's log says it gave."""
+    """Yields a record for each generation that a node granted according to its log."""
     for line in log.splitlines():
         if 'event="life of a session given"' in line:
             fields = dict(part.split("=", 1) for part in line.split() if "=" in part)
@@ -169,7 +180,10 @@
 
 
 def main(paths: list[str]) -> int:
-    """Check the logs at these paths; the exit code."""
+    """Check the logs at `paths` and print the violations.
+
+    Returns 0 if there are none, 1 if there are any, and 2 if the logs cannot be read.
+    """
     records: list[Record] = []
     try:
         for path in paths:
@@ -177,7 +191,7 @@
             records += [msgspec.json.decode(line, type=Record) for line in text.splitlines()]
         found = list(violations(records))
     except (OSError, ValueError) as error:
-        print(f"the logs can't be read: {error}", file=sys.stderr)
+        print(f"cannot read the logs: {error}", file=sys.stderr)
         return 2
     print("\n".join(found) if found else f"{len(records)} records keep the rules")
     return 1 if found else 0
