--- a/conformance/__init__.py
+++ b/conformance/__init__.py
@@ -1,1 +1,1 @@
-"""Suites that hold a server to its protocol, from outside, against any address."""
+"""Black-box conformance suites, which test a server at any address against its protocol's specification."""
--- a/conformance/quic/case.py
+++ b/conformance/quic/case.py
@@ -1,4 +1,4 @@
-"""What a case is, and lists of cases that a decorator fills."""
+"""The types of conformance cases and of the server under test, and a decorator that registers cases."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class NotApplicableError(Exception):
-    """The server lacks the optional feature that a case is about; the message names it."""
+    """The server lacks the optional feature that a case tests; the message names the feature."""
 
 
 @dataclass(slots=True, frozen=True)
 class Target:
-    """The server under test, and the application protocol that it speaks."""
+    """The server under test and its application protocol (ALPN)."""
 
     address: Address
     alpn: str
@@ -25,9 +25,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Case:
-    """One requirement, the section of the RFCs that it is from, and the function that checks it.
+    """One requirement, its RFC and section, and the function that checks it.
 
-    The function raises `AssertionError`, `OSError` or `ValueError` where the server does not meet it.
+    The function raises `AssertionError`, `OSError` or `ValueError` if the server violates the requirement.
     """
 
     section: str
@@ -39,7 +39,7 @@
     """The cases of one module, in the order of their definition."""
 
     def add(self, section: str, requirement: str) -> Callable[[CaseFunction], CaseFunction]:
-        """Decorate a function that checks a requirement of a section, as `9000 19.7` for RFC 9000, 19.7."""
+        """Register the decorated function as the check of a requirement; `9000 19.7` is RFC 9000, 19.7."""
 
         def register(run: CaseFunction) -> CaseFunction:
             self.append(Case(section, requirement, run))
--- a/conformance/quic/cases/__init__.py
+++ b/conformance/quic/cases/__init__.py
@@ -1,4 +1,4 @@
-"""All cases, in the order in which the suite runs and reports them."""
+"""All cases, in the order of execution."""
 
 from __future__ import annotations
 
--- a/conformance/quic/cases/closing.py
+++ b/conformance/quic/cases/closing.py
@@ -1,4 +1,4 @@
-"""Resets, closed connections, key updates and packets that can't be read."""
+"""Stateless resets, closed connections, key updates and packets that can't be decrypted."""
 
 from __future__ import annotations
 
@@ -12,25 +12,26 @@
 cases = CaseList()
 
 
-@cases.add("9000 10.3", "a reset is shorter than what provoked it, and 21 octets or more")
+@cases.add("9000 10.3", "a stateless reset is shorter than its trigger and at least 21 octets long")
 def _stateless_reset_is_shorter_than_its_trigger(target: Target) -> None:
     client = connect(target)
     client.run_for(0.1)
-    old = client.quic._peer_cid.cid
+    retired_id = client.quic._peer_cid.cid
     client.quic.change_connection_id()
     assert client.is_alive()
-    client.run_for(4.0)  # by now the old id is retired for long, and the server's own all the same
-    came = 0
+    # Longer than a server may treat packets to a retired id as late; the id still names the server.
+    client.run_for(4.0)
+    answer_count = 0
     for size in (21, 22, 40, 60, 1200):
-        for got in exchange_datagram(target.address, (b"\x41" + old).ljust(size, b"\x55"), 0.2):
-            came += 1
-            assert 21 <= len(got) < size, f"{len(got)} octets for {size}"
-            assert got[0] & 0xC0 == 0x40, "it does not look like a packet"
-    if not came:
+        for answer in exchange_datagram(target.address, (b"\x41" + retired_id).ljust(size, b"\x55"), 0.2):
+            answer_count += 1
+            assert 21 <= len(answer) < size, f"{len(answer)} octets for a trigger of {size}"
+            assert answer[0] & 0xC0 == 0x40, "the reset does not look like a packet with a short header"
+    if not answer_count:
         raise NotApplicableError("the server sends no stateless resets")
 
 
-@cases.add("9000 10.2", "a connection that its client has closed leads nowhere")
+@cases.add("9000 10.2", "packets of a connection that its client has closed are not served")
 def _closed_connection_is_not_served(target: Target) -> None:
     client = connect(target)
     client.run_for(0.1)
@@ -38,8 +39,8 @@
     client.quic.close(error_code=0, reason_phrase="")
     client.flush()
     client.run_for(QUIET_PERIOD_S)
-    got = exchange_datagram(target.address, b"\x41" + cid + secrets.token_bytes(60))
-    assert all(len(datagram) <= 60 for datagram in got)
+    answers = exchange_datagram(target.address, b"\x41" + cid + secrets.token_bytes(60))
+    assert all(len(datagram) <= 60 for datagram in answers)
 
 
 @cases.add("9001 6", "the client's key update is followed")
@@ -52,7 +53,7 @@
         client.run_for(0.1)
 
 
-@cases.add("9001 5.5", "packets of a session that can't be opened do not end it")
+@cases.add("9001 5.5", "packets that can't be decrypted do not end the connection")
 def _undecryptable_packets_are_ignored(target: Target) -> None:
     client = connect(target)
     for _ in range(20):
@@ -60,11 +61,11 @@
     assert client.is_alive()
 
 
-@cases.add("9287 3", "a fixed bit of 0 is taken only where the server has said so")
+@cases.add("9287 3", "a fixed bit of 0 is accepted only if the server has sent grease_quic_bit")
 def _cleared_fixed_bit_needs_greasing(target: Target) -> None:
     client = connect(target)
     if b"\x6a\xb2" in (getattr(client.quic, "_received_parameters", b"") or b""):
-        raise NotApplicableError("the server greases the bit")
+        raise NotApplicableError("the server supports grease_quic_bit")
     client.quic.send_stream_data(0, b"PING\r\n")
     for datagram, _ in client.quic.datagrams_to_send(now=time.time()):
         client.send_datagram(bytes([datagram[0] & ~FIXED_BIT]) + datagram[1:])
--- a/conformance/quic/cases/frames.py
+++ b/conformance/quic/cases/frames.py
@@ -1,4 +1,4 @@
-"""Frames that a client must not send, and what they end the connection with."""
+"""Frames that a client must not send, and the error that the server closes the connection with."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from conformance.quic.client import varint
 from conformance.quic.packets import connect, expect_refusal
 
-UNKNOWN_FRAME_TYPES = 0x21, 0x3F  # which no RFC of QUIC version 1 defines
-STREAM_WITH_LENGTH = QuicFrameType.STREAM_BASE | 0x02  # bits of a STREAM frame (RFC 9000, 19.8)
+UNKNOWN_FRAME_TYPES = 0x21, 0x3F  # defined by no RFC of QUIC version 1
+STREAM_WITH_LENGTH = QuicFrameType.STREAM_BASE | 0x02  # flag bits of a STREAM frame (RFC 9000, 19.8)
 STREAM_WITH_OFFSET = STREAM_WITH_LENGTH | 0x04
 FINAL_STREAM_WITH_OFFSET = STREAM_WITH_OFFSET | 0x01
 
 cases = CaseList()
 
 
-@cases.add("9000 12.4", "a frame of no known type is a FRAME_ENCODING_ERROR")
+@cases.add("9000 12.4", "a frame of an unknown type is a FRAME_ENCODING_ERROR")
 def _unknown_frame_type_is_refused(target: Target) -> None:
     expect_refusal(target, QuicErrorCode.FRAME_ENCODING_ERROR, UNKNOWN_FRAME_TYPES[0])
 
@@ -33,12 +33,12 @@
     expect_refusal(target, QuicErrorCode.PROTOCOL_VIOLATION, QuicFrameType.HANDSHAKE_DONE)
 
 
-@cases.add("9000 19.16", "retiring an id that was never given is a PROTOCOL_VIOLATION")
+@cases.add("9000 19.16", "retiring a connection id that was never issued is a PROTOCOL_VIOLATION")
 def _retiring_an_unissued_id_is_refused(target: Target) -> None:
     expect_refusal(target, QuicErrorCode.PROTOCOL_VIOLATION, QuicFrameType.RETIRE_CONNECTION_ID, 999)
 
 
-@cases.add("9000 19.15", "an id of no octets, or of more than 20, is a FRAME_ENCODING_ERROR")
+@cases.add("9000 19.15", "a connection id of 0 or more than 20 octets is a FRAME_ENCODING_ERROR")
 def _malformed_connection_id_is_refused(target: Target) -> None:
     expect_refusal(
         target,
@@ -50,7 +50,7 @@
     )
 
 
-@cases.add("9000 19.15", "more ids than the server's limit are a CONNECTION_ID_LIMIT_ERROR")
+@cases.add("9000 19.15", "more connection ids than the server's limit are a CONNECTION_ID_LIMIT_ERROR")
 def _excess_connection_ids_are_refused(target: Target) -> None:
     client = connect(target)
     for k in range(1, 40):
@@ -105,12 +105,12 @@
     expect_refusal(target, QuicErrorCode.FRAME_ENCODING_ERROR, QuicFrameType.MAX_STREAMS_BIDI, (1 << 60) + 1)
 
 
-@cases.add("9000 19.6", "handshake data over what is kept is a CRYPTO_BUFFER_EXCEEDED")
+@cases.add("9000 19.6", "CRYPTO data beyond the server's buffer is a CRYPTO_BUFFER_EXCEEDED")
 def _excess_crypto_data_is_refused(target: Target) -> None:
     expect_refusal(target, QuicErrorCode.CRYPTO_BUFFER_EXCEEDED, QuicFrameType.CRYPTO, 1 << 30, 1, tail=b"x")
 
 
-@cases.add("9000 19.21", "an unknown frame behind a sound one still ends the connection")
+@cases.add("9000 19.21", "an unknown frame after a valid one closes the connection")
 def _unknown_frame_after_a_known_one_is_refused(target: Target) -> None:
     client = connect(target)
     client.quic.frames += [(QuicFrameType.PING, b""), (UNKNOWN_FRAME_TYPES[1], b"")]
--- a/conformance/quic/cases/packets.py
+++ b/conformance/quic/cases/packets.py
@@ -1,4 +1,4 @@
-"""Packets and datagrams before and outside a handshake: sizes, ids, tokens, duplicates."""
+"""Packets and datagrams: sizes, connection ids, tokens, duplicates, acknowledgements."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 cases = CaseList()
 
 
-@cases.add("9000 14.1", "an Initial in less than 1200 octets is dropped")
+@cases.add("9000 14.1", "an Initial in a datagram of less than 1200 octets is dropped")
 def _small_initial_is_dropped(target: Target) -> None:
     initial = client_initial(target.address, target.alpn)
     assert not exchange_datagram(target.address, initial[: MIN_INITIAL_DATAGRAM_LENGTH - 1])
 
 
-@cases.add("9000 7.2", "an Initial to an id of less than 8 octets is dropped")
+@cases.add("9000 7.2", "an Initial with a destination id of less than 8 octets is dropped")
 def _short_destination_id_is_dropped(target: Target) -> None:
     assert not exchange_datagram(target.address, long_header(VERSION_1, b"1234567"))
 
 
-@cases.add("9000 17.2", "an id of more than 20 octets in version 1 is dropped")
+@cases.add("9000 17.2", "a version 1 packet with a connection id of more than 20 octets is dropped")
 def _oversized_destination_id_is_dropped(target: Target) -> None:
     assert not exchange_datagram(target.address, long_header(VERSION_1, b"x" * 21))
 
@@ -36,36 +36,36 @@
     assert not exchange_datagram(target.address, bytes(data))
 
 
-@cases.add("9001 5.2", "an Initial that can't be opened is dropped")
+@cases.add("9001 5.2", "an Initial that can't be decrypted is dropped")
 def _undecryptable_initial_is_dropped(target: Target) -> None:
     data = bytearray(client_initial(target.address, target.alpn))
-    data[100] ^= 1  # in the packet, not in what pads its datagram
+    data[100] ^= 1  # inside the packet, not in the padding of its datagram
     assert not exchange_datagram(target.address, bytes(data))
 
 
-@cases.add("9000 8.1", "before an address is proven no more than three times what came is sent to it")
+@cases.add("9000 8.1", "at most three times the data received is sent to an address before it is validated")
 def _amplification_is_limited(target: Target) -> None:
     data = client_initial(target.address, target.alpn)
-    got = exchange_datagram(target.address, data, 3.0)
-    total = sum(len(each) for each in got)
-    assert got and total <= 3 * len(data), f"{total} octets for {len(data)}"
+    answers = exchange_datagram(target.address, data, 3.0)
+    total = sum(len(answer) for answer in answers)
+    assert answers and total <= 3 * len(data), f"{total} octets sent for {len(data)}"
 
 
-@cases.add("9000 8.1.3", "a token that proves nothing is taken as none, not as an error")
+@cases.add("9000 8.1.3", "an invalid token is ignored like a missing one and is no error")
 def _invalid_token_is_ignored(target: Target) -> None:
     assert connect(target, token=secrets.token_bytes(60)).is_alive()
 
 
-@cases.add("9000 8.1.3", "a NEW_TOKEN's token proves an address once more")
+@cases.add("9000 8.1.3", "a NEW_TOKEN token validates the address of a later connection")
 def _new_token_validates_address(target: Target) -> None:
     client = connect(target)
     client.run_for()
     if not client.quic.tokens:
-        raise NotApplicableError("the server gives no NEW_TOKEN")
+        raise NotApplicableError("the server sends no NEW_TOKEN")
     assert connect(target, token=client.quic.tokens[0]).is_alive()
 
 
-@cases.add("9000 12.2", "what is garbled behind a sound packet in its datagram does not end the connection")
+@cases.add("9000 12.2", "garbage after a valid packet in its datagram does not end the connection")
 def _garbage_after_a_valid_packet_is_ignored(target: Target) -> None:
     client = connect(target)
     client.quic.send_ping(1)
@@ -74,19 +74,19 @@
     assert client.is_alive()
 
 
-@cases.add("9000 12.3", "a packet that comes twice is heard once")
+@cases.add("9000 12.3", "a duplicate packet is processed once")
 def _duplicate_packet_is_processed_once(target: Target) -> None:
     client = connect(target)
     client.quic.send_stream_data(0, b"PING\r\n")
-    sent = [datagram for datagram, _ in client.quic.datagrams_to_send(now=time.time())]
-    for datagram in sent * 3:
+    datagrams = [datagram for datagram, _ in client.quic.datagrams_to_send(now=time.time())]
+    for datagram in datagrams * 3:
         client.send_datagram(datagram)
     client.wait_until(lambda: b"\n" in client.stream_data.get(0, b""), "an answer")
     client.run_for()
-    assert client.stream_data[0].count(b"\n") == 1, "it was heard more than once"
+    assert client.stream_data[0].count(b"\n") == 1, "the packet was processed more than once"
 
 
-@cases.add("9000 13.2.1", "what asks for it is acknowledged within the server's max_ack_delay")
+@cases.add("9000 13.2.1", "an ack-eliciting packet is acknowledged within the server's max_ack_delay")
 def _acknowledgement_is_timely(target: Target) -> None:
     client = connect(target)
     client.run_for(0.1)
--- a/conformance/quic/client.py
+++ b/conformance/quic/client.py
@@ -1,6 +1,6 @@
-"""A client that can misbehave: aioquic's packets and crypto, with frames and parameters that a case chooses.
+"""A client that can violate the protocol: aioquic's packets and cryptography, frames chosen by a case.
 
-It is synchronous, with one socket: a case says what is sent, and waits for the answer that it is about.
+The client is synchronous and has one socket: a case sends packets and waits for the answers that it checks.
 """
 
 from __future__ import annotations
@@ -19,30 +19,30 @@
 from aioquic.quic.connection import QuicConnection
 
 MIN_INITIAL_DATAGRAM_LENGTH = 1200  # octets of a datagram with an Initial (RFC 9000, 14.1)
-QUIET_PERIOD_S = 0.35  # after which a server that has not answered is not going to
-WAIT_TIMEOUT_S = 4.0  # for an answer that is required
+QUIET_PERIOD_S = 0.35  # a server that has not answered within this time counts as silent
+WAIT_TIMEOUT_S = 4.0  # time limit for a required answer
 MIN_STATELESS_RESET_LENGTH = 21  # octets (RFC 9000, 10.3)
-RESET_TOKEN_LENGTH = 16
-MAX_DATAGRAM_LENGTH = 65536
+RESET_TOKEN_LENGTH = 16  # octets
+MAX_DATAGRAM_LENGTH = 65536  # octets
 Address = tuple[str, int]
 
 
 class NoResponseError(AssertionError):
-    """An answer that is required did not come in time."""
+    """A required answer did not arrive in time."""
 
 
 def varint(value: int) -> bytes:
-    """An integer in QUIC's variable length (RFC 9000, 16)."""
+    """Encode an integer with variable length (RFC 9000, 16)."""
     buffer = Buffer(capacity=8)
     buffer.push_uint_var(value)
     return buffer.data
 
 
 class ScriptedConnection(QuicConnection):
-    """A connection that also sends the frames and transport parameters that it is given.
+    """A connection that also sends arbitrary frames and transport parameters.
 
-    `frames`, as type and body, go out in the next packet under application keys; `parameters` follow those
-    of aioquic.
+    `frames`, pairs of type and body, are sent in the next packet with application keys. The encoded transport
+    `parameters` are appended to those of aioquic.
     """
 
     def __init__(self, configuration: QuicConfiguration, parameters: bytes = b"") -> None:
@@ -50,13 +50,13 @@
         self.frames: list[tuple[int, bytes]] = []
         self.parameters = parameters
         self.responses: list[bytes] = []  # data of received PATH_RESPONSE frames
-        self.tokens: list[bytes] = []  # of received NEW_TOKEN frames
+        self.tokens: list[bytes] = []  # tokens of received NEW_TOKEN frames
         self._token_handler = self.tokens.append
 
     def _write_connection_limits(self, builder: Any, space: Any) -> None:
         while self.frames:
-            kind, body = self.frames[0]
-            frame = builder.start_frame(kind, capacity=8 + len(body))
+            frame_type, body = self.frames[0]
+            frame = builder.start_frame(frame_type, capacity=8 + len(body))
             frame.push_bytes(body)
             self.frames.pop(0)
         super()._write_connection_limits(builder, space)
@@ -65,13 +65,13 @@
         return super()._serialize_transport_parameters() + self.parameters
 
     def _handle_path_response_frame(self, context: Any, frame_type: int, buf: Buffer) -> None:
-        at = buf.tell()
-        self.responses.append(buf.data_slice(at, at + 8))
-        buf.seek(at + 8)
+        offset = buf.tell()
+        self.responses.append(buf.data_slice(offset, offset + 8))
+        buf.seek(offset + 8)
 
 
 class ScriptedClient:
-    """One connection to the server under test; with `connect`, its constructor awaits the handshake."""
+    """One connection to the server under test; with `connect`, the constructor waits for the handshake."""
 
     def __init__(
         self,
@@ -93,23 +93,24 @@
         self.socket = self.open_socket()
         self.stream_data: dict[int, bytes] = {}
         self.ended_streams: set[int] = set()
-        self.error_codes: dict[int, int] = {}  # of STOP_SENDING and RESET_STREAM, by stream
+        self.error_codes: dict[int, int] = {}  # error codes of STOP_SENDING and RESET_STREAM by stream
         self.handshake_completed = False
         self.reset_received = False
         self.octets_sent = self.octets_received = 0
-        self.received_datagrams: list[bytes] = []  # all of them, as they came
+        self.received_datagrams: list[bytes] = []  # all datagrams, in order of arrival
         self.quic.connect(server, now=time.time())
         if connect:
-            # Confirmed, as before that a client must not change its address (RFC 9000, 9; 9001, 4.1.2).
+            # Waits until the handshake is confirmed: a client must not change its address before that
+            # (RFC 9000, 9; 9001, 4.1.2).
             self.wait_until(self.is_handshake_confirmed, "a handshake")
 
     def is_handshake_confirmed(self) -> bool:
-        """Whether the handshake is complete, and confirmed by the server."""
+        """Whether the handshake is complete and the server has confirmed it."""
         return self.handshake_completed and self.quic._handshake_confirmed
 
     @staticmethod
     def open_socket() -> socket.socket:
-        """A datagram socket on loopback."""
+        """Return a UDP socket bound to a free loopback port."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.bind(("127.0.0.1", 0))
         return sock
@@ -121,7 +122,7 @@
         self.socket.close()
 
     def change_address(self, new_id: bool = True) -> None:
-        """Continue from another port: a migration, or without `new_id` a NAT rebinding."""
+        """Continue from another port: a migration with a new connection id, or without it a NAT rebinding."""
         self.socket.close()
         self.socket = self.open_socket()
         if new_id:
@@ -129,23 +130,23 @@
 
     @property
     def termination(self) -> events.ConnectionTerminated | None:
-        """How the connection was closed, by either side; None while it is open."""
+        """The event of the connection's close, by either side; None while it is open."""
         return self.quic._close_event
 
     def flush(self) -> list[bytes]:
-        """Send the datagrams that are due, and return them."""
+        """Send pending datagrams and return them."""
         datagrams = [data for data, _ in self.quic.datagrams_to_send(now=time.time())]
         for data in datagrams:
             self.send_datagram(data)
         return datagrams
 
     def send_datagram(self, data: bytes) -> None:
-        """Send one datagram as it is."""
+        """Send one datagram unchanged."""
         self.octets_sent += len(data)
         self.socket.sendto(data, self.server)
 
     def receive(self, wait: float) -> bytes | None:
-        """The next datagram, unprocessed; None where none comes within `wait` seconds."""
+        """Return the next datagram without processing it; None if none arrives within `wait` seconds."""
         if not select.select([self.socket], [], [], max(0.0, wait))[0]:
             return None
         data = self.socket.recv(MAX_DATAGRAM_LENGTH)
@@ -156,17 +157,17 @@
         return data
 
     def _reset_tokens(self) -> set[bytes]:
-        known = (self.quic._peer_cid, *self.quic._peer_cid_available)
-        return {cid.stateless_reset_token for cid in known} - {b"", None}
+        server_ids = (self.quic._peer_cid, *self.quic._peer_cid_available)
+        return {cid.stateless_reset_token for cid in server_ids} - {b"", None}
 
     def process_once(self, wait: float = 0.01) -> None:
-        """Send what is due, and process one datagram, the timer and the events that follow."""
+        """Send pending datagrams, then process one datagram, the timer and the resulting events."""
         self.flush()
         data = self.receive(wait)
         if data is not None and not self.reset_received:
             self.quic.receive_datagram(data, self.server, now=time.time())
-        at = self.quic.get_timer()
-        if at is not None and at <= time.time():
+        timer_due_at = self.quic.get_timer()
+        if timer_due_at is not None and timer_due_at <= time.time():
             self.quic.handle_timer(now=time.time())
         self._process_events()
 
@@ -185,49 +186,64 @@
                 case _:
                     pass
 
-    def wait_until(self, condition: Callable[[], object], what: str, within: float = WAIT_TIMEOUT_S) -> None:
-        """Process until a condition holds; `NoResponseError`, which names `what`, after `within` seconds."""
+    def wait_until(
+        self, condition: Callable[[], object], description: str, within: float = WAIT_TIMEOUT_S
+    ) -> None:
+        """Process datagrams until a condition holds.
+
+        Raises:
+            NoResponseError: if the condition does not hold within `within` seconds; it names `description`.
+        """
         deadline = time.monotonic() + within
         while not condition():
             if time.monotonic() >= deadline:
-                raise NoResponseError(f"{what} did not come within {within:g} s")
+                raise NoResponseError(f"{description} did not arrive within {within:g} s")
             self.process_once()
 
     def run_for(self, duration: float = QUIET_PERIOD_S) -> None:
-        """Process whatever comes, for so many seconds."""
+        """Process datagrams for `duration` seconds."""
         end = time.monotonic() + duration
         while time.monotonic() < end:
             self.process_once()
 
-    def send_frame(self, kind: int, *numbers: int, tail: bytes = b"") -> None:
-        """Send a frame of that type: variable-length integers, then `tail`."""
-        self.quic.frames.append((kind, b"".join(varint(n) for n in numbers) + tail))
-        self.quic.send_ping(secrets.randbelow(1 << 30))  # so that a packet is due
+    def send_frame(self, frame_type: int, *numbers: int, tail: bytes = b"") -> None:
+        """Send a frame whose body is variable-length integers followed by `tail`."""
+        self.quic.frames.append((frame_type, b"".join(varint(number) for number in numbers) + tail))
+        self.quic.send_ping(secrets.randbelow(1 << 30))  # makes a packet due, which carries the frame
         self.flush()
 
     def exchange_line(self, line: bytes, stream: int = 0) -> bytes:
-        """Send a line on a stream; what the server answers there, up to a line's end or more."""
+        """Send a line on a stream and return the data that the server sends there, at least one line."""
         before = len(self.stream_data.get(stream, b""))
         self.quic.send_stream_data(stream, line)
         self.wait_until(lambda: b"\n" in self.stream_data.get(stream, b"")[before:], "an answer")
         return self.stream_data[stream][before:]
 
     def is_alive(self) -> bool:
-        """Whether the server still answers on the connection; `NoResponseError` where it says nothing."""
+        """Whether the server answers a PING line with a whole line.
+
+        Raises:
+            NoResponseError: if the server does not answer.
+        """
         return self.exchange_line(b"PING\r\n").endswith(b"\r\n")
 
     def expect_close(self, code: int) -> None:
-        """Wait until the server closes the connection, and hold it to that transport error."""
+        """Wait until the server closes the connection, and check its transport error code.
+
+        Raises:
+            AssertionError: if the connection is closed by the application or with another code.
+            NoResponseError: if the connection is not closed.
+        """
         self.wait_until(lambda: self.termination is not None, f"a close with 0x{code:x}")
         assert self.termination is not None
         if self.termination.frame_type is None:
-            raise AssertionError(f"closed by the application, with 0x{self.termination.error_code:x}")
+            raise AssertionError(f"closed by the application with 0x{self.termination.error_code:x}")
         if self.termination.error_code != code:
-            raise AssertionError(f"closed with 0x{self.termination.error_code:x}, not 0x{code:x}")
+            raise AssertionError(f"closed with 0x{self.termination.error_code:x}, expected 0x{code:x}")
 
 
 def exchange_datagram(server: Address, data: bytes, wait: float = QUIET_PERIOD_S) -> list[bytes]:
-    """Send a datagram from a new address; the datagrams that come back within `wait` seconds."""
+    """Send a datagram from a new address and return the datagrams received within `wait` seconds."""
     with ScriptedClient.open_socket() as sock:
         sock.sendto(data, server)
         answers = []
@@ -239,7 +255,7 @@
 
 
 def client_initial(server: Address, alpn: str, **options: Any) -> bytes:
-    """A valid first datagram of a connection, built and not sent."""
+    """Return a valid first datagram of a connection, which is not sent."""
     client = ScriptedClient(server, alpn, connect=False, **options)
     (data, _), *_ = client.quic.datagrams_to_send(now=time.time())
     client.socket.close()
--- a/conformance/quic/suite.py
+++ b/conformance/quic/suite.py
@@ -1,4 +1,4 @@
-"""Runs cases against a server, and reports their results as lines or JSON."""
+"""Runs cases against a server and reports their results as lines or JSON."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Outcome(StrEnum):
-    """What running a case showed; the values are those of the JSON report."""
+    """The outcome of a case; the values are those of the JSON report."""
 
     PASS = "pass"
     FAIL = "fail"
@@ -22,12 +22,12 @@
 
 
 class Result(msgspec.Struct, frozen=True):
-    """The result of one case; an item of the JSON report, whose keys are the encoded names."""
+    """The result of one case: an item of the JSON report, with the encoded names as its keys."""
 
     section: str
     requirement: str = msgspec.field(name="must")
     outcome: Outcome
-    reason: str = msgspec.field(name="why")  # empty where it passed
+    reason: str = msgspec.field(name="why")  # empty if the case passed
     seconds: float
 
 
@@ -38,9 +38,9 @@
 def run(
     target: Target, cases: Iterable[Case] = (), on_result: Callable[[Result], None] = ignore_result
 ) -> list[Result]:
-    """Run each case, or all that there are, on a connection of its own; a failure ends no other case.
+    """Run the given cases, or all if none are given; a failed case does not stop the run.
 
-    `on_result` is called with each result as soon as it is there.
+    `on_result` is called with each result as soon as its case has ended.
     """
     results = []
     for case in list(cases) or CASES:
@@ -51,7 +51,7 @@
 
 
 def run_case(target: Target, case: Case) -> Result:
-    """Run one case."""
+    """Run one case and return its result."""
     began = time.monotonic()
     outcome, reason = Outcome.PASS, ""
     try:
@@ -64,12 +64,12 @@
 
 
 def result_line(result: Result) -> str:
-    """A result as a line of the plain report."""
+    """Return a result as a line of the plain report."""
     line = f"{result.outcome:14} {result.section:11} {result.requirement}"
     return f"{line} ({result.reason})" if result.reason else line
 
 
 def summary_line(results: Iterable[Result]) -> str:
-    """How many cases had each outcome."""
+    """Return a line with the number of cases of each outcome."""
     counts = Counter(result.outcome for result in results)
     return ", ".join(f"{counts[outcome]} {outcome}" for outcome in Outcome)
