--- a/tests/test_capture_decision_module.py
+++ b/tests/test_capture_decision_module.py
@@ -1,4 +1,4 @@
-"""Candidates for the module that decides: files, copies of the package, and what is neither."""
+"""Loading of candidate decision modules: files, copies of the package, and invalid paths."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from tests.support.recorded_workload import RandomWorkload, replay_recording, workload_recording
 
 
-def package(folder: Path, **modules: str) -> Path:
-    """A made-up package of the given modules."""
-    made = folder / "made_up"
-    made.mkdir()
-    (made / "__init__.py").write_text('"""Made up."""\n')
+def write_package(folder: Path, **modules: str) -> Path:
+    """Writes a package with the given modules."""
+    package_folder = folder / "made_up"
+    package_folder.mkdir()
+    (package_folder / "__init__.py").write_text('"""Made up."""\n')
     for name, text in modules.items():
-        (made / f"{name}.py").write_text(text)
-    return made
+        (package_folder / f"{name}.py").write_text(text)
+    return package_folder
 
 
 FACADE = """
@@ -70,32 +70,32 @@
 """
 
 
-def test_a_copy_s_modules_import_one_another_and_share_the_program_s_types(tmp_path: Path) -> None:
-    folder = package(tmp_path, balancer=FACADE, parts=PARTS, later=LATER)
+def test_modules_of_copy_import_each_other_and_share_program_types(tmp_path: Path) -> None:
+    folder = write_package(tmp_path, balancer=FACADE, parts=PARTS, later=LATER)
     module = decision_module.load(str(folder))
-    made = module.Balancer(settings(), 1)
-    assert made.part.limit == 7
+    copied_balancer = module.Balancer(settings(), 1)
+    assert copied_balancer.part.limit == 7
     assert module.inner is module.parts is module.again
     assert module.parts.__name__ == module.__name__.replace(".balancer", ".parts")
     assert module.settings.Settings is Settings
     assert module.RequestArrived is records.EVENTS["Request"] is module.events.RequestArrived
-    assert made.handle(0.0, records.event(["Request", [1, "live", 2.0]])) == [True]
+    assert copied_balancer.handle(0.0, records.event(["Request", [1, "live", 2.0]])) == [True]
     assert "gradegap.balancing.parts" not in sys.modules
 
 
-def test_two_copies_stand_beside_each_other_and_beside_the_program_s(tmp_path: Path) -> None:
+def test_two_copies_and_program_module_are_loaded_side_by_side(tmp_path: Path) -> None:
     one, other = tmp_path / "one", tmp_path / "other"
     one.mkdir()
     other.mkdir()
-    first = decision_module.load(str(package(one, balancer=FACADE, parts=PARTS)))
-    second = decision_module.load(str(package(other, balancer=FACADE, parts=PARTS.replace("7", "8"))))
+    first = decision_module.load(str(write_package(one, balancer=FACADE, parts=PARTS)))
+    second = decision_module.load(str(write_package(other, balancer=FACADE, parts=PARTS.replace("7", "8"))))
     limits = [module.Balancer(settings(), 1).part.limit for module in (first, second)]
     assert limits == [7, 8]
     assert decision_module.load(None) is decision_module.in_force() is balancer
 
 
-def test_bytecode_that_was_copied_along_is_not_run(tmp_path: Path) -> None:
-    folder = package(tmp_path, balancer=FACADE, parts=PARTS)
+def test_copied_bytecode_is_not_executed(tmp_path: Path) -> None:
+    folder = write_package(tmp_path, balancer=FACADE, parts=PARTS)
     decision_module.load(str(folder))
     assert not list(folder.rglob("__pycache__"))
     cache = folder / "__pycache__"
@@ -104,24 +104,24 @@
     assert decision_module.load(str(folder)).LIMIT == 7
 
 
-def test_a_whole_copy_of_the_package_decides_as_the_program_does(tmp_path: Path) -> None:
+def test_unchanged_copy_of_package_takes_same_decisions(tmp_path: Path) -> None:
     copy = tmp_path / "balancing"
     shutil.copytree(BALANCING, copy)
     module = decision_module.load(str(copy))
     assert module.Balancer is not balancer.Balancer
     data = workload_recording(17, 400, 3)
-    found, own = replay_recording(data, module), replay_recording(data)
-    assert found.difference is None and not found.state_differs and not found.gaps
-    assert (found.digest, found.states) == (own.digest, 3)
-    day = RandomWorkload(17).run_steps(300)
-    raw = msgspec.msgpack.decode(msgspec.msgpack.encode(state.dump(day.balancer)))
-    made = state.load(module, raw, day.settings)
+    copy_report, own_report = replay_recording(data, module), replay_recording(data)
+    assert copy_report.difference is None and not copy_report.state_differs and not copy_report.gaps
+    assert (copy_report.digest, copy_report.states) == (own_report.digest, 3)
+    workload = RandomWorkload(17).run_steps(300)
+    stored_state = msgspec.msgpack.decode(msgspec.msgpack.encode(state.dump(workload.balancer)))
+    loaded = state.load(module, stored_state, workload.settings)
     assert {
-        type(server).__module__.partition(".")[0] for server in BALANCER.get(made, "endpoints").values()
+        type(server).__module__.partition(".")[0] for server in BALANCER.get(loaded, "endpoints").values()
     } == {module.__name__.partition(".")[0]}
 
 
-def test_a_changed_copy_decides_otherwise(tmp_path: Path) -> None:
+def test_changed_copy_takes_other_decisions(tmp_path: Path) -> None:
     module = mutant(tmp_path, "FULL_LOAD = 0.9\n", "FULL_LOAD = 0.05\n")
     assert replay_recording(workload_recording(11, 3000, 1), module).difference is not None
 
@@ -141,18 +141,20 @@
 """
 
 
-def test_a_file_with_a_subclass_is_a_candidate(tmp_path: Path) -> None:
+def test_file_with_subclass_is_loaded_as_candidate(tmp_path: Path) -> None:
     path = tmp_path / "candidate.py"
     path.write_text(SUBCLASS)
     module = decision_module.load(str(path))
     data = workload_recording(18, 400, 3)
-    found = replay_recording(data, module)
+    report = replay_recording(data, module)
     assert (
-        found.difference is None and not found.state_differs and found.digest == replay_recording(data).digest
+        report.difference is None
+        and not report.state_differs
+        and report.digest == replay_recording(data).digest
     )
-    other = tmp_path / "other.py"
-    other.write_text(SUBCLASS.replace("super().handle(now, event)", "super().handle(now, event)[:-1]"))
-    assert replay_recording(data, decision_module.load(str(other))).difference is not None
+    other_path = tmp_path / "other.py"
+    other_path.write_text(SUBCLASS.replace("super().handle(now, event)", "super().handle(now, event)[:-1]"))
+    assert replay_recording(data, decision_module.load(str(other_path))).difference is not None
 
 
 @pytest.mark.parametrize(
@@ -174,7 +176,7 @@
         ),
     ],
 )
-def test_what_is_no_candidate_is_refused(tmp_path: Path, name: str, text: str, message: str) -> None:
+def test_invalid_candidate_is_rejected(tmp_path: Path, name: str, text: str, message: str) -> None:
     path = tmp_path / name
     path.parent.mkdir(exist_ok=True)
     path.write_text(text)
@@ -184,34 +186,32 @@
         decision_module.load(str(path.parent if path.parent != tmp_path else path))
 
 
-def test_a_path_that_is_not_there_is_refused(tmp_path: Path) -> None:
+def test_missing_path_is_rejected(tmp_path: Path) -> None:
     with pytest.raises(BadModuleError, match="can't be loaded"):
         decision_module.load(str(tmp_path / "nowhere.py"))
 
 
-def test_the_shared_modules_are_those_that_define_what_recordings_hold() -> None:
-    kinds = [*records.EVENTS.values(), *records.ACTIONS.values()]
-    kinds += [form.cls for form in (records.SETTINGS, records.CLASS_SETTINGS, records.TENANT_SETTINGS)]
-    modules = {kind.__module__ for kind in kinds}
+def test_shared_modules_define_all_recorded_types() -> None:
+    types = [*records.EVENTS.values(), *records.ACTIONS.values()]
+    types += [form.cls for form in (records.SETTINGS, records.CLASS_SETTINGS, records.TENANT_SETTINGS)]
+    modules = {stored_type.__module__ for stored_type in types}
     assert modules == {f"{decision_module.PACKAGE}.{name}" for name in decision_module.SHARED}
 
 
-def test_a_digest_is_of_all_that_decides(tmp_path: Path) -> None:
-    own = decision_module.digest_of(decision_module.in_force())
-    assert len(own) == 64
+def test_digest_covers_all_files_of_decision_module(tmp_path: Path) -> None:
+    own_digest = decision_module.digest_of(decision_module.in_force())
+    assert len(own_digest) == 64
     copy = tmp_path / "same" / "balancing"
     shutil.copytree(BALANCING, copy)
-    assert decision_module.digest_of(decision_module.load(str(copy))) == own
-    changed = mutated_copy(tmp_path, "SLOW_MEMORY_S = 20.0", "SLOW_MEMORY_S = 20.5")
-    assert decision_module.digest_of(decision_module.load(str(changed))) != own
+    assert decision_module.digest_of(decision_module.load(str(copy))) == own_digest
+    changed_copy = mutated_copy(tmp_path, "SLOW_MEMORY_S = 20.0", "SLOW_MEMORY_S = 20.5")
+    assert decision_module.digest_of(decision_module.load(str(changed_copy))) != own_digest
     path = tmp_path / "candidate.py"
     path.write_text(SUBCLASS)
-    assert decision_module.digest_of(decision_module.load(str(path))) not in ("", own)
+    assert decision_module.digest_of(decision_module.load(str(path))) not in ("", own_digest)
 
 
-def test_a_copy_decides_without_the_program_s_balancer(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_copy_decides_without_program_balancer(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     data = workload_recording(19, 200, 2)
     digest = replay_recording(data).digest
     copy = tmp_path / "balancing"
@@ -223,6 +223,6 @@
 
     for name in ("__init__", "handle", "adopt"):
         monkeypatch.setattr(balancer.Balancer, name, fail)
-    found = replay_recording(data, module)
-    assert found.digest == digest and found.steps > 200 and found.states == 2
-    assert found.difference is None and not found.gaps and not found.state_differs
+    report = replay_recording(data, module)
+    assert report.digest == digest and report.steps > 200 and report.states == 2
+    assert report.difference is None and not report.gaps and not report.state_differs
--- a/tests/test_capture_files.py
+++ b/tests/test_capture_files.py
@@ -1,4 +1,4 @@
-"""Files of recordings: cut, damaged, hostile, redacted; and what each record comes back as."""
+"""Files of recordings: truncated, damaged, malicious and redacted ones; and encoding of single records."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 from hypothesis import given
-from hypothesis import settings as tuned
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 import gradegap.balancing.balancer
@@ -38,53 +38,57 @@
 from tests.support.recorded_workload import RandomWorkload, replay_recording, workload_recording
 
 
-def test_a_file_cut_at_any_byte_of_a_frame_replays_what_was_whole() -> None:
+def test_file_truncated_within_frame_replays_preceding_frames() -> None:
     data = workload_recording(3, 60, 3)
-    whole = [f for f in frames.read(data) if not isinstance(f, Damage)]
-    *_, before, last = [k for k in range(len(data)) if data.startswith(frames.MARK, k)]
-    for end in range(before + 1, len(data), 7):
-        found = list(frames.read(data[:end]))
-        sound = [f for f in found if not isinstance(f, Damage)]
-        assert len(sound) == len(whole) - (2 if end < last else 1)
+    all_frames = [frame for frame in frames.read(data) if not isinstance(frame, Damage)]
+    *_, previous_mark, last_mark = [
+        offset for offset in range(len(data)) if data.startswith(frames.MARK, offset)
+    ]
+    for end in range(previous_mark + 1, len(data), 7):
+        items = list(frames.read(data[:end]))
+        valid_frames = [frame for frame in items if not isinstance(frame, Damage)]
+        assert len(valid_frames) == len(all_frames) - (2 if end < last_mark else 1)
         assert replay_recording(data[:end]).difference is None
-        assert [d.reason for d in found if isinstance(d, Damage)] == ([] if end == last else ["truncated"])
+        assert [item.reason for item in items if isinstance(item, Damage)] == (
+            [] if end == last_mark else ["truncated"]
+        )
 
 
-@tuned(max_examples=150, deadline=None)
+@hypothesis_settings(max_examples=150, deadline=None)
 @given(st.data())
-def test_a_turned_bit_costs_its_frame_alone(data: st.DataObject) -> None:
-    raw = bytearray(workload_recording(4, 60, 3))
-    k = data.draw(st.integers(len(frames.MAGIC), len(raw) - 1))
-    raw[k] ^= 1 << data.draw(st.integers(0, 7))
-    found = list(frames.read(bytes(raw)))
-    assert sum(isinstance(f, Damage) for f in found) == 1
-    assert sum(not isinstance(f, Damage) for f in found) == 7
-    report = replay_recording(bytes(raw))
+def test_flipped_bit_damages_only_its_frame(data: st.DataObject) -> None:
+    content = bytearray(workload_recording(4, 60, 3))
+    offset = data.draw(st.integers(len(frames.MAGIC), len(content) - 1))
+    content[offset] ^= 1 << data.draw(st.integers(0, 7))
+    items = list(frames.read(bytes(content)))
+    assert sum(isinstance(item, Damage) for item in items) == 1
+    assert sum(not isinstance(item, Damage) for item in items) == 7
+    report = replay_recording(bytes(content))
     assert report.difference is None and not report.state_differs
 
 
-@tuned(max_examples=300, deadline=None)
+@hypothesis_settings(max_examples=300, deadline=None)
 @given(st.binary(max_size=400), st.booleans())
-def test_a_hostile_file_ends_in_plain_errors(raw: bytes, framed: bool) -> None:
-    data = frames.MAGIC + (frames.MARK + raw if framed else raw)
-    assert all(isinstance(f, Damage) for f in frames.read(data))
+def test_random_file_content_is_reported_as_damage(content: bytes, with_mark: bool) -> None:
+    data = frames.MAGIC + (frames.MARK + content if with_mark else content)
+    assert all(isinstance(item, Damage) for item in frames.read(data))
     assert replay_recording(data).steps == 0
 
 
-def test_declared_sizes_and_bombs_take_no_memory() -> None:
+def test_excessive_declared_size_and_compression_bomb_are_damage() -> None:
     import zlib
 
     import zstandard
 
     bomb = zstandard.ZstdCompressor(level=19).compress(b"\0" * (512 * 1024 * 1024))
-    for packed, plain in ((len(bomb), 2**32 - 1), (len(bomb), 100), (2**32 - 1, 100)):
-        head = frames._HEADER.pack(frames.MARK, 2, packed, plain, 1, 0, 0.0, 0.0, 0)
-        crc = zlib.crc32(bomb, zlib.crc32(head))
-        (found,) = frames.read(frames.MAGIC + head[:-4] + crc.to_bytes(4, "little") + bomb)
-        assert isinstance(found, Damage)
+    for packed_size, plain_size in ((len(bomb), 2**32 - 1), (len(bomb), 100), (2**32 - 1, 100)):
+        header = frames._HEADER.pack(frames.MARK, 2, packed_size, plain_size, 1, 0, 0.0, 0.0, 0)
+        crc = zlib.crc32(bomb, zlib.crc32(header))
+        (damage,) = frames.read(frames.MAGIC + header[:-4] + crc.to_bytes(4, "little") + bomb)
+        assert isinstance(damage, Damage)
 
 
-def test_another_kind_of_file_and_a_later_version_are_one_plain_error() -> None:
+def test_other_file_type_and_later_version_are_rejected() -> None:
     with pytest.raises(BadRecordingError, match="the file is not a recording"):
         list(frames.read(b"{}"))
     with pytest.raises(BadRecordingError, match="version 9"):
@@ -103,7 +107,7 @@
         {"names": 5, "objects": [["Balancer", [1]], ["ClassSettings", 3]]},
     ],
 )
-def test_a_state_that_is_none_is_refused(raw: Any) -> None:
+def test_malformed_state_is_rejected(raw: Any) -> None:
     with pytest.raises(BadStateError):
         state.load(gradegap.balancing.balancer, raw, settings())
 
@@ -111,16 +115,16 @@
 @pytest.mark.parametrize(
     "value", [math.inf, -math.inf, math.nan, 5e-324, 1.7976931348623157e308, 0.1 + 0.2, -0.0]
 )
-def test_floats_at_the_edges_come_back_as_they_were(value: float) -> None:
+def test_extreme_floats_are_decoded_unchanged(value: float) -> None:
     event = HealthCheckEnded("s", AttemptResult.OK, value, {"x0": value})
     frame = frames.pack(FrameKind.STEPS, [["s", 0, 1.0, records.plain(event), []]], 1)
-    (read,) = frames.read(frames.MAGIC + frame)
-    assert not isinstance(read, Damage)
-    back = records.event(read.body[0][3])
-    assert msgspec.msgpack.encode(records.plain(back)) == msgspec.msgpack.encode(records.plain(event))
+    (read_frame,) = frames.read(frames.MAGIC + frame)
+    assert not isinstance(read_frame, Damage)
+    decoded = records.event(read_frame.body[0][3])
+    assert msgspec.msgpack.encode(records.plain(decoded)) == msgspec.msgpack.encode(records.plain(event))
 
 
-def test_every_kind_of_event_and_action_comes_back() -> None:
+def test_every_event_and_action_is_decoded_unchanged() -> None:
     request = RequestArrived(1, "live", 2.0, "t", "k", "g", 0.5, True, False, True)
     for event in (
         EndpointList(
@@ -153,17 +157,19 @@
 
 
 @pytest.mark.parametrize("groups", [False, True])
-def test_a_redacted_capture_names_nobody_and_replays_where_names_place_nothing(groups: bool) -> None:
-    day = RandomWorkload(14, groups=groups)
-    held = day.state_frame()
-    day.run_steps(400)
-    steps = frames.pack(FrameKind.STEPS, day.steps[1:], len(day.steps) - 1, 1)
-    data = day.start_frame() + held + steps + day.state_frame()
-    hidden = redact(data, IdHasher(b"0123456789abcdef").hashed)
-    shown = msgspec.msgpack.encode([f.body for f in frames.read(hidden) if not isinstance(f, Damage)])
-    for word in ("k17", "k40", "g1", "g7"):
-        assert msgspec.msgpack.encode(word) not in shown
+def test_redacted_recording_has_no_ids_and_replays_without_groups(groups: bool) -> None:
+    workload = RandomWorkload(14, groups=groups)
+    first_state = workload.state_frame()
+    workload.run_steps(400)
+    steps = frames.pack(FrameKind.STEPS, workload.steps[1:], len(workload.steps) - 1, 1)
+    data = workload.start_frame() + first_state + steps + workload.state_frame()
+    redacted = redact(data, IdHasher(b"0123456789abcdef").hashed)
+    content = msgspec.msgpack.encode(
+        [frame.body for frame in frames.read(redacted) if not isinstance(frame, Damage)]
+    )
+    for player_id in ("k17", "k40", "g1", "g7"):
+        assert msgspec.msgpack.encode(player_id) not in content
     assert replay_recording(data).difference is None and not replay_recording(data).state_differs
     if not groups:
-        found = replay_recording(hidden)
-        assert found.difference is None and not found.state_differs and found.steps > 400
+        report = replay_recording(redacted)
+        assert report.difference is None and not report.state_differs and report.steps > 400
--- a/tests/test_capture_records.py
+++ b/tests/test_capture_records.py
@@ -1,4 +1,4 @@
-"""Stored names of events, actions and settings: declared, complete, and the same for ever."""
+"""Stored names of events, actions and settings: declared, complete and unchanged."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 from gradegap.capture.errors import BadRecordError
 from tests.support.balancer_driver import settings
 
-# As files of version 1 have them. These lists are the format: they only grow.
+# The names in files of version 1. These lists define the format: names may be added, never changed.
 EVENT_NAMES = {
     "ServerList", "Request", "Inherited", "Established", "Note", "Outcome", "ClientGone", "Timer",
     "ProbeResult", "Leaving", "Returned",
@@ -57,7 +57,7 @@
 TENANT_FIELDS = ["name", "quota", "share"]
 
 
-def test_stored_names_are_those_of_files_already_written() -> None:
+def test_stored_names_equal_names_in_existing_files() -> None:
     assert set(records.EVENTS) == EVENT_NAMES
     assert set(records.ACTIONS) == ACTION_NAMES
     assert list(records.SETTINGS.attributes) == SETTINGS_FIELDS
@@ -65,33 +65,33 @@
     assert list(records.TENANT_SETTINGS.attributes) == TENANT_FIELDS
 
 
-def test_every_event_and_action_has_one_stored_name() -> None:
+def test_every_event_and_action_has_exactly_one_stored_name() -> None:
     for kinds, union in ((records.EVENTS, Event), (records.ACTIONS, Action)):
         assert sorted(kinds.values(), key=str) == sorted(get_args(union), key=str)
 
 
 @pytest.mark.parametrize("form", [records.SETTINGS, records.CLASS_SETTINGS, records.TENANT_SETTINGS])
-def test_every_field_of_settings_has_one_stored_name(form: records.StoredFields) -> None:
+def test_every_settings_field_has_exactly_one_stored_name(form: records.StoredFields) -> None:
     assert sorted(form.attributes.values()) == sorted(f.name for f in dataclasses.fields(form.cls))
 
 
-class Renamed(NamedTuple):
-    """An action as a later version may call it."""
+class RenamedForward(NamedTuple):
+    """An action with the class name that a later version may give it."""
 
     request_id: int
     endpoint: str
 
 
-def test_a_renamed_class_is_stored_by_its_old_name(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setitem(records.ACTIONS, "Send", Renamed)
-    monkeypatch.setitem(records._STORED_NAMES, Renamed, "Send")
-    raw = msgspec.msgpack.encode(records.plain(Renamed(7, "s1")))
+def test_renamed_class_keeps_stored_name(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setitem(records.ACTIONS, "Send", RenamedForward)
+    monkeypatch.setitem(records._STORED_NAMES, RenamedForward, "Send")
+    raw = msgspec.msgpack.encode(records.plain(RenamedForward(7, "s1")))
     assert raw == msgspec.msgpack.encode(("Send", (7, "s1")))
-    assert records.action(msgspec.msgpack.decode(raw)) == Renamed(7, "s1")
-    assert records.stored_name(Renamed(7, "s1")) == "Send"
+    assert records.action(msgspec.msgpack.decode(raw)) == RenamedForward(7, "s1")
+    assert records.stored_name(RenamedForward(7, "s1")) == "Send"
 
 
-def test_a_renamed_setting_is_stored_by_its_old_name() -> None:
+def test_renamed_setting_keeps_stored_name() -> None:
     @dataclasses.dataclass(frozen=True)
     class LaterTenant:
         name: str
@@ -102,17 +102,17 @@
     assert form.from_plain({"name": "t", "quota": 3.0}) == LaterTenant("t", 3.0)
 
 
-def test_settings_come_back_with_their_classes_and_tenants() -> None:
-    whole = settings(
+def test_settings_with_classes_and_tenants_are_decoded_unchanged() -> None:
+    given_settings = settings(
         tenants={"t": TenantSettings("t", 5.0, 0.5)},
         classes={
             "live": ClassSettings("live", 0.3, 2.0, 0.9, Idempotency.KEYED, DeduplicationScope.CELL, 4.0)
         },
     )
-    raw = records.plain_settings(whole)
+    raw = records.plain_settings(given_settings)
     assert list(raw) == SETTINGS_FIELDS
     assert list(raw["classes"]["live"]) == CLASS_FIELDS and list(raw["tenants"]["t"]) == TENANT_FIELDS
-    assert records.settings(msgspec.msgpack.decode(msgspec.msgpack.encode(raw))) == whole
+    assert records.settings(msgspec.msgpack.decode(msgspec.msgpack.encode(raw))) == given_settings
 
 
 @pytest.mark.parametrize(
@@ -125,15 +125,15 @@
         {"classes": {}},
     ],
 )
-def test_what_is_no_settings_is_refused(raw: dict[str, Any]) -> None:
+def test_invalid_settings_are_rejected(raw: dict[str, Any]) -> None:
     with pytest.raises(BadRecordError, match="settings"):
         records.settings(raw)
 
 
-def test_the_servers_and_requests_that_a_record_is_about() -> None:
+def test_names_of_each_record_are_its_endpoints_and_requests() -> None:
     request = RequestArrived(1, "live", 2.0)
     entries = (EndpointEntry("a"), EndpointEntry("b"))
-    about: list[tuple[Any, set[Any]]] = [
+    expected_names: list[tuple[Any, set[Any]]] = [
         (EndpointList(EndpointListKind.FULL, entries), {"a", "b"}),
         (request, {1}),
         (ConnectionInherited(request, "a"), {1, "a"}),
@@ -154,6 +154,9 @@
         (WatchEndpoints(), set()),
         (LogMessage("text"), set()),
     ]
-    assert {type(value) for value, _ in about} == {*records.EVENTS.values(), *records.ACTIONS.values()}
-    for value, expected in about:
+    assert {type(value) for value, _ in expected_names} == {
+        *records.EVENTS.values(),
+        *records.ACTIONS.values(),
+    }
+    for value, expected in expected_names:
         assert records.names(value) == expected, value
--- a/tests/test_capture_replay.py
+++ b/tests/test_capture_replay.py
@@ -1,4 +1,4 @@
-"""Replays: one digest, every state met, altered modules found, and two recordings compared."""
+"""Replays: reproducible digest, comparison of states, detection of mutants, and comparison of recordings."""
 
 from __future__ import annotations
 
@@ -18,36 +18,40 @@
 from tests.support.recorded_workload import RandomWorkload, replay_recording, workload_recording
 
 
-def test_a_hundred_replays_give_one_digest_and_each_state_is_met() -> None:
+def test_hundred_replays_give_one_digest_and_match_each_state() -> None:
     data = workload_recording(1)
-    found = replay_recording(data)
-    assert found.difference is None and not found.state_differs and not found.gaps
-    assert found.steps > 600 and found.states == 4
-    assert {replay_recording(data).digest for _ in range(100)} == {found.digest}
+    report = replay_recording(data)
+    assert report.difference is None and not report.state_differs and not report.gaps
+    assert report.steps > 600 and report.states == 4
+    assert {replay_recording(data).digest for _ in range(100)} == {report.digest}
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_replay_that_starts_at_a_state_decides_the_same(seed: int) -> None:
+def test_replay_from_later_state_takes_same_decisions(seed: int) -> None:
     data = workload_recording(100 + seed)
     clocks = [
-        f.first_at for f in frames.read(data) if not isinstance(f, Damage) and f.kind is FrameKind.STATE
+        frame.first_at
+        for frame in frames.read(data)
+        if not isinstance(frame, Damage) and frame.kind is FrameKind.STATE
     ]
     for since in clocks[1:4]:
-        found = replay_recording(data, since=since)
-        assert found.difference is None and not found.state_differs and found.steps > 0
+        report = replay_recording(data, since=since)
+        assert report.difference is None and not report.state_differs and report.steps > 0
 
 
-def test_hash_order_of_another_process_changes_nothing(tmp_path: Path) -> None:
+def test_hash_seed_does_not_change_replay(tmp_path: Path) -> None:
     path = tmp_path / "day.ggc"
     path.write_bytes(workload_recording(7))
-    said = set()
+    outputs = set()
     for seed in ("0", "1", "4242"):
-        line = [sys.executable, "-m", "gradegap", "replay", str(path)]
-        env = os.environ | {"PYTHONHASHSEED": seed}
-        done = subprocess.run(line, capture_output=True, text=True, cwd=ROOT, env=env, timeout=60)
-        assert done.returncode == 0, done.stderr
-        said.add(done.stdout)
-    assert len(said) == 1
+        command_line = [sys.executable, "-m", "gradegap", "replay", str(path)]
+        environment = os.environ | {"PYTHONHASHSEED": seed}
+        process = subprocess.run(
+            command_line, capture_output=True, text=True, cwd=ROOT, env=environment, timeout=60
+        )
+        assert process.returncode == 0, process.stderr
+        outputs.add(process.stdout)
+    assert len(outputs) == 1
 
 
 MUTANTS = [
@@ -77,49 +81,54 @@
 ]
 
 
-def test_twenty_altered_modules_are_each_found_at_their_first_other_decision(tmp_path: Path) -> None:
+def test_each_mutant_is_detected_at_its_first_other_decision(tmp_path: Path) -> None:
     data = workload_recording(11, 3000, 1)
-    found_in = []
-    for k, (old, new) in enumerate(MUTANTS):
-        folder = tmp_path / str(k)
+    detected_at = []
+    for number, (old, new) in enumerate(MUTANTS):
+        folder = tmp_path / str(number)
         folder.mkdir()
         module = mutant(folder, old, new)
-        found = replay_recording(data, module)
-        # The same by hand: both modules from the beginning, until one decides otherwise.
-        plain, other = (
+        report = replay_recording(data, module)
+        # The expected result: feed both modules from the start until their actions differ.
+        original, mutated = (
             Balancer(settings(connection_groups=True), 11),
             module.Balancer(settings(connection_groups=True), 11),
         )
         first = next(
             (
-                i.number
-                for i in recording.read(data)
-                if isinstance(i, recording.Step)
-                and replay.encoded(plain.handle(i.at, i.event)) != replay.encoded(other.handle(i.at, i.event))
+                item.number
+                for item in recording.read(data)
+                if isinstance(item, recording.Step)
+                and replay.encoded(original.handle(item.at, item.event))
+                != replay.encoded(mutated.handle(item.at, item.event))
             ),
             None,
         )
-        named = found.difference.step.number if found.difference is not None else None
-        assert named == first, (old, named, first)
-        if first is None:  # it decides alike, and then its state tells
-            assert found.state_differs, old
+        reported = report.difference.step.number if report.difference is not None else None
+        assert reported == first, (old, reported, first)
+        if first is None:  # same decisions: the mutant must be detected by its state
+            assert report.state_differs, old
         else:
-            assert found.difference is not None and found.difference.state
-        found_in.append(first)
-    assert sum(f is not None for f in found_in) >= 18, found_in
-
-
-def test_two_captures_are_compared_step_by_step() -> None:
-    one, other = workload_recording(12, 200, 2), workload_recording(13, 200, 2)
-    same = comparison.compare(recording.read(one), recording.read(one))
-    assert same.first is None and same.steps > 200 and not same.gaps
-    told = comparison.compare(recording.read(one), recording.read(other))
-    assert told.first is not None and told.events_differ
-    day = RandomWorkload(12).run_steps(100)
-    rows = list(day.steps)
-    k = next(k for k in range(40, len(rows)) if rows[k][4])
-    rows[k] = [*rows[k][:4], []]
-    plain = day.start_frame() + frames.pack(FrameKind.STEPS, day.steps, len(rows), 0)
-    changed = day.start_frame() + frames.pack(FrameKind.STEPS, rows, len(rows), 0)
-    did = comparison.compare(recording.read(plain), recording.read(changed))
-    assert did.first is not None and not did.events_differ and did.first[0].number == k
+            assert report.difference is not None and report.difference.state
+        detected_at.append(first)
+    assert sum(step_number is not None for step_number in detected_at) >= 18, detected_at
+
+
+def test_comparison_reports_first_differing_step() -> None:
+    first_recording, second_recording = workload_recording(12, 200, 2), workload_recording(13, 200, 2)
+    equal = comparison.compare(recording.read(first_recording), recording.read(first_recording))
+    assert equal.first is None and equal.steps > 200 and not equal.gaps
+    different = comparison.compare(recording.read(first_recording), recording.read(second_recording))
+    assert different.first is not None and different.events_differ
+    workload = RandomWorkload(12).run_steps(100)
+    rows = list(workload.steps)
+    changed_row = next(changed_row for changed_row in range(40, len(rows)) if rows[changed_row][4])
+    rows[changed_row] = [*rows[changed_row][:4], []]
+    original = workload.start_frame() + frames.pack(FrameKind.STEPS, workload.steps, len(rows), 0)
+    altered = workload.start_frame() + frames.pack(FrameKind.STEPS, rows, len(rows), 0)
+    changed_actions = comparison.compare(recording.read(original), recording.read(altered))
+    assert (
+        changed_actions.first is not None
+        and not changed_actions.events_differ
+        and changed_actions.first[0].number == changed_row
+    )
--- a/tests/test_capture_state.py
+++ b/tests/test_capture_state.py
@@ -1,4 +1,4 @@
-"""The stored form of a module's state: declared whole, read in every version, refused where it is later."""
+"""The stored form of a balancer's state: complete, readable in every version, rejected if later."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from tests.support.recorded_workload import RandomWorkload
 
 CAPTURES = Path(__file__).parent / "captures"
-# As files of version 2 have them. These lists are the format.
+# The field names in files of version 2. These lists define the format.
 BALANCER_FIELDS = [
     "random_generator", "endpoints", "ready_endpoints", "hash_ring", "n_log_n", "requests", "started_at",
     "now", "inherited_count", "baseline.number", "baseline.at", "established_rate.slow",
@@ -52,13 +52,13 @@
 ]  # fmt: skip
 
 
-def plain(raw: Any) -> Any:
-    """A state as a file gives it back."""
+def stored_and_read(raw: Any) -> Any:
+    """Encodes and decodes a state, as writing it to a file and reading it does."""
     return msgspec.msgpack.decode(msgspec.msgpack.encode(raw))
 
 
 def recorded_states(name: str) -> Iterator[tuple[Mapping[str, Any], dict[str, Any]]]:
-    """The states of a file of `tests/captures`, each with its start."""
+    """Yields the states in a file of `tests/captures`, each with its START frame."""
     start: dict[str, Any] = {}
     for frame in frames.read((CAPTURES / f"{name}.ggc").read_bytes()):
         assert not isinstance(frame, Damage)
@@ -68,21 +68,21 @@
             yield frame.body, start
 
 
-# What is stored
+# Declared fields
 
 
-def test_stored_names_are_those_of_version_2() -> None:
+def test_stored_names_equal_names_of_version_2() -> None:
     stored = {form.name: list(form.fields) for form in schema.FORMS.values()}
     assert stored == {"Balancer": BALANCER_FIELDS, "Endpoint": ENDPOINT_FIELDS, "Request": REQUEST_FIELDS}
     assert schema.VERSION == 2 and list(schema.ENUMS) == ["Phase"]
 
 
-def declared(form: schema.Form) -> set[str]:
+def declared_paths(form: schema.Form) -> set[str]:
     return {*form.fields.values(), *form.derived}
 
 
 def attribute_paths(obj: Any, form: schema.Form, prefix: str = "") -> Iterator[str]:
-    """All attributes of an object, and of the program's objects that it is made of, by path."""
+    """Yields the attribute paths of an object and of its components."""
     if dataclasses.is_dataclass(obj):
         names = [f.name for f in dataclasses.fields(obj)]
     else:
@@ -91,7 +91,7 @@
     for name in names:
         path = f"{prefix}{name}"
         held = getattr(obj, name)
-        if path not in declared(form) and is_component(held):
+        if path not in declared_paths(form) and is_component(held):
             yield from attribute_paths(held, form, f"{path}.")
         else:
             yield path
@@ -101,134 +101,150 @@
 
 
 def is_component(value: Any) -> bool:
-    """Whether it is an object of the program's that holds state for another, and is not stored itself."""
+    """Whether a value is an object of the program that is stored as a part of another object."""
     ours = type(value).__module__.partition(".")[0] == "gradegap"
     return ours and not isinstance(value, (*STORED_CLASSES, Settings, ClassSettings, EndpointPhase))
 
 
-def lived() -> RandomWorkload:
-    """A day after which a module holds objects of every kind."""
-    day = RandomWorkload(71).run_steps(900)
-    for k in range(40):
-        request = RequestArrived(10**6 + k, "live", day.now + 2.0, "", f"k{k}", f"g{k % 5}")
-        day.feed(request if k % 2 else ConnectionInherited(request, f"s{k % 8}"))
-    return day
+def workload_with_all_objects() -> RandomWorkload:
+    """Returns a workload after which the balancer holds objects of every kind."""
+    workload = RandomWorkload(71).run_steps(900)
+    for number in range(40):
+        request = RequestArrived(
+            10**6 + number, "live", workload.now + 2.0, "", f"k{number}", f"g{number % 5}"
+        )
+        workload.feed(request if number % 2 else ConnectionInherited(request, f"s{number % 8}"))
+    return workload
 
 
-def every_object(day: RandomWorkload) -> list[tuple[schema.Form, Any]]:
-    balancer = day.balancer
-    found: list[tuple[schema.Form, Any]] = [(BALANCER, balancer)]
-    found += [(ENDPOINT, each) for each in BALANCER.get(balancer, "endpoints").values()]
-    found += [(REQUEST, each) for each in BALANCER.get(balancer, "requests").values()]
-    assert len(found) > 30
-    return found
+def every_object(workload: RandomWorkload) -> list[tuple[schema.Form, Any]]:
+    balancer = workload.balancer
+    objects: list[tuple[schema.Form, Any]] = [(BALANCER, balancer)]
+    objects += [(ENDPOINT, obj) for obj in BALANCER.get(balancer, "endpoints").values()]
+    objects += [(REQUEST, obj) for obj in BALANCER.get(balancer, "requests").values()]
+    assert len(objects) > 30
+    return objects
 
 
-def test_every_attribute_is_stored_or_declared_as_derived() -> None:
-    for form, obj in every_object(lived()):
-        found, known = set(attribute_paths(obj, form)), declared(form)
-        assert not found - known, f"{form.name}: neither stored nor derived: {sorted(found - known)}"
-        assert not known - found, f"{form.name}: declared, and not there: {sorted(known - found)}"
+def test_every_attribute_is_stored_or_declared_derived() -> None:
+    for form, obj in every_object(workload_with_all_objects()):
+        present, declared = set(attribute_paths(obj, form)), declared_paths(form)
+        assert not present - declared, (
+            f"{form.name}: neither stored nor derived: {sorted(present - declared)}"
+        )
+        assert not declared - present, f"{form.name}: declared, but missing: {sorted(declared - present)}"
 
 
-def test_no_path_is_stored_twice_or_also_derived() -> None:
+def test_no_path_is_declared_twice() -> None:
     for form in schema.FORMS.values():
         paths = [*form.fields.values(), *form.derived]
         assert len(paths) == len(set(paths)), form.name
 
 
-def test_a_planted_attribute_that_nobody_declared_is_found() -> None:
-    day = lived()
-    day.balancer.planted = 1.0  # type: ignore[attr-defined]
-    found = set(attribute_paths(day.balancer, BALANCER)) - declared(BALANCER)
-    assert found == {"planted"}
-    day.balancer.planted = BALANCER.owner(day.balancer, "baseline.at")  # type: ignore[attr-defined]
-    found = set(attribute_paths(day.balancer, BALANCER)) - declared(BALANCER)
-    assert len(found) == 2 and all(path.startswith("planted.") for path in found)
+def test_undeclared_attribute_is_detected() -> None:
+    workload = workload_with_all_objects()
+    workload.balancer.planted = 1.0  # type: ignore[attr-defined]
+    undeclared = set(attribute_paths(workload.balancer, BALANCER)) - declared_paths(BALANCER)
+    assert undeclared == {"planted"}
+    workload.balancer.planted = BALANCER.owner(workload.balancer, "baseline.at")  # type: ignore[attr-defined]
+    undeclared = set(attribute_paths(workload.balancer, BALANCER)) - declared_paths(BALANCER)
+    assert len(undeclared) == 2 and all(path.startswith("planted.") for path in undeclared)
 
 
-# What comes back
+# Loaded states
 
 
-def twin_of(form: schema.Form, obj: Any, balancer: Any) -> Any:
-    """The object of another balancer that stands for this one."""
+def corresponding_object(form: schema.Form, obj: Any, balancer: Any) -> Any:
+    """Returns the object of another balancer that corresponds to `obj`."""
     if form is BALANCER:
         return balancer
     key, kind = ("name", "endpoints") if form is ENDPOINT else ("id", "requests")
     return BALANCER.get(balancer, kind)[form.get(obj, key)]
 
 
-def test_a_state_that_was_loaded_is_the_stored_one() -> None:
-    day = lived()
-    raw = plain(state.dump(day.balancer))
-    made = state.load(gradegap.balancing.balancer, raw, day.settings)
-    assert plain(state.dump(made)) == raw
+def test_loaded_state_equals_stored_state() -> None:
+    workload = workload_with_all_objects()
+    raw = stored_and_read(state.dump(workload.balancer))
+    loaded = state.load(gradegap.balancing.balancer, raw, workload.settings)
+    assert stored_and_read(state.dump(loaded)) == raw
     assert raw["version"] == 2 and list(raw) == ["version", "fields", "objects"]
-    for form, obj in every_object(day):
-        twin = twin_of(form, obj, made)
-        simple = {path for path in form.fields.values() if "." not in path}
-        assert [getattr(obj, p) for p in simple if type(getattr(obj, p)) in state.PLAIN] == [
-            getattr(twin, p) for p in simple if type(getattr(obj, p)) in state.PLAIN
+    for form, obj in every_object(workload):
+        loaded_obj = corresponding_object(form, obj, loaded)
+        direct_attributes = {path for path in form.fields.values() if "." not in path}
+        assert [
+            getattr(obj, attribute)
+            for attribute in direct_attributes
+            if type(getattr(obj, attribute)) in state.PLAIN
+        ] == [
+            getattr(loaded_obj, attribute)
+            for attribute in direct_attributes
+            if type(getattr(obj, attribute)) in state.PLAIN
         ]
 
 
-def test_parts_of_a_module_that_share_something_share_it_after_a_load() -> None:
-    day = lived()
-    made = state.load(gradegap.balancing.balancer, plain(state.dump(day.balancer)), day.settings)
-    assert made.slow_start.capacity is BALANCER.owner(made, "capacity.mean_size")
-    generator = BALANCER.get(made, "random_generator")
-    assert made.context.random == generator.random
-    ready, requests = BALANCER.get(made, "ready_endpoints"), BALANCER.get(made, "requests")
-    endpoints = BALANCER.get(made, "endpoints").values()
+def test_shared_references_are_shared_after_loading() -> None:
+    workload = workload_with_all_objects()
+    loaded = state.load(
+        gradegap.balancing.balancer, stored_and_read(state.dump(workload.balancer)), workload.settings
+    )
+    assert loaded.slow_start.capacity is BALANCER.owner(loaded, "capacity.mean_size")
+    generator = BALANCER.get(loaded, "random_generator")
+    assert loaded.context.random == generator.random
+    ready, requests = BALANCER.get(loaded, "ready_endpoints"), BALANCER.get(loaded, "requests")
+    endpoints = BALANCER.get(loaded, "endpoints").values()
     for endpoint in endpoints:
         index = ENDPOINT.get(endpoint, "ready_index")
         assert index < 0 or ready[index] is endpoint
-        for ident, request in ENDPOINT.get(endpoint, "connections").items():
-            assert request is requests.get(ident, request)
-    assert generator.random() == BALANCER.get(day.balancer, "random_generator").random()
+        for request_id, request in ENDPOINT.get(endpoint, "connections").items():
+            assert request is requests.get(request_id, request)
+    assert generator.random() == BALANCER.get(workload.balancer, "random_generator").random()
 
 
 # Older and later versions
 
 
-def test_a_state_of_version_1_is_read_as_one_of_this_version() -> None:
+def test_state_of_version_1_is_loaded_as_version_2() -> None:
     states = list(recorded_states("rolling_deploy"))
     assert states
     for raw, start in states:
         assert "version" not in raw
-        given = records.settings(start["settings"])
-        made = state.load(gradegap.balancing.balancer, raw, given)
-        again = state.load(gradegap.balancing.balancer, plain(state.dump(made)), given)
-        assert plain(state.dump(again)) == plain(state.dump(made))
-        assert state.same(gradegap.balancing.balancer, made, raw, given)
-        state._put(made, BALANCER.fields["expected_returns"], 7.0)
-        assert not state.same(gradegap.balancing.balancer, made, raw, given)
-        old = dict(zip(raw["names"]["Balancer"], raw["objects"][0][1], strict=True))
+        stored_settings = records.settings(start["settings"])
+        loaded = state.load(gradegap.balancing.balancer, raw, stored_settings)
+        reloaded = state.load(
+            gradegap.balancing.balancer, stored_and_read(state.dump(loaded)), stored_settings
+        )
+        assert stored_and_read(state.dump(reloaded)) == stored_and_read(state.dump(loaded))
+        assert state.same(gradegap.balancing.balancer, loaded, raw, stored_settings)
+        state._put(loaded, BALANCER.fields["expected_returns"], 7.0)
+        assert not state.same(gradegap.balancing.balancer, loaded, raw, stored_settings)
+        version_1_fields = dict(zip(raw["names"]["Balancer"], raw["objects"][0][1], strict=True))
         for stored, name in (("probe_budget", "tokens"), ("learned_drain_time", "lead"), ("now", "now")):
-            assert BALANCER.get(made, stored) == old[name]
-        rate = dict(zip(raw["names"]["Rate"], raw["objects"][old["came"][1]][1], strict=True))
-        assert {name: BALANCER.get(made, f"sent_rate.{name}") for name in rate} == rate
-        assert len(BALANCER.get(made, "endpoints")) == sum(name == "_Server" for name, _ in raw["objects"])
+            assert BALANCER.get(loaded, stored) == version_1_fields[name]
+        version_1_rate = dict(
+            zip(raw["names"]["Rate"], raw["objects"][version_1_fields["came"][1]][1], strict=True)
+        )
+        assert {name: BALANCER.get(loaded, f"sent_rate.{name}") for name in version_1_rate} == version_1_rate
+        assert len(BALANCER.get(loaded, "endpoints")) == sum(name == "_Server" for name, _ in raw["objects"])
 
 
-def test_a_state_that_was_written_in_version_2_is_loaded_and_dumped_to_the_same_bytes() -> None:
-    """The file is never made anew: a change that can no longer read it needs a version of its own."""
+def test_state_of_version_2_is_loaded_and_dumped_to_same_bytes() -> None:
+    """The file is never regenerated: a change after which it can't be read needs a new version."""
     ((raw, start),) = recorded_states("format_2")
     assert raw["version"] == 2
-    kinds = Counter(name for name, _ in raw["objects"])
-    assert kinds["Endpoint"] == 8 and kinds["Request"] > 20
-    made = state.load(gradegap.balancing.balancer, raw, records.settings(start["settings"]))
-    assert msgspec.msgpack.encode(state.dump(made)) == msgspec.msgpack.encode(raw)
+    object_counts = Counter(name for name, _ in raw["objects"])
+    assert object_counts["Endpoint"] == 8 and object_counts["Request"] > 20
+    loaded = state.load(gradegap.balancing.balancer, raw, records.settings(start["settings"]))
+    assert msgspec.msgpack.encode(state.dump(loaded)) == msgspec.msgpack.encode(raw)
 
 
-def test_the_table_of_version_1_names_every_stored_field() -> None:
+def test_version_1_table_covers_every_stored_field() -> None:
     assert sorted(state_v1.BALANCER.values()) == sorted(BALANCER_FIELDS)
     assert sorted(state_v1.ENDPOINT.values()) == sorted(ENDPOINT_FIELDS)
     assert sorted(state_v1.REQUEST.values()) == sorted(REQUEST_FIELDS)
 
 
-def test_a_state_of_a_later_version_is_refused_by_an_error_that_names_both() -> None:
-    raw = state.dump(lived().balancer) | {"version": 9}
+def test_state_of_later_version_is_rejected_with_both_versions() -> None:
+    raw = state.dump(workload_with_all_objects().balancer) | {"version": 9}
     with pytest.raises(
         LaterStateError, match=r"state has format 9; this program reads formats up to 2"
     ) as caught:
@@ -238,20 +254,20 @@
 
 @pytest.mark.parametrize("kind", list(schema.FORMS))
 @pytest.mark.parametrize("how", ["one more", "one fewer"])
-def test_a_state_with_other_fields_is_of_another_algorithm(kind: str, how: str) -> None:
-    day = lived()
-    raw = plain(state.dump(day.balancer))
+def test_state_with_other_fields_is_rejected_as_other_algorithm(kind: str, how: str) -> None:
+    workload = workload_with_all_objects()
+    raw = stored_and_read(state.dump(workload.balancer))
     names = raw["fields"][kind]
     names.append("unheard_of") if how == "one more" else names.pop()
     for name, values in raw["objects"]:
         if name == kind:
             values.append(0) if how == "one more" else values.pop()
     with pytest.raises(OtherAlgorithmError, match=f"its {kind} differs in"):
-        state.load(gradegap.balancing.balancer, raw, day.settings)
+        state.load(gradegap.balancing.balancer, raw, workload.settings)
 
 
 @pytest.mark.parametrize("name", ["drain_under_load", "jump", "parted_discovery", "quarter_dies", "silent"])
-def test_a_state_of_an_older_algorithm_says_what_differs(name: str) -> None:
+def test_state_of_older_algorithm_is_rejected_with_differing_fields(name: str) -> None:
     states = list(recorded_states(name))
     assert states
     for raw, start in states:
@@ -279,7 +295,7 @@
         {"names": {"Balancer": ["now"]}, "objects": [["Balancer", [1.0]]]},
     ],
 )
-def test_what_is_no_state_is_refused(raw: Any) -> None:
+def test_malformed_state_is_rejected(raw: Any) -> None:
     with pytest.raises(BadStateError):
         state.load(gradegap.balancing.balancer, raw, settings())
 
@@ -287,37 +303,37 @@
 @pytest.mark.parametrize(
     "value", [["o", 10**6], ["o", -1], ["q"], ["e", "Popen", 1], ["e", "Phase", 77], ["r", 3, [1], None], {}]
 )
-def test_a_value_of_no_kind_is_refused(value: Any) -> None:
-    day = lived()
-    raw = plain(state.dump(day.balancer))
+def test_malformed_value_is_rejected(value: Any) -> None:
+    workload = workload_with_all_objects()
+    raw = stored_and_read(state.dump(workload.balancer))
     raw["objects"][0][1][BALANCER_FIELDS.index("endpoints")] = value
     with pytest.raises(BadStateError):
-        state.load(gradegap.balancing.balancer, raw, day.settings)
+        state.load(gradegap.balancing.balancer, raw, workload.settings)
 
 
-def test_a_module_that_lacks_a_stored_attribute_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    day = lived()
-    raw = plain(state.dump(day.balancer))
+def test_module_without_stored_attribute_is_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
+    workload = workload_with_all_objects()
+    raw = stored_and_read(state.dump(workload.balancer))
 
-    class Lacking(Balancer):
+    class IncompleteBalancer(Balancer):
         def __init__(self, settings: Settings, seed: int) -> None:
             super().__init__(settings, seed)
             delattr(BALANCER.owner(self, "expected_returns"), name)
 
     name = BALANCER.fields["expected_returns"].rpartition(".")[2]
-    monkeypatch.setattr(gradegap.balancing.balancer, "Balancer", Lacking)
+    monkeypatch.setattr(gradegap.balancing.balancer, "Balancer", IncompleteBalancer)
     with pytest.raises(BadStateError, match=name):
-        state.load(gradegap.balancing.balancer, raw, day.settings)
+        state.load(gradegap.balancing.balancer, raw, workload.settings)
 
 
-def test_ids_of_players_are_found_in_states_of_both_versions() -> None:
-    new = plain(state.dump(lived().balancer))
-    assert any(str(each).startswith("g") for each in state.personal_ids(new))
-    old, _ = next(recorded_states("rolling_deploy"))
-    assert list(state.personal_ids(old)) == [
-        dict(zip(old["names"][name], values, strict=True))["ring_key"]
-        for name, values in old["objects"]
+def test_player_ids_are_found_in_states_of_both_versions() -> None:
+    version_2_state = stored_and_read(state.dump(workload_with_all_objects().balancer))
+    assert any(str(player_id).startswith("g") for player_id in state.personal_ids(version_2_state))
+    version_1_state, _ = next(recorded_states("rolling_deploy"))
+    assert list(state.personal_ids(version_1_state)) == [
+        dict(zip(version_1_state["names"][name], values, strict=True))["ring_key"]
+        for name, values in version_1_state["objects"]
         if name == "_Req"
     ]
     with pytest.raises(LaterStateError):
-        list(state.personal_ids(new | {"version": 3}))
+        list(state.personal_ids(version_2_state | {"version": 3}))
