--- a/gradegap/capture/frames.py
+++ b/gradegap/capture/frames.py
@@ -48,7 +48,7 @@
 
     kind: FrameKind
     record_count: int
-    first_number: int  # of its first record
+    first_number: int  # the number of its first record
     first_at: float  # clock of its first record, s
     last_at: float  # clock of its last record, s
     body: Any
--- a/gradegap/capture/index.py
+++ b/gradegap/capture/index.py
@@ -26,7 +26,7 @@
 
     offset: int
     kind: FrameKind
-    first_number: int  # of its first record
+    first_number: int  # the number of its first record
     record_count: int
     first_at: float  # clock of its first record, s
     last_at: float
--- a/gradegap/capture/observations.py
+++ b/gradegap/capture/observations.py
@@ -76,7 +76,8 @@
     clients: list[Client] = field(default_factory=list)
     inherited: list[tuple[float, ConnectionInherited]] = field(default_factory=list)
     answers: dict[str, list[Answer]] = field(default_factory=lambda: defaultdict(list))  # by endpoint
-    breaks: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))  # by endpoint
+    # Clocks at which established connections were reset, by endpoint.
+    breaks: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
     return_delay: float = DEFAULT_RETURN_DELAY_S
     connect_time: float = DEFAULT_CONNECT_TIME_S
     gaps: list[str] = field(default_factory=list)
@@ -133,12 +134,12 @@
     def __init__(self) -> None:
         self.observations = Observations()
         self.clients_by_key: dict[str, Client] = {}
-        self.clients: dict[int, Client] = {}  # by request
+        self.clients: dict[int, Client] = {}  # clients by request id
         self.attempts: dict[int, tuple[str, float]] = {}  # attempts in flight by request: endpoint, sent at
         self.established: dict[int, str] = {}  # endpoints of connections, by request
         self.migrated: set[int] = set()
         self.left_at: dict[str, float] = {}  # clock of a migration or reset, by the client's key
-        self.connections: dict[str, int] = defaultdict(int)  # by endpoint
+        self.connections: dict[str, int] = defaultdict(int)  # connection counts by endpoint
         self.health_checks: dict[
             str, float
         ] = {}  # clock at which a health check in flight was sent, by endpoint
--- a/gradegap/capture/simulation.py
+++ b/gradegap/capture/simulation.py
@@ -87,14 +87,15 @@
         self.schedule: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.scheduled = 0  # number of entries ever scheduled; orders entries that are due at the same time
         self.next_request_id = 1 + max([0, *(c.request.request_id for c in observations.clients)])
-        self.clients: dict[int, Client] = {}  # by request
-        self.tries: Counter[int] = Counter()  # by the client's first request
+        self.clients: dict[int, Client] = {}  # clients by request id
+        # Requests since the last connection, by the id of the client's first request.
+        self.tries: Counter[int] = Counter()
         self.attempt_counts: Counter[int] = Counter()
         self.in_flight: dict[int, tuple[str, int]] = {}  # endpoint, number of the attempt
         self.established: dict[int, str] = {}  # endpoints, by request
         self.answered: set[int] = set()
         self.deadlines: dict[int, float] = {}
-        self.connections: Counter[str] = Counter()  # by endpoint
+        self.connections: Counter[str] = Counter()  # connection counts by endpoint
         self.is_proxy_draining = False
         self.result = WhatIfResult(ServiceFigures(), ServiceFigures(), [])
 
