--- a/bench/capture.py
+++ b/bench/capture.py
@@ -1,11 +1,11 @@
-"""What recording and replaying cost, beside the balancer alone in the same run.
+"""Measures the cost of recording and replaying, relative to the balancer alone in the same run.
 
     python -m bench.capture
 
-A generated day of a balancer (arrivals, health checks, failures, drains; seeded) is decided plainly, under a
-recorder, and replayed from its file; rounds in turn. Then how long a state delays the loop, by connections in
-flight, and processor time and memory of a node that serves the same requests with and without `[capture]`.
-No part of CI.
+The events of a generated day (arrivals, health checks, failures, drains; seeded) are handled by a balancer
+alone, by a balancer with a recorder, and by a replay of the recording, in alternating rounds. The bench then
+measures how long a state blocks the event loop for several numbers of connections, and the processor time and
+memory of a node that serves the same requests with and without `[capture]`. It does not run in CI.
 """
 
 from __future__ import annotations
@@ -37,24 +37,22 @@
 REQUESTS = 1500
 WARM_UP_REQUESTS = 100
 SEED, ENDPOINTS = 1, 40
-STATE_SIZES = (100, 1000, 4000, 20_000)  # connections in flight
+STATE_SIZES = (100, 1000, 4000, 20_000)  # established connections
 STATE_REPEATS = 5
-YIELD_EVERY, MAX_PENDING = (
-    2000,
-    8,
-)  # steps between looks at the recorder's queue; batches and states that may wait there
+# Steps between checks of the recorder's queue, and the number of batches and states that may wait in it.
+YIELD_EVERY, MAX_PENDING = 2000, 8
 
 TimedEvent = tuple[float, Any]  # the balancer's clock, and the event
 
 
 def generated_events() -> list[TimedEvent]:
-    """The events of a generated day, with their clocks."""
+    """Returns the events of a generated day with their clocks."""
     day = RandomWorkload(SEED, ENDPOINTS).run_steps(STEPS)
     return [(row[2], records.event(row[3])) for row in day.steps]
 
 
 def balancer_cpu_s(timed_events: list[TimedEvent]) -> float:
-    """Processor seconds of the balancer without a recorder."""
+    """Returns the processor time in s of the balancer without a recorder."""
     balancer = Balancer(RandomWorkload(SEED, ENDPOINTS).settings, SEED)
     began = time.process_time()
     for at, event in timed_events:
@@ -63,7 +61,7 @@
 
 
 async def recorded_cpu_s(timed_events: list[TimedEvent], folder: Path) -> float:
-    """Processor seconds of the loop and of the recorder's thread together."""
+    """Returns the processor time in s of the event loop and the recorder's thread together."""
     settings, metrics = RandomWorkload(SEED, ENDPOINTS).settings, Metrics()
     balancer = Balancer(settings, SEED)
     recorder = Recorder(
@@ -94,7 +92,7 @@
 
 @dataclass(frozen=True)
 class RecordingRound:
-    """One round: processor seconds of the same steps three ways, and the size of the recording."""
+    """One round: processor times of the same steps in the three ways, and the size of the recording."""
 
     balancer_s: float
     recorded_s: float
@@ -104,7 +102,7 @@
 
 
 def recording_round(timed_events: list[TimedEvent]) -> RecordingRound:
-    """Decide, record and replay the same events."""
+    """Handles, records and replays the same events."""
     balancer_s = balancer_cpu_s(timed_events)
     with tempfile.TemporaryDirectory() as name:
         recorded_s = asyncio.run(recorded_cpu_s(timed_events, Path(name)))
@@ -119,7 +117,7 @@
 
 
 def recording_cost() -> dict[str, Any]:
-    """What recording and replaying cost beside the balancer alone."""
+    """Returns the costs of recording and replaying, relative to the balancer alone."""
     timed_events = generated_events()
     rounds = [recording_round(timed_events) for _ in range(ROUNDS)]
     steps, size_bytes = rounds[-1].steps, rounds[-1].size_bytes
@@ -140,14 +138,14 @@
 
 
 def state_costs() -> dict[str, Any]:
-    """Milliseconds of a state, by connections in flight."""
+    """Returns the time in ms that a state takes, by number of connections."""
     return {f"{connections} held": state_cost(connections) for connections in STATE_SIZES}
 
 
 def state_cost(connections: int) -> dict[str, float]:
-    """Milliseconds of a dump in place, of a fork, and of a fork until its result is read; medians."""
+    """Returns the median times in ms of a dump in place, a fork, and a fork until its result is read."""
     day = RandomWorkload(2, ENDPOINTS)
-    for number in range(1, connections + 1):  # each at a known endpoint, as after a hot restart
+    for number in range(1, connections + 1):  # inherited connections, as after a hot restart
         request = RequestArrived(number, "live", day.now + 2.0, "", f"k{number}", f"g{number % 500}")
         day.feed(ConnectionInherited(request, f"s{number % ENDPOINTS}"))
     in_place, forks, until_read = [], [], []
@@ -167,39 +165,39 @@
 
 @dataclass(frozen=True)
 class NodeCost:
-    """What a node as a process takes: processor microseconds a request, and its own memory in KiB."""
+    """Costs of a node process: processor time in us for each request, and private memory in KiB."""
 
     request_us: float
     memory_kib: int
 
 
 def node_cost(with_capture: bool) -> NodeCost:
-    """Of a node that answers requests one after the other."""
+    """Measures a node that serves requests one after the other."""
     with tempfile.TemporaryDirectory() as name:
         operator_file = f'[capture]\nfolder = "{name}/captures"\n' if with_capture else None
-        world = NodeEnvironment(Path(name), [EndpointServer(n) for n in "abc"], operator_file)
+        node = NodeEnvironment(Path(name), [EndpointServer(n) for n in "abc"], operator_file)
         try:
-            wait_for(world.is_ready, 15.0)
+            wait_for(node.is_ready, 15.0)
             for _ in range(WARM_UP_REQUESTS):
-                make_request(world.client())
-            pid = world.process.pid
+                make_request(node.client())
+            pid = node.process.pid
             before = cpu_seconds(pid)
             for _ in range(REQUESTS):
-                make_request(world.client())
+                make_request(node.client())
             return NodeCost((cpu_seconds(pid) - before) / REQUESTS * 1e6, private_kib(pid))
         finally:
-            world.process.kill()
-            world.process.wait()
+            node.process.kill()
+            node.process.wait()
 
 
 def make_request(client: Client) -> None:
-    """A client that connects, is answered and disconnects."""
+    """Opens a connection, waits for the answer and disconnects."""
     assert client.open_request()[:2] in ("UP", "BU")
     client.sock.close()
 
 
 def main() -> None:
-    """Measure in turn, and print the figures as JSON."""
+    """Runs all measurements and prints the figures as JSON."""
     rounds = [(node_cost(False), node_cost(True)) for _ in range(ROUNDS)]
     figures = {
         "module": recording_cost(),
--- a/bench/captures.py
+++ b/bench/captures.py
@@ -1,10 +1,10 @@
-"""Six days of a real node on loopback, recorded: the captures that `tests/captures` keeps.
+"""Records six days of a real node on loopback: the recordings in `tests/captures`.
 
     python -m bench.captures FOLDER [DAY ...]
 
-Each takes some 8 s: a node as a process, save servers whose load follows their connections, clients that
-connect, stay a while, and connect again where they are migrated or rejected. The faults of a day are in its
-own function.
+Each day takes about 8 s. It has a node process, save servers whose load follows their connections, and
+clients that connect, stay for some time, and reconnect if they are migrated or rejected. One function for
+each day injects its faults.
 """
 
 from __future__ import annotations
@@ -36,12 +36,12 @@
 DAY_LENGTH_S = 7.0
 ARRIVALS_PER_S = 30.0
 MEAN_STAY_S = 2.5
-MAX_FAILURES = 4  # in a row, after which a client gives up
-OVERLOAD = 1.2  # of its capacity, at which a save server rejects
+MAX_FAILURES = 4  # consecutive failures after which a client gives up
+REJECTION_RATIO = 1.2  # ratio of connections to capacity at which a save server rejects clients
 
 
 class SaveServer(EndpointServer):
-    """Its load follows its connections; it can become unresponsive, or die."""
+    """A save server whose load follows its connections, and which can become unresponsive or fail."""
 
     def __init__(self, name: str, capacity: int = CAPACITY) -> None:
         self.capacity = capacity
@@ -61,7 +61,7 @@
                     count = len(self.open_connections)
                     sock.sendall(b"PONG x0=%.4f,inflight=%d\r\n" % (count / self.capacity, count))
                 elif raw.startswith(b"OPEN"):
-                    if len(self.open_connections) >= OVERLOAD * self.capacity:
+                    if len(self.open_connections) >= REJECTION_RATIO * self.capacity:
                         sock.sendall(b"BUSY inflight=%d\r\n" % len(self.open_connections))
                         break
                     self.open_connections.add(sock)
@@ -75,7 +75,7 @@
             sock.close()
 
     def die(self) -> None:
-        """Reset all connections, and answer nothing more."""
+        """Resets all connections and answers no further request."""
         self.dead = True
         self.stop()
         for sock in list(self.open_connections):
@@ -84,17 +84,17 @@
 
 
 class Day:
-    """One day: clients that connect, stay and connect again, and the faults that come to them."""
+    """One day: clients that connect, stay and reconnect, while faults are injected."""
 
-    def __init__(self, running_node: NodeEnvironment, servers: list[SaveServer], seed: int) -> None:
-        self.world, self.servers, self.rng = running_node, servers, random.Random(seed)
+    def __init__(self, node: NodeEnvironment, servers: list[SaveServer], seed: int) -> None:
+        self.node, self.servers, self.rng = node, servers, random.Random(seed)
         self.arrivals_per_s, self.mean_stay_s = ARRIVALS_PER_S, MEAN_STAY_S
         self.players: set[asyncio.Task[None]] = set()
         self.ends_at = 0.0
-        self.answers: dict[str, int] = {}  # how often each last line came, by its first four letters
+        self.answers: dict[str, int] = {}  # number of last answers, by their first four characters
 
     async def live(self) -> None:
-        """Send clients until the day ends, and wait for all of them."""
+        """Starts clients until the day ends, and waits for all of them."""
         loop = asyncio.get_running_loop()
         self.ends_at = loop.time() + DAY_LENGTH_S
         number = 0
@@ -107,7 +107,7 @@
         await asyncio.gather(*self.players)
 
     async def player(self, key: str) -> None:
-        """One client, on as many connections as its stay takes."""
+        """Runs one client, on as many consecutive connections as its stay requires."""
         loop = asyncio.get_running_loop()
         end = min(loop.time() + self.rng.expovariate(1 / self.mean_stay_s), self.ends_at)
         fields, failures = "", 0
@@ -125,8 +125,8 @@
                 await asyncio.sleep(self.rng.uniform(0.15, 0.5))
 
     async def connection(self, key: str, fields: str, end: float) -> str:
-        """How one ended: the node's last line, `left` where its client closed it, empty where it broke."""
-        host, _, port = self.world.address.rpartition(":")
+        """Runs one connection; returns the node's last line, `left` if the client closed it, or empty."""
+        host, _, port = self.node.address.rpartition(":")
         try:
             reader, writer = await asyncio.open_connection(host, int(port))
         except OSError:
@@ -150,12 +150,12 @@
             writer.close()
 
     async def announce(self, server: SaveServer, **changes: Any) -> None:
-        """Change a server in the endpoint list."""
-        await asyncio.to_thread(self.world.discovery.announce, server, **changes)
+        """Changes a server in the endpoint list."""
+        await asyncio.to_thread(self.node.discovery.announce, server, **changes)
 
 
 async def quarter_dies(day: Day) -> None:
-    """Two of eight endpoints die at one moment; discovery removes them a second later."""
+    """Two of eight endpoints fail at the same time; discovery removes them a second later."""
     await asyncio.sleep(2.5)
     for server in day.servers[:2]:
         await asyncio.to_thread(server.die)
@@ -175,7 +175,7 @@
 
 
 async def rolling_deploy(day: Day) -> None:
-    """One endpoint after the other drains, and one that warms up comes in its place."""
+    """Endpoints drain one after the other, and each is replaced by one in slow start."""
     day.mean_stay_s = 8.0
     for number, server in enumerate(list(day.servers[:4])):
         await asyncio.sleep(1.0)
@@ -186,7 +186,7 @@
 
 
 async def jump(day: Day) -> None:
-    """Ten times the clients for 1.5 s."""
+    """The arrival rate of clients is ten times as high for 1.5 s."""
     await asyncio.sleep(2.5)
     day.arrivals_per_s = 10 * ARRIVALS_PER_S
     await asyncio.sleep(1.5)
@@ -194,7 +194,7 @@
 
 
 async def drain_under_load(day: Day) -> None:
-    """The fullest endpoint drains, and is removed 3.8 s later."""
+    """The endpoint with the most connections drains, and is removed 3.8 s later."""
     day.mean_stay_s = 12.0
     await asyncio.sleep(2.0)
     draining = max(day.servers, key=lambda server: len(server.open_connections))
@@ -205,15 +205,15 @@
 
 
 async def parted_discovery(day: Day) -> None:
-    """Discovery answers nobody while two endpoints die."""
+    """Discovery answers no call while two endpoints fail."""
     await asyncio.sleep(2.0)
-    day.world.discovery.answers_allowed = threading.Event()
+    day.node.discovery.answers_allowed = threading.Event()
     await asyncio.sleep(0.5)
     for server in day.servers[:2]:
         await asyncio.to_thread(server.die)
     await asyncio.sleep(2.5)
-    hold, day.world.discovery.answers_allowed = day.world.discovery.answers_allowed, None
-    hold.set()
+    answers_allowed, day.node.discovery.answers_allowed = day.node.discovery.answers_allowed, None
+    answers_allowed.set()
     for server in day.servers[:2]:
         await day.announce(server, state="Gone")
 
@@ -229,28 +229,28 @@
 
 
 def record(name: str, out: Path, seed: int) -> dict[str, int]:
-    """The capture of that day; how its clients' connections ended."""
-    with tempfile.TemporaryDirectory() as place:
-        folder = Path(place) / "captures"
+    """Records a day to `out`; returns how the clients' connections ended."""
+    with tempfile.TemporaryDirectory() as parent:
+        folder = Path(parent) / "captures"
         operator = f'[capture]\nfolder = "{folder}"\nstate_s = 3600\n'
-        servers = [SaveServer(f"{k}") for k in range(SERVERS)]
-        alone = SETTINGS | {"ReplicasOfMe": 1}
-        with running_node(Path(place), list(servers), operator, settings=alone) as w:
-            day = Day(w, servers, seed)
+        servers = [SaveServer(f"{number}") for number in range(SERVERS)]
+        node_settings = SETTINGS | {"ReplicasOfMe": 1}
+        with running_node(Path(parent), list(servers), operator, settings=node_settings) as node:
+            day = Day(node, servers, seed)
 
             async def main() -> None:
                 await asyncio.gather(day.live(), DAYS[name](day))
 
             asyncio.run(main())
-            w.process.terminate()
-            wait_for(lambda: w.process.poll() is not None, 10.0)
+            node.process.terminate()
+            wait_for(lambda: node.process.poll() is not None, 10.0)
         (path,) = folder.iterdir()
         out.write_bytes(path.read_bytes())
         return day.answers
 
 
 def main() -> None:
-    """Play the days that the command line names, or all of them."""
+    """Records the days named on the command line, or all of them."""
     folder = Path(sys.argv[1])
     folder.mkdir(parents=True, exist_ok=True)
     for seed, name in enumerate(sys.argv[2:] or DAYS):
