--- a/gradegap/capture/explain.py
+++ b/gradegap/capture/explain.py
@@ -24,7 +24,7 @@
 def _describe_endpoint(balancer: Balancer, endpoint: Endpoint | None, request: Request) -> str:
     """Describes an endpoint that was drawn, with its estimated load and the age of its report."""
     if endpoint is None:
-        return "no endpoint"
+        return "nobody"
     load = balancer.load_estimates.comparable_load(endpoint, request)
     shown = "no load known" if load is None else f"{load:.4f}"
     seen_at = ENDPOINT.get(endpoint, "report_changed_at")
--- a/gradegap/capture/frames.py
+++ b/gradegap/capture/frames.py
@@ -145,7 +145,7 @@
     import zstandard
 
     if offset + _HEADER.size > len(data) and MARK.startswith(data[offset : offset + len(MARK)]):
-        raise _InvalidFrameError("truncated")
+        raise _InvalidFrameError("frame truncated")
     if not data.startswith(MARK, offset):
         raise _InvalidFrameError("no frame mark at this offset")
     header = _HEADER.unpack_from(data, offset)
@@ -156,7 +156,7 @@
         raise _InvalidFrameError(f"declared size exceeds {MAX_BODY_BYTES} bytes")
     end = begin + packed_size
     if end > len(data):
-        raise _InvalidFrameError("truncated")
+        raise _InvalidFrameError("frame truncated")
     packed = data[begin:end]
     if zlib.crc32(packed, zlib.crc32(data[offset : begin - 4] + b"\0\0\0\0")) != crc:
         raise _InvalidFrameError("checksum mismatch")
