--- a/gradegap/balancing/events.py
+++ b/gradegap/balancing/events.py
@@ -104,7 +104,7 @@
     request_id: int
     endpoint: str
     load: float | None = None
-    message_delay: float | None = None  # round-trip time of one message in seconds
+    message_delay: float | None = None  # delay of one message in seconds
 
 
 class AttemptEnded(NamedTuple):
