--- a/gradegap/observer/admission.py
+++ b/gradegap/observer/admission.py
@@ -8,17 +8,17 @@
 from gradegap.observer.messages import VERSION, CloseCode, Rejected, Subscribe
 from gradegap.observer.token_bucket import TokenBucket
 
-RETRY_JITTER_RATIO = 0.5  # a wait before a retry is lengthened by a random part of it, up to this ratio
+RETRY_JITTER_RATIO = 0.5  # a retry wait is lengthened by a random fraction between 0 and this ratio
 
 
 class AdmissionRate:
-    """Limits the rate of new subscriptions; each node above it is given a later retry time than the last."""
+    """Limits the rate of new subscriptions, and spreads the retries of rejected nodes over later times."""
 
     def __init__(self, limits: Limits, now: float, random: random_module.Random) -> None:
         self.bucket = TokenBucket(limits.subscribe_rate, float(limits.subscribe_burst), now)
         self.max_wait_s = limits.max_retry_after_s
         self.random = random
-        self.expected_retries = 0.0  # nodes that were given a retry time which has not yet come
+        self.expected_retries = 0.0  # estimated number of nodes that were told to retry at a time still ahead
 
     def admit(self, now: float) -> bool:
         """Whether another node may subscribe now; if so, a token is consumed."""
@@ -50,8 +50,8 @@
     def rejection(self, now: float, message: Subscribe, revision: int, is_full: bool) -> Rejected | None:
         """Returns the rejection to send to this node; None if the node is admitted.
 
-        `revision` is the one that the machine has applied. `is_full` means that the machine has reached its
-        maximum number of subscriptions.
+        `revision` is the last revision that this machine has applied. `is_full` means that the machine has
+        reached its maximum number of subscriptions.
         """
         if message.version != VERSION:
             text = f"protocol version must be {VERSION}, got {message.version}"
--- a/gradegap/observer/client.py
+++ b/gradegap/observer/client.py
@@ -1,7 +1,7 @@
 """A node's subscription on sockets: runs a `Subscriber` with connections, timers and the byte budget.
 
-The client is independent of the node's proxy: `on_apply` receives changes of committed state, `on_lease`
-whether the node may decide by that state.
+The client is independent of the node's proxy: `on_apply` is called with changes of committed
+state, `on_lease` with whether the node may decide by that state.
 """
 
 from __future__ import annotations
@@ -43,12 +43,12 @@
 log = structlog.get_logger()
 
 CONNECT_TIMEOUT_S = 2.0
-BUDGET_BURST_S = 2.0  # the burst of the byte budget, as time at its rate
+BUDGET_BURST_S = 2.0  # burst of the byte budget, as the time (s) in which the bucket gains it
 MAX_TICK_INTERVAL_S = 60.0
 
 
 class ObserverClient:
-    """One node's subscription: it stays at one control machine, and moves to another when that is silent."""
+    """One node's subscription: it uses one control machine, and moves to another if that fails."""
 
     def __init__(
         self,
@@ -133,7 +133,7 @@
     def abandon(self) -> None:
         """Close without a Leave: the machine counts the lease until it expires.
 
-        The node's next process uses the time that remains of the lease.
+        At a hot restart the node's successor process uses the time that remains of the lease.
         """
         self.is_closed = True
         if self.tick_timer is not None:
@@ -154,7 +154,7 @@
     ) -> None:
         """Send a request to the store, and call `respond` with one response.
 
-        The call comes at the latest after `timeout_s` and a margin.
+        `respond` is called after `timeout_s` and a margin at the latest.
         """
         self.requests.request(body, respond, timeout_s)
 
@@ -214,7 +214,7 @@
         self._execute_outputs()
 
     def _execute_outputs(self) -> None:
-        """Execute the subscriber's outputs; a nested call leaves them to the outer one."""
+        """Execute the subscriber's outputs; a nested call returns, and the outer call executes them."""
         if self.is_executing:
             return
         self.is_executing = True
--- a/gradegap/observer/delivery.py
+++ b/gradegap/observer/delivery.py
@@ -31,7 +31,7 @@
         send: Callable[[int, FromPublisher], None],
     ) -> None:
         self.lease_grants, self.counts, self.send = lease_grants, counts, send
-        self.revision = source.revision  # of the source at the last call of the publisher
+        self.revision = source.revision  # revision of the source at the last call of the publisher
         self.now = now  # time of the last call of the publisher (steady time, s)
         self.deltas = DeltaCache(source, limits)  # deltas up to the last change
         self.transfers = SnapshotTransfers(
@@ -45,7 +45,7 @@
         return subscription.sent_revision >= self.lease_grants.last_change
 
     def publish(self, subscriptions: Iterable[Subscription], previous_change: int) -> None:
-        """Send the newest change; subscribers that have `previous_change` share one delta object."""
+        """Send the newest change; subscribers that were sent `previous_change` share one delta object."""
         self.deltas.clear()
         for subscription in subscriptions:
             self.send_missing(subscription, previous_change)
@@ -110,7 +110,7 @@
             subscription.resume_deltas()
 
     def _end_transfer(self, subscription: Subscription) -> None:
-        """End a transfer and continue with the subscriptions that wait for one."""
+        """End a snapshot transfer, and serve waiting subscriptions while transfer slots are free."""
         self.transfers.end(subscription)
         while (following := self.transfers.next_waiting()) is not None:
             self.send_missing(following)
--- a/gradegap/observer/deltas.py
+++ b/gradegap/observer/deltas.py
@@ -21,7 +21,7 @@
 
 
 class DeltaCache:
-    """Caches the deltas that lead up to one revision, by their base revision."""
+    """Caches deltas that end at the same revision, by the revision that they start from."""
 
     def __init__(self, source: StateSource, limits: Limits) -> None:
         self.source, self.limits = source, limits
--- a/gradegap/observer/grants.py
+++ b/gradegap/observer/grants.py
@@ -1,4 +1,4 @@
-"""Leases that a publisher granted under its own, and the index that all their holders have applied. No I/O.
+"""Leases that a publisher granted under its own lease, and the index that all holders have applied. No I/O.
 
 The machine reports `safe_index` to the leader in place of its own applied index. A write is thereby
 acknowledged only once it is applied at every node that may still decide under a lease of this machine. Both
@@ -19,11 +19,11 @@
 
 @dataclass(slots=True, eq=False)
 class SubscriberLeaseGrant:
-    """The lease of one process of a node; it is valid until `expires_at`, whether or not it is connected."""
+    """The lease of one process of a node; valid until `expires_at`, even if the process is disconnected."""
 
     acknowledged: int  # the last revision that the holder has acknowledged
     expires_at: float = NEVER  # steady time, s
-    is_counted: bool = False  # among the holders of `LeaseGrants`
+    is_counted: bool = False  # whether `LeaseGrants` counts this grant
     is_in_expiry_queue: bool = False
 
 
@@ -42,7 +42,7 @@
     def __init__(self, limits: Limits, index: int, revision: int) -> None:
         self.limits = limits
         self.index = index
-        self.last_change = revision  # revision of the last change of a subscribed key, or a later one
+        self.last_change = revision  # the last change of a subscribed key has this revision or an earlier one
         self.required_revision = revision  # nodes that have not acknowledged it are granted no lease
         self.pending_changes: list[PendingChange] = []
         self.holders_up_to_date = 0  # number of grants whose holders lack no change
--- a/gradegap/observer/limits.py
+++ b/gradegap/observer/limits.py
@@ -6,7 +6,7 @@
 
 from gradegap.observer.messages import PART_BYTES
 
-# Ratio of the interval between two Renews to the length of a lease: two may be lost before the lease expires.
+# Ratio of the interval between two Renews to the length of a lease: two Renews may be lost before it expires.
 RENEW_INTERVAL_RATIO = 0.3
 
 
@@ -27,10 +27,10 @@
     max_retry_after_s: float = 10.0  # longest wait in a BUSY rejection, before jitter
     subscriber_timeout_s: float = 10.0  # a node that sends nothing for this time is disconnected
     write_stall_timeout_s: float = 10.0  # a node that reads nothing for this time is disconnected
-    disconnected_node_retention_s: float = 15.0  # a lost node is reported as behind for this time
+    disconnected_node_retention_s: float = 15.0  # a lost node that lacks changes is reported for this time
     snapshot_part_bytes: int = PART_BYTES  # target size of the changes in one part of a snapshot
-    max_delta_bytes: int = 128 * 1024  # size of changes; a larger difference is sent as a snapshot
-    max_cached_deltas: int = 64  # deltas kept between two changes for other nodes that need the same one
+    max_delta_bytes: int = 128 * 1024  # if the missing changes are larger, a snapshot is sent instead
+    max_cached_deltas: int = 64  # deltas cached until the next change, for other nodes that need the same one
     # Send rate limit for one node; changes above it are delayed and coalesced.
     subscriber_bytes_per_s: float = 3000.0
     subscriber_burst_bytes: int = 30_000
@@ -38,7 +38,7 @@
     max_pending_changes: int = 1024  # changes tracked separately for lease grants; further ones are merged
 
     # A subscriber
-    connect_timeout_s: float = 3.0  # for each of: connecting, and being accepted
+    connect_timeout_s: float = 3.0  # limits each of two steps: connecting, and the answer to Subscribe
     publisher_timeout_s: float = 3.0  # without a message for this time, the node tries another machine
     stale_timeout_s: float = 6.0  # without a lease for this time, the node tries another machine
     acknowledge_delay_s: float = 0.02  # delay between applying a delta and acknowledging it
--- a/gradegap/observer/messages.py
+++ b/gradegap/observer/messages.py
@@ -54,14 +54,14 @@
 
     version: int
     node: Name
-    instance: Name  # random, one for each process of the node
+    instance: Name  # random id, new for each process of the node
     region: Name = ""
     cluster: Name = ""  # empty until the node knows it
     revision: Revision = 0
 
 
 class Renew(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Acknowledges all changes up to `revision`, and requests a lease that begins when this is sent."""
+    """Acknowledges all changes up to `revision`, and requests a lease, counted from the send time."""
 
     serial: int
     revision: Revision
@@ -94,8 +94,8 @@
 class Delta(msgspec.Struct, frozen=True, array_like=True, tag=13):
     """The last change of each subscribed key that changed after revision `after`, up to `revision`.
 
-    A subscriber can apply it if its revision is at least `after`, so one object serves all subscribers that
-    have the previous change.
+    A subscriber can apply the delta if its own revision is at least `after`, so one object serves all
+    subscribers that have the previous change.
     """
 
     after: Revision
@@ -104,10 +104,10 @@
 
 
 class SnapshotPart(msgspec.Struct, frozen=True, array_like=True, tag=14):
-    """A part of a snapshot of all subscribed keys at `revision`, which is applied with its last part."""
+    """A part of a snapshot of all subscribed keys at `revision`; applied once all parts are received."""
 
     revision: Revision
-    part: int  # 0 for the first, sent in order
+    part: int  # number of the part, from 0; parts are sent in order
     last: bool
     items: tuple[Change, ...]
 
--- a/gradegap/observer/observed_store.py
+++ b/gradegap/observer/observed_store.py
@@ -102,7 +102,7 @@
         return round(self.client.age_s * 1000) if self.client.revision else -1
 
     async def start(self) -> None:
-        """Start to subscribe. It doesn't fail: machines that can't be reached are retried."""
+        """Start to subscribe. Never raises: machines that can't be reached are retried."""
         self.client.start()
         log.info("subscription started", machines=[machine.name for machine in self.settings.machines])
 
@@ -138,7 +138,7 @@
 
     def _delete_all_but(self, retained_keys: set[str]) -> None:
         if not self.is_synchronized:
-            # State that was in force before this subscription is reset, unless the store has it.
+            # State that the node had before its first subscription is reset, unless the store contains it.
             self.is_synchronized = True
             for endpoint in list(self.proxy.disabled):
                 if DISABLED_PREFIX + endpoint not in retained_keys:
@@ -167,7 +167,7 @@
         return "" if self.is_fresh() else f"; {REMEDY}"
 
     def describe(self) -> AdminResult:
-        """Returns the revision in force here, its age and the machine that serves it, for the admin API."""
+        """Returns this node's applied revision, its age and its control machine, for the admin API."""
         client = self.client
         if not client.revision:
             text = f"no state received from the store yet; {REMEDY}"
@@ -194,8 +194,8 @@
     def leave(self) -> float:
         """Close for a hot restart, and return the remaining time (s) of the lease.
 
-        The lease is not given up, because the node's next process decides under the rest of it. This process
-        acknowledges no further changes, so no write is acknowledged that the next process lacks.
+        The lease is not given up, because the successor process decides under the rest of it. This process
+        acknowledges no further changes, so no write is acknowledged that the successor process lacks.
         """
         remaining_s = self.client.lease_remaining_s
         self.client.abandon()
--- a/gradegap/observer/publisher.py
+++ b/gradegap/observer/publisher.py
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Close:
-    """Close this connection once its write buffer is flushed; the publisher has already dropped it."""
+    """Close this connection once its write buffer is flushed; the publisher has already removed its state."""
 
     connection_id: int
     code: CloseCode
@@ -78,7 +78,7 @@
         self.lease_until = NEVER  # when this machine's own lease expires (steady time, s)
         self.lease_grants = LeaseGrants(limits, source.index, source.revision)
         self.next_timeout_check_at = now + TIMEOUT_CHECK_INTERVAL_S
-        # By this time the nodes of this machine's earlier process have subscribed again or count as lost.
+        # After this time, nodes of this machine's previous process have subscribed again or count as lost.
         self.restart_settled_at = now + limits.disconnected_node_retention_s
         self.delivery = ChangeDelivery(source, self.lease_grants, limits, now, self.counts, self._send)
         self.outputs: list[Output] = []
@@ -202,7 +202,7 @@
         return sorted({*report.behind, *report.lost})
 
     def report(self, now: float, revision: int) -> MachineReport:
-        """Returns which nodes have not acknowledged `revision` here, and which came or went recently."""
+        """Returns which nodes have not acknowledged `revision`, and which connected or were lost recently."""
         self._follow_source(now)
         self.disconnected_nodes.forget_expired(now)
         required_revision = self._required_revision(revision)
@@ -231,7 +231,7 @@
     def take(self) -> list[Output]:
         """Returns the outputs, to be executed in order.
 
-        The driver calls it until the list is empty, because a snapshot is sent one part per call.
+        The driver calls this method until the list is empty, because a snapshot is sent one part per call.
         """
         self.delivery.send_snapshot_parts()
         outputs, self.outputs = self.outputs, []
@@ -240,7 +240,7 @@
     # New subscriptions
 
     def _displace_earlier_connection(self, now: float, message: Subscribe) -> None:
-        """Close the earlier connection of this node: a node has one connection, and the newer one stays."""
+        """Close this node's earlier connection: a node may have only one, and the newest is kept."""
         earlier = self.by_node.get(message.node)
         if earlier is None:
             return
@@ -249,7 +249,7 @@
         self._close(now, earlier, CloseCode.DUPLICATE, "another process subscribed under this node name")
 
     def _resume_lease_grant(self, message: Subscribe) -> SubscriberLeaseGrant:
-        """Returns the grant of this process, if it was connected before, else a new one.
+        """Returns the lease grant of the node's process if that was connected before, else a new grant.
 
         The grant of an earlier process of the node still counts until it expires.
         """
--- a/gradegap/observer/publisher_connection.py
+++ b/gradegap/observer/publisher_connection.py
@@ -18,7 +18,7 @@
 class ConnectionOwner(Protocol):
     """The owner of a connection, which handles its events."""
 
-    secret: bytes  # of the cluster
+    secret: bytes  # the cluster's secret
     bucket: TokenBucket  # send budget, in bytes
     traffic: Traffic
 
--- a/gradegap/observer/selection.py
+++ b/gradegap/observer/selection.py
@@ -28,7 +28,7 @@
 
 
 def rendezvous_order(node: str, region: str, machines: Sequence[MachineAddress]) -> list[MachineAddress]:
-    """Returns the machines in the node's order of preference: its own region first, then by weight."""
+    """Returns the machines in the node's order of preference: the node's region first, then by weight."""
     return sorted(
         machines, key=lambda machine: (machine.region != region, -rendezvous_weight(node, machine.name))
     )
--- a/gradegap/observer/server.py
+++ b/gradegap/observer/server.py
@@ -92,7 +92,7 @@
             self._schedule_flush()
 
     def safe_index(self) -> int:
-        """Returns the index applied by the member and by every node that may still decide under its lease."""
+        """Returns the log index applied by the member and by every node that may decide under its lease."""
         if self.publisher is None:
             return self.host.machine.index
         self.reported_safe_index = max(self.reported_safe_index, self.publisher.safe_index(time.monotonic()))
@@ -102,7 +102,7 @@
         """Returns which nodes lack a revision, as far as this machine knows."""
         publisher = self._get_or_create_publisher()
         if publisher is None:
-            # The member belongs to no cluster yet, and doesn't know the nodes of its earlier process.
+            # The member belongs to no cluster yet, and doesn't know the nodes of its previous process.
             return MachineReport(self.host.settings.name, 0, 0, restarted=True)
         return publisher.report(time.monotonic(), revision)
 
--- a/gradegap/observer/source.py
+++ b/gradegap/observer/source.py
@@ -31,7 +31,7 @@
 class MachineSource:
     """A `StateSource` that reads the applied state of a member of the store.
 
-    It has no state of its own, so it needs no notice when `StateMachine.load_state` loads a snapshot: the
+    It stores no state itself, so it needn't be notified when `StateMachine.load_state` loads a snapshot: the
     history then begins at that snapshot, and older changes count as compacted.
     """
 
--- a/gradegap/observer/store_requests.py
+++ b/gradegap/observer/store_requests.py
@@ -21,8 +21,8 @@
 from gradegap.store import wire
 
 MAX_REQUESTS = 256  # limit of requests in flight or waiting
-RENEWAL_RESERVE_BYTES = 512  # part of the byte budget that requests leave for renewals
-RESPONSE_MARGIN_S = 0.5  # added to the timeout that the machine was given, to allow for the response's delay
+RENEWAL_RESERVE_BYTES = 512  # bytes of the byte budget that requests leave unused for renewals
+RESPONSE_MARGIN_S = 0.5  # added to the timeout sent to the machine, to allow for the response's delay
 BUDGET_MARGIN_S = 0.001  # added to the computed wait for the byte budget
 REQUEST_KIND = "Ask"  # the message kind under which requests are counted in the traffic
 
@@ -64,7 +64,7 @@
     body: wire.RequestBody
     callback: ResponseCallback
     deadline: float  # steady time, s
-    name: WriteName | None = None  # assigned here to a write without a client name
+    name: WriteName | None = None  # assigned by `StoreRequests` to a write without a client name
     was_sent: bool = False  # to at least one machine, so the outcome of a write may be unknown
 
 
@@ -135,7 +135,7 @@
         request.body = msgspec.structs.replace(write, client=name.client, seq=name.sequence_number)
 
     def _send(self, request: PendingRequest) -> None:
-        """Send a request now or once the byte budget allows; without a subscription `send_all` does later."""
+        """Send a request once the byte budget allows; without a subscription, `send_all` sends it later."""
         connection = self.get_connection()
         now = time.monotonic()
         remaining_s = request.deadline - now
--- a/gradegap/observer/subscriber.py
+++ b/gradegap/observer/subscriber.py
@@ -34,7 +34,8 @@
 NEVER = -1e18  # time (s) that lies before every steady time
 FAR_FUTURE = 1e18  # time (s) that lies after every steady time
 MIN_RENEW_INTERVAL_S, MAX_RENEW_INTERVAL_S = 0.05, 10.0  # bounds of the interval that a machine may set
-# Renew intervals without a message after which a machine counts as silent; it matters where leases are long.
+# Number of Renew intervals without a message after which a machine counts as silent, if that is longer than
+# `publisher_timeout_s`: with long leases the intervals are long too.
 MAX_MISSED_RENEWALS = 4
 MAX_UNANSWERED_RENEWALS = 64  # above it the oldest unanswered Renew is forgotten
 
@@ -48,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Disconnect:
-    """Close the connection or cancel the attempt; the driver doesn't call `disconnected` then."""
+    """Close the connection or cancel the attempt; the driver doesn't call `disconnected` for it."""
 
     code: CloseCode
 
--- a/gradegap/observer/subscriber_connection.py
+++ b/gradegap/observer/subscriber_connection.py
@@ -1,4 +1,4 @@
-"""A node's connection at a control machine: handshake, frames, back-pressure and closing.
+"""The control machine's end of a node's connection: handshake, frames, back-pressure and closing.
 
 Nothing is queued for a connection beyond its transport's write buffer. The owner is notified when the buffer
 exceeds its high-water mark, and when it has drained.
@@ -33,7 +33,7 @@
 
     loop: asyncio.AbstractEventLoop
     metrics: Metrics
-    secret: bytes  # of the cluster
+    secret: bytes  # the cluster's secret
 
     def connection_opened(self, connection: SubscriberConnection) -> None:
         """Handle an accepted connection that is not authenticated yet."""
@@ -125,7 +125,7 @@
         self.owner.writing_resumed(self)
 
     def end(self, reason: str, text: str = "") -> None:
-        """Close the connection at once, and count the reason."""
+        """Close the connection, after at most `SUBSCRIBE_TIMEOUT_S` to flush it, and count the reason."""
         if self.transport is None or self.transport.is_closing():
             return
         self.owner.metrics.count(f"observer_link_{reason}")
--- a/gradegap/observer/subscriptions.py
+++ b/gradegap/observer/subscriptions.py
@@ -22,7 +22,7 @@
     """How changes are delivered to a subscriber; the methods of `Subscription` are the transitions."""
 
     DELTAS = "deltas"
-    AWAITING_SNAPSHOT = "awaiting snapshot"  # until the transfer to another subscriber ends
+    AWAITING_SNAPSHOT = "awaiting snapshot"  # queued until a transfer slot becomes free
     SNAPSHOT = "snapshot"  # a transfer is in progress
 
 
@@ -41,10 +41,10 @@
     writing_paused_at: float | None = None  # None while the transport has capacity
     delivery_mode: DeliveryMode = DeliveryMode.DELTAS
     transfer: SnapshotTransfer | None = None  # set while `delivery_mode` is `SNAPSHOT`
-    deferred_renewal: Renew | None = None  # the last one received while writing was paused
+    deferred_renewal: Renew | None = None  # the last Renew received while writing was paused
 
     def await_snapshot(self) -> None:
-        """Wait for another transfer to end, after which a snapshot is sent."""
+        """Queue this subscriber for a snapshot; it is sent when one of the transfer slots becomes free."""
         self.delivery_mode = DeliveryMode.AWAITING_SNAPSHOT
 
     def start_transfer(self, snapshot: Snapshot) -> None:
@@ -53,7 +53,7 @@
         self.transfer = SnapshotTransfer(snapshot)
 
     def resume_deltas(self) -> None:
-        """Return to deltas, when no snapshot is awaited or being sent."""
+        """Deliver changes as deltas again, after a snapshot was sent or is no longer awaited."""
         self.delivery_mode = DeliveryMode.DELTAS
         self.transfer = None
 
@@ -69,11 +69,11 @@
 
 
 class DisconnectedNodes:
-    """Nodes whose connection ended recently; they may still decide under their lease, and may be behind."""
+    """Nodes that disconnected recently; they may still decide under their lease, and may lack changes."""
 
     def __init__(self, retention_s: float) -> None:
         self.retention_s = retention_s
-        # By node and instance, the longest disconnected first.
+        # By node and instance, in the order of disconnection.
         self.by_instance: dict[tuple[str, str], DisconnectedNode] = {}
 
     def __len__(self) -> int:
--- a/gradegap/observer/token_bucket.py
+++ b/gradegap/observer/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket, which limits a rate and its bursts. No I/O and no clock of its own."""
+"""A token bucket, which limits a rate and its bursts. No I/O; callers pass in the time."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         return max(0.0, (size + reserve - self.tokens) / self.rate)
 
     def advance(self, now: float) -> float:
-        """Add the tokens gained since the last call; returns their number before the cap is applied."""
+        """Add the tokens gained since the last call; returns their number before the cap at `burst`."""
         gained = max(0.0, now - self.updated_at) * self.rate
         self.tokens = min(self.burst, self.tokens + gained)
         self.updated_at = max(self.updated_at, now)
--- a/gradegap/raft/cluster.py
+++ b/gradegap/raft/cluster.py
@@ -18,7 +18,7 @@
 
 
 class ClusterConfiguration(msgspec.Struct, frozen=True, array_like=True):
-    """The members of the cluster. Learners (`voter` false) replicate the log but count in no quorum."""
+    """The members of the cluster. Learners (`voter` false) replicate the log but don't count in quorums."""
 
     members: tuple[Member, ...] = ()
 
--- a/gradegap/raft/context.py
+++ b/gradegap/raft/context.py
@@ -14,14 +14,14 @@
 
 
 class ElectionPart(Protocol):
-    """The interface of elections to the other parts."""
+    """The interface of elections, as the other parts use it."""
 
     def campaign(self, now: float, pre_vote: bool, leadership_transfer: bool = False) -> None:
         """Request votes from all voters."""
 
 
 class HeartbeatsPart(Protocol):
-    """The interface of the leader's heartbeats to the other parts."""
+    """The interface of the leader's heartbeats, as the other parts use it."""
 
     current_round: int
     sent_at: float
@@ -40,7 +40,7 @@
 
 
 class ReplicationPart(Protocol):
-    """The interface of the leader's replication to the other parts."""
+    """The interface of the leader's replication, as the other parts use it."""
 
     peers: dict[str, Progress]
 
@@ -64,27 +64,27 @@
 
 
 class SnapshotSenderPart(Protocol):
-    """The interface of the snapshot sender to the other parts."""
+    """The interface of the snapshot sender, as the other parts use it."""
 
     def send_chunk(self, peer: str, progress: Progress, resend: bool) -> None:
-        """Send the next chunk; with `resend`, also while a response to it is outstanding."""
+        """Send the next chunk; with `resend`, send it again while its response is outstanding."""
 
 
 class ReadIndexPart(Protocol):
-    """The interface of the queue of unconfirmed reads to the other parts."""
+    """The interface of the queue of unconfirmed reads, as the other parts use it."""
 
     def confirm(self) -> None:
         """Complete the reads whose heartbeat round a quorum has acknowledged."""
 
 
 class FollowerPart(Protocol):
-    """The interface of the follower's side of replication to the other parts."""
+    """The interface of the follower's side of replication, as the other parts use it."""
 
     leader_commit: int
 
 
 class LeadershipTransferPart(Protocol):
-    """The interface of leadership transfer to the other parts."""
+    """The interface of leadership transfer, as the other parts use it."""
 
     target: str
 
--- a/gradegap/raft/core.py
+++ b/gradegap/raft/core.py
@@ -191,7 +191,7 @@
         return self.replication.propose(data, kind)
 
     def flush(self, now: float) -> None:
-        """Send proposed entries; one call covers all proposals since the last."""
+        """Send proposed entries; one call covers all proposals since the previous call."""
         if self.is_leader:
             self.replication.flush(now)
 
@@ -231,7 +231,7 @@
     # Messages
 
     def step(self, now: float, sender: str, message: Message) -> None:
-        """Handle a message. `sender` is the member id that the link is authenticated as."""
+        """Handle a message. `sender` is the authenticated id of the member that sent it."""
         match message:
             case AppendEntries() | InstallSnapshot():
                 self._on_leader_message(now, sender, message)
--- a/gradegap/raft/election.py
+++ b/gradegap/raft/election.py
@@ -13,7 +13,7 @@
     def __init__(self, raft: RaftContext, now: float) -> None:
         self.raft = raft
         # A restart counts as contact with a leader. Before the restart this process may have acknowledged a
-        # heartbeat, on which a leader bases its lease; voting within an election timeout would break it.
+        # heartbeat, on which a leader bases its lease; a vote within an election timeout would violate it.
         self.last_leader_contact_at = now
         self.votes: dict[str, bool] = {}  # responses in the current campaign by voter id; True: granted
         self.timeout_at = now
--- a/gradegap/raft/entries.py
+++ b/gradegap/raft/entries.py
@@ -11,7 +11,7 @@
 
 from gradegap.raft.cluster import ClusterConfiguration, Member
 
-# Counted for the index, term and kind of each entry wherever the size of entries is limited.
+# Size counted for the index, term and kind of each entry wherever the size of entries is limited.
 ENTRY_OVERHEAD_BYTES = 16
 
 
--- a/gradegap/raft/heartbeats.py
+++ b/gradegap/raft/heartbeats.py
@@ -1,6 +1,6 @@
 """The leader's heartbeat rounds, and the lease and check-quorum that are derived from the responses.
 
-Every message of a leader carries the number of its round, and every response echoes it. A quorum accepted
+Every message of a leader contains the number of its round, and every response echoes it. A quorum accepted
 this leader at least until the start of the latest round that a quorum has acknowledged (thesis, 6.2 and 6.4).
 """
 
@@ -32,7 +32,7 @@
         return self.sent_at + self.raft.settings.heartbeat_interval_s
 
     def send(self, now: float) -> None:
-        """Start a new round. A member that responds to it accepted this leader at a time after its start."""
+        """Start a new round. A member that responds to it accepted this leader after the round's start."""
         self.current_round += 1
         self.started_rounds.append((self.current_round, now))
         self.sent_at = now
--- a/gradegap/raft/leadership_transfer.py
+++ b/gradegap/raft/leadership_transfer.py
@@ -76,7 +76,7 @@
         self.reset()
         if timeout_sent:
             # TimeoutNow may still arrive, and voters accept the election that it starts despite a leader.
-            # Only a new term voids it, so this member must not continue to lead in the current one.
+            # Only a new term invalidates TimeoutNow, so this member must stop leading in the current term.
             self.raft.become_follower(now, self.raft.term, "")
 
     def on_timeout_now(self, now: float, request: TimeoutNow) -> None:
--- a/gradegap/raft/log.py
+++ b/gradegap/raft/log.py
@@ -103,7 +103,7 @@
         self.configurations = [(base.index, base.configuration)]
 
     def is_up_to_date(self, last_index: int, last_term: int) -> bool:
-        """Whether a log with this end is at least as up to date as this one (Raft paper, 5.4.1)."""
+        """Whether a log with this last entry is at least as up to date as this log (Raft paper, 5.4.1)."""
         return (last_term, last_index) >= (self.last_term, self.last_index)
 
     def find_conflict_hint(self, prev_log_index: int) -> tuple[int, int]:
--- a/gradegap/raft/membership.py
+++ b/gradegap/raft/membership.py
@@ -47,7 +47,7 @@
         """Check that a membership change is safe.
 
         Raises:
-            NotLeaderError, TransferInProgressError, LeaderNotReadyError, ChangePendingError: It is not.
+            NotLeaderError, TransferInProgressError, LeaderNotReadyError, ChangePendingError: It isn't safe.
         """
         raft = self.raft
         if not raft.is_leader:
--- a/gradegap/raft/messages.py
+++ b/gradegap/raft/messages.py
@@ -30,13 +30,13 @@
 
 
 class AppendEntries(msgspec.Struct, frozen=True, tag="append"):
-    """Carries the log entries that follow `prev_log_index`. Without entries it is a heartbeat."""
+    """Contains the log entries that follow `prev_log_index`. Without entries it is a heartbeat."""
 
     term: int
     prev_log_index: int = msgspec.field(name="prev_index")
     prev_log_term: int = msgspec.field(name="prev_term")
     leader_commit: int = msgspec.field(name="commit")
-    # The response echoes this round, which tells the leader since when the follower has accepted it.
+    # The response echoes this number, as proof that the follower accepted the leader after the round's start.
     heartbeat_round: int = msgspec.field(name="round")
     entries: tuple[Entry, ...] = ()
 
@@ -55,7 +55,7 @@
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True, tag="snap"):
-    """Carries one chunk of a snapshot. `done` marks the last chunk; `checksum` covers the whole snapshot."""
+    """Contains one chunk of a snapshot. `done` marks the last chunk; `checksum` covers the whole snapshot."""
 
     term: int
     metadata: SnapshotMetadata = msgspec.field(name="meta")
--- a/gradegap/raft/ready.py
+++ b/gradegap/raft/ready.py
@@ -62,7 +62,7 @@
     committed_entries: list[Entry] = field(default_factory=list)
     read_states: list[ReadState] = field(default_factory=list)
     aborted_reads: list[int] = field(default_factory=list)  # request ids of reads lost with the leadership
-    # A follower needs entries that are compacted here: the driver calls `Raft.offer_snapshot`.
+    # A follower needs entries that are compacted here: the driver has to call `Raft.offer_snapshot`.
     snapshot_wanted: bool = False
 
     @property
--- a/gradegap/raft/replication.py
+++ b/gradegap/raft/replication.py
@@ -83,7 +83,7 @@
         self.advance_commit(now)
 
     def broadcast(self) -> None:
-        """Send every member at least one message, which carries the current heartbeat round."""
+        """Send every member at least one message, which contains the current heartbeat round."""
         for peer, progress in self.peers.items():
             progress.awaiting_response = False
             self.send_to(peer, progress, at_least_one=True)
@@ -177,7 +177,7 @@
     # Commit index
 
     def can_commit(self, index: int) -> bool:
-        """Whether counting replicas may commit the entry: only in the current term (Raft paper, 5.4.2)."""
+        """Whether a majority of replicas commits the entry: only in the current term (Raft paper, 5.4.2)."""
         return self.raft.log.term_at(index) == self.raft.term
 
     def _stored_by_majority(self) -> int:
@@ -205,7 +205,7 @@
         )
         for peer, progress in self.peers.items():
             if progress.state is REPLICATE and progress.next_index > raft.log.last_index:
-                self._send_entries(peer, progress, [])  # lets the member apply them before the next heartbeat
+                self._send_entries(peer, progress, [])  # announces the commit index before the next heartbeat
         if (
             raft.log.configuration_index <= raft.commit_index
             and raft.member_id not in raft.configuration.voters
--- a/gradegap/raft/settings.py
+++ b/gradegap/raft/settings.py
@@ -13,7 +13,7 @@
     # A follower starts an election after one to two times this long without contact with a leader.
     election_timeout_s: float = 0.4
     # How much faster one member's clock may run than another's, as a ratio. The leader's lease is shortened
-    # by it; the time during which followers grant no votes is not.
+    # by this ratio; the time during which followers grant no votes is not.
     max_clock_drift: float = 0.1
     max_message_bytes: int = 256 * 1024  # limit on the entries in one message
     max_inflight_messages: int = 16  # unacknowledged messages with entries to one member
--- a/gradegap/raft/snapshots.py
+++ b/gradegap/raft/snapshots.py
@@ -54,7 +54,7 @@
                 raft.replication.send_to(peer, progress, at_least_one=True)
 
     def send_chunk(self, peer: str, progress: Progress, resend: bool) -> None:
-        """Send the next chunk; with `resend`, also while a response to it is outstanding."""
+        """Send the next chunk; with `resend`, send it again while its response is outstanding."""
         raft = self.raft
         snapshot = self.outgoing
         if snapshot is None or snapshot.metadata.index < raft.log.base.index:
--- a/gradegap/store/bootstrap.py
+++ b/gradegap/store/bootstrap.py
@@ -52,7 +52,7 @@
 
 
 class Bootstrap:
-    """The state of a member without a cluster: which of its peers it has links to, and their clusters."""
+    """The state of a member without a cluster: the hellos of the peers to which it has had links."""
 
     def __init__(self, settings: StoreSettings, member: Member) -> None:
         self.member = member
@@ -70,11 +70,11 @@
             self.hellos[hello.name] = hello
 
     def may_join_later(self, hello: Hello | None) -> bool:
-        """Whether the peer sent its hello before it had a cluster, and none can be formed with it now."""
+        """Whether the peer's hello names no cluster, and this member can't form one now."""
         return hello is not None and not hello.cluster and self.form_cluster() is None
 
     def form_cluster(self) -> NewCluster | None:
-        """The new cluster, if this member forms it; None if peers are missing, or another member has to."""
+        """The new cluster, if this member forms it; None if hellos are missing or another member forms it."""
         if not self.peers or self.hellos.keys() != self.peers.keys():
             return None
         if any(hello.cluster for hello in self.hellos.values()) or self.member.name > min(self.peers):
--- a/gradegap/store/channel.py
+++ b/gradegap/store/channel.py
@@ -219,8 +219,8 @@
         self.peer_hello = hello
         self._peer_hello_body = body
         self._phase = HandshakePhase.AWAITING_PROOF
-        # The acceptor sends its proof only after it has verified the dialer's. A stranger thus obtains no
-        # HMAC under the secret, and its failed attempt is counted here.
+        # The acceptor sends its proof only after it has verified the dialer's. A dialer without the secret
+        # thus obtains no HMAC under it, and its failed attempt is counted at the acceptor.
         return self._proof(b"dialer") if self.is_dialer else self.begin()
 
     def _receive_proof(self, proof: Proof) -> bytes:
--- a/gradegap/store/committed_state.py
+++ b/gradegap/store/committed_state.py
@@ -36,7 +36,7 @@
         try:
             since = msgspec.convert(value, schema.DisabledEndpoint).at_ms / 1000
         except msgspec.ValidationError:
-            since = 0.0  # no valid time: treated as long ago, which leaves no grace period
+            since = 0.0  # invalid time: treated as disabled long ago, so there is no grace period
         self.proxy.disable_endpoint(endpoint_id, min(since, self.proxy.now()))
 
     def _apply_configuration(self, name: str, value: object, deleted: bool) -> None:
--- a/gradegap/store/consensus.py
+++ b/gradegap/store/consensus.py
@@ -66,10 +66,10 @@
         self._was_leader = False
         self._known_leader = ""
         self._leader_since_s = 0.0  # steady time at which this member became the leader
-        self._leader_since_log_ms = 0  # log time at that moment
+        self._leader_since_log_ms = 0  # log time (ms) at which this member became the leader
 
     def log_clock(self) -> int:
-        """The log time in ms at the leader: advances with the steady clock, and is never behind the log."""
+        """The log time (ms) at the leader: follows the steady clock, but is never before the applied log."""
         elapsed_ms = int((time.monotonic() - self._leader_since_s) * 1000)
         return max(self.host.machine.clock_ms, self._leader_since_log_ms + elapsed_ms)
 
--- a/gradegap/store/disabled_endpoints.py
+++ b/gradegap/store/disabled_endpoints.py
@@ -1,4 +1,4 @@
-"""A file that keeps administratively disabled endpoints for the next process of a node without a store."""
+"""A file with administratively disabled endpoints for the successor process of a node without a store."""
 
 from __future__ import annotations
 
--- a/gradegap/store/embedded.py
+++ b/gradegap/store/embedded.py
@@ -84,7 +84,7 @@
         self.member.machine.listeners.append(self._apply_events)
         self.gossip = GossipExchange(settings.name, proxy, metrics, has_endpoint_list)
         self._was_fresh: bool | None = None
-        self._is_synchronized = False  # set once the store's keys are in force, at the first lease
+        self._is_synchronized = False  # set once the store's keys were applied, at the first lease
         self._gossip_timer: asyncio.TimerHandle | None = None
         metrics.gauge("store_fresh", lambda: int(self.is_fresh()))
 
@@ -135,7 +135,7 @@
     # Committed state
 
     def _apply_state(self) -> None:
-        """Put the store's keys in force at the first lease, replacing state kept from an earlier process."""
+        """Apply the store's keys to this node at the first lease, replacing state of an earlier process."""
         disabled = {
             item.key.removeprefix(DISABLED_PREFIX): item.value for item in self.machine.list(DISABLED_PREFIX)
         }
@@ -178,10 +178,10 @@
     # Stop
 
     def leave(self) -> float:
-        """Prepare to release the folder and the port to the next process. Returns the rest of the lease (s).
+        """Prepare to release folder and port to the successor process; returns the rest of the lease (s).
 
-        The member stops reporting its applied index, so writes that it doesn't know are acknowledged only
-        after its lease has expired.
+        The member stops reporting its applied index, so writes that it hasn't reported as applied are
+        acknowledged only after its lease has expired.
         """
         left_s = max(0.0, self.member.leases.holder.until - time.monotonic())
         self.member.transfer_leadership()
--- a/gradegap/store/endpoint_operations.py
+++ b/gradegap/store/endpoint_operations.py
@@ -17,7 +17,7 @@
 log = structlog.get_logger()
 
 SendRequest = Callable[[wire.RequestBody, Callable[[wire.Response], None], float], None]
-"""Sends a request to the store. The callback gets one response within the timeout (s), the last argument."""
+"""Sends a request to the store. The callback gets one response within the timeout (s, last argument)."""
 
 
 class EndpointOperations:
--- a/gradegap/store/gossip.py
+++ b/gradegap/store/gossip.py
@@ -2,8 +2,8 @@
 
 A node that has just started has no load reports, and its endpoint list may be out of date. Observations of
 other nodes are passed to its balancer as local events. Load reports keep their original time, so that they
-are weighted by age. Draining and restarted endpoints are changes of the endpoint list, until discovery has
-provided one. Unresponsive endpoints are health checks that timed out.
+are weighted by age. Draining and restarted endpoints are passed on as changes of the endpoint list, until
+discovery has provided a list. Unresponsive endpoints are passed on as health checks that timed out.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 GOSSIP_PERIOD_S = 1.0
 MAX_REPORT_AGE_S = 5.0  # older observations are outdated: neither sent nor used
-MIN_REPORT_ADVANCE_S = 0.25  # an observation is used only if newer by this than the one known here
+MIN_REPORT_ADVANCE_S = 0.25  # an observation is used only if this much newer than this node's latest one
 MAX_REPORT_COUNT = 2000  # limit on the reports in one message
 MAX_REPORT_FIELD_COUNT = 16
 MAX_VALID_AGE_S = 3600.0  # a report with a greater age is invalid
@@ -50,7 +50,7 @@
     # Outgoing
 
     def message(self, state: dict[str, object]) -> Gossip:
-        """Create a message with this node's own observations only, so that no observation circulates."""
+        """Create a message with only this node's own observations, so that none is passed on twice."""
         reports = self._load_reports() + self._unresponsive_reports()
         if self.has_endpoint_list():
             reports += self._list_reports()
@@ -126,8 +126,8 @@
     def _receive_unresponsive(self, report: GossipReport, endpoint: Endpoint) -> None:
         """Handle another node's unanswered health check.
 
-        Unless this node received a later report from the endpoint, the balancer gets the event as a health
-        check of its own that timed out, at most once per `MIN_REPORT_ADVANCE_S`.
+        Unless this node received a later report from the endpoint, it is passed to the balancer as if a
+        health check of this node had timed out, at most once per `MIN_REPORT_ADVANCE_S`.
         """
         unanswered_at = self.proxy.now() - report.age_s
         known = (
--- a/gradegap/store/host.py
+++ b/gradegap/store/host.py
@@ -58,7 +58,7 @@
         """Makes the core send the proposed entries, then calls `settle`."""
 
     def report(self, revision: int) -> MachineReport:
-        """Reports which nodes that subscribe at this member have not acknowledged a revision."""
+        """Returns which of the nodes subscribed to this member have not acknowledged a revision."""
 
     def send_to_member(self, member: Member, request: wire.Request) -> bool:
         """Sends a request to this member, leader or not, and returns whether it was sent."""
--- a/gradegap/store/in_force.py
+++ b/gradegap/store/in_force.py
@@ -14,9 +14,9 @@
     revision: int  # the requested revision, or the one that the machine has applied if that is lower
     subscribers: int
     behind: tuple[str, ...] = ()  # connected nodes that have not acknowledged the revision
-    lost: tuple[str, ...] = ()  # recently disconnected nodes that had not acknowledged it before
-    arrived: tuple[str, ...] = ()  # recently connected nodes that have acknowledged it
-    # The machine started recently: it doesn't know nodes of its earlier incarnation that are not yet back.
+    lost: tuple[str, ...] = ()  # recently disconnected nodes that had not acknowledged the revision
+    arrived: tuple[str, ...] = ()  # recently connected nodes that have acknowledged the revision
+    # The machine started recently: nodes of its previous process that have not reconnected yet are unknown.
     restarted: bool = False
 
 
@@ -27,7 +27,7 @@
     subscribers: int
     missing: tuple[str, ...]  # nodes that have not acknowledged the revision
     unreachable: tuple[str, ...]  # machines without a report, whose nodes are unknown
-    restarted: tuple[str, ...] = ()  # machines that started recently, with unknown nodes of an earlier run
+    restarted: tuple[str, ...] = ()  # machines that started recently, whose earlier nodes may be unknown
 
     @property
     def in_force(self) -> bool:
--- a/gradegap/store/in_force_check.py
+++ b/gradegap/store/in_force_check.py
@@ -1,7 +1,10 @@
-"""Checks whether a revision is in force at all subscribed nodes: one member collects reports in rounds.
+"""Checks whether a revision is in force, that is, acknowledged by all subscribed nodes.
 
-Each member knows the nodes that subscribe at it. The nodes of a member that can't be reached, or that started
-recently, may be unknown; the revision then counts as not in force.
+The member that received the request for the check works in rounds. In each round it requests a report from
+every other member of the cluster and adds its own. A report names the nodes that are subscribed to the
+reporting member, or were until recently, and have not acknowledged the revision. Rounds are repeated until
+the revision is in force or the deadline has passed. The nodes of a member that can't be reached, or that
+started recently, may be unknown; the revision then counts as not in force.
 """
 
 from __future__ import annotations
@@ -20,9 +23,9 @@
     import asyncio
 
 ROUND_PERIOD_S = 0.1  # pause between two rounds
-ROUND_TIMEOUT_S = 1.0  # limits the time until a member reports
-MIN_ROUND_TIMEOUT_S = 0.01  # for a round that starts shortly before the deadline
-RESPONSE_MARGIN_S = 0.2  # time between the deadline of a check and that of its requester
+ROUND_TIMEOUT_S = 1.0  # limits the time (s) in which a member must respond with its report
+MIN_ROUND_TIMEOUT_S = 0.01  # lower limit on the timeout of a round that starts shortly before the deadline
+RESPONSE_MARGIN_S = 0.2  # the check ends this long before its requester stops waiting
 MAX_NAMED_NODES = 20  # limits the names of missing nodes in a response
 
 
@@ -37,16 +40,16 @@
         """All members of the cluster, including this one."""
 
     def local_report(self, revision: int) -> MachineReport:
-        """The report of this member."""
+        """This member's own report on a revision."""
 
     def request_from_member(
         self, member: Member, body: wire.RequestBody, respond: ResponseCallback, timeout_s: float
     ) -> None:
-        """Calls `respond` with the member's response, or with a rejection."""
+        """Sends a request to `member`, and calls `respond` with its response, or with a rejection."""
 
 
 class InForceCheck:
-    """Collects reports on one revision in rounds, until it is in force or the deadline has passed."""
+    """Collects members' reports in rounds, until the revision is in force or the deadline has passed."""
 
     def __init__(
         self,
@@ -116,7 +119,7 @@
 
 
 def describe(verdict: InForceVerdict) -> str:
-    """Describes the missing nodes and the members with unknown nodes in one line."""
+    """Returns one line that names the missing nodes, and the members whose nodes are unknown."""
     parts = []
     if verdict.missing:
         named = ", ".join(verdict.missing[:MAX_NAMED_NODES])
--- a/gradegap/store/leader_requests.py
+++ b/gradegap/store/leader_requests.py
@@ -62,7 +62,7 @@
     # Starting requests
 
     def start(self, pending: PendingRequest) -> None:
-        """Starts a request. After a transient rejection it waits for another attempt."""
+        """Starts a request; a client's request that is rejected for a transient reason is attempted again."""
         try:
             self._start(pending)
         except RequestRejectedError as error:
@@ -131,7 +131,7 @@
         self.host.settle()
 
     def _admit(self, pending: PendingRequest, member: Member) -> None:
-        """Adds the member; an earlier incarnation is removed first, and the member then has to ask again."""
+        """Adds the member; removes an earlier incarnation first, and the member must send `Join` again."""
         if self.raft.configuration.get(member.id) is not None:
             self.responder.respond(pending, wire.Response(0, text="member admitted"))
             return
@@ -175,7 +175,7 @@
             if pending.is_done:
                 continue
             if entry.term != pending.term:
-                # The entry at this index is another leader's: that of the request was never committed.
+                # Another leader's entry was committed at this index, so the entry of the request never was.
                 pending.wait(RequestState.LEADER)
                 continue
             self._committed(pending, entry, result)
--- a/gradegap/store/leases.py
+++ b/gradegap/store/leases.py
@@ -2,7 +2,7 @@
 
 All times are seconds of the caller's own steady clock. The bound on clock drift is
 `RaftSettings.max_clock_drift`. The holder counts the lease from its request and shortens it by that ratio;
-the granter counts from the grant and waits longer by it.
+the granter counts it from the grant and divides it by 1 minus that ratio.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 DEFAULT_LEASE_S = 1.0  # also about how long the failure of a lease holder can delay a write
-RENEW_AFTER_RATIO = 0.3  # part of the lease after which an extension is requested
+RENEW_AFTER_RATIO = 0.3  # fraction of the lease after which an extension is requested
 REQUEST_RETENTION_S = 5.0  # unanswered lease requests are forgotten after this time
 NEVER = -1e18  # time (s) that lies before every other time
 MAX_INDEX = 1 << 62  # above every index of the log
@@ -41,7 +41,7 @@
         self.grants: dict[str, Grant] = {}  # by holder
         # Leases granted by an earlier leader are not known here, so writes wait until all have expired.
         self.unknown_until = self._expiry(now)
-        # An index, and the callback that waits for it.
+        # Log indexes, each with the callback to run once all holders have applied that index.
         self.waiting: list[tuple[int, Callable[[], None]]] = []
 
     def _expiry(self, now: float) -> float:
--- a/gradegap/store/links.py
+++ b/gradegap/store/links.py
@@ -30,7 +30,7 @@
 MAX_RECONNECT_BACKOFF_S = 1.0
 HIGH_WATER_BYTES = 1 << 20  # high-water mark of a transport's write buffer
 MAX_UNSENT_BYTES = 8 * 1024 * 1024  # above this in the write buffer, messages to a slow member are dropped
-REJECTED_REASON = "turned"  # error word of a `LinkError` when the other side rejected the link
+REJECTED_REASON = "turned"  # reason at the start of a `LinkError` if the other side rejected the link
 
 
 class Link(asyncio.Protocol):
@@ -155,7 +155,7 @@
             self._connecting = self.links.loop.create_task(self._connect())
 
     async def _connect(self) -> None:
-        # A task of its own, which ends once the connection is open or has failed.
+        # Runs as a separate task, which ends once the connection is open or has failed.
         loop = self.links.loop
         host, port = split_address(self.address)
         link = Link(self.links, self.links.channel(is_dialer=True), self)
@@ -244,7 +244,7 @@
             self.dialers.pop(address).stop()
 
     def send(self, member_id: str, address: str, message: LinkMessage) -> bool:
-        """Send over the link dialed to a member. Returns False if there is none or the id at it differs."""
+        """Send over the link dialed to `address`. Returns False unless that link leads to this member."""
         dialer = self.dialers.get(address)
         if dialer is None or dialer.link is None or dialer.link.id != member_id:
             return False
--- a/gradegap/store/log_writer.py
+++ b/gradegap/store/log_writer.py
@@ -19,7 +19,7 @@
 
 RETAINED_ENTRIES = 1000  # applied entries kept in the log, so that a member slightly behind needs no snapshot
 COMPACTION_THRESHOLD_ENTRIES = 4 * RETAINED_ENTRIES  # log length that starts a compaction
-COMPACTION_THRESHOLD_BYTES = 8 * 1024 * 1024  # log size that starts a compaction to a shorter tail
+COMPACTION_THRESHOLD_BYTES = 8 * 1024 * 1024  # log size that starts a compaction, which keeps fewer entries
 
 
 class WriterHost(Protocol):
@@ -45,7 +45,7 @@
 
     def __init__(self, host: WriterHost, storage: MemberStorage) -> None:
         self.host, self.storage = host, storage
-        self.received_snapshot: StoreState | None = None  # the latest one, until it is written
+        self.received_snapshot: StoreState | None = None  # the latest one that is not written yet
         self._queue: list[Ready] = []
         self._is_writing = False
         self._compacting_to = 0  # the index up to which the current batch compacts the log; 0: no compaction
--- a/gradegap/store/machine.py
+++ b/gradegap/store/machine.py
@@ -49,7 +49,7 @@
 
     items: dict[str, Item | None] = field(default_factory=dict)
     events: list[Event] = field(default_factory=list)
-    first_kept_revision: int = 0  # stored events of earlier revisions can be deleted; 0: none
+    first_kept_revision: int = 0  # stored events of earlier revisions can be deleted; 0: no event can
     sessions: dict[str, Session | None] = field(default_factory=dict)
 
 
@@ -86,7 +86,7 @@
         return self._apply_command(record.body, record.wall_ms)
 
     def skip(self, index: int) -> None:
-        """Passes an entry that doesn't change the state, such as a change of the cluster's members."""
+        """Records as applied an entry that leaves the state as it is, such as a change of members."""
         self.index = index
 
     def _apply_command(self, command: Command, wall_ms: int) -> Result:
@@ -255,7 +255,7 @@
         return self.events[0].revision if self.events else self.revision + 1
 
     def events_since(self, revision: int, prefix: str = "") -> Iterator[Event]:
-        """The changes of keys with a prefix since `revision`, this one included.
+        """The changes of keys with a prefix at `revision` and later.
 
         Raises:
             CommandError: if changes since `revision` are no longer in the history.
--- a/gradegap/store/member.py
+++ b/gradegap/store/member.py
@@ -213,7 +213,7 @@
         self.failed(error)
 
     def mark_removed(self) -> None:
-        """Stop taking part after the cluster has removed this member."""
+        """Stop participating in the cluster, which has removed this member."""
         self._enter(MemberState.REMOVED)
         self._stop_subscriptions()
         self.metrics.count("store_removed")
@@ -224,7 +224,7 @@
             self.subscription_server.stop()
 
     def close(self) -> None:
-        """Close the member at once, after writes in progress have completed."""
+        """Close the member without a leadership transfer; only disk writes in progress are completed."""
         self._enter(MemberState.CLOSED)
         if self._timer is not None:
             self._timer.cancel()
@@ -284,13 +284,13 @@
         self.leases.report_applied()
 
     def report(self, revision: int) -> MachineReport:
-        """Returns which nodes subscribed at this member lack a revision."""
+        """Returns which of the nodes subscribed to this member have not acknowledged a revision."""
         if self.subscription_server is not None:
             return self.subscription_server.report(revision)
         return MachineReport(self.settings.name, min(self.machine.revision, revision), 0)
 
     def log_clock(self) -> int:
-        """Returns the log time (ms), estimated as the leader has it."""
+        """Returns the log time (ms); valid only while this member is the leader."""
         return self.consensus.log_clock()
 
     def propose(self, body: Command | Expire) -> int:
--- a/gradegap/store/member_client.py
+++ b/gradegap/store/member_client.py
@@ -23,7 +23,7 @@
 class MemberClient:
     """A link to one member.
 
-    `timeout_s` is the time in which the member must complete a request. Writes are applied at most once.
+    `timeout_s` is the time (s) in which the member must complete a request. Writes are applied at most once.
     """
 
     def __init__(self, address: str, secret: bytes = b"", timeout_s: float = 5.0) -> None:
--- a/gradegap/store/member_leases.py
+++ b/gradegap/store/member_leases.py
@@ -42,7 +42,7 @@
 class MemberLeases:
     """Grants leases while the member leads, and maintains the member's own lease.
 
-    `changed` is called whenever the state of the own lease may have changed.
+    `changed` is called whenever the state of the member's own lease may have changed.
     """
 
     def __init__(self, host: LeaseHost, max_clock_drift: float) -> None:
@@ -90,7 +90,7 @@
             self.granter.expire(time.monotonic())
 
     def tick(self, now: float) -> None:
-        """Drop expired leases, and respond to the writes that waited only for their holders."""
+        """Drop expired leases, and respond to writes that waited only for the holders of these leases."""
         if self.granter is not None:
             self.granter.expire(now)
 
@@ -136,7 +136,7 @@
         return self.subscription_server.safe_index()
 
     def report_applied(self) -> None:
-        """Report the applied index to the leader, which acknowledges a write once all holders have it."""
+        """Report the applied index to the leader, which acknowledges writes that all holders have applied."""
         now, raft = time.monotonic(), self.host.raft
         if not self.is_needed or self.holder.until <= now or raft is None:
             return
--- a/gradegap/store/membership.py
+++ b/gradegap/store/membership.py
@@ -65,7 +65,7 @@
             self.form_cluster(*formed)
 
     def form_cluster(self, cluster: str, configuration: ClusterConfiguration) -> None:
-        """Makes this member part of a cluster; this is stored before any other member is told."""
+        """Makes this member part of a cluster; this is stored before other members are notified."""
         host = self.host
         if host.identity.cluster:
             return
@@ -187,7 +187,7 @@
         if member is not None:
             self.links.send(recipient, member.address, wire.RaftMessage(message))
             return
-        # The recipient is not in this member's configuration, or not yet: it is answered on any link to it.
+        # The recipient is not, or not yet, in this member's configuration: uses any dialed link to it.
         for dialer in self.links.dialers.values():
             if dialer.link is not None and dialer.link.id == recipient:
                 dialer.link.send(wire.RaftMessage(message))
@@ -201,7 +201,7 @@
     def send_to_member(self, member: Member, request: wire.Request) -> bool:
         """Sends a request to a member, and returns whether it was sent.
 
-        False means that the member has no link, or runs a release that can't read the request.
+        False means that there is no link to the member, or that its release can't read the request.
         """
         dialer = self.links.dialers.get(member.address)
         peer = dialer.link.channel.peer_hello if dialer is not None and dialer.link is not None else None
--- a/gradegap/store/message_router.py
+++ b/gradegap/store/message_router.py
@@ -42,7 +42,7 @@
         self.host = host
 
     def receive(self, link: Link, message: wire.LinkMessage) -> None:
-        """Dispatch a message from an authenticated link; one that is not allowed there is only counted."""
+        """Dispatch a message from an authenticated link; one not allowed on this link is only counted."""
         raft = self.host.raft
         match message:
             case wire.Request():
--- a/gradegap/store/pending.py
+++ b/gradegap/store/pending.py
@@ -48,7 +48,7 @@
     body: wire.RequestBody
     respond: ResponseCallback
     expires_at: float  # steady time (s) at which the requester stops waiting
-    from_member: bool  # sent by another member, which retries it itself if it forwarded it
+    from_member: bool  # sent by another member, which retries a forwarded request itself
     may_be_applied: bool = False  # it reached a leader, so its outcome may be unknown
     state: RequestState = RequestState.NEW
     member_id: str = ""  # in state MEMBER: the member whose response it waits for
--- a/gradegap/store/records.py
+++ b/gradegap/store/records.py
@@ -1,8 +1,8 @@
 """Data types of the replicated state, as stored in log entries, snapshots and data folders. No I/O.
 
 All structs are encoded as arrays, so the order of their fields is the storage format. Log time is the steady
-clock of the leaders in milliseconds since the cluster was formed; each log entry carries it. Wall-clock times
-are Unix milliseconds.
+clock of the leaders in milliseconds since the cluster was formed; each log entry contains it. Wall-clock
+times are Unix milliseconds.
 """
 
 from __future__ import annotations
@@ -106,7 +106,7 @@
 
 
 class Session(msgspec.Struct, frozen=True, array_like=True):
-    """The last command of a client with its result, kept until the deadlines of its copies have passed."""
+    """The last command of a client and its result, kept until the latest deadline of its commands."""
 
     client: str
     seq: int
--- a/gradegap/store/service.py
+++ b/gradegap/store/service.py
@@ -1,9 +1,9 @@
-"""Handles client requests at a member: answers them or forwards them to the leader, and retries attempts.
+"""Handles client requests at a member: answers them or forwards them to the leader, with retries.
 
 A write is stamped with a client name, a sequence number and a deadline before it is first proposed. It can
 then be proposed again after the loss of a leader, and is applied only once. Apart from a rejection, a request
 has three outcomes: it is done; "no_quorum", if it never reached a leader; and "unknown", if it reached a
-leader and its result can't be determined in time.
+leader and its result isn't known before its timeout.
 """
 
 from __future__ import annotations
@@ -140,8 +140,8 @@
     def _respond_as_removed(self, pending: PendingRequest) -> None:
         own_removal = wire.RemoveMember(self.host.settings.name)
         if pending.may_be_applied and pending.body == own_removal and self.host.raft is not None:
-            # The request was to remove this member, which shows that its entry is committed. A member whose
-            # disk failed also counts as removed, but has no consensus core any more and can't confirm this.
+            # The request was to remove this member. That it is removed proves that the entry is committed. A
+            # member whose disk failed also counts as removed, but has no consensus core to confirm a commit.
             self.respond(pending, wire.Response(0))
         elif pending.is_in_doubt:
             text = (
@@ -191,7 +191,7 @@
         return list(raft.configuration.members) if raft is not None else []
 
     def local_report(self, revision: int) -> MachineReport:
-        """Reports which nodes that subscribe at this member have not acknowledged a revision."""
+        """Returns which of the nodes subscribed to this member have not acknowledged a revision."""
         return self.host.report(revision)
 
     def request_from_member(
@@ -244,7 +244,7 @@
         else:
             self.respond(pending, response)
 
-    # Changes of the leader, and time
+    # Leader changes and timer ticks
 
     def leadership_changed(self) -> None:
         """Handles a gain or loss of leadership: requests that this member handled as leader are retried."""
@@ -255,7 +255,7 @@
         self._last_retry_at = 0.0
 
     def link_lost(self, member_id: str) -> None:
-        """Handles a lost link: requests that wait for a response of this member are retried."""
+        """Handles a lost link: requests forwarded to the member `member_id` are retried."""
         for pending in list(self.pending.values()):
             if pending.waits_for_member(member_id):
                 pending.wait(RequestState.LEADER)
--- a/gradegap/store/settings.py
+++ b/gradegap/store/settings.py
@@ -27,10 +27,10 @@
     peers: tuple[Peer, ...] = ()  # may include this member
     advertise: str = ""  # address at which other members reach this one, if not `listen`
     data: str = ""  # persistent data folder; empty: in `$TMPDIR`, and the member restarts empty
-    when_stale: Literal["refuse", "serve"] = "refuse"  # for new requests while the node has no lease
+    when_stale: Literal["refuse", "serve"] = "refuse"  # treatment of new requests without a lease
     secret: str = ""  # path of the file with the cluster's secret, the same at all members
     publish: str = ""  # address for subscriptions; empty: this member serves none
-    voters: Annotated[int, msgspec.Meta(ge=1, le=9)] = 5  # most voters; further members are learners
+    voters: Annotated[int, msgspec.Meta(ge=1, le=9)] = 5  # maximum number; further members are learners
     region: str = ""
     lease_s: Annotated[float, msgspec.Meta(ge=0.3, le=30.0)] = (
         1.0  # lease length (s), the same at all members
--- a/gradegap/store/snapshot_transfer.py
+++ b/gradegap/store/snapshot_transfer.py
@@ -33,7 +33,7 @@
         self.expires_at = 0.0
 
     def start(self) -> None:
-        """Starts the backup. The state is read at this member, so a follower first catches up."""
+        """Starts the backup. The state is read from this member, so a follower catches up first."""
         raft = self.host.raft
         is_follower = raft is not None and not raft.is_leader
         continuation = self._wait_for_revision if is_follower else self._encode
--- a/gradegap/store/storage.py
+++ b/gradegap/store/storage.py
@@ -196,7 +196,7 @@
         return True
 
     def _create(self) -> None:
-        # The identity is stored before the member sends it to anyone, so that it keeps it after a crash.
+        # The identity is stored before other members receive it, so that the member keeps it after a crash.
         identity = Identity(secrets.token_hex(IDENTITY_BYTES))
         base = SnapshotMetadata(0, 0, ClusterConfiguration())
         batch = WriteBatch(HardState(), identity, base, applied=AppliedPosition(0, 0, 0))
@@ -316,7 +316,7 @@
     def _delete_range(
         self, txn: lmdb.Transaction, table: Any, first: bytes | None, end: bytes | None
     ) -> None:
-        """Deletes the keys from `first` (None: the first one) to before `end` (None: no end)."""
+        """Deletes the keys from `first` (None: the beginning) up to but excluding `end` (None: the end)."""
         cursor = txn.cursor(table)
         found = cursor.set_range(first) if first is not None else cursor.first()
         while found and (end is None or bytes(cursor.key()) < end):
--- a/gradegap/store/subscription_settings.py
+++ b/gradegap/store/subscription_settings.py
@@ -25,7 +25,7 @@
     name: str = ""  # empty: the node's name
     region: str = ""  # machines of the same region are tried first
     secret: str = ""  # path of the file with the cluster's secret
-    when_stale: Literal["refuse", "serve"] = "refuse"  # for new requests while the node has no lease
+    when_stale: Literal["refuse", "serve"] = "refuse"  # treatment of new requests without a lease
     bytes_per_s: Annotated[int, msgspec.Meta(ge=500, le=1_000_000)] = 3000  # send rate limit of the node
 
     def check(self) -> None:
--- a/gradegap/store/subscriptions.py
+++ b/gradegap/store/subscriptions.py
@@ -72,7 +72,7 @@
         """Handle an extension of the member's own lease to `until` (steady time, s)."""
 
     def safe_index(self) -> int:
-        """Returns the index applied by the member and by every node that may still decide under its lease."""
+        """Returns the log index applied by the member and by every node that may decide under its lease."""
 
     def report(self, revision: int) -> MachineReport:
         """Returns which subscribed nodes lack a revision."""
--- a/gradegap/store/watches.py
+++ b/gradegap/store/watches.py
@@ -13,12 +13,12 @@
 
 MAX_WATCHES = 1000
 MAX_WATCH_UNSENT_BYTES = 4 * 1024 * 1024  # the link of a slow watcher with more unsent data is closed
-MAX_EVENTS_PER_RESPONSE = 200  # splits the history that a new watch receives into several responses
+MAX_EVENTS_PER_RESPONSE = 200  # limit per response when the history is sent to a new watch
 
 
 @dataclass(slots=True, eq=False)
 class Watch:
-    """One watch; `serial` is the number of its request, which all its responses carry."""
+    """One watch; `serial` is the number of its request, which all its responses contain."""
 
     link: Link
     serial: int
--- a/gradegap/store/wire.py
+++ b/gradegap/store/wire.py
@@ -114,7 +114,7 @@
     reports: list[GossipReport] = msgspec.field(name="learned")
 
 
-# From clients, and from members for their clients
+# Requests of clients, also as forwarded by members
 
 
 class Get(msgspec.Struct, frozen=True, tag="get"):
@@ -135,7 +135,7 @@
     """Writes keys.
 
     `client` and `seq` identify the write, so that it is applied once even if it is proposed again. The member
-    fills them in if they are empty.
+    that receives the write sets them if they are empty.
     """
 
     then: tuple[KeyUpdate, ...]
--- a/gradegap/store/write_stamps.py
+++ b/gradegap/store/write_stamps.py
@@ -21,7 +21,7 @@
 
 
 class LogClockEstimate:
-    """A member's estimate of the leader's log time; it may be behind."""
+    """A member's estimate of the leader's log time; the estimate may lag."""
 
     def __init__(self, host: RequestHost) -> None:
         self.host = host
