--- a/gradegap/observer/grants.py
+++ b/gradegap/observer/grants.py
@@ -66,7 +66,10 @@
         self.index = index
 
     def require_latest(self) -> None:
-        """Require all changes applied here for further grants, because the machine's lease was renewed."""
+        """Grant leases from now on only to nodes that have acknowledged all changes applied by this machine.
+
+        Called when the machine's own lease was extended.
+        """
         self.required_revision = self.last_change
 
     def allows(self, revision: int) -> bool:
--- a/gradegap/store/machine.py
+++ b/gradegap/store/machine.py
@@ -36,8 +36,8 @@
 
 MAX_KEYS = 200_000
 MAX_TRANSACTION_UPDATES = 128
-MAX_SESSIONS = 50_000  # one for each concurrent write at all members, and for each client that chose its name
-MAX_HISTORY_EVENTS = 10_000  # a watch can start at a retained event, and values before it can be computed
+MAX_SESSIONS = 50_000  # one per concurrent write at any member, and per client that sets its own name
+MAX_HISTORY_EVENTS = 10_000  # watches can start at a retained event, and values before it can be computed
 MAX_HISTORY_BYTES = 16 * 1024 * 1024  # limits the estimated memory of all retained events
 
 _record_decoder: msgspec.msgpack.Decoder[LogRecord] = msgspec.msgpack.Decoder(LogRecord)
--- a/gradegap/store/member_leases.py
+++ b/gradegap/store/member_leases.py
@@ -74,7 +74,7 @@
         self.granter = None
 
     def grant(self, request: wire.LeaseRequest) -> wire.LeaseGrant:
-        """Respond to a lease request; the duration is 0 unless this member certainly leads."""
+        """Respond to a lease request; the duration is 0 unless no other member can be the leader."""
         raft, now = self.host.raft, time.monotonic()
         if raft is None or self.granter is None or self.host.removed:
             return wire.LeaseGrant(request.holder, request.serial, 0, 0, 0.0)
