--- a/gradegap/capture/__init__.py
+++ b/gradegap/capture/__init__.py
@@ -1,7 +1,7 @@
 """Recordings of a balancer's events, actions and states: their file format, writers, readers and analyses.
 
-The package owns the file format and the stored form of everything in it. Modules import only from modules
-that come earlier in this list:
+The package owns the file format and the stored form of all objects in a file. Modules import only
+from modules that are earlier in this list:
 
 - `errors`: the exceptions, all subclasses of `CaptureError`.
 - `records`: the stored names of events, actions and settings. `schema`, `state`, `state_v1`: the stored form
--- a/gradegap/capture/comparison.py
+++ b/gradegap/capture/comparison.py
@@ -20,7 +20,7 @@
 
 
 def compare(left_items: Iterable[Item], right_items: Iterable[Item]) -> Comparison:
-    """Compare the steps that have the same number; steps that only one recording has are skipped."""
+    """Compare the steps that have the same number; steps that only one of the recordings has are skipped."""
     comparison = Comparison()
 
     def steps(source: Iterable[Item]) -> Iterator[Step]:
--- a/gradegap/capture/decision_module.py
+++ b/gradegap/capture/decision_module.py
@@ -71,7 +71,7 @@
     if spec is None or spec.loader is None:
         raise BadModuleError(f"{path} is not a Python file")
     module = importlib.util.module_from_spec(spec)
-    sys.modules[name] = module  # dataclasses look up the module of a class there
+    sys.modules[name] = module  # the dataclass decorator looks up a class's module in `sys.modules`
     spec.loader.exec_module(module)
     return module
 
@@ -82,7 +82,7 @@
             raise BadModuleError(f"{folder} has no {file}")
     for module in SHARED:
         sys.modules[f"{name}.{module}"] = importlib.import_module(f"{PACKAGE}.{module}")
-    sys.meta_path.insert(0, _CopyFinder(name, folder))  # never removed: functions may import later
+    sys.meta_path.insert(0, _CopyFinder(name, folder))  # never removed: the copy's functions may import later
     return importlib.import_module(f"{name}.{ENTRY}")
 
 
--- a/gradegap/capture/description.py
+++ b/gradegap/capture/description.py
@@ -39,7 +39,7 @@
 
 
 def state_behind(balancer: Balancer, now: float, actions: Iterable[Action]) -> list[str]:
-    """Returns a line for each endpoint and request that the actions name, and a line of totals."""
+    """Returns a line for each endpoint and request that the actions name, and a line with the totals."""
     lines = []
     endpoints, requests = BALANCER.get(balancer, "endpoints"), BALANCER.get(balancer, "requests")
     for name in sorted({name for action in actions for name in records.names(action)}, key=str):
--- a/gradegap/capture/errors.py
+++ b/gradegap/capture/errors.py
@@ -17,7 +17,7 @@
 
 
 class OtherVersionError(BadRecordingError):
-    """A file in a format version that this program does not support; another version of it may."""
+    """A file in a format version that this program does not support; another program version may."""
 
     def __init__(self, found: str, known: int) -> None:
         super().__init__(f"recording has format version {found}; this program reads version {known}")
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DecisionVersion:
-    """The version of the program that decided, and the digest of its decision module."""
+    """The version of the program that made the decisions, and the digest of its decision module."""
 
     program: str
     digest: str  # SHA-256 of the decision module, in hexadecimal
@@ -63,7 +63,7 @@
 
 
 class OtherAlgorithmError(BadStateError):
-    """A valid state of a module with another algorithm, whose objects have other fields."""
+    """A valid state of a decision module with another algorithm, in which the objects have other fields."""
 
     def __init__(
         self,
--- a/gradegap/capture/evaluation.py
+++ b/gradegap/capture/evaluation.py
@@ -30,7 +30,7 @@
 
 MAX_VIOLATIONS_SHOWN = 50  # violations kept as text; `ServiceFigures.violations` counts all of them
 MIN_MEAN_CONNECTIONS = 4  # mean connections per ready endpoint from which `peak_share` is computed
-# How late after its deadline an answer may be recorded; covers the latency of the event loop.
+# An answer counts as on time up to this time after its deadline; covers the event loop's latency.
 MAX_LATENESS_S = 0.05
 
 
@@ -41,7 +41,7 @@
     established: int = msgspec.field(default=0, name="stood")
     rejected: int = msgspec.field(default=0, name="refused")
     failed: int = 0
-    disconnected: int = msgspec.field(default=0, name="left")  # clients that disconnected before an answer
+    disconnected: int = msgspec.field(default=0, name="left")  # disconnected before they had an answer
     attempts: int = 0
     health_checks: int = msgspec.field(default=0, name="probes")
     migrated: int = msgspec.field(default=0, name="moved")
@@ -54,7 +54,7 @@
 
     @property
     def served_share(self) -> float:
-        """The ratio of established connections to requests that were established, rejected or failed."""
+        """The fraction of established ones among the requests that were established, rejected or failed."""
         answered = self.established + self.rejected + self.failed
         return self.established / answered if answered else 1.0
 
@@ -64,7 +64,7 @@
     arrived_at: float
     deadline_at: float
     attempt_endpoint: str = ""  # the endpoint of the attempt in flight, if any
-    late_by: float = 0.0  # s from the end of that endpoint's drain grace to the forward; negative: in time
+    late_by: float = 0.0  # s from the end of its endpoint's drain grace to the forward; negative: sent before
     established_endpoint: str = ""  # the endpoint of its established connection, if any
     migrated: bool = False
     answered: bool = False
@@ -80,7 +80,8 @@
     requests: dict[int, _Request] = field(default_factory=dict)
     connections: Counter[str] = field(default_factory=Counter)  # established ones, by endpoint
     phases: dict[str, EndpointPhase] = field(default_factory=dict)
-    unavailable_since: dict[str, float] = field(default_factory=dict)  # draining or removed endpoints
+    # Clock from which each draining or removed endpoint has been unavailable, s.
+    unavailable_since: dict[str, float] = field(default_factory=dict)
     waits: list[float] = field(default_factory=list)
     now: float = 0.0
 
--- a/gradegap/capture/explain.py
+++ b/gradegap/capture/explain.py
@@ -56,7 +56,7 @@
         self._add(request, line)
 
     def headroom_checked(self, request: Request, endpoint: Endpoint, has_headroom: bool) -> None:
-        """Called after an endpoint was checked for room for the request."""
+        """Called after a check whether an endpoint has room for the request."""
         name = ENDPOINT.get(endpoint, "name")
         self._add(request, f"  {name} {'has room' if has_headroom else 'has no room'}")
 
@@ -82,7 +82,7 @@
 
 
 def explain(source: Iterable[Item], module: ModuleType, request_id: int) -> Iterator[str]:
-    """Yields the decisions about a request as lines; yields nothing if the recording does not contain it.
+    """Yields the decisions about a request as lines of text; none if the recording lacks the request.
 
     Raises `BadStateError` for a recorded state that does not fit the module.
     """
--- a/gradegap/capture/frames.py
+++ b/gradegap/capture/frames.py
@@ -37,7 +37,7 @@
     START = 1  # the seed, settings and versions that a replay starts with
     STEPS = 2
     STATE = 3  # the decision module's state after the preceding record
-    GAP = 4  # records were dropped here; a replay continues at the next state
+    GAP = 4  # marks dropped records; a replay continues at the next state
     INDEX = 5  # the index of all preceding frames; see `gradegap.capture.index`
     TAIL = 6  # the last frame of a file that was closed properly: the offset of its index
 
--- a/gradegap/capture/index.py
+++ b/gradegap/capture/index.py
@@ -44,7 +44,7 @@
 
 
 class Builder:
-    """Builds the index while a file is written: call `add` for each frame and `sealed` at the end."""
+    """Builds the index while a file is written: call `add` for each frame and `sealed` after the last."""
 
     def __init__(self) -> None:
         self._endpoint_numbers: dict[str, int] = {}
@@ -141,7 +141,7 @@
 
 
 def sealed(data: bytes) -> bytes:
-    """Returns a file without an index with its index appended."""
+    """Builds the index of a file that has none, and returns the file with the index appended."""
     builder = Builder()
     for offset, frame in frames.read_located(data):
         if isinstance(frame, Frame):
@@ -220,9 +220,11 @@
 ) -> bytes:
     """Returns a part of a file that can be replayed on its own; frames outside the part are not decompressed.
 
-    The part starts at the last state at or before clock `since` (s), or before the first frame matching the
-    request and the endpoint if one is given. It ends with the last frame that starts by clock `until` (s), or
-    the last one matching them. Returns empty bytes if there is no such part.
+    Without a request or endpoint, the part starts at the last state at or before clock `since` (s), and ends
+    with the last frame that starts by clock `until` (s). Otherwise only the frames between these clocks that
+    match the request and the endpoint count: the part starts at the last state before the first of them, and
+    ends with the last of them. If no state precedes, it starts at the first state of the file. Returns empty
+    bytes if there is no such part.
     """
     entries = load(data)
     if request_id is None and endpoint is None:
--- a/gradegap/capture/observations.py
+++ b/gradegap/capture/observations.py
@@ -2,8 +2,8 @@
 
 Endpoint lists, arrivals, and connections that clients close themselves are not decided by the balancer and
 hold for every decision module. The answer of an endpoint to an attempt that was not made is not in the
-recording; its answers to other attempts shortly before or after are. Each answer has its time, so that a
-caller can see how far from the attempt it was.
+recording; its answers to other attempts shortly before or after are. Each answer is stored with its clock, so
+that a caller can tell its distance in time from the attempt.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 DEFAULT_RETURN_DELAY_S = 0.4
 DEFAULT_CONNECT_TIME_S = 0.005  # duration of an attempt, if the recording contains no established connection
 HEALTH_CHECK_TIMEOUT_S = 0.25  # the timeout of health checks in the proxy
-# An attempt's answer is preferred to a health check's unless the latter is nearer in time by more than this.
+# The answer to an attempt is preferred unless that to a health check is nearer in time by more than this.
 HEALTH_CHECK_HANDICAP_S = 0.05
 REPORT_SEARCH_COUNT = 12  # answers on each side of a time that are searched for a load report
 
@@ -47,7 +47,7 @@
     result: AttemptResult
     elapsed: float  # s
     report: Mapping[str, float] | None
-    connections: int  # connections of this node to the endpoint at that time
+    connections: int  # connections from this node to the endpoint at the clock `at`
     is_health_check: bool
 
 
@@ -60,7 +60,7 @@
     first_endpoint: str = ""  # the endpoint of its first attempt in the recording
     # Clock at which the client closed its connection or gave up, s; None if it did neither.
     ended_at: float | None = None
-    arrivals: int = 1  # the number of its requests, retries and reconnects included
+    arrivals: int = 1  # number of requests that it sent, including retries and reconnects
 
 
 @dataclass(slots=True)
@@ -112,7 +112,7 @@
 
 
 def observe(source: Iterable[Item]) -> Observations:
-    """Collects the observations up to the first gap; later connections started in unrecorded steps."""
+    """Collects the observations up to the first gap; later connections may have begun in unrecorded steps."""
     observer = _Observer()
     for item in source:
         match item:
@@ -135,11 +135,11 @@
         self.observations = Observations()
         self.clients_by_key: dict[str, Client] = {}
         self.clients: dict[int, Client] = {}  # clients by request id
-        self.attempts: dict[int, tuple[str, float]] = {}  # attempts in flight by request: endpoint, sent at
-        self.established: dict[int, str] = {}  # endpoints of connections, by request
+        self.attempts: dict[int, tuple[str, float]] = {}  # in flight, by request id: endpoint, clock
+        self.established: dict[int, str] = {}  # endpoint of each established connection, by request id
         self.migrated: set[int] = set()
         self.left_at: dict[str, float] = {}  # clock of a migration or reset, by the client's key
-        self.connections: dict[str, int] = defaultdict(int)  # connection counts by endpoint
+        self.connections: dict[str, int] = defaultdict(int)  # number of connections, by endpoint
         self.health_checks: dict[
             str, float
         ] = {}  # clock at which a health check in flight was sent, by endpoint
--- a/gradegap/capture/plot.py
+++ b/gradegap/capture/plot.py
@@ -55,8 +55,8 @@
     def __init__(self) -> None:
         self.data = Series()
         self.began_at: float | None = None
-        self.established: dict[int, str] = {}  # endpoints of connections, by request
-        self.held: Counter[str] = Counter()  # connections, by endpoint
+        self.established: dict[int, str] = {}  # endpoint of each established connection, by request id
+        self.held: Counter[str] = Counter()  # number of connections, by endpoint
 
     def step(self, step: Step) -> None:
         self.began_at = step.at if self.began_at is None else self.began_at
--- a/gradegap/capture/recorder.py
+++ b/gradegap/capture/recorder.py
@@ -31,10 +31,10 @@
 
 log = structlog.get_logger()
 
-BATCH_STEPS = 512  # steps that are submitted to the thread at once
-MAX_PENDING_BATCHES = 16  # batches waiting for the thread; further ones are dropped
+BATCH_STEPS = 512  # steps in a batch that is submitted to the thread
+MAX_PENDING_BATCHES = 16  # limit of batches waiting for the thread; further batches are dropped
 FLUSH_INTERVAL_S = 1.0  # the longest time for which a step waits in an incomplete batch
-FORK_NOT_PERMITTED = (errno.ENOSYS, errno.EPERM)  # permanent errors: no later fork succeeds either
+FORK_NOT_PERMITTED = (errno.ENOSYS, errno.EPERM)  # permanent errors: after one of them, no fork will succeed
 
 
 class Recorder:
@@ -125,13 +125,13 @@
         self._submit(self.writer.write_steps, batch)
 
     def _mark_gap(self, next_number: int) -> None:
-        """Writes a gap if steps were dropped before step `next_number`."""
+        """Has a gap written if steps were dropped; `next_number` is the first step after them."""
         if self.dropped:
             self._submit(self.writer.write_gap, next_number - self.dropped, self.dropped)
             self.dropped = 0
 
     def _tick(self) -> None:
-        """Runs between two events: submits the batch, and a state if one is due."""
+        """Runs between two events of the balancer: submits the batch, and a state if one is due."""
         if self.closed:
             return
         self.timer = self.loop.call_later(FLUSH_INTERVAL_S, self._tick)
@@ -152,7 +152,7 @@
         )
 
     def _take_state(self, start: dict[str, Any]) -> bool:
-        """Dumps the state in this process; returns False, and ends the recording, if it can't be stored."""
+        """Dumps the state in this process; if it can't be stored, ends the recording and returns False."""
         try:
             stored_state = state.dump(self.balancer)
         except BadStateError as error:
@@ -205,7 +205,7 @@
         try:
             work(*arguments)
         except (OSError, ValueError) as error:
-            # A full or broken disk ends the recording only; the node continues.
+            # A full or broken disk ends only the recording; the node continues to run.
             self.closed = True
             self.metrics.count("capture_failed")
             log.error("recording failed", error=str(error))
--- a/gradegap/capture/recording.py
+++ b/gradegap/capture/recording.py
@@ -1,7 +1,7 @@
 """Reads a recording as a sequence of steps, settings changes, states and gaps. I/O: reads a file.
 
-An item is yielded as soon as its frame is read. A missing or damaged frame yields a `Gap`; from there to the
-next `State` the balancer's state is unknown.
+An item is yielded as soon as its frame is read. A missing or damaged frame yields a `Gap`; from the
+gap to the next `State`, the balancer's state is unknown.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True, frozen=True)
 class State:
-    """The balancer's state before the step with this number, and the START frame that applies to it."""
+    """The state that the balancer had just before step `number`, and the START frame that applies to it."""
 
     number: int
     at: float  # clock, s
--- a/gradegap/capture/records.py
+++ b/gradegap/capture/records.py
@@ -84,7 +84,7 @@
         return {stored: msgspec.to_builtins(getattr(value, name)) for stored, name in self.attributes.items()}
 
     def to_attributes(self, raw: Any) -> Any:
-        """Returns the stored form keyed by attribute; other values are returned as they are."""
+        """Replaces stored names by attribute names in a stored map; values that are no map are unchanged."""
         if not isinstance(raw, Mapping):
             return raw
         return {self.attributes[stored]: value for stored, value in raw.items() if stored in self.attributes}
--- a/gradegap/capture/replay.py
+++ b/gradegap/capture/replay.py
@@ -23,8 +23,8 @@
 from gradegap.capture.errors import BadStateError, DecisionVersion, LaterStateError, OtherAlgorithmError
 from gradegap.capture.recording import Gap, Item, SettingsChange, State, Step
 
-MAX_PRECEDING_STEPS = 8  # steps reported before a difference, about the same endpoints and requests
-RECENT_STEPS_COUNT = 2000  # most recent steps that are searched for them
+MAX_PRECEDING_STEPS = 8  # limit of the steps reported with a difference, which precede it
+RECENT_STEPS_COUNT = 2000  # most recent steps that are searched for those to report
 DIGEST_BYTES = 16
 
 
@@ -51,7 +51,7 @@
 
 
 def begin(module: ModuleType, recorded: State) -> Balancer:
-    """Returns a `Balancer` of the module in a recorded state.
+    """Returns a `Balancer` of the module that has the recorded state.
 
     Raises `BadStateError` if the state does not fit the module; subclasses name incompatible versions.
     """
@@ -67,7 +67,7 @@
 
 
 def encoded(values: Iterable[Event | Action]) -> bytes:
-    """Encodes events or actions to bytes, which compare exactly, also for floats and NaN."""
+    """Encodes events or actions as bytes, so that they can be compared exactly, even floats and NaN."""
     return msgspec.msgpack.encode([records.plain(value) for value in values])
 
 
@@ -124,7 +124,8 @@
         except LaterStateError:
             raise
         except BadStateError as error:
-            if str(error) not in self.report.gaps:  # all states of a file may fail for the same reason
+            # Each reason is reported once, because all states of a file may fail for the same reason.
+            if str(error) not in self.report.gaps:
                 self.report.gaps.append(str(error))
 
     def _compare_state(self, balancer: Balancer, recorded: State) -> None:
@@ -143,7 +144,7 @@
     def _step(self, balancer: Balancer, step: Step) -> None:
         try:
             actions = balancer.handle(step.at, step.event)
-        except Exception as error:  # an exception of the module is a difference
+        except Exception as error:  # an exception raised by the module counts as a difference
             self.report.difference = Difference(step, [], [], [f"the module raised {error!r}"])
             self.is_finished = True
             return
--- a/gradegap/capture/schema.py
+++ b/gradegap/capture/schema.py
@@ -33,7 +33,7 @@
     cls: type
     fields: Mapping[str, str]  # stored name -> attribute path, in the order in which they are stored
     derived: frozenset[str] = frozenset()  # attribute paths that are not stored
-    blank: Callable[[Any], Any] = object.__new__  # creates an empty object of a class
+    blank: Callable[[Any], Any] = object.__new__  # creates an object of a class without setting its fields
     values: Callable[[Any], tuple[Any, ...]] = field(
         init=False
     )  # returns the field values of an object, in order
--- a/gradegap/capture/simulation.py
+++ b/gradegap/capture/simulation.py
@@ -36,9 +36,9 @@
 from gradegap.capture.evaluation import Evaluation, ServiceFigures
 from gradegap.capture.observations import HEALTH_CHECK_TIMEOUT_S, Answer, Client, Observations
 
-# The longest time between an answer and the observation it is taken from, for *near* and for *far*.
+# Longest time between a simulated answer and the recorded answer that it copies, for *near* and for *far*.
 NEAR_S, FAR_S = 1.0, 5.0
-MIN_CLIENT_TRIES = 3  # requests of a client before it gives up, unless it made more in the recording
+MIN_CLIENT_TRIES = 3  # requests that a client sends before it gives up, or more if it did in the recording
 CLIENT_BACKOFF_S = 0.5  # time until a client retries after an answer without a retry time
 TAIL_S = 3.0  # simulated time after the end of the recording, for requests in flight
 MAX_EVENTS = 20_000_000  # scheduled events after which the simulation stops
@@ -91,16 +91,16 @@
         # Requests since the last connection, by the id of the client's first request.
         self.tries: Counter[int] = Counter()
         self.attempt_counts: Counter[int] = Counter()
-        self.in_flight: dict[int, tuple[str, int]] = {}  # endpoint, number of the attempt
-        self.established: dict[int, str] = {}  # endpoints, by request
+        self.in_flight: dict[int, tuple[str, int]] = {}  # by request id: endpoint, number of the attempt
+        self.established: dict[int, str] = {}  # endpoint of each established connection, by request id
         self.answered: set[int] = set()
         self.deadlines: dict[int, float] = {}
-        self.connections: Counter[str] = Counter()  # connection counts by endpoint
+        self.connections: Counter[str] = Counter()  # number of connections, by endpoint
         self.is_proxy_draining = False
         self.result = WhatIfResult(ServiceFigures(), ServiceFigures(), [])
 
     def run(self, recorded: ServiceFigures) -> WhatIfResult:
-        """Runs the simulation to the end of the recording and `TAIL_S` beyond."""
+        """Runs the simulation to the end of the recording and for `TAIL_S` after it."""
         self._schedule_recorded()
         ends_at = self.observations.ended_at + TAIL_S
         while self.schedule and self.schedule[0][0] <= ends_at and self.scheduled < MAX_EVENTS:
@@ -192,7 +192,7 @@
         self._feed(event)
 
     def _answer(self, request_id: int, after: float) -> None:
-        """The request was rejected or failed; the client retries after `after` seconds unless it gives up."""
+        """Handles a rejected or failed request: the client retries after `after` seconds or gives up."""
         if request_id in self.answered:
             return
         self.answered.add(request_id)
@@ -210,13 +210,13 @@
             self._schedule_request(client, False, after)
 
     def _expire(self, request_id: int) -> None:
-        """At the deadline: fails a request without an answer, as the proxy does."""
+        """Fails a request that has no answer at its deadline, as the proxy does."""
         if request_id not in self.answered and request_id in self.clients:
             self._feed(ClientDisconnected(request_id))
             self._answer(request_id, CLIENT_BACKOFF_S)
 
     def _leave(self, request_id: int) -> None:
-        """The client closes its connection."""
+        """Ends the connection of a request, because its client closes it."""
         if request_id in self.established:
             self._end_connection(request_id, AttemptResult.CANCELLED)
 
@@ -228,7 +228,7 @@
         return client
 
     def _disconnect(self, request_id: int, result: AttemptResult) -> None:
-        """The connection ends, but not by its client, which reconnects."""
+        """Ends a connection that its client did not close; the client reconnects unless the proxy drains."""
         if request_id not in self.established:
             return
         client = self._end_connection(request_id, result)
@@ -239,7 +239,7 @@
             self._schedule_request(client, True, self.observations.return_delay)
 
     def _break_all(self, endpoint: str) -> None:
-        """Resets all connections to the endpoint, as a reset was recorded at this time."""
+        """Resets all connections to the endpoint, because the recording has a reset at this time."""
         for request_id in [r for r, e in self.established.items() if e == endpoint]:
             self._disconnect(request_id, AttemptResult.RESET)
 
@@ -331,7 +331,7 @@
         if result is AttemptResult.FULL:
             result = (
                 AttemptResult.OK
-            )  # the endpoint rejected an attempt; a health check would have got its load
+            )  # the recorded endpoint rejected an attempt, but would have answered a health check
         self._schedule(self.now + elapsed, self._feed, HealthCheckEnded(endpoint, result, elapsed, report))
 
     def _report(self, endpoint: str) -> dict[str, float] | None:
--- a/gradegap/capture/snapshot.py
+++ b/gradegap/capture/snapshot.py
@@ -1,7 +1,7 @@
 """Dumps the state of a large balancer in a forked process, so that the event loop is not blocked.
 
 The child has a copy of the balancer as it was between two events. It dumps the state and writes it to a pipe,
-which the recorder's thread reads. The node itself only pays for the copy of its page tables. For a small
+which the recorder's thread reads. The only cost to the node is the copy of its page tables. For a small
 balancer a dump in the node's process costs less than a fork.
 """
 
@@ -21,7 +21,7 @@
 from gradegap.capture import frames, state
 from gradegap.capture.schema import BALANCER
 
-MAX_OBJECTS_IN_PLACE = 400  # up to this size a state is dumped in the node's own process
+MAX_OBJECTS_IN_PLACE = 400  # up to this number of objects, a state is dumped in the node's process
 CHILD_TIMEOUT_S = 20.0  # the child is killed if its state is not complete by then
 CHILD_NICENESS = 5  # the child yields the processor to the node
 READ_BYTES = 1 << 20  # bytes per read from the pipe
@@ -58,7 +58,7 @@
     try:
         _write_state(balancer, writing)
         status = 0
-    except BaseException:  # the child must never continue as a second node
+    except BaseException:  # the child must never return into the code of the node
         status = 1
     finally:
         os._exit(status)
@@ -67,7 +67,7 @@
 def _write_state(balancer: Balancer, pipe: int) -> None:
     """Runs in the child: dumps the state and writes it to the pipe."""
     gc.disable()  # the child must finalize no object of the node, and should write to few shared pages
-    # Closes the inherited descriptors: otherwise the peer of a connection that the node closes sees no end.
+    # Closes the inherited descriptors: otherwise connections that the node closes would stay open here.
     os.closerange(0, pipe)
     os.closerange(pipe + 1, os.sysconf("SC_OPEN_MAX"))
     with contextlib.suppress(OSError):
@@ -80,7 +80,7 @@
 def finish(child: Child, timeout: float = CHILD_TIMEOUT_S) -> Any:
     """Returns the state written by the child; blocks until the child ends, or is killed after `timeout` s.
 
-    Raises `OSError` if the child does not write the whole state in time.
+    Raises `OSError` if the child does not write the whole state within the timeout.
     """
     try:
         data = _read_all(child.pipe, time.monotonic() + timeout)
--- a/gradegap/capture/state.py
+++ b/gradegap/capture/state.py
@@ -1,13 +1,14 @@
 """Converts the state of a `Balancer` to plain values, and builds a `Balancer` from them. No I/O.
 
-A state is `{"version": 2, "fields": {kind: [stored name, ...]}, "objects": [[kind, [value, ...]], ...]}`, by
-the names declared in `gradegap.capture.schema`; the `Balancer` comes first. Each object is stored once, so
-that shared references are shared again after loading. A value is plain, or a list that starts with its type:
-`o` the number of an object, `l`, `t`, `d`, `m` a list, tuple, deque or map, `e` an enum, `r` a random
-generator.
-
-Only classes of the schema are instantiated, so a malicious file can't create other objects. With another
-decision module, its `Balancer` is used, and its own copies of the other classes if it has them.
+A state is `{"version": 2, "fields": {kind: [stored name, ...]}, "objects": [[kind, [value, ...]], ...]}`,
+with the names declared in `gradegap.capture.schema`; the `Balancer` is the first object. Each object is
+stored once, so that references to the same object refer to one object again after loading. A value is plain,
+or a list that starts with its type: `o` the number of an object, `l`, `t`, `d`, `m` a list, tuple, deque or
+map, `e` an enum, `r` a random generator.
+
+Only classes of the schema are instantiated, so a malicious file can't create other objects. If the state is
+loaded into a candidate decision module, the candidate's `Balancer` is used, and its copies of the other
+classes if it defines any.
 """
 
 from __future__ import annotations
@@ -36,14 +37,15 @@
 
 
 def _copy_of(cls: type, balancer: type) -> type:
-    """Returns the copy of class `cls` that belongs to class `balancer`; `cls` itself if there is none.
+    """Returns the candidate's own definition of the program's class `cls`, or `cls` if it has none.
 
-    A copy of the package defines it in the module of the same name, a candidate file in that file.
+    `balancer` is the candidate's `Balancer`. A candidate that is a copy of the package defines the class in
+    the module with the same name as in the program; a candidate that is one file defines it in that file.
     """
     root = balancer.__module__.partition(".")[0]
     if root == PROGRAM:
         return cls
-    submodules = cls.__module__.split(".")[2:]  # `gradegap.balancing`
+    submodules = cls.__module__.split(".")[2:]  # the path below `gradegap.balancing`
     for name in (".".join([root, *submodules]), balancer.__module__):
         candidate = getattr(sys.modules.get(name), cls.__name__, None)
         if isinstance(candidate, type) and candidate.__module__.partition(".")[0] == root:
@@ -55,7 +57,7 @@
 
 
 def _forms_by_class(balancer: type) -> dict[type, Form]:
-    """Returns the forms of a class of `Balancer` and of the objects that it may hold."""
+    """Maps `balancer`, a class of `Balancer`, and the classes of the objects it may hold to their forms."""
     if (forms := _forms.get(balancer)) is None:
         forms = {form.cls: form for form in FORMS.values()}
         forms |= {_copy_of(form.cls, balancer): form for form in FORMS.values()}
@@ -101,7 +103,7 @@
         if kind in self.forms:
             return self.reference(obj)
         if kind is ClassSettings:
-            # After a reload equal settings are another object, but still the same class of requests.
+            # A reload replaces settings by equal objects, which still belong to the same request class.
             number = self.numbers[id(obj)] = self.numbers_by_value.setdefault(obj, len(self.queue))
             if number == len(self.queue):
                 self.queue.append(obj)
@@ -160,7 +162,7 @@
 
 
 class _Loader:
-    """Creates the objects of a state empty, so that they can refer to each other, then sets their fields."""
+    """Creates all objects of a state without fields first, so that the fields can refer to any of them."""
 
     def __init__(self, module: ModuleType, raw: Mapping[str, Any], settings: Settings) -> None:
         self.module, self.settings = module, settings
@@ -228,7 +230,7 @@
 
 
 def _put(obj: Any, path: str, value: Any) -> None:
-    """Sets an attribute; updates its value in place if components may share it."""
+    """Sets an attribute; a value that several components may share is updated in place instead."""
     owner_path, _, name = path.rpartition(".")
     owner = attrgetter(owner_path)(obj) if owner_path else obj
     present = getattr(owner, name, None)
@@ -244,7 +246,7 @@
 
 
 def load(module: ModuleType, raw: Any, settings: Settings) -> Balancer:
-    """Returns a `Balancer` of `module` in a stored state, with the given settings.
+    """Returns a `Balancer` of `module` that has a stored state and the given settings.
 
     Reads all state versions up to this program's. Raises `BadStateError` if the state does not fit the
     module, `LaterStateError` for a later version, and `OtherAlgorithmError` if its objects have other fields.
@@ -264,7 +266,7 @@
 
 
 def same(module: ModuleType, balancer: Balancer, raw: Any, settings: Settings) -> bool:
-    """Whether the state of a `Balancer` equals a stored state of any readable version."""
+    """Whether the state of a `Balancer` equals a stored state, of any version that `load` reads."""
     own = msgspec.msgpack.encode(dump(balancer))
     if isinstance(raw, Mapping) and raw.get("version") == VERSION:
         return own == msgspec.msgpack.encode(raw)
--- a/gradegap/capture/state_v1.py
+++ b/gradegap/capture/state_v1.py
@@ -125,7 +125,7 @@
 }
 OBJECTS = {"_Server": ("Endpoint", ENDPOINT), "_Req": ("Request", REQUEST)}
 VALUES = {"ClassSettings"}  # stored as settings in both versions
-# The components of a `Balancer`, each a separate object to which one of its attributes referred.
+# Attributes of a version 1 `Balancer` that refer to its components, each stored as a separate object.
 PARTS = {"worth", "usual", "stood", "came", "lost", "figures", "capacity", "cold"}
 PERSONAL_FIELDS = {"ring_key"}
 
--- a/gradegap/capture/switch.py
+++ b/gradegap/capture/switch.py
@@ -82,7 +82,7 @@
         return self.recorded.recorder is not None and not self.recorded.recorder.closed
 
     def set(self, on: bool) -> None:
-        """Starts or ends the recording; an error of the folder is logged and leaves recording off."""
+        """Starts or ends the recording; an unusable folder is logged and recording stays off."""
         recorder = self.recorded.recorder
         if on and not self.on:
             self._begin()
--- a/gradegap/capture/whatif.py
+++ b/gradegap/capture/whatif.py
@@ -1,7 +1,7 @@
 """Estimates the service on a recorded day with another decision module or other settings. No I/O.
 
-A replay feeds the recorded events; here, clients and endpoints are simulated and react to the decisions of
-the module (`gradegap.capture.simulation`).
+A replay feeds the recorded events to the module; here, clients and endpoints are simulated and react to the
+decisions of the module (`gradegap.capture.simulation`).
 """
 
 from __future__ import annotations
--- a/gradegap/capture/writer.py
+++ b/gradegap/capture/writer.py
@@ -21,7 +21,7 @@
 SUFFIX = ".ggc"
 MEBIBYTE = 1024 * 1024
 
-# Number, clock, event and actions; or number, clock, None and the adopted settings. A plain tuple, because
+# (number, clock, event, actions), or (number, clock, None, adopted settings). A plain tuple, because
 # the event loop creates one for each event.
 StepRow = tuple[int, float, Any, Any]
 
@@ -70,18 +70,18 @@
             )
 
     def write_gap(self, first: int, count: int) -> None:
-        """Writes the mark of `count` dropped steps, of which `first` is the first."""
+        """Writes a GAP frame for `count` dropped steps; `first` is the number of the first one."""
         offset = self._write_frame(FrameKind.GAP, {"dropped": count}, count, first)
         if offset is not None:
             self._index.add(offset, FrameKind.GAP, first, count)
 
     def write_state(self, start: dict[str, Any], stored: dict[str, Any], number: int, at: float) -> None:
-        """Writes the state before step `number`; starts a new file if none is open or it is full."""
+        """Writes the state as it was just before step `number`; first starts a new file if necessary."""
         if self._file is None or self._size >= self._settings.part_mb * MEBIBYTE:
             self.end_file()
             self._begin_file(start["made"])
         if start["settings"] != self._settings_written:
-            # A reload may be in a dropped batch, so a state is preceded by the settings that apply to it.
+            # A dropped batch may contain a settings change, so the settings are written before a state.
             offset = self._write_frame(FrameKind.START, start, 0, number, at, at)
             if offset is not None:
                 self._index.add(offset, FrameKind.START, number, 0, at, at)
@@ -91,7 +91,7 @@
             self._index.add(offset, FrameKind.STATE, number, 0, at, at)
 
     def end_file(self) -> None:
-        """Closes the file with its index after the frames; ignores errors of the disk."""
+        """Appends the index and closes the file; disk errors are ignored."""
         if self._file is not None:
             with contextlib.suppress(OSError):
                 self._write(self._index.sealed(self._size))
--- a/gradegap/client.py
+++ b/gradegap/client.py
@@ -33,11 +33,11 @@
 
 
 class SessionEndedError(Exception):
-    """The session can't continue; `reason` is a word of the protocol or one of this library's words.
+    """The session can't continue; `reason` is a reason of the protocol or one of this library.
 
-    The words of this library are: `closed`, the user closed the session; `gave_up`, no node could place the
-    session in time; `plain`, the node or the server does not support resume/1; `position` and `broken`, the
-    other side violated the protocol.
+    The reasons of this library are: `closed`, the user closed the session; `gave_up`, no node placed the
+    session within the placement timeout; `plain`, the node or the server does not support resume/1;
+    `position` and `broken`, the other side violated the protocol.
     """
 
     def __init__(self, reason: str, detail: str = "") -> None:
@@ -65,7 +65,7 @@
         self.attempt_timeout = attempt_timeout
         self.placement_timeout = placement_timeout
         self.observer = observer
-        self.receipt = ""  # first field of the current server's UP line
+        self.receipt = ""  # first field of the UP line that the current server sent
         self.reconnects = 0
         self._window = ClientWindow()
         self._window_open = asyncio.Event()
@@ -91,8 +91,8 @@
     ) -> Session:
         """Open a session at one of `nodes` (host:port).
 
-        A node may take `attempt_timeout` seconds for each attempt. `observer` is called for each request
-        when it is sent, answered or failed, so that a log of all requests can be verified.
+        A node has `attempt_timeout` seconds to answer each attempt. `observer` is called when a request is
+        sent, is answered or fails, so that a log of all requests can be verified.
 
         Raises:
             SessionEndedError: if no node places the session within `placement_timeout` seconds, or the node
@@ -153,11 +153,11 @@
     # Connecting and reconnecting
 
     async def _place(self) -> None:
-        """Connect to any of the nodes.
+        """Connect to one of the nodes, trying them until one places the session.
 
         Raises:
             SessionEndedError: if a node reports that the session can't continue, or no node places the
-                session in time.
+                session within `placement_timeout` seconds.
         """
         loop = asyncio.get_running_loop()
         deadline, pause = loop.time() + self.placement_timeout, BACKOFF_MIN_S
@@ -180,7 +180,7 @@
         raise SessionEndedError("gave_up", failure)
 
     async def _connect(self, node: str) -> str:
-        """Try one node; empty once the session is established there, else the node's answer."""
+        """Try one node; return an empty string if it establishes the session, or else the node's answer."""
         host, _, port = node.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         established = False
@@ -210,7 +210,7 @@
         return f"OPEN {secrets.token_hex(8)} {self.key} {fields}\r\n".encode()
 
     def _resume(self, confirmation: str, writer: asyncio.StreamWriter) -> None:
-        """Parse the rest of an UP line and send again the requests that the server has not executed."""
+        """Parse the rest of an UP line, and resend the requests that the server has not executed."""
         self.receipt, _, parameters = confirmation.partition(" ")
         values = dict(pair.partition("=")[::2] for pair in parameters.split(","))
         if "t" not in values or not values.get("rs", "").isdecimal():
--- a/gradegap/commands/base.py
+++ b/gradegap/commands/base.py
@@ -38,7 +38,7 @@
     "unknown": ExitCode.UNKNOWN,
     "no_quorum": ExitCode.NO_QUORUM,
 }
-"""Exit code for each `kind` of a `RequestFailedError`."""
+"""Maps each `kind` of a `RequestFailedError` to an exit code."""
 
 OPERATOR = typer.Option(..., "--operator", help="operator's file; example: deploy/store.toml")
 _NODE = typer.Option(..., "--node", help="address of a member, as given in its operator's file")
@@ -84,7 +84,7 @@
 
 @contextmanager
 def connect(node: str, secret_file: str, timeout_s: float) -> Iterator[MemberClient]:
-    """Connect to a member; an error while the client is used ends the command with that error's exit code."""
+    """Yield a client connected to a member; its errors end the command with the matching exit code."""
     try:
         with MemberClient(node, read_secret(secret_file, "store.secret"), timeout_s) as member:
             yield member
--- a/gradegap/commands/store.py
+++ b/gradegap/commands/store.py
@@ -23,7 +23,7 @@
 STALE = typer.Option(
     False, "--stale", help="read this member's state, which may lag behind the committed one"
 )
-VERIFY_ROUND_COUNT = 20  # rounds of queries in which a revision common to all members has to be found
+VERIFY_ROUND_COUNT = 20  # limit of query rounds to find a revision at which all members have a digest
 
 
 def parse_value(text: str) -> Any:
--- a/gradegap/commands/store_server.py
+++ b/gradegap/commands/store_server.py
@@ -19,7 +19,7 @@
 
 log = structlog.get_logger()
 
-LEADERSHIP_TRANSFER_WAIT_S = 0.6  # time that a stopping leader waits for its successor to be elected
+LEADERSHIP_TRANSFER_WAIT_S = 0.6  # time that a stopping leader waits for the election of another leader
 
 
 def serve(operator: OperatorSettings) -> None:
--- a/gradegap/hot_restart/__init__.py
+++ b/gradegap/hot_restart/__init__.py
@@ -1,6 +1,6 @@
 """Hot restart: a new process of a node replaces the serving one while clients stay connected.
 
-This package owns the connection between the two processes, and the sessions in transfer over it.
+This package owns the connection between the two processes, and the sessions that it is transferring.
 `hot_restart` combines the two roles of a process, first `successor` and later `predecessor`; `messages`
 defines the format that processes of different versions exchange.
 """
--- a/gradegap/hot_restart/errors.py
+++ b/gradegap/hot_restart/errors.py
@@ -8,7 +8,7 @@
 
 
 class MalformedMessageError(HotRestartError):
-    """This version can't decode a message of the other process, which keeps the sessions in the message."""
+    """A message that this version can't decode; its sender keeps the sessions that it contains."""
 
 
 class SessionNotAdoptedError(HotRestartError):
--- a/gradegap/hot_restart/host.py
+++ b/gradegap/hot_restart/host.py
@@ -18,10 +18,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ReleasedQuicPort:
-    """The port of the QUIC listener, in transfer to the successor."""
+    """The port of the QUIC listener while it is being transferred to the successor."""
 
     state: bytes  # state of the listener, encoded
-    descriptors: list[int]  # sockets of the port, which stay open in this process as well
+    descriptors: list[int]  # sockets of the port, which this process also keeps open
 
 
 class Host(Protocol):
@@ -65,7 +65,7 @@
         """Release the QUIC port for the successor; None if this process has none."""
 
     def adopt_quic_port(self, state: bytes, descriptors: list[int]) -> None:
-        """Take over the predecessor's QUIC port; owns the descriptors."""
+        """Take over the predecessor's QUIC port; becomes the owner of the descriptors."""
 
     def forget_quic_predecessor(self) -> None:
-        """Drop the QUIC forwarding to the other process, which has ended with all of its QUIC sessions."""
+        """Stop forwarding datagrams to the other process, which has ended with all of its QUIC sessions."""
--- a/gradegap/hot_restart/hot_restart.py
+++ b/gradegap/hot_restart/hot_restart.py
@@ -1,4 +1,4 @@
-"""The hot restarts of a process: it first follows the serving process, and is later followed by the next one.
+"""The hot restarts of a process: it starts as a successor, and later serves as a predecessor.
 
 The serving process (the predecessor) listens on a Unix socket in the node's private folder. A starting
 process (the successor) connects to this socket, and receives the listening socket for clients, the endpoint
@@ -39,15 +39,15 @@
 log = structlog.get_logger()
 
 STATE_TIMEOUT_S = 1.5  # limits how long the predecessor may take to send its state
-DESCRIPTOR_COUNT_INTERVAL_S = 0.1  # time between two updates on the number of open descriptors
+DESCRIPTOR_COUNT_INTERVAL_S = 0.1  # interval of sending the other process the number of open descriptors
 _NO_COUNT_SENT = -1
 
 
 class HotRestart:
-    """Owns both roles of this process, and the link to the other process, of which there is at most one."""
+    """Owns both roles of this process, and the link to the other process; there is at most one."""
 
     def __init__(self, host: Host, path: Path | None) -> None:
-        """`path` is the Unix socket by which a successor finds this process; None disables hot restarts."""
+        """`path` is that of the Unix socket to which a successor connects; None disables hot restarts."""
         self._host = host
         self._path = path
         self._loop = host.loop
@@ -69,7 +69,7 @@
         return self._predecessor.state is PredecessorState.HANDING_OVER
 
     async def follow(self) -> bool:
-        """Receive the serving process's state; False if no process serves or it does not answer in time."""
+        """Receive the serving process's state; False without one, or after `STATE_TIMEOUT_S`."""
         sock = await connect_to_predecessor(self._loop, self._path) if self._path is not None else None
         if sock is None:
             return False
@@ -131,7 +131,7 @@
                 self._on_message_without_descriptors(link, message)
 
     def _on_message_without_descriptors(self, link: Link, message: Message) -> None:
-        """Handle a message that carries no descriptors."""
+        """Handle a message that was received without descriptors."""
         match message:
             case EndpointBatch():
                 self._successor.receive_endpoints(message)
--- a/gradegap/hot_restart/link.py
+++ b/gradegap/hot_restart/link.py
@@ -58,7 +58,7 @@
 
 
 class Link:
-    """One end of the connection. Owns its socket, and the commands without an answer."""
+    """One end of the connection. Owns its socket, and the commands that have not been answered yet."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
         self._on_closed = on_closed
         self._unsent: deque[tuple[bytes, tuple[int, ...]]] = deque()
         self._closed = False
-        self._pending_commands: dict[int, Callable[[], None]] = {}  # callbacks for the answers, by serial
+        self._pending_commands: dict[int, Callable[[], None]] = {}  # `done` of unanswered commands, by serial
         self._last_serial = 0
         sock.setblocking(False)
         loop.add_reader(sock, self._on_readable)
@@ -96,7 +96,7 @@
             self._write()
 
     def send_admin_command(self, operation: str, endpoint: str, done: Callable[[], None]) -> None:
-        """Request an operation in the other process.
+        """Send the other process an operation to apply.
 
         `done` is called when the other process has applied the operation, when it has ended, or after
         `ADMIN_COMMAND_TIMEOUT_S`.
--- a/gradegap/hot_restart/messages.py
+++ b/gradegap/hot_restart/messages.py
@@ -26,14 +26,14 @@
 class Offer(msgspec.Struct, tag="offer"):
     """The first message of a predecessor, sent with its listening socket for clients."""
 
-    disabled_endpoints: dict[str, float] = msgspec.field(name="out")  # endpoint to time of its disabling
+    disabled_endpoints: dict[str, float] = msgspec.field(name="out")  # endpoint -> time of its disabling
     descriptor_count: int = msgspec.field(name="sockets")  # descriptors that the predecessor has open
     sealing_keys: bytes = msgspec.field(name="ring", default=b"")
     """Keys that seal the tokens of resumable sessions; empty if a store holds them."""
 
 
 class EndpointState(msgspec.Struct, tag="known"):
-    """One endpoint: its entry in the endpoint list, the start of its drain, and its last load report."""
+    """One endpoint: its entry in the endpoint list, when its drain began, and its last load report."""
 
     id: str
     address: str
@@ -78,7 +78,7 @@
     opening_before_wait: bytes = msgspec.field(name="before")
     opening_after_wait: bytes = msgspec.field(name="after")
     endpoint: str = msgspec.field(name="backend")
-    partial_line: bytes = msgspec.field(name="part")  # received from the endpoint without the line's end
+    partial_line: bytes = msgspec.field(name="part")  # of the endpoint; the line's end was not received yet
     last_response_at: float = msgspec.field(name="heard_at")
     # None: the endpoint has answered all lines of the client.
     unanswered_since: float | None = msgspec.field(name="asked_at")
@@ -88,14 +88,14 @@
 
 
 class SessionResult(msgspec.Struct, tag="taken"):
-    """Whether the successor serves a session that was sent to it; otherwise the predecessor continues it."""
+    """Tells whether the successor serves a session sent to it; if not, the predecessor continues it."""
 
     serial: int
     accepted: bool = msgspec.field(name="good")
 
 
 class AdminCommand(msgspec.Struct, tag="order"):
-    """An operation requested by the admin API of the sender, which the receiver applies too."""
+    """An operation requested through the admin API of the sender, which the receiver applies as well."""
 
     serial: int
     operation: str = msgspec.field(name="what")  # an `AdminOperation`; a later version may send other values
@@ -103,7 +103,7 @@
 
 
 class AdminCommandDone(msgspec.Struct, tag="obeyed"):
-    """The receiver of the `AdminCommand` with this serial has applied it."""
+    """Confirms that the sender has applied the `AdminCommand` with this serial."""
 
     serial: int
 
@@ -118,11 +118,11 @@
     """The remaining lease of the predecessor, which has left the store, and the disabled endpoints."""
 
     remaining_s: float = msgspec.field(name="left")
-    disabled_endpoints: dict[str, float] = msgspec.field(name="out")  # endpoint to time of its disabling
+    disabled_endpoints: dict[str, float] = msgspec.field(name="out")  # endpoint -> time of its disabling
 
 
 class QuicPort(msgspec.Struct, tag="port"):
-    """The port of the QUIC listener goes to the successor; sent with its sockets."""
+    """Transfers the port of the QUIC listener to the successor; sent with the sockets of the port."""
 
     state: bytes = msgspec.field(name="told")  # `gradegap.quic.listener.PortTransfer`, encoded
 
--- a/gradegap/hot_restart/predecessor.py
+++ b/gradegap/hot_restart/predecessor.py
@@ -1,7 +1,7 @@
 """The role of the serving process in a hot restart: it sends its state and then its sessions.
 
-It runs until SIGTERM, to answer its pending requests, to migrate sessions that can't be transferred, and to
-serve again if the successor dies.
+The process continues to run until SIGTERM: it answers its pending requests, migrates sessions that can't be
+transferred, and serves again if the successor dies.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 class Predecessor:
-    """The role of this process while a successor follows it.
+    """The role of this process towards its successor.
 
     NO_SUCCESSOR -> STATE_SENT (`offer`) -> HANDING_OVER (`hand_over`) -> NO_SUCCESSOR (`lose_successor`);
     STATE_SENT -> NO_SUCCESSOR as well, if the successor dies before it is ready.
@@ -95,9 +95,9 @@
         self._transfer.finish(serial, accepted)
 
     def lose_successor(self) -> None:
-        """Handle the end of the successor.
+        """Handle the end of the successor, or of the connection to it.
 
-        Guards against the death of the successor: sessions that it has not accepted stay here, and this
+        Guards against a successor that dies: sessions that it has not accepted stay here, and this
         process serves again unless it is shutting down.
         """
         previous_state, self.state = self.state, PredecessorState.NO_SUCCESSOR
--- a/gradegap/hot_restart/rendezvous.py
+++ b/gradegap/hot_restart/rendezvous.py
@@ -33,7 +33,7 @@
 
 
 def _bind(sock: socket.socket, path: Path) -> None:
-    """Listen at `path`, and replace a socket that another process has bound there, stale or not."""
+    """Listen at `path`; a socket file already at that path, stale or in use, is replaced."""
     temporary = f"{path.name}.{os.getpid()}"
     with _short_path(path.parent) as folder:
         with contextlib.suppress(FileNotFoundError):
--- a/gradegap/hot_restart/session_adoption.py
+++ b/gradegap/hot_restart/session_adoption.py
@@ -1,4 +1,4 @@
-"""Continues a session that a predecessor has sent, in the state that it had there."""
+"""Continues a session that a predecessor has sent, from the state that it had in the predecessor."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def adopt_session(host: Host, message: IdleSession | EstablishedSession, descriptors: list[int]) -> None:
-    """Continue a session in this process; owns the descriptors.
+    """Continue a session in this process; becomes the owner of the descriptors.
 
     Raises:
         SessionNotAdoptedError: if the session can't be continued here; its descriptors are closed.
--- a/gradegap/hot_restart/session_transfer.py
+++ b/gradegap/hot_restart/session_transfer.py
@@ -2,7 +2,7 @@
 
 Guards against migrating all clients at a restart, after which they would all reconnect at once and load the
 save store: established sessions continue in the successor unchanged. Sessions that can't be transferred yet
-are tried again, until this process shuts down and migrates the remaining ones.
+are tried again until this process shuts down, which migrates the remaining sessions.
 """
 
 from __future__ import annotations
@@ -18,7 +18,8 @@
 from gradegap.proxy.request import Request, RequestState
 from gradegap.upstream.connection import UpstreamConnection
 
-MAX_SESSIONS_IN_FLIGHT = 8  # limits unanswered sessions, whose descriptors are open in both processes
+# Limit of sessions that were sent but not answered; their descriptors are open in both processes.
+MAX_SESSIONS_IN_FLIGHT = 8
 FIRST_LINE_TIMEOUT_S = 1.0  # time for the first line on an idle connection that was taken back
 
 
@@ -35,7 +36,7 @@
 
 
 class SessionTransfer:
-    """Transfers sessions, and owns those that the successor has not answered yet."""
+    """Transfers sessions, and owns those for which the successor has not answered yet."""
 
     def __init__(self, host: Host) -> None:
         self._host = host
@@ -43,7 +44,7 @@
         self._in_flight: dict[int, _IdleInFlight | _EstablishedInFlight] = {}  # by serial
 
     def send_sessions(self, link: Link) -> None:
-        """Send the sessions that can be transferred now, up to `MAX_SESSIONS_IN_FLIGHT` unanswered ones."""
+        """Send sessions that can be transferred now, until `MAX_SESSIONS_IN_FLIGHT` are without an answer."""
         for channel in list(self._host.channels):
             if len(self._in_flight) >= MAX_SESSIONS_IN_FLIGHT:
                 break
@@ -132,7 +133,7 @@
         if not accepted:
             self._take_back(transfer)
             return
-        # Aborting closes only this process's descriptors: the other process keeps the connections open.
+        # Aborting closes only this process's descriptors; the connections stay open in the other process.
         if isinstance(transfer, _EstablishedInFlight):
             self._host.metrics.count("established_sessions_passed")
             _abort(transfer.connection)
--- a/gradegap/hot_restart/successor.py
+++ b/gradegap/hot_restart/successor.py
@@ -38,7 +38,7 @@
         self.state = SuccessorState.ALONE
 
     def begin(self) -> asyncio.Future[bool]:
-        """Expect a predecessor's state; the result is False if the predecessor ends before its completion."""
+        """Expect a predecessor's state; the result is False if the predecessor ends before it is complete."""
         self.state = SuccessorState.RECEIVING_STATE
         self._state_received = self._host.loop.create_future()
         return self._state_received
@@ -67,7 +67,7 @@
             self._state_received.set_result(True)
 
     def adopt(self, message: IdleSession | EstablishedSession, descriptors: list[int]) -> bool:
-        """Continue a session here, and return whether that was possible; owns the descriptors."""
+        """Continue a session in this process if possible, and return whether it was; owns the descriptors."""
         try:
             adopt_session(self._host, message, descriptors)
         except SessionNotAdoptedError:
--- a/gradegap/node/admin_operations.py
+++ b/gradegap/node/admin_operations.py
@@ -1,4 +1,4 @@
-"""Operations that operators request by the admin API of a node.
+"""Operations that operators request through the admin API of a node.
 
 During a hot restart, a request to the admin API of either process takes effect in both.
 """
@@ -16,7 +16,7 @@
 
 # Time from the request to take the node out of service until all of its established connections are migrated.
 DRAIN_TIME_S = 2.8
-MAX_DISABLED_ENDPOINTS = 50  # limits how many endpoints operators can have disabled at the same time
+MAX_DISABLED_ENDPOINTS = 50  # limit of endpoints that are disabled by operators at the same time
 
 NOT_READY = AdminResult(HTTPStatus.SERVICE_UNAVAILABLE, "takes no clients")
 UNKNOWN_ENDPOINT = AdminResult(HTTPStatus.NOT_FOUND, "no such save server")
@@ -73,7 +73,7 @@
         done(NO_SUBSCRIPTION if subscription is None else subscription.describe())
 
     def report_in_force(self, done: ResultCallback) -> None:
-        """Report whether the decisions of all nodes are based on the revision that this node has."""
+        """Report whether the decisions of all nodes are based on the revision that this node has applied."""
         subscription = self._committed.subscription
         if subscription is None:
             done(NO_SUBSCRIPTION)
@@ -81,7 +81,7 @@
             subscription.report_in_force(done)
 
     def disable_endpoint(self, endpoint: str, done: ResultCallback) -> None:
-        """Forward no more requests to an endpoint, even if discovery lists it as ready."""
+        """Stop forwarding requests to an endpoint, even if discovery lists it as ready."""
         disabled = self._proxy.disabled
         if len(disabled) >= MAX_DISABLED_ENDPOINTS and endpoint not in disabled:
             done(TOO_MANY_DISABLED)
@@ -94,7 +94,7 @@
             self._apply_in_both_processes(AdminOperation.DISABLE_ENDPOINT, endpoint, done)
 
     def enable_endpoint(self, endpoint: str, done: ResultCallback) -> None:
-        """Forward requests to an endpoint again that `disable_endpoint` had disabled."""
+        """Resume forwarding requests to an endpoint that `disable_endpoint` has disabled."""
         if not self._is_known(endpoint):
             done(UNKNOWN_ENDPOINT)
         elif self._committed.source is not None:
--- a/gradegap/node/client_listener.py
+++ b/gradegap/node/client_listener.py
@@ -14,9 +14,9 @@
 
 
 def _open_listening_socket(host: str, port: int) -> socket.socket:
-    """Open a listening socket on an address that another process of this node may listen on as well.
+    """Open a listening socket on an address on which another process of this node may be listening too.
 
-    `SO_REUSEPORT` lets a new process start even if the running one could not pass its listening socket on.
+    `SO_REUSEPORT` lets a new process start even if the running one could not pass on its listening socket.
     The kernel allows this sharing only between processes of the same user.
     """
     sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
@@ -37,7 +37,7 @@
     def __init__(
         self, loop: asyncio.AbstractEventLoop, create_channel: Callable[[set[TcpChannel]], TcpChannel]
     ) -> None:
-        """`create_channel` is called with the set of connected channels, to which a channel adds itself."""
+        """`create_channel` receives the set of connected channels, to which the channel adds itself."""
         self._loop = loop
         self._create_channel = create_channel
         self._server: asyncio.Server | None = None
@@ -49,7 +49,7 @@
         return self._create_channel(self.channels)
 
     def bind(self, address: str) -> None:
-        """Listen on `address`, unless a predecessor has passed its listening socket on.
+        """Listen on `address`, unless the predecessor has passed on its listening socket.
 
         Raises:
             ConfigurationError: if the address can't be listened on.
@@ -67,7 +67,7 @@
             )
 
     def stop_accepting(self) -> None:
-        """Stop accepting; another process accepts from the same socket, so its queue is not lost."""
+        """Stop accepting; another process accepts the connections that are queued at the shared socket."""
         if self._server is not None:
             self._server.close()
             self._server = None
--- a/gradegap/node/committed_configuration.py
+++ b/gradegap/node/committed_configuration.py
@@ -1,6 +1,6 @@
 """The source of a node's committed configuration: a member of the store, a subscription, or none.
 
-Tells whether the node may make decisions: without a lease, the configuration that it knows may be out of
+Determines whether the node may make decisions: without a lease, the configuration that it knows may be out of
 date. Each source is imported only if the operator's file enables it, because its libraries need memory.
 """
 
@@ -29,7 +29,7 @@
     from gradegap.store.machine import StateMachine
 
 STALE_RETRY_AFTER_S = 0.5  # sent to clients that are rejected because the node has no lease
-# Limits how long a member that is the leader may take to transfer leadership before it is closed.
+# Limit of the time that a member that is the leader has to transfer leadership before it is closed.
 LEADERSHIP_TRANSFER_TIMEOUT_S = 0.3
 
 
@@ -60,7 +60,7 @@
         return cast("ObservedStore", self.source) if self._operator.observer is not None else None
 
     def store_machine(self) -> StateMachine | None:
-        """The state machine with the committed keys; None until this node has received them."""
+        """The state machine that holds the committed keys; None until this node has received them."""
         return cast("StateMachine", self.source.machine) if self.source is not None else None
 
     def allows_decisions(self) -> bool:
@@ -157,7 +157,7 @@
         if self.source is None:
             return 0.0
         remaining_s = self.source.leave()
-        # A subscription has neither folder nor port, so it ends at once.
+        # A subscription uses neither a folder nor a port, so it is closed at once.
         if self._operator.observer is None:
             self._loop.call_later(LEADERSHIP_TRANSFER_TIMEOUT_S, self._close_member)
         return remaining_s
@@ -168,6 +168,6 @@
             self.source = None
 
     def close(self) -> None:
-        """Close the member or the subscription, because the node ends."""
+        """Close the member or the subscription when the node ends."""
         if self.source is not None:
             self.source.close()
--- a/gradegap/node/configuration.py
+++ b/gradegap/node/configuration.py
@@ -27,11 +27,11 @@
     "discovery": "NODE_DISCOVERY",
     "admin_listen": "NODE_CONSOLE",
 }
-# Map attributes of `NodeConfiguration` to their keys in the file: addresses that are checked, and settings
-# that keep their value until the process ends.
+# Both tables map attributes of `NodeConfiguration` to their keys in the file: addresses whose syntax is
+# checked, and settings that keep their value until the process ends.
 _ADDRESS_KEYS = {"listen": "listen", "discovery": "discovery", "admin_listen": "console"}
 _PROCESS_LIFETIME_KEYS = {"name": "name", "listen": "listen", "seed": "seed", "admin_listen": "console"}
-# Attributes of `NodeConfiguration` that a reload changes, beside `settings`.
+# Attributes of `NodeConfiguration` that a reload changes, in addition to `settings`.
 _RELOADED_ATTRIBUTES = ("discovery", "limits", "known_endpoints")
 
 
@@ -50,7 +50,7 @@
     listen: str
     discovery: str
     settings: dict[str, Any]
-    admin_listen: str = msgspec.field(name="console", default="")  # of the admin API; empty: none
+    admin_listen: str = msgspec.field(name="console", default="")  # address of the admin API; empty: none
     seed: str = "0"
     limits: ResourceLimits = msgspec.field(default_factory=ResourceLimits)
     known_endpoints: EndpointListDocument = msgspec.field(name="known", default_factory=EndpointListDocument)
@@ -130,8 +130,8 @@
 def reload(old: Configuration) -> Configuration:
     """Load the configuration again from its file.
 
-    A value that has changed in the file since the last read is newer than the environment at the start of the
-    process, and so overrides the environment; other values stay as they are in force.
+    A value that has changed in the file since the last read is newer than the process's environment, which
+    dates from its start, and so overrides the environment. All other values in force are kept.
 
     Raises:
         ConfigurationError: if the file can't be read, its values are invalid, or it lacks a key that the
--- a/gradegap/node/decision_trace.py
+++ b/gradegap/node/decision_trace.py
@@ -19,7 +19,7 @@
 from gradegap.balancing.events import Event
 from gradegap.balancing.settings import Settings
 
-MAX_ITEMS = 64  # limits how many items of a list are written; the trace gives the number of the others
+MAX_ITEMS = 64  # items of a list that are written; of the remaining items, only the count is written
 
 
 class DecisionModule(Protocol):
@@ -59,7 +59,7 @@
 
 
 class DecisionTrace:
-    """Wraps a balancer behind the same interface, and writes each of its steps."""
+    """Wraps a balancer, provides the same interface, and writes each step of the balancer."""
 
     def __init__(self, balancer: DecisionModule, out: IO[str] | None = None) -> None:
         """Write the trace to `out`, by default to standard error."""
--- a/gradegap/node/deferred_start.py
+++ b/gradegap/node/deferred_start.py
@@ -38,8 +38,8 @@
     async def start(self, start_part: Callable[[], Awaitable[None]], following: bool) -> None:
         """Start a part; if that fails and this process follows a predecessor, retry in the background.
 
-        Retries end when the part has started, when this process shuts down, or with the first failed attempt
-        that began after the predecessor's end.
+        Retries end when the part has started, when this process shuts down, or when an attempt fails that
+        began after the predecessor had ended.
 
         Raises:
             ConfigurationError: if the start fails and this process does not follow a predecessor.
--- a/gradegap/node/lifecycle.py
+++ b/gradegap/node/lifecycle.py
@@ -34,7 +34,7 @@
         return self.state in (LifecycleState.SHUTTING_DOWN, LifecycleState.ENDED)
 
     def become_ready(self) -> None:
-        """Enter READY, because an endpoint list is in force; no effect after the start."""
+        """Enter READY, because an endpoint list is in force; has no effect in a state other than STARTING."""
         if self.state is LifecycleState.STARTING:
             self.state = LifecycleState.READY
 
--- a/gradegap/node/node.py
+++ b/gradegap/node/node.py
@@ -116,7 +116,7 @@
             self.proxy.set_admission_gate(self.committed.retry_after)
 
     def _assemble_service(self, configuration: Configuration) -> None:
-        """Create the listeners for clients, the operators' operations, and the hot restart."""
+        """Create the listeners for clients, the operations of the admin API, and the hot restart."""
         self.listener = ClientListener(self.loop, self._create_channel)
         self.quic = QuicPart(
             configuration.node.name,
@@ -178,7 +178,7 @@
         """
         node = self.configuration.node
         if self.recording is not None:
-            self.recording.set(self.recording.settings.on)  # before the balancer's first event
+            self.recording.set(self.recording.settings.on)  # before the balancer handles its first event
         self.dynamic_configuration.register("log_level", "info", set_log_level)
         self.discovery.on_first_list = self.lifecycle.become_ready
         following = await self.hot_restart.follow()
@@ -234,7 +234,7 @@
             await self.committed.start_subscription(observer)
 
     async def _restore_service(self) -> None:
-        """Accept clients again, and start the parts that the successor, which has died, had taken over."""
+        """Accept clients again after the successor has died, and restart the parts that it had taken over."""
         await self.listener.accept()
         await self.quic.resume()
         if self.committed.source is None or self.operator.observer is not None:
@@ -243,7 +243,7 @@
     # Service
 
     def accepts_clients(self) -> bool:
-        """Whether this node accepts new clients; the answer to PING says so."""
+        """Whether this node accepts new clients; the answer to PING depends on it."""
         in_service = self.lifecycle.is_ready and self.proxy.drain_deadline is None
         return in_service and self.committed.allows_decisions()
 
--- a/gradegap/node/process.py
+++ b/gradegap/node/process.py
@@ -24,10 +24,10 @@
 
 
 def block_signals() -> None:
-    """Block the signals in `SIGNALS` until `run` handles them, and again from its end to that of the process.
+    """Block the signals in `SIGNALS`, except while `run` handles them.
 
-    Guards against a SIGHUP or SIGTERM that kills the process because the handler is not installed yet, or is
-    already removed.
+    Guards against a SIGHUP or SIGTERM that kills the process because it arrives before the handlers are
+    installed, or between their removal and the end of the process.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
 
--- a/gradegap/node/quic_part.py
+++ b/gradegap/node/quic_part.py
@@ -51,7 +51,7 @@
         self._takeovers: list[asyncio.Task[None]] = []
 
     async def start(self, settings: QuicSettings) -> None:
-        """Listen, unless the predecessor's port was taken over.
+        """Listen on the port, unless this process has taken it over from its predecessor.
 
         Raises:
             ConfigurationError: if the listener can't start.
@@ -80,7 +80,7 @@
         return listener
 
     async def resume(self) -> None:
-        """Serve again, because the successor has died."""
+        """Read the port again, because the successor that had taken it over has died."""
         if self._listener is not None:
             await self._listener.serve_again()
 
@@ -92,7 +92,7 @@
         return ReleasedQuicPort(msgspec.msgpack.encode(transfer), descriptors)
 
     def adopt_port(self, state: bytes, descriptors: list[int]) -> None:
-        """Take over the predecessor's port; this method owns the descriptors."""
+        """Take over the predecessor's port; this method becomes the owner of the descriptors."""
         from gradegap.quic.listener import PortTransfer
 
         try:
@@ -113,7 +113,7 @@
         close_descriptors(descriptors)
 
     def forget_other_process(self) -> None:
-        """Drop the forwarding to the other process, which has ended with all of its sessions."""
+        """Stop forwarding datagrams to the other process, which has ended with all of its sessions."""
         if self._listener is not None:
             self._listener.drop_predecessors()
 
--- a/gradegap/node/restart_host.py
+++ b/gradegap/node/restart_host.py
@@ -22,7 +22,7 @@
 
 
 class RestartHost:
-    """Implements the `Host` of a hot restart by calling the part of the node that is concerned."""
+    """Implements the `Host` of a hot restart by delegating each call to the responsible part of the node."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         resuming: SessionResumption | None,
         restore_service: Callable[[], Coroutine[Any, Any, None]],
     ) -> None:
-        """`restore_service` accepts clients again, and starts the parts that a dead successor had."""
+        """`restore_service` accepts clients again, and starts the parts that a successor had when it died."""
         self.loop = proxy.loop
         self.proxy = proxy
         self.upstream = upstream
@@ -83,7 +83,7 @@
         self._restore_task = self.loop.create_task(self._restore_service())
 
     def apply_admin_operation(self, operation: str, endpoint: str) -> None:
-        """Apply an operation that was requested by the admin API of the other process."""
+        """Apply an operation that was requested through the admin API of the other process."""
         apply_operation(self.proxy, operation, endpoint)
 
     def leave_store(self) -> float:
@@ -99,9 +99,9 @@
         return self._quic.release_port()
 
     def adopt_quic_port(self, state: bytes, descriptors: list[int]) -> None:
-        """Take over the predecessor's QUIC port; owns the descriptors."""
+        """Take over the predecessor's QUIC port; becomes the owner of the descriptors."""
         self._quic.adopt_port(state, descriptors)
 
     def forget_quic_predecessor(self) -> None:
-        """Drop the QUIC forwarding to the other process, which has ended."""
+        """Stop forwarding QUIC datagrams to the other process, which has ended."""
         self._quic.forget_other_process()
--- a/gradegap/node/shutdown.py
+++ b/gradegap/node/shutdown.py
@@ -1,7 +1,7 @@
 """The graceful shutdown of a node.
 
-After SIGTERM, new clients are accepted for a short time; all requests are answered, and all connections
-migrated.
+After SIGTERM, new clients are still accepted for a short time, all requests are answered, and all
+connections are migrated.
 """
 
 from __future__ import annotations
@@ -19,16 +19,17 @@
 
 log = structlog.get_logger()
 
-KILL_MARGIN_S = 0.7  # time from the longest request deadline after SIGTERM to the earliest SIGKILL
-MAX_DEADLINE_S = 3.0  # limits the longest request deadline in this calculation
+KILL_MARGIN_S = 0.7  # time from the last deadline of an accepted request to the earliest SIGKILL
+MAX_DEADLINE_S = 3.0  # upper limit of the longest request deadline that `kill_time` assumes
 # The steps of a shutdown are due at times between SIGTERM and the earliest SIGKILL. Each is due at the later
-# of two times: `..._MARGIN_S` before the SIGKILL, or at the ratio `..._RATIO` of the time from SIGTERM to
-# SIGKILL.
+# of two times: `..._MARGIN_S` before the SIGKILL, and when the fraction `..._RATIO` of the time from SIGTERM
+# to SIGKILL has passed.
 # First step: the balancer has migrated the established connections.
 MIGRATION_MARGIN_S, MIGRATION_RATIO = 1.1, 0.4
 # Second step: the remaining connections are migrated and the remaining requests answered.
 FINAL_MARGIN_S, FINAL_RATIO = 0.7, 0.6
-END_MARGIN_S = 0.2  # time before the earliest SIGKILL at which the process ends, even with connections left
+# Time before the earliest SIGKILL at which the process ends, even if connections are still open.
+END_MARGIN_S = 0.2
 # Time after SIGTERM during which new clients are accepted, unless a successor accepts them.
 MIN_ACCEPT_TIME_S = 0.7
 EMPTY_CHECK_INTERVAL_S = 0.05  # time between two checks whether all clients have disconnected
@@ -37,9 +38,9 @@
 
 
 def kill_time(settings: Settings) -> float:
-    """Time in seconds from SIGTERM until the platform may kill the process.
+    """Return the time in seconds from SIGTERM until the platform may kill the process.
 
-    All accepted requests are answered by then.
+    By that time, all accepted requests must be answered.
     """
     longest_deadline_s = max(each.time_limit for each in settings.classes.values())
     return min(MAX_DEADLINE_S, longest_deadline_s) + KILL_MARGIN_S
@@ -57,7 +58,7 @@
         hot_restart: HotRestart,
         close: Callable[[], None],
     ) -> None:
-        """`close` ends the node at once, even with connections left; it is idempotent."""
+        """`close` ends the node at once, even if connections are still open; it is idempotent."""
         self._lifecycle = lifecycle
         self._proxy = proxy
         self._listener = listener
--- a/gradegap/quic/certificate.py
+++ b/gradegap/quic/certificate.py
@@ -17,7 +17,8 @@
 
 log = structlog.get_logger()
 
-# Initial flow-control window of a connection and of each stream, which a client may fill unacknowledged.
+# Initial flow-control window of a connection and of each stream: the data that a client may send before the
+# window is raised.
 FLOW_CONTROL_WINDOW_BYTES = 256 * 1024
 CERTIFICATE_CHECK_INTERVAL_S = 24 * 3600.0  # interval between checks of the certificate's expiry
 
--- a/gradegap/quic/channel.py
+++ b/gradegap/quic/channel.py
@@ -21,11 +21,11 @@
 HANDSHAKE_TIMEOUT_S = FIRST_LINE_TIMEOUT_S
 MAX_CONCURRENT_STREAMS = 32  # concurrent sessions of one connection
 MAX_STREAMS = 5000  # sessions of one connection in all; after that the client must connect again
-NEXT_STREAM_TIMEOUT_S = 5.0  # how long a connection without open sessions stays open for another one
+NEXT_STREAM_TIMEOUT_S = 5.0  # time that a connection without open sessions waits for a new session
 
 
 class Listener(Protocol):
-    """The interface of the listener that a channel uses."""
+    """The part of the listener's interface that a channel uses."""
 
     proxy: Proxy
     metrics: Metrics
@@ -42,15 +42,15 @@
         ...
 
     def issue(self, connection_id: bytes, channel: QuicConnectionChannel) -> None:
-        """Route a new id of a connection to its channel."""
+        """Register a new connection id, so that packets sent to it are routed to its channel."""
         ...
 
     def retire(self, connection_id: bytes, channel: QuicConnectionChannel) -> None:
-        """Stop routing an id that the client has retired."""
+        """Unregister a connection id that the client has retired: packets sent to it are no longer routed."""
         ...
 
     def on_channel_closed(self, channel: QuicConnectionChannel) -> None:
-        """Forget the connection."""
+        """Remove the channel and all connection ids that are routed to it."""
         ...
 
     def has_capacity(self) -> bool:
@@ -78,7 +78,7 @@
         self.is_flush_scheduled = False
         self.is_terminated = False
         self.began_at = self.loop.time()
-        # Deadline of the client's next step: the handshake, the first line, or another stream.
+        # Expires if the client does not take its next step: the handshake, the first line, or another stream.
         self.next_step_timer = self.loop.call_later(HANDSHAKE_TIMEOUT_S, self._on_handshake_timeout)
 
     # Interface for streams
@@ -103,10 +103,10 @@
         return self.listener.is_ready()
 
     def on_stream_ended(self, stream: StreamChannel, code: CloseCode) -> None:
-        """A session is over and its client has acknowledged all data, or the session was reset.
+        """Handle the end of a session: its client has acknowledged all data, or the session was reset.
 
-        A connection that had only this session is closed with its code. A client that had several sessions
-        may begin another within `NEXT_STREAM_TIMEOUT_S`.
+        A connection that had only this session is closed with the session's code. A client that had several
+        sessions may begin another within `NEXT_STREAM_TIMEOUT_S`.
         """
         if self.streams.pop(stream.stream_id, None) is not None:
             self.finished_streams.add(stream.stream_id)
@@ -129,14 +129,14 @@
     # Packets
 
     def receive(self, data: bytes, address: Any) -> bool:
-        """Process a datagram; False for a first packet that can't be decrypted, so no connection exists."""
+        """Process a datagram; False if it is the first and can't be decrypted, so no connection exists."""
         self.connection.receive_datagram(data, address, now=self.loop.time())
-        # The address counts only if a packet was decrypted: anybody can copy an observed id into a packet.
+        # The address is used only if a packet was decrypted: anybody can copy an observed id into a packet.
         current_address = self.connection.address()
         if current_address is None:
             return False
         if current_address != self.address:
-            # The same connection at a new address: aioquic validates the path before it uses it in full.
+            # The client's address has changed: aioquic validates the new path before using it without limits.
             self.address = current_address
             self.metrics.count("quic_migrations")
         self.process_events()
@@ -170,7 +170,7 @@
     def _on_handshake_completed(self) -> None:
         self.is_handshake_complete = True
         self.metrics.count("quic_handshakes")
-        # Validates the client's address at its next connection without a Retry.
+        # With this token, the client's address is validated at its next connection without a Retry.
         self.connection.pending_token = self.listener.tokens.make_new_token(self.address, time.time())
         self.next_step_timer.cancel()
         remaining = max(0.0, FIRST_LINE_TIMEOUT_S - (self.loop.time() - self.began_at))
@@ -184,7 +184,7 @@
             stream.on_data(event.data, event.end_stream)
 
     def _open_stream(self, event: events.StreamDataReceived) -> StreamChannel | None:
-        """Open a session for a stream without one; None if the stream is finished, refused or has none."""
+        """Open a session for a new stream; None if the stream has ended, is refused or is unidirectional."""
         stream_id = event.stream_id
         if stream_id % 4:
             # Unidirectional streams have no meaning in this protocol.
@@ -232,7 +232,7 @@
     def _on_handshake_timeout(self) -> None:
         self.metrics.count("quic_handshakes_late")
         if not self.connection.is_address_validated():
-            # The owner of a forged address must not be sent more: a close is one more packet to it, which
+            # If the address is forged, its owner must not be sent more: a close is one more packet, which
             # aioquic does not count against the limit of three times the data received (RFC 9000, 8.1).
             self.discard()
             return
@@ -241,7 +241,7 @@
         self.loop.call_later(LINGER_S, self._on_terminated, True)
 
     def _on_first_line_timeout(self) -> None:
-        """Close a connection on which the client has opened no stream; there is none to answer on."""
+        """Close a connection on which the client has opened no stream, so no stream can carry an answer."""
         self.metrics.count("late_first_lines")
         self.metrics.count("quic_closed_bad_line")
         self.abort(CloseCode.BAD_LINE)
@@ -283,5 +283,5 @@
         self.flush()
 
     def is_answering(self) -> bool:
-        """Whether an answer may still be on its way to the client."""
+        """Whether the client may not have received all answers yet."""
         return not self.is_terminated and any(stream.session.opening for stream in self.streams.values())
--- a/gradegap/quic/connection.py
+++ b/gradegap/quic/connection.py
@@ -42,10 +42,10 @@
         make_id: Callable[[], bytes],
         reset_token: Callable[[bytes], bytes],
     ) -> None:
-        """Create the connection with an id from `make_id`; `reset_token` returns an id's reset token.
+        """Create the connection; `make_id` makes its ids, and `reset_token` returns the reset token of an id.
 
-        `original_destination_id` is the id that the client chose first, `retry_source_id` the one that a
-        Retry gave it, if there was one.
+        `original_destination_id` is the destination id that the client chose first; `retry_source_id` is the
+        id that a Retry gave the client, if one was sent.
         """
         super().__init__(
             configuration=configuration,
@@ -82,7 +82,7 @@
 
     def _on_token_delivery(self, state: QuicDeliveryState, token: bytes) -> None:
         if state != QuicDeliveryState.ACKED:
-            self.pending_token = token  # lost: send it again
+            self.pending_token = token  # the packet was lost, so the token is sent again
 
     def _write_stream_limits(self, builder: Any, space: Any, stream: Any) -> None:
         if stream.stream_id not in self.paused_streams:
@@ -93,7 +93,7 @@
         return bool(self._network_paths) and self._network_paths[0].is_validated
 
     def address(self) -> Any:
-        """Return the client's address, by its last packet that was decrypted; None before the first one."""
+        """Return the source address of the last packet that was decrypted; None before the first one."""
         return self._network_paths[0].addr if self._network_paths else None
 
     # aioquic treats an operation on a finished stream as a programming error. Here it is a race: the client
--- a/gradegap/quic/ids.py
+++ b/gradegap/quic/ids.py
@@ -52,7 +52,7 @@
 
     @property
     def length(self) -> int:
-        """Octets of a connection id of this configuration."""
+        """Length in octets of a connection id of this configuration."""
         return 1 + self.server_id_length + self.nonce_length
 
 
@@ -203,7 +203,7 @@
         return codec.read(cid) if codec is not None else None
 
     def length_of(self, first_octet: int) -> int | None:
-        """Return the octets of a connection id by its first one, since a short header has no length field.
+        """Return a connection id's length in octets, given its first one: short headers have no length field.
 
         None if no configuration in use has the config rotation bits of that octet.
         """
--- a/gradegap/quic/keys.py
+++ b/gradegap/quic/keys.py
@@ -19,7 +19,7 @@
 
 RING_KEY = "keys/quic"  # key of the store under which the ring is stored
 SECRET_LENGTH = 32  # octets
-MAX_KEYS = UNROUTABLE_BITS - 1  # one value of the config rotation bits stays free for the next key
+MAX_KEYS = UNROUTABLE_BITS - 1  # one value of the config rotation bits remains free for a rotation
 RESET_TOKEN_LENGTH = 16  # octets of a stateless reset token (RFC 9000, 10.3)
 SERVER_ID_LENGTH = 4  # octets of a server id: two of the node, one of the process, one of the core
 NONCE_LENGTH = 12  # octets; server id and nonce together are one AES block, which is encrypted in one pass
--- a/gradegap/quic/listener.py
+++ b/gradegap/quic/listener.py
@@ -39,23 +39,23 @@
 
 log = structlog.get_logger()
 
-# Used tokens that are passed to the next process. If there are more, it rejects all NEW_TOKEN tokens that
-# are older than the takeover.
+# Limit of used tokens that are passed to the successor process. If there are more, the successor rejects all
+# NEW_TOKEN tokens that are older than the takeover.
 MAX_PASSED_USED_TOKENS = 3000
 
 MAX_CONCURRENT_HANDSHAKES = 256
-MAX_PREDECESSORS = 2  # earlier processes of this node that datagrams are still forwarded to
-# How long packets to a retired id count as late, and not as packets of a lost session.
+MAX_PREDECESSORS = 2  # earlier processes of this node to which datagrams are still forwarded
+# Time for which a packet to a retired id is taken for a late packet, and not for one of a lost session.
 RETIRED_ID_GRACE_S = 3.0
 
 
 class PortTransfer(msgspec.Struct):
-    """The state that a process passes to its successor with the port."""
+    """The state that a process passes to its successor together with the port."""
 
     holders: list[Holder]  # this process, then its predecessors that still hold sessions
     ring: QuicRing
     used: list[tuple[bytes, float]]  # digests of used tokens, each with its expiry as Unix time in s
-    since: float  # Unix time in s; `used` may lack tokens that were made earlier
+    since: float  # Unix time in s; of tokens made earlier, `used` may be incomplete
 
 
 class QuicListener(asyncio.DatagramProtocol):
@@ -91,7 +91,7 @@
         node_number = settings.node if settings.node is not None else zlib.crc32(node_name.encode()) & 0xFFFF
         self.own_holder = Holder(node_number, secrets.randbelow(256))
         self.ring_revision = -1  # store revision of the last ring read; -1 before the first
-        # A ring of this process alone, used until the store has one.
+        # A ring known only to this process, used until the store has one.
         self.keys = DerivedKeys(QuicRing().rotated(time.time_ns() // 1_000_000))
         self.forwarders: dict[Holder, DatagramForwarder] = {}  # to other processes of this node
         self.router = Router(self.keys, self.own_holder, self.forwarders.__contains__)
@@ -206,12 +206,12 @@
         log.info("port taken over", predecessors=len(self.forwarders))
 
     async def serve_again(self) -> None:
-        """Read the port again, since the successor has died."""
+        """Read the port again, since the successor that read it has died."""
         if self.sock is not None and self.transport is None:
             await self._start_reading(self.sock)
 
     def drop_predecessors(self) -> None:
-        """Stop forwarding, since the predecessors have ended; clients of their sessions are sent resets."""
+        """Stop forwarding to the predecessors, which have ended; their clients are sent stateless resets."""
         for forwarder in self.forwarders.values():
             forwarder.close()
         self.forwarders.clear()
@@ -247,22 +247,22 @@
         return self.keys.ids.make(self.own_holder.octets())
 
     def issue(self, connection_id: bytes, channel: QuicConnectionChannel) -> None:
-        """Route a new id of a connection to its channel."""
+        """Register a new connection id, so that packets sent to it are routed to its channel."""
         channel.ids.add(connection_id)
         self.routes[connection_id] = channel
 
     def retire(self, connection_id: bytes, channel: QuicConnectionChannel) -> None:
-        """Stop routing an id that the client has retired."""
+        """Unregister a connection id that the client has retired: packets sent to it are no longer routed."""
         channel.ids.discard(connection_id)
         if self.routes.get(connection_id) is channel:
             del self.routes[connection_id]
-            # Packets to the id may still be in flight. They are late, and no sign of a lost session.
+            # Packets to the id may still be in flight. They do not indicate a lost session.
             self.retired[connection_id] = self.loop.time() + RETIRED_ID_GRACE_S
             while self.retired and next(iter(self.retired.values())) <= self.loop.time():
                 del self.retired[next(iter(self.retired))]
 
     def on_channel_closed(self, channel: QuicConnectionChannel) -> None:
-        """Forget a connection."""
+        """Remove a channel and all connection ids that are routed to it."""
         for connection_id in channel.ids:
             self.routes.pop(connection_id, None)
         self.initial_routes.pop(channel.initial_route, None)
@@ -271,15 +271,15 @@
     # Datagrams
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport of the socket, which is read from now on."""
+        """Store the transport of the UDP socket; the event loop reads the socket from now on."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def on_forwarded_datagram(self, data: bytes, addr: Any) -> None:
-        """Handle a datagram that the process that reads the port has forwarded."""
+        """Handle a datagram that another process received on the port and forwarded."""
         self.datagram_received(data, addr, forwarded=True)
 
     def datagram_received(self, data: bytes, addr: Any, forwarded: bool = False) -> None:
-        """Pass a datagram to its connection or to another process, or answer it without state."""
+        """Pass a datagram to its connection or to another process, or send a stateless answer."""
         self._refresh_ring()
 
         def is_held(connection_id: bytes) -> bool:
@@ -309,7 +309,7 @@
                 self.metrics.count(f"quic_dropped_{route.drop_reason or route.kind.value}")
 
     def send(self, data: bytes, addr: Any) -> None:
-        """Send a datagram, also while another process reads the port; lost if the buffer has no room."""
+        """Send a datagram, also while another process reads the port; dropped if the send buffer is full."""
         if self.transport is not None:
             self.transport.sendto(data, addr)
         elif self.sock is not None:
@@ -361,7 +361,7 @@
             channel.discard()
 
     def is_answering(self) -> bool:
-        """Whether an answer may still be on its way to a client."""
+        """Whether a client may not have received all answers yet."""
         return any(channel.is_answering() for channel in self.channels)
 
     def close(self) -> None:
--- a/gradegap/quic/relay.py
+++ b/gradegap/quic/relay.py
@@ -1,8 +1,9 @@
 """Forwards datagrams between processes of a node over a Unix socket, without waiting for the other process.
 
-After a hot restart the new process reads the UDP socket. A datagram of a connection that its predecessor
-holds is forwarded to the predecessor by its connection id. A datagram for which the socket buffer between
-the processes has no room is counted and lost, as on any network: QUIC retransmits.
+After a hot restart the successor reads the UDP socket. If the connection id of a datagram names the
+predecessor as the holder of the connection, the datagram is forwarded to the predecessor. A datagram for
+which the socket buffer between the processes has no room is counted and lost, as on any network: QUIC
+retransmits.
 """
 
 from __future__ import annotations
@@ -52,7 +53,7 @@
         sock.setblocking(False)
 
     def send(self, data: bytes, addr: Any) -> bool:
-        """Send a datagram that came from `addr`; False once the other process has closed its end."""
+        """Forward a datagram received from `addr`; False once the other process has closed its end."""
         try:
             self.sock.send(msgspec.msgpack.encode(ForwardedDatagram(addr[0], addr[1], data)))
         except (BlockingIOError, InterruptedError):
--- a/gradegap/quic/routing.py
+++ b/gradegap/quic/routing.py
@@ -1,7 +1,7 @@
-"""Decides what happens with a datagram, by its first packet's destination id. No I/O, no clock.
+"""Decides how a datagram is handled, by the destination id of its first packet. No I/O, no clock.
 
-`docs/design/quic.md` has the decision table. The router decides which process *holds* a connection. Which
-endpoint a new session goes to is decided by the balancing module, from the session's first line.
+`docs/design/quic.md` contains the decision table. The router decides which process *holds* a connection. The
+balancing module selects the endpoint of a new session, by the session's first line.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
     version: int = 0
     token: bytes = b""  # address token, of an Initial only
     holder: Holder | None = None  # FORWARD: the process to forward to
-    drop_reason: str = ""  # DROP: the word under which the datagram is counted
+    drop_reason: str = ""  # DROP: the reason under which the datagram is counted
 
 
 @dataclass(slots=True, frozen=True)
@@ -62,8 +62,8 @@
 def parse_header(data: bytes, length_of: Callable[[int], int | None]) -> Header | str:
     """Parse the header of a datagram's first packet; if it is malformed, return the drop reason.
 
-    `length_of` returns the octets of a connection id by its first octet, since short headers have no length
-    field.
+    `length_of` returns the length of a connection id, given its first octet, since short headers have no
+    length field.
     """
     if not data:
         return "empty"
@@ -146,7 +146,7 @@
         holder = Holder.of(decoded.server_id) if decoded is not None else None
         if holder is not None and holder != self.own_holder and self.is_reachable(holder):
             if forwarded:
-                # Two processes that each take the other for the holder of an id would forward in a loop.
+                # Otherwise two processes that each take the other for the holder would forward it in a loop.
                 return Route(RouteKind.DROP, header.destination, drop_reason="loop")
             return Route(RouteKind.FORWARD, header.destination, header.source, header.version, holder=holder)
         if not header.is_long:
@@ -158,7 +158,7 @@
         if holder is None:
             return Route(RouteKind.DROP, header.destination, drop_reason="unknown_id")
         if holder.node != self.own_holder.node:
-            # The other node may be alive, which is not known here; a reset would end its sessions.
+            # The other node may still be running, and a reset would then end its session.
             return Route(RouteKind.DROP, header.destination, drop_reason="other_node")
         if length < MIN_RESET_TRIGGER_LENGTH:
             return Route(RouteKind.DROP, header.destination, drop_reason="too_short")
--- a/gradegap/quic/stateless.py
+++ b/gradegap/quic/stateless.py
@@ -40,8 +40,8 @@
     def reset(self, route: Route, length: int, keys: DerivedKeys, addr: Any, now: float) -> None:
         """Send a stateless reset in answer to a packet of `length` octets (RFC 9000, 10.3).
 
-        The client then need not wait for its idle timeout. The connection's state is lost because this
-        process was restarted since, or has discarded it. `now` is in s, of a monotonic clock.
+        The client then does not have to wait for its idle timeout. The state of the connection was lost when
+        the process that held it was restarted or discarded it. `now` is in s, of a monotonic clock.
         """
         if not self._reset_bucket.take(now):
             self._metrics.count("quic_resets_held_back")
--- a/gradegap/quic/stream.py
+++ b/gradegap/quic/stream.py
@@ -1,8 +1,8 @@
 """One stream of a QUIC connection as the channel of one client session.
 
-A connection may carry many sessions: each bidirectional stream that the client opens is one, with its own
-request and its own final answer. An application error code tells how a session ended. If the connection had
-only one session, the code is in the connection's close, else in STOP_SENDING, and in RESET_STREAM if the
+A connection may have many sessions: each bidirectional stream that the client opens is one session, with its
+request and its final answer. An application error code tells how a session ended. If the connection had
+only one session, the code is in CONNECTION_CLOSE, else in STOP_SENDING, and in RESET_STREAM if the
 session was reset.
 """
 
@@ -19,7 +19,7 @@
 from gradegap.quic.connection import ServerConnection
 from gradegap.transport.sockets import WRITE_BUFFER_HIGH_BYTES
 
-MAX_UNACKNOWLEDGED_BYTES = 8 * 1024 * 1024  # a session with more data waiting for its client is reset
+MAX_UNACKNOWLEDGED_BYTES = 8 * 1024 * 1024  # a session with more unacknowledged data is reset
 DRAIN_POLL_INTERVAL_S = 0.02  # interval between checks whether the client has acknowledged enough data
 
 
@@ -47,7 +47,7 @@
 
 
 class ConnectionChannel(Protocol):
-    """The interface of the connection that a stream uses."""
+    """The part of a connection's interface that a stream uses."""
 
     loop: asyncio.AbstractEventLoop
     connection: ServerConnection
@@ -77,7 +77,7 @@
         ...
 
     def on_stream_ended(self, stream: StreamChannel, code: CloseCode) -> None:
-        """The session is over and its client has acknowledged all data, or the session was reset."""
+        """Handle the end of a session: its client has acknowledged all data, or the session was reset."""
         ...
 
 
@@ -106,7 +106,7 @@
     # Calls from the connection
 
     def on_data(self, data: bytes, end: bool) -> None:
-        """Pass on data from the client; `end` means that the client has ended its side."""
+        """Pass data from the client to the session; `end`: the client has ended its sending side."""
         self.has_client_ended = self.has_client_ended or end
         if self.is_closing:
             return
@@ -116,13 +116,13 @@
             self.session.on_eof()
 
     def on_reset(self) -> None:
-        """The client has sent RESET_STREAM or STOP_SENDING."""
+        """Handle a RESET_STREAM or STOP_SENDING from the client."""
         self.session.on_channel_closed(reset=True)
 
     # Calls from the session
 
     def is_disconnected(self) -> bool:
-        """Whether the client has ended its side or the connection."""
+        """Whether the client has ended its sending side or the connection."""
         return self.connection_channel.is_terminated or self.has_client_ended
 
     def on_ping(self) -> None:
@@ -132,7 +132,7 @@
         """Do nothing: streams are not evicted."""
 
     def write(self, data: bytes) -> None:
-        """Send data to the client; a client that acknowledges too slowly loses its session."""
+        """Send data; if more than `MAX_UNACKNOWLEDGED_BYTES` are unacknowledged, the session is reset."""
         parent = self.connection_channel
         if parent.is_terminated or self.is_closing:
             return
@@ -161,15 +161,15 @@
             self.session.on_backpressure(full=False)
 
     def pause(self) -> None:
-        """Stop raising the flow-control window of the client's data."""
+        """Stop raising the stream's flow-control window, so that the client has to stop sending."""
         self.connection_channel.connection.paused_streams.add(self.stream_id)
 
     def resume(self) -> None:
-        """Raise the flow-control window of the client's data again."""
+        """Raise the stream's flow-control window again, so that the client can go on sending."""
         if self.stream_id in self.connection_channel.connection.paused_streams:
             self.connection_channel.connection.paused_streams.discard(self.stream_id)
             if not self.connection_channel.is_terminated:
-                # A PING makes a packet due, which carries the raised windows.
+                # A PING causes a packet to be sent, which then also contains the raised windows.
                 self.connection_channel.connection.send_ping(0)
                 self.connection_channel.flush_soon()
 
--- a/gradegap/quic/tokens.py
+++ b/gradegap/quic/tokens.py
@@ -1,4 +1,4 @@
-"""Address tokens (RFC 9000, 8.1) of Retry and NEW_TOKEN: encrypted, and valid once. No I/O, no clock.
+"""Address tokens (RFC 9000, 8.1) of Retry and NEW_TOKEN: encrypted, and accepted only once. No I/O, no clock.
 
 Unlike aioquic's own tokens, which only the process that made them accepts, these are valid in every process
 that has the key ring: in the successor of a hot restart, on another node, after a restart.
@@ -24,16 +24,16 @@
 CLOCK_SKEW_S = 5.0  # tolerated difference between the clocks of two nodes
 NONCE_LENGTH = 12  # octets of the AES-GCM nonce
 MIN_TOKEN_LENGTH, MAX_TOKEN_LENGTH = NONCE_LENGTH + 16 + 2, 160  # octets
-# Used tokens that are remembered: 8 octets each, some 20 MiB in all with Python's overhead.
+# Limit of used tokens that are remembered: digests of 8 octets, some 20 MiB in all with Python's overhead.
 MAX_USED_TOKENS = 200_000
 
 
 class InvalidTokenError(ValueError):
     """A token that does not validate the client's address.
 
-    The word before the colon of the message is the reason, which is counted. A client with an invalid token
-    is served as if it had sent none (RFC 9000, 8.1.3), except for an invalid Retry token, which ends the
-    connection.
+    The word before the colon of the message is the reason under which it is counted. A client with an
+    invalid token is served as if it had sent none (RFC 9000, 8.1.3), except for an invalid Retry token, which
+    ends the connection.
     """
 
 
@@ -79,13 +79,13 @@
             self.expires_at.popitem(last=False)
         if token_hash in self.expires_at or len(self.expires_at) >= self.capacity:
             return False
-        # The order of use is only nearly the order of expiry. An entry behind one that expires later is
-        # removed together with that one, a little late.
+        # The order of use is only nearly the order of expiry. An entry that follows one with a later
+        # expiry is removed together with that one, a little late.
         self.expires_at[token_hash] = expiry
         return True
 
     def export(self, max_count: int) -> tuple[list[tuple[bytes, float]], bool]:
-        """Return the newest entries for the next process, and whether these are all."""
+        """Return the newest entries for the successor process, and whether these are all entries."""
         return list(self.expires_at.items())[-max_count:], len(self.expires_at) <= max_count
 
     def import_entries(self, entries: list[tuple[bytes, float]]) -> None:
@@ -99,7 +99,7 @@
 
     def __init__(self, keys: DerivedKeys) -> None:
         self.used = UsedTokens()
-        # Unix time in s; for older NEW_TOKEN tokens this process does not know whether they were used.
+        # Unix time in s; for older NEW_TOKEN tokens, this process may not know whether they were used.
         self.used_known_since = 0.0
         self.use_keys(keys)
 
--- a/gradegap/resume/__init__.py
+++ b/gradegap/resume/__init__.py
@@ -1,7 +1,7 @@
 """Resumable sessions: a client's session continues at another endpoint or node, authorized by a token.
 
-For each session, a node keeps the requests that have no answer yet. A node without a store also keeps, in its
-own memory, which generation of a session is reserved and the key ring that seals tokens. With a store, the
+For each session, a node keeps the requests that have no answer yet. A node without a store also keeps in
+memory which generation of each session is reserved, and the key ring that seals tokens. With a store, the
 reservations (`claims/`) and the key ring (`keys/resume`) are committed keys of the store.
 docs/design/resume.md describes the protocol.
 
--- a/gradegap/resume/first_line.py
+++ b/gradegap/resume/first_line.py
@@ -17,10 +17,10 @@
     seen: int  # the client has the answers up to this number
     client_key: str
     class_name: str
-    # Digest of the client's secret. With the same secret the client may return although it was never sent a
-    # token for the generation in force.
+    # Digest of the client's secret. A client that presents the same secret may return even if it never
+    # received a token for the generation in force.
     client_digest: str = ""
-    last_position: int = -1  # number of the last answer at the previous in-place migration
+    last_position: int = -1  # `position` of the relay at the previous in-place migration; -1: none yet
     fruitless_migrations: int = 0  # consecutive in-place migrations without an answer in between
 
 
--- a/gradegap/resume/key_ring_source.py
+++ b/gradegap/resume/key_ring_source.py
@@ -78,18 +78,18 @@
         return store.cluster if store is not None else f"node {self.node}"
 
     def is_current(self) -> bool:
-        """Return whether the key ring is up to date; a node without a lease may not have read it yet."""
+        """Return whether the key ring is up to date; without a lease, the node may have an old one."""
         if self.store is None:
             return True
         store = self.store()
         return store is not None and store.is_fresh()
 
     def export_local(self) -> bytes:
-        """Return the node's local ring, encoded for its next process; empty if the store has the ring."""
+        """Return the local ring, encoded for the successor process; empty if the store has the ring."""
         return msgspec.msgpack.encode(self.local) if self.store is None else b""
 
     def import_local(self, exported: bytes) -> None:
-        """Adopt the local ring of the node's previous process, so that tokens sealed by it stay valid."""
+        """Adopt the predecessor process's local ring, so that the tokens that it sealed stay valid."""
         if not exported or self.store is not None:
             return
         try:
--- a/gradegap/resume/migration.py
+++ b/gradegap/resume/migration.py
@@ -1,9 +1,9 @@
 """Migrates an established session in place: to another endpoint, while its client's connection stays open.
 
-The balancer decides that the session migrates. The next endpoint is selected by a request like any other.
-Lines from the client are queued until the next endpoint is established. Then the requests without an answer
-are sent to that endpoint, and the client does not notice the change. If no endpoint accepts the session in
-time, the client is sent a token with which it can return, and `MOVE`.
+The balancer decides that the session migrates. The new endpoint is selected as for any other request. Lines
+from the client are queued until the connection to the new endpoint is established. Then the requests without
+an answer are sent to that endpoint, and the client does not notice the change. If no endpoint accepts the
+session within `MIGRATION_TIMEOUT_S`, the client is sent a token with which it can return, and `MOVE`.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 log = structlog.get_logger()
 
-# Timeout of the reservation and of the request to the next endpoint; after it the client is told to return.
+# Timeout of the reservation and of the request to the new endpoint; then the client is sent `MOVE`.
 MIGRATION_TIMEOUT_S = 1.0
 # Logged once for each granted generation; verification compares it with the generations that servers claim.
 GENERATION_GRANTED_EVENT = "life of a session given"
@@ -86,7 +86,7 @@
 
 
 class InPlaceMigration:
-    """Stands in for the client session in the request to the next endpoint, until that is established."""
+    """Replaces the client session in the request to the new endpoint, until that accepts the session."""
 
     def __init__(
         self,
@@ -104,7 +104,7 @@
         self.started_at = time.monotonic()
 
     def start(self) -> None:
-        """Open the request that selects the next endpoint."""
+        """Open the request by which the new endpoint is selected."""
         if self.session.closed:
             self.stop()
             return
@@ -117,7 +117,7 @@
     # Called by the attempt's connection
 
     def on_upstream_established(self, upstream: UpstreamPipe, data: bytes) -> None:
-        """Continue the session at the next endpoint, which has confirmed the request."""
+        """Continue the session at the new endpoint, which has accepted the request."""
         line, _, rest = data.partition(b"\n")
         acceptance = read_acceptance(line.rstrip(b"\r"), self.offer.seen)
         session, session_relay = self.session, self.session.relay
@@ -130,7 +130,7 @@
         self.is_finished = True
         previous, session.upstream = session.upstream, upstream
         if previous is not None:
-            # Otherwise late lines of the previous endpoint would count as lines of the next one.
+            # Otherwise late lines from the previous endpoint would be taken for lines from the new one.
             previous.write_eof()
             previous.release()
         upstream.session = session
@@ -172,11 +172,11 @@
         self.give_up("failed")
 
     def migrate(self) -> None:
-        """Abort the migration, as the session would have to leave the next endpoint again."""
+        """Abort the migration, as the session would have to migrate away from the new endpoint again."""
         self.give_up("moved")
 
     def on_endpoint_closed(self) -> None:
-        """Abort the migration, as the next endpoint has closed the connection."""
+        """Abort the migration, as the new endpoint has closed the connection."""
         self.give_up("ended")
 
     def give_up(self, reason: str) -> None:
--- a/gradegap/resume/reservation_service.py
+++ b/gradegap/resume/reservation_service.py
@@ -12,7 +12,7 @@
 from gradegap.resume.token import TokenPayload
 from gradegap.store import wire
 
-MIN_WRITE_TIMEOUT_S = 0.05  # the write gets at least this time, even if the read used up the whole timeout
+MIN_WRITE_TIMEOUT_S = 0.05  # least timeout of the write, even if the read took the whole timeout
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +25,7 @@
     payload: TokenPayload
     timeout_s: float
     client_digest: str  # digest of the client's secret, which identifies a retry by the same client
-    is_return: bool  # True if the client has returned, False if its node migrates the session in place
+    is_return: bool  # True: the client has returned with a token; False: its node migrates it in place
     on_reserved: Callable[[int], None]  # called with the reserved generation
     on_claimed: Callable[[SessionClaimedError], None]  # called if the generation is already reserved
     on_unavailable: Callable[[str], None]  # called with the reason if the store can't decide
@@ -61,7 +61,7 @@
 
 
 class _StoreReservation:
-    """One reservation in the store: a read of the current one, then a compare-and-set write."""
+    """One reservation in the store: reads the session's current one, then writes by compare-and-set."""
 
     def __init__(self, node: str, store: SessionStore, request: ReservationRequest) -> None:
         self.node, self.store, self.request = node, store, request
--- a/gradegap/resume/reservations.py
+++ b/gradegap/resume/reservations.py
@@ -15,7 +15,7 @@
 MAX_LOCAL_RESERVATIONS = 20_000  # bounds the memory of a node without a store
 # A client may use its token again within this time after a reservation was made for it.
 RETURN_RETRY_S = 30
-# A reservation is kept until every token of its session has expired, whatever the clock skew.
+# A reservation is kept until every token of its session has expired, with any accepted clock skew.
 RETENTION_S = TOKEN_LIFETIME_S + 2 * MAX_CLOCK_SKEW_S
 DIGEST_CHARS = 32
 _SECRET = re.compile(r"[0-9a-f]{16,64}")
@@ -58,14 +58,14 @@
 ) -> Reservation:
     """Return the reservation of the generation after the one in the token, at Unix time `now` in seconds.
 
-    Guards against a client that loses its session because its token was used without result: the node that
-    reserved the generation was killed, or no endpoint accepted the session, before the client received a new
-    token. A client that presents the same secret with the same token within `RETURN_RETRY_S` is the same
-    client. It gets the generation after the one that it was never sent.
+    Guards against a client that loses its session because its token was used up before it received a new
+    one: the node that reserved the generation was killed, or no endpoint accepted the session. A client that
+    presents the same secret with the same token again within `RETURN_RETRY_S` is taken for the same client.
+    It gets the generation after the reserved one, for which it never received a token.
 
-    A node that migrates a session in place (`is_return` is False) records the secret's digest as well but
-    can't retry with it: if the generation in force has that digest, the same client has returned at another
-    node.
+    A node that migrates a session in place (`is_return` is False) also records the secret's digest, but
+    can't retry with it: if the generation in force has that digest, the same client has returned through
+    another node.
 
     `presented_digest` is the digest of the secret that the client presents, or empty.
 
--- a/gradegap/resume/resumption.py
+++ b/gradegap/resume/resumption.py
@@ -34,9 +34,9 @@
 
 log = structlog.get_logger()
 
-UNCLAIMED_RETRY_S = 0.5  # retry delay for a client while the store can't confirm a reservation
+UNCLAIMED_RETRY_S = 0.5  # retry delay sent to a client if no generation can be reserved for now
 MAX_FRUITLESS_MIGRATIONS = 3  # limits consecutive in-place migrations without an answer in between
-MIN_REMAINING_WAIT_S = 0.05  # least wait that a request keeps, however long its reservation took
+MIN_REMAINING_WAIT_S = 0.05  # lower limit of a request's wait after subtracting the time of the reservation
 DEFAULT_WAIT_S, MAX_WAIT_S = 1.0, 5.0  # the client's wait, as used for the timeout of a reservation
 RESERVATION_TIMEOUT_RATIO = 0.8  # the timeout of a reservation is this fraction of the client's wait
 
@@ -60,20 +60,20 @@
         self.reservations = ReservationService(node, store)
         self.tokens = TokenIssuer(self.keys, settings, metrics, loop)
 
-    # Key ring for the next process of a hot restart
+    # Transfer of the key ring in a hot restart
 
     def export_keys(self) -> bytes:
-        """Return the local key ring for the next process, so that tokens stay valid without a store."""
+        """Return the local key ring for the successor process, so that tokens stay valid without a store."""
         return self.keys.export_local()
 
     def import_keys(self, keys: bytes) -> None:
-        """Adopt the key ring that the predecessor has exported."""
+        """Adopt the key ring that the predecessor process has exported."""
         self.keys.import_local(keys)
 
     # First lines
 
     def begin(self, session: ClientSession, line: bytes, opening: Opening) -> bool:
-        """Open or reject a session if its first line offers the extension; return whether it does.
+        """Open or reject the session if its first line offers the extension, else return False.
 
         Raises:
             InvalidLineError: if the line has a field that a client must not send, or `ra` is invalid.
@@ -95,7 +95,7 @@
             return True
         if ring.sealing is None or seen != "0":
             self.metrics.count("resume_not_offered")
-            return False  # the session is plain, as the endpoint sees no offer from the node
+            return False  # without the node's offer, the endpoint serves a plain session
         offer = SessionOffer(
             secrets.token_hex(8), 1, 0, opening.request.key, opening.request.class_name, client_digest
         )
@@ -115,7 +115,7 @@
         """Handle a client that returns with a token."""
         session.accept_opening(opening)
         if not self.keys.is_current():
-            # With a ring that is not up to date, a valid token would be rejected permanently.
+            # With an outdated key ring, a valid token would be taken for invalid and rejected permanently.
             self._reject_temporarily(session, "this node has no lease of the store")
             return
         try:
@@ -145,7 +145,7 @@
         payload: TokenPayload,
         token: str,
     ) -> None:
-        """Use up the token by reserving the next generation; only one of several holders succeeds."""
+        """Reserve the next generation, which uses up the token; only one of its holders succeeds."""
         started_at = time.monotonic()
 
         def reserved(generation: int) -> None:
@@ -177,7 +177,7 @@
     def _open_session(
         self, session: ClientSession, first_line: FirstLine, offer: SessionOffer, elapsed_s: float
     ) -> None:
-        """Open the request; its wait is reduced by `elapsed_s` seconds, the duration of the reservation."""
+        """Open the request; its wait is reduced by `elapsed_s`, the seconds that the reservation took."""
         fields = offer_fields(offer)
         if offer.seen:
             fields["rh"] = str(offer.seen)
@@ -206,7 +206,7 @@
     # The endpoint's answer
 
     def on_endpoint_established(self, session: ClientSession, first: bytes) -> bytes | None:
-        """Return the client's version of an endpoint's first data, which begins with its `UP` line.
+        """Return the data for the client, made from an endpoint's first data, which starts with its `UP`.
 
         If the endpoint does not accept the extension, the data is returned unchanged. Returns None if the
         session has to continue but this endpoint would start it from the beginning.
@@ -241,8 +241,8 @@
     def migrate_in_place(self, session: ClientSession) -> bool:
         """Start migrating a session while its client's connection stays open; return whether it migrates.
 
-        A node that is shutting down or draining migrates no session in place. Neither is a session migrated
-        that is not resumable, has ended after a protocol violation, or makes no progress.
+        A node that is shutting down or draining migrates no session in place. A session is not migrated in
+        place if it is not resumable, has ended after a protocol violation, or makes no progress.
         """
         offer, relay, opening, proxy = session.offer, session.relay, session.opening, session.proxy
         if opening is None or proxy.shutting_down or proxy.drain_deadline is not None:
@@ -273,7 +273,7 @@
         return True
 
     def _is_fruitless(self, offer: SessionOffer, relay: SessionRelay) -> bool:
-        """Return whether the last migrations brought no answer; counts this migration.
+        """Return whether the session has received no answer over its last migrations; counts this migration.
 
         Guards against a request that crashes every endpoint that receives it: without this limit its session
         would migrate from endpoint to endpoint forever.
--- a/gradegap/resume/session_relay.py
+++ b/gradegap/resume/session_relay.py
@@ -1,7 +1,7 @@
 """A node's relay of a resumable session's lines between the client and its endpoint. No I/O.
 
 The relay takes bytes from either side and returns the bytes to send to both sides. It forwards complete
-lines, keeps the requests that have no answer, and switches from one endpoint to the next between two lines.
+lines, keeps the requests that have no answer, and can switch to another endpoint between two lines.
 Data from an endpoint that the session has left is dropped. Other lines of the protocol (`LOAD`, `BYE`) are
 forwarded unchanged.
 """
@@ -21,7 +21,7 @@
     """State of a relay. `ENDED` is final."""
 
     PASSING = "passing"  # lines are forwarded in both directions
-    HELD = "held"  # the next endpoint is being connected: client lines are queued, answers are forwarded
+    HELD = "held"  # switching endpoints: client lines are queued, answers are still forwarded
     ENDED = "over"  # nothing is forwarded any more
 
 
@@ -42,11 +42,11 @@
 
 
 class SessionRelay:
-    """The relay of one session from the endpoint's `UP` line on.
+    """Relays the lines of one session that follow the endpoint's `UP` line.
 
-    At that point the client has the answers up to `seen`, and the endpoint has executed the requests up to
-    `executed`. Complete lines in the expected order are forwarded as received, without decoding each one; all
-    other data is decoded line by line.
+    When the endpoint sends its `UP` line, the client has the answers up to number `seen`, and the endpoint
+    has executed the requests up to number `executed`. Complete lines in the expected order are forwarded as
+    received, without decoding each one; all other data is decoded line by line.
     """
 
     __slots__ = (
@@ -61,7 +61,7 @@
     def __init__(self, seen: int = 0, executed: int = 0) -> None:
         self.window = NodeWindow(seen, executed)
         self.state = RelayState.PASSING
-        self.endpoint_number = 0  # incremented at each switch; only data from this endpoint is forwarded
+        self.endpoint_number = 0  # number of switches; data from endpoints with a lower number is dropped
         self.client_remainder = b""  # start of a line that is not complete yet
         self.endpoint_remainder = b""
         self.waiting_lines: list[bytes] = []  # client lines that can't be forwarded yet
@@ -157,7 +157,7 @@
         return output
 
     def from_endpoint(self, data: bytes, number: int) -> RelayOutput:
-        """Process data from an endpoint; `number` is the `endpoint_number` at the time it was selected."""
+        """Process data from an endpoint; `number` is the `endpoint_number` when it was selected."""
         if self.state is RelayState.ENDED or number != self.endpoint_number:
             return RelayOutput()  # late data from an endpoint that the session has left
         if self.endpoint_remainder:
@@ -227,7 +227,7 @@
     # Switching endpoints
 
     def hold_client(self) -> None:
-        """Queue client lines while the next endpoint is being connected. Answers are still forwarded."""
+        """Queue client lines until the switch to another endpoint. Answers are still forwarded."""
         if self.state is RelayState.PASSING:
             self.state = RelayState.HELD
 
@@ -238,10 +238,10 @@
         return self._forward_client_lines()
 
     def switch_endpoint(self, executed: int) -> RelayOutput:
-        """Switch to the next endpoint, which is established and has executed the requests up to `executed`.
+        """Switch to a new endpoint that has accepted the session and executed the requests up to `executed`.
 
-        Client lines go to this endpoint from now on. An incomplete line from the previous endpoint is
-        dropped, because the next endpoint sends that answer again in full.
+        Client lines are forwarded to the new endpoint from now on. An incomplete line from the previous
+        endpoint is dropped, because the new endpoint sends that answer again in full.
         """
         if self.state is RelayState.ENDED:
             return RelayOutput(read_client=False)
--- a/gradegap/resume/token.py
+++ b/gradegap/resume/token.py
@@ -37,8 +37,8 @@
     client: str  # the client's key, as in its `OPEN` line
     class_name: str = msgspec.field(name="cls")
     endpoint: str = msgspec.field(name="server")  # id of the endpoint that had the session
-    position: int  # requests up to this number were answered when the token was sealed
-    generation: int = msgspec.field(name="epoch")  # only one holder of the token may start the next one
+    position: int  # number of the last request that was answered when the token was sealed
+    generation: int = msgspec.field(name="epoch")  # only one holder of the token may start its successor
     expires_at: int = msgspec.field(name="until")  # Unix time in seconds
 
 
@@ -95,7 +95,7 @@
         return KeyRing(keys)
 
     def retired(self, key: str) -> KeyRing:
-        """Return the ring in which this key is retired, so that tokens sealed with it are no longer valid.
+        """Return the ring with this key retired, so that tokens sealed with it are no longer valid.
 
         Raises:
             ValueError: if the ring has no such key, or the key is the one that seals.
@@ -142,7 +142,7 @@
     """Return the payload of a token that is valid at Unix time `now`, in seconds.
 
     Raises:
-        TokenError: if the token is malformed, not authentic, expired, or from a clock that is ahead.
+        TokenError: if the token is malformed, not authentic, expired, or of a node whose clock is ahead.
     """
     from cryptography.exceptions import InvalidTag
 
--- a/gradegap/resume/token_issuer.py
+++ b/gradegap/resume/token_issuer.py
@@ -20,7 +20,7 @@
 
 NO_TOKEN = "-"  # sent instead of a token if none can be sealed; no node accepts it
 RENEWAL_INTERVAL_S = 0.5  # interval between checks for sessions that need a new token
-# Limit for one check, so that renewing all tokens after a key rotation does not block the event loop.
+# Renewals in one check, so that renewing all tokens after a key rotation does not block the event loop.
 MAX_RENEWALS_PER_CHECK = 200
 
 
--- a/gradegap/resume/token_renewal.py
+++ b/gradegap/resume/token_renewal.py
@@ -40,12 +40,13 @@
     def due(self, now: float, key: str, limit: int) -> list[S]:
         """Return at most `limit` sessions that need a new token at monotonic time `now`, in seconds.
 
-        A session needs one if its token is past half its lifetime, or if it was sealed with another key than
-        `key`, the current sealing key. A session that is not recorded again is returned by the next call too.
+        A session needs one if half the lifetime of its token has passed, or if its token was sealed with a
+        key other than `key`, the current sealing key. A session that is not recorded again is returned by the
+        next call too.
         """
         sessions: list[S] = []
         for session, (issued_at, sealing_key) in self.issued.items():
-            # Sealing keys replace each other in sequence, so tokens of an older key come first.
+            # Sessions are in order of issue, so those whose tokens were sealed with an older key are first.
             if len(sessions) >= limit or (
                 sealing_key == key and now < issued_at + RENEWAL_RATIO * self.lifetime_s
             ):
--- a/gradegap/resume/window.py
+++ b/gradegap/resume/window.py
@@ -1,4 +1,4 @@
-"""The windows of unanswered requests with which each request gets exactly one final answer. No I/O.
+"""Windows of unanswered requests, which ensure that each request gets exactly one final answer. No I/O.
 
 The client, the node and the server each keep a window. Requests are numbered from 1 without gaps. The client
 has the answers up to number `seen`; the server has executed the requests up to number `executed`. Requests
@@ -52,7 +52,7 @@
         return True
 
     def to_acknowledge(self) -> int | None:
-        """Return the number to acknowledge now, or None if no acknowledgement is due."""
+        """Return the number of the answer to acknowledge now, or None if no acknowledgement is due."""
         if self.seen - self.acknowledged >= ACKNOWLEDGE_INTERVAL_COUNT or (
             self.seen > self.acknowledged and not self.unanswered
         ):
@@ -75,7 +75,7 @@
 
 
 class NodeWindow:
-    """The node's window of a session that it relays, from which it can migrate the session in place.
+    """The node's window of a session that it relays; its requests are sent again at an in-place migration.
 
     Requests are kept as the lines in which they were received, including CRLF.
     """
@@ -141,9 +141,9 @@
         self.acknowledged = seen
 
     def unexecuted(self, executed: int) -> list[bytes]:
-        """Return the request lines to send to the next endpoint, which has executed those up to `executed`.
+        """Return the request lines to send to a new endpoint that has executed the requests up to `executed`.
 
-        That endpoint sends the missing answers to the requests up to `executed` without being asked.
+        The endpoint itself sends the answers that are missing for the requests up to `executed`.
 
         Raises:
             LineError: if `executed` is not between the last answer and the last request that were forwarded.
