--- a/gradegap/capture/explain.py
+++ b/gradegap/capture/explain.py
@@ -24,7 +24,7 @@
 def _describe_endpoint(balancer: Balancer, endpoint: Endpoint | None, request: Request) -> str:
     """Describes an endpoint that was drawn, with its estimated load and the age of its report."""
     if endpoint is None:
-        return "no endpoint"
+        return "nobody"
     load = balancer.load_estimates.comparable_load(endpoint, request)
     shown = "no load known" if load is None else f"{load:.4f}"
     seen_at = ENDPOINT.get(endpoint, "report_changed_at")
@@ -56,7 +56,7 @@
         self._add(request, line)
 
     def headroom_checked(self, request: Request, endpoint: Endpoint, has_headroom: bool) -> None:
-        """Called after an endpoint was checked for room for the request."""
+        """Called after a check whether an endpoint has room for the request."""
         name = ENDPOINT.get(endpoint, "name")
         self._add(request, f"  {name} {'has room' if has_headroom else 'has no room'}")
 
@@ -82,7 +82,7 @@
 
 
 def explain(source: Iterable[Item], module: ModuleType, request_id: int) -> Iterator[str]:
-    """Yields the decisions about a request as lines; yields nothing if the recording does not contain it.
+    """Yields the decisions about a request as lines of text; none if the recording lacks the request.
 
     Raises `BadStateError` for a recorded state that does not fit the module.
     """
--- a/gradegap/capture/frames.py
+++ b/gradegap/capture/frames.py
@@ -37,7 +37,7 @@
     START = 1  # the seed, settings and versions that a replay starts with
     STEPS = 2
     STATE = 3  # the decision module's state after the preceding record
-    GAP = 4  # records were dropped here; a replay continues at the next state
+    GAP = 4  # marks dropped records; a replay continues at the next state
     INDEX = 5  # the index of all preceding frames; see `gradegap.capture.index`
     TAIL = 6  # the last frame of a file that was closed properly: the offset of its index
 
@@ -48,7 +48,7 @@
 
     kind: FrameKind
     record_count: int
-    first_number: int  # of its first record
+    first_number: int  # the number of its first record
     first_at: float  # clock of its first record, s
     last_at: float  # clock of its last record, s
     body: Any
@@ -145,7 +145,7 @@
     import zstandard
 
     if offset + _HEADER.size > len(data) and MARK.startswith(data[offset : offset + len(MARK)]):
-        raise _InvalidFrameError("truncated")
+        raise _InvalidFrameError("frame truncated")
     if not data.startswith(MARK, offset):
         raise _InvalidFrameError("no frame mark at this offset")
     header = _HEADER.unpack_from(data, offset)
@@ -156,7 +156,7 @@
         raise _InvalidFrameError(f"declared size exceeds {MAX_BODY_BYTES} bytes")
     end = begin + packed_size
     if end > len(data):
-        raise _InvalidFrameError("truncated")
+        raise _InvalidFrameError("frame truncated")
     packed = data[begin:end]
     if zlib.crc32(packed, zlib.crc32(data[offset : begin - 4] + b"\0\0\0\0")) != crc:
         raise _InvalidFrameError("checksum mismatch")
