--- a/bench/scale/messages.py
+++ b/bench/scale/messages.py
@@ -12,29 +12,29 @@
 
 
 class Start(msgspec.Struct, tag_field="do", tag="start"):
-    """Start all nodes, spread over the time that the specification gives."""
+    """Starts all nodes, spread over the time in the specification."""
 
 
 class GetStatus(msgspec.Struct, tag_field="do", tag="status"):
-    """Answer with a `NodeStatus`."""
+    """Requests a `NodeStatus`."""
 
 
 class BeginWindow(msgspec.Struct, tag_field="do", tag="window"):
-    """Begin the measured window."""
+    """Starts the measured window."""
 
 
 class EndWindow(msgspec.Struct, tag_field="do", tag="measure"):
-    """End the measured window."""
+    """Ends the measured window."""
 
 
 class Restart(msgspec.Struct, tag_field="do", tag="restart"):
-    """Stop some nodes at once, and start them again after a while."""
+    """Stops some nodes at once, and starts them again after a delay."""
 
-    nodes: list[int]  # their numbers in the process
+    nodes: list[int]  # indexes of the nodes in the process
 
 
 class Finish(msgspec.Struct, tag_field="do", tag="finish"):
-    """Write a `ProcessRecord`."""
+    """Writes a `ProcessRecord` to a file."""
 
     path: str
 
@@ -43,25 +43,25 @@
 
 
 class Done(msgspec.Struct):
-    """A command has been carried out; the answer to all but `GetStatus`."""
+    """Reports that a command is done; the answer to all commands but `GetStatus`."""
 
 
 class NodeStatus(msgspec.Struct):
-    """How far the nodes of a process are."""
+    """Readiness of the nodes of a process."""
 
     nodes: int
-    ready: int  # that hold a lease and know the endpoint list
+    ready: int  # number of nodes that hold a lease and have an endpoint list
     least_revision: int
 
 
 class CutRegion(msgspec.Struct, tag_field="do", tag="cut"):
-    """Let nothing pass the border of a region."""
+    """Cuts all traffic across the border of a region."""
 
     region: str
 
 
 class HealRegion(msgspec.Struct, tag_field="do", tag="heal"):
-    """Let everything pass again."""
+    """Ends the cut."""
 
 
 GateCommand = CutRegion | HealRegion
@@ -84,4 +84,4 @@
 
     LONGEST = "longest"  # ms, the longest delay of the loop since the last such command
     COLLECT = "collect"  # ms of a full garbage collection, which it runs
-    OBJECTS = "objects"  # how many objects the collector tracks
+    OBJECTS = "objects"  # number of objects that the garbage collector tracks
--- a/bench/scale/results_file.py
+++ b/bench/scale/results_file.py
@@ -1,4 +1,4 @@
-"""The form of the results that are committed: measurements with their points and fits, as JSON."""
+"""File format of the committed results: measurements with their points and fits, as JSON."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
     name: str
     unit: str
-    size: str  # what the sizes count
-    how: str  # what was done, in one line
+    size: str  # the quantity that the sizes count
+    how: str  # description of the measurement in one line
     points: list[Point]
     fit: Fit
 
 
 class ControlFigures(msgspec.Struct):
-    """The head of a control run's JSON: the form that others rely on."""
+    """The first fields of a control run's JSON, a format on which other tools rely."""
 
     nodes: int
     servers: int
@@ -43,12 +43,12 @@
     """One run of a part of the microbenchmarks."""
 
     part: str
-    program: str  # revision
+    program: str  # revision of the measured program
     seed: int
     python: str
     cores: int
     measurements: list[Measurement]
-    note: str = ""  # what else is to be known of the run
+    note: str = ""  # remark on the run
 
 
 def measured(
@@ -59,12 +59,12 @@
     points: list[Point],
     form: Literal["linear", "power"] = "linear",
 ) -> Measurement:
-    """A measurement with its fit."""
+    """Returns a measurement with its fit."""
     return Measurement(name, unit, size, how, points, linear(points) if form == "linear" else power(points))
 
 
 def program() -> str:
-    """The last revision of the program that is measured; with `+` where files differ from it."""
+    """Returns the last revision of the measured program, with `+` if files differ from it."""
     last = _git("log", "-1", "--format=%h", "--", "gradegap")
     changed = _git("status", "--porcelain", "--", "gradegap")
     return last + ("+" if changed else "")
@@ -77,13 +77,17 @@
 
 
 def write(path: Path, part: str, seed: int, measurements: list[Measurement], note: str = "") -> None:
-    """Written beside it and renamed into place, so that half a file is never left."""
+    """Writes a run atomically, through a temporary file that is renamed."""
     run = SlopeRun(part, program(), seed, platform.python_version(), os.cpu_count() or 0, measurements, note)
-    beside = path.with_suffix(f".{os.getpid()}")
-    beside.write_bytes(msgspec.json.format(msgspec.json.encode(run), indent=1) + b"\n")
-    os.replace(beside, path)
+    temporary = path.with_suffix(f".{os.getpid()}")
+    temporary.write_bytes(msgspec.json.format(msgspec.json.encode(run), indent=1) + b"\n")
+    os.replace(temporary, path)
 
 
 def read(path: Path) -> SlopeRun:
-    """A run as it was written; `msgspec.ValidationError` where it is none."""
+    """Reads a run.
+
+    Raises:
+        msgspec.ValidationError: the file does not contain a run.
+    """
     return msgspec.json.decode(path.read_bytes(), type=SlopeRun)
