--- a/gradegap/admin/http_api.py
+++ b/gradegap/admin/http_api.py
@@ -102,7 +102,7 @@
         """Parser callback: a header."""
         name = name.lower()
         if name == b"content-length" and value.isdigit() and int(value[:20]) > CALL_MAX_BYTES:
-            # Rejected before the body arrives: reading it would only cost time.
+            # The call is rejected before its body arrives: reading the body would only cost time.
             self.fail(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"call exceeds {CALL_MAX_BYTES} bytes")
         elif name == b"expect" and value.lower() == b"100-continue" and self.state is not CallState.ANSWERED:
             assert self.transport is not None
--- a/gradegap/balancing/admission.py
+++ b/gradegap/balancing/admission.py
@@ -70,5 +70,5 @@
         # At most two report intervals: over a longer time, connections that end compensate for new ones.
         lag = interval + min(age, interval)
         sent_by_all = 2.0 * self.rates.sent.rate(now) * context.settings.proxy_count * lag
-        competing = sent_by_all / max(1, len(estimates.ready))  # sent to this endpoint during the lag
+        competing = sent_by_all / max(1, len(estimates.ready))  # attempts at this endpoint during `lag`
         return competing <= headroom or context.random() * competing < headroom
--- a/gradegap/balancing/attempts.py
+++ b/gradegap/balancing/attempts.py
@@ -28,7 +28,7 @@
 
 
 class Attempts:
-    """Sends attempts, and gives a request without an attempt in flight its only final answer."""
+    """Sends attempts, and gives each request its only final answer once no attempt is in flight."""
 
     __slots__ = ("context", "is_process_ending", "observer", "outliers", "rates", "table")
 
--- a/gradegap/balancing/capacity.py
+++ b/gradegap/balancing/capacity.py
@@ -13,7 +13,7 @@
 """Shortest time in seconds between two updates of the fleet-wide figures, which limits their CPU cost."""
 
 MIN_RELIABLE_CONNECTION_COUNT = 3.0
-"""Connections that a report must cover to yield a reliable load per connection.
+"""Number of connections that a report must cover to yield a reliable load per connection.
 
 With fewer, the setup cost of a group dominates the reported load.
 """
@@ -27,8 +27,8 @@
 
     size: float
     started_at: float
-    load_per_connection: float  # added load, relative to its present capacity; 0: unknown
-    last_report: tuple[float | None, float | None]  # load and connections; None: not reported
+    load_per_connection: float  # load added by one connection, relative to present capacity; 0: unknown
+    last_report: tuple[float | None, float | None]  # load and number of connections; None: not reported
 
 
 class Capacity:
--- a/gradegap/balancing/connection_estimates.py
+++ b/gradegap/balancing/connection_estimates.py
@@ -14,10 +14,10 @@
 from __future__ import annotations
 
 MIN_CONNECTIONS_PER_CORE = 0.5
-"""Connections per core below which a weight differs too little from the size to infer the cores."""
+"""Number of connections per core below which a weight differs too little from the size to infer the cores."""
 
 MIN_CONNECTION_COUNT = 4.0
-"""Reported connections below which a report is not used to learn the cores."""
+"""Number of reported connections below which a report is not used to learn the cores."""
 
 CORES_GAIN = 0.2
 """Weight of a new sample in the exponential moving average of the cores."""
--- a/gradegap/balancing/connection_growth.py
+++ b/gradegap/balancing/connection_growth.py
@@ -14,7 +14,7 @@
 
 
 class ConnectionGrowth:
-    """Estimates growth that load reports may not reflect yet: number of requests over its moving average."""
+    """Estimates growth that load reports may not reflect yet: request count divided by its moving average."""
 
     __slots__ = ("baseline", "context", "inherited_count", "table")
 
@@ -22,7 +22,7 @@
         self.context = context
         self.table = table
         self.baseline = MovingAverage()
-        self.inherited_count = 0  # connections taken over from this proxy's predecessor
+        self.inherited_count = 0  # number of connections taken over from this proxy's predecessor
 
     def factor(self) -> float:
         """Returns the current number of requests divided by its moving average, at least 1."""
@@ -34,10 +34,16 @@
         return max(1.0, (count + 1.0) / (self.baseline.value + 1.0))
 
     def add_known(self) -> None:
-        """Adds a client that reconnects from another proxy to the average: reports already included it."""
+        """Counts a client that reconnects from another proxy in the average at once.
+
+        Otherwise it would be mistaken for growth, although load reports already included it.
+        """
         self.baseline.value += 1.0
 
     def add_inherited(self) -> None:
-        """Adds a connection taken over from the predecessor to the average: reports already include it."""
+        """Counts a connection taken over from the predecessor in the average at once.
+
+        Otherwise it would be mistaken for growth, although load reports already include it.
+        """
         self.inherited_count += 1
         self.baseline.value += 1.0
--- a/gradegap/balancing/context.py
+++ b/gradegap/balancing/context.py
@@ -13,7 +13,7 @@
 """Fields of a load report by which endpoints can be compared, in order of preference."""
 
 CROSS_ZONE_LOAD_PER_POINT = 8.0
-"""Load, relative to capacity, that counts as much as one point of `Settings.cross_zone_cost`."""
+"""Load, relative to capacity, that weighs as much as one point of `Settings.cross_zone_cost`."""
 
 
 class Context:
--- a/gradegap/balancing/draining.py
+++ b/gradegap/balancing/draining.py
@@ -74,7 +74,7 @@
         self.migration = migration
         self.learned_drain_time = DEFAULT_DRAIN_TIME_S  # seconds
         self.drained_by = 0.0  # deadline for migrating all connections off this proxy; 0: not draining
-        self.is_round_scheduled = False  # whether the timer of the proxy's next round is set
+        self.is_round_scheduled = False  # whether the timer for this proxy's next migration round is set
 
     def drain_endpoint(self, endpoint: Endpoint) -> None:
         """Schedules the migration off a draining or removed endpoint, unless it is scheduled already."""
--- a/gradegap/balancing/endpoint_registry.py
+++ b/gradegap/balancing/endpoint_registry.py
@@ -49,7 +49,7 @@
         self.ready: list[Endpoint] = []
         self.hash_ring: hash_ring.Ring = []
         self.n_log_n = 0.0  # n * ln(n) for n ready endpoints
-        self.list_failures = 0  # consecutive failed calls to discovery
+        self.list_failures = 0  # number of consecutive failed calls to discovery
         self.is_poll_scheduled = False
 
     def update(self, event: EndpointList) -> None:
@@ -68,7 +68,7 @@
         if event.kind is not EndpointListKind.CACHED:
             self.is_poll_scheduled, self.list_failures = False, 0
         elif self.context.settings.polls_endpoints:
-            spread_factor = min(1.0, self.context.settings.proxy_count / 10)  # full spread from 10 proxies on
+            spread_factor = min(1.0, self.context.settings.proxy_count / 10)  # full for 10 proxies or more
             self._schedule_poll(FIRST_POLL_SPREAD * self.context.random() * spread_factor)
 
     def get_or_add(self, name: str) -> Endpoint:
--- a/gradegap/balancing/grouping.py
+++ b/gradegap/balancing/grouping.py
@@ -15,7 +15,7 @@
 from gradegap.balancing.model import Endpoint, Request
 
 RING_CANDIDATE_COUNT = 8
-"""Number of endpoints after a group's key on the ring that are tried before all ready endpoints are."""
+"""Number of endpoints after a group's key on the ring that are tried before a draw from all ready ones."""
 
 GROUP_SETUP_CONNECTIONS = 8.0
 """Cost of a group on an endpoint that does not have it yet, as a number of connections.
@@ -85,7 +85,7 @@
         return sum(endpoint.connections_by_group.get(key, 0) for endpoint in self.registry.ready)
 
     def _candidates(self, key: str) -> list[Endpoint]:
-        """Returns the endpoints that have the group, most connections first, then those next on its ring."""
+        """Returns the endpoints that have the group, most connections first, then the next on the ring."""
         registry = self.registry
         with_group = [endpoint for endpoint in registry.ready if key in endpoint.connections_by_group]
         with_group.sort(key=lambda endpoint: -endpoint.connections_by_group[key])
--- a/gradegap/balancing/hash_ring.py
+++ b/gradegap/balancing/hash_ring.py
@@ -12,7 +12,7 @@
 from hashlib import blake2b
 
 POINTS_PER_ENDPOINT = 16
-"""Points of one endpoint on the ring.
+"""Number of points of one endpoint on the ring.
 
 More points would spread the keys of an endpoint that leaves more evenly, but make updates more expensive.
 """
--- a/gradegap/balancing/health_checks.py
+++ b/gradegap/balancing/health_checks.py
@@ -22,16 +22,19 @@
 """Seconds between scheduled health checks of an idle endpoint that has connections of this proxy."""
 
 HEALTH_CHECKS_PER_REQUEST = 6.0
-"""Health checks, including scheduled ones, that each request adds to the budget, to bound their cost."""
+"""Number of health checks, scheduled ones included, that each request adds to the budget.
+
+The budget bounds the cost of health checks.
+"""
 
 HEALTH_CHECKS_PER_RETRY = 2.0
-"""Health checks that a retry or a reconnect adds to the budget.
+"""Number of health checks that a retry or a reconnect adds to the budget.
 
 Fewer than for a new request, so that a surge of retries does not cause a surge of health checks.
 """
 
 MAX_HEALTH_CHECK_BUDGET = 30.0
-"""Upper bound of the budget: health checks that can accumulate while there is little traffic."""
+"""Upper bound of the budget: number of health checks that can accumulate while there is little traffic."""
 
 RESERVED_HEALTH_CHECKS = 4.0
 """Budget that scheduled health checks leave for the health checks that precede a comparison.
@@ -43,7 +46,7 @@
 """Seconds after which a health check without a result no longer blocks the endpoint's next one."""
 
 ANSWERED_SHARE_GAIN = 0.05
-"""Weight of one health check in the moving average of the answered share."""
+"""Weight of one health check in the moving average of the fraction that is answered."""
 
 MIN_SCHEDULE_PAUSE_S = 0.5
 """Shortest time in seconds between two rounds of scheduled health checks, before randomization."""
@@ -65,7 +68,7 @@
         self.reports = reports
         self.outliers = outliers
         self.budget = MAX_HEALTH_CHECK_BUDGET / 2
-        self.answered_share = 1.0  # moving average
+        self.answered_share = 1.0  # moving average of the fraction of health checks that were answered
         self.is_scheduled = False  # whether the timer of the next round is set
 
     def earn(self, is_returning: bool) -> None:
@@ -88,7 +91,7 @@
                 self.reports.read(endpoint, event.report)
             self.outliers.health_check_answered(endpoint)
             self.answered_share += ANSWERED_SHARE_GAIN * (1.0 - self.answered_share)
-        elif event.result is not AttemptResult.FULL:  # an endpoint may limit health checks: no failure
+        elif event.result is not AttemptResult.FULL:  # an endpoint may limit health checks: not a failure
             self.outliers.health_check_failed(endpoint)
             self.answered_share -= ANSWERED_SHARE_GAIN * self.answered_share
 
--- a/gradegap/balancing/load_reports.py
+++ b/gradegap/balancing/load_reports.py
@@ -13,7 +13,7 @@
 from gradegap.balancing.settings import WeightMeaning
 
 HUNG_LOAD = 3.0
-"""Load, relative to capacity, from which an endpoint counts as hung.
+"""Load, relative to capacity, at which an endpoint counts as hung.
 
 Its reported load then no longer depends on its number of connections.
 """
--- a/gradegap/balancing/migration.py
+++ b/gradegap/balancing/migration.py
@@ -18,22 +18,26 @@
 from gradegap.balancing.request_table import RequestTable
 
 MIGRATION_START_LOAD = 0.9
-"""Load, relative to capacity, from which established connections are migrated off an endpoint."""
+"""Load, relative to capacity, at which migration of established connections off an endpoint starts."""
 
 MIGRATION_TARGET_LOAD = 0.85
 """Load, relative to capacity, to which all proxies together reduce an overloaded endpoint."""
 
 MIGRATION_PAUSE_REPORTS = 1.5
-"""Mean pause between two rounds of migration off one endpoint, in intervals between load reports.
+"""Mean pause between two rounds of migration off one endpoint, as a multiple of the report interval.
 
-Each pause is randomized by up to 25%.
+The report interval is the mean time between two changed load reports of an endpoint. Each pause is
+randomized by up to 25%.
 """
 
 MIGRATION_CONFIRMED_SHARE = 0.5
-"""Fraction of a round's migrations by which reported connections must fall before the next round."""
+"""Fraction of a round's migrations by which the reported number of connections must fall.
+
+Until then, but no longer than `REPORT_DELAY_S`, the next round does not start.
+"""
 
 UNRESPONSIVE_HEALTH_CHECKS = 3
-"""Consecutive unanswered health checks from which connections are migrated off an endpoint."""
+"""Number of consecutive unanswered health checks at which connections are migrated off an endpoint."""
 
 UNRESPONSIVE_LOAD = 2.0
 """Load, relative to capacity, assumed for an unresponsive endpoint, which serves no client."""
@@ -67,7 +71,10 @@
             self.context.actions.append(Migrate(request.id))
 
     def consume_expected_return(self) -> bool:
-        """Returns whether a reconnect replaces a connection that was lost here; if so, expects one less."""
+        """Returns whether a reconnect replaces a connection that was lost here.
+
+        If so, the number of expected reconnects is decremented.
+        """
         if self.expected_returns >= 1.0:
             self.expected_returns -= 1.0
             return True
--- a/gradegap/balancing/model.py
+++ b/gradegap/balancing/model.py
@@ -13,7 +13,7 @@
 from gradegap.balancing.settings import ClassSettings
 
 NEVER = -1e9
-"""A point in time before all others, in seconds on the balancer's clock."""
+"""A point in time before any reading of the balancer's clock, in seconds."""
 
 
 @dataclass(slots=True, eq=False)
@@ -31,7 +31,7 @@
     ready_index: int = -1
     """Position in the list of ready endpoints; -1 if the endpoint is not ready."""
     load: float | None = None
-    """The last reported load; None before the first report. An unknown load compares as equal to any."""
+    """The last reported load; None before the first report. An unknown load equals any in comparisons."""
     last_report: tuple[float | None, float | None] = (None, None)
     """Value of the compared field and the number of connections in the last changed report."""
     report_changed_at: float = NEVER
@@ -41,21 +41,21 @@
     health_check_sent_at: float = NEVER
     """When the pending health check was sent; `NEVER` if none is pending."""
     recent_placements: float = 0.0
-    """Attempts that this proxy recently sent to the endpoint, as an exponentially decaying count."""
+    """Number of attempts that this proxy recently sent to the endpoint, decaying exponentially."""
     recent_placements_at: float = 0.0
     """When `recent_placements` was last updated."""
     load_per_connection: float = 0.0
     """Load that one connection adds, learned from the endpoint's reports; 0 while unknown."""
     unanswered_health_checks: int = 0
-    """Consecutive health checks without an answer."""
+    """Number of consecutive health checks without an answer."""
     consecutive_failures: int = 0
-    """Consecutive failed attempts."""
+    """Number of consecutive failed attempts."""
     ejected_until: float = 0.0
-    """The endpoint is not selected before this time if another one can be."""
+    """Before this time the endpoint is selected only if no other one is available."""
     migration_paused_until: float = 0.0
-    """No overload migration starts before this time."""
+    """Time before which no migration off the endpoint for overload starts."""
     migration_unconfirmed_until: float = 0.0
-    """No overload migration starts before this time either, unless a report confirms the last round.
+    """Time before which a migration for overload starts only if a report confirms the last round.
 
     A report confirms the round if it has at most `migration_confirmed_count` connections.
     """
@@ -71,7 +71,7 @@
     cores: float = 0.0
     """CPU cores, inferred from load reports and live weights; 0 while unknown."""
     estimated_connections: float = 0.0
-    """Connections of all proxies on the endpoint, inferred from its live weight."""
+    """Number of connections of all proxies to the endpoint, inferred from its live weight."""
     estimated_at: float = NEVER
     """When `estimated_connections` was inferred."""
     connections: dict[int, Request] = field(default_factory=dict)
@@ -108,7 +108,7 @@
     """Whether an attempt is in flight; there is at most one at a time."""
     established: bool = False
     finished: bool = False
-    """Whether nothing more may be sent or answered for the request."""
+    """Whether the request is finished: nothing more may be sent or answered for it."""
     may_have_run: bool = False
     """Whether an attempt ended with a result after which the endpoint may have executed the request."""
     deduplication_group: object = None
--- a/gradegap/balancing/outliers.py
+++ b/gradegap/balancing/outliers.py
@@ -11,7 +11,7 @@
 from gradegap.balancing.outcome_rates import OutcomeRates
 
 EJECTION_FAILURES = 2
-"""Consecutive failures from which an endpoint is ejected."""
+"""Number of consecutive failures at which an endpoint is ejected."""
 
 FIRST_EJECTION_S = 0.5
 """Duration of the first ejection in seconds; each further consecutive failure doubles it."""
@@ -41,12 +41,12 @@
             self._eject(endpoint, endpoint.consecutive_failures)
 
     def connection_established(self, endpoint: Endpoint) -> None:
-        """Ends the ejection of an endpoint that serves, whatever the results of its health checks."""
+        """Ends the ejection of an endpoint that accepted a connection, regardless of its health checks."""
         endpoint.unanswered_health_checks, endpoint.consecutive_failures = 0, 0
         endpoint.ejected_until = 0.0
 
     def health_check_answered(self, endpoint: Endpoint) -> None:
-        """Ends the ejection of an endpoint, unless its attempts fail."""
+        """Ends the ejection of an endpoint, unless its consecutive failed attempts suffice for one."""
         endpoint.unanswered_health_checks = 0
         if endpoint.consecutive_failures < EJECTION_FAILURES:
             endpoint.ejected_until = 0.0
@@ -57,7 +57,7 @@
         self._eject(endpoint, endpoint.unanswered_health_checks)
 
     def _eject(self, endpoint: Endpoint, failures: int) -> None:
-        """Ejects an endpoint after enough consecutive failures, for longer with each further one."""
+        """Ejects an endpoint with enough consecutive failures; each further failure doubles the duration."""
         if failures >= EJECTION_FAILURES:
             duration = FIRST_EJECTION_S * 2.0 ** (failures - EJECTION_FAILURES)
             endpoint.ejected_until = self.context.now + min(MAX_EJECTION_S, duration)
--- a/gradegap/balancing/priority.py
+++ b/gradegap/balancing/priority.py
@@ -21,7 +21,7 @@
 
 
 class PriorityWeights:
-    """Priorities by class and tenant, from the knowledge of one proxy."""
+    """Priorities by class and tenant, from the observations of one proxy."""
 
     __slots__ = ("connections_by_tenant", "load_by_class", "settings")
 
@@ -29,7 +29,7 @@
 
     def __init__(self, settings: Settings) -> None:
         self.connections_by_tenant: dict[str, int] = {}  # open connections at this proxy
-        self.load_by_class: dict[str, float] = {}  # mean per connection; in one unit for all classes
+        self.load_by_class: dict[str, float] = {}  # mean load per connection; same unit for all classes
         self.adopt(settings)
 
     def adopt(self, settings: Settings) -> None:
@@ -59,7 +59,7 @@
         return max(0.0, 1.0 - QUOTA_SLACK * tenant_settings.quota / estimated_total)
 
     def priority(self, class_settings: ClassSettings, tenant: str) -> float:
-        """Returns the weight per load of a request, relative to the largest of any class: 0 to 1."""
+        """Returns the priority weight per load of a request, relative to the largest of any class: 0 to 1."""
         penalty = (1.0 - self.settings.over_share_weight) * self.excess_share(tenant)
         largest = max(self._weight_per_load(each) for each in self.settings.classes.values()) or 1.0
         return min(1.0, self._weight_per_load(class_settings) / largest) * (1.0 - penalty)
--- a/gradegap/balancing/report_statistics.py
+++ b/gradegap/balancing/report_statistics.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 DEFAULT_INTERVAL_S = 0.5
-"""Assumed seconds between two changed reports of an endpoint, until the interval is learned."""
+"""Assumed time in seconds between two changed reports of an endpoint, until the interval is learned."""
 
 MAX_INTERVAL_S = 4 * DEFAULT_INTERVAL_S
 """Upper bound of the learned interval in seconds.
@@ -40,7 +40,7 @@
     __slots__ = ("changes", "noise", "observed_time")
 
     def __init__(self) -> None:
-        # Observed seconds, and the number of changed reports in them; both decay.
+        # Observed time in seconds, and the number of changed reports in this time; both decay.
         self.observed_time, self.changes = DEFAULT_INTERVAL_S, 1.0
         self.noise = 0.0  # standard deviation divided by the load; includes real fast fluctuations
 
@@ -62,5 +62,5 @@
         self.noise = RETENTION * self.noise + gain * min(1.0, distance)
 
     def interval(self) -> float:
-        """Returns the mean seconds between two changed reports of an endpoint, as seen by health checks."""
+        """Returns the mean seconds between two changed reports of an endpoint, as health checks see it."""
         return min(self.observed_time / self.changes, MAX_INTERVAL_S)
--- a/gradegap/balancing/selection.py
+++ b/gradegap/balancing/selection.py
@@ -49,13 +49,13 @@
 """Longest wait for the health checks of the candidates, as a fraction of the class's latency objective."""
 
 FULL_LOAD = 0.9
-"""Load, relative to capacity, from which a selected endpoint counts as full and another pair is drawn."""
+"""Load, relative to capacity, at which a selected endpoint counts as full and another pair is drawn."""
 
 MAX_REDRAWS = 3
-"""Additional pairs that are drawn if a pair is full or not in this proxy's zone."""
+"""Maximum number of additional pairs that are drawn if a pair is full or not in this proxy's zone."""
 
 MAX_DRAWS_PER_CANDIDATE = 6
-"""Draws for one candidate before an endpoint that is ejected or was already attempted is accepted."""
+"""Number of draws for one candidate after which an ejected or already attempted endpoint is accepted."""
 
 
 class Selection:
@@ -121,7 +121,7 @@
 
     def decide(self, request: Request) -> None:
         """Selects one of the candidates of a request and forwards the request if possible."""
-        if self.context.now >= request.retry_until:  # expired while it waited for health checks
+        if self.context.now >= request.retry_until:  # the request expired while it waited for health checks
             self.attempts.give_up(request)
             return
         assert request.candidates is not None
--- a/gradegap/balancing/settings.py
+++ b/gradegap/balancing/settings.py
@@ -14,8 +14,8 @@
 class Idempotency(Enum):
     """The effect of executing a request of a class a second time."""
 
-    IDEMPOTENT = "safe"  # none: a request may be repeated freely
-    KEYED = "keyed"  # none, within the endpoints that drop duplicates and for a limited time
+    IDEMPOTENT = "safe"  # no effect: a request may be repeated freely
+    KEYED = "keyed"  # no effect at the endpoints that drop duplicates, for a limited time
     NON_IDEMPOTENT = "unsafe"  # harmful: repeat only if no earlier attempt can have run
 
 
@@ -41,7 +41,7 @@
     NONE = "none"
     NOMINAL = "nominal"
     ROUGH = "rough"
-    LIVE = "live"  # capacity / (1 + connections per core), as of some time ago
+    LIVE = "live"  # capacity / (1 + connections per core), delivered with a delay
 
 
 @dataclass(slots=True, frozen=True)
@@ -50,12 +50,12 @@
 
     name: str
     latency_objective: float = 0.5  # an answer within this time counts with its full weight
-    time_limit: float = 2.0  # the longest that the client waits in total
+    time_limit: float = 2.0  # longest time that the client waits in total
     priority_weight: float = 1.0  # value of serving one request, relative to other classes
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window: float = 0.0  # keyed: how long endpoints remember a request to drop duplicates
-    message_latency_objective: float = 0.0  # per message on an established connection; 0: none
+    message_latency_objective: float = 0.0  # for each message on an established connection; 0: no objective
 
 
 @dataclass(slots=True, frozen=True)
@@ -63,7 +63,7 @@
     """One customer of the service."""
 
     name: str
-    quota: float = 0.0  # open connections over all proxies, or requests per second; 0: none
+    quota: float = 0.0  # open connections over all proxies, or requests per second; 0: no quota
     share: float = 0.0  # fraction of the service that the tenant is entitled to
 
 
@@ -96,7 +96,7 @@
     passthrough: bool = False  # packets are forwarded unterminated: connections outlive the proxy
     slow_start_share: float = 1.0  # least fraction of its capacity that an endpoint has when it starts
     slow_start_time: float = 0.0  # time after which an endpoint has its full capacity
-    overload_multiple: float = 3.0  # multiple of the sustainable rate above which a warming endpoint fails
+    overload_multiple: float = 3.0  # multiple of its sustainable rate above which a warming endpoint fails
     overload_window: float = 1.0  # time for which a warming endpoint survives a higher rate
     cross_zone_cost: float = 0.0  # points for a request that is sent to another zone
     migration_cost: float = 0.0  # points for one migration of a client
--- a/gradegap/balancing/slow_start.py
+++ b/gradegap/balancing/slow_start.py
@@ -73,7 +73,7 @@
 """Lower bound of `overload_window` in seconds, since settings may define it as 0."""
 
 NEVER = -math.inf
-"""A point in time before all others."""
+"""A point in time before any reading of the balancer's clock."""
 
 
 class Refill(NamedTuple):
@@ -91,9 +91,9 @@
     def __init__(self, capacity: Capacity) -> None:
         self.capacity = capacity
         self.started_at = NEVER  # when this proxy started
-        self.budget = 0.0  # tokens: requests to a warming endpoint, per full capacity of a warm one
+        self.budget = 0.0  # in tokens: requests to a warming endpoint, per full capacity of a warm one
         self.refilled_at = NEVER
-        self.settled_at = NEVER  # time from which attempts count as usual traffic
+        self.settled_at = NEVER  # attempts after this time count as usual traffic
         self.settled_rate = 0.0  # the slow rate of attempts at `settled_at`
 
     def acceptance_probability(
--- a/gradegap/discovery/dns_sd_discovery.py
+++ b/gradegap/discovery/dns_sd_discovery.py
@@ -120,7 +120,7 @@
 
     def start(self) -> None:
         """Start the task that looks up the records until the process ends."""
-        self.task = self.proxy.loop.create_task(self._run())  # the only task; requests start none
+        self.task = self.proxy.loop.create_task(self._run())  # the only task; client requests create none
 
     async def _run(self) -> None:
         while True:
--- a/gradegap/discovery/watch_schedule.py
+++ b/gradegap/discovery/watch_schedule.py
@@ -95,12 +95,12 @@
 """Assumed answer time until one has been measured."""
 
 EARLY_TOLERANCE_S = 0.05
-"""An answer without a change may arrive this long before the end of its watch's wait."""
+"""An answer without a change is early if it precedes the end of its watch's wait by more than this."""
 
 EARLY_BACKOFF_S = 0.05
 """Base of the backoff after early answers without a change.
 
-There is none after the first one; the base is doubled once for each further one in a row.
+There is no backoff after the first early answer; the base is doubled for each further one in a row.
 """
 
 EARLY_BACKOFF_MAX_S = 1.0
@@ -113,7 +113,7 @@
 """Maximum time over which the first polls at a new discovery address are spread."""
 
 START_SPREAD_PER_PROXY_S = 0.05
-"""Time added to that spread for each proxy of the fleet."""
+"""Time that each proxy of the fleet adds to the spread of the first polls at a new discovery address."""
 
 
 class Mismatch(StrEnum):
--- a/gradegap/downstream/session.py
+++ b/gradegap/downstream/session.py
@@ -17,7 +17,10 @@
 from gradegap.upstream.interfaces import UpstreamPipe
 
 LINE_END_TIMEOUT_S = 0.85
-"""Time for an endpoint to end a partly sent line before a MOVE. A node's shutdown allows for this time."""
+"""Time limit for an endpoint to complete a partly sent line before a MOVE; then the session is closed.
+
+A node's shutdown allows for this time.
+"""
 
 # Module constants, because they are used for each relayed line, where an enum member lookup is too costly.
 _ESTABLISHED, _MIGRATING, _CLOSED = SessionState.ESTABLISHED, SessionState.MIGRATING, SessionState.CLOSED
@@ -188,7 +191,7 @@
             self.reject_line()
             return
         self.first_line.deadline.stop()
-        if not self.closed:  # the request may have been rejected at once
+        if not self.closed:  # the proxy may have rejected the request at once
             self.channel.on_request()
 
     def accept_opening(self, opening: Opening) -> None:
--- a/gradegap/downstream/tcp_channel.py
+++ b/gradegap/downstream/tcp_channel.py
@@ -37,10 +37,10 @@
     """State of a channel. Only `TcpChannel` changes it, and only in this order."""
 
     PENDING = auto()
-    """Adopted from another process, and without a transport yet: data to send are buffered."""
+    """The connection was adopted from another process and has no transport yet: data to send are buffered."""
     OPEN = auto()
     CLOSING = auto()
-    """Our side is closed; data that the client still sends are dropped."""
+    """This side is closed; data that the client still sends are dropped."""
     ENDED = auto()
 
 
@@ -144,7 +144,7 @@
 
     def evict(self) -> None:
         """Close at once, because no descriptor is left."""
-        if self.state is ChannelState.CLOSING:  # its answer was sent earlier
+        if self.state is ChannelState.CLOSING:  # the client was sent its answer earlier
             self.close_now()
         else:
             self.dismiss()
@@ -198,7 +198,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Handle the end of the connection, or its transfer to another process."""
         if exc is None and self.state is ChannelState.CLOSING:
-            # Not for a transferred connection, whose unread bytes belong to the other process.
+            # Don't discard unread bytes of a transferred connection: they belong to the other process.
             self._discard_unread()
         self.channels.discard(self)
         self.descriptors.on_closed(self)
--- a/gradegap/proxy/attempts.py
+++ b/gradegap/proxy/attempts.py
@@ -31,7 +31,7 @@
         self.context = context
         self.endpoints = endpoints
         self.requests = requests
-        self.connecting: dict[Endpoint, set[Attempt]] = {}  # first line not written yet
+        self.connecting: dict[Endpoint, set[Attempt]] = {}  # attempts whose first line is not written yet
         self.on_inherited_ended: Callable[[Request, AttemptResult], None] = lambda request, result: None
 
     def time_limit(self, request: Request) -> float:
--- a/gradegap/proxy/draining.py
+++ b/gradegap/proxy/draining.py
@@ -11,7 +11,7 @@
 
     def __init__(self, context: ProxyContext) -> None:
         self.context = context
-        self.shutting_down = False  # never reset
+        self.shutting_down = False  # stays true once set
         # While out of service: clock time in s by which all connections have to be migrated; else None.
         self.deadline: float | None = None
 
--- a/gradegap/proxy/endpoint.py
+++ b/gradegap/proxy/endpoint.py
@@ -9,7 +9,7 @@
 from gradegap.balancing.settings import Settings
 
 NEVER = -1e9
-"""Clock time that lies before all real ones: the event has not happened."""
+"""A time before any reading of the clock: the event has not happened."""
 
 MIN_MESSAGE_DELAY_UNKNOWN_S = 9.0
 """Initial minimum of the message delay. It exceeds every delay that is measured."""
--- a/gradegap/proxy/proxy.py
+++ b/gradegap/proxy/proxy.py
@@ -93,7 +93,7 @@
             Migrate: self._lifecycle.migrate_by_id,
             SetTimer: self._set_timer,
             CheckHealth: self._health_checks.check,
-            WatchEndpoints: lambda action: None,  # discovery always watches the list
+            WatchEndpoints: lambda action: None,  # nothing to do: discovery always watches the list
             LogMessage: lambda action: log.info("balancer message", text=action.text),
         }
 
--- a/gradegap/proxy/request.py
+++ b/gradegap/proxy/request.py
@@ -36,8 +36,8 @@
     reconnect: bool = False
     inherited_from: str = msgspec.field(
         default="", name="at"
-    )  # endpoint of a connection that predates the run
-    id: str = ""  # the client's id of this connection, unique among open ones; empty if it has none
+    )  # endpoint to which an inherited connection was established before the run; empty for others
+    id: str = ""  # chosen by the client, unique among all open connections; empty if it chose none
     tenant: str = ""
 
 
@@ -123,7 +123,10 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A client's request, from its first line to its connection's end. Times: s on the proxy's clock."""
+    """A client's request, from its first line to its connection's end.
+
+    Times are in s on the proxy's clock.
+    """
 
     handlers: RequestHandlers
     id: int
--- a/gradegap/proxy/requests.py
+++ b/gradegap/proxy/requests.py
@@ -27,7 +27,7 @@
     def __init__(self, context: ProxyContext) -> None:
         self.context = context
         self.by_id: dict[int, Request] = {}
-        self.connection_ids: set[str] = set()  # the clients' ids of open connections
+        self.connection_ids: set[str] = set()  # the ids that clients chose for their open connections
         self.next_id = 1
         # Returns None if decisions may be made now, else the time in s after which a rejected client may
         # retry.
--- a/gradegap/proxy/unresponsive.py
+++ b/gradegap/proxy/unresponsive.py
@@ -12,7 +12,7 @@
 from gradegap.proxy.requests import RequestTable
 
 UNRESPONSIVE_AFTER_S = 5.0
-"""Migrate a client after this time without data from its endpoint while a line of it is unanswered."""
+"""Time without endpoint data, while a line of the client is unanswered, until the client is migrated."""
 
 SWEEP_INTERVAL_S = 0.5
 """Time between two checks."""
--- a/gradegap/simulator_adapter.py
+++ b/gradegap/simulator_adapter.py
@@ -48,7 +48,7 @@
 LIST_KINDS = {str(int(kind)): kind for kind in EndpointListKind}
 PHASES = {str(int(phase)): phase for phase in EndpointPhase}
 NS_PER_S = 1e9
-LOAD_PER_MICRO_LOAD = 1e-6  # the protocol has loads of connections in millionths
+LOAD_PER_MICRO_LOAD = 1e-6  # the protocol encodes loads of connections in millionths
 SECONDS_PER_MILLISECOND = 1e-3
 MAX_QUOTED_LINE_LENGTH = 200  # characters of a malformed line that its error message quotes
 EXIT_MALFORMED = 2
@@ -319,7 +319,7 @@
 
 def main() -> None:
     """Serves the simulator on standard input and output."""
-    gc.disable()  # instances have few reference cycles, and a collection would delay a random instance
+    gc.disable()  # a collection would delay a random instance; instances have few reference cycles
     sys.stdin.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     serve(sys.stdin, sys.stdout)
--- a/gradegap/transport/descriptors.py
+++ b/gradegap/transport/descriptors.py
@@ -21,10 +21,16 @@
 """Descriptors reserved for the process, its listeners, discovery, store members and some health checks."""
 
 DIAL_RESERVE_DIVISOR = 16
-"""The limit divided by this is reserved for attempts and health checks, not used for new clients."""
+"""Divisor of the limit that gives the number of descriptors reserved for attempts and health checks.
+
+They are not used for new clients.
+"""
 
 DISMISSAL_MARGIN_DIVISOR = 32
-"""Dismissals start when less than the limit divided by this is free, before connections must be closed."""
+"""Divisor of the limit that gives the number of free descriptors below which dismissals start.
+
+They start before connections have to be closed.
+"""
 
 
 class EvictionRank(IntEnum):
--- a/gradegap/transport/dialer.py
+++ b/gradegap/transport/dialer.py
@@ -42,7 +42,7 @@
         self._timer = loop.call_later(timeout, self._fail)
 
     def stop(self) -> None:
-        """Stop the connect without reporting a failure; no effect after its end."""
+        """Stop the connect without reporting a failure; no effect once the connect has ended."""
         if not self._is_finished:
             self._finish()
             if self._sock is not None:
--- a/gradegap/upstream/health_checks.py
+++ b/gradegap/upstream/health_checks.py
@@ -19,7 +19,7 @@
 
 
 class HealthCheckConnection(asyncio.Protocol):
-    """A connection for health checks of one endpoint, one at a time."""
+    """A connection for the health checks of one endpoint, of which one at a time is in progress."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, on_closed: Callable[[HealthCheckConnection], None]
