--- a/gradegap/observer/budget.py
+++ b/gradegap/observer/budget.py
@@ -25,6 +25,6 @@
         self.tokens = max(-largest_debt, self.tokens - size)
 
     def spend_on_snapshot(self, now: float, size: float) -> None:
-        """Consume `size` bytes, but leave one second's worth, so that the next change is not delayed."""
+        """Consume `size` bytes, but not the last second's worth of tokens: the next change is not delayed."""
         self.advance(now)
         self.tokens = max(min(self.tokens, self.rate), self.tokens - size)
--- a/gradegap/observer/delivery.py
+++ b/gradegap/observer/delivery.py
@@ -102,7 +102,7 @@
                 self.send_missing(subscription)
 
     def forget(self, subscription: Subscription) -> None:
-        """Release what is held for a subscription that has ended."""
+        """Remove an ended subscription from the delayed ones, and from snapshot transfers and their queue."""
         self.delayed.pop(subscription.connection_id, None)
         if subscription.delivery_mode is DeliveryMode.SNAPSHOT:
             self._end_transfer(subscription)
--- a/gradegap/observer/deltas.py
+++ b/gradegap/observer/deltas.py
@@ -17,7 +17,7 @@
     """A delta with its size, which is charged to the byte budget of each subscriber."""
 
     delta: Delta
-    size_bytes: int  # includes the frame
+    size_bytes: int  # encoded size including the frame
 
 
 class DeltaCache:
--- a/gradegap/observer/grants.py
+++ b/gradegap/observer/grants.py
@@ -42,8 +42,9 @@
     def __init__(self, limits: Limits, index: int, revision: int) -> None:
         self.limits = limits
         self.index = index
-        self.last_change = revision  # the last change of a subscribed key has this revision or an earlier one
-        self.required_revision = revision  # nodes that have not acknowledged it are granted no lease
+        self.last_change = revision  # upper bound on the revision of the last change of a subscribed key
+        # nodes that have not acknowledged this revision are granted no lease
+        self.required_revision = revision
         self.pending_changes: list[PendingChange] = []
         self.holders_up_to_date = 0  # number of grants whose holders lack no change
         self.expiries: list[tuple[float, int, SubscriberLeaseGrant]] = []
@@ -77,7 +78,7 @@
         return revision >= self.required_revision
 
     def grant(self, grant: SubscriberLeaseGrant, until: float) -> None:
-        """Count this grant until `until` (steady time, s); an expiry that is already later stays."""
+        """Count this grant until `until` (steady time, s), or until its present expiry if that is later."""
         grant.expires_at = max(grant.expires_at, until)
         if not grant.is_counted:
             grant.is_counted = True
--- a/gradegap/observer/limits.py
+++ b/gradegap/observer/limits.py
@@ -21,13 +21,14 @@
 
     # A publisher
     max_subscribers: int = 4000
-    max_snapshot_transfers: int = 32  # concurrent transfers
-    subscribe_rate: float = 200.0  # new subscriptions per second
+    max_snapshot_transfers: int = 32  # limit on concurrent snapshot transfers to subscribers
+    subscribe_rate: float = 200.0  # limit on new subscriptions per second
     subscribe_burst: int = 100  # new subscriptions that may be accepted at once
     max_retry_after_s: float = 10.0  # longest wait in a BUSY rejection, before jitter
     subscriber_timeout_s: float = 10.0  # a node that sends nothing for this time is disconnected
     write_stall_timeout_s: float = 10.0  # a node that reads nothing for this time is disconnected
-    disconnected_node_retention_s: float = 15.0  # a lost node that lacks changes is reported for this time
+    # a disconnected node that lacks changes is reported as missing for this time
+    disconnected_node_retention_s: float = 15.0
     snapshot_part_bytes: int = PART_BYTES  # target size of the changes in one part of a snapshot
     max_delta_bytes: int = 128 * 1024  # if the missing changes are larger, a snapshot is sent instead
     max_cached_deltas: int = 64  # deltas cached until the next change, for other nodes that need the same one
@@ -35,7 +36,8 @@
     subscriber_bytes_per_s: float = 3000.0
     subscriber_burst_bytes: int = 30_000
     max_delta_delay_s: float = 4.0  # longest time that a change waits for the byte budget
-    max_pending_changes: int = 1024  # changes tracked separately for lease grants; further ones are merged
+    # limit on changes tracked separately for lease grants; further ones are merged
+    max_pending_changes: int = 1024
 
     # A subscriber
     connect_timeout_s: float = 3.0  # limits each of two steps: connecting, and the answer to Subscribe
--- a/gradegap/observer/messages.py
+++ b/gradegap/observer/messages.py
@@ -26,13 +26,13 @@
 
     VERSION = "version"  # the other side uses another version of this protocol
     CLUSTER = "cluster"  # the other side belongs to another cluster
-    BEHIND = "behind"  # this machine has not applied the revision that the node already has
+    BEHIND = "behind"  # the machine has not applied the revision that the node already has
     BUSY = "busy"  # too many subscriptions, or too many new ones per second
     DUPLICATE = "duplicate"  # another process subscribed under the same node name
     SILENT = "silent"  # nothing was received within the timeout
     GARBLED = "garbled"  # a message can't be decoded, or is not allowed in this state
     GAP = "gap"  # a delta or a part of a snapshot does not follow the one before it
-    BACKWARDS = "backwards"  # a snapshot is older than the applied revision
+    BACKWARDS = "backwards"  # the machine sent a snapshot older than the revision that the node has applied
     SLOW = "slow"  # the other side does not read its connection
     LEAVING = "leaving"  # this side is stopping
 
--- a/gradegap/observer/publisher.py
+++ b/gradegap/observer/publisher.py
@@ -32,7 +32,7 @@
 from gradegap.observer.subscriptions import DisconnectedNodes, Subscription
 from gradegap.store.in_force import MachineReport
 
-NEVER = -1e18  # time (s) that lies before every steady time
+NEVER = -1e18  # a time (s) earlier than any reading of the monotonic clock
 DELAYED_CHECK_INTERVAL_S = 0.1  # interval of checks for subscribers whose byte budget has recovered
 TIMEOUT_CHECK_INTERVAL_S = 0.5  # interval of checks for subscribers that are silent or stalled
 HEARTBEAT_BYTES = 24  # size of a heartbeat's body, charged to the byte budget
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Close:
-    """Close this connection once its write buffer is flushed; the publisher has already removed its state."""
+    """Close this connection once its write buffer is flushed; its subscription is already removed."""
 
     connection_id: int
     code: CloseCode
@@ -75,7 +75,7 @@
         self.by_node: dict[str, Subscription] = {}
         self.disconnected_nodes = DisconnectedNodes(limits.disconnected_node_retention_s)
         self.admission = Admission(cluster, limits, now, random)
-        self.lease_until = NEVER  # when this machine's own lease expires (steady time, s)
+        self.lease_until = NEVER  # steady time (s) at which this machine's own lease expires
         self.lease_grants = LeaseGrants(limits, source.index, source.revision)
         self.next_timeout_check_at = now + TIMEOUT_CHECK_INTERVAL_S
         # After this time, nodes of this machine's previous process have subscribed again or count as lost.
@@ -136,7 +136,7 @@
                 self._close(now, subscription, CloseCode.GARBLED, "a second Subscribe")
 
     def pause_writing(self, now: float, connection_id: int) -> None:
-        """Send nothing until `resume_writing`: the transport is over its high-water mark."""
+        """Send this subscriber nothing until `resume_writing`: its transport is over the high-water mark."""
         subscription = self.subscriptions.get(connection_id)
         if subscription is not None and subscription.writing_paused_at is None:
             subscription.writing_paused_at = now
@@ -249,7 +249,7 @@
         self._close(now, earlier, CloseCode.DUPLICATE, "another process subscribed under this node name")
 
     def _resume_lease_grant(self, message: Subscribe) -> SubscriberLeaseGrant:
-        """Returns the lease grant of the node's process if that was connected before, else a new grant.
+        """Returns the lease grant of the node's process if that process was connected before, else a new one.
 
         The grant of an earlier process of the node still counts until it expires.
         """
--- a/gradegap/observer/selection.py
+++ b/gradegap/observer/selection.py
@@ -10,7 +10,7 @@
 
 from gradegap.observer.limits import Limits
 
-NEVER = -1e18  # time (s) that lies before every steady time
+NEVER = -1e18  # a time (s) earlier than any reading of the monotonic clock
 
 
 class MachineAddress(msgspec.Struct, frozen=True):
--- a/gradegap/observer/server.py
+++ b/gradegap/observer/server.py
@@ -26,7 +26,8 @@
 
 log = structlog.get_logger()
 
-MAX_PENDING_CONNECTIONS = 1024  # connections that have not subscribed yet; above it the oldest is closed
+# limit on connections that have not subscribed yet; above it the oldest of them is closed
+MAX_PENDING_CONNECTIONS = 1024
 MAX_REQUESTS_IN_FLIGHT = 16  # limit for each connection
 RESERVED_DESCRIPTOR_COUNT = 1024  # file descriptors for everything but subscribers and pending connections
 LISTEN_BACKLOG = 1024
--- a/gradegap/observer/snapshot_transfers.py
+++ b/gradegap/observer/snapshot_transfers.py
@@ -19,7 +19,8 @@
         self.max_transfers, self.part_bytes = max_transfers, part_bytes
         self.snapshot: Snapshot | None = None
         self.active: dict[int, Subscription] = {}  # by connection id
-        self.waiting: deque[Subscription] = deque()  # may contain subscriptions that have ended
+        # subscriptions waiting for a transfer slot; may contain some that have ended
+        self.waiting: deque[Subscription] = deque()
 
     def start(self, subscription: Subscription, revision: int, last_change: int) -> None:
         """Start a transfer of the state at `revision`, or queue the subscriber if the limit is reached.
--- a/gradegap/observer/store_requests.py
+++ b/gradegap/observer/store_requests.py
@@ -23,7 +23,8 @@
 MAX_REQUESTS = 256  # limit of requests in flight or waiting
 RENEWAL_RESERVE_BYTES = 512  # bytes of the byte budget that requests leave unused for renewals
 RESPONSE_MARGIN_S = 0.5  # added to the timeout sent to the machine, to allow for the response's delay
-BUDGET_MARGIN_S = 0.001  # added to the computed wait for the byte budget
+# margin added to the computed wait until the byte budget allows a request
+BUDGET_MARGIN_S = 0.001
 REQUEST_KIND = "Ask"  # the message kind under which requests are counted in the traffic
 
 ResponseCallback = Callable[[wire.Response], None]
@@ -43,7 +44,7 @@
     def __init__(self, prefix: str) -> None:
         self.prefix = prefix  # random, one for each process
         self.unused: deque[str] = deque()
-        self.sequence_numbers: dict[str, int] = {}  # the last one used, by client name
+        self.sequence_numbers: dict[str, int] = {}  # last sequence number used, by client name
 
     def acquire(self) -> WriteName:
         """Returns a name for another write in flight."""
@@ -65,7 +66,8 @@
     callback: ResponseCallback
     deadline: float  # steady time, s
     name: WriteName | None = None  # assigned by `StoreRequests` to a write without a client name
-    was_sent: bool = False  # to at least one machine, so the outcome of a write may be unknown
+    # the request was sent to a machine at least once, so the outcome of a write may be unknown
+    was_sent: bool = False
 
 
 class StoreRequests:
--- a/gradegap/observer/subscriber.py
+++ b/gradegap/observer/subscriber.py
@@ -31,13 +31,13 @@
 )
 from gradegap.observer.selection import Backoff, MachineAddress, Selection
 
-NEVER = -1e18  # time (s) that lies before every steady time
-FAR_FUTURE = 1e18  # time (s) that lies after every steady time
+NEVER = -1e18  # a time (s) earlier than any reading of the monotonic clock
+FAR_FUTURE = 1e18  # a time (s) later than any reading of the monotonic clock
 MIN_RENEW_INTERVAL_S, MAX_RENEW_INTERVAL_S = 0.05, 10.0  # bounds of the interval that a machine may set
 # Number of Renew intervals without a message after which a machine counts as silent, if that is longer than
 # `publisher_timeout_s`: with long leases the intervals are long too.
 MAX_MISSED_RENEWALS = 4
-MAX_UNANSWERED_RENEWALS = 64  # above it the oldest unanswered Renew is forgotten
+MAX_UNANSWERED_RENEWALS = 64  # limit on remembered unanswered Renews; above it the oldest is forgotten
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,9 +83,9 @@
 class Phase(Enum):
     """The phase of the connection; `PHASE_TRANSITIONS` has the allowed transitions."""
 
-    WAITING = "waiting"  # until the time of the next attempt
+    WAITING = "waiting"  # waits until the time of the next connection attempt
     CONNECTING = "connecting"
-    SUBSCRIBING = "subscribing"  # Subscribe was sent
+    SUBSCRIBING = "subscribing"  # Subscribe was sent and is not answered yet
     SUBSCRIBED = "subscribed"
     LEFT = "left"
 
@@ -127,7 +127,8 @@
         self.renew_interval_s = limits.renew_interval_s
         self.publisher_timeout_s = limits.publisher_timeout_s
         self.renewal_serial = 0
-        self.unanswered_renewals: dict[int, float] = {}  # send time (s) by serial
+        # send times (s) of unanswered Renews, by serial number
+        self.unanswered_renewals: dict[int, float] = {}
         self.snapshot_parts: list[SnapshotPart] = []
         self.snapshot_bytes = 0
         self.next_attempt_at = now
@@ -135,7 +136,7 @@
         self.last_received_at = now
         self.stale_since = now
         self.stale_timeout_s = self._jittered(limits.stale_timeout_s)
-        self.is_announced_fresh = False  # the value in the last `LeaseChanged`
+        self.is_announced_fresh = False  # `is_fresh` of the last `LeaseChanged`
         self.outputs: list[Output] = []
 
     # Events, reported by the driver
--- a/gradegap/observer/subscriber_connection.py
+++ b/gradegap/observer/subscriber_connection.py
@@ -59,7 +59,7 @@
         self.connection_id = 0
         self.channel = publisher_channel(owner.secret)
         self.transport: asyncio.Transport | None = None
-        self.node = ""  # set once the connection has subscribed
+        self.node = ""  # the name of the node; empty until it has subscribed
         self.subscribe_timer: asyncio.TimerHandle | None = None
         self.requests_in_flight = 0
 
--- a/gradegap/observer/subscriptions.py
+++ b/gradegap/observer/subscriptions.py
@@ -15,7 +15,8 @@
 from gradegap.observer.messages import Renew
 from gradegap.observer.snapshots import Snapshot, SnapshotTransfer
 
-MAX_DISCONNECTED_NODES = 10_000  # above it the node that disconnected first is forgotten
+# limit on remembered nodes; above it the one that disconnected first is forgotten
+MAX_DISCONNECTED_NODES = 10_000
 
 
 class DeliveryMode(Enum):
@@ -33,12 +34,13 @@
     connection_id: int
     node: str
     instance: str
-    sent_revision: int  # all changes up to it were sent
+    sent_revision: int  # all changes up to this revision were sent
     lease_grant: SubscriberLeaseGrant
     subscribed_at: float
     last_received_at: float
     budget: SubscriberBudget
-    writing_paused_at: float | None = None  # None while the transport has capacity
+    # steady time (s) at which the transport became full; None while it has capacity
+    writing_paused_at: float | None = None
     delivery_mode: DeliveryMode = DeliveryMode.DELTAS
     transfer: SnapshotTransfer | None = None  # set while `delivery_mode` is `SNAPSHOT`
     deferred_renewal: Renew | None = None  # the last Renew received while writing was paused
--- a/gradegap/raft/election.py
+++ b/gradegap/raft/election.py
@@ -93,7 +93,7 @@
         """Handle a candidate's request for a vote or pre-vote."""
         raft = self.raft
         if not request.leadership_transfer and self.is_leader_alive(now):
-            return  # guards against a removed or partitioned member that keeps starting elections
+            return  # a removed or partitioned member that keeps starting elections can't depose a live leader
         if request.pre_vote:
             granted = request.term > raft.term and self._is_log_up_to_date(request)
             raft.send(sender, RequestVoteResponse(request.term if granted else raft.term, granted, True))
--- a/gradegap/raft/errors.py
+++ b/gradegap/raft/errors.py
@@ -65,7 +65,7 @@
 
 
 class ChangePendingError(RequestRejectedError):
-    """An earlier membership change is not committed yet: changes are made one at a time."""
+    """An earlier membership change is not committed yet, and only one change may be pending at a time."""
 
     def __init__(self) -> None:
         super().__init__("change_pending: another membership change is not committed yet")
--- a/gradegap/raft/leadership_transfer.py
+++ b/gradegap/raft/leadership_transfer.py
@@ -15,7 +15,7 @@
 
     NONE = enum.auto()
     CATCHING_UP = enum.auto()  # the target's log is not complete yet
-    TIMEOUT_SENT = enum.auto()  # TimeoutNow was sent in this term, which voids the leader's lease
+    TIMEOUT_SENT = enum.auto()  # TimeoutNow was sent in this term, so the leader no longer has a lease
 
 
 class LeadershipTransfer:
--- a/gradegap/raft/messages.py
+++ b/gradegap/raft/messages.py
@@ -47,7 +47,7 @@
     term: int
     success: bool = msgspec.field(name="ok")
     # On success, the last index up to which the follower's log matches the leader's. On failure, a hint: the
-    # index that the leader should use as the next `prev_log_index`.
+    # index that the leader should use as `prev_log_index` of its next message.
     match_index: int = msgspec.field(name="match")
     prev_log_index: int = msgspec.field(name="prev_index")
     heartbeat_round: int = msgspec.field(name="round")
@@ -62,7 +62,7 @@
     offset: int  # position of this chunk in the snapshot, in bytes
     data: bytes
     done: bool
-    checksum: int  # CRC-32
+    checksum: int  # CRC-32 of the whole snapshot
     heartbeat_round: int = msgspec.field(name="round")
 
 
--- a/gradegap/raft/progress.py
+++ b/gradegap/raft/progress.py
@@ -7,13 +7,13 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-NEVER = -1e18  # time (s) that lies before every other time
+NEVER = -1e18  # a time (s) earlier than any reading of the caller's clock
 
 
 class ProgressState(enum.Enum):
     """The state of replication to a member; the states are those of etcd's Progress."""
 
-    PROBE = enum.auto()  # it is not known where the logs match: one message at a time
+    PROBE = enum.auto()  # the index where the logs match is not known: one message is sent at a time
     REPLICATE = enum.auto()  # the logs match: entries are pipelined ahead of responses
     SNAPSHOT = enum.auto()  # the member needs compacted entries: a snapshot is sent in chunks
 
--- a/gradegap/raft/read_index.py
+++ b/gradegap/raft/read_index.py
@@ -26,7 +26,7 @@
         self.waiting: list[PendingRead] = []
 
     def request(self, now: float, request_id: int) -> None:
-        """Confirm a read at once under the lease, else after a round of heartbeats.
+        """Confirm a read at once if the leader has a lease, otherwise after a round of heartbeats.
 
         Raises:
             NotLeaderError: This member does not lead.
--- a/gradegap/raft/ready.py
+++ b/gradegap/raft/ready.py
@@ -61,7 +61,8 @@
     messages: list[OutgoingMessage] = field(default_factory=list)
     committed_entries: list[Entry] = field(default_factory=list)
     read_states: list[ReadState] = field(default_factory=list)
-    aborted_reads: list[int] = field(default_factory=list)  # request ids of reads lost with the leadership
+    # ids of reads that were aborted because leadership was lost
+    aborted_reads: list[int] = field(default_factory=list)
     # A follower needs entries that are compacted here: the driver has to call `Raft.offer_snapshot`.
     snapshot_wanted: bool = False
 
--- a/gradegap/raft/replication.py
+++ b/gradegap/raft/replication.py
@@ -16,7 +16,7 @@
 # Bound at import, because before Python 3.12 each access to an enum member is a function call.
 REPLICATE, SNAPSHOT = ProgressState.REPLICATE, ProgressState.SNAPSHOT
 
-PROBE_BYTES = 4096  # limit on the entries in one message to a member in state PROBE
+PROBE_BYTES = 4096  # limit on the total size of entries in a message to a member in state PROBE
 
 
 class Replication:
@@ -42,7 +42,8 @@
         ids = {member.id for member in members}
         for removed in [peer for peer in self.peers if peer not in ids]:
             del self.peers[removed]
-        for member in members:  # not iterated by `ids`: set order would make simulated runs irreproducible
+        # Iterates over `members`, not over the set `ids`: set order would make simulated runs irreproducible.
+        for member in members:
             if member.id != self.raft.member_id and member.id not in self.peers:
                 self.peers[member.id] = Progress(self.raft.log.last_index + 1, last_response_at=now)
 
@@ -205,7 +206,8 @@
         )
         for peer, progress in self.peers.items():
             if progress.state is REPLICATE and progress.next_index > raft.log.last_index:
-                self._send_entries(peer, progress, [])  # announces the commit index before the next heartbeat
+                # sends the new commit index without waiting for the next heartbeat
+                self._send_entries(peer, progress, [])
         if (
             raft.log.configuration_index <= raft.commit_index
             and raft.member_id not in raft.configuration.voters
--- a/gradegap/raft/snapshots.py
+++ b/gradegap/raft/snapshots.py
@@ -95,7 +95,7 @@
 
 
 class SnapshotReceiver:
-    """The follower's side: collects chunks and replaces the log by the complete snapshot."""
+    """The follower's side: collects chunks and replaces the log by the snapshot once it is complete."""
 
     def __init__(self, raft: RaftContext) -> None:
         self.raft = raft
--- a/gradegap/store/channel.py
+++ b/gradegap/store/channel.py
@@ -129,7 +129,7 @@
     # Sending
 
     def begin(self) -> bytes:
-        """Returns the frame with this end's hello, the first bytes that it sends."""
+        """Returns the frame with this end's hello, which are the first bytes that this end sends."""
         return _plain_frame(self._own_hello_body)
 
     def send(self, message: msgspec.Struct) -> bytes:
--- a/gradegap/store/committed_state.py
+++ b/gradegap/store/committed_state.py
@@ -36,7 +36,8 @@
         try:
             since = msgspec.convert(value, schema.DisabledEndpoint).at_ms / 1000
         except msgspec.ValidationError:
-            since = 0.0  # invalid time: treated as disabled long ago, so there is no grace period
+            # the stored time is invalid: the endpoint counts as disabled long ago, without a grace period
+            since = 0.0
         self.proxy.disable_endpoint(endpoint_id, min(since, self.proxy.now()))
 
     def _apply_configuration(self, name: str, value: object, deleted: bool) -> None:
--- a/gradegap/store/consensus.py
+++ b/gradegap/store/consensus.py
@@ -69,7 +69,7 @@
         self._leader_since_log_ms = 0  # log time (ms) at which this member became the leader
 
     def log_clock(self) -> int:
-        """The log time (ms) at the leader: follows the steady clock, but is never before the applied log."""
+        """The leader's log time (ms): advances with the steady clock, never lags behind the applied log."""
         elapsed_ms = int((time.monotonic() - self._leader_since_s) * 1000)
         return max(self.host.machine.clock_ms, self._leader_since_log_ms + elapsed_ms)
 
--- a/gradegap/store/dynamic_configuration.py
+++ b/gradegap/store/dynamic_configuration.py
@@ -39,7 +39,8 @@
     def __init__(self, metrics: Metrics) -> None:
         self.metrics = metrics
         self.settings: dict[str, DynamicSetting] = {}
-        self.values: dict[str, Any] = {}  # by setting name, also of unregistered settings
+        # received values by setting name, including those of unregistered settings
+        self.values: dict[str, Any] = {}
 
     def register(self, name: str, initial: Any, apply: Callable[[Any], None]) -> None:
         """Register a setting; a value that was received before takes effect at once."""
--- a/gradegap/store/gossip.py
+++ b/gradegap/store/gossip.py
@@ -32,7 +32,7 @@
 MAX_VALID_AGE_S = 3600.0  # a report with a greater age is invalid
 MAX_VALID_UNIX_TIME_S = 1e11  # a report with a later start time is invalid
 KNOWN_PHASES = {int(phase) for phase in EndpointPhase}
-NEVER = -1e9  # steady time (s) before every other time
+NEVER = -1e9  # a time (s) earlier than any reading of the monotonic clock
 
 
 class GossipExchange:
@@ -50,7 +50,7 @@
     # Outgoing
 
     def message(self, state: dict[str, object]) -> Gossip:
-        """Create a message with only this node's own observations, so that none is passed on twice."""
+        """Create a message of this node's own observations only, so that each is passed on just once."""
         reports = self._load_reports() + self._unresponsive_reports()
         if self.has_endpoint_list():
             reports += self._list_reports()
@@ -136,7 +136,7 @@
         if unanswered_at <= max(endpoint.report_at, known) or report.age_s > MAX_REPORT_AGE_S:
             self.metrics.count("gossip_old")
             return
-        # Stored separately from this node's own observations, as only those are passed on.
+        # Stored separately from this node's own observations, as only its own are sent to other nodes.
         self._unresponsive_at[endpoint.id] = unanswered_at
         self.metrics.count("gossip_silent")
         timed_out = HealthCheckEnded(endpoint.id, AttemptResult.TIMEOUT, HEALTH_CHECK_TIMEOUT_S, None)
--- a/gradegap/store/in_force.py
+++ b/gradegap/store/in_force.py
@@ -15,7 +15,7 @@
     subscribers: int
     behind: tuple[str, ...] = ()  # connected nodes that have not acknowledged the revision
     lost: tuple[str, ...] = ()  # recently disconnected nodes that had not acknowledged the revision
-    arrived: tuple[str, ...] = ()  # recently connected nodes that have acknowledged the revision
+    arrived: tuple[str, ...] = ()  # nodes that connected recently and have acknowledged the revision
     # The machine started recently: nodes of its previous process that have not reconnected yet are unknown.
     restarted: bool = False
 
@@ -27,7 +27,8 @@
     subscribers: int
     missing: tuple[str, ...]  # nodes that have not acknowledged the revision
     unreachable: tuple[str, ...]  # machines without a report, whose nodes are unknown
-    restarted: tuple[str, ...] = ()  # machines that started recently, whose earlier nodes may be unknown
+    # machines that started recently and may not know all nodes of their previous process
+    restarted: tuple[str, ...] = ()
 
     @property
     def in_force(self) -> bool:
--- a/gradegap/store/leader_requests.py
+++ b/gradegap/store/leader_requests.py
@@ -48,7 +48,8 @@
     def __init__(self, host: RequestHost, responder: Responder, stamper: WriteStamper) -> None:
         self.host, self.responder, self.stamper = host, responder, stamper
         self.metrics = host.metrics
-        self.awaiting_commit: dict[int, list[PendingRequest]] = {}  # by the log index of their entries
+        # requests whose entry is not committed yet, by log index of the entry
+        self.awaiting_commit: dict[int, list[PendingRequest]] = {}
         self.awaiting_apply: list[PendingRequest] = []  # reads whose index this member has not applied yet
         self.awaiting_read_index: dict[int, PendingRequest] = {}  # reads without an index yet, by serial
 
--- a/gradegap/store/leases.py
+++ b/gradegap/store/leases.py
@@ -10,11 +10,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-DEFAULT_LEASE_S = 1.0  # also about how long the failure of a lease holder can delay a write
+DEFAULT_LEASE_S = 1.0  # lease length; the failure of a lease holder can delay a write for about as long
 RENEW_AFTER_RATIO = 0.3  # fraction of the lease after which an extension is requested
 REQUEST_RETENTION_S = 5.0  # unanswered lease requests are forgotten after this time
-NEVER = -1e18  # time (s) that lies before every other time
-MAX_INDEX = 1 << 62  # above every index of the log
+NEVER = -1e18  # a time (s) earlier than any reading of the caller's clock
+MAX_INDEX = 1 << 62  # greater than any log index
 MAX_LEASE_HOLDERS = 256
 DECISION_PREFIXES = ("out/", "config/", "keys/", "quota/")  # prefixes of the keys that nodes decide by
 
@@ -98,7 +98,8 @@
         self.until = NEVER
         self.serial = 0
         self.term = 0
-        self.requested_at: dict[int, float] = {}  # by serial
+        # send times (s) of unanswered lease requests, by serial number
+        self.requested_at: dict[int, float] = {}
         # Granted leases that are not valid yet: the index to be applied first, and the end of the lease (s).
         self._pending: list[tuple[int, float]] = []
 
@@ -117,7 +118,7 @@
         """Handle the leader's response: a lease of `duration_s`, valid once `index` is applied here."""
         requested_at = self.requested_at.pop(serial, None)
         if requested_at is None or duration_s <= 0 or term < self.term:
-            return  # ignores duplicate responses, and those of a leader that was replaced
+            return  # the response is a duplicate, or from a leader that was replaced
         self.term = term
         self._pending.append((index, requested_at + duration_s * (1.0 - self.max_clock_drift)))
         self.applied(applied)
--- a/gradegap/store/links.py
+++ b/gradegap/store/links.py
@@ -26,7 +26,8 @@
 MAX_ACCEPTED_LINKS = 1024
 AUTHENTICATION_TIMEOUT_S = 2.0
 CONNECT_TIMEOUT_S = 1.0
-MIN_RECONNECT_BACKOFF_S = 0.05  # after the first failure; doubles with each further one
+# wait after the first failed connection attempt; doubles with each further failure
+MIN_RECONNECT_BACKOFF_S = 0.05
 MAX_RECONNECT_BACKOFF_S = 1.0
 HIGH_WATER_BYTES = 1 << 20  # high-water mark of a transport's write buffer
 MAX_UNSENT_BYTES = 8 * 1024 * 1024  # above this in the write buffer, messages to a slow member are dropped
--- a/gradegap/store/log_writer.py
+++ b/gradegap/store/log_writer.py
@@ -45,7 +45,8 @@
 
     def __init__(self, host: WriterHost, storage: MemberStorage) -> None:
         self.host, self.storage = host, storage
-        self.received_snapshot: StoreState | None = None  # the latest one that is not written yet
+        # the latest received snapshot that is not written to disk yet
+        self.received_snapshot: StoreState | None = None
         self._queue: list[Ready] = []
         self._is_writing = False
         self._compacting_to = 0  # the index up to which the current batch compacts the log; 0: no compaction
--- a/gradegap/store/machine.py
+++ b/gradegap/store/machine.py
@@ -36,9 +36,11 @@
 
 MAX_KEYS = 200_000
 MAX_TRANSACTION_UPDATES = 128
-MAX_SESSIONS = 50_000  # one per concurrent write at any member, and per client that sets its own name
-MAX_HISTORY_EVENTS = 10_000  # watches can start at a retained event, and values before it can be computed
-MAX_HISTORY_BYTES = 16 * 1024 * 1024  # limits the estimated memory of all retained events
+# limit on sessions: one for each concurrent write at any member, and one for each client-chosen name
+MAX_SESSIONS = 50_000
+# limit on retained events: watches can start at one, and earlier values of keys are computed from them
+MAX_HISTORY_EVENTS = 10_000
+MAX_HISTORY_BYTES = 16 * 1024 * 1024  # limit on the estimated memory of all retained events
 
 _record_decoder: msgspec.msgpack.Decoder[LogRecord] = msgspec.msgpack.Decoder(LogRecord)
 
@@ -49,7 +51,7 @@
 
     items: dict[str, Item | None] = field(default_factory=dict)
     events: list[Event] = field(default_factory=list)
-    first_kept_revision: int = 0  # stored events of earlier revisions can be deleted; 0: no event can
+    first_kept_revision: int = 0  # stored events of earlier revisions can be deleted; 0: none can be deleted
     sessions: dict[str, Session | None] = field(default_factory=dict)
 
 
@@ -62,7 +64,7 @@
     def __init__(self) -> None:
         self.index = 0  # index of the last applied log entry
         self.revision = 0
-        self.clock_ms = 0  # log time
+        self.clock_ms = 0  # the latest log time (ms) of the applied entries
         self.items: dict[str, Item] = {}
         self.size_bytes = 0  # total size of all keys and encoded values
         self.events: deque[Event] = deque()
--- a/gradegap/store/member.py
+++ b/gradegap/store/member.py
@@ -47,7 +47,7 @@
     FORMING = auto()  # belongs to no cluster yet
     ACTIVE = auto()
     REMOVED = auto()  # removed from its cluster
-    FAILED = auto()  # its data folder can't be written
+    FAILED = auto()  # the member's data folder can't be written
     CLOSED = auto()
 
 
--- a/gradegap/store/member_client.py
+++ b/gradegap/store/member_client.py
@@ -35,7 +35,7 @@
         self.address, self.timeout_s = address, timeout_s
         self.channel = LinkChannel.open(secret, "client", is_dialer=True)
         self.serial = 0
-        self.messages: list[wire.LinkMessage] = []  # received but not processed yet
+        self.messages: list[wire.LinkMessage] = []  # messages received but not processed yet
         try:
             connect_timeout_s = min(timeout_s, MAX_CONNECT_TIMEOUT_S)
             self.sock = socket.create_connection(split_address(address), timeout=connect_timeout_s)
@@ -47,7 +47,7 @@
             raise RequestFailedError("unreachable", text) from None
 
     def receive(self) -> None:
-        """Wait for bytes and append the messages that they complete to `messages`."""
+        """Wait for bytes from the member, and append each message that is now complete to `messages`."""
         data = self.sock.recv(RECEIVE_BYTES)
         if not data:
             raise ConnectionError("connection closed by the member")
--- a/gradegap/store/membership.py
+++ b/gradegap/store/membership.py
@@ -35,7 +35,7 @@
         """Whether the member has left the cluster for good: it was removed, or its folder failed."""
 
     def start_raft(self, base: SnapshotMetadata) -> None:
-        """Starts the consensus core in the cluster, whose log begins after `base`."""
+        """Starts the consensus core as a member of the cluster; its log begins after `base`."""
 
     def fail(self, error: FolderError) -> None:
         """Ends the participation of this member, because its folder can't be written."""
@@ -135,7 +135,8 @@
             try:
                 raft.add_member(now, Member(member.id, member.name, member.address))
             except RequestRejectedError:
-                continue  # the learner has not caught up yet; the next check tries again
+                # the learner has not caught up yet; its promotion is attempted again at the next check
+                continue
             self.host.metrics.count("store_promoted")
             log.info("learner promoted", member=member.name)
             return
--- a/gradegap/store/pending.py
+++ b/gradegap/store/pending.py
@@ -14,17 +14,17 @@
 
 
 class RequestState(Enum):
-    """The states of a request; each comment names the event that the request waits for."""
+    """The states of a request; each comment says until when the request waits in that state."""
 
     NEW = auto()
-    LEADER = auto()  # a leader is known, or the next attempt is due
-    MEMBER = auto()  # the member that it was forwarded to responds
-    COMMIT = auto()  # its log entry is committed
-    READ_INDEX = auto()  # the log index is known from which the read is linearizable
-    APPLIED = auto()  # this member has applied that index
-    LEASE_HOLDERS = auto()  # every lease holder has applied its log entry
-    TRANSFER = auto()  # another member becomes the leader
-    IN_FORCE = auto()  # all subscribed nodes have acknowledged a revision
+    LEADER = auto()  # until a leader is known or the next attempt is due
+    MEMBER = auto()  # until the member to which the request was forwarded responds
+    COMMIT = auto()  # until the log entry of the request is committed
+    READ_INDEX = auto()  # until the log index is known at which the read is linearizable
+    APPLIED = auto()  # until this member has applied the log up to the index of the read
+    LEASE_HOLDERS = auto()  # until every lease holder has applied the log entry of the request
+    TRANSFER = auto()  # until another member has become the leader
+    IN_FORCE = auto()  # until all subscribed nodes have acknowledged a revision
     DONE = auto()
 
 
@@ -37,7 +37,7 @@
         RequestState.TRANSFER,
     }
 )
-"""States of a request that this member carries out as the leader; it leaves them when leadership is lost."""
+"""States of requests that this member handles as the leader; a request leaves them on loss of leadership."""
 
 
 @dataclass(slots=True, eq=False)
@@ -48,12 +48,13 @@
     body: wire.RequestBody
     respond: ResponseCallback
     expires_at: float  # steady time (s) at which the requester stops waiting
-    from_member: bool  # sent by another member, which retries a forwarded request itself
-    may_be_applied: bool = False  # it reached a leader, so its outcome may be unknown
+    # the request was sent by another member, which itself retries the requests that it forwards
+    from_member: bool
+    may_be_applied: bool = False  # the request reached a leader, so its outcome may be unknown
     state: RequestState = RequestState.NEW
     member_id: str = ""  # in state MEMBER: the member whose response it waits for
-    index: int = 0  # log index of its entry, or the index from which its read is linearizable
-    term: int = 0  # term of its entry
+    index: int = 0  # log index of the request's entry; for a read, the index from which it is linearizable
+    term: int = 0  # term of the log entry of the request
 
     @property
     def is_done(self) -> bool:
--- a/gradegap/store/service.py
+++ b/gradegap/store/service.py
@@ -36,7 +36,7 @@
 MAX_PENDING_REQUESTS = 4096
 MAX_TIMEOUT_S = 60.0  # limits the timeout that a client may set for a request
 RETRY_PERIOD_S = 0.05  # interval of the attempts of requests that wait for a leader
-ADMISSION_TIMEOUT_S = 2.0  # for the request of a new member to be admitted, which the member repeats
+ADMISSION_TIMEOUT_S = 2.0  # timeout of a new member's request to be admitted; the member repeats the request
 
 REMOVED = "removed: this member does not belong to a cluster"
 NOT_LEADER = "not_leader: this member does not lead, try again"
@@ -45,7 +45,7 @@
 class NodeState(NamedTuple):
     """The latest state that a node reported of itself."""
 
-    at: float  # steady time (s) of the report
+    at: float  # steady time (s) at which the node reported its state
     state: dict[str, Any]
 
 
@@ -55,7 +55,7 @@
     def __init__(self, host: RequestHost) -> None:
         self.host = host
         self.metrics = host.metrics
-        self.pending: dict[int, PendingRequest] = {}  # by serial
+        self.pending: dict[int, PendingRequest] = {}  # pending requests by serial number
         self._node_states: dict[str, NodeState] = {}  # by the node's name
         self.clock = LogClockEstimate(host)
         self.stamper = WriteStamper(self.clock)
@@ -266,7 +266,8 @@
         leader_id = raft.leader_id if raft is not None else ""
         for pending in list(self.pending.values()):
             if isinstance(pending.body, wire.InForce):
-                continue  # these are sent to each member, regardless of the leader
+                # Each member is sent such a request, regardless of which one leads.
+                continue
             if pending.state is RequestState.MEMBER and pending.member_id != leader_id:
                 pending.wait(RequestState.LEADER)
         self._last_retry_at = 0.0
--- a/gradegap/store/settings.py
+++ b/gradegap/store/settings.py
@@ -24,13 +24,14 @@
 
     name: str
     listen: str
-    peers: tuple[Peer, ...] = ()  # may include this member
-    advertise: str = ""  # address at which other members reach this one, if not `listen`
+    peers: tuple[Peer, ...] = ()  # the other initial members; the list may also contain this member
+    advertise: str = ""  # address at which other members reach this one; empty: `listen`
     data: str = ""  # persistent data folder; empty: in `$TMPDIR`, and the member restarts empty
     when_stale: Literal["refuse", "serve"] = "refuse"  # treatment of new requests without a lease
     secret: str = ""  # path of the file with the cluster's secret, the same at all members
     publish: str = ""  # address for subscriptions; empty: this member serves none
-    voters: Annotated[int, msgspec.Meta(ge=1, le=9)] = 5  # maximum number; further members are learners
+    # maximum number of voters; further members are learners
+    voters: Annotated[int, msgspec.Meta(ge=1, le=9)] = 5
     region: str = ""
     lease_s: Annotated[float, msgspec.Meta(ge=0.3, le=30.0)] = (
         1.0  # lease length (s), the same at all members
--- a/gradegap/store/snapshot_transfer.py
+++ b/gradegap/store/snapshot_transfer.py
@@ -11,7 +11,7 @@
 from gradegap.store.state_snapshot import encode_snapshot
 
 SNAPSHOT_PIECE_BYTES = 512 * 1024
-CATCH_UP_PERIOD_S = 0.05  # interval of the checks whether this member has caught up with the leader
+CATCH_UP_PERIOD_S = 0.05  # interval between two checks whether this member has caught up with the leader
 # No key begins with this character, so listing this prefix is a linearizable read with an empty result.
 NO_SUCH_PREFIX = "\0"
 
--- a/gradegap/store/storage.py
+++ b/gradegap/store/storage.py
@@ -30,7 +30,7 @@
 Put = Callable[[Any, bytes, object], None]
 FORMAT_VERSION = 1
 MAP_SIZE_BYTES = 1 << 30  # limits the file and reserves address space; the file grows with its data
-CHECKSUM_BYTES = 4  # CRC-32
+CHECKSUM_BYTES = 4  # size of a CRC-32 checksum
 IDENTITY_BYTES = 8
 REJOIN_REMEDY = "to rejoin, move the folder away and start again: the member rejoins under a new identity"
 
@@ -72,11 +72,11 @@
 
     raft_hard_state: HardState | None = None
     identity: Identity | None = None
-    base: SnapshotMetadata | None = None  # log entries up to this index are deleted
+    base: SnapshotMetadata | None = None  # log entries up to the index of `base` are deleted
     full_state: StoreState | None = None  # replaces the stored state and the log
     entries: list[Entry] = field(default_factory=list)
     unsaved: UnsavedChanges | None = None
-    applied: AppliedPosition | None = None  # position of the stored state after `unsaved` is added
+    applied: AppliedPosition | None = None  # log position of the stored state once `unsaved` is written
 
 
 @dataclass(slots=True)
--- a/gradegap/store/subscription_settings.py
+++ b/gradegap/store/subscription_settings.py
@@ -14,7 +14,7 @@
     """A control machine that serves subscriptions."""
 
     name: str
-    address: str  # the machine's `store.publish`
+    address: str  # address of the control machine, as in its setting `store.publish`
     region: str = ""
 
 
--- a/gradegap/store/subscriptions.py
+++ b/gradegap/store/subscriptions.py
@@ -42,7 +42,7 @@
 
     @property
     def identity(self) -> Identity:
-        """The member id, and the cluster once there is one."""
+        """The member's id, and the id of its cluster once it belongs to one."""
 
     @property
     def requests(self) -> RequestHandler:
--- a/gradegap/store/watches.py
+++ b/gradegap/store/watches.py
@@ -13,7 +13,7 @@
 
 MAX_WATCHES = 1000
 MAX_WATCH_UNSENT_BYTES = 4 * 1024 * 1024  # the link of a slow watcher with more unsent data is closed
-MAX_EVENTS_PER_RESPONSE = 200  # limit per response when the history is sent to a new watch
+MAX_EVENTS_PER_RESPONSE = 200  # limit on the events in one response when the history is sent to a new watch
 
 
 @dataclass(slots=True, eq=False)
@@ -34,7 +34,7 @@
         machine.listeners.append(self._changed)
 
     def add(self, link: Link, serial: int, request: wire.Watch) -> None:
-        """Sends the requested history, and after it each change until the link is closed."""
+        """Sends the requested part of the history, then each new change until the link is closed."""
         if len(self.open) >= MAX_WATCHES:
             self.metrics.count("store_busy")
             link.send(wire.Response(serial, "no", "busy: too many watches at this member"))
--- a/gradegap/store/wire.py
+++ b/gradegap/store/wire.py
@@ -21,7 +21,7 @@
 
 
 class Hello(msgspec.Struct, frozen=True, tag="hello"):
-    """Identifies one end of a link; the first frame that each end sends."""
+    """Identifies one end of a link; each end sends it as its first frame."""
 
     version: int
     kind: str  # "member" or "client"
@@ -84,7 +84,8 @@
     serial: int
     term: int
     index: int  # the lease is valid once the holder has applied this index
-    duration_s: float = msgspec.field(name="duration")  # counted from the request; 0: no lease granted
+    # lease length, counted from the time of the request; 0: no lease granted
+    duration_s: float = msgspec.field(name="duration")
 
 
 class LeaseApplied(msgspec.Struct, frozen=True, tag="lease_applied"):
@@ -145,7 +146,8 @@
     client: str = ""
     seq: int = 0
     deadline_ms: int = msgspec.field(default=0, name="until")  # deadline in log time
-    attempts: int = msgspec.field(default=0, name="tries")  # how often the write was forwarded before
+    # number of times that the write was forwarded before this attempt
+    attempts: int = msgspec.field(default=0, name="tries")
 
 
 class Watch(msgspec.Struct, frozen=True, tag="watch"):
--- a/gradegap/store/write_stamps.py
+++ b/gradegap/store/write_stamps.py
@@ -45,7 +45,7 @@
 
 
 class WriteStamper:
-    """Checks the writes of a member's clients, and stamps those that don't have a stamp yet."""
+    """Validates the writes of a member's clients, and adds a stamp to those without one."""
 
     def __init__(self, clock: LogClockEstimate) -> None:
         self.clock = clock
