--- a/gradegap/observer/delivery.py
+++ b/gradegap/observer/delivery.py
@@ -33,7 +33,7 @@
         self.lease_grants, self.counts, self.send = lease_grants, counts, send
         self.revision = source.revision  # revision of the source at the last call of the publisher
         self.now = now  # time of the last call of the publisher (steady time, s)
-        self.deltas = DeltaCache(source, limits)  # deltas up to the last change
+        self.deltas = DeltaCache(source, limits)  # deltas that end at the last change
         self.transfers = SnapshotTransfers(
             source, limits.max_snapshot_transfers, limits.snapshot_part_bytes, counts
         )
--- a/gradegap/observer/deltas.py
+++ b/gradegap/observer/deltas.py
@@ -9,7 +9,7 @@
 from gradegap.observer.messages import Delta
 from gradegap.observer.source import StateSource
 
-FRAME_BYTES = 20  # length and checksum that precede each message
+FRAME_BYTES = 20  # size of the length and checksum that precede each message
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +25,8 @@
 
     def __init__(self, source: StateSource, limits: Limits) -> None:
         self.source, self.limits = source, limits
-        self.by_base_revision: dict[int, SizedDelta | None] = {}  # None: a snapshot is needed
+        # the delta from each base revision; None: a snapshot is needed instead
+        self.by_base_revision: dict[int, SizedDelta | None] = {}
 
     def __len__(self) -> int:
         return len(self.by_base_revision)
--- a/gradegap/observer/messages.py
+++ b/gradegap/observer/messages.py
@@ -12,9 +12,9 @@
 import msgspec
 
 VERSION = 1
-MAX_NAME_LENGTH = 128  # characters in the name of a node, machine or region
+MAX_NAME_LENGTH = 128  # limit on the characters in the name of a node, machine or region
 PART_BYTES = 64 * 1024  # default target size of the changes in one part of a snapshot
-MAX_FRAME_BYTES = 256 * 1024  # largest message; a single value of the store has 64 KiB at most
+MAX_FRAME_BYTES = 256 * 1024  # limit on the size of a message; a single value of the store has 64 KiB at most
 
 Name = Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH)]
 Revision = Annotated[int, msgspec.Meta(ge=0)]
@@ -56,7 +56,7 @@
     node: Name
     instance: Name  # random id, new for each process of the node
     region: Name = ""
-    cluster: Name = ""  # empty until the node knows it
+    cluster: Name = ""  # the cluster's name; empty until the node knows it
     revision: Revision = 0
 
 
--- a/gradegap/observer/publisher_connection.py
+++ b/gradegap/observer/publisher_connection.py
@@ -19,7 +19,7 @@
     """The owner of a connection, which handles its events."""
 
     secret: bytes  # the cluster's secret
-    bucket: TokenBucket  # send budget, in bytes
+    bucket: TokenBucket  # the token bucket that limits the bytes sent
     traffic: Traffic
 
     def is_current(self, connection: PublisherConnection) -> bool:
--- a/gradegap/observer/server.py
+++ b/gradegap/observer/server.py
@@ -28,7 +28,7 @@
 
 # limit on connections that have not subscribed yet; above it the oldest of them is closed
 MAX_PENDING_CONNECTIONS = 1024
-MAX_REQUESTS_IN_FLIGHT = 16  # limit for each connection
+MAX_REQUESTS_IN_FLIGHT = 16  # limit on the unanswered requests of each connection
 RESERVED_DESCRIPTOR_COUNT = 1024  # file descriptors for everything but subscribers and pending connections
 LISTEN_BACKLOG = 1024
 ALLOWED_REQUESTS = (  # requests that a node may send over its subscription
--- a/gradegap/observer/store_requests.py
+++ b/gradegap/observer/store_requests.py
@@ -20,7 +20,7 @@
 from gradegap.observer.token_bucket import TokenBucket
 from gradegap.store import wire
 
-MAX_REQUESTS = 256  # limit of requests in flight or waiting
+MAX_REQUESTS = 256  # limit on the number of requests in flight or waiting
 RENEWAL_RESERVE_BYTES = 512  # bytes of the byte budget that requests leave unused for renewals
 RESPONSE_MARGIN_S = 0.5  # added to the timeout sent to the machine, to allow for the response's delay
 # margin added to the computed wait until the byte budget allows a request
@@ -42,7 +42,7 @@
     """Client names that are unique among the writes in flight, each with an increasing sequence number."""
 
     def __init__(self, prefix: str) -> None:
-        self.prefix = prefix  # random, one for each process
+        self.prefix = prefix  # random prefix of client names, different for each process
         self.unused: deque[str] = deque()
         self.sequence_numbers: dict[str, int] = {}  # last sequence number used, by client name
 
--- a/gradegap/observer/subscriber_connection.py
+++ b/gradegap/observer/subscriber_connection.py
@@ -21,7 +21,8 @@
 
 log = structlog.get_logger()
 
-SUBSCRIBE_TIMEOUT_S = 2.0  # limit to authenticate and subscribe, and to flush the write buffer when closing
+# time limit for a node to authenticate and subscribe, and for flushing the write buffer on close
+SUBSCRIBE_TIMEOUT_S = 2.0
 HIGH_WATER_BYTES = 128 * 1024  # size of the write buffer above which writing is paused
 LOW_WATER_BYTES = 32 * 1024  # size of the write buffer at which writing is resumed
 KERNEL_BUFFER_BYTES = 256 * 1024  # send buffer of the socket; the kernel's default grows to megabytes
@@ -132,7 +133,8 @@
         if self.node:
             log.warning("subscription ended", node=self.node, reason=str(reason), detail=text)
         if self.transport.get_write_buffer_size():
-            self.transport.close()  # lets the last message be sent
+            # closes the connection once the write buffer, with the last message, is flushed
+            self.transport.close()
             self.owner.loop.call_later(SUBSCRIBE_TIMEOUT_S, self._abort)
         else:
             self.transport.abort()
--- a/gradegap/observer/subscriptions.py
+++ b/gradegap/observer/subscriptions.py
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True)
 class DisconnectedNode:
-    """A process of a node whose connection has ended."""
+    """A process of a node, after the connection of this process has ended."""
 
     node: str
     instance: str
@@ -75,7 +75,7 @@
 
     def __init__(self, retention_s: float) -> None:
         self.retention_s = retention_s
-        # By node and instance, in the order of disconnection.
+        # Disconnected processes by node and instance, in the order of disconnection.
         self.by_instance: dict[tuple[str, str], DisconnectedNode] = {}
 
     def __len__(self) -> int:
--- a/gradegap/observer/token_bucket.py
+++ b/gradegap/observer/token_bucket.py
@@ -11,7 +11,7 @@
     def __init__(self, rate: float, burst: float, now: float) -> None:
         self.rate, self.burst = rate, burst
         self.tokens = burst
-        self.updated_at = now  # steady time, s
+        self.updated_at = now  # steady time (s) up to which gained tokens were added
 
     def allows(self, now: float, size: float, reserve: float = 0.0) -> bool:
         """Whether `size` tokens may be spent now, leaving `reserve` tokens for more urgent uses."""
--- a/gradegap/raft/log.py
+++ b/gradegap/raft/log.py
@@ -15,7 +15,7 @@
     def __init__(self, base: SnapshotMetadata, entries: list[Entry]) -> None:
         self.base = base
         self.entries: list[Entry] = []
-        self.size_bytes = 0  # total size of `entries`
+        self.size_bytes = 0  # total size of `entries` in bytes
         self.configurations: list[tuple[int, ClusterConfiguration]] = [(base.index, base.configuration)]
         for entry in entries:
             self.append(entry)
--- a/gradegap/raft/node_state.py
+++ b/gradegap/raft/node_state.py
@@ -32,7 +32,7 @@
         self.term = hard_state.term
         self.voted_for = hard_state.voted_for
         self.role = Role.FOLLOWER
-        self.leader_id = ""  # empty if not known
+        self.leader_id = ""  # member id of the leader; empty if not known
         self.commit_index = max(log.base.index, applied_index)
         self.applied_index = self.commit_index
         self.stable_index = log.last_index  # the last index synced to this member's disk
--- a/gradegap/raft/progress.py
+++ b/gradegap/raft/progress.py
@@ -22,7 +22,7 @@
 class Progress:
     """The leader's view of one other member."""
 
-    next_index: int  # index of the first entry to send
+    next_index: int  # index of the first entry in the next message
     match_index: int = 0  # last index up to which the member's log is known to match the leader's
     state: ProgressState = ProgressState.PROBE
     # In PROBE and SNAPSHOT: a message is outstanding, and the next one waits for its response.
--- a/gradegap/raft/read_index.py
+++ b/gradegap/raft/read_index.py
@@ -15,7 +15,7 @@
 
     request_id: int
     commit_index: int  # the lowest applied index at which the read may be served
-    heartbeat_round: int  # the round that a quorum must acknowledge first
+    heartbeat_round: int  # the heartbeat round that a quorum must acknowledge before the read is confirmed
 
 
 class ReadIndexQueue:
--- a/gradegap/raft/replication.py
+++ b/gradegap/raft/replication.py
@@ -25,7 +25,7 @@
     def __init__(self, raft: RaftContext) -> None:
         self.raft = raft
         self.peers: dict[str, Progress] = {}
-        self.uncommitted_bytes = 0  # total size of entries that are not committed
+        self.uncommitted_bytes = 0  # total size in bytes of entries that are not committed
 
     def start(self, now: float) -> None:
         """Start a term as leader, with no knowledge of the other members' logs."""
--- a/gradegap/store/disabled_endpoints.py
+++ b/gradegap/store/disabled_endpoints.py
@@ -14,8 +14,8 @@
 
 log = structlog.get_logger()
 
-MAX_FILE_BYTES = 64 * 1024  # the file is read into memory
-CHECKSUM_BYTES = 4  # CRC-32 ahead of the msgpack body
+MAX_FILE_BYTES = 64 * 1024  # limit on the size of the file, which is read into memory
+CHECKSUM_BYTES = 4  # size of the CRC-32 ahead of the msgpack body
 
 
 class DisabledEndpointsFile:
--- a/gradegap/store/gossip.py
+++ b/gradegap/store/gossip.py
@@ -25,7 +25,7 @@
 from gradegap.store.wire import Gossip, GossipReport
 
 GOSSIP_PERIOD_S = 1.0
-MAX_REPORT_AGE_S = 5.0  # older observations are outdated: neither sent nor used
+MAX_REPORT_AGE_S = 5.0  # observations of a greater age are outdated: they are neither sent nor used
 MIN_REPORT_ADVANCE_S = 0.25  # an observation is used only if this much newer than this node's latest one
 MAX_REPORT_COUNT = 2000  # limit on the reports in one message
 MAX_REPORT_FIELD_COUNT = 16
--- a/gradegap/store/host.py
+++ b/gradegap/store/host.py
@@ -19,7 +19,7 @@
 
 
 class RequestHost(Protocol):
-    """The interface of the member whose requests are answered."""
+    """The interface of the member, as its request handlers use it."""
 
     loop: asyncio.AbstractEventLoop
     metrics: Metrics
--- a/gradegap/store/in_force_check.py
+++ b/gradegap/store/in_force_check.py
@@ -23,10 +23,10 @@
     import asyncio
 
 ROUND_PERIOD_S = 0.1  # pause between two rounds
-ROUND_TIMEOUT_S = 1.0  # limits the time (s) in which a member must respond with its report
+ROUND_TIMEOUT_S = 1.0  # time limit for a member to respond with its report
 MIN_ROUND_TIMEOUT_S = 0.01  # lower limit on the timeout of a round that starts shortly before the deadline
-RESPONSE_MARGIN_S = 0.2  # the check ends this long before its requester stops waiting
-MAX_NAMED_NODES = 20  # limits the names of missing nodes in a response
+RESPONSE_MARGIN_S = 0.2  # time between the end of the check and the time at which the requester stops waiting
+MAX_NAMED_NODES = 20  # limit on the number of missing nodes that a response names
 
 
 class InForceHost(Protocol):
--- a/gradegap/store/leases.py
+++ b/gradegap/store/leases.py
@@ -28,8 +28,8 @@
 class Grant:
     """A granted lease."""
 
-    until: float  # when the lease expires (s)
-    applied: int  # the index that its holder has applied
+    until: float  # time (s) at which the lease expires
+    applied: int  # the last log index that the holder has applied
 
 
 class LeaseGranter:
@@ -38,7 +38,7 @@
     def __init__(self, now: float, max_clock_drift: float, lease_s: float = DEFAULT_LEASE_S) -> None:
         self.max_clock_drift = max_clock_drift
         self.lease_s = lease_s
-        self.grants: dict[str, Grant] = {}  # by holder
+        self.grants: dict[str, Grant] = {}  # the latest grant of each holder, by the holder's name
         # Leases granted by an earlier leader are not known here, so writes wait until all have expired.
         self.unknown_until = self._expiry(now)
         # Log indexes, each with the callback to run once all holders have applied that index.
--- a/gradegap/store/links.py
+++ b/gradegap/store/links.py
@@ -30,7 +30,8 @@
 MIN_RECONNECT_BACKOFF_S = 0.05
 MAX_RECONNECT_BACKOFF_S = 1.0
 HIGH_WATER_BYTES = 1 << 20  # high-water mark of a transport's write buffer
-MAX_UNSENT_BYTES = 8 * 1024 * 1024  # above this in the write buffer, messages to a slow member are dropped
+# size of the write buffer above which messages to a slow member are dropped
+MAX_UNSENT_BYTES = 8 * 1024 * 1024
 REJECTED_REASON = "turned"  # reason at the start of a `LinkError` if the other side rejected the link
 
 
@@ -215,7 +216,7 @@
         self.cluster = ""
         self.all: set[Link] = set()
         self.accepted: set[Link] = set()
-        self.dialers: dict[str, Dialer] = {}  # by address
+        self.dialers: dict[str, Dialer] = {}  # dialers by the address to which they connect
         self._server: asyncio.Server | None = None
 
     def introduce(self, member: Member, cluster: str, lease_s: float) -> None:
--- a/gradegap/store/log_writer.py
+++ b/gradegap/store/log_writer.py
@@ -18,8 +18,9 @@
 from gradegap.store.storage import AppliedPosition, MemberStorage, WriteBatch
 
 RETAINED_ENTRIES = 1000  # applied entries kept in the log, so that a member slightly behind needs no snapshot
-COMPACTION_THRESHOLD_ENTRIES = 4 * RETAINED_ENTRIES  # log length that starts a compaction
-COMPACTION_THRESHOLD_BYTES = 8 * 1024 * 1024  # log size that starts a compaction, which keeps fewer entries
+# number of entries in the log at which a compaction starts
+COMPACTION_THRESHOLD_ENTRIES = 4 * RETAINED_ENTRIES
+COMPACTION_THRESHOLD_BYTES = 8 * 1024 * 1024  # log size at which a compaction starts that keeps fewer entries
 
 
 class WriterHost(Protocol):
--- a/gradegap/store/membership.py
+++ b/gradegap/store/membership.py
@@ -17,8 +17,8 @@
 
 log = structlog.get_logger()
 
-JOIN_PERIOD_S = 0.5  # interval of the requests to be admitted to a cluster
-PROMOTION_PERIOD_S = 0.2  # interval of the checks whether a learner can be promoted
+JOIN_PERIOD_S = 0.5  # interval between two requests to be admitted to a cluster
+PROMOTION_PERIOD_S = 0.2  # interval between two checks whether a learner can be promoted
 REMOVED = "removed"  # reason in the `LinkRejected` that the leader sends to a former member
 
 
--- a/gradegap/store/records.py
+++ b/gradegap/store/records.py
@@ -14,10 +14,10 @@
 from gradegap.store.errors import CommandError
 
 MAX_KEY_BYTES = 480  # within LMDB's limit for the length of a key
-MAX_VALUE_BYTES = 64 * 1024  # limits a value encoded as msgpack
+MAX_VALUE_BYTES = 64 * 1024  # limit on the size of a value encoded as msgpack
 MAX_TTL_MS = 366 * 86_400_000  # 366 days
 EVENT_OVERHEAD_BYTES = 64  # estimated memory of an event in addition to its key and values
-MAX_STATE_BYTES = 128 * 1024 * 1024  # limits the total size of all keys and values
+MAX_STATE_BYTES = 128 * 1024 * 1024  # limit on the total size of all keys and values
 
 
 class Item(msgspec.Struct, frozen=True, array_like=True):
@@ -119,7 +119,7 @@
 
     index: int
     revision: int
-    clock_ms: int  # log time
+    clock_ms: int  # log time (ms)
     items: list[Item]
     events: list[Event]
     sessions: list[Session]
--- a/gradegap/store/service.py
+++ b/gradegap/store/service.py
@@ -34,8 +34,8 @@
 log = structlog.get_logger()
 
 MAX_PENDING_REQUESTS = 4096
-MAX_TIMEOUT_S = 60.0  # limits the timeout that a client may set for a request
-RETRY_PERIOD_S = 0.05  # interval of the attempts of requests that wait for a leader
+MAX_TIMEOUT_S = 60.0  # upper limit on the timeout that a client may set for a request
+RETRY_PERIOD_S = 0.05  # interval between two attempts of a request that waits for a leader
 ADMISSION_TIMEOUT_S = 2.0  # timeout of a new member's request to be admitted; the member repeats the request
 
 REMOVED = "removed: this member does not belong to a cluster"
--- a/gradegap/store/settings.py
+++ b/gradegap/store/settings.py
@@ -27,9 +27,10 @@
     peers: tuple[Peer, ...] = ()  # the other initial members; the list may also contain this member
     advertise: str = ""  # address at which other members reach this one; empty: `listen`
     data: str = ""  # persistent data folder; empty: in `$TMPDIR`, and the member restarts empty
-    when_stale: Literal["refuse", "serve"] = "refuse"  # treatment of new requests without a lease
+    # treatment of new requests while the node has no valid lease
+    when_stale: Literal["refuse", "serve"] = "refuse"
     secret: str = ""  # path of the file with the cluster's secret, the same at all members
-    publish: str = ""  # address for subscriptions; empty: this member serves none
+    publish: str = ""  # address at which subscriptions are accepted; empty: this member serves none
     # maximum number of voters; further members are learners
     voters: Annotated[int, msgspec.Meta(ge=1, le=9)] = 5
     region: str = ""
--- a/gradegap/store/storage.py
+++ b/gradegap/store/storage.py
@@ -29,7 +29,8 @@
 T = TypeVar("T")
 Put = Callable[[Any, bytes, object], None]
 FORMAT_VERSION = 1
-MAP_SIZE_BYTES = 1 << 30  # limits the file and reserves address space; the file grows with its data
+# limit on the file; this much address space is reserved, and the file grows with its data
+MAP_SIZE_BYTES = 1 << 30
 CHECKSUM_BYTES = 4  # size of a CRC-32 checksum
 IDENTITY_BYTES = 8
 REJOIN_REMEDY = "to rejoin, move the folder away and start again: the member rejoins under a new identity"
@@ -115,7 +116,7 @@
 _encode = msgspec.msgpack.Encoder().encode
 
 TABLES = (b"meta", b"log", b"keys", b"history", b"sessions")
-MIN_FILE_BYTES = 2 * 4096  # LMDB's two pages of metadata
+MIN_FILE_BYTES = 2 * 4096  # size of LMDB's two pages of metadata
 
 
 class MemberStorage:
--- a/gradegap/store/subscription_settings.py
+++ b/gradegap/store/subscription_settings.py
@@ -23,9 +23,10 @@
 
     machines: Annotated[tuple[ObserverMachine, ...], msgspec.Meta(min_length=1, max_length=32)]
     name: str = ""  # empty: the node's name
-    region: str = ""  # machines of the same region are tried first
+    region: str = ""  # the node's region: machines of the same region are tried first
     secret: str = ""  # path of the file with the cluster's secret
-    when_stale: Literal["refuse", "serve"] = "refuse"  # treatment of new requests without a lease
+    # treatment of new requests while the node has no valid lease
+    when_stale: Literal["refuse", "serve"] = "refuse"
     bytes_per_s: Annotated[int, msgspec.Meta(ge=500, le=1_000_000)] = 3000  # send rate limit of the node
 
     def check(self) -> None:
--- a/gradegap/store/wire.py
+++ b/gradegap/store/wire.py
@@ -24,7 +24,7 @@
     """Identifies one end of a link; each end sends it as its first frame."""
 
     version: int
-    kind: str  # "member" or "client"
+    kind: str  # kind of this end: "member" or "client"
     nonce: bytes
     id: str = ""
     name: str = ""
@@ -145,7 +145,7 @@
     author: str = ""
     client: str = ""
     seq: int = 0
-    deadline_ms: int = msgspec.field(default=0, name="until")  # deadline in log time
+    deadline_ms: int = msgspec.field(default=0, name="until")  # deadline in log time (ms)
     # number of times that the write was forwarded before this attempt
     attempts: int = msgspec.field(default=0, name="tries")
 
@@ -255,7 +255,7 @@
     outcome: str = "ok"
     text: str = ""
     revision: int = 0
-    clock_ms: int = msgspec.field(default=0, name="clock")  # log time at the responder
+    clock_ms: int = msgspec.field(default=0, name="clock")  # log time (ms) at the responder
     succeeded: bool = True
     items: list[Item] = []
     events: list[Event] = []
--- a/gradegap/store/write_stamps.py
+++ b/gradegap/store/write_stamps.py
@@ -15,7 +15,7 @@
 from gradegap.store.host import RequestHost
 from gradegap.store.records import check_update
 
-WRITE_LIFETIME_MS = 120_000  # log time between the stamp of a write and its deadline
+WRITE_LIFETIME_MS = 120_000  # log time (ms) between the stamp of a write and its deadline
 MAX_CLIENT_NAME_LENGTH = 64
 MAX_AUTHOR_LENGTH = 128
 
@@ -26,7 +26,7 @@
     def __init__(self, host: RequestHost) -> None:
         self.host = host
         self._observed_at = 0.0  # steady time (s) of the last observation
-        self._observed_ms = 0  # log time of the last observation
+        self._observed_ms = 0  # log time (ms) of the last observation
 
     def observe(self, clock_ms: int) -> None:
         """Records the log time in ms that a response of the leader contains."""
