--- a/gradegap/capture/evaluation.py
+++ b/gradegap/capture/evaluation.py
@@ -28,8 +28,8 @@
 )
 from gradegap.balancing.settings import Settings
 
-MAX_VIOLATIONS_SHOWN = 50  # violations kept as text; `ServiceFigures.violations` counts all of them
-MIN_MEAN_CONNECTIONS = 4  # mean connections per ready endpoint from which `peak_share` is computed
+MAX_VIOLATIONS_SHOWN = 50  # limit of violations kept as text; `ServiceFigures.violations` counts all of them
+MIN_MEAN_CONNECTIONS = 4  # lowest mean of connections per ready endpoint at which `peak_share` is computed
 # An answer counts as on time up to this time after its deadline; covers the event loop's latency.
 MAX_LATENESS_S = 0.05
 
@@ -54,7 +54,7 @@
 
     @property
     def served_share(self) -> float:
-        """The fraction of established ones among the requests that were established, rejected or failed."""
+        """Number of established requests, divided by that of established, rejected and failed requests."""
         answered = self.established + self.rejected + self.failed
         return self.established / answered if answered else 1.0
 
@@ -64,7 +64,9 @@
     arrived_at: float
     deadline_at: float
     attempt_endpoint: str = ""  # the endpoint of the attempt in flight, if any
-    late_by: float = 0.0  # s from the end of its endpoint's drain grace to the forward; negative: sent before
+    # Time in s from the end of the drain grace of the attempt's endpoint to the forwarding of the request;
+    # negative if it was forwarded earlier or the endpoint was available.
+    late_by: float = 0.0
     established_endpoint: str = ""  # the endpoint of its established connection, if any
     migrated: bool = False
     answered: bool = False
@@ -78,9 +80,10 @@
     figures: ServiceFigures = field(default_factory=ServiceFigures)
     violations: list[str] = field(default_factory=list)
     requests: dict[int, _Request] = field(default_factory=dict)
-    connections: Counter[str] = field(default_factory=Counter)  # established ones, by endpoint
+    # Number of established connections, by endpoint.
+    connections: Counter[str] = field(default_factory=Counter)
     phases: dict[str, EndpointPhase] = field(default_factory=dict)
-    # Clock from which each draining or removed endpoint has been unavailable, s.
+    # Clock in s since which an endpoint has been draining or removed, by endpoint.
     unavailable_since: dict[str, float] = field(default_factory=dict)
     waits: list[float] = field(default_factory=list)
     now: float = 0.0
--- a/gradegap/capture/explain.py
+++ b/gradegap/capture/explain.py
@@ -122,7 +122,8 @@
 ) -> Iterator[str]:
     """Describes one step: the event, the decision steps and the actions.
 
-    Actions that name no request (timers, health checks) are shown, since this request may have caused them.
+    Actions that name no request (timers, health checks) are shown, since the request that is explained may
+    have caused them.
     """
     yield f"{step.at - began_at:9.4f} s  {in_one_line(step.event)}"
     yield from (f"             {line}" for line in observation.lines)
--- a/gradegap/capture/index.py
+++ b/gradegap/capture/index.py
@@ -66,7 +66,7 @@
         changes_settings: bool = False,
         about: Iterable[Any] = (),
     ) -> None:
-        """Adds a frame; `about` has endpoint names and request ids, as returned by `records.names`."""
+        """Adds a frame; `about` has the endpoint names and request ids returned by `records.names`."""
         endpoints, request_ids = set(), set()
         for name_or_id in about:
             if isinstance(name_or_id, str):
@@ -107,7 +107,8 @@
         """Returns the index frames to append to a file whose other frames end at `offset`."""
         try:
             index_frame = frames.pack(FrameKind.INDEX, self.body, len(self._rows))
-        except FrameTooLargeError:  # too many steps for one index frame: readers read the whole file instead
+        except FrameTooLargeError:
+            # The index of that many steps exceeds one frame: readers read the whole file instead.
             return b""
         return index_frame + tail(offset)
 
--- a/gradegap/capture/observations.py
+++ b/gradegap/capture/observations.py
@@ -31,13 +31,15 @@
 from gradegap.balancing.settings import Settings
 from gradegap.capture.recording import Gap, Item, SettingsChange, State, Step
 
-# Time from a migration or a reset to the client's reconnect, if the recording contains no such reconnect.
+# Assumed time from a migration or a reset to the client's reconnect, if the recording has no such reconnect.
 DEFAULT_RETURN_DELAY_S = 0.4
-DEFAULT_CONNECT_TIME_S = 0.005  # duration of an attempt, if the recording contains no established connection
+# Assumed duration of an attempt, if the recording contains no established connection.
+DEFAULT_CONNECT_TIME_S = 0.005
 HEALTH_CHECK_TIMEOUT_S = 0.25  # the timeout of health checks in the proxy
-# The answer to an attempt is preferred unless that to a health check is nearer in time by more than this.
+# An answer to an attempt is preferred to an answer to a health check, unless the latter is nearer to the
+# required time by more than this.
 HEALTH_CHECK_HANDICAP_S = 0.05
-REPORT_SEARCH_COUNT = 12  # answers on each side of a time that are searched for a load report
+REPORT_SEARCH_COUNT = 12  # number of answers before and after a time that are searched for a load report
 
 
 class Answer(NamedTuple):
@@ -45,7 +47,7 @@
 
     at: float  # clock at which the attempt or health check was sent, s
     result: AttemptResult
-    elapsed: float  # s
+    elapsed: float  # time from the sending to the answer or timeout, s
     report: Mapping[str, float] | None
     connections: int  # connections from this node to the endpoint at the clock `at`
     is_health_check: bool
@@ -135,7 +137,8 @@
         self.observations = Observations()
         self.clients_by_key: dict[str, Client] = {}
         self.clients: dict[int, Client] = {}  # clients by request id
-        self.attempts: dict[int, tuple[str, float]] = {}  # in flight, by request id: endpoint, clock
+        # Attempts in flight by request id: endpoint and clock at which each was sent.
+        self.attempts: dict[int, tuple[str, float]] = {}
         self.established: dict[int, str] = {}  # endpoint of each established connection, by request id
         self.migrated: set[int] = set()
         self.left_at: dict[str, float] = {}  # clock of a migration or reset, by the client's key
@@ -196,7 +199,7 @@
             case Migrate():
                 self.migrated.add(action.request_id)
             case Reject() | Fail():
-                # The client's last answer, unless it retries.
+                # This is the client's final answer, unless the client sends another request.
                 if (client := self.clients.get(action.request_id)) is not None:
                     client.ended_at = at
             case CheckHealth():
--- a/gradegap/capture/recorder.py
+++ b/gradegap/capture/recorder.py
@@ -31,7 +31,7 @@
 
 log = structlog.get_logger()
 
-BATCH_STEPS = 512  # steps in a batch that is submitted to the thread
+BATCH_STEPS = 512  # number of steps at which a batch is submitted to the thread
 MAX_PENDING_BATCHES = 16  # limit of batches waiting for the thread; further batches are dropped
 FLUSH_INTERVAL_S = 1.0  # the longest time for which a step waits in an incomplete batch
 FORK_NOT_PERMITTED = (errno.ENOSYS, errno.EPERM)  # permanent errors: after one of them, no fork will succeed
@@ -40,8 +40,8 @@
 class Recorder:
     """One recording, from `begin` to `close`; each recorder starts a new file.
 
-    Only the thread uses the writer. All other attributes belong to the event loop, except `closed` and
-    `state_due_at`, which both set.
+    Only the writing thread uses the writer. All other attributes belong to the event loop, except `closed`
+    and `state_due_at`, which both threads set.
     """
 
     def __init__(
@@ -125,7 +125,7 @@
         self._submit(self.writer.write_steps, batch)
 
     def _mark_gap(self, next_number: int) -> None:
-        """Has a gap written if steps were dropped; `next_number` is the first step after them."""
+        """Submits a gap to the thread if steps were dropped; `next_number` is the first step after them."""
         if self.dropped:
             self._submit(self.writer.write_gap, next_number - self.dropped, self.dropped)
             self.dropped = 0
@@ -173,7 +173,8 @@
                 self.may_fork = False
                 self.metrics.count("capture_forks_refused")
                 log.warning("fork refused, states taken in place", error=str(error))
-            # A dump in this process would block the event loop, so no state is written until a fork succeeds.
+            # A dump of a large balancer in this process would block the event loop, so no state is written
+            # until a fork succeeds.
             self._lose_state(error)
         else:
             self._submit(self._write_forked, start, child, self.next_number, self.now())
@@ -187,7 +188,8 @@
         self.pending += 1
 
         def done(_: object) -> None:
-            # Called from the thread, or at once if it was shut down; the event loop may be closed by then.
+            # Called from the thread, or at once if the thread was shut down; the event loop may already be
+            # closed.
             with contextlib.suppress(RuntimeError):
                 self.loop.call_soon_threadsafe(self._done)
 
--- a/gradegap/capture/recording.py
+++ b/gradegap/capture/recording.py
@@ -84,7 +84,7 @@
 
     def __init__(self) -> None:
         self._start: dict[str, Any] | None = None
-        self._next_number: int | None = None  # number expected next; None after a gap
+        self._next_number: int | None = None  # number that the next record should have; None after a gap
 
     def gap(self, reason: str) -> Gap:
         self._next_number = None
--- a/gradegap/capture/records.py
+++ b/gradegap/capture/records.py
@@ -84,7 +84,7 @@
         return {stored: msgspec.to_builtins(getattr(value, name)) for stored, name in self.attributes.items()}
 
     def to_attributes(self, raw: Any) -> Any:
-        """Replaces stored names by attribute names in a stored map; values that are no map are unchanged."""
+        """Replaces stored names by attribute names in a stored map; returns any other value unchanged."""
         if not isinstance(raw, Mapping):
             return raw
         return {self.attributes[stored]: value for stored, value in raw.items() if stored in self.attributes}
--- a/gradegap/capture/replay.py
+++ b/gradegap/capture/replay.py
@@ -23,8 +23,8 @@
 from gradegap.capture.errors import BadStateError, DecisionVersion, LaterStateError, OtherAlgorithmError
 from gradegap.capture.recording import Gap, Item, SettingsChange, State, Step
 
-MAX_PRECEDING_STEPS = 8  # limit of the steps reported with a difference, which precede it
-RECENT_STEPS_COUNT = 2000  # most recent steps that are searched for those to report
+MAX_PRECEDING_STEPS = 8  # limit of steps before a difference that are reported with it
+RECENT_STEPS_COUNT = 2000  # number of steps before a difference that are searched for the steps to report
 DIGEST_BYTES = 16
 
 
@@ -34,7 +34,7 @@
 
     step: Step
     actions: list[Action]  # the actions of the replayed module
-    preceding: list[Step]  # the last steps about the same endpoints and requests
+    preceding: list[Step]  # the last steps before it about the same endpoints and requests
     state: list[str]  # description of the state after the decision
 
 
@@ -43,7 +43,7 @@
     """The result of a replay."""
 
     steps: int = 0
-    states: int = 0  # recorded states that were compared with the module's state
+    states: int = 0  # number of recorded states that were compared with the module's state
     gaps: list[str] = field(default_factory=list)
     digest: str = ""  # hash of all replayed actions, in hexadecimal
     difference: Difference | None = None
--- a/gradegap/capture/simulation.py
+++ b/gradegap/capture/simulation.py
@@ -38,7 +38,8 @@
 
 # Longest time between a simulated answer and the recorded answer that it copies, for *near* and for *far*.
 NEAR_S, FAR_S = 1.0, 5.0
-MIN_CLIENT_TRIES = 3  # requests that a client sends before it gives up, or more if it did in the recording
+# Number of requests after which a client gives up; higher for a client that sent more in the recording.
+MIN_CLIENT_TRIES = 3
 CLIENT_BACKOFF_S = 0.5  # time until a client retries after an answer without a retry time
 TAIL_S = 3.0  # simulated time after the end of the recording, for requests in flight
 MAX_EVENTS = 20_000_000  # scheduled events after which the simulation stops
@@ -51,7 +52,7 @@
 
     at: float  # clock, s
     request_id: int
-    recorded: str  # endpoint
+    recorded: str  # endpoint in the recording
     played: str
 
 
@@ -88,10 +89,12 @@
         self.scheduled = 0  # number of entries ever scheduled; orders entries that are due at the same time
         self.next_request_id = 1 + max([0, *(c.request.request_id for c in observations.clients)])
         self.clients: dict[int, Client] = {}  # clients by request id
-        # Requests since the last connection, by the id of the client's first request.
+        # Number of requests that a client sent since its last established connection, by the id of its first
+        # request.
         self.tries: Counter[int] = Counter()
         self.attempt_counts: Counter[int] = Counter()
-        self.in_flight: dict[int, tuple[str, int]] = {}  # by request id: endpoint, number of the attempt
+        # Attempts in flight by request id: endpoint and number of the attempt.
+        self.in_flight: dict[int, tuple[str, int]] = {}
         self.established: dict[int, str] = {}  # endpoint of each established connection, by request id
         self.answered: set[int] = set()
         self.deadlines: dict[int, float] = {}
@@ -205,7 +208,7 @@
         if client is None:
             return
         if client.ended_at is not None and client.ended_at <= self.now and client.arrivals == 1:
-            return  # the client gave up in the recording as well
+            return  # the client gave up at this time in the recording as well
         if self.tries[client.request.request_id] < max(MIN_CLIENT_TRIES, client.arrivals):
             self._schedule_request(client, False, after)
 
--- a/gradegap/capture/snapshot.py
+++ b/gradegap/capture/snapshot.py
@@ -22,8 +22,8 @@
 from gradegap.capture.schema import BALANCER
 
 MAX_OBJECTS_IN_PLACE = 400  # up to this number of objects, a state is dumped in the node's process
-CHILD_TIMEOUT_S = 20.0  # the child is killed if its state is not complete by then
-CHILD_NICENESS = 5  # the child yields the processor to the node
+CHILD_TIMEOUT_S = 20.0  # time after which the child is killed if its state is not complete
+CHILD_NICENESS = 5  # added to the child's nice value, so that the node has priority
 READ_BYTES = 1 << 20  # bytes per read from the pipe
 
 
--- a/gradegap/capture/state.py
+++ b/gradegap/capture/state.py
@@ -29,7 +29,7 @@
 from gradegap.capture.errors import BadStateError, LaterStateError, OtherAlgorithmError
 from gradegap.capture.schema import CLASS_SETTINGS, ENUMS, FORMS, VERSION, Form
 
-MAX_OBJECTS = 1_000_000  # objects in one stored state
+MAX_OBJECTS = 1_000_000  # limit of objects in one stored state
 PLAIN = frozenset({type(None), bool, int, float, str})
 PROGRAM = __name__.partition(".")[0]  # the top-level package of the program's own classes
 _SEQUENCES: dict[type, str] = {list: "l", tuple: "t", deque: "d"}
--- a/gradegap/capture/switch.py
+++ b/gradegap/capture/switch.py
@@ -52,7 +52,7 @@
 
     balancer: Any  # replaced by a `RecordedBalancer`
     loop: asyncio.AbstractEventLoop
-    now: Callable[[], float]  # the clock, s
+    now: Callable[[], float]  # returns the clock in s
 
     @property
     def settings(self) -> Settings:
--- a/gradegap/hot_restart/errors.py
+++ b/gradegap/hot_restart/errors.py
@@ -8,7 +8,7 @@
 
 
 class MalformedMessageError(HotRestartError):
-    """A message that this version can't decode; its sender keeps the sessions that it contains."""
+    """A message that this version can't decode; the sender keeps the sessions that the message contains."""
 
 
 class SessionNotAdoptedError(HotRestartError):
--- a/gradegap/hot_restart/host.py
+++ b/gradegap/hot_restart/host.py
@@ -33,7 +33,7 @@
     upstream: TcpUpstream
     descriptors: DescriptorBudget
     resuming: SessionResumption | None  # makes sessions resumable; None without `[resume]`
-    listening_socket: socket.socket | None  # for clients; None until it is open
+    listening_socket: socket.socket | None  # accepts the connections of clients; None until it is open
 
     @property
     def channels(self) -> set[TcpChannel]:
@@ -62,7 +62,7 @@
         """Base decisions on the configuration that the predecessor had applied, until its lease expires."""
 
     def release_quic_port(self) -> ReleasedQuicPort | None:
-        """Release the QUIC port for the successor; None if this process has none."""
+        """Release the QUIC port and return it for the successor; None if this process has none."""
 
     def adopt_quic_port(self, state: bytes, descriptors: list[int]) -> None:
         """Take over the predecessor's QUIC port; becomes the owner of the descriptors."""
--- a/gradegap/hot_restart/hot_restart.py
+++ b/gradegap/hot_restart/hot_restart.py
@@ -39,7 +39,8 @@
 log = structlog.get_logger()
 
 STATE_TIMEOUT_S = 1.5  # limits how long the predecessor may take to send its state
-DESCRIPTOR_COUNT_INTERVAL_S = 0.1  # interval of sending the other process the number of open descriptors
+# Interval at which the number of open descriptors is sent to the other process.
+DESCRIPTOR_COUNT_INTERVAL_S = 0.1
 _NO_COUNT_SENT = -1
 
 
@@ -69,7 +70,7 @@
         return self._predecessor.state is PredecessorState.HANDING_OVER
 
     async def follow(self) -> bool:
-        """Receive the serving process's state; False without one, or after `STATE_TIMEOUT_S`."""
+        """Receive the serving process's state; False if no process serves, or after `STATE_TIMEOUT_S`."""
         sock = await connect_to_predecessor(self._loop, self._path) if self._path is not None else None
         if sock is None:
             return False
@@ -86,7 +87,7 @@
         return received
 
     def begin_serving(self) -> None:
-        """Notify the predecessor that this process accepts clients, and wait for a successor."""
+        """Notify the predecessor that this process accepts clients, and start to listen for a successor."""
         if self._link is not None:
             self._link.send(SuccessorReady())
             self._send_descriptor_count()
@@ -98,8 +99,8 @@
         try:
             self._listener = SuccessorListener(self._loop, self._path, self._on_successor)
         except OSError as error:
-            # Without this socket, a successor starts without the state of this process, and this process
-            # migrates its clients when it shuts down.
+            # If this socket can't be opened, a later successor starts without the state of this process, and
+            # this process migrates its clients when it shuts down.
             self._host.metrics.count("hot_restarts_failed")
             log.error("hot restart socket not opened", path=str(self._path), error=str(error))
 
--- a/gradegap/hot_restart/link.py
+++ b/gradegap/hot_restart/link.py
@@ -23,7 +23,8 @@
 ADMIN_COMMAND_TIMEOUT_S = 0.6  # limits how long the other process may take to carry out a command
 MAX_MESSAGE_BYTES = 128 * 1024
 MAX_MESSAGE_DESCRIPTORS = 4
-MAX_MESSAGES_PER_TURN = 16  # limits messages read per iteration of the event loop, so that clients are served
+# Limit of messages read per iteration of the event loop; clients are served between iterations.
+MAX_MESSAGES_PER_TURN = 16
 
 _decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
 
--- a/gradegap/hot_restart/messages.py
+++ b/gradegap/hot_restart/messages.py
@@ -26,7 +26,8 @@
 class Offer(msgspec.Struct, tag="offer"):
     """The first message of a predecessor, sent with its listening socket for clients."""
 
-    disabled_endpoints: dict[str, float] = msgspec.field(name="out")  # endpoint -> time of its disabling
+    # Endpoint -> time at which it was disabled.
+    disabled_endpoints: dict[str, float] = msgspec.field(name="out")
     descriptor_count: int = msgspec.field(name="sockets")  # descriptors that the predecessor has open
     sealing_keys: bytes = msgspec.field(name="ring", default=b"")
     """Keys that seal the tokens of resumable sessions; empty if a store holds them."""
@@ -78,11 +79,14 @@
     opening_before_wait: bytes = msgspec.field(name="before")
     opening_after_wait: bytes = msgspec.field(name="after")
     endpoint: str = msgspec.field(name="backend")
-    partial_line: bytes = msgspec.field(name="part")  # of the endpoint; the line's end was not received yet
+    # Start of a line from the endpoint; the rest of the line was not received yet.
+    partial_line: bytes = msgspec.field(name="part")
     last_response_at: float = msgspec.field(name="heard_at")
-    # None: the endpoint has answered all lines of the client.
+    # Time since which a line of the client has been unanswered; None if the endpoint has answered all of
+    # them.
     unanswered_since: float | None = msgspec.field(name="asked_at")
-    # An `AttemptResult`; None: the endpoint has not announced the end of the connection.
+    # The `AttemptResult` with which the endpoint announced the end of the connection; None if it announced
+    # none.
     announced_result: int | None = msgspec.field(name="said")
     report: dict[str, float] | None
 
@@ -99,7 +103,8 @@
 
     serial: int
     operation: str = msgspec.field(name="what")  # an `AdminOperation`; a later version may send other values
-    endpoint: str = msgspec.field(name="server")  # empty for operations on the node
+    # Endpoint to disable or enable; empty for operations on the whole node.
+    endpoint: str = msgspec.field(name="server")
 
 
 class AdminCommandDone(msgspec.Struct, tag="obeyed"):
@@ -115,10 +120,11 @@
 
 
 class StoreLease(msgspec.Struct, tag="lease"):
-    """The remaining lease of the predecessor, which has left the store, and the disabled endpoints."""
+    """The remaining lease time of the predecessor, which has left the store, and the disabled endpoints."""
 
     remaining_s: float = msgspec.field(name="left")
-    disabled_endpoints: dict[str, float] = msgspec.field(name="out")  # endpoint -> time of its disabling
+    # Endpoint -> time at which it was disabled.
+    disabled_endpoints: dict[str, float] = msgspec.field(name="out")
 
 
 class QuicPort(msgspec.Struct, tag="port"):
--- a/gradegap/hot_restart/predecessor.py
+++ b/gradegap/hot_restart/predecessor.py
@@ -70,7 +70,7 @@
         link.send(StateComplete())
 
     def hand_over(self, link: Link) -> None:
-        """Stop accepting, because the successor accepts clients; send it the store's lease and QUIC port."""
+        """Stop accepting, because the successor accepts clients; send it the store lease and QUIC port."""
         host = self._host
         log.info("successor accepts clients", sessions=len(host.channels))
         host.metrics.count("hot_restarts")
@@ -97,8 +97,8 @@
     def lose_successor(self) -> None:
         """Handle the end of the successor, or of the connection to it.
 
-        Guards against a successor that dies: sessions that it has not accepted stay here, and this
-        process serves again unless it is shutting down.
+        Guards against a successor that dies: sessions that it has not accepted stay in this process, which
+        accepts clients again unless it is shutting down.
         """
         previous_state, self.state = self.state, PredecessorState.NO_SUCCESSOR
         self._transfer.take_back_all()
--- a/gradegap/hot_restart/session_transfer.py
+++ b/gradegap/hot_restart/session_transfer.py
@@ -18,9 +18,10 @@
 from gradegap.proxy.request import Request, RequestState
 from gradegap.upstream.connection import UpstreamConnection
 
-# Limit of sessions that were sent but not answered; their descriptors are open in both processes.
+# Limit of sessions that were sent and neither accepted nor rejected yet; their descriptors are open in both
+# processes.
 MAX_SESSIONS_IN_FLIGHT = 8
-FIRST_LINE_TIMEOUT_S = 1.0  # time for the first line on an idle connection that was taken back
+FIRST_LINE_TIMEOUT_S = 1.0  # timeout of the first line on an idle connection that was taken back
 
 
 @dataclass(slots=True, frozen=True)
@@ -41,10 +42,11 @@
     def __init__(self, host: Host) -> None:
         self._host = host
         self._last_serial = 0
-        self._in_flight: dict[int, _IdleInFlight | _EstablishedInFlight] = {}  # by serial
+        # Sessions without an answer of the successor, by the serial of their message.
+        self._in_flight: dict[int, _IdleInFlight | _EstablishedInFlight] = {}
 
     def send_sessions(self, link: Link) -> None:
-        """Send sessions that can be transferred now, until `MAX_SESSIONS_IN_FLIGHT` are without an answer."""
+        """Send sessions that can be transferred now, until `MAX_SESSIONS_IN_FLIGHT` have no answer yet."""
         for channel in list(self._host.channels):
             if len(self._in_flight) >= MAX_SESSIONS_IN_FLIGHT:
                 break
--- a/gradegap/hot_restart/successor.py
+++ b/gradegap/hot_restart/successor.py
@@ -20,7 +20,7 @@
 
     ALONE = "alone"
     RECEIVING_STATE = "receiving state"
-    FOLLOWING = "following"  # has the state, and receives sessions after it accepts clients
+    FOLLOWING = "following"  # state received; sessions follow once this process accepts clients
 
 
 class Successor:
@@ -38,7 +38,7 @@
         self.state = SuccessorState.ALONE
 
     def begin(self) -> asyncio.Future[bool]:
-        """Expect a predecessor's state; the result is False if the predecessor ends before it is complete."""
+        """Expect a predecessor's state; the future is False if the predecessor ends before that."""
         self.state = SuccessorState.RECEIVING_STATE
         self._state_received = self._host.loop.create_future()
         return self._state_received
--- a/gradegap/node/admin_operations.py
+++ b/gradegap/node/admin_operations.py
@@ -14,9 +14,9 @@
 from gradegap.node.lifecycle import Lifecycle
 from gradegap.proxy.proxy import Proxy
 
-# Time from the request to take the node out of service until all of its established connections are migrated.
+# Time after the request to take the node out of service by which all established connections are migrated.
 DRAIN_TIME_S = 2.8
-MAX_DISABLED_ENDPOINTS = 50  # limit of endpoints that are disabled by operators at the same time
+MAX_DISABLED_ENDPOINTS = 50  # limit of endpoints that operators may disable at the same time
 
 NOT_READY = AdminResult(HTTPStatus.SERVICE_UNAVAILABLE, "takes no clients")
 UNKNOWN_ENDPOINT = AdminResult(HTTPStatus.NOT_FOUND, "no such save server")
@@ -88,7 +88,7 @@
         elif not self._is_known(endpoint):
             done(UNKNOWN_ENDPOINT)
         elif self._committed.source is not None:
-            # The change takes effect when it is committed, at this node as at every other, and not earlier.
+            # The change takes effect only when it is committed, at this node as at every other node.
             self._committed.source.disable_endpoint(endpoint, done)
         else:
             self._apply_in_both_processes(AdminOperation.DISABLE_ENDPOINT, endpoint, done)
--- a/gradegap/node/client_listener.py
+++ b/gradegap/node/client_listener.py
@@ -42,7 +42,8 @@
         self._create_channel = create_channel
         self._server: asyncio.Server | None = None
         self.channels: set[TcpChannel] = set()
-        self.socket: socket.socket | None = None  # the original, which is passed on to a successor
+        # The original listening socket, which is passed on to a successor.
+        self.socket: socket.socket | None = None
 
     def create_channel(self) -> TcpChannel:
         """Create a channel whose connection is not attached yet."""
--- a/gradegap/node/committed_configuration.py
+++ b/gradegap/node/committed_configuration.py
@@ -28,8 +28,9 @@
     from gradegap.store.embedded import EmbeddedStore
     from gradegap.store.machine import StateMachine
 
-STALE_RETRY_AFTER_S = 0.5  # sent to clients that are rejected because the node has no lease
-# Limit of the time that a member that is the leader has to transfer leadership before it is closed.
+STALE_RETRY_AFTER_S = 0.5  # retry delay sent to clients that are rejected because the node has no lease
+# Time from the release of a store member to its close; a member that is the leader transfers its leadership
+# in this time.
 LEADERSHIP_TRANSFER_TIMEOUT_S = 0.3
 
 
@@ -52,7 +53,7 @@
         self._metrics = metrics
         self._loop = loop
         self._inherited_lease_until = 0.0  # monotonic time at which the predecessor's lease expires, s
-        self.source: EmbeddedStore | ObservedStore | None = None  # None: not started, or closed
+        self.source: EmbeddedStore | ObservedStore | None = None  # None before the start and after the close
 
     @property
     def subscription(self) -> ObservedStore | None:
@@ -72,7 +73,7 @@
         return is_fresh or time.monotonic() < self._inherited_lease_until
 
     def retry_after(self) -> float | None:
-        """None if a decision may be made now; otherwise the seconds after which a client may retry."""
+        """Seconds after which a client may retry; None if a decision may be made now."""
         if not self.allows_decisions():
             return STALE_RETRY_AFTER_S
         if self.source is None or not self.source.is_fresh():
--- a/gradegap/node/optional_parts.py
+++ b/gradegap/node/optional_parts.py
@@ -90,4 +90,4 @@
 
     trace = DecisionTrace(proxy.balancer)
     trace.write_settings(settings)
-    proxy.balancer = cast(Any, trace)  # the trace has the balancer's methods that the proxy uses
+    proxy.balancer = cast(Any, trace)  # the trace implements the balancer's methods that the proxy calls
--- a/gradegap/node/quic_part.py
+++ b/gradegap/node/quic_part.py
@@ -80,12 +80,12 @@
         return listener
 
     async def resume(self) -> None:
-        """Read the port again, because the successor that had taken it over has died."""
+        """Read datagrams from the port again, because the successor that had taken it over has died."""
         if self._listener is not None:
             await self._listener.serve_again()
 
     def release_port(self) -> ReleasedQuicPort | None:
-        """Release the port for the successor; None if this process has no QUIC port."""
+        """Release the port and return it for the successor; None if this process has no QUIC port."""
         if self._listener is None or self._listener.sock is None:
             return None
         transfer, descriptors = self._listener.release_port()
--- a/gradegap/node/restart_host.py
+++ b/gradegap/node/restart_host.py
@@ -37,7 +37,7 @@
         resuming: SessionResumption | None,
         restore_service: Callable[[], Coroutine[Any, Any, None]],
     ) -> None:
-        """`restore_service` accepts clients again, and starts the parts that a successor had when it died."""
+        """`restore_service` accepts clients again, and starts the parts that a successor had taken."""
         self.loop = proxy.loop
         self.proxy = proxy
         self.upstream = upstream
@@ -95,7 +95,7 @@
         self._committed.inherit_lease(remaining_s, disabled_endpoints)
 
     def release_quic_port(self) -> ReleasedQuicPort | None:
-        """Release the QUIC port for the successor; None if this process has none."""
+        """Release the QUIC port and return it for the successor; None if this process has none."""
         return self._quic.release_port()
 
     def adopt_quic_port(self, state: bytes, descriptors: list[int]) -> None:
--- a/gradegap/node/shutdown.py
+++ b/gradegap/node/shutdown.py
@@ -20,7 +20,7 @@
 log = structlog.get_logger()
 
 KILL_MARGIN_S = 0.7  # time from the last deadline of an accepted request to the earliest SIGKILL
-MAX_DEADLINE_S = 3.0  # upper limit of the longest request deadline that `kill_time` assumes
+MAX_DEADLINE_S = 3.0  # `kill_time` assumes at most this as the longest request deadline
 # The steps of a shutdown are due at times between SIGTERM and the earliest SIGKILL. Each is due at the later
 # of two times: `..._MARGIN_S` before the SIGKILL, and when the fraction `..._RATIO` of the time from SIGTERM
 # to SIGKILL has passed.
--- a/gradegap/quic/channel.py
+++ b/gradegap/quic/channel.py
@@ -19,8 +19,8 @@
 
 # The handshake must leave time for the first line, whose timeout counts from the connection's start.
 HANDSHAKE_TIMEOUT_S = FIRST_LINE_TIMEOUT_S
-MAX_CONCURRENT_STREAMS = 32  # concurrent sessions of one connection
-MAX_STREAMS = 5000  # sessions of one connection in all; after that the client must connect again
+MAX_CONCURRENT_STREAMS = 32  # limit of concurrent sessions of one connection
+MAX_STREAMS = 5000  # limit of all sessions of one connection; after them the client must connect again
 NEXT_STREAM_TIMEOUT_S = 5.0  # time that a connection without open sessions waits for a new session
 
 
@@ -71,7 +71,7 @@
         self.initial_route: tuple[bytes, Any] = (b"", None)
         self.streams: dict[int, StreamChannel] = {}  # open sessions by stream id
         self.finished_streams: set[int] = set()  # stream ids of sessions that have ended or were refused
-        self.session_count = 0  # sessions that have begun on this connection
+        self.session_count = 0  # number of sessions that have begun on this connection
         self.is_handshake_complete = False
         self.timer: asyncio.TimerHandle | None = None  # aioquic's timer
         self.timer_due_at = 0.0
--- a/gradegap/quic/connection.py
+++ b/gradegap/quic/connection.py
@@ -15,7 +15,7 @@
 from aioquic.quic.packet import QuicFrameType
 from aioquic.quic.packet_builder import QuicDeliveryState
 
-MAX_CONNECTION_IDS = 8  # active ids of one connection
+MAX_CONNECTION_IDS = 8  # limit of active ids of one connection
 NEW_TOKEN_OVERHEAD_BYTES = 1 + 8  # type and length fields of a NEW_TOKEN frame
 
 _OVERRIDDEN_METHODS = ("_write_connection_limits", "_write_stream_limits", "_replenish_connection_ids")
--- a/gradegap/quic/ids.py
+++ b/gradegap/quic/ids.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 
 UNROUTABLE_BITS = 7  # config rotation bits of an unroutable connection id (section 3.1)
-MAX_ID_LENGTH = 20  # octets of a connection id (RFC 9000, 17.2)
+MAX_ID_LENGTH = 20  # limit of octets of a connection id (RFC 9000, 17.2)
 MIN_NONCE_LENGTH = 4  # octets
 AES_KEY_LENGTH = 16  # octets: AES-128
 
--- a/gradegap/quic/listener.py
+++ b/gradegap/quic/listener.py
@@ -45,7 +45,8 @@
 
 MAX_CONCURRENT_HANDSHAKES = 256
 MAX_PREDECESSORS = 2  # earlier processes of this node to which datagrams are still forwarded
-# Time for which a packet to a retired id is taken for a late packet, and not for one of a lost session.
+# Time after the retirement of a connection id during which a packet sent to the id is treated as late, and
+# not as a packet of a lost session.
 RETIRED_ID_GRACE_S = 3.0
 
 
@@ -55,7 +56,7 @@
     holders: list[Holder]  # this process, then its predecessors that still hold sessions
     ring: QuicRing
     used: list[tuple[bytes, float]]  # digests of used tokens, each with its expiry as Unix time in s
-    since: float  # Unix time in s; of tokens made earlier, `used` may be incomplete
+    since: float  # Unix time in s; `used` may lack tokens that were made before it
 
 
 class QuicListener(asyncio.DatagramProtocol):
@@ -93,15 +94,18 @@
         self.ring_revision = -1  # store revision of the last ring read; -1 before the first
         # A ring known only to this process, used until the store has one.
         self.keys = DerivedKeys(QuicRing().rotated(time.time_ns() // 1_000_000))
-        self.forwarders: dict[Holder, DatagramForwarder] = {}  # to other processes of this node
+        # Forwarders of datagrams to other processes of this node.
+        self.forwarders: dict[Holder, DatagramForwarder] = {}
         self.router = Router(self.keys, self.own_holder, self.forwarders.__contains__)
         self.sock: socket.socket | None = None  # the UDP socket, kept also while the successor reads it
         self.forwarded_datagrams: ForwardedDatagrams | None = None  # datagrams that the successor forwards
-        self.forward_socket: socket.socket | None = None  # the end that the successor writes to
+        # The sending end of the socket pair, to which the successor writes.
+        self.forward_socket: socket.socket | None = None
         self.tokens = AddressTokens(self.keys)
         self.stateless = StatelessResponder(self.send, metrics)
-        self.routes: dict[bytes, QuicConnectionChannel] = {}  # by connection ids that this process issued
-        # By the client's original destination id and its address.
+        # Connections by the ids that this process issued for them.
+        self.routes: dict[bytes, QuicConnectionChannel] = {}
+        # Connections by the client's original destination id and the address that it was sent from.
         self.initial_routes: dict[tuple[bytes, Any], QuicConnectionChannel] = {}
         self.channels: set[QuicConnectionChannel] = set()
         # Recently retired ids, each with the end of its grace period on the loop's clock.
@@ -185,7 +189,10 @@
         return transfer, descriptors
 
     async def take_over_port(self, transfer: PortTransfer, descriptors: list[int]) -> None:
-        """Read the predecessor's port; the predecessor keeps its sessions. Owns the descriptors."""
+        """Start reading the predecessor's port; the predecessor keeps its sessions.
+
+        Takes ownership of the descriptors.
+        """
         sockets = [socket.socket(fileno=descriptor) for descriptor in descriptors]
         if self.sock is not None or len(sockets) != 1 + len(transfer.holders):
             for received_socket in sockets:
--- a/gradegap/quic/routing.py
+++ b/gradegap/quic/routing.py
@@ -13,9 +13,9 @@
 from gradegap.quic.ids import MAX_ID_LENGTH
 from gradegap.quic.keys import DerivedKeys, Holder
 
-MIN_INITIAL_ID_LENGTH = 8  # octets of the destination id that a client chooses first (RFC 9000, 7.2)
-MIN_INITIAL_DATAGRAM_LENGTH = 1200  # octets of a datagram with a client's Initial (RFC 9000, 14.1)
-MIN_RESET_LENGTH = 21  # octets of a stateless reset that looks like a packet (RFC 9000, 10.3)
+MIN_INITIAL_ID_LENGTH = 8  # fewest octets of the first destination id of a client (RFC 9000, 7.2)
+MIN_INITIAL_DATAGRAM_LENGTH = 1200  # fewest octets of a datagram with a client's Initial (RFC 9000, 14.1)
+MIN_RESET_LENGTH = 21  # fewest octets with which a stateless reset looks like a packet (RFC 9000, 10.3)
 # A stateless reset is shorter than the packet that triggered it, so that two endpoints do not reset each
 # other for ever.
 MIN_RESET_TRIGGER_LENGTH = MIN_RESET_LENGTH + 1
@@ -158,7 +158,7 @@
         if holder is None:
             return Route(RouteKind.DROP, header.destination, drop_reason="unknown_id")
         if holder.node != self.own_holder.node:
-            # The other node may still be running, and a reset would then end its session.
+            # The node that the id names may still be running; a reset would then end a session of that node.
             return Route(RouteKind.DROP, header.destination, drop_reason="other_node")
         if length < MIN_RESET_TRIGGER_LENGTH:
             return Route(RouteKind.DROP, header.destination, drop_reason="too_short")
--- a/gradegap/quic/settings.py
+++ b/gradegap/quic/settings.py
@@ -16,7 +16,8 @@
     alpn: tuple[str, ...] = ("gradegap/1",)
     idle_s: float = 30.0
     max_sessions: int = 4000
-    retry_from: int = 64  # concurrent handshakes from which new clients must validate their address by Retry
+    # Number of concurrent handshakes at which new clients must start to validate their address by Retry.
+    retry_from: int = 64
     # The node's number in connection ids; None derives it from the node's name.
     node: Annotated[int, msgspec.Meta(ge=0, le=65535)] | None = None
     keylog: str = ""  # file for the TLS secrets of all sessions, which packet analysers read; for tests only
--- a/gradegap/quic/stateless.py
+++ b/gradegap/quic/stateless.py
@@ -17,7 +17,7 @@
 from gradegap.quic.routing import MIN_RESET_LENGTH, Route, TokenBucket
 from gradegap.quic.tokens import AddressTokens
 
-MAX_RESET_LENGTH = 42  # octets of a stateless reset: the size of a small packet
+MAX_RESET_LENGTH = 42  # limit of octets of a stateless reset: the size of a small packet
 # Limits on stateless resets: the average rate per second, and the number sent at once.
 RESETS_PER_S, RESET_BURST_COUNT = 200.0, 100
 
--- a/gradegap/quic/tokens.py
+++ b/gradegap/quic/tokens.py
@@ -99,7 +99,7 @@
 
     def __init__(self, keys: DerivedKeys) -> None:
         self.used = UsedTokens()
-        # Unix time in s; for older NEW_TOKEN tokens, this process may not know whether they were used.
+        # Unix time in s; this process may not know which NEW_TOKEN tokens made before it were used.
         self.used_known_since = 0.0
         self.use_keys(keys)
 
--- a/gradegap/quic/trace.py
+++ b/gradegap/quic/trace.py
@@ -19,8 +19,8 @@
 
 log = structlog.get_logger()
 
-MAX_CONCURRENT_TRACES = 32  # connections traced at the same time
-MAX_TRACE_EVENTS = 20_000  # events of one trace
+MAX_CONCURRENT_TRACES = 32  # limit of connections that are traced at the same time
+MAX_TRACE_EVENTS = 20_000  # limit of events in one trace
 SUFFIX = ".sqlog.json"
 
 
--- a/gradegap/resume/first_line.py
+++ b/gradegap/resume/first_line.py
@@ -13,15 +13,17 @@
     """A resumable session that the node offers to an endpoint, and its state once it is established."""
 
     session: str
-    generation: int  # the generation that this offer starts
+    generation: int  # the session's generation that begins with this offer
     seen: int  # the client has the answers up to this number
     client_key: str
     class_name: str
     # Digest of the client's secret. A client that presents the same secret may return even if it never
     # received a token for the generation in force.
     client_digest: str = ""
-    last_position: int = -1  # `position` of the relay at the previous in-place migration; -1: none yet
-    fruitless_migrations: int = 0  # consecutive in-place migrations without an answer in between
+    # Number of the last answer that had been forwarded to the client when the session last migrated in place;
+    # -1 before its first in-place migration.
+    last_position: int = -1
+    fruitless_migrations: int = 0  # number of consecutive in-place migrations without an answer in between
 
 
 class FirstLine:
--- a/gradegap/resume/migration.py
+++ b/gradegap/resume/migration.py
@@ -25,7 +25,8 @@
 
 log = structlog.get_logger()
 
-# Timeout of the reservation and of the request to the new endpoint; then the client is sent `MOVE`.
+# Timeout of the reservation and of the request to the new endpoint; when it expires, the client is sent
+# `MOVE`.
 MIGRATION_TIMEOUT_S = 1.0
 # Logged once for each granted generation; verification compares it with the generations that servers claim.
 GENERATION_GRANTED_EVENT = "life of a session given"
@@ -86,7 +87,7 @@
 
 
 class InPlaceMigration:
-    """Replaces the client session in the request to the new endpoint, until that accepts the session."""
+    """Acts as the client session in the request to the new endpoint, until it accepts the session."""
 
     def __init__(
         self,
@@ -148,7 +149,7 @@
         log.info("session migrated", session=self.offer.session, epoch=self.offer.generation, ms=duration_ms)
 
     def on_upstream_data(self, data: bytes) -> None:
-        """Ignore the data, as no data is forwarded before the endpoint is established."""
+        """Ignore the data, as no data is forwarded before the new endpoint has accepted the session."""
 
     def on_upstream_lost(self, reset: bool) -> None:
         """Do nothing, as the end of the attempt follows and aborts the migration."""
--- a/gradegap/resume/reservation_service.py
+++ b/gradegap/resume/reservation_service.py
@@ -12,7 +12,7 @@
 from gradegap.resume.token import TokenPayload
 from gradegap.store import wire
 
-MIN_WRITE_TIMEOUT_S = 0.05  # least timeout of the write, even if the read took the whole timeout
+MIN_WRITE_TIMEOUT_S = 0.05  # lower limit of the write's timeout, even if the read took the whole timeout
 
 
 @dataclass(frozen=True, slots=True)
--- a/gradegap/resume/reservations.py
+++ b/gradegap/resume/reservations.py
@@ -12,8 +12,8 @@
 from gradegap.store.records import Compare, Item, KeyUpdate
 
 RESERVATION_PREFIX = "claims/"  # prefix of the reservations' keys in the store
-MAX_LOCAL_RESERVATIONS = 20_000  # bounds the memory of a node without a store
-# A client may use its token again within this time after a reservation was made for it.
+MAX_LOCAL_RESERVATIONS = 20_000  # limit of reservations that a node without a store keeps in memory
+# Time after a reservation within which the client may present the token of that reservation again.
 RETURN_RETRY_S = 30
 # A reservation is kept until every token of its session has expired, with any accepted clock skew.
 RETENTION_S = TOKEN_LIFETIME_S + 2 * MAX_CLOCK_SKEW_S
@@ -61,7 +61,7 @@
     Guards against a client that loses its session because its token was used up before it received a new
     one: the node that reserved the generation was killed, or no endpoint accepted the session. A client that
     presents the same secret with the same token again within `RETURN_RETRY_S` is taken for the same client.
-    It gets the generation after the reserved one, for which it never received a token.
+    It gets the generation after the reserved one, because it never received a token for the reserved one.
 
     A node that migrates a session in place (`is_return` is False) also records the secret's digest, but
     can't retry with it: if the generation in force has that digest, the same client has returned through
--- a/gradegap/resume/resumption.py
+++ b/gradegap/resume/resumption.py
@@ -35,9 +35,10 @@
 log = structlog.get_logger()
 
 UNCLAIMED_RETRY_S = 0.5  # retry delay sent to a client if no generation can be reserved for now
-MAX_FRUITLESS_MIGRATIONS = 3  # limits consecutive in-place migrations without an answer in between
+MAX_FRUITLESS_MIGRATIONS = 3  # limit of consecutive in-place migrations without an answer in between
 MIN_REMAINING_WAIT_S = 0.05  # lower limit of a request's wait after subtracting the time of the reservation
-DEFAULT_WAIT_S, MAX_WAIT_S = 1.0, 5.0  # the client's wait, as used for the timeout of a reservation
+# Default and upper limit of the client's wait from which the timeout of a reservation is computed.
+DEFAULT_WAIT_S, MAX_WAIT_S = 1.0, 5.0
 RESERVATION_TIMEOUT_RATIO = 0.8  # the timeout of a reservation is this fraction of the client's wait
 
 
@@ -145,7 +146,7 @@
         payload: TokenPayload,
         token: str,
     ) -> None:
-        """Reserve the next generation, which uses up the token; only one of its holders succeeds."""
+        """Reserve the next generation, which uses up the token; only one holder of the token succeeds."""
         started_at = time.monotonic()
 
         def reserved(generation: int) -> None:
@@ -273,7 +274,7 @@
         return True
 
     def _is_fruitless(self, offer: SessionOffer, relay: SessionRelay) -> bool:
-        """Return whether the session has received no answer over its last migrations; counts this migration.
+        """Count this migration; return whether the session migrated too often without an answer in between.
 
         Guards against a request that crashes every endpoint that receives it: without this limit its session
         would migrate from endpoint to endpoint forever.
--- a/gradegap/resume/session_relay.py
+++ b/gradegap/resume/session_relay.py
@@ -61,7 +61,8 @@
     def __init__(self, seen: int = 0, executed: int = 0) -> None:
         self.window = NodeWindow(seen, executed)
         self.state = RelayState.PASSING
-        self.endpoint_number = 0  # number of switches; data from endpoints with a lower number is dropped
+        # Number of switches so far; data from an endpoint that was selected at a lower number is dropped.
+        self.endpoint_number = 0
         self.client_remainder = b""  # start of a line that is not complete yet
         self.endpoint_remainder = b""
         self.waiting_lines: list[bytes] = []  # client lines that can't be forwarded yet
@@ -157,7 +158,7 @@
         return output
 
     def from_endpoint(self, data: bytes, number: int) -> RelayOutput:
-        """Process data from an endpoint; `number` is the `endpoint_number` when it was selected."""
+        """Process data from the endpoint that was selected when `endpoint_number` was `number`."""
         if self.state is RelayState.ENDED or number != self.endpoint_number:
             return RelayOutput()  # late data from an endpoint that the session has left
         if self.endpoint_remainder:
@@ -232,7 +233,10 @@
             self.state = RelayState.HELD
 
     def release_client(self) -> RelayOutput:
-        """Resume with the current endpoint, if no endpoint has claimed the next generation of the session."""
+        """Stop queueing client lines, and forward them to the current endpoint again.
+
+        To be called only if no endpoint has claimed the next generation of the session.
+        """
         if self.state is RelayState.HELD:
             self.state = RelayState.PASSING
         return self._forward_client_lines()
--- a/gradegap/resume/token.py
+++ b/gradegap/resume/token.py
@@ -22,11 +22,11 @@
 NONCE_BYTES = 12
 KEY_BYTES = 32
 TAG_BYTES = 16
-HEAD_BYTES = 1 + KEY_ID_BYTES  # the version and the key's id
+HEAD_BYTES = 1 + KEY_ID_BYTES  # length of the version and the key's id
 MAX_TOKEN_CHARS = 400
 TOKEN_LIFETIME_S = 600  # longest time for which a token is valid
 MAX_CLOCK_SKEW_S = 30  # largest accepted difference between the clocks of two nodes
-MAX_KEYS = 16  # in one ring
+MAX_KEYS = 16  # limit of keys in one ring
 KEY_RING_KEY = "keys/resume"  # the ring's key in the store
 
 
@@ -38,7 +38,8 @@
     class_name: str = msgspec.field(name="cls")
     endpoint: str = msgspec.field(name="server")  # id of the endpoint that had the session
     position: int  # number of the last request that was answered when the token was sealed
-    generation: int = msgspec.field(name="epoch")  # only one holder of the token may start its successor
+    # Generation of the session; only one holder of the token may start the next one.
+    generation: int = msgspec.field(name="epoch")
     expires_at: int = msgspec.field(name="until")  # Unix time in seconds
 
 
--- a/gradegap/resume/window.py
+++ b/gradegap/resume/window.py
@@ -11,9 +11,9 @@
 from gradegap.resume.errors import LineError, WindowFullError
 from gradegap.resume.lines import Answer, Request
 
-MAX_UNANSWERED = 64  # limits the requests of a session that have no answer yet
-MAX_HELD_ANSWERS = 4 * MAX_UNANSWERED  # limits the unacknowledged answers that an endpoint keeps
-ACKNOWLEDGE_INTERVAL_COUNT = 16  # a client acknowledges answers after receiving this many
+MAX_UNANSWERED = 64  # limit of requests of a session that have no answer yet
+MAX_HELD_ANSWERS = 4 * MAX_UNANSWERED  # limit of unacknowledged answers that an endpoint keeps
+ACKNOWLEDGE_INTERVAL_COUNT = 16  # number of received answers after which a client acknowledges them
 
 
 class ClientWindow:
