--- a/gradegap/capture/recorder.py
+++ b/gradegap/capture/recorder.py
@@ -163,7 +163,7 @@
         return True
 
     def _take_state_by_fork(self, start: dict[str, Any]) -> None:
-        """Has a forked process dump the state."""
+        """Forks a process that dumps the state."""
         try:
             child = snapshot.begin(self.balancer)
         except OSError as error:
--- a/gradegap/capture/redaction.py
+++ b/gradegap/capture/redaction.py
@@ -1,8 +1,8 @@
 """Replaces ids that identify players by a keyed hash, during recording or in an existing file. No I/O.
 
-Groups are placed by a hash of their names, so if a node places groups and an existing file is redacted, a
-replay of the redacted file takes other decisions. A recording whose ids were hashed during recording needs no
-redaction.
+Groups are placed by a hash of their names. If a node places groups and its recording is redacted afterwards,
+a replay of the redacted file therefore takes other decisions than the node. A recording whose ids were hashed
+during recording needs no redaction.
 """
 
 from __future__ import annotations
--- a/gradegap/capture/simulation.py
+++ b/gradegap/capture/simulation.py
@@ -1,11 +1,11 @@
 """Simulates a recorded day with another decision module or other settings. No I/O.
 
-Clients arrive as recorded, and retry or reconnect as the decisions of this module require. An endpoint
-answers as it did in the recording at about the same time. An answer is *near* if the endpoint was observed
-within 1 s of that time, *far* if within 5 s, and *modelled* otherwise. A load report is corrected by the
-difference between this module's connections to the endpoint and the recorded ones. After the first answer
-that is not near, the recording is no longer sufficient evidence for the result, which counts the answers of
-each kind.
+Clients arrive as recorded, and retry or reconnect as the decisions of the simulated module require. An
+endpoint answers as it did in the recording at about the same time. An answer is *near* if the endpoint was
+observed within 1 s of that time, *far* if within 5 s, and *modelled* otherwise. A load report is corrected by
+the difference between the simulated number of connections to the endpoint and the recorded one. After the
+first answer that is not near, the recording is no longer sufficient evidence for the result, which counts the
+answers of each kind.
 """
 
 from __future__ import annotations
@@ -338,7 +338,7 @@
         self._schedule(self.now + elapsed, self._feed, HealthCheckEnded(endpoint, result, elapsed, report))
 
     def _report(self, endpoint: str) -> dict[str, float] | None:
-        """Returns the nearest load report, corrected for this module's connections to the endpoint."""
+        """Returns the nearest load report, corrected for the simulated connections to the endpoint."""
         answer = self.observations.nearest_report(endpoint, self.now)
         if answer is None or answer.report is None:
             return None
--- a/gradegap/capture/writer.py
+++ b/gradegap/capture/writer.py
@@ -37,7 +37,7 @@
         self._settings, self._metrics = settings, metrics
         self._folder = Path(settings.folder)
         self._file: IO[bytes] | None = None
-        self._size = 0  # size of the open file in bytes
+        self._size = 0  # size of the file in progress, in bytes
         self._parts = 0  # number of files started
         self._index = Builder()  # index of the open file
         self._settings_written: dict[str, Any] | None = (
--- a/gradegap/hot_restart/session_transfer.py
+++ b/gradegap/hot_restart/session_transfer.py
@@ -150,7 +150,7 @@
             self._take_back(transfer)
 
     def _take_back(self, transfer: _IdleInFlight | _EstablishedInFlight) -> None:
-        """Continue a session here, because the successor rejected it or died before it answered."""
+        """Continue a session in this process: the successor rejected it or died before it answered."""
         self._host.metrics.count("sessions_taken_back")
         transfer.channel.session.take_back()
         if isinstance(transfer, _EstablishedInFlight):
--- a/gradegap/node/decision_trace.py
+++ b/gradegap/node/decision_trace.py
@@ -19,7 +19,7 @@
 from gradegap.balancing.events import Event
 from gradegap.balancing.settings import Settings
 
-MAX_ITEMS = 64  # items of a list that are written; of the remaining items, only the count is written
+MAX_ITEMS = 64  # limit of items of a list that are written; the remaining items are only counted
 
 
 class DecisionModule(Protocol):
--- a/gradegap/quic/channel.py
+++ b/gradegap/quic/channel.py
@@ -226,14 +226,14 @@
             stream.session.on_channel_closed(reset=reset)
 
     def discard(self) -> None:
-        """Forget the connection without a packet to the client, whose address may be forged."""
+        """Remove the connection without sending a packet to the client, whose address may be forged."""
         self._on_terminated(True)
 
     def _on_handshake_timeout(self) -> None:
         self.metrics.count("quic_handshakes_late")
         if not self.connection.is_address_validated():
-            # If the address is forged, its owner must not be sent more: a close is one more packet, which
-            # aioquic does not count against the limit of three times the data received (RFC 9000, 8.1).
+            # If the address is forged, no more data must be sent to its owner: a close is one more packet,
+            # which aioquic does not count against the limit of three times the data received (RFC 9000, 8.1).
             self.discard()
             return
         self.abort(CloseCode.FAILED)
--- a/gradegap/quic/listener.py
+++ b/gradegap/quic/listener.py
@@ -338,8 +338,8 @@
             return
         original_destination_id, retry_source_id = route.destination, None
         if route.token or handshake_count >= self.retry_from:
-            # Limits the effect of a flood from forged addresses: above `retry_from` concurrent handshakes a
-            # client must show by a token that it receives packets at its address, before state is kept.
+            # Limits the effect of a flood from forged addresses: from `retry_from` concurrent handshakes on,
+            # a client must show by a token that it receives packets at its address, before state is kept.
             try:
                 validated_id = self.tokens.validate(route.token, addr, route.destination, time.time())
             except InvalidTokenError as error:
--- a/gradegap/quic/stream.py
+++ b/gradegap/quic/stream.py
@@ -87,7 +87,7 @@
     def __init__(self, parent: ConnectionChannel, stream_id: int, elapsed: float) -> None:
         """Create the session.
 
-        `elapsed` is the time in s since the connection began if this is its first stream, else 0.
+        For the first stream of a connection, `elapsed` is the time in s since the connection began, else 0.
         """
         self.connection_channel, self.stream_id = parent, stream_id
         self.loop = parent.loop
--- a/gradegap/quic/tokens.py
+++ b/gradegap/quic/tokens.py
@@ -79,8 +79,8 @@
             self.expires_at.popitem(last=False)
         if token_hash in self.expires_at or len(self.expires_at) >= self.capacity:
             return False
-        # The order of use is only nearly the order of expiry. An entry that follows one with a later
-        # expiry is removed together with that one, a little late.
+        # Entries are in order of use, which is only nearly the order of expiry: an entry that follows one
+        # with a later expiry is removed together with that one, a little after its own expiry.
         self.expires_at[token_hash] = expiry
         return True
 
