--- a/gradegap/hot_restart/successor.py
+++ b/gradegap/hot_restart/successor.py
@@ -38,7 +38,10 @@
         self.state = SuccessorState.ALONE
 
     def begin(self) -> asyncio.Future[bool]:
-        """Expect a predecessor's state; the future is False if the predecessor ends before that."""
+        """Expect a predecessor's state.
+
+        The future's result is False if the predecessor ends before it has sent all of its state.
+        """
         self.state = SuccessorState.RECEIVING_STATE
         self._state_received = self._host.loop.create_future()
         return self._state_received
--- a/gradegap/node/restart_host.py
+++ b/gradegap/node/restart_host.py
@@ -37,7 +37,7 @@
         resuming: SessionResumption | None,
         restore_service: Callable[[], Coroutine[Any, Any, None]],
     ) -> None:
-        """`restore_service` accepts clients again, and starts the parts that a successor had taken."""
+        """`restore_service` accepts clients again and starts the parts that a successor had when it died."""
         self.loop = proxy.loop
         self.proxy = proxy
         self.upstream = upstream
