--- a/bench/scale/control_verdicts.py
+++ b/bench/scale/control_verdicts.py
@@ -1,4 +1,4 @@
-"""Verdicts on the control side: configuration changes, and what the control side of a node may cost."""
+"""Verdicts on the control side: configuration changes, and the cost of the control side of a node."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class HealthCheckCost:
-    """What the health checks of one node cost: calls and bytes a second, and a share of a core."""
+    """Cost of the health checks of one node: calls and bytes per second, and the share of a core."""
 
     calls_per_s: float
     bytes_per_s: float
@@ -22,7 +22,7 @@
 
     @classmethod
     def at(cls, book: SlopeBook, arrivals_per_s: float, interval_s: float) -> HealthCheckCost:
-        """At a rate of requests, and an interval at which each endpoint is checked."""
+        """Returns the cost at `arrivals_per_s` requests, with each endpoint checked every `interval_s`."""
         calls = health_checks_per_s(target.SERVERS, arrivals_per_s, interval_s)
         core = calls * book.at("probe", target.SERVERS).value * S_PER_US
         return cls(calls, calls * HEALTH_CHECK_BYTES, core)
@@ -30,9 +30,9 @@
 
 @dataclass(frozen=True)
 class ControlCost:
-    """What lease renewals and health checks of one node cost by the slopes.
+    """Cost of the lease renewals and health checks of one node, derived from the slopes.
 
-    `busy_checks` are those with connections of ten minutes and full servers.
+    `busy_checks` is the cost of health checks when connections last ten minutes and servers are full.
     """
 
     renewal_bytes_per_s: float
@@ -42,7 +42,7 @@
 
     @classmethod
     def by_slope(cls, book: SlopeBook) -> ControlCost:
-        """As the committed slopes give it."""
+        """Returns the cost that follows from the committed slopes."""
         renewals = lease_renewals_per_s()
         measured = book.get("renewal_bytes").points[0]
         return cls(
@@ -54,21 +54,21 @@
 
     @property
     def bytes_per_s(self) -> float:
-        """Of renewals and health checks together."""
+        """Bytes per second of renewals and health checks together."""
         return self.renewal_bytes_per_s + self.checks.bytes_per_s
 
     @property
     def core(self) -> float:
-        """Of renewals and health checks together, as a share."""
+        """Share of a core that renewals and health checks use together."""
         return self.renewal_core + self.checks.core
 
     @property
     def busy_core(self) -> float:
-        """The same with the busier health checks."""
+        """Share of a core that renewals and the busier health checks use together."""
         return self.renewal_core + self.busy_checks.core
 
     def core_verdict(self) -> str:
-        """Whether the limit of processor time is kept."""
+        """Returns the verdict on the limit of processor time."""
         return (
             f"{held(self.core, target.CONTROL_CORE_SHARE, BY_SLOPE)}, "
             "with connections of ten minutes and full servers "
@@ -76,18 +76,18 @@
         )
 
     def health_check_core(self) -> str:
-        """The health checks' part of processor time."""
+        """Describes the processor time of health checks."""
         return (
             f"{share(self.checks.core)} for {figure(self.checks.calls_per_s)} probes/s on top, "
             f"{share(self.busy_checks.core)} with connections of ten minutes and full servers"
         )
 
     def bytes_verdict(self) -> str:
-        """Whether the limit of bytes is kept with health checks."""
+        """Returns the verdict on the limit of bytes per second with health checks included."""
         return f"; with probes: {held(self.bytes_per_s, target.CONTROL_BYTES_PER_S, BY_SLOPE)}"
 
     def health_check_bytes(self) -> str:
-        """The health checks' part of the bytes."""
+        """Describes the bytes per second of health checks."""
         return (
             f"with the probes of {figure(target.ARRIVALS_PER_NODE)} requests/s on top, "
             f"{in_bytes(self.checks.bytes_per_s)}/s more, "
@@ -96,7 +96,7 @@
 
 
 def control_verdicts(book: SlopeBook, runs: dict[str, ControlResult]) -> list[Verdict]:
-    """From the run at full size where there is one, else by the slopes alone."""
+    """Returns verdicts from the run at full size if one is committed, else from the slopes alone."""
     cost = ControlCost.by_slope(book)
     found = ordinary_day(runs)
     if found is None:
--- a/bench/scale/full_size.py
+++ b/bench/scale/full_size.py
@@ -1,4 +1,4 @@
-"""The committed runs of hollow nodes (`control-*.json`), and each of their figures against its limit."""
+"""Reads the committed runs of hollow nodes (`control-*.json`) and selects figures from them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ControlResult(ControlFigures):
-    """What of a run's JSON the page reads; whatever else is in it is left alone."""
+    """The fields of a run's JSON that the page reads; other fields are ignored."""
 
     mechanism: str = "observer"
     fault: str = "none"
@@ -29,7 +29,7 @@
 
 
 def control_runs(folder: Path = RESULTS) -> dict[str, ControlResult]:
-    """All committed runs by the name of their file, smallest first."""
+    """Returns all committed runs by file name without suffix, in ascending order of nodes."""
     runs = {
         path.stem: msgspec.json.decode(path.read_bytes(), type=ControlResult)
         for path in sorted(folder.glob("control-*.json"))
@@ -38,25 +38,31 @@
 
 
 def ordinary_day(runs: dict[str, ControlResult]) -> tuple[str, ControlResult] | None:
-    """The run at full size without a fault, over subscriptions; the last by name where there are several."""
-    whole = [
+    """Returns the run at full size without a fault, over subscriptions; of several the last of `runs`."""
+    full_size_runs = [
         (name, run)
         for name, run in runs.items()
         if run.nodes >= target.NODES and run.mechanism == "observer" and run.fault == "none"
     ]
-    return whole[-1] if whole else None
+    return full_size_runs[-1] if full_size_runs else None
 
 
 def busiest_machine_share(run: ControlResult) -> float | None:
-    """The share of a core of the busiest control machine."""
-    return max((float(m["core_share"]) for m in run.machines if "core_share" in m), default=None)
+    """Returns the share of a core that the busiest control machine uses, `None` if none was measured."""
+    return max(
+        (float(machine["core_share"]) for machine in run.machines if "core_share" in machine), default=None
+    )
 
 
 def node_memory(run: ControlResult) -> float:
-    """Bytes of the control side with its process where that was measured, else what a node adds."""
+    """Returns the memory of a node's control side in bytes.
+
+    The figure includes the process where a process with a single node was measured; otherwise it is the
+    mean memory that one more node adds to a process.
+    """
     return run.node_control_bytes.get("process_of_one", run.node_control_bytes["mean"])
 
 
 def clock(run: ControlResult) -> str:
-    """At what pace it ran."""
+    """Describes the clock of a run: real time, or the factor by which it is slower."""
     return "at real time" if run.clock == 1.0 else f"clock slower {run.clock:g} times"
--- a/bench/scale/run_result.py
+++ b/bench/scale/run_result.py
@@ -1,4 +1,4 @@
-"""The result of a run of the control plane, as it is written to JSON, and the notes that go with it."""
+"""Result of a control plane run as written to JSON, with the notes that explain its figures."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Result(ControlFigures, omit_defaults=False):
-    """What a run found, behind the figures that others rely on."""
+    """All figures of one run; `ControlFigures` declares those that other modules read."""
 
     mechanism: str
     fault: str
@@ -43,13 +43,13 @@
     hollow_resident_bytes: dict[str, float]
     counters: dict[str, int]
     cores: int
-    cores_used: dict[str, float]  # in the window, by this run's processes and by all others
+    cores_used: dict[str, float]  # cores busy during the measured window: this run's processes, all others
     load_average: list[float]
     notes: list[str]
 
 
 def summed_counters(records: list[ProcessRecord]) -> dict[str, int]:
-    """The counters of all processes together."""
+    """Returns the sum of each counter over all processes."""
     totals: Counter[str] = Counter()
     for record in records:
         totals.update(record.counters)
@@ -57,7 +57,7 @@
 
 
 def notes(settings: RunSettings, writes: list[WriteRecord]) -> list[str]:
-    """What the figures mean, and what they leave out."""
+    """Returns the notes of a result: how its figures were measured and what they leave out."""
     lines = [
         NOT_COUNTED,
         "in_force_s runs from the moment the writer proposed a change until the node decides by it, "
@@ -68,8 +68,8 @@
     ]
     if settings.clock > 1.0:
         lines.append(f"slower clock: leases and loads are {settings.clock:g} times as slow as in real time")
-    refused = Counter(f"{w.outcome}: {w.text}" for w in writes if w.outcome != "ok")
-    lines += [f"{count} changes came to {why!r}" for why, count in refused.most_common(5)]
-    if any(w.attempts > 1 for w in writes):
+    failures = Counter(f"{write.outcome}: {write.text}" for write in writes if write.outcome != "ok")
+    lines += [f"{count} changes came to {why!r}" for why, count in failures.most_common(5)]
+    if any(write.attempts > 1 for write in writes):
         lines.append("of a change that was tried again the time counts from the try that came through")
     return lines
--- a/bench/scale/verdict.py
+++ b/bench/scale/verdict.py
@@ -1,4 +1,4 @@
-"""What a verdict is, and the words that several of them use."""
+"""The verdict on one requirement, and the texts that several verdicts share."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class Verdict:
-    """What is to be said of one line."""
+    """The verdict on one requirement, with the figures that support it."""
 
     requirement: str
     verdict: str
@@ -23,5 +23,5 @@
 
 
 def held(value: float, limit: float, said: str) -> str:
-    """A verdict of `said` where the limit is kept, else by what factor it is passed."""
+    """Returns `said` if `value` is within `limit`, else the factor by which it exceeds the limit."""
     return said if value <= limit else f"{NOT_HELD}, by {figure(value / limit)} times"
--- a/bench/scale/verdicts.py
+++ b/bench/scale/verdicts.py
@@ -1,4 +1,4 @@
-"""A verdict for each line of the letter, from slopes and from runs at full size."""
+"""Verdicts on all requirements of operations, from slopes and from runs at full size."""
 
 from __future__ import annotations
 
@@ -16,30 +16,33 @@
 from gradegap.observer.limits import Limits
 from gradegap.store.leases import MAX_LEASE_HOLDERS
 
-LATE_LINE_SHARE = 0.01
-FULL_COLLECTION_GROWTH = (
-    0.25  # CPython: objects that have grown old since the last full collection, over all old ones
-)
+LATE_LINE_SHARE = 0.01  # share of lines that may exceed the latency limit
+# CPython starts a full collection when the objects promoted to the oldest generation since the last
+# full collection exceed this ratio of all objects in that generation.
+FULL_COLLECTION_GROWTH = 0.25
 
 
 def delayed_line_share(collection_ms: float, arrivals: float) -> float:
-    """The share of lines that come in a full collection and wait longer than is allowed."""
+    """Returns the share of lines that a full collection delays beyond the latency limit.
+
+    `collection_ms` is the length of a full collection, `arrivals` the new connections per second.
+    """
     period_s = FULL_COLLECTION_GROWTH * target.CONNECTIONS_PER_NODE / arrivals
     return max(0.0, collection_ms - target.LINE_LATENCY_LIMIT_MS) / 1e3 / period_s
 
 
 def verdicts(book: SlopeBook, runs: dict[str, ControlResult]) -> list[Verdict]:
-    """In the letter's order."""
+    """Returns all verdicts in the order in which operations listed the requirements."""
     return [*_size(book, runs), *control_verdicts(book, runs), *_faults(book, runs), *_rest()]
 
 
 def _size(book: SlopeBook, runs: dict[str, ControlResult]) -> list[Verdict]:
-    """What a node has to carry."""
+    """Verdicts on the size of the deployment: counts, lines and zones."""
     return [*_counts(book, runs), *_lines(book), *_zones()]
 
 
 def _counts(book: SlopeBook, runs: dict[str, ControlResult]) -> list[Verdict]:
-    """Nodes, connections and groups."""
+    """Verdicts on the number of nodes, connections and groups."""
     memory = book.at("connection_memory", target.CONNECTIONS_PER_NODE)
     members = target.LARGEST_GROUP / target.NODES
     servers = target.LARGEST_GROUP / target.CONNECTIONS_PER_SERVER
@@ -81,7 +84,7 @@
 
 
 def _lines(book: SlopeBook) -> list[Verdict]:
-    """Lines, and how late they may be."""
+    """Verdicts on the rate of lines and on their latency."""
     collect = book.at("node_collection", target.CONNECTIONS_PER_NODE)
     lines = book.at("share_by_lines", target.LINES_PER_NODE).value / 100
     late = book.at("line_late_by_lines", target.LINES_PER_NODE)
@@ -119,7 +122,7 @@
 
 
 def _zones() -> list[Verdict]:
-    """Regions and zones."""
+    """Verdicts on regions and zones."""
     return [
         Verdict(
             "7 regions with 16 zones",
@@ -131,7 +134,7 @@
 
 
 def _fault_run(runs: dict[str, ControlResult], fault: str) -> str:
-    """What the largest run with a fault found."""
+    """Describes the result of the largest committed run with the given fault."""
     found = [(name, run) for name, run in runs.items() if run.fault == fault and run.mechanism == "observer"]
     if not found:
         return f"no run with the fault {fault!r} is committed"
