--- a/bench/scale/__main__.py
+++ b/bench/scale/__main__.py
@@ -22,8 +22,8 @@
 EXIT_BAD_RUN = 2
 EXIT_INTERRUPTED = 130
 
-RUN = typer.Option(None, help="TOML file of the run; the options below go over it")
-JSON = typer.Option(None, help="where the result is written; none: standard output alone")
+RUN = typer.Option(None, help="TOML file of the run; the options below override it")
+JSON = typer.Option(None, help="file for the result; without it only the summary is printed")
 
 app = typer.Typer(add_completion=False, help="Scale tests with hollow nodes.")
 
@@ -41,17 +41,17 @@
 def control_command(
     run: Path | None = RUN,
     json: Path | None = JSON,
-    nodes: int | None = typer.Option(None, help="hollow nodes"),
-    servers: int | None = typer.Option(None, help="scripted save servers"),
-    seconds: float | None = typer.Option(None, help="of the measured window"),
-    seed: int | None = typer.Option(None, help="of all random choices of the run"),
+    nodes: int | None = typer.Option(None, help="number of hollow nodes"),
+    servers: int | None = typer.Option(None, help="number of scripted save servers"),
+    seconds: float | None = typer.Option(None, help="length of the measured window in seconds"),
+    seed: int | None = typer.Option(None, help="seed of all random choices of the run"),
     mechanism: str | None = typer.Option(None, help="members or observer"),
-    control_machines: int | None = typer.Option(None, help="daemons of the store"),
-    fault: str | None = typer.Option(None, help="what goes wrong, or none"),
-    clock: float | None = typer.Option(None, help="by how much leases and loads are slowed"),
-    processes: int | None = typer.Option(None, help="hollow processes, at most"),
+    control_machines: int | None = typer.Option(None, help="number of store daemons"),
+    fault: str | None = typer.Option(None, help="fault to inject, or none"),
+    clock: float | None = typer.Option(None, help="factor by which leases and loads are slowed down"),
+    processes: int | None = typer.Option(None, help="maximum number of hollow processes"),
 ) -> None:
-    """Measure the control plane; exits 0 only when the run was whole."""
+    """Measure the control plane; exits with 0 only if the run was complete."""
     options = {
         "nodes": nodes,
         "servers": servers,
@@ -74,7 +74,7 @@
     try:
         result = asyncio.run(control(settings))
     except ChildFailedError as error:
-        typer.echo(f"the run was not whole: {error}", err=True)
+        typer.echo(f"run failed: {error}", err=True)
         raise typer.Exit(EXIT_FAILED) from None
     except (asyncio.CancelledError, KeyboardInterrupt):
         typer.echo("the run was interrupted; nothing was written", err=True)
@@ -85,7 +85,11 @@
 
 
 def check_writable(file: Path | None) -> None:
-    """Guards against a run whose result could not be written."""
+    """Checks before the run that its result can be written to `file`.
+
+    Raises:
+        RunFileError: `file` is a directory, or its directory can't be created or written to.
+    """
     if file is None:
         return
     try:
@@ -97,7 +101,7 @@
 
 
 def summary(result: Result) -> str:
-    """The main figures, one line each."""
+    """Returns the main figures of a result, one per line."""
     figures = [
         f"{result.nodes} nodes, {result.servers} servers, {result.mechanism}, fault {result.fault}",
         f"in force {result.in_force_s} s, missing {result.missing}, of {result.changes} changes",
@@ -110,19 +114,19 @@
     return "\n".join(figures)
 
 
-def add_parts(names: tuple[str, ...] = ("slopes", "page")) -> None:
-    """Commands of the package's other modules, where these are there."""
+def add_module_commands(names: tuple[str, ...] = ("slopes", "page")) -> None:
+    """Adds the commands of the package's other modules; a module that does not exist is skipped."""
     for name in names:
         try:
-            part = importlib.import_module(f"bench.scale.{name}")
+            module = importlib.import_module(f"bench.scale.{name}")
         except ModuleNotFoundError as error:
             if error.name != f"bench.scale.{name}":
                 raise
             continue
-        if isinstance(found := getattr(part, "app", None), typer.Typer):
+        if isinstance(found := getattr(module, "app", None), typer.Typer):
             app.add_typer(found, name=name)
 
 
 if __name__ == "__main__":
-    add_parts()
+    add_module_commands()
     app(prog_name="bench.scale")
--- a/bench/scale/reached_limits.py
+++ b/bench/scale/reached_limits.py
@@ -1,4 +1,4 @@
-"""At which part of the target each limit is met: what breaks first."""
+"""The share of the target size at which each limit is reached, which shows the limit reached first."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from gradegap.store.machine import MAX_KEYS
 from gradegap.store.watches import MAX_WATCHES
 
-DESCRIPTORS = 20_000  # hard limit of a process where the runs were made
+DESCRIPTORS = 20_000  # hard limit per process on the machine of the runs
 
 
 @dataclass(frozen=True)
 class ReachedLimit:
-    """A limit, and where it is met."""
+    """A limit, and the size at which it is reached."""
 
-    target_share: float  # of the target at which it is reached; over 1: not reached by the target
+    target_share: float  # share of the target at which the limit is reached; above 1: not reached
     what: str
     reached_at: str
     derivation: str
@@ -31,15 +31,15 @@
 
 
 def reached_limits(book: SlopeBook) -> list[ReachedLimit]:
-    """Smallest first."""
+    """Returns all limits in ascending order of `target_share`."""
     return sorted(
         [*_member_limits(book), *_configuration_limits(), *_node_limits(book)],
-        key=lambda each: each.target_share,
+        key=lambda limit: limit.target_share,
     )
 
 
 def _member_limits(book: SlopeBook) -> list[ReachedLimit]:
-    """Limits of nodes that are members of the store."""
+    """Returns the limits that apply to nodes that are members of the store."""
     gossip = book.at("gossip_bytes", target.SERVERS)
     siblings = target.CONTROL_BYTES_PER_S / gossip.value
     return [
@@ -75,7 +75,7 @@
 
 
 def _configuration_limits() -> list[ReachedLimit]:
-    """Limits of what the store keeps and publishes."""
+    """Returns the limits of stored keys, subscriptions and endpoints disabled by operators."""
     subscribers = Limits().max_subscribers
     return [
         ReachedLimit(
@@ -115,12 +115,12 @@
 
 
 def _node_limits(book: SlopeBook) -> list[ReachedLimit]:
-    """Limits of one node."""
+    """Returns the limits that apply to a single node."""
     return [_cold_servers(), *_connection_limits(book), *_loop_limits(book)]
 
 
 def _connection_limits(book: SlopeBook) -> list[ReachedLimit]:
-    """Descriptors, clients that come again, and health checks."""
+    """Returns the limits of descriptors, of clients that reconnect, and of health checks."""
     opened = book.at("open_by_connections", target.CONNECTIONS_PER_NODE)
     zone = target.RECONNECT_S / (reconnecting_clients(target.NODES_PER_ZONE) * opened.value * S_PER_US)
     region = target.RECONNECT_S / (reconnecting_clients(target.NODES_PER_REGION) * opened.value * S_PER_US)
@@ -167,7 +167,7 @@
 
 
 def _loop_limits(book: SlopeBook) -> list[ReachedLimit]:
-    """What delays the loop or fills its core."""
+    """Returns the limits of operations that delay the event loop or saturate its core."""
     listed = book.size_at("stop_list", target.LINE_LATENCY_LIMIT_MS)
     collected = book.size_at("node_collection", target.LINE_LATENCY_LIMIT_MS)
     lines = book.size_at("share_by_lines", 100.0)
