--- a/bench/scale/control.py
+++ b/bench/scale/control.py
@@ -1,4 +1,4 @@
-"""A run of the control plane: control machines, scripted servers, hollow nodes, loads, a fault, figures."""
+"""Runs the control plane: control machines, scripted servers, hollow nodes, load, and an injected fault."""
 
 from __future__ import annotations
 
@@ -40,29 +40,29 @@
 
 log = structlog.get_logger()
 
-ANSWER_TIMEOUT_S = 60.0  # of a child process
-START_PER_NODE_S = 0.025  # by which the nodes' starts are spread, for each of them
+ANSWER_TIMEOUT_S = 60.0  # limit for the answer of a child process to a command
+START_PER_NODE_S = 0.025  # starts are spread over this time multiplied by the number of nodes
 MIN_START_SPREAD_S = 2.0
 READY_POLL_INTERVAL_S = 0.5
 CHILD_POLL_INTERVAL_S = 0.5
 
 
 class Busy(msgspec.Struct):
-    """Processor seconds so far, of the whole machine and of the run's living processes."""
+    """Processor seconds used so far by the whole machine and, by pid, by the run's living processes."""
 
     machine: float
     processes: dict[int, float]
 
 
 def cores_used(before: Busy, after: Busy, seconds: float) -> dict[str, float]:
-    """Cores that the run's processes and all others used between two looks."""
+    """Returns the mean cores used between two samples by the run's processes and by all others."""
     own = sum(after.processes[pid] - before.processes.get(pid, 0.0) for pid in after.processes)
     others = max(0.0, after.machine - before.machine - own)
     return {"run": round(own / seconds, 2), "others": round(others / seconds, 2)}
 
 
 class ControlRun:
-    """One run, from the first process to the result."""
+    """One run, from the start of its first process to its result."""
 
     def __init__(self, settings: RunSettings, started: Children, folder: Path) -> None:
         self.settings, self.children, self.folder = settings, started, folder
@@ -82,32 +82,32 @@
         self.notes: list[str] = []
         self.cores_used: dict[str, float] = {}
 
-    # Parts that faults use
+    # Methods used by fault injection
 
     def fault_began(self, at: float, what: str) -> None:
-        """The fault is there."""
+        """Records the start of a fault: `at` on the steady clock, `what` names the fault's target."""
         self.faults.append({"at": at, "what": what, "until": 0.0})
 
     def fault_ended(self, at: float) -> None:
-        """The fault is over."""
+        """Records the end of the latest fault."""
         self.faults[-1]["until"] = at
 
     def alone(self) -> Child:
-        """The process that has one node."""
+        """Returns the process that runs a single node."""
         return self.hollow[0][0]
 
     def rack(self) -> tuple[Child, int]:
-        """The process that has a rack's nodes."""
+        """Returns the process that runs the nodes of a rack, and the number of these nodes."""
         child, nodes = self.hollow[1]
         return child, len(nodes)
 
     async def call(self, child: Child, command: HollowCommand) -> None:
-        """Send a command to a hollow process, and wait until it is carried out."""
+        """Sends a command to a hollow process and waits until the process confirms it."""
         child.send(command)
         await child.receive(Done, ANSWER_TIMEOUT_S)
 
     async def call_all(self, command: HollowCommand) -> None:
-        """Send a command to all hollow processes that are not lost, and wait for all of them."""
+        """Sends a command to all hollow processes that are not lost, and waits until all confirm it."""
         await asyncio.gather(*(self.call(child, command) for child in self._remaining_processes()))
 
     def _remaining_processes(self) -> list[Child]:
@@ -120,7 +120,11 @@
     # The run
 
     async def run(self) -> Result:
-        """Start all, measure, and say what was found; `ChildFailedError` where it was not whole."""
+        """Starts all processes, measures, and returns the result.
+
+        Raises:
+            ChildFailedError: a process ended or did not answer in time, or the nodes were not ready in time.
+        """
         watch = asyncio.ensure_future(self._watch())
         work = asyncio.ensure_future(self._run())
         try:
@@ -135,10 +139,10 @@
             self.client.close()
 
     async def _watch(self) -> None:
-        """Ends the run when a process ends that had to go on."""
+        """Fails the run when a process ends unexpectedly."""
         while True:
             if ended := self.children.unexpected_ends():
-                child = next(c for c in self.children.children if c.name == ended[0])
+                child = next(each for each in self.children.children if each.name == ended[0])
                 raise ChildFailedError(f"{ended[0]} ended with {child.process.returncode}{child.log_tail()}")
             await asyncio.sleep(CHILD_POLL_INTERVAL_S)
 
@@ -211,7 +215,7 @@
                 return
             if steady() > end:
                 raise ChildFailedError(
-                    f"{ready} of {self.settings.nodes} nodes stood after {self.settings.start_s:g} s"
+                    f"{ready} of {self.settings.nodes} nodes were ready after {self.settings.start_s:g} s"
                 )
             await asyncio.sleep(READY_POLL_INTERVAL_S)
 
@@ -247,13 +251,13 @@
         return Busy(machine_busy_s(), {pid: usage(pid, 0.0).processor_s for pid in living})
 
     async def _restart_one(self) -> None:
-        """A node that no fault touches restarts."""
+        """Restarts a random node, in runs without a fault only."""
         child, nodes = self.rng.choice(self.hollow[1:] or self.hollow)
         if child.name not in self.lost_processes and self.settings.fault == "none":
             await self.call(child, Restart([self.rng.randrange(len(nodes))]))
 
     async def _settle(self) -> None:
-        """Guards against a change called missing that was only a moment old."""
+        """Waits for writes and their delivery, so that a recent change is not counted as missing."""
         await self.load.finished()
         await asyncio.sleep(self.settings.settle_s)
 
@@ -278,7 +282,7 @@
         nodes: list[NodeRecord] = [node for record in records for node in record.nodes]
         found = analysis.in_force(nodes, writes)
         deciding = times(found.deciding)
-        resident = [float(r.resident_bytes) for r in records]
+        resident = [float(process_record.resident_bytes) for process_record in records]
         kinds = ("discovery", "probe")
         return Result(
             nodes=settings.nodes,
@@ -296,8 +300,10 @@
             clock=settings.clock,
             acceleration=settings.acceleration,
             changes=len(writes),
-            changes_not_acknowledged=sum(w.outcome != "ok" for w in writes),
-            acknowledged_s=times(w.acknowledged - w.proposed for w in writes if w.outcome == "ok"),
+            changes_not_acknowledged=sum(write.outcome != "ok" for write in writes),
+            acknowledged_s=times(
+                write.acknowledged - write.proposed for write in writes if write.outcome == "ok"
+            ),
             in_force_of_others_s=times(found.others),
             in_force_everywhere_s=times(found.everywhere),
             pairs_left=found.left,
@@ -327,7 +333,11 @@
 
 
 def process_sizes(settings: RunSettings) -> list[int]:
-    """How many nodes each process has: one alone, a rack where the fault wants one, the rest evenly."""
+    """Returns the number of nodes of each hollow process.
+
+    The first process has a single node. With the fault `rack` the second has the nodes of a rack. The other
+    nodes are distributed evenly.
+    """
     if settings.nodes == 1 or settings.processes == 1:
         return [settings.nodes]
     sizes = [1]
@@ -341,7 +351,7 @@
 
 
 async def control(settings: RunSettings) -> Result:
-    """One run; whatever ends it, no process is left, nor a file of its own."""
+    """Carries out one run; however it ends, its processes are stopped and its temporary files deleted."""
     task = asyncio.current_task()
     assert task is not None
     loop = asyncio.get_running_loop()
--- a/bench/scale/page.py
+++ b/bench/scale/page.py
@@ -26,19 +26,20 @@
 
 
 class PageError(Exception):
-    """A page whose markers can't be filled."""
+    """The page has a table marker that can't be filled."""
 
 
 def table(head: list[str], rows: list[list[str]]) -> str:
-    """A table of the page."""
+    """Returns a Markdown table; a `|` in a cell becomes `/`."""
     lines = [head, ["---"] * len(head), *rows]
     return "".join("| " + " | ".join(cell.replace("|", "/") for cell in line) + " |\n" for line in lines)
 
 
 def _points(each: Measurement) -> str:
     return "; ".join(
-        f"{figure(p.size)}: {figure(p.median)} ({figure(p.low)} to {figure(p.high)}; {p.repeats})"
-        for p in each.points
+        f"{figure(point.size)}: {figure(point.median)} "
+        f"({figure(point.low)} to {figure(point.high)}; {point.repeats})"
+        for point in each.points
     )
 
 
@@ -55,7 +56,11 @@
 
 
 def slopes_table(book: SlopeBook, part: str) -> str:
-    """One run of the microbenchmarks."""
+    """Returns the table of one run of the microbenchmarks.
+
+    Raises:
+        MissingResultError: no result of `part` is committed.
+    """
     run = book.runs.get(part)
     if run is None:
         raise MissingResultError(f"there is no results/slopes-{part}.json")
@@ -74,7 +79,7 @@
 
 
 def role_table(book: SlopeBook, role: str) -> str:
-    """One role's figures."""
+    """Returns the table of the figures of one role."""
     rows = [
         [row.moment, row.quantity, row.value, row.derivation, _module(row.module)]
         for row in roles.ROLES[role](book)
@@ -83,7 +88,7 @@
 
 
 def limits_table(book: SlopeBook) -> str:
-    """What breaks first."""
+    """Returns the table of all limits, the limit reached first at the top."""
     rows = [
         [
             str(place),
@@ -99,7 +104,7 @@
 
 
 def full_size_table(folder: Path) -> str:
-    """All committed runs of hollow nodes."""
+    """Returns the table of all committed runs of hollow nodes."""
     rows = []
     for name, run in full_size.control_runs(folder).items():
         busiest = full_size.busiest_machine_share(run)
@@ -130,7 +135,7 @@
 
 
 def assumptions_table() -> str:
-    """What operations did not give: the assumed value, and a second one."""
+    """Returns the table of figures not given by operations: the assumed value and a second value."""
     rows = [
         ["save servers", f"{target.SERVERS}", f"{target.SERVERS_2:,}"],
         [
@@ -165,7 +170,7 @@
 
 
 def tables(folder: Path = RESULTS) -> dict[str, Callable[[], str]]:
-    """The functions that write each table, by its name."""
+    """Returns the function that renders each table, by table name."""
     book = SlopeBook(folder)
     writers: dict[str, Callable[[], str]] = {
         "assumptions": assumptions_table,
@@ -174,8 +179,8 @@
         "verdicts": lambda: table(
             ["Line of the letter", "Verdict", "Figure"],
             [
-                [v.requirement, v.verdict, v.figure]
-                for v in verdicts.verdicts(book, full_size.control_runs(folder))
+                [entry.requirement, entry.verdict, entry.figure]
+                for entry in verdicts.verdicts(book, full_size.control_runs(folder))
             ],
         ),
     }
@@ -187,7 +192,11 @@
 
 
 def fill_tables(page: str, writers: dict[str, Callable[[], str]]) -> str:
-    """The page with each table as the results have it; `PageError` where a marker names none."""
+    """Returns the page with each table rendered from the results.
+
+    Raises:
+        PageError: a marker names an unknown table, has no end, or can't be parsed.
+    """
 
     def fill(match: re.Match[str]) -> str:
         name = match[2]
