--- a/gradegap/balancing/admission.py
+++ b/gradegap/balancing/admission.py
@@ -14,9 +14,9 @@
 """Load, relative to capacity, up to which all proxies together may fill an endpoint."""
 
 LOW_PRIORITY_RESERVE = 0.15
-"""Load, relative to capacity, that a request of priority 0 must leave unused below the admission limit.
+"""Reserve below the admission limit, as a fraction of capacity, that a request of priority 0 must leave free.
 
-The reserve shrinks linearly to 0 for a request of priority 1.
+Priority 0 is the lowest; the reserve shrinks linearly to 0 for the highest priority, 1.
 """
 
 
--- a/gradegap/balancing/endpoint_registry.py
+++ b/gradegap/balancing/endpoint_registry.py
@@ -48,7 +48,9 @@
         self.endpoints: dict[str, Endpoint] = {}
         self.ready: list[Endpoint] = []
         self.hash_ring: hash_ring.Ring = []
-        self.n_log_n = 0.0  # n * ln(n) for n ready endpoints
+        # n * ln(n) for n ready endpoints. If all proxies have established more connections than this since
+        # a load report, the probability of comparing endpoints by such reports may fall below 1.
+        self.n_log_n = 0.0
         self.list_failures = 0  # number of consecutive failed calls to discovery
         self.is_poll_scheduled = False
 
--- a/gradegap/balancing/health_checks.py
+++ b/gradegap/balancing/health_checks.py
@@ -91,7 +91,8 @@
                 self.reports.read(endpoint, event.report)
             self.outliers.health_check_answered(endpoint)
             self.answered_share += ANSWERED_SHARE_GAIN * (1.0 - self.answered_share)
-        elif event.result is not AttemptResult.FULL:  # an endpoint may limit health checks: not a failure
+        elif event.result is not AttemptResult.FULL:
+            # FULL is no failure: the endpoint limits health checks, or an earlier one was still in progress.
             self.outliers.health_check_failed(endpoint)
             self.answered_share -= ANSWERED_SHARE_GAIN * self.answered_share
 
--- a/gradegap/balancing/load_reports.py
+++ b/gradegap/balancing/load_reports.py
@@ -34,7 +34,7 @@
     def read(self, endpoint: Endpoint, report: Mapping[str, float]) -> None:
         """Applies one report.
 
-        A report whose compared field is missing, negative or not finite is ignored.
+        Ignores it if the field by which endpoints are compared is missing, negative or not finite.
         """
         now = self.context.now
         value = report.get(self.context.load_field)
--- a/gradegap/discovery/http_discovery.py
+++ b/gradegap/discovery/http_discovery.py
@@ -140,8 +140,9 @@
     def on_overdue(self, connection: PollConnection) -> None:
         """Handle a poll that was not answered before its timeout: poll discovery on another connection.
 
-        Where a shared service answers polls one after another, the overdue poll stays open and so keeps its
-        place in the service's queue.
+        If discovery is a shared service that answers polls one after another, the overdue poll stays open and
+        so keeps its place in the service's queue; if too many polls are open, the oldest is closed. With any
+        other kind of discovery the overdue poll is closed.
         """
         is_latest = connection is self.connections[-1]
         delay_s = self.schedule.record_timeout()
--- a/gradegap/downstream/interfaces.py
+++ b/gradegap/downstream/interfaces.py
@@ -78,7 +78,7 @@
 
     @property
     def endpoint_number(self) -> int:
-        """Number of the current endpoint; lines from other endpoints are ignored."""
+        """Number of switches to another endpoint so far; data of an endpoint selected earlier is ignored."""
         ...
 
     @property
--- a/gradegap/node/admin_operations.py
+++ b/gradegap/node/admin_operations.py
@@ -14,7 +14,8 @@
 from gradegap.node.lifecycle import Lifecycle
 from gradegap.proxy.proxy import Proxy
 
-# Time after the request to take the node out of service by which all established connections are migrated.
+# Time (s) over which the migration of the established connections is spread when the node is taken out of
+# service; at its end all are to be migrated.
 DRAIN_TIME_S = 2.8
 MAX_DISABLED_ENDPOINTS = 50  # limit of endpoints that operators may disable at the same time
 
--- a/gradegap/observer/client.py
+++ b/gradegap/observer/client.py
@@ -214,7 +214,10 @@
         self._execute_outputs()
 
     def _execute_outputs(self) -> None:
-        """Execute the subscriber's outputs; a nested call returns, and the outer call executes them."""
+        """Execute the subscriber's outputs.
+
+        A nested call returns at once and leaves them to the outer call.
+        """
         if self.is_executing:
             return
         self.is_executing = True
--- a/gradegap/observer/subscriber.py
+++ b/gradegap/observer/subscriber.py
@@ -216,7 +216,7 @@
                 return FAR_FUTURE
 
     def is_fresh(self, now: float) -> bool:
-        """Whether the lease is valid, so that decisions are based on up-to-date committed state."""
+        """Whether the lease is valid, which means that decisions are based on up-to-date committed state."""
         return now < self.lease_until
 
     def age(self, now: float) -> float:
@@ -261,7 +261,7 @@
         self.outputs.append(Disconnect(message.code))
         min_wait_s = min(message.retry_after_s, 2 * self.limits.max_retry_after_s)
         if message.code is CloseCode.DUPLICATE:
-            # Guards against two processes that keep displacing each other.
+            # Guards against two processes with the same node name that keep displacing each other.
             min_wait_s = self.limits.backoff_cap_s
         self._schedule_attempt(now, min_wait_s, machine_failed=message.code is not CloseCode.BUSY)
 
--- a/gradegap/proxy/attempts.py
+++ b/gradegap/proxy/attempts.py
@@ -101,7 +101,7 @@
         return attempt.active
 
     def on_sent(self, attempt: Attempt) -> None:
-        """Remove the attempt from those still connecting, because its first line was written."""
+        """Remove an attempt from those still connecting: its first line was written to the endpoint."""
         self._no_longer_connecting(attempt)
 
     def cancel_connecting(self, endpoint: Endpoint) -> None:
--- a/gradegap/proxy/observations.py
+++ b/gradegap/proxy/observations.py
@@ -43,7 +43,10 @@
         self.slow_message_threshold = slow_message_threshold_s(settings)
 
     def on_line_answered(self, request: Request) -> None:
-        """Handle a complete line from the endpoint, which answers the client's unanswered lines."""
+        """Handle a complete line from the endpoint.
+
+        Any such line counts as the answer to all lines of the client that are still unanswered.
+        """
         now = request.last_response_at
         sent_at, request.unanswered_since = request.unanswered_since, None
         if sent_at is None or request.attempt is None:
--- a/gradegap/quic/listener.py
+++ b/gradegap/quic/listener.py
@@ -39,8 +39,8 @@
 
 log = structlog.get_logger()
 
-# Limit of used tokens that are passed to the successor process. If there are more, the successor rejects all
-# NEW_TOKEN tokens that are older than the takeover.
+# Limit on the number of used tokens that are passed to the successor process. If there are more, the
+# successor rejects all NEW_TOKEN tokens that are older than the takeover.
 MAX_PASSED_USED_TOKENS = 3000
 
 MAX_CONCURRENT_HANDSHAKES = 256
--- a/gradegap/store/wire.py
+++ b/gradegap/store/wire.py
@@ -36,7 +36,7 @@
 
 
 class Proof(msgspec.Struct, frozen=True, tag="proof"):
-    """Proves that an end has the cluster's secret."""
+    """Proves that the sender of this message knows the cluster's secret."""
 
     mac: bytes
 
--- a/gradegap/store/write_stamps.py
+++ b/gradegap/store/write_stamps.py
@@ -21,7 +21,12 @@
 
 
 class LogClockEstimate:
-    """A member's estimate of the leader's log time; the estimate may lag."""
+    """A member's estimate of the leader's log time.
+
+    Log time is the cluster's own clock (ms): it advances with the steady clock of the leader, and continues
+    from the applied log when the leader changes. The estimate may lag behind it; it may also be ahead, for
+    example after a change of leader.
+    """
 
     def __init__(self, host: RequestHost) -> None:
         self.host = host
--- a/gradegap/verification/raft_faults.py
+++ b/gradegap/verification/raft_faults.py
@@ -32,7 +32,7 @@
     has_clock_drift: bool = True  # whether clocks run at different rates
 
 
-# Without faults clocks still drift, and proposals continue.
+# In this profile clocks still drift, some writes to disk are still slow, and proposals continue.
 NO_FAULTS = Faults(
     crash=0.0,
     pause=0.0,
