--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -1,11 +1,11 @@
-"""Hollow nodes, many in a process: the real control side of each, over real sockets, and no data side.
+"""Hollow nodes, many per process: each has a real control side over real sockets and no data side.
 
-A hollow node has a node's own core with its decision module, its discovery client, its dialer and
-probes, its live configuration, and its session with the store. It takes no clients. Run as a child:
+A hollow node has the core of a node with its decision module, discovery client, dialer, health checks,
+dynamic configuration and session with the store. It accepts no clients. The module runs as a child process:
 
     python -m bench.scale.hollow SPEC.json
 
-It takes commands as JSON lines on its standard input, and answers each with a line on its output.
+It reads commands as JSON lines from standard input and answers each with one line on standard output.
 """
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
 
 LEASE_SAMPLE_INTERVAL_S = 0.05
 DESCRIPTORS = 20_000
-CHANGED_KEY = "motd"  # a setting that a change of the run sets; nothing hangs on it
+CHANGED_KEY = "motd"  # setting written by the changes of a run; it has no effect on nodes
 
 
 class HollowSpec(msgspec.Struct):
@@ -64,7 +64,7 @@
 
     mechanism: Literal["members", "observer"]
     nodes: list[NodeSpec]
-    total_nodes: int  # nodes of the whole run: what the module shares its servers with
+    total_nodes: int  # nodes of the whole run, which share the servers
     machines: list[MachineSpec]
     discovery: str
     folder: str
@@ -72,57 +72,57 @@
     seed: int
     probes_per_s: float
     start_spread_s: float
-    restart_delay_s: float = 1.0  # between the end of a node and its return
+    restart_delay_s: float = 1.0  # mean time between the end of a node and its restart
 
 
 class Applied(msgspec.Struct, array_like=True):
-    """A revision in force at a node, and when."""
+    """A revision, and the time on the steady clock (s) at which it was in force at a node."""
 
     revision: int
     at: float
 
 
 class Span(msgspec.Struct, array_like=True):
-    """From when to when; an `end` of 0 is not yet."""
+    """A period on the steady clock (s); an `end` of 0 means that it has not ended."""
 
     begin: float
     end: float = 0.0
 
 
 class ServedBy(msgspec.Struct, array_like=True):
-    """The machine that serves a node from a moment on; empty: none does."""
+    """The machine that serves a node from `begin` (steady clock, s) on; empty if no machine does."""
 
     machine: str
     begin: float
 
 
 class NodeRecord(msgspec.Struct):
-    """What was measured of one node, over all its runs."""
+    """Measurements of one node over all its runs."""
 
     name: str
     region: str
     runs: list[Span] = []
-    leases: list[Span] = []  # when it held a lease
+    leases: list[Span] = []  # periods in which the node held a lease
     applied: list[Applied] = []
     served_by: list[ServedBy] = []
-    sent: dict[str, int] = {}  # bytes in the window by kind
+    sent: dict[str, int] = {}  # bytes in the window by kind of message
     received: dict[str, int] = {}
 
 
 class ProcessRecord(msgspec.Struct):
-    """What was measured in one process of hollow nodes."""
+    """Measurements of one process of hollow nodes."""
 
     nodes: list[NodeRecord]
     window_s: float
-    processor_s: float  # in the window, of the whole process
-    resident_empty_bytes: int  # before any node was made
+    processor_s: float  # processor time of the whole process in the window
+    resident_empty_bytes: int  # before any node is created
     resident_bytes: int  # at the end of the window
     resident_peak_bytes: int
-    counters: dict[str, int]  # of all nodes together
+    counters: dict[str, int]  # sums over all nodes
 
 
 class HollowNode:
-    """One node's control side, in one of its runs."""
+    """The control side of one node during one of its runs."""
 
     def __init__(self, process: HollowProcess, spec: NodeSpec, record: NodeRecord, traffic: Traffic) -> None:
         self.process, self.spec, self.record, self.traffic = process, spec, record, traffic
@@ -141,23 +141,23 @@
         self.ended = False
 
     def has_endpoint_list(self) -> bool:
-        """Whether discovery has delivered an endpoint list."""
+        """Returns whether discovery has delivered an endpoint list."""
         return self.discovery.has_list
 
     async def start(self) -> None:
-        """As a node's process does: the list first, then the store."""
+        """Starts discovery first and then the store session, in the order of a node's process."""
         self.record.runs.append(Span(steady()))
         self.discovery.start()
         await self.session.start()
         self._schedule_health_check()
 
     def applied(self, revision: int) -> None:
-        """A revision is in force here."""
+        """Records that `revision` is in force at this node."""
         if not self.record.applied or revision > self.record.applied[-1].revision:
             self.record.applied.append(Applied(revision, steady()))
 
     def record_session(self, now: float) -> None:
-        """Note when it gained or lost its lease, and came to another machine."""
+        """Records a gained or lost lease and a change of the serving machine; `now` is steady time in s."""
         spans, stays = self.record.leases, self.record.served_by
         machine = self.session.machine()
         if machine != (stays[-1].machine if stays else ""):
@@ -175,14 +175,14 @@
             self.health_check_timer = self.process.loop.call_later(wait, self._check_health)
 
     def _check_health(self) -> None:
-        """Check some endpoint, as a node with clients there would now and then."""
+        """Checks a random endpoint, in place of the occasional health checks of a node with clients."""
         known = [name for name, endpoint in self.proxy.endpoints.items() if endpoint.address]
         if known and not self.ended:
             self.proxy.check_health(self.process.rng.choice(known))
         self._schedule_health_check()
 
     def stop(self) -> None:
-        """End as a process does that the platform restarts."""
+        """Ends the run of the node as a process does that the platform restarts."""
         now = steady()
         self.ended = True
         self.record.runs[-1].end = now
@@ -194,13 +194,14 @@
         self.discovery.stop()
         self.upstream.close_health_checks()
         self.upstream.dialer.task.cancel()
-        # The balancer's timers go on for good, as a process ends with them: they find nothing to do.
+        # The balancer's timers are not stopped: in a real node they end with the process. Here they continue
+        # to fire and find no work to do.
         self.proxy.sweep.stop()
         self.proxy.context.feed = lambda event: None  # type: ignore[method-assign]
 
 
 class HollowProcess:
-    """The nodes of one process, and the commands that the run sends it."""
+    """The nodes of one process, and the handlers of commands that the run sends to the process."""
 
     def __init__(self, spec: HollowSpec, loop: asyncio.AbstractEventLoop) -> None:
         self.spec, self.loop = spec, loop
@@ -208,7 +209,7 @@
         self.metrics = Metrics()
         fields = reader.flatten({**SETTINGS, "ReplicasOfMe": spec.total_nodes})
         self.settings = Settings(**reader.read(fields))
-        self.records = [NodeRecord(n.name, n.region) for n in spec.nodes]
+        self.records = [NodeRecord(node_spec.name, node_spec.region) for node_spec in spec.nodes]
         self.traffic = [Traffic() for _ in spec.nodes]
         self.nodes: dict[int, HollowNode] = {}
         self.tasks: set[asyncio.Task[None]] = set()
@@ -218,7 +219,7 @@
         self.measured: ProcessRecord | None = None
 
     def session(self, node: HollowNode) -> Session:
-        """The node's side of the store, by the run's mechanism."""
+        """Returns a new store session for the node, of the run's mechanism."""
         parts = SessionParts(
             node.proxy,
             node.configuration,
@@ -237,7 +238,7 @@
         return MemberSession(spec, machines, secret, Path(self.spec.folder) / spec.name, parts)
 
     async def start_node(self, number: int, after: float = 0.0) -> None:
-        """Begin a run of a node."""
+        """Starts a run of node `number` after `after` seconds, unless the node is running."""
         await asyncio.sleep(after)
         if number not in self.nodes:
             node = HollowNode(self, self.spec.nodes[number], self.records[number], self.traffic[number])
@@ -245,7 +246,7 @@
             await node.start()
 
     def run(self, work: Any) -> None:
-        """A task that is kept until it ends; its error ends the process."""
+        """Runs a coroutine as a task, referenced until it ends; an error in it stops the event loop."""
         task: asyncio.Task[None] = self.loop.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self._done)
@@ -253,37 +254,40 @@
     def _done(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            log.error("a hollow node failed", error=repr(error), exc_info=error)
+            log.error("hollow node failed", error=repr(error), exc_info=error)
             self.loop.stop()
 
     # Commands of the run
 
     def start(self) -> Done:
-        """All nodes, spread over the time that the spec gives."""
+        """Starts all nodes, at random times within `start_spread_s` of the specification."""
         self.run(self._record_sessions())
         for number in range(len(self.spec.nodes)):
             self.run(self.start_node(number, self.rng.uniform(0.0, self.spec.start_spread_s)))
         return Done()
 
     def status(self) -> NodeStatus:
-        """How many nodes hold a lease and know the list, and the least revision among them."""
+        """Returns the number of nodes with a lease and an endpoint list, and the lowest revision in force."""
         living = self.nodes.values()
-        ready = [n for n in living if n.session.holds_lease() and n.has_endpoint_list()]
-        least = min((n.record.applied[-1].revision if n.record.applied else 0 for n in living), default=0)
+        ready = [node for node in living if node.session.holds_lease() and node.has_endpoint_list()]
+        least = min(
+            (node.record.applied[-1].revision if node.record.applied else 0 for node in living), default=0
+        )
         return NodeStatus(len(self.spec.nodes), len(ready), least)
 
     def begin_window(self) -> Done:
-        """The measured window begins."""
+        """Starts the measured window."""
         for traffic in self.traffic:
             traffic.clear()
-        # Many nodes share a heap here: a full collection would stop them all, for longer than it stops one.
+        # Many nodes share this heap. A full collection would pause all of them, for longer than it pauses a
+        # process with one node.
         gc.collect()
         gc.freeze()
         self.window_at, self.window_processor = steady(), time.process_time()
         return Done()
 
     def end_window(self) -> Done:
-        """The measured window ends."""
+        """Ends the measured window and takes its measurements."""
         for record, traffic in zip(self.records, self.traffic, strict=True):
             record.sent, record.received = dict(traffic.sent), dict(traffic.received)
         self.measured = ProcessRecord(
@@ -298,7 +302,10 @@
         return Done()
 
     def restart(self, numbers: list[int]) -> Done:
-        """Some nodes end at once and start again after a while, by their numbers in this process."""
+        """Stops nodes at once, by their index in this process, and restarts them after a random delay.
+
+        The delay is between 0.5 and 1.5 times `restart_delay_s`.
+        """
         for number in numbers:
             node = self.nodes.pop(number, None)
             if node is not None:
@@ -307,7 +314,7 @@
         return Done()
 
     def finish(self, path: Path) -> Done:
-        """Write what was measured; times of the settling after the window are in it."""
+        """Writes the measurements to `path`, with the times recorded while the run settles."""
         assert self.measured is not None
         self.measured.counters = dict(self.metrics.counts)
         path.write_bytes(msgspec.json.encode(self.measured))
@@ -321,7 +328,7 @@
             await asyncio.sleep(LEASE_SAMPLE_INTERVAL_S)
 
     async def serve_commands(self) -> None:
-        """Serve one command after another, until standard input ends."""
+        """Handles commands one after another until standard input ends."""
         lines = asyncio.StreamReader(limit=1 << 20)
         await self.loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
         while line := await lines.readline():
@@ -329,7 +336,7 @@
             print(msgspec.json.encode(self.handle(command)).decode(), flush=True)
 
     def handle(self, command: HollowCommand) -> Done | NodeStatus:
-        """Carry out a command of the run; the answer to it."""
+        """Carries out a command of the run and returns its answer."""
         match command:
             case Start():
                 return self.start()
@@ -346,13 +353,13 @@
 
 
 def resident(field: str) -> int:
-    """Bytes of this process by /proc: `VmRSS` now, `VmHWM` at the most."""
+    """Returns the resident memory of this process in bytes: `VmRSS` is the current size, `VmHWM` the peak."""
     lines = Path("/proc/self/status").read_text().splitlines()
     return 1024 * int(next(line for line in lines if line.startswith(field)).split()[1])
 
 
 def configure_log() -> None:
-    """Warnings and errors, to standard error: standard output is for the run."""
+    """Logs errors only, to standard error, because standard output carries the answers to the run."""
     structlog.configure(
         wrapper_class=structlog.make_filtering_bound_logger(40),
         logger_factory=structlog.PrintLoggerFactory(sys.stderr),
@@ -360,7 +367,7 @@
 
 
 async def main(path: Path) -> None:
-    """Run the nodes of a spec until standard input ends."""
+    """Runs the nodes of a specification file until standard input ends."""
     spec = msgspec.json.decode(path.read_bytes(), type=HollowSpec)
     process = HollowProcess(spec, asyncio.get_running_loop())
     await process.serve_commands()
