--- a/bench/scale/roles/__init__.py
+++ b/bench/scale/roles/__init__.py
@@ -1,6 +1,6 @@
-"""Each role's figures at the target, worked out of slopes: in the ordinary hour and at the worst moments.
+"""Figures of each role at the target size, derived from slopes: ordinary hour and worst moments.
 
-A module a role; `ROLES` has them by the name of their table in docs/CAPACITY.md.
+Each role has a module. `ROLES` maps the name of a table in docs/CAPACITY.md to the function of its rows.
 """
 
 from __future__ import annotations
--- a/bench/scale/roles/client.py
+++ b/bench/scale/roles/client.py
@@ -1,4 +1,4 @@
-"""A client that comes again after its node is lost."""
+"""Figures of a client that reconnects after its node is lost."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def rows(book: SlopeBook) -> list[Row]:
-    """A client that comes again."""
+    """Returns the figures of a client that reconnects."""
     opened = book.at("open_by_connections", target.CONNECTIONS_PER_NODE)
     found = [
         Row(
--- a/bench/scale/roles/control_machine.py
+++ b/bench/scale/roles/control_machine.py
@@ -1,4 +1,4 @@
-"""A control machine: a member of the store and a publisher."""
+"""Figures of a control machine, which is a member of the store and a publisher."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def rows(book: SlopeBook) -> list[Row]:
-    """A control machine: a member of the store and a publisher."""
+    """Returns the figures of a control machine."""
     return [
         *_state_and_subscriptions(book),
         *_changes_and_leases(book),
@@ -22,7 +22,7 @@
 
 
 def _state_and_subscriptions(book: SlopeBook) -> list[Row]:
-    """The store's state and renewals of subscriptions, in the ordinary hour."""
+    """Returns the figures of the store's state and of subscription renewals in the ordinary hour."""
     rate = lease_renewals_per_s()
     renewal = book.get("renewal_bytes").points[0]
     frame = renewal.median / renewal.size
@@ -65,7 +65,7 @@
 
 
 def _changes_and_leases(book: SlopeBook) -> list[Row]:
-    """Changes of the configuration, and leases at the leader."""
+    """Returns the figures of configuration changes and of leases at the leader."""
     subscribers = target.NODES / target.CONTROL_MACHINES
     one = book.at("publisher_delta", 1)
     lease = book.at("lease_renewal", target.CONTROL_MACHINES)
@@ -101,7 +101,7 @@
 
 
 def _burst(book: SlopeBook) -> list[Row]:
-    """Many changes of the configuration at once."""
+    """Returns the cost of a burst of configuration changes."""
     subscribers = target.NODES / target.CONTROL_MACHINES
     burst = book.at("publisher_delta", 50)
     serve = "observer/publisher.py"
@@ -117,7 +117,7 @@
 
 
 def _healed_region(book: SlopeBook) -> list[Row]:
-    """A region that was cut off is connected again."""
+    """Returns the cost of the deltas that a region receives when its partition heals."""
     serve = "observer/publisher.py"
     healed = target.NODES_PER_REGION * book.at("publisher_delta", target.CHANGES_PER_DAY / 24).value / 1e3
     healed_bytes = target.NODES_PER_REGION * book.at("delta_bytes", target.CHANGES_PER_DAY / 24).value
@@ -134,7 +134,7 @@
 
 
 def _moments() -> list[tuple[str, float, float]]:
-    """What happens, how many nodes subscribe anew at a machine then, and how many are subscribed there."""
+    """Returns events with the numbers of new subscriptions and of all subscriptions at one machine."""
     subscribers = target.NODES / target.CONTROL_MACHINES
     return [
         (
@@ -164,7 +164,7 @@
 
 
 def _resubscriptions(book: SlopeBook) -> list[Row]:
-    """Nodes that subscribe at once."""
+    """Returns the cost of nodes that subscribe at the same time, for each event of `_moments`."""
     limits = Limits()
     snapshot = book.at("publisher_snapshot", target.KEYS)
     size = book.at("snapshot_bytes", target.KEYS)
--- a/bench/scale/roles/control_plane.py
+++ b/bench/scale/roles/control_plane.py
@@ -1,4 +1,4 @@
-"""A node's endpoint list, health checks, configuration and gossip."""
+"""Figures of a node's control side: endpoint list, health checks, configuration and gossip."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def rows(book: SlopeBook) -> list[Row]:
-    """A node's endpoint list, health checks, configuration and gossip."""
+    """Returns the figures of the control side of a node."""
     return [
         *_subscription(book),
         *_endpoint_list(book),
@@ -26,7 +26,7 @@
 
 
 def _subscription(book: SlopeBook) -> list[Row]:
-    """The lease and configuration changes, in the ordinary hour."""
+    """Returns the figures of the lease and of configuration changes in the ordinary hour."""
     rate = lease_renewals_per_s()
     renewal = book.get("renewal_bytes").points[0]
     frame = renewal.median / renewal.size
@@ -62,7 +62,7 @@
 
 
 def _endpoint_list(book: SlopeBook) -> list[Row]:
-    """Watch calls, in the ordinary hour."""
+    """Returns the figures of watch calls in the ordinary hour."""
     fixed = book.at("list_bytes_delta", 0)
     changed = book.at("list_bytes_delta", 1)
     wait = 10.0
@@ -82,7 +82,7 @@
 
 
 def _health_checks(book: SlopeBook) -> list[Row]:
-    """Health checks, in the ordinary hour."""
+    """Returns the figures of health checks in the ordinary hour."""
     probe = book.at("probe", target.SERVERS)
     probes = health_checks_per_s(target.SERVERS, target.ARRIVALS_PER_NODE, HEALTH_CHECK_INTERVAL_IDLE_S)
     probes_2 = health_checks_per_s(target.SERVERS, target.ARRIVALS_PER_NODE_2, HEALTH_CHECK_INTERVAL_FULL_S)
@@ -109,7 +109,7 @@
 
 
 def _membership(book: SlopeBook) -> list[Row]:
-    """What a node costs that is a member of the store, and one without connections."""
+    """Returns the gossip of a node that is a member of the store, and the memory of an idle process."""
     gossip = book.at("gossip_bytes", target.SERVERS)
     return [
         Row(
@@ -132,7 +132,7 @@
 
 
 def _start(book: SlopeBook) -> list[Row]:
-    """A node's first list and snapshot."""
+    """Returns the cost of a node's first endpoint list and snapshot."""
     whole = book.at("list_bytes_full", target.SERVERS)
     whole_2 = book.at("list_bytes_full", target.SERVERS_2)
     snapshot = book.at("snapshot_bytes", target.KEYS)
@@ -160,7 +160,7 @@
 
 
 def _bursts(book: SlopeBook) -> list[Row]:
-    """Many changes of the configuration at once."""
+    """Returns the size of a burst of configuration changes and of the changes of an hour."""
     burst = book.at("delta_bytes", 50)
     observer = "observer/subscriber.py"
     return [
--- a/bench/scale/roles/data_plane.py
+++ b/bench/scale/roles/data_plane.py
@@ -1,4 +1,4 @@
-"""A node's connections and lines."""
+"""Figures of a node's data side: connections and lines."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def rows(book: SlopeBook) -> list[Row]:
-    """A node's connections and lines."""
+    """Returns the figures of the data side of a node."""
     return [
         *_connections(book),
         *_arrivals(book),
@@ -20,7 +20,7 @@
 
 
 def _connections(book: SlopeBook) -> list[Row]:
-    """Its established connections and their lines, in the ordinary hour."""
+    """Returns the figures of established connections and their lines in the ordinary hour."""
     memory = book.at("connection_memory", target.CONNECTIONS_PER_NODE)
     lines = book.at("share_by_lines", target.LINES_PER_NODE)
     idle = book.at("idle_share", target.CONNECTIONS_PER_NODE)
@@ -66,7 +66,7 @@
 
 
 def _arrivals(book: SlopeBook) -> list[Row]:
-    """Connections that are opened, in the ordinary hour."""
+    """Returns the figures of newly opened connections in the ordinary hour."""
     opened = book.at("open_by_connections", target.CONNECTIONS_PER_NODE)
     arrivals = book.at("module_request_by_sessions", target.CONNECTIONS_PER_NODE)
     grouped = book.at("module_grouped_request_by_servers", target.SERVERS)
@@ -102,7 +102,7 @@
 
 
 def _long_pauses(book: SlopeBook) -> list[Row]:
-    """What delays every line of a node for once."""
+    """Returns the pauses of the event loop that delay all lines of a node."""
     listed = book.at("stop_list", target.SERVERS)
     listed_2 = book.at("list_replaced", target.SERVERS_2)
     return [
@@ -124,7 +124,7 @@
 
 
 def _fullest_node(book: SlopeBook) -> list[Row]:
-    """A node with `SKEW` times the mean of connections."""
+    """Returns the figures of a node with `SKEW` times the mean number of connections."""
     passing = "downstream/session.py, upstream/connection.py"
     fullest = book.at("connection_memory", target.SKEW * target.CONNECTIONS_PER_NODE)
     return [
@@ -146,7 +146,7 @@
 
 
 def _returning(book: SlopeBook) -> list[Row]:
-    """The clients of lost nodes, at each node that is left."""
+    """Returns the load of the clients of lost nodes on each remaining node."""
     opened = book.at("open_by_connections", target.CONNECTIONS_PER_NODE)
     return [
         Row(
--- a/bench/scale/roles/discovery.py
+++ b/bench/scale/roles/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery, as nodes call it."""
+"""Figures of the load that nodes put on discovery."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def rows(book: SlopeBook) -> list[Row]:
-    """Discovery as it is asked."""
+    """Returns the figures of discovery: calls, changed servers and full lists."""
     fixed, changed = book.at("list_bytes_delta", 0), book.at("list_bytes_delta", 1)
     whole, whole_2 = book.at("list_bytes_full", target.SERVERS), book.at("list_bytes_full", target.SERVERS_2)
     clock = "discovery/watch_schedule.py"
--- a/bench/scale/roles/largest_group.py
+++ b/bench/scale/roles/largest_group.py
@@ -1,4 +1,4 @@
-"""The largest group, beside the mean one."""
+"""Figures of the largest group, compared with the mean group."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def rows(book: SlopeBook) -> list[Row]:
-    """The largest group, beside the mean one."""
+    """Returns the figures of the largest group and of the mean group."""
     return [
         *_members(book),
         *_return(book),
@@ -19,7 +19,7 @@
 
 
 def _members(book: SlopeBook) -> list[Row]:
-    """Where the members of the largest group are."""
+    """Returns the distribution of the largest group's members over nodes and servers."""
     members = target.LARGEST_GROUP / target.NODES
     return [
         Row(
@@ -43,7 +43,7 @@
 
 
 def _return(book: SlopeBook) -> list[Row]:
-    """The largest group comes back at once."""
+    """Returns the load when all members of the largest group reconnect at once."""
     opened = book.at("open_by_connections", target.CONNECTIONS_PER_NODE)
     members = target.LARGEST_GROUP / target.NODES
     return [
@@ -65,7 +65,7 @@
 
 
 def _lines_and_groups(book: SlopeBook) -> list[Row]:
-    """A line to all of a group; the mean group; a node's groups."""
+    """Returns the figures of a line to a whole group, of the mean group, and of a node's groups."""
     members = target.LARGEST_GROUP / target.NODES
     by_groups = book.at("module_request_by_groups", target.CONNECTIONS_PER_NODE)
     return [
--- a/bench/scale/roles/row.py
+++ b/bench/scale/roles/row.py
@@ -1,4 +1,4 @@
-"""A line of a role's table."""
+"""One row of a role's table."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class Row:
-    """One figure of a role."""
+    """One figure of a role: its moment, quantity and value, its derivation, and the module that bears it."""
 
     moment: str
     quantity: str
--- a/bench/scale/roles/save_server.py
+++ b/bench/scale/roles/save_server.py
@@ -1,4 +1,4 @@
-"""A save server, as nodes load it."""
+"""Figures of the load that nodes put on a save server."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def rows(book: SlopeBook) -> list[Row]:
-    """A save server, as nodes load it."""
+    """Returns the figures of a save server."""
     return [
         *_ordinary_hour(),
         *_worst(),
@@ -18,7 +18,7 @@
 
 
 def _ordinary_hour() -> list[Row]:
-    """Connections, lines, dials and health checks."""
+    """Returns the figures of connections, lines, dials and health checks in the ordinary hour."""
     of_a_node = health_checks_per_s(target.SERVERS, target.ARRIVALS_PER_NODE, HEALTH_CHECK_INTERVAL_IDLE_S)
     of_a_node_2 = health_checks_per_s(
         target.SERVERS_2, target.ARRIVALS_PER_NODE, HEALTH_CHECK_INTERVAL_IDLE_S
@@ -64,7 +64,7 @@
 
 
 def _worst() -> list[Row]:
-    """Its own restart, and connections that are opened again after nodes are lost."""
+    """Returns the figures of the server's own restart and of connections reopened after a loss of nodes."""
     return [
         Row(
             "worst: it has started anew",
