--- a/gradegap/observer/messages.py
+++ b/gradegap/observer/messages.py
@@ -12,9 +12,9 @@
 import msgspec
 
 VERSION = 1
-MAX_NAME_LENGTH = 128  # characters in the name of a node, machine or region
+MAX_NAME_LENGTH = 128  # limit on the characters in the name of a node, machine or region
 PART_BYTES = 64 * 1024  # default target size of the changes in one part of a snapshot
-MAX_FRAME_BYTES = 256 * 1024  # largest message; a single value of the store has 64 KiB at most
+MAX_FRAME_BYTES = 256 * 1024  # limit on the size of a message; a single value of the store has 64 KiB at most
 
 Name = Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH)]
 Revision = Annotated[int, msgspec.Meta(ge=0)]
@@ -26,13 +26,13 @@
 
     VERSION = "version"  # the other side uses another version of this protocol
     CLUSTER = "cluster"  # the other side belongs to another cluster
-    BEHIND = "behind"  # this machine has not applied the revision that the node already has
+    BEHIND = "behind"  # the machine has not applied the revision that the node already has
     BUSY = "busy"  # too many subscriptions, or too many new ones per second
     DUPLICATE = "duplicate"  # another process subscribed under the same node name
     SILENT = "silent"  # nothing was received within the timeout
     GARBLED = "garbled"  # a message can't be decoded, or is not allowed in this state
     GAP = "gap"  # a delta or a part of a snapshot does not follow the one before it
-    BACKWARDS = "backwards"  # a snapshot is older than the applied revision
+    BACKWARDS = "backwards"  # the machine sent a snapshot older than the revision that the node has applied
     SLOW = "slow"  # the other side does not read its connection
     LEAVING = "leaving"  # this side is stopping
 
@@ -56,7 +56,7 @@
     node: Name
     instance: Name  # random id, new for each process of the node
     region: Name = ""
-    cluster: Name = ""  # empty until the node knows it
+    cluster: Name = ""  # the cluster's name; empty until the node knows it
     revision: Revision = 0
 
 
--- a/gradegap/quic/tokens.py
+++ b/gradegap/quic/tokens.py
@@ -79,8 +79,8 @@
             self.expires_at.popitem(last=False)
         if token_hash in self.expires_at or len(self.expires_at) >= self.capacity:
             return False
-        # The order of use is only nearly the order of expiry. An entry that follows one with a later
-        # expiry is removed together with that one, a little late.
+        # Entries are in order of use, which is only nearly the order of expiry: an entry that follows one
+        # with a later expiry is removed together with that one, a little after its own expiry.
         self.expires_at[token_hash] = expiry
         return True
 
@@ -99,7 +99,7 @@
 
     def __init__(self, keys: DerivedKeys) -> None:
         self.used = UsedTokens()
-        # Unix time in s; for older NEW_TOKEN tokens, this process may not know whether they were used.
+        # Unix time in s; this process may not know which NEW_TOKEN tokens made before it were used.
         self.used_known_since = 0.0
         self.use_keys(keys)
 
--- a/gradegap/raft/read_index.py
+++ b/gradegap/raft/read_index.py
@@ -15,7 +15,7 @@
 
     request_id: int
     commit_index: int  # the lowest applied index at which the read may be served
-    heartbeat_round: int  # the round that a quorum must acknowledge first
+    heartbeat_round: int  # the heartbeat round that a quorum must acknowledge before the read is confirmed
 
 
 class ReadIndexQueue:
@@ -26,7 +26,7 @@
         self.waiting: list[PendingRead] = []
 
     def request(self, now: float, request_id: int) -> None:
-        """Confirm a read at once under the lease, else after a round of heartbeats.
+        """Confirm a read at once if the leader has a lease, otherwise after a round of heartbeats.
 
         Raises:
             NotLeaderError: This member does not lead.
--- a/gradegap/store/wire.py
+++ b/gradegap/store/wire.py
@@ -21,10 +21,10 @@
 
 
 class Hello(msgspec.Struct, frozen=True, tag="hello"):
-    """Identifies one end of a link; the first frame that each end sends."""
+    """Identifies one end of a link; each end sends it as its first frame."""
 
     version: int
-    kind: str  # "member" or "client"
+    kind: str  # kind of this end: "member" or "client"
     nonce: bytes
     id: str = ""
     name: str = ""
@@ -84,7 +84,8 @@
     serial: int
     term: int
     index: int  # the lease is valid once the holder has applied this index
-    duration_s: float = msgspec.field(name="duration")  # counted from the request; 0: no lease granted
+    # lease length, counted from the time of the request; 0: no lease granted
+    duration_s: float = msgspec.field(name="duration")
 
 
 class LeaseApplied(msgspec.Struct, frozen=True, tag="lease_applied"):
@@ -144,8 +145,9 @@
     author: str = ""
     client: str = ""
     seq: int = 0
-    deadline_ms: int = msgspec.field(default=0, name="until")  # deadline in log time
-    attempts: int = msgspec.field(default=0, name="tries")  # how often the write was forwarded before
+    deadline_ms: int = msgspec.field(default=0, name="until")  # deadline in log time (ms)
+    # number of times that the write was forwarded before this attempt
+    attempts: int = msgspec.field(default=0, name="tries")
 
 
 class Watch(msgspec.Struct, frozen=True, tag="watch"):
@@ -253,7 +255,7 @@
     outcome: str = "ok"
     text: str = ""
     revision: int = 0
-    clock_ms: int = msgspec.field(default=0, name="clock")  # log time at the responder
+    clock_ms: int = msgspec.field(default=0, name="clock")  # log time (ms) at the responder
     succeeded: bool = True
     items: list[Item] = []
     events: list[Event] = []
